--- a/crates/core/src/route/lateness.rs
+++ b/crates/core/src/route/lateness.rs
@@ -1,15 +1,16 @@
-//! Why the answer to a request was late: where its time went, against what its route aims at.
+//! Attribution of late answers: which part of a request's processing made it miss its latency
+//! objective.
 
 use std::time::Duration;
 
-/// Where the time of one answered stream went.
+/// The time that one answered stream spent in each phase.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Spans {
-    /// From its arrival until its tokens were set aside.
+    /// From its arrival until its tokens were reserved.
     pub tokens: Duration,
-    /// From then until it was sent to the replica that sent the first event.
+    /// From the reservation until the request was sent to the replica that sent the first event.
     pub gateway: Duration,
-    /// From then until the first event came.
+    /// From sending until the first event.
     pub first: Duration,
     /// The longest pause between two events from replicas.
     pub pause: Duration,
@@ -17,32 +18,32 @@
     pub passing: Duration,
 }
 
-/// What a route aims at.
+/// The latency objective of a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Aim {
-    /// The time until the first event.
+    /// The longest time until the first event.
     pub first: Duration,
-    /// The longest pause between events; none: any is in time.
+    /// The longest pause between events; none: unlimited.
     pub pause: Option<Duration>,
 }
 
-/// The largest cause of a late stream.
+/// The main cause of a late stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// It waited for its tokens.
+    /// It waited for the reservation of its tokens.
     Tokens,
-    /// It waited at the gateway, or attempts before the last failed.
+    /// It waited at the gateway, or earlier attempts failed.
     Gateway,
-    /// The replica took long to send the first event.
+    /// The replica took too long to send the first event.
     First,
     /// The replica paused between events.
     Pause,
-    /// The gateway passed an event on late.
+    /// The gateway delayed an event.
     Passing,
 }
 
 impl Cause {
-    /// Its name in metrics and log lines.
+    /// Returns its name in metrics and log lines.
     pub fn as_str(self) -> &'static str {
         match self {
             Cause::Tokens => "tokens",
@@ -54,16 +55,16 @@
     }
 }
 
-/// Why a stream was late; none if it was in time.
-pub fn cause(s: &Spans, aim: &Aim) -> Option<Cause> {
-    if s.tokens + s.gateway + s.first > aim.first {
+/// Returns the main cause of a late stream; none if the stream met its objective.
+pub fn cause(s: &Spans, objective: &Aim) -> Option<Cause> {
+    if s.tokens + s.gateway + s.first > objective.first {
         let spans =
             [(s.tokens, Cause::Tokens), (s.gateway, Cause::Gateway), (s.first, Cause::First)];
         return spans.into_iter().max_by_key(|(span, _)| *span).map(|(_, cause)| cause);
     }
-    let most = aim.pause?;
-    if s.pause > most {
+    let max_pause = objective.pause?;
+    if s.pause > max_pause {
         return Some(Cause::Pause);
     }
-    (s.pause + s.passing > most).then_some(Cause::Passing)
+    (s.pause + s.passing > max_pause).then_some(Cause::Passing)
 }
--- a/crates/core/src/route/limiter.rs
+++ b/crates/core/src/route/limiter.rs
@@ -1,83 +1,84 @@
-//! Admission to a service: a limit on what runs, and a bounded queue by priority.
+//! Admission control of a service: a concurrency limit and a bounded priority queue.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::config::Priority;
 use crate::unit::{Millis, Time};
 
-/// Weight of the newest run in the mean time of a run, as a divisor.
+/// The newest run time enters the moving average with weight `1 / SMOOTHING`.
 const SMOOTHING: u64 = 8;
 
-/// The number of a request at its limiter.
+/// Identifies a request at its limiter.
 pub type Ticket = u64;
 
-/// A request that waits.
+/// A request in the queue of a limiter.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Waiter {
-    /// Its number.
+    /// Identifies it at the limiter.
     pub ticket: Ticket,
-    /// Who sent it.
+    /// The client account that sent it.
     pub client_account: String,
-    /// Its class.
+    /// Its priority; `Live` is served first.
     pub priority: Priority,
-    /// When it must have started.
+    /// The latest time at which it may start.
     pub deadline: Time,
-    /// How many of its client account's requests may run at once.
+    /// Concurrency limit of its client account.
     pub concurrency: u32,
 }
 
-/// What became of a request that came to the limiter.
+/// The result of [`Limiter::enter`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Entered {
-    /// It runs now.
+    /// The request runs now.
     Run,
-    /// It waits.
+    /// The request is queued.
     Wait,
-    /// It waits, and this one, worth less, is refused in its place.
+    /// The request is queued and evicts this one, whose caller is to retry after the given time.
     Instead(Ticket, Millis),
-    /// It is refused; come back after this.
+    /// The request is refused; its caller is to retry after the given time.
     Refused(Millis),
 }
 
 /// The limiter of one service at one router.
 ///
-/// A free place goes to the most urgent class; within it to the client account with the fewest
-/// requests running, and of its requests to the oldest. A full queue refuses what is worth least:
-/// the least urgent class, of it the client account with the most waiting, of these the newest.
+/// A free slot goes to the highest queued priority, within it to the client account with the fewest
+/// running requests, and of its requests to the oldest. A full queue evicts the newest request of
+/// the client account with the most queued requests at the lowest priority.
 #[derive(Clone, Debug, Default)]
 pub struct Limiter {
     limit: u32,
-    room: usize,
+    queue_capacity: usize,
     waiting: BTreeMap<Priority, VecDeque<Waiter>>,
     running: BTreeMap<String, u32>,
     mean_run: Millis,
 }
 
 impl Limiter {
-    /// A limiter that lets `limit` requests run and `room` wait.
-    pub fn new(limit: u32, room: u32) -> Limiter {
-        Limiter { limit, room: room as usize, ..Limiter::default() }
+    /// Creates a limiter that runs up to `limit` requests and queues up to `queue_capacity`.
+    pub fn new(limit: u32, queue_capacity: u32) -> Limiter {
+        Limiter { limit, queue_capacity: queue_capacity as usize, ..Limiter::default() }
     }
 
-    /// Changes the limits; what runs or waits already goes on.
-    pub fn set(&mut self, limit: u32, room: u32) {
+    /// Changes the limits. Running and queued requests are not affected.
+    pub fn set(&mut self, limit: u32, queue_capacity: u32) {
         self.limit = limit;
-        self.room = room as usize;
+        self.queue_capacity = queue_capacity as usize;
     }
 
-    /// Requests that run.
+    /// Returns the number of running requests.
     pub fn running(&self) -> u32 {
         self.running.values().sum()
     }
 
-    /// Requests that wait.
+    /// Returns the number of queued requests.
     pub fn waiting(&self) -> usize {
         self.waiting.values().map(VecDeque::len).sum()
     }
 
-    /// A request comes.
+    /// Starts, queues or refuses a request. It is refused if it would miss its deadline, or if the
+    /// queue is full and holds nothing of less value.
     pub fn enter(&mut self, now: Time, w: Waiter) -> Entered {
-        if self.waiting() == 0 && self.fits(&w) {
+        if self.waiting() == 0 && self.can_start(&w) {
             self.start(&w.client_account);
             return Entered::Run;
         }
@@ -85,26 +86,26 @@
         if now.after(wait) > w.deadline {
             return Entered::Refused(wait);
         }
-        if self.waiting() < self.room {
-            self.push(w);
+        if self.waiting() < self.queue_capacity {
+            self.enqueue(w);
             return Entered::Wait;
         }
-        match self.least_worth(&w) {
+        match self.eviction_candidate(&w) {
             Some(victim) => {
                 let wait = self.expected_wait(Priority::Bulk);
                 self.remove(victim);
-                self.push(w);
+                self.enqueue(w);
                 Entered::Instead(victim, wait)
             }
             None => Entered::Refused(wait),
         }
     }
 
-    fn push(&mut self, w: Waiter) {
+    fn enqueue(&mut self, w: Waiter) {
         self.waiting.entry(w.priority).or_default().push_back(w);
     }
 
-    fn fits(&self, w: &Waiter) -> bool {
+    fn can_start(&self, w: &Waiter) -> bool {
         self.running() < self.limit && self.running_of(&w.client_account) < w.concurrency
     }
 
@@ -116,55 +117,57 @@
         *self.running.entry(client_account.to_owned()).or_default() += 1;
     }
 
-    /// The waiting request that is worth less than `w`, if any is.
-    fn least_worth(&self, w: &Waiter) -> Option<Ticket> {
+    /// Returns the queued request to evict in favour of `w`; none if `w` itself ranks lowest.
+    fn eviction_candidate(&self, w: &Waiter) -> Option<Ticket> {
         let (priority, queue) = self.waiting.iter().rev().find(|(_, q)| !q.is_empty())?;
         let of = |a: &str| queue.iter().filter(|x| x.client_account == a).count();
         let most = queue.iter().map(|x| of(&x.client_account)).max()?;
-        let less =
+        let outranked =
             *priority > w.priority || (*priority == w.priority && most > of(&w.client_account) + 1);
         let victim = queue.iter().rev().find(|x| of(&x.client_account) == most)?;
-        less.then_some(victim.ticket)
+        outranked.then_some(victim.ticket)
     }
 
-    /// Takes a waiting request away: its caller has gone, or it was refused.
+    /// Removes a queued request whose caller disconnected or was refused.
     pub fn remove(&mut self, ticket: Ticket) {
         for q in self.waiting.values_mut() {
             q.retain(|w| w.ticket != ticket);
         }
     }
 
-    /// A request that was let in has ended; `ran` tells how long it ran, if it did.
+    /// Records the end of a started request. `ran` is its run time; none leaves the average unchanged.
     pub fn leave(&mut self, client_account: &str, ran: Option<Millis>) {
         if let Some(n) = self.running.get_mut(client_account) {
             *n = n.saturating_sub(1);
         }
         self.running.retain(|_, n| *n > 0);
-        let Some(span) = ran else { return };
+        let Some(ran) = ran else { return };
         let mean = self.mean_run.0;
-        self.mean_run = Millis(mean - mean / SMOOTHING + span.0.div_ceil(SMOOTHING));
+        self.mean_run = Millis(mean - mean / SMOOTHING + ran.0.div_ceil(SMOOTHING));
     }
 
-    /// The next request to start, counted as running from now on; call it until it gives none.
+    /// Starts the next queued request that the limits allow and returns its ticket. To be called
+    /// until it returns none.
     pub fn admit(&mut self) -> Option<Ticket> {
         if self.running() >= self.limit {
             return None;
         }
         let priorities: Vec<_> = self.waiting.keys().copied().collect();
-        priorities.into_iter().find_map(|p| self.admit_of(p))
+        priorities.into_iter().find_map(|p| self.start_next_of(p))
     }
 
-    fn admit_of(&mut self, priority: Priority) -> Option<Ticket> {
+    fn start_next_of(&mut self, priority: Priority) -> Option<Ticket> {
         let queue = self.waiting.get(&priority)?;
-        let may = |w: &&Waiter| self.running_of(&w.client_account) < w.concurrency;
-        let least = queue.iter().filter(may).min_by_key(|w| self.running_of(&w.client_account))?;
-        let (ticket, client_account) = (least.ticket, least.client_account.clone());
+        let below_limit = |w: &&Waiter| self.running_of(&w.client_account) < w.concurrency;
+        let next =
+            queue.iter().filter(below_limit).min_by_key(|w| self.running_of(&w.client_account))?;
+        let (ticket, client_account) = (next.ticket, next.client_account.clone());
         self.remove(ticket);
         self.start(&client_account);
         Some(ticket)
     }
 
-    /// How long a request of this class would wait now.
+    /// Returns the expected queueing time of a new request of this priority.
     pub fn expected_wait(&self, priority: Priority) -> Millis {
         let ahead: usize = self.waiting.range(..=priority).map(|(_, q)| q.len()).sum();
         let free = self.limit.saturating_sub(self.running());
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -1,4 +1,4 @@
-//! Which requests run, when, and on which replica.
+//! Admission, scheduling and load balancing of requests to the replicas of a service.
 
 mod backlog;
 mod cold;
--- a/crates/core/src/route/prefix.rs
+++ b/crates/core/src/route/prefix.rs
@@ -1,4 +1,4 @@
-//! Which replica is likely to have which prompt prefix in its cache.
+//! Estimates which replicas have which prompt prefixes in their KV cache.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -8,24 +8,25 @@
 use crate::hash::Fnv;
 use crate::unit::{Millis, Time};
 
-/// Steps of a trail that are remembered in all.
-const KEPT: usize = 50_000;
+/// Prefixes that are remembered; beyond it the oldest are evicted.
+const MAX_PREFIXES: usize = 50_000;
 
-/// Replicas that are remembered for one step, the last that were sent it.
-const HOLDERS: usize = 4;
+/// Replicas that are remembered for each prefix, most recent last.
+const MAX_HOLDERS: usize = 4;
 
-/// The age at which a remembered prefix counts half.
+/// The age at which the expected size of a cached prefix is halved.
 const HALF_LIFE: Millis = Millis::seconds(300);
 
-/// The hashes of a prompt's growing prefixes, each with its size in tokens or bytes. Two prompts
-/// that begin alike have trails that begin alike.
+/// The hashes of a prompt's prefixes, shortest first, each with its size in tokens or bytes.
+/// Prompts that share a prefix share its hash.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Trail {
     steps: Vec<(u64, u64)>,
 }
 
 impl Trail {
-    /// The trail of a prompt's parts, such as the messages of a chat.
+    /// Hashes the prefixes of a prompt that is given by its parts, such as the messages of a chat.
+    /// Sizes are in bytes.
     pub fn new<'a>(parts: impl IntoIterator<Item = &'a [u8]>) -> Trail {
         let (mut hash, mut size) = (Fnv::new(), 0);
         let mut steps = Vec::new();
@@ -37,7 +38,7 @@
         Trail { steps }
     }
 
-    /// The trail of a prompt whose parts are known by an id and a size in tokens.
+    /// Hashes the prefixes of a prompt whose parts are given by id and size in tokens.
     pub fn of_parts(parts: impl IntoIterator<Item = (u64, u64)>) -> Trail {
         let (mut hash, mut size) = (Fnv::new(), 0);
         let mut steps = Vec::new();
@@ -49,13 +50,13 @@
         Trail { steps }
     }
 
-    /// The longest prefix that other prompts may begin with too: all but the last part. Its hash
-    /// and size; none if there is but one part.
+    /// Returns the hash and size of the longest prefix that other prompts may share: all parts but
+    /// the last. None if the prompt has fewer than two parts.
     pub fn shared(&self) -> Option<(u64, u64)> {
         self.steps.iter().rev().nth(1).copied()
     }
 
-    /// The size of the whole prompt.
+    /// Returns the size of the whole prompt.
     pub fn size(&self) -> u64 {
         self.steps.last().map_or(0, |s| s.1)
     }
@@ -63,94 +64,97 @@
 
 /// A replica that was sent a prefix.
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct Holder {
     replica: SocketAddr,
-    at: Time,
+    sent_at: Time,
 }
 
-/// What a router remembers of replicas' caches: what it sent there, less what it hears was
-/// dropped. Events about drops come late and with gaps, so that old knowledge counts less.
+/// One router's estimate of the replicas' caches: the prefixes that it sent, without those that
+/// replicas report as evicted. Eviction events arrive late and with gaps, so older entries count
+/// less.
 #[derive(Clone, Debug, Default)]
 pub struct Prefixes {
-    known: HashMap<u64, Vec<Known>>,
+    holders: HashMap<u64, Vec<Holder>>,
+    /// Hashes in the order of insertion.
     order: VecDeque<u64>,
-    /// Since when a replica's events have a gap.
+    /// When a gap in a replica's events was last detected.
     gaps: HashMap<SocketAddr, Time>,
-    /// When a replica was last known to have lost all.
-    emptied: HashMap<SocketAddr, Time>,
+    /// When a replica was last assumed to have lost its whole cache.
+    cleared_at: HashMap<SocketAddr, Time>,
 }
 
 impl Prefixes {
-    /// Notes that a replica was sent a prompt.
+    /// Records that a replica was sent a prompt.
     pub fn sent(&mut self, now: Time, replica: SocketAddr, t: &Trail) {
         for (hash, _) in &t.steps {
-            if !self.known.contains_key(hash) {
+            if !self.holders.contains_key(hash) {
                 self.order.push_back(*hash);
             }
-            let holders = self.known.entry(*hash).or_default();
-            holders.retain(|k| k.replica != replica);
-            if holders.len() == HOLDERS {
+            let holders = self.holders.entry(*hash).or_default();
+            holders.retain(|h| h.replica != replica);
+            if holders.len() == MAX_HOLDERS {
                 holders.remove(0);
             }
-            holders.push(Known { replica, at: now });
+            holders.push(Holder { replica, sent_at: now });
         }
-        while self.order.len() > KEPT {
+        while self.order.len() > MAX_PREFIXES {
             if let Some(old) = self.order.pop_front() {
-                self.known.remove(&old);
+                self.holders.remove(&old);
             }
         }
     }
 
-    /// Takes a replica's word that it dropped a prefix.
+    /// Records that a replica evicted a prefix from its cache.
     pub fn dropped(&mut self, replica: SocketAddr, hash: u64) {
-        if let Some(holders) = self.known.get_mut(&hash) {
-            holders.retain(|k| k.replica != replica);
+        if let Some(holders) = self.holders.get_mut(&hash) {
+            holders.retain(|h| h.replica != replica);
         }
     }
 
-    /// Notes that a replica's events have a gap: what was known before may be gone.
+    /// Records a gap in a replica's events: prefixes sent before `now` may have been evicted unnoticed.
     pub fn gap(&mut self, now: Time, replica: SocketAddr) {
         self.gaps.insert(replica, now);
     }
 
-    /// Notes that a replica has lost all: it has restarted, or is gone.
+    /// Discards all prefixes of a replica that restarted or was removed.
     pub fn forget(&mut self, now: Time, replica: SocketAddr) {
-        self.emptied.insert(replica, now);
+        self.cleared_at.insert(replica, now);
     }
 
-    /// Whether what a replica was sent may be there still.
-    fn may_hold(&self, k: &Known) -> bool {
-        self.emptied.get(&k.replica).is_none_or(|emptied| k.at > *emptied)
+    /// Returns whether the replica has kept its cache since it was sent the prefix.
+    fn may_hold(&self, h: &Holder) -> bool {
+        self.cleared_at.get(&h.replica).is_none_or(|cleared_at| h.sent_at > *cleared_at)
     }
 
-    /// The replicas that were sent this step of a trail.
-    fn sent_to(&self, hash: u64) -> impl Iterator<Item = &Known> {
-        self.known.get(&hash).into_iter().flatten().filter(|k| self.may_hold(k))
+    /// Returns the replicas that may have the prefix with this hash.
+    fn holders_of(&self, hash: u64) -> impl Iterator<Item = &Holder> {
+        self.holders.get(&hash).into_iter().flatten().filter(|h| self.may_hold(h))
     }
 
-    /// Whether any replica is remembered to have been sent this step of a trail.
+    /// Returns whether any replica may have the prefix with this hash.
     pub fn is_known(&self, hash: u64) -> bool {
-        self.sent_to(hash).next().is_some()
+        self.holders_of(hash).next().is_some()
     }
 
-    /// The replicas that were sent the longest remembered prefix of a prompt.
+    /// Returns the replicas that may have the longest known prefix of a prompt.
     pub fn holders(&self, t: &Trail) -> impl Iterator<Item = SocketAddr> {
         let held = |(hash, _): &(u64, u64)| self.is_known(*hash).then_some(*hash);
         let longest = t.steps.iter().rev().find_map(held);
-        longest.into_iter().flat_map(|hash| self.sent_to(hash)).map(|k| k.replica)
+        longest.into_iter().flat_map(|hash| self.holders_of(hash)).map(|h| h.replica)
     }
 
-    /// How much of a prompt a replica is expected to have, in the trail's sizes: the longest
-    /// remembered prefix, discounted by its age, and by half if it is older than a gap.
+    /// Returns how much of a prompt a replica is expected to have cached, in the unit of the
+    /// prompt's sizes: the longest prefix sent there, discounted by its age and halved if a gap in
+    /// events followed.
     pub fn cover(&self, now: Time, replica: SocketAddr, t: &Trail) -> u64 {
         let held = |(hash, size): &(u64, u64)| {
-            let known = self.sent_to(*hash).find(|k| k.replica == replica)?;
-            Some((known.at, *size))
+            let holder = self.holders_of(*hash).find(|h| h.replica == replica)?;
+            Some((holder.sent_at, *size))
         };
-        let Some((at, size)) = t.steps.iter().rev().find_map(held) else { return 0 };
-        let age = now.since(at).0;
-        let aged = size * HALF_LIFE.0 / (HALF_LIFE.0 + age);
-        let doubtful = self.gaps.get(&replica).is_some_and(|gap| at <= *gap);
-        if doubtful { aged / 2 } else { aged }
+        let Some((sent_at, size)) = t.steps.iter().rev().find_map(held) else { return 0 };
+        let age = now.since(sent_at).0;
+        let discounted = size * HALF_LIFE.0 / (HALF_LIFE.0 + age);
+        let uncertain = self.gaps.get(&replica).is_some_and(|gap| sent_at <= *gap);
+        if uncertain { discounted / 2 } else { discounted }
     }
 }
--- a/crates/core/src/route/pressure.rs
+++ b/crates/core/src/route/pressure.rs
@@ -1,37 +1,38 @@
-//! Who goes first where there is less room than is wanted.
+//! Admission by priority while demand exceeds capacity.
 
 use std::collections::BTreeMap;
 
 use crate::unit::{Millis, Time};
 
-/// How long after a more urgent request was refused a less urgent one is refused as well.
-const PRESSED: Millis = Millis(500);
+/// How long the refusal of a request blocks requests of lower priority.
+const REFUSAL_WINDOW: Millis = Millis(500);
 
-/// One place in so many goes to whoever asks: less urgent requests are never shut out for good.
-const FOR_ANYBODY: u64 = 4;
+/// One admission in this many ignores priority, so that low priorities do not starve.
+const UNCONDITIONAL_EVERY: u64 = 4;
 
-/// What was refused lately, by priority.
+/// Tracks the latest refusal at each priority and admits lower priorities accordingly.
 #[derive(Clone, Debug, Default)]
 pub struct Pressure {
-    refused: BTreeMap<u8, Time>,
-    taken: u64,
+    last_refused: BTreeMap<u8, Time>,
+    admitted: u64,
 }
 
 impl Pressure {
-    /// Whether a request of this priority may have a place; 0 is the most urgent.
+    /// Returns whether a request of this priority is admitted; 0 is the highest priority.
     pub fn allows(&self, now: Time, priority: u8) -> bool {
-        let for_anybody = self.taken % FOR_ANYBODY == FOR_ANYBODY - 1;
-        let is_pressed = || self.refused.range(..priority).any(|(_, at)| now.since(*at) < PRESSED);
-        for_anybody || !is_pressed()
+        let unconditional = self.admitted % UNCONDITIONAL_EVERY == UNCONDITIONAL_EVERY - 1;
+        let is_blocked =
+            || self.last_refused.range(..priority).any(|(_, at)| now.since(*at) < REFUSAL_WINDOW);
+        unconditional || !is_blocked()
     }
 
-    /// Notes that a place was taken.
+    /// Records an admitted request.
     pub fn took(&mut self) {
-        self.taken += 1;
+        self.admitted += 1;
     }
 
-    /// Notes that a request was refused for want of a place.
+    /// Records a request that was refused for lack of capacity.
     pub fn refuse(&mut self, now: Time, priority: u8) {
-        self.refused.insert(priority, now);
+        self.last_refused.insert(priority, now);
     }
 }
--- a/crates/core/src/route/rest.rs
+++ b/crates/core/src/route/rest.rs
@@ -1,30 +1,31 @@
-//! Replicas that ask for rest: they turn a request away and want nothing from this router for a while.
+//! Backoff requested by replicas: a replica that rejects a request may ask this router to pause.
 //!
-//! A rest is one router's own. Others may go on sending until they are told the same. Those that were sent
-//! away at about the same time come back at the same time, so a rest is followed by one request of each
-//! router, and by more only as they are let in.
+//! A backoff applies to one router; others continue until they receive their own. Routers that were
+//! rejected at about the same time resume at the same time, so each one resumes with a single
+//! request and sends more only as the replica accepts them (slow start).
 
 use crate::unit::{Millis, Time, thousandths};
 
-/// What the head of an answer says of a rest.
+/// The backoff requested by a response, parsed from its `Retry-After` header.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Said {
-    /// Nothing.
+    /// None.
     #[default]
     Nothing,
-    /// The replica wants nothing for so long.
+    /// Send nothing for this time.
     Rest(Millis),
-    /// Something that is no span of time.
+    /// The header is not a valid duration.
     Unreadable,
 }
 
 impl Said {
-    /// Reads a number of seconds.
+    /// Parses a number of seconds.
     pub fn parse(text: &str) -> Said {
         thousandths(text).map_or(Said::Unreadable, |ms| Said::Rest(Millis(ms)))
     }
 
-    /// Of two words of one answer the longer rest holds; one that can be read, before one that cannot.
+    /// Combines two headers of one response: the longer backoff wins, and a valid one wins over an
+    /// invalid one.
     #[must_use]
     pub fn or_longer(self, other: Said) -> Said {
         match (self, other) {
@@ -36,102 +37,104 @@
     }
 }
 
-/// The part of a router's requests at a replica, as a divisor, up to which their number doubles again after
-/// a rest. From there on it rises by one at a time.
-const DOUBLED_TO: u32 = 2;
+/// Slow start doubles the concurrency limit up to `outstanding / SLOW_START_DIVISOR`, counting the
+/// requests outstanding when the backoff began. Above that the limit grows by one per round of
+/// accepted requests.
+const SLOW_START_DIVISOR: u32 = 2;
 
-/// What a router keeps to at a replica that has asked it for rest: nothing until the rest is over, then
-/// one request, and more as they are let in, until its places no longer bind the router.
+/// One router's limits at a replica that requested a backoff: no requests until it ends, then a
+/// single one, and more as they are accepted, until the limit reaches the replica's slots.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Rest {
-    pace: Option<Pace>,
+    state: Option<State>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Pace {
-    /// When the rest is over.
+struct State {
+    /// When the backoff ends.
     until: Time,
-    /// The last request that was sent before it.
-    before: u64,
-    /// Requests sent since that are under way.
-    under_way: u32,
-    /// How many of them there may be.
-    room: u32,
-    /// Up to here `room` doubles.
-    doubles_to: u32,
-    /// Requests that were let in since `room` last rose.
-    let_in: u32,
+    /// Ticket of the last request sent before the backoff.
+    last_before: u64,
+    /// Outstanding requests that were sent after the backoff.
+    in_flight: u32,
+    /// The most requests that may be in flight.
+    max_in_flight: u32,
+    /// `max_in_flight` doubles per round up to here, and then grows by one per round.
+    slow_start_threshold: u32,
+    /// Requests accepted since `max_in_flight` last rose.
+    accepted: u32,
 }
 
 impl Rest {
-    /// Takes the word that the replica wants nothing for `span`. `outstanding` requests of this router are
-    /// there, the last of them with the number `last`. Of two rests the later end holds.
+    /// Starts a backoff of `span`, or extends the current one to the later end. `outstanding` is
+    /// the number of this router's requests at the replica, and `last` the ticket of the last of
+    /// them.
     pub fn begin(&mut self, now: Time, span: Millis, outstanding: u32, last: u64) {
         if span == Millis(0) {
             return;
         }
         let until = now.after(span);
-        match &mut self.pace {
-            Some(p) if now < p.until => p.until = p.until.max(until),
+        match &mut self.state {
+            Some(s) if now < s.until => s.until = s.until.max(until),
             _ => {
-                let doubles_to = (outstanding / DOUBLED_TO).max(1);
-                self.pace = Some(Pace {
+                let slow_start_threshold = (outstanding / SLOW_START_DIVISOR).max(1);
+                self.state = Some(State {
                     until,
-                    before: last,
-                    under_way: 0,
-                    room: 1,
-                    doubles_to,
-                    let_in: 0,
+                    last_before: last,
+                    in_flight: 0,
+                    max_in_flight: 1,
+                    slow_start_threshold,
+                    accepted: 0,
                 });
             }
         }
     }
 
-    /// Whether the replica wants nothing at `now`.
+    /// Returns whether the backoff is in effect at `now`.
     pub fn is_on(&self, now: Time) -> bool {
-        self.pace.is_some_and(|p| now < p.until)
+        self.state.is_some_and(|s| now < s.until)
     }
 
-    /// How much longer it wants nothing.
+    /// Returns the time until the backoff ends.
     pub fn left(&self, now: Time) -> Millis {
-        self.pace.map_or(Millis(0), |p| p.until.since(now))
+        self.state.map_or(Millis(0), |s| s.until.since(now))
     }
 
-    /// Whether it binds the router: it is on, or was of late.
+    /// Returns whether requests are limited, by the backoff or by the slow start after it.
     pub fn binds(&self) -> bool {
-        self.pace.is_some()
+        self.state.is_some()
     }
 
-    /// Whether one more request may go there.
+    /// Returns whether one more request may be sent at `now`.
     pub fn allows(&self, now: Time) -> bool {
-        self.pace.is_none_or(|p| now >= p.until && p.under_way < p.room)
+        self.state.is_none_or(|s| now >= s.until && s.in_flight < s.max_in_flight)
     }
 
-    /// Counts a request that goes there.
+    /// Records a request sent to the replica.
     pub fn sent(&mut self) {
-        if let Some(p) = &mut self.pace {
-            p.under_way += 1;
+        if let Some(s) = &mut self.state {
+            s.in_flight += 1;
         }
     }
 
-    /// Notes that the request with this number was let in. Once as many may run as the replica has places,
-    /// nothing binds the router any more.
-    pub fn let_in(&mut self, number: u64, places: u32) {
-        let Some(p) = self.pace.as_mut().filter(|p| number > p.before) else { return };
-        p.let_in += 1;
-        if p.room < p.doubles_to || p.let_in >= p.room {
-            p.room += 1;
-            p.let_in = 0;
+    /// Records that the replica accepted the request with this ticket. Lifts all limits once as
+    /// many requests may be in flight as the replica has `slots`.
+    pub fn let_in(&mut self, ticket: u64, slots: u32) {
+        let Some(s) = self.state.as_mut().filter(|s| ticket > s.last_before) else { return };
+        s.accepted += 1;
+        if s.max_in_flight < s.slow_start_threshold || s.accepted >= s.max_in_flight {
+            s.max_in_flight += 1;
+            s.accepted = 0;
         }
-        if p.room >= places {
-            self.pace = None;
+        if s.max_in_flight >= slots {
+            self.state = None;
         }
     }
 
-    /// Notes the end of the request with this number.
-    pub fn ended(&mut self, number: u64) {
-        if let Some(p) = self.pace.as_mut().filter(|p| number > p.before) {
-            p.under_way = p.under_way.saturating_sub(1);
+    /// Records the end of the request with this ticket.
+    pub fn ended(&mut self, ticket: u64) {
+        if let Some(s) = self.state.as_mut().filter(|s| ticket > s.last_before) {
+            s.in_flight = s.in_flight.saturating_sub(1);
         }
     }
 }
--- a/crates/core/src/route/retry.rs
+++ b/crates/core/src/route/retry.rs
@@ -1,39 +1,39 @@
-//! A budget of retries, so that failing upstreams are not sent a multiple of their load.
+//! A retry budget, which limits the extra load on failing upstreams.
 
-/// What each request adds, in hundredths of a retry.
-const DEPOSIT: u32 = 20;
+/// Credit per request, in hundredths of a retry.
+const CREDIT: u32 = 20;
 
-/// What one retry takes, in hundredths.
-const RETRY: u32 = 100;
+/// Cost of a retry, in hundredths.
+const RETRY_COST: u32 = 100;
 
-/// The most that is saved up, in hundredths.
-const MOST: u32 = 2_000;
+/// Maximum balance, in hundredths.
+const MAX_BALANCE: u32 = 2_000;
 
-/// The retries that one service's requests may make at one router: one for five requests, and
-/// twenty at once after a quiet time.
+/// The retry budget of one service at one router: one retry for every five requests, and a burst of
+/// up to twenty.
 #[derive(Clone, Copy, Debug)]
 pub struct Retries {
-    saved: u32,
+    balance: u32,
 }
 
 impl Default for Retries {
     fn default() -> Retries {
-        Retries { saved: MOST }
+        Retries { balance: MAX_BALANCE }
     }
 }
 
 impl Retries {
-    /// Counts a request.
+    /// Adds the credit of one request.
     pub fn request(&mut self) {
-        self.saved = (self.saved + DEPOSIT).min(MOST);
+        self.balance = (self.balance + CREDIT).min(MAX_BALANCE);
     }
 
-    /// Takes a retry; false if none is left.
+    /// Withdraws one retry. Returns false if the budget is exhausted.
     pub fn take(&mut self) -> bool {
-        let may = self.saved >= RETRY;
-        if may {
-            self.saved -= RETRY;
+        let covered = self.balance >= RETRY_COST;
+        if covered {
+            self.balance -= RETRY_COST;
         }
-        may
+        covered
     }
 }
--- a/crates/core/src/route/turns.rs
+++ b/crates/core/src/route/turns.rs
@@ -1,42 +1,42 @@
-//! When callers that were refused are to come back.
+//! Staggered `Retry-After` times for refused callers.
 
 use rand::Rng;
 
 use crate::unit::{Millis, Time};
 
-/// The turns of the callers of one service at one router: they come back one after the other, so that
-/// each finds room.
+/// Schedules the retries of one service's refused callers at one router, spaced so that each finds free
+/// capacity.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Turns {
     last: Time,
 }
 
-/// What a turn goes by.
+/// The spacing of retries.
 #[derive(Clone, Copy, Debug)]
 pub struct Back {
-    /// When there is room again.
+    /// Time until capacity is free again.
     pub first: Millis,
-    /// The time between two callers.
+    /// Time between two callers.
     pub each: Millis,
-    /// The longest that a caller is told: until then others that went away have made room.
+    /// The longest time returned to a caller. By then other callers have given up and freed capacity.
     pub most: Millis,
 }
 
 impl Turns {
-    /// The time until the next caller's turn. Once the turns reach as far as callers are told at most, the
-    /// others are spread by chance.
+    /// Returns the time after which the next caller is to retry. Once the schedule exceeds the
+    /// longest time, returns a random time instead, to spread the remaining callers.
     pub fn next(&mut self, now: Time, b: &Back, rng: &mut impl Rng) -> Millis {
         self.last = self.last.max(now.after(b.first)).after(b.each);
-        let after = self.last.since(now);
-        if after <= b.most {
-            return after;
+        let delay = self.last.since(now);
+        if delay <= b.most {
+            return delay;
         }
         self.last = now.after(b.most);
-        let least = b.first.min(b.most).max(Millis(b.most.0 / 2));
-        Millis(rng.random_range(least.0..=b.most.0))
+        let min_delay = b.first.min(b.most).max(Millis(b.most.0 / 2));
+        Millis(rng.random_range(min_delay.0..=b.most.0))
     }
 
-    /// Whether the last turn is over.
+    /// Returns whether the last scheduled retry is in the past.
     pub fn is_over(&self, now: Time) -> bool {
         self.last <= now
     }
--- a/crates/core/src/route/vms.rs
+++ b/crates/core/src/route/vms.rs
@@ -1,81 +1,82 @@
-//! Which `Vm`s are leaving, from the platform's lagging list.
+//! Detects which `Vm`s are leaving, from the platform's list, which lags and may flap.
 
 use std::collections::BTreeMap;
 
 use crate::unit::{Millis, Time};
 
-/// How long a `Vm` must be listed as live before it is taken to be back.
-const BACK_AFTER: Millis = Millis::seconds(10);
+/// How long a leaving `Vm` must be listed as live without a break to count as live again.
+const LIVE_AFTER: Millis = Millis::seconds(10);
 
-/// Polls in a row that a `Vm` must be missing from before it is taken to be leaving.
-const MISSING: u32 = 2;
+/// Consecutive polls without a `Vm` after which it counts as leaving.
+const MAX_MISSED_POLLS: u32 = 2;
 
-/// How the list shows a `Vm`.
+/// State of a `Vm` in the platform's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Listed {
-    /// It is there and stays.
+    /// It is running.
     Live,
-    /// It is about to go.
+    /// It is about to be shut down.
     Leaving,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Seen {
+struct Record {
     leaving: bool,
-    missing: u32,
-    /// Since when it has been listed as live without a break, while it is taken to be leaving.
+    /// Consecutive polls without it.
+    missed_polls: u32,
+    /// Since when it has been listed as live without a break.
     live_since: Option<Time>,
 }
 
-/// What is known of the platform's `Vm`s. A list that flaps does not bring work back to a `Vm`
-/// that is about to go; one that cannot be had changes nothing.
+/// The state of the platform's `Vm`s, debounced: a flapping list does not return work to a `Vm`
+/// that is about to shut down. A failed poll changes nothing, since it is not recorded.
 #[derive(Clone, Debug, Default)]
 pub struct Vms {
-    seen: BTreeMap<String, Seen>,
+    by_name: BTreeMap<String, Record>,
 }
 
 impl Vms {
-    /// Takes a list. Returns the `Vm`s that are now leaving, or no longer, and were not before.
+    /// Records a list. Returns the `Vm`s whose state changed, with true if they are leaving now.
     pub fn observe(&mut self, now: Time, list: &BTreeMap<String, Listed>) -> Vec<(String, bool)> {
         for name in list.keys() {
-            self.seen.entry(name.clone()).or_default();
+            self.by_name.entry(name.clone()).or_default();
         }
         let mut changes = Vec::new();
-        for (name, s) in &mut self.seen {
-            let before = s.leaving;
-            s.take(now, list.get(name).copied());
-            if s.leaving != before {
-                changes.push((name.clone(), s.leaving));
+        for (name, vm) in &mut self.by_name {
+            let before = vm.leaving;
+            vm.update(now, list.get(name).copied());
+            if vm.leaving != before {
+                changes.push((name.clone(), vm.leaving));
             }
         }
         changes
     }
 
-    /// Whether a `Vm` is leaving.
+    /// Returns whether a `Vm` is leaving; false if it is unknown.
     pub fn is_leaving(&self, vm: &str) -> bool {
-        self.seen.get(vm).is_some_and(|s| s.leaving)
+        self.by_name.get(vm).is_some_and(|vm| vm.leaving)
     }
 }
 
-impl Seen {
-    fn take(&mut self, now: Time, listed: Option<Listed>) {
+impl Record {
+    fn update(&mut self, now: Time, listed: Option<Listed>) {
         match listed {
             Some(Listed::Live) => {
-                self.missing = 0;
+                self.missed_polls = 0;
                 let since = *self.live_since.get_or_insert(now);
-                if now.since(since) >= BACK_AFTER {
+                if now.since(since) >= LIVE_AFTER {
                     self.leaving = false;
                 }
             }
             Some(Listed::Leaving) => {
-                self.missing = 0;
+                self.missed_polls = 0;
                 self.live_since = None;
                 self.leaving = true;
             }
             None => {
-                self.missing += 1;
+                self.missed_polls += 1;
                 self.live_since = None;
-                self.leaving |= self.missing >= MISSING;
+                self.leaving |= self.missed_polls >= MAX_MISSED_POLLS;
             }
         }
     }
