--- a/crates/core/src/budget/bound.rs
+++ b/crates/core/src/budget/bound.rs
@@ -1,13 +1,13 @@
-//! How much a holder may have spent unreported, proved without hearing from it again.
+//! Bounds on a holder's unreported spending, so that a dead holder's unspent tokens can be freed.
 //!
-//! A holder that keeps large slices to outlast cuts would strand them all when it dies. So it
-//! binds itself: it spends no more than a limit that the grantor has committed, and beyond it only
-//! at a stated rate for the time since it heard so. When its successor registers, the grantor
-//! knows that it is dead, and for how long at most it went on: the rest of its slices is free.
+//! A holder keeps large slices to outlast network partitions, and would strand them when it dies.
+//! So it reports a bound per budget: it spends at most a limit that the grantor has committed, plus
+//! a rate for each second since it learned that. When its successor registers, the holder is dead;
+//! the grantor computes the most that it can have spent, and frees the rest of its slices.
 //!
-//! The holder acts on an answer from when it came; the grantor counts from when it took the
-//! report, which was earlier. The holder may not have received the answer to its last report: then
-//! it went on under the one before, which the report names, so that the grantor keeps both.
+//! The grantor counts the time from its receipt of a report, the holder from the answer, which is
+//! later. The holder may have missed the answer to its last report and have gone on under the one
+//! before. Each report names that one, and the grantor keeps both.
 
 use std::collections::BTreeMap;
 
@@ -15,55 +15,57 @@
 
 use crate::unit::{HolderId, Millis, Time, Tokens};
 
-/// A holder's word on one budget.
+/// The bound on a holder's spending of one budget.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Bound {
-    /// The budget.
+    /// Budget name.
     pub budget: String,
-    /// All that it has spent under this registration; never falls.
+    /// Tokens spent under this registration in total; never decreases.
     pub spent: Tokens,
-    /// It spends no more than this under this registration.
+    /// Limit on the tokens spent under this registration, to which `rate` adds.
     pub limit: Tokens,
-    /// Nor more beyond it than this for each second since it heard that the word was taken.
+    /// Tokens that it may spend beyond `limit` for each second since it learned that the grantor
+    /// accepted the bound.
     pub rate: Tokens,
 }
 
 impl Bound {
-    /// The most that the holder has spent `elapsed` after its word was taken; `None` if that time
-    /// is not known.
-    fn most(&self, elapsed: Option<Millis>) -> Tokens {
+    /// Returns the most tokens that the holder has spent `elapsed` after the grantor accepted the
+    /// bound; `None` stands for an unknown time.
+    fn max_spent(&self, elapsed: Option<Millis>) -> Tokens {
         match elapsed {
             _ if self.rate == 0 => self.limit,
-            Some(span) => self.limit.saturating_add(grown(self.rate, span)),
+            Some(span) => self.limit.saturating_add(accrued(self.rate, span)),
             None => Tokens::MAX,
         }
     }
 }
 
-/// What a rate comes to in a span, rounded up.
-fn grown(rate: Tokens, span: Millis) -> Tokens {
+/// Returns `rate` per second times `span`, rounded up.
+fn accrued(rate: Tokens, span: Millis) -> Tokens {
     rate.saturating_mul(span.0).div_ceil(1000)
 }
 
-/// What a holder may spend by now, from the last word of its own that it knows was taken.
+/// A holder's spending limit, from its last bound that the grantor accepted.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Allowed {
+pub struct SpendingLimit {
     limit: Tokens,
     rate: Tokens,
     since: Time,
 }
 
-impl Allowed {
-    /// The most that it may have spent by `now`.
-    pub fn by(&self, now: Time) -> Tokens {
-        // Rounded down, against the grantor's rounding up.
+impl SpendingLimit {
+    /// Returns the most tokens that the holder may have spent in total by `now`.
+    pub fn limit_at(&self, now: Time) -> Tokens {
+        // Rounds down where the grantor rounds up, so the holder never exceeds its estimate.
         let beyond = self.rate.saturating_mul(now.since(self.since).0) / 1000;
         self.limit.saturating_add(beyond)
     }
 
-    /// How long after `now` it may have spent `n` in all; `None` if it takes a report.
-    pub fn wait_for(&self, now: Time, n: Tokens) -> Option<Millis> {
-        let missing = n.saturating_sub(self.by(now));
+    /// Returns how long after `now` the limit reaches `n` tokens in total; `None` if it does not
+    /// grow.
+    pub fn time_until(&self, now: Time, n: Tokens) -> Option<Millis> {
+        let missing = n.saturating_sub(self.limit_at(now));
         if missing == 0 {
             return Some(Millis(0));
         }
@@ -71,47 +73,47 @@
         Some(Millis(span.saturating_add(1)))
     }
 
-    /// Notes at `now` that the grantor has taken `b`.
-    pub fn taken(&mut self, now: Time, b: &Bound) {
-        *self = Allowed { limit: b.limit, rate: b.rate, since: now };
+    /// Applies bound `b`, which the grantor has accepted; its rate counts from `now`.
+    pub fn accept(&mut self, now: Time, b: &Bound) {
+        *self = SpendingLimit { limit: b.limit, rate: b.rate, since: now };
     }
 }
 
-/// One of a holder's reports, as its grantor knows it.
+/// A holder's report of its bounds, as recorded by the grantor.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Told {
-    /// Its number.
+    /// Sequence number at the holder.
     pub seq: u64,
-    /// When the grantor took it, by the time of day; 0: not known.
+    /// Wall-clock time at which the grantor accepted it; 0 if unknown.
     pub at: Time,
 }
 
-/// A holder's last report, and the one that it last knew to be taken.
+/// A holder's last report of bounds, and the last one whose acceptance it had learned of by then.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chain {
-    /// The last one.
+    /// The last report.
     pub last: Told,
-    /// The one before, by the holder's word.
+    /// The report that the last one names as its last accepted one.
     pub before: Told,
 }
 
-/// For how long a dead holder may have gone on after its two last reports; `None`: not known.
+/// How long a dead holder may have run after each of its last two reports; `None` if unknown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Elapsed {
-    /// Since the last one was taken.
+    /// Time since the last report was accepted.
     pub last: Option<Millis>,
-    /// Since the one before was taken.
+    /// Time since the report before it was accepted.
     pub before: Option<Millis>,
 }
 
-/// What the two reports said of one budget.
+/// The bounds on one budget in a holder's last two reports.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Pair {
     last: Bound,
     before: Bound,
 }
 
-/// The words of all holders, at their grantor.
+/// The bounds of all holders, at their grantor.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Bounds {
     chains: BTreeMap<HolderId, Chain>,
@@ -119,8 +121,8 @@
 }
 
 impl Bounds {
-    /// Takes report number `seq` at `at`, made when report number `after` was the last known to be
-    /// taken. One that is not newer than the last changes nothing.
+    /// Records report `seq`, accepted at `at`. `after` is the last report whose acceptance the
+    /// holder had learned of. A report that is not newer than the last one is ignored.
     pub fn tell(&mut self, holder: HolderId, at: Time, seq: u64, after: u64, bounds: &[Bound]) {
         let chain = self.chains.entry(holder).or_default();
         if seq <= chain.last.seq {
@@ -144,19 +146,19 @@
         }
     }
 
-    /// The two last reports of a holder.
+    /// Returns the numbers and times of a holder's last two reports.
     pub fn chain(&self, holder: HolderId) -> Chain {
         self.chains.get(&holder).copied().unwrap_or_default()
     }
 
-    /// The most that a dead holder has spent of a budget beyond what it reported.
+    /// Returns the most tokens that a dead holder has spent of a budget beyond those it reported.
     pub fn unreported(&self, holder: HolderId, budget: &str, e: &Elapsed) -> Tokens {
         let Some(pair) = self.words.get(&holder).and_then(|w| w.get(budget)) else { return 0 };
-        let most = pair.last.most(e.last).max(pair.before.most(e.before));
+        let most = pair.last.max_spent(e.last).max(pair.before.max_spent(e.before));
         most.saturating_sub(pair.last.spent)
     }
 
-    /// Forgets a holder.
+    /// Removes a holder's reports.
     pub fn forget(&mut self, holder: HolderId) {
         self.chains.remove(&holder);
         self.words.remove(&holder);
--- a/crates/core/src/budget/ledger.rs
+++ b/crates/core/src/budget/ledger.rs
@@ -1,4 +1,4 @@
-//! The grantor's side: who holds how much of each budget.
+//! The grantor's side of escrow: tracks each budget's leases and decides lease requests.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,125 +8,124 @@
 use super::bound::{Bound, Bounds, Chain, Elapsed};
 use crate::unit::{HolderId, LeaseId, Millis, Time, Tokens};
 
-/// How long a recall has the budget for itself, and how long a holder may take to answer it.
-const RECALL_SPAN: Millis = Millis(1_000);
+/// Time for which a recall blocks other requests, and within which a holder has to answer it.
+const RECALL_TIMEOUT: Millis = Millis(1_000);
 
-/// How soon to ask again while a recall finds more.
-const RECALL_POLL: Millis = Millis(50);
+/// Retry delay while a recall can still return idle tokens.
+const RECALL_RETRY: Millis = Millis(50);
 
-/// How soon to ask again while only running requests hold tokens that may come back.
-const SETTLE_POLL: Millis = Millis(250);
+/// Retry delay while only running requests hold tokens that may be returned.
+const SETTLE_RETRY: Millis = Millis(250);
 
-/// How soon a holder that does not answer may be heard again.
-const AWAY_SPAN: Millis = Millis(10_000);
+/// Retry delay while holders that do not answer have the missing tokens.
+const UNREACHABLE_RETRY: Millis = Millis(10_000);
 
-/// What a lease's end is stretched by at the grantor, as a fraction, for clocks that drift.
-const DRIFT: (u64, u64) = (12, 10);
+/// Factor, as a fraction, by which the grantor extends a lease's span to allow for clock drift.
+const LEASE_DRIFT: (u64, u64) = (12, 10);
 
-/// A request for tokens.
+/// A holder's request for a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ask {
-    /// Who asks.
+    /// The requesting holder.
     pub holder: HolderId,
-    /// The budget's name.
+    /// Budget name.
     pub budget: String,
-    /// Number of the request at its holder for this budget; a resend has the same one.
+    /// Sequence number at the holder for this budget; a resend keeps it.
     pub seq: u64,
-    /// What the waiting request needs at least.
+    /// Smallest useful grant: what the waiting client request needs.
     pub need: Tokens,
-    /// What the holder would like.
+    /// Preferred size of the grant.
     pub want: Tokens,
 }
 
-/// What a holder says of one lease; cumulative, so that lost, doubled and reordered reports do
-/// no harm.
+/// A holder's report on one lease. Its figures are cumulative, so lost, duplicate and reordered
+/// reports are harmless.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// The lease.
     pub lease: LeaseId,
-    /// All that was spent from it so far; never falls.
+    /// Tokens spent from it in total; never decreases.
     pub used: Tokens,
-    /// What the holder keeps of it, spent part included; never rises.
+    /// Tokens that the holder keeps, including the spent ones; never increases.
     pub keep: Tokens,
-    /// Nothing of what it keeps is idle.
+    /// Whether no kept token is idle.
     pub tight: bool,
 }
 
-/// Tokens granted.
+/// A granted lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
     /// The lease.
     pub lease: LeaseId,
-    /// Its size.
+    /// Tokens granted.
     pub amount: Tokens,
-    /// How long it lasts, counted by the holder from before it first asked.
+    /// Duration of the lease; the holder counts it from the first sending of its request.
     pub span: Millis,
 }
 
-/// Why nothing was granted.
+/// Why a lease request was not granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Shortage {
-    /// Tokens are being called back, or running requests may leave some: ask again after this.
+    /// A recall is in progress, or running requests may return tokens: retry after this delay.
     Busy(Millis),
-    /// What could be called back is too little; holders that do not answer have more. They may be
-    /// heard again after this.
+    /// Only holders that do not answer have the missing tokens: retry after this delay.
     Away(Millis),
-    /// All that can be reached was called back and is too little.
+    /// Too few tokens can become available.
     Spent,
 }
 
-/// The answer to an [`Ask`].
+/// The grantor's answer to an [`Ask`].
 pub type Decision = Result<Grant, Shortage>;
 
 /// A part of a budget that one holder may spend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
-    /// Who holds it.
+    /// The holder.
     pub holder: HolderId,
-    /// Number of the ask that it answered.
+    /// Sequence number of the request that it answered.
     pub seq: u64,
-    /// What the holder may spend from it in all.
+    /// Tokens that the holder may spend from it in total.
     pub keep: Tokens,
-    /// What it has reported as spent.
+    /// Tokens reported as spent.
     pub used: Tokens,
-    /// When the holder has stopped starting requests on it, by any clock within the drift.
+    /// Time by which the holder has stopped starting requests on it, allowing for clock drift.
     pub end: Time,
-    /// The holder has said that nothing of it is idle.
+    /// Whether the holder reported that no token of it is idle.
     pub tight: bool,
-    /// When the holder last reported on it, or was granted it.
+    /// Time of the holder's last report on it, or of the grant.
     pub heard: Time,
 }
 
 impl Lease {
-    /// What may have been spent without a report.
+    /// Returns the tokens that are not reported as spent but may be.
     pub fn open(&self) -> Tokens {
         self.keep - self.used
     }
 }
 
-/// One budget.
+/// The state of one budget at its grantor.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Funds {
-    /// Prepaid tokens, top-ups included.
+pub struct BudgetState {
+    /// Prepaid tokens, including top-ups.
     pub funded: Tokens,
-    /// Spent on leases that have closed.
+    /// Tokens spent on closed leases.
     pub closed: Tokens,
-    /// Slice policy.
+    /// Policy that sizes requests and grants.
     pub policy: Policy,
     leases: BTreeMap<LeaseId, Lease>,
     held: Tokens,
     recall: Option<Recall>,
-    /// The number of the last ask granted to each holder, to tell a late copy from a new ask.
+    /// Sequence number of the last request granted to each holder; detects late duplicates.
     granted: BTreeMap<HolderId, u64>,
 }
 
-/// A call for idle tokens on behalf of one ask that is made again and again.
+/// A recall of idle tokens for one request, which its holder retries until it is granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Recall {
     holder: HolderId,
     seq: u64,
     since: Time,
-    /// When the ask was last made; nobody waits any more some time after.
+    /// When the request was last received; the recall lapses when retries stop.
     asked: Time,
 }
 
@@ -135,73 +134,74 @@
         (self.holder, self.seq) == (ask.holder, ask.seq)
     }
 
-    fn is_on(&self, now: Time) -> bool {
-        now.since(self.asked) < RECALL_SPAN
+    fn is_active(&self, now: Time) -> bool {
+        now.since(self.asked) < RECALL_TIMEOUT
     }
 
-    /// Whether others have to wait for it.
+    /// Returns whether other requests have to wait for it.
     fn is_exclusive(&self, now: Time) -> bool {
-        self.is_on(now) && now.since(self.since) < RECALL_SPAN
+        self.is_active(now) && now.since(self.since) < RECALL_TIMEOUT
     }
 
-    /// Whether a lease's holder had time to answer and did not.
+    /// Returns whether a lease's holder has not answered the recall in time.
     fn is_unanswered(&self, now: Time, l: &Lease) -> bool {
-        now.since(self.since) >= RECALL_SPAN && l.heard <= self.since
+        now.since(self.since) >= RECALL_TIMEOUT && l.heard <= self.since
     }
 }
 
-impl Funds {
-    /// Tokens that are neither spent nor held.
+impl BudgetState {
+    /// Returns the tokens that are neither spent nor held under leases.
     pub fn free(&self) -> Tokens {
         self.funded.saturating_sub(self.closed).saturating_sub(self.held)
     }
 
-    /// Tokens reported as spent.
+    /// Returns the tokens reported as spent.
     pub fn spent(&self) -> Tokens {
         self.closed + self.leases.values().map(|l| l.used).sum::<Tokens>()
     }
 
-    /// Tokens held under leases and not reported as spent.
+    /// Returns the tokens held under leases and not reported as spent.
     pub fn open(&self) -> Tokens {
         self.leases.values().map(Lease::open).sum()
     }
 
-    /// Tokens of leases past their end, which count as spent until their holder reports.
+    /// Returns the unreported tokens of expired leases, which count as spent until their holder
+    /// reports.
     pub fn stranded(&self, now: Time) -> Tokens {
         self.leases.values().filter(|l| l.end <= now).map(Lease::open).sum()
     }
 
-    /// The open leases.
+    /// Iterates over the open leases.
     pub fn leases(&self) -> impl Iterator<Item = (&LeaseId, &Lease)> {
         self.leases.iter()
     }
 
-    /// Whether idle tokens are called back at `now`.
+    /// Returns whether idle tokens are being recalled at `now`.
     pub fn recalling(&self, now: Time) -> bool {
-        self.recall.is_some_and(|r| r.is_on(now)) || self.overdrawn()
+        self.recall.is_some_and(|r| r.is_active(now)) || self.overdrawn()
     }
 
-    /// Whether more is spent and held than is prepaid, as after a cut of the budget.
+    /// Returns whether more tokens are spent and held than prepaid, as after a budget reduction.
     pub fn overdrawn(&self) -> bool {
         self.closed + self.held > self.funded
     }
 
-    fn holders(&self) -> u64 {
+    fn holder_count(&self) -> u64 {
         let mut ids: Vec<_> = self.leases.values().map(|l| l.holder).collect();
         ids.sort_unstable();
         ids.dedup();
         ids.len() as u64
     }
 
-    /// The lease that an earlier copy of the ask was granted, if that is still open.
-    fn granted_before(&self, ask: &Ask) -> Option<(LeaseId, Lease)> {
+    /// Returns the open lease that an earlier copy of the request was granted.
+    fn find_granted(&self, ask: &Ask) -> Option<(LeaseId, Lease)> {
         let same = |l: &Lease| l.holder == ask.holder && l.seq == ask.seq;
         self.leases.iter().find(|(_, l)| same(l)).map(|(id, l)| (*id, *l))
     }
 
     fn grant(&mut self, now: Time, id: LeaseId, ask: &Ask, amount: Tokens) -> Grant {
         let span = self.policy.offline;
-        let end = now.after(span.scale(DRIFT.0, DRIFT.1));
+        let end = now.after(span.scale(LEASE_DRIFT.0, LEASE_DRIFT.1));
         let (holder, seq) = (ask.holder, ask.seq);
         let lease = Lease { holder, seq, keep: amount, used: 0, end, tight: false, heard: now };
         self.leases.insert(id, lease);
@@ -210,34 +210,34 @@
         Grant { lease: id, amount, span }
     }
 
-    /// Why nothing was granted; starts or keeps up the recall of what others hold.
+    /// Returns why a request cannot be granted, and starts or continues a recall for it.
     fn shortage(&mut self, now: Time, ask: &Ask) -> Shortage {
         if ask.need == 0 {
-            return Shortage::Busy(SETTLE_POLL);
+            return Shortage::Busy(SETTLE_RETRY);
         }
         if self.cannot_meet(now, ask.need) {
             self.recall.take_if(|r| r.is_for(ask));
             return Shortage::Spent;
         }
-        let recall = self.keep_recall(now, ask);
+        let recall = self.refresh_recall(now, ask);
         let live = || self.leases.values().filter(|l| l.end > now);
         let reachable = || live().filter(|l| !recall.is_unanswered(now, l));
         let free = self.free();
         if free + reachable().map(Lease::open).sum::<Tokens>() < ask.need {
-            return Shortage::Away(AWAY_SPAN);
+            return Shortage::Away(UNREACHABLE_RETRY);
         }
         let idle = reachable().any(|l| l.holder != ask.holder && !l.tight);
-        Shortage::Busy(if idle { RECALL_POLL } else { SETTLE_POLL })
+        Shortage::Busy(if idle { RECALL_RETRY } else { SETTLE_RETRY })
     }
 
-    /// Whether all that is free and all that live leases may leave come to less than `need`.
+    /// Returns whether the free tokens and the unspent ones of all live leases are less than `need`.
     fn cannot_meet(&self, now: Time, need: Tokens) -> bool {
         let live = self.leases.values().filter(|l| l.end > now);
         self.free() + live.map(Lease::open).sum::<Tokens>() < need
     }
 
-    fn keep_recall(&mut self, now: Time, ask: &Ask) -> Recall {
-        let mut r = match self.recall.filter(|r| r.is_on(now)) {
+    fn refresh_recall(&mut self, now: Time, ask: &Ask) -> Recall {
+        let mut r = match self.recall.filter(|r| r.is_active(now)) {
             Some(r) => r,
             None => self.start_recall(now, ask),
         };
@@ -255,33 +255,33 @@
         Recall { holder: ask.holder, seq: ask.seq, since: now, asked: now }
     }
 
-    /// The answer to an ask that was granted before, or to a late copy of one.
-    fn answered(&self, ask: &Ask) -> Option<Decision> {
-        if let Some((lease, l)) = self.granted_before(ask) {
+    /// Returns the answer to a resend of a granted request, or to a late duplicate of an older one.
+    fn previous_decision(&self, ask: &Ask) -> Option<Decision> {
+        if let Some((lease, l)) = self.find_granted(ask) {
             return Some(Ok(Grant { lease, amount: l.keep, span: self.policy.offline }));
         }
         let late = self.granted.get(&ask.holder).is_some_and(|seq| ask.seq <= *seq);
-        late.then_some(Err(Shortage::Busy(SETTLE_POLL)))
+        late.then_some(Err(Shortage::Busy(SETTLE_RETRY)))
     }
 
-    fn offer(&mut self, now: Time, id: LeaseId, ask: &Ask, want: Tokens) -> Option<Grant> {
-        let holders = self.holders().max(1);
+    fn try_grant(&mut self, now: Time, id: LeaseId, ask: &Ask, want: Tokens) -> Option<Grant> {
+        let holders = self.holder_count().max(1);
         let amount = self.policy.give(self.free(), holders, ask.need, want)?;
         Some(self.grant(now, id, ask, amount))
     }
 
     fn ask(&mut self, now: Time, id: LeaseId, ask: &Ask) -> Decision {
-        if let Some(decision) = self.answered(ask) {
+        if let Some(decision) = self.previous_decision(ask) {
             return decision;
         }
-        let recall = self.recall.filter(|r| r.is_on(now));
-        let is_kept_out = recall.is_some_and(|r| r.is_exclusive(now) && !r.is_for(ask));
-        // Waiting for its turn would not help an ask that nothing can meet.
-        if is_kept_out && !self.cannot_meet(now, ask.need) {
-            return Err(Shortage::Busy(RECALL_POLL));
+        let recall = self.recall.filter(|r| r.is_active(now));
+        let is_blocked = recall.is_some_and(|r| r.is_exclusive(now) && !r.is_for(ask));
+        // A request that cannot be met at all fails at once.
+        if is_blocked && !self.cannot_meet(now, ask.need) {
+            return Err(Shortage::Busy(RECALL_RETRY));
         }
         let want = if recall.is_some() { ask.need } else { ask.want };
-        let Some(grant) = self.offer(now, id, ask, want) else {
+        let Some(grant) = self.try_grant(now, id, ask, want) else {
             return Err(self.shortage(now, ask));
         };
         if recall.is_some_and(|r| r.is_for(ask)) {
@@ -291,14 +291,14 @@
     }
 
     fn ask_once(&mut self, now: Time, id: LeaseId, ask: &Ask) -> Decision {
-        if let Some(decision) = self.answered(ask) {
+        if let Some(decision) = self.previous_decision(ask) {
             return decision;
         }
-        self.offer(now, id, ask, ask.want).ok_or(Shortage::Spent)
+        self.try_grant(now, id, ask, ask.want).ok_or(Shortage::Spent)
     }
 
     fn report(&mut self, now: Time, holder: HolderId, r: &Report) -> bool {
-        let span = self.policy.offline.scale(DRIFT.0, DRIFT.1);
+        let span = self.policy.offline.scale(LEASE_DRIFT.0, LEASE_DRIFT.1);
         let Some(l) = self.leases.get_mut(&r.lease).filter(|l| l.holder == holder) else {
             return false;
         };
@@ -315,8 +315,8 @@
         true
     }
 
-    /// Closes a lease of which up to `unreported` more was spent; returns how much of that it
-    /// could hold.
+    /// Closes a lease and counts up to `unreported` more of its tokens as spent. Returns how many
+    /// were counted.
     fn close_with(&mut self, id: LeaseId, unreported: Tokens) -> Tokens {
         let Some(l) = self.leases.get_mut(&id) else { return 0 };
         let more = l.open().min(unreported);
@@ -333,40 +333,40 @@
     }
 }
 
-/// What the end of a dead holder's leases comes to.
+/// The result of closing a dead holder's leases.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WriteOff {
-    /// Tokens that count as spent though nobody reported them.
+    /// Unreported tokens that are counted as spent.
     pub counted: Tokens,
-    /// Tokens that come free.
+    /// Tokens that become free.
     pub freed: Tokens,
 }
 
-/// All budgets of one grantor.
+/// The budgets of one grantor, with their leases and the bounds reported by holders.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Ledger {
-    funds: BTreeMap<String, Funds>,
+    funds: BTreeMap<String, BudgetState>,
     budget_of: BTreeMap<LeaseId, String>,
-    /// The budgets that may be calling tokens back.
+    /// Budgets that may have a recall in progress.
     recalling: BTreeSet<String>,
     #[serde(default)]
     bounds: Bounds,
 }
 
 impl Ledger {
-    /// Sets what is prepaid for `budget` in all, and its slice policy.
+    /// Sets the prepaid total and the policy of `budget`, creating it if needed.
     ///
-    /// A total below what is spent and held is taken: no more is granted, idle tokens are called
-    /// back, and what was leased may still be spent.
+    /// The total may be less than what is spent and held: then nothing more is granted, idle
+    /// tokens are recalled, and leased tokens may still be spent.
     pub fn fund(&mut self, budget: &str, funded: Tokens, policy: Policy) {
         let f = self.funds.entry(budget.to_owned()).or_default();
         f.funded = funded;
         f.policy = policy;
-        self.note_recall(budget);
+        self.update_recalling(budget);
     }
 
-    fn note_recall(&mut self, budget: &str) {
-        let open = |f: &Funds| f.recall.is_some() || f.overdrawn();
+    fn update_recalling(&mut self, budget: &str) {
+        let open = |f: &BudgetState| f.recall.is_some() || f.overdrawn();
         let active = self.funds.get(budget).is_some_and(open);
         if !active {
             self.recalling.remove(budget);
@@ -375,42 +375,45 @@
         }
     }
 
-    /// One budget.
-    pub fn get(&self, budget: &str) -> Option<&Funds> {
+    /// Returns the state of a budget, if it exists.
+    pub fn get(&self, budget: &str) -> Option<&BudgetState> {
         self.funds.get(budget)
     }
 
-    /// All budgets by name.
-    pub fn iter(&self) -> impl Iterator<Item = (&String, &Funds)> {
+    /// Iterates over the budgets in the order of their names.
+    pub fn iter(&self) -> impl Iterator<Item = (&String, &BudgetState)> {
         self.funds.iter()
     }
 
-    /// The budget that a lease belongs to.
+    /// Returns the name of the budget that an open lease belongs to.
     pub fn budget_of(&self, lease: LeaseId) -> Option<&str> {
         self.budget_of.get(&lease).map(String::as_str)
     }
 
-    /// Decides an ask; `id` names the lease if one is granted. `None`: no such budget.
+    /// Decides a lease request, and starts a recall if the free tokens are too few. A granted
+    /// lease gets the identity `id`. Returns `None` if the budget does not exist.
     pub fn ask(&mut self, now: Time, id: LeaseId, ask: &Ask) -> Option<Decision> {
         let decision = self.funds.get_mut(&ask.budget)?.ask(now, id, ask);
-        self.note_recall(&ask.budget);
-        Some(self.note_lease(id, ask, decision))
+        self.update_recalling(&ask.budget);
+        Some(self.index_lease(id, ask, decision))
     }
 
-    /// Decides an ask from what is free, and calls nothing back.
+    /// Decides a lease request from the free tokens only, without a recall. Returns `None` if the
+    /// budget does not exist.
     pub fn ask_once(&mut self, now: Time, id: LeaseId, ask: &Ask) -> Option<Decision> {
         let decision = self.funds.get_mut(&ask.budget)?.ask_once(now, id, ask);
-        Some(self.note_lease(id, ask, decision))
+        Some(self.index_lease(id, ask, decision))
     }
 
-    fn note_lease(&mut self, id: LeaseId, ask: &Ask, decision: Decision) -> Decision {
+    fn index_lease(&mut self, id: LeaseId, ask: &Ask, decision: Decision) -> Decision {
         if decision.is_ok_and(|g| g.lease == id) {
             self.budget_of.insert(id, ask.budget.clone());
         }
         decision
     }
 
-    /// Takes a holder's report; false if the lease is not open or not that holder's.
+    /// Applies a holder's report. Returns false if the lease is not open or belongs to another
+    /// holder.
     pub fn report(&mut self, now: Time, holder: HolderId, r: &Report) -> bool {
         let Some(f) = self.budget_of.get(&r.lease).and_then(|b| self.funds.get_mut(b)) else {
             return false;
@@ -422,10 +425,11 @@
         known
     }
 
-    /// Closes a lease whose holder is known never to spend from it again, and frees what it had
-    /// not reported. Returns what came free; `None` if the lease is not open.
+    /// Closes a lease and frees its unreported tokens. Returns how many became free, or `None` if
+    /// the lease is not open.
     ///
-    /// The caller vouches for it: this is the one place where tokens come back without a proof.
+    /// The caller must make sure that the holder never spends from it again: nothing here
+    /// verifies that.
     pub fn release(&mut self, id: LeaseId) -> Option<Tokens> {
         let f = self.budget_of.remove(&id).and_then(|b| self.funds.get_mut(&b))?;
         let open = f.leases.get(&id).map(Lease::open)?;
@@ -433,17 +437,17 @@
         Some(open)
     }
 
-    /// Takes a holder's bounds, see [`Bounds::tell`].
+    /// Records a holder's report of its bounds, see [`Bounds::tell`].
     pub fn tell(&mut self, holder: HolderId, at: Time, seq: u64, after: u64, bounds: &[Bound]) {
         self.bounds.tell(holder, at, seq, after, bounds);
     }
 
-    /// The two last reports of a holder.
+    /// Returns the numbers and times of a holder's last two reports of bounds.
     pub fn chain(&self, holder: HolderId) -> Chain {
         self.bounds.chain(holder)
     }
 
-    /// What [`Ledger::write_off`] would come to, over all budgets that bind their holders.
+    /// Returns what [`Ledger::write_off`] would count as spent and free, without changing anything.
     pub fn write_off_of(&self, holder: HolderId, e: &Elapsed) -> WriteOff {
         let mut sum = WriteOff::default();
         for (name, f) in self.funds.iter().filter(|(_, f)| f.policy.bounded) {
@@ -456,8 +460,9 @@
         sum
     }
 
-    /// Ends the leases of a holder that is known to be dead. What it can have spent unreported by
-    /// its own word counts as spent; the rest comes free. Leases of budgets that bind nobody stay.
+    /// Closes the leases of a holder that is known to be dead, in budgets with a bounded policy.
+    /// The most that its reported bounds allow counts as spent; the rest becomes free. Leases of
+    /// other budgets stay open.
     pub fn write_off(&mut self, holder: HolderId, e: &Elapsed) {
         let bounds = &self.bounds;
         for (name, f) in self.funds.iter_mut().filter(|(_, f)| f.policy.bounded) {
@@ -472,24 +477,26 @@
         self.bounds.forget(holder);
     }
 
-    /// Forgets a holder that makes no more asks: one that has gone or was replaced. Its leases
-    /// stay until they are reported on.
+    /// Drops the request state of a holder that has left or was replaced. Its leases stay open
+    /// until they are reported on.
     pub fn forget(&mut self, holder: HolderId) {
         for f in self.funds.values_mut() {
             f.granted.remove(&holder);
         }
     }
 
-    /// The budgets of which `holder` is asked to return what is idle.
+    /// Iterates over the names of the budgets of which `holder` has to return idle tokens.
     pub fn recalls(&self, now: Time, holder: HolderId) -> impl Iterator<Item = &str> {
-        let holds = move |f: &&Funds| f.leases.values().any(|l| l.holder == holder && !l.tight);
+        let holds =
+            move |f: &&BudgetState| f.leases.values().any(|l| l.holder == holder && !l.tight);
         self.recalling
             .iter()
             .filter(move |b| self.funds.get(*b).is_some_and(|f| f.recalling(now) && holds(&f)))
             .map(String::as_str)
     }
 
-    /// Whether every derived sum agrees with the leases: for tests and for the check at start.
+    /// Returns whether the derived sums and indexes match the leases. Used by tests and by the
+    /// check at startup.
     pub fn consistent(&self) -> bool {
         self.funds.values().all(|f| f.held == f.leases.values().map(|l| l.keep).sum::<Tokens>())
             && self.budget_of.len() == self.funds.values().map(|f| f.leases.len()).sum::<usize>()
--- a/crates/core/src/budget/mod.rs
+++ b/crates/core/src/budget/mod.rs
@@ -1,9 +1,9 @@
 //! Hierarchical escrow of prepaid tokens.
 //!
-//! Tokens leave the grantor's [`Ledger`] before they reach the holder's [`SliceStore`], so the sum of
-//! what all holders can spend never exceeds the budget, whatever messages are lost and whatever
-//! the clocks show. A lease that is not reported on counts as spent in full until its holder
-//! proves otherwise; its end only bounds how long a holder out of reach may go on.
+//! Tokens leave the grantor's [`Ledger`] before they reach the holder's [`SliceStore`], so the
+//! holders together never spend more than the budget, whatever messages are lost and however
+//! clocks differ. A lease counts as spent in full until its holder reports on it; its end only
+//! bounds how long an unreachable holder may start requests on it.
 
 mod allot;
 mod bound;
@@ -15,7 +15,7 @@
 
 pub use allot::Region;
 pub use bound::{Bound, Bounds, Chain, Elapsed, Told};
-pub use ledger::{Ask, Decision, Funds, Grant, Lease, Ledger, Report, Shortage, WriteOff};
+pub use ledger::{Ask, BudgetState, Decision, Grant, Lease, Ledger, Report, Shortage, WriteOff};
 pub use policy::{Policy, Rate, report_every};
 pub use reserve::{ReserveAnswer, ReserveCommand, ReserveLedger};
 pub use slice_store::{Reservation, SliceStore};
--- a/crates/core/src/budget/slice_store.rs
+++ b/crates/core/src/budget/slice_store.rs
@@ -1,45 +1,47 @@
-//! The holder's side: slices in hand, reservations, and what to report.
+//! The holder's side of escrow: leased slices, reservations on them, requests and reports.
 
 use std::collections::BTreeMap;
 
-use super::bound::{Allowed, Bound};
+use super::bound::{Bound, SpendingLimit};
 use super::ledger::{Ask, Decision, Grant, Report};
 use super::policy::{Policy, Rate};
 use crate::unit::{HolderId, LeaseId, Millis, Time, Tokens};
 
-/// The fraction of a lease's span that a holder uses, for clocks that drift.
-const DRIFT: (u64, u64) = (8, 10);
+/// Fraction of a lease's span that the holder uses, to allow for clock drift.
+const USABLE_SPAN: (u64, u64) = (8, 10);
 
-/// Share of the wish below which a holder asks for more before it runs dry, as a divisor.
-const LOW: u64 = 2;
+/// A holder requests more when its idle tokens fall below the policy's size divided by this.
+const LOW_DIVISOR: u64 = 2;
 
-/// A slice's end is put off after this part of its span, as a divisor.
-const RENEW: u64 = 4;
+/// A slice is renewed after the policy's offline span divided by this.
+const RENEW_DIVISOR: u64 = 4;
 
-/// How many horizons without a reservation pass before a slice store gives everything back.
-const QUIET: u64 = 10;
+/// Horizons without a reservation after which a slice store returns all idle tokens.
+const QUIET_HORIZONS: u64 = 10;
 
-/// Tokens set aside for one request, with the leases that they come from.
+/// Tokens reserved for one request, by the lease that they come from.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Reservation {
     parts: Vec<(LeaseId, Tokens)>,
 }
 
 impl Reservation {
-    /// The whole amount.
+    /// Returns the reserved tokens in total.
     pub fn amount(&self) -> Tokens {
         self.parts.iter().map(|p| p.1).sum()
     }
 }
 
+/// One lease at its holder.
 #[derive(Debug)]
 struct Slice {
     keep: Tokens,
     used: Tokens,
     reserved: Tokens,
     end: Time,
-    told: Option<(Tokens, Tokens)>,
-    /// When its end was last put off.
+    /// `used` and `keep` of the last acknowledged report; `None` forces a report.
+    acked: Option<(Tokens, Tokens)>,
+    /// When the last acknowledged report was sent, or the first request for the lease.
     renewed: Time,
 }
 
@@ -49,7 +51,7 @@
     }
 }
 
-/// One holder's part of one budget.
+/// One holder's slices of one budget.
 #[derive(Debug, Default)]
 pub struct SliceStore {
     slices: BTreeMap<LeaseId, Slice>,
@@ -57,16 +59,17 @@
     rate: Rate,
     seq: u64,
     pending: Option<Pending>,
-    touched: Time,
-    /// All that was spent.
+    last_reserved: Time,
+    /// Tokens spent in total.
     spent: Tokens,
-    /// All that is set aside.
+    /// Tokens reserved in total.
     reserved: Tokens,
-    allowed: Allowed,
-    /// What requests need together that wait for a higher limit.
-    wanted: Tokens,
+    limit: SpendingLimit,
+    /// Tokens that requests waiting for a higher limit need in total.
+    limit_demand: Tokens,
 }
 
+/// The lease request that has no answer yet.
 #[derive(Debug)]
 struct Pending {
     ask: Ask,
@@ -74,32 +77,34 @@
 }
 
 impl SliceStore {
-    /// An empty slice store; `seq` must not have been used by this holder before.
+    /// Creates an empty slice store. Its requests are numbered from `seq + 1`, which this holder
+    /// must not have used before.
     pub fn new(policy: Policy, seq: u64) -> SliceStore {
         SliceStore { policy, seq, ..SliceStore::default() }
     }
 
-    /// Takes a changed policy into use.
+    /// Replaces the policy.
     pub fn set_policy(&mut self, policy: Policy) {
         self.policy = policy;
     }
 
-    /// Tokens that a request starting at `now` could reserve.
+    /// Returns the tokens that a request starting at `now` can reserve.
     pub fn idle(&self, now: Time) -> Tokens {
         self.slices.values().filter(|s| now < s.end).map(Slice::idle).sum()
     }
 
-    /// Whether it neither holds nor waits for anything.
+    /// Returns whether there is neither a slice nor a pending request.
     pub fn is_empty(&self) -> bool {
         self.slices.is_empty() && self.pending.is_none()
     }
 
-    /// Sets `n` tokens aside, or nothing at all.
+    /// Reserves `n` tokens. Returns `None` and reserves nothing if too few are idle or the limit
+    /// does not allow them.
     pub fn reserve(&mut self, now: Time, n: Tokens) -> Option<Reservation> {
         if self.idle(now) < n || self.is_limited(now, n) {
             return None;
         }
-        self.touched = now;
+        self.last_reserved = now;
         self.reserved += n;
         let mut left = n;
         let mut parts = Vec::with_capacity(1);
@@ -114,64 +119,66 @@
         Some(Reservation { parts })
     }
 
-    /// Sets aside what can be had of `n` tokens; none if that is nothing.
+    /// Reserves as many of `n` tokens as possible; `None` if that is none.
     pub fn reserve_part(&mut self, now: Time, n: Tokens) -> Option<Reservation> {
         let part = n.min(self.idle(now)).min(self.allowed(now));
         (part > 0).then(|| self.reserve(now, part)).flatten()
     }
 
-    /// Whether the limit that it is bound to does not allow `n` more.
+    /// Returns whether `n` more tokens exceed the holder's limit at `now`.
     pub fn is_limited(&self, now: Time, n: Tokens) -> bool {
-        self.policy.bounded && self.spent + self.reserved + n > self.allowed.by(now)
+        self.policy.bounded && self.spent + self.reserved + n > self.limit.limit_at(now)
     }
 
-    /// What the limit that it is bound to still allows.
+    /// Returns how many more tokens the holder's limit allows at `now`.
     pub fn allowed(&self, now: Time) -> Tokens {
         match self.policy.bounded {
-            true => self.allowed.by(now).saturating_sub(self.spent + self.reserved),
+            true => self.limit.limit_at(now).saturating_sub(self.spent + self.reserved),
             false => Tokens::MAX,
         }
     }
 
-    /// How long after `now` the limit allows `n` more by itself, for tokens that are idle; `None`
-    /// if tokens are missing, or only a report brings a higher limit.
+    /// Returns how long after `now` the growing limit allows `n` more tokens. `None` if there is no
+    /// limit, if too few tokens are idle, or if the limit does not grow without a report.
     pub fn allows_after(&self, now: Time, n: Tokens) -> Option<Millis> {
         if !self.policy.bounded || self.idle(now) < n {
             return None;
         }
-        self.allowed.wait_for(now, (self.spent + self.reserved).saturating_add(n))
+        self.limit.time_until(now, (self.spent + self.reserved).saturating_add(n))
     }
 
-    /// A request that needs `n` tokens begins to wait for a higher limit: the next bounds ask for
-    /// one, until [`SliceStore::unwant_limit`].
+    /// Registers a request that waits for a limit higher by `n` tokens. The bounds returned by
+    /// [`SliceStore::bound`] include it until [`SliceStore::unwant_limit`].
     pub fn want_limit(&mut self, n: Tokens) {
-        self.wanted = self.wanted.saturating_add(n);
+        self.limit_demand = self.limit_demand.saturating_add(n);
     }
 
-    /// A request that needs `n` tokens no longer waits for a higher limit.
+    /// Unregisters a request that waited for a limit higher by `n` tokens.
     pub fn unwant_limit(&mut self, n: Tokens) {
-        self.wanted = self.wanted.saturating_sub(n);
+        self.limit_demand = self.limit_demand.saturating_sub(n);
     }
 
-    /// The bound to tell the grantor; none if it is not bound or has nothing.
+    /// Returns the bound to report to the grantor. `None` if the policy is not bounded, or if
+    /// nothing is held or spent.
     pub fn bound(&mut self, now: Time, budget: &str) -> Option<Bound> {
         if !self.policy.bounded || (self.slices.is_empty() && self.spent == 0) {
             return None;
         }
         self.rate.roll(now);
         let (room, rate) = self.policy.beyond(&self.rate, self.idle(now));
-        // Requests that come meanwhile take of the room, so those that wait get theirs on top.
-        let limit = (self.spent + self.reserved).saturating_add(self.wanted).saturating_add(room);
+        // New requests use up the room until the next report, so waiting ones are added to it.
+        let limit =
+            (self.spent + self.reserved).saturating_add(self.limit_demand).saturating_add(room);
         Some(Bound { budget: budget.to_owned(), spent: self.spent, limit, rate })
     }
 
-    /// Notes at `now` that the grantor has taken a bound.
+    /// Applies a bound that the grantor has accepted; its rate counts from `now`.
     pub fn bound_taken(&mut self, now: Time, b: &Bound) {
-        self.allowed.taken(now, b);
+        self.limit.accept(now, b);
     }
 
-    /// Ends a reservation of which `used` tokens were spent. Returns what was charged: `used`,
-    /// but never more than was reserved.
+    /// Settles a reservation of which `used` tokens were spent. Returns the tokens charged: `used`,
+    /// but at most the reserved amount.
     pub fn settle(&mut self, now: Time, r: Reservation, used: Tokens) -> Tokens {
         let charged = used.min(r.amount());
         self.reserved -= r.amount();
@@ -189,14 +196,14 @@
         charged
     }
 
-    /// The ask to send when a request of `need` tokens does not fit or the slice store runs low; a
-    /// resend of the one that is under way, if any.
+    /// Returns the lease request to send if fewer than `need` tokens are idle or the store is low.
+    /// A pending request is returned again under its number, enlarged if needed.
     pub fn ask(&mut self, now: Time, holder: HolderId, budget: &str, need: Tokens) -> Option<Ask> {
         self.rate.roll(now);
         let idle = self.idle(now);
         let want = self.policy.want(&self.rate, need);
         if let Some(p) = &mut self.pending {
-            // Its number decides what it is; the sizes may grow.
+            // The grantor matches a resend by its number, so the sizes may grow.
             p.ask.need = p.ask.need.max(need.saturating_sub(idle));
             p.ask.want = p.ask.want.max(p.ask.need);
             return Some(p.ask.clone());
@@ -212,48 +219,50 @@
         Some(ask)
     }
 
-    /// Takes the answer to the ask numbered `seq`.
+    /// Applies the answer to the request numbered `seq`; ignored if that is not pending.
     ///
-    /// A grant is taken even when it comes late: its span counts from the first sending, and an
-    /// unusable one goes back with the next report.
+    /// A late grant is accepted: its span counts from the first sending of the request, and an
+    /// expired one is returned with the next report.
     pub fn answer(&mut self, seq: u64, decision: &Decision) {
         let Some(p) = self.pending.take_if(|p| p.ask.seq == seq) else { return };
         match decision {
             Ok(g) => self.insert(p.first_sent, g),
-            // The number is used again: should a copy of the ask be granted yet, the next finds it.
+            // The next request reuses the number: if a late copy of this one is granted, the
+            // grantor answers the next one with that lease.
             Err(_) => self.seq -= 1,
         }
     }
 
     fn insert(&mut self, asked: Time, g: &Grant) {
-        let end = asked.after(g.span.scale(DRIFT.0, DRIFT.1));
-        let fresh = Slice { keep: g.amount, used: 0, reserved: 0, end, told: None, renewed: asked };
+        let end = asked.after(g.span.scale(USABLE_SPAN.0, USABLE_SPAN.1));
+        let fresh =
+            Slice { keep: g.amount, used: 0, reserved: 0, end, acked: None, renewed: asked };
         self.slices.entry(g.lease).or_insert(fresh);
     }
 
-    /// Whether it would ask for more though nobody waits.
+    /// Returns whether the idle tokens are so few that a request is due although no client waits.
     pub fn runs_low(&mut self, now: Time) -> bool {
         self.rate.roll(now);
-        self.pending.is_none() && self.idle(now) < self.policy.want(&self.rate, 0) / LOW
+        self.pending.is_none() && self.idle(now) < self.policy.want(&self.rate, 0) / LOW_DIVISOR
     }
 
-    /// Returns what is idle beyond the policy's wish, once nothing was reserved for a while. The
-    /// next reports carry it.
+    /// Returns idle tokens to the grantor with the next reports: those beyond the policy's floor
+    /// after a horizon without a reservation, all of them after several.
     pub fn shrink(&mut self, now: Time) {
         self.rate.roll(now);
-        let quiet = now.since(self.touched);
-        if quiet > self.policy.horizon.scale(QUIET, 1) {
+        let quiet = now.since(self.last_reserved);
+        if quiet > self.policy.horizon.scale(QUIET_HORIZONS, 1) {
             self.give_back(0);
         } else if quiet > self.policy.horizon {
             self.give_back(self.policy.floor);
         }
     }
 
-    /// Returns all that is idle, and reports on every slice next time.
+    /// Returns all idle tokens to the grantor, and makes the next reports cover every slice.
     pub fn recall(&mut self) {
         self.give_back(0);
         for s in self.slices.values_mut() {
-            s.told = None;
+            s.acked = None;
         }
     }
 
@@ -267,24 +276,24 @@
         }
     }
 
-    /// What to report: every slice that changed since it was last acknowledged, or whose end
-    /// should be put off.
+    /// Returns reports on the slices that changed since their last acknowledged report or are due
+    /// for renewal.
     pub fn reports(&self, now: Time) -> Vec<Report> {
-        let renew = self.policy.offline.scale(1, RENEW);
+        let renew = self.policy.offline.scale(1, RENEW_DIVISOR);
         self.slices
             .iter()
-            .filter(|(_, s)| s.told != Some((s.used, s.keep)) || now.since(s.renewed) > renew)
+            .filter(|(_, s)| s.acked != Some((s.used, s.keep)) || now.since(s.renewed) > renew)
             .map(|(id, s)| Report { lease: *id, used: s.used, keep: s.keep, tight: s.idle() == 0 })
             .collect()
     }
 
-    /// Notes that the grantor has committed `r`, sent at `sent`; `known` is false if it no longer
-    /// has the lease.
+    /// Records that the grantor has committed report `r`, sent at `sent`, and renews the slice.
+    /// `known` is false if the lease is no longer open at the grantor.
     pub fn acknowledge(&mut self, sent: Time, r: &Report, known: bool) {
         let Some(s) = self.slices.get_mut(&r.lease) else { return };
-        s.told = Some((r.used, r.keep));
+        s.acked = Some((r.used, r.keep));
         s.renewed = s.renewed.max(sent);
-        s.end = s.end.max(sent.after(self.policy.offline.scale(DRIFT.0, DRIFT.1)));
+        s.end = s.end.max(sent.after(self.policy.offline.scale(USABLE_SPAN.0, USABLE_SPAN.1)));
         if !known {
             s.keep = s.used + s.reserved;
         }
