--- a/crates/core/src/budget/allot.rs
+++ b/crates/core/src/budget/allot.rs
@@ -1,4 +1,4 @@
-//! A ledger whose tokens are themselves leased from the budget's home group.
+//! A ledger whose tokens are leased from another grantor, the budget's home group.
 
 use std::collections::BTreeMap;
 
@@ -8,58 +8,61 @@
 use super::policy::Policy;
 use crate::unit::{HolderId, LeaseId, Time, Tokens};
 
-/// What a region's group holds of one allotment.
+/// Tokens kept of one lease from the home group.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 struct Allotment {
     keep: Tokens,
 }
 
-/// The ledger of a region that is not a budget's home.
+/// The ledger of a grantor that is not the budget's home.
 ///
-/// Downwards it is a [`Ledger`]; upwards it reports like any other holder.
+/// It is the grantor of its routers, and a holder of leases ("allotments") from the home group.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Region {
     ledger: Ledger,
     allotments: BTreeMap<String, BTreeMap<LeaseId, Allotment>>,
-    /// Spent under allotments that are closed upwards, by budget.
+    /// Tokens spent under closed allotments, by budget.
     passed: BTreeMap<String, Tokens>,
 }
 
 impl Region {
-    /// Adds an allotment granted by the home group; one that is known already changes nothing.
+    /// Adds an allotment that the home group granted; a duplicate is ignored.
     pub fn allot(&mut self, budget: &str, g: &Grant, policy: Policy) {
         let all = self.allotments.entry(budget.to_owned()).or_default();
         all.entry(g.lease).or_insert(Allotment { keep: g.amount });
-        self.refund(budget, policy);
+        self.update_total(budget, policy);
     }
 
-    fn refund(&mut self, budget: &str, policy: Policy) {
+    fn update_total(&mut self, budget: &str, policy: Policy) {
         let held: Tokens =
             self.allotments.get(budget).map_or(0, |a| a.values().map(|x| x.keep).sum());
         let passed = self.passed.get(budget).copied().unwrap_or(0);
         self.ledger.fund(budget, held + passed, policy);
     }
 
-    /// Decides a router's ask out of the region's allotments.
+    /// Decides a router's lease request from the allotments, and starts a recall if the free tokens
+    /// are too few. Returns `None` if there is no such budget.
     pub fn ask(&mut self, now: Time, id: LeaseId, ask: &Ask) -> Option<Decision> {
         self.ledger.ask(now, id, ask)
     }
 
-    /// Decides a router's ask out of what is free, and calls nothing back.
+    /// Decides a router's lease request from the free tokens only, without a recall. Returns `None`
+    /// if there is no such budget.
     pub fn ask_once(&mut self, now: Time, id: LeaseId, ask: &Ask) -> Option<Decision> {
         self.ledger.ask_once(now, id, ask)
     }
 
-    /// Takes a router's report.
+    /// Applies a router's report. Returns false if the lease is not open or belongs to another
+    /// holder.
     pub fn report(&mut self, now: Time, holder: HolderId, r: &Report) -> bool {
         self.ledger.report(now, holder, r)
     }
 
-    /// Gives back up to `n` free tokens of `budget`; the next reports upwards carry it.
+    /// Returns up to `n` free tokens of `budget` to the home group with the next reports.
     pub fn give_back(&mut self, budget: &str, n: Tokens) {
         let Some(f) = self.ledger.get(budget) else { return };
         let policy = f.policy;
-        // What is free is neither spent nor held, so the rest still covers both.
+        // Free tokens are neither spent nor held, so the remaining ones still cover both.
         let mut left = n.min(f.free());
         let all = self.allotments.entry(budget.to_owned()).or_default();
         for a in all.values_mut().rev() {
@@ -67,10 +70,11 @@
             a.keep -= back;
             left -= back;
         }
-        self.refund(budget, policy);
+        self.update_total(budget, policy);
     }
 
-    /// The reports on a budget's allotments for its home: spending fills the oldest first.
+    /// Returns the reports on a budget's allotments for the home group. Spending is attributed to
+    /// the oldest allotment first.
     pub fn reports(&self, budget: &str) -> Vec<Report> {
         let Some(f) = self.ledger.get(budget) else { return Vec::new() };
         let mut spent = f.spent() - self.passed.get(budget).copied().unwrap_or(0);
@@ -84,7 +88,8 @@
         .collect()
     }
 
-    /// Notes that the home has committed `r`; a report that closes an allotment drops it.
+    /// Records that the home group has committed report `r`, and removes the allotment that it
+    /// closes.
     pub fn acknowledge(&mut self, budget: &str, r: &Report) {
         if r.used != r.keep {
             return;
@@ -96,7 +101,7 @@
         }
     }
 
-    /// The ledger towards the routers.
+    /// Returns the ledger of the leases granted to routers.
     pub fn ledger(&self) -> &Ledger {
         &self.ledger
     }
--- a/crates/core/src/budget/policy.rs
+++ b/crates/core/src/budget/policy.rs
@@ -1,28 +1,28 @@
-//! How large a slice a holder asks for and a grantor gives.
+//! Sizes of lease requests and grants, intervals of reports, and the spending rates they depend on.
 
 use serde::{Deserialize, Serialize};
 
 use crate::unit::{Millis, Time, Tokens};
 
-/// Weight of the newest sample in a [`Rate`], as a divisor.
-const SMOOTHING: u64 = 4;
+/// Inverse of the weight of the newest sample in a [`Rate`].
+const SMOOTHING_DIVISOR: u64 = 4;
 
-/// The slice policy of one budget; the template sets it.
+/// The slice policy of one budget, set by its configuration template.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Policy {
-    /// How much of its own spending a holder keeps in hand.
+    /// Time for which a holder requests tokens in advance, at its current spending rate.
     pub horizon: Millis,
-    /// The smallest slice asked for.
+    /// Smallest slice requested.
     pub floor: Tokens,
-    /// The largest part of the free tokens that one grant may take beyond what a waiting request
-    /// needs: `free / (share * holders)`.
+    /// Divisor that limits how much one grant takes of the free tokens beyond what a waiting
+    /// request needs: `free / (share * holders)`.
     pub share: u64,
-    /// The part of the free tokens that each data centre keeps in reserve for a cut, in hundredths.
+    /// Percentage of the free tokens that each data centre keeps in reserve for a partition.
     pub reserve: u64,
-    /// How long a holder that cannot reach its grantor may go on spending what it has.
+    /// How long a holder that cannot reach its grantor may spend its leased tokens.
     pub offline: Millis,
-    /// A holder binds itself to a limit and a rate, so that its death strands little.
+    /// Whether holders report a bound on their spending, so that a dead holder strands few tokens.
     #[serde(default)]
     pub bounded: bool,
 }
@@ -34,58 +34,58 @@
     }
 }
 
-/// How much of its spending a holder keeps in hand of an account's prepaid tokens, to outlast the
-/// cuts from the group that are ordinary.
+/// Horizon for an account's prepaid tokens: covers short losses of the control group.
 const PREPAID_HORIZON: Millis = Millis::seconds(15);
 
-/// The part of an account's prepaid tokens that a holder asks for at least, as a divisor.
-const PREPAID_FLOOR: u64 = 64;
+/// Smallest slice of an account's prepaid tokens, as the divisor of their total.
+const PREPAID_FLOOR_DIVISOR: u64 = 64;
 
-/// The part of its usual spending in a second that a bound holder may spend beyond what it has
-/// told, as a divisor. It can have more of its grantor at once, so this is for the start of a cut.
-const ROOM_SPAN: u64 = 2;
+/// Allowance of a bounded holder beyond its reported spending, as a divisor of its tokens per
+/// second. Covers the start of a partition; a connected holder can get a higher limit at once.
+const ROOM_DIVISOR: u64 = 2;
 
-/// The same as a part of what is idle, for a holder that has spent nothing yet.
-const ROOM_SHARE: u64 = 16;
+/// Least such allowance, as a divisor of the idle tokens, for a holder that has spent little.
+const IDLE_ROOM_DIVISOR: u64 = 16;
 
-/// The part of what is idle that a bound holder may spend for each second without an answer.
-const GROWTH_SHARE: u64 = 16;
+/// Least growth of the allowance per second without an answer, as a divisor of the idle tokens.
+const IDLE_GROWTH_DIVISOR: u64 = 16;
 
 impl Policy {
-    /// The policy for an account that has prepaid `tokens` in all.
+    /// Returns the policy for a client account that has prepaid `tokens` in total.
     pub fn for_prepaid(tokens: Tokens) -> Policy {
-        let (horizon, floor) = (PREPAID_HORIZON, tokens / PREPAID_FLOOR);
+        let (horizon, floor) = (PREPAID_HORIZON, tokens / PREPAID_FLOOR_DIVISOR);
         Policy { horizon, floor, reserve: 0, bounded: true, ..Policy::default() }
     }
 
-    /// What a holder that spends at `rate` asks for when a request of `need` waits.
+    /// Returns how many tokens a holder that spends at `rate` requests while a client request of
+    /// `need` tokens waits.
     pub fn want(&self, rate: &Rate, need: Tokens) -> Tokens {
         let ahead = rate.per_second() * self.horizon.0 / 1000;
         need.saturating_add(ahead.max(self.floor))
     }
 
-    /// What a holder that spends at `rate` and has `idle` tokens may spend beyond what it has
-    /// told, in all and for each second without an answer.
+    /// Returns how many tokens a holder may spend beyond its reported spending: in total, and in
+    /// addition for each second without an answer from the grantor.
     ///
-    /// Whatever it may spend unheard is lost to the budget when it dies, and if all holders lose
-    /// power together it is lost for all of them. So it is what a cut takes, and hardly more:
-    /// holders that are cut off set tokens aside for each other.
+    /// The budget loses these tokens when the holder dies, and for every holder in a power failure.
+    /// So they cover little more than the spending during a partition; partitioned holders can
+    /// borrow tokens from each other.
     pub fn beyond(&self, rate: &Rate, idle: Tokens) -> (Tokens, Tokens) {
         let usual = rate.usual();
-        let room = (usual / ROOM_SPAN).max(idle / ROOM_SHARE);
-        let growth = (usual * 9 / 8).max(idle / GROWTH_SHARE);
+        let room = (usual / ROOM_DIVISOR).max(idle / IDLE_ROOM_DIVISOR);
+        let growth = (usual * 9 / 8).max(idle / IDLE_GROWTH_DIVISOR);
         (room, growth)
     }
 
-    /// What a data centre's reserve should come to while `free` tokens are free.
+    /// Returns the target size of a data centre's reserve while `free` tokens are free.
     pub fn target(&self, free: Tokens) -> Tokens {
         free / 100 * self.reserve.min(100)
     }
 
-    /// What a grantor gives out of `free`, with `holders` sharing the budget, or `None` if the
-    /// need does not fit.
+    /// Returns the size of a grant out of `free` tokens while `holders` share the budget, or `None`
+    /// if `free` is less than `need`, or is zero.
     ///
-    /// The slice shrinks as the free rest does, down to the bare need.
+    /// As the free tokens run out, the grant shrinks from `want` to `need`.
     pub fn give(&self, free: Tokens, holders: u64, need: Tokens, want: Tokens) -> Option<Tokens> {
         if need > free || (need == 0 && free == 0) {
             return None;
@@ -95,23 +95,20 @@
     }
 }
 
-/// Reports of spending that a group takes in a second. Those that come within a tick share a commit, so
-/// that more of them cost it little: nine control processes with 70 holders used 0.007 of a core in
-/// the mean with 70 reports a second and with 280. What it buys: a dead holder's span, which counts
-/// at its rate, begins with its last report, up to 250 ms ago in place of up to a second.
-const REPORTS: u64 = 280;
+/// Spending reports that a control group accepts per second. Reports within a tick share a commit.
+const MAX_REPORTS_PER_SECOND: u64 = 280;
 
-/// The shortest time between two reports of one holder: what it spends meanwhile is lost to the
-/// budget if it dies. Shorter times were not tried.
-const REPORT_LEAST: Millis = Millis(250);
+/// Shortest interval between two reports of one holder. If the holder dies, its budget loses the
+/// tokens that it may spend in an interval.
+const MIN_REPORT_INTERVAL: Millis = Millis(250);
 
-/// The time between two reports of each of `holders`, `most` at the most: the fewer there are, the
-/// more often each may report.
+/// Returns the interval between two reports of each of `holders`, at most `most`. Fewer holders
+/// report more often.
 pub fn report_every(holders: u64, most: Millis) -> Millis {
-    Millis(holders * 1_000 / REPORTS).max(REPORT_LEAST).min(most)
+    Millis(holders * 1_000 / MAX_REPORTS_PER_SECOND).max(MIN_REPORT_INTERVAL).min(most)
 }
 
-/// A smoothed rate of spending.
+/// A smoothed spending rate, in tokens per second.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Rate {
     smoothed: u64,
@@ -120,13 +117,13 @@
 }
 
 impl Rate {
-    /// Counts `tokens` spent at `now`.
+    /// Records `tokens` spent at `now`.
     pub fn add(&mut self, now: Time, tokens: Tokens) {
         self.roll(now);
         self.running += tokens;
     }
 
-    /// Closes the sample once it is a second old.
+    /// Closes the current sample if it is at least a second old.
     pub fn roll(&mut self, now: Time) {
         let span = now.since(self.since);
         if span < Millis::seconds(1) {
@@ -134,17 +131,17 @@
         }
         let sample = self.running * 1000 / span.0;
         let old = if span > Millis::seconds(60) { 0 } else { self.smoothed };
-        self.smoothed = old - old / SMOOTHING + sample.div_ceil(SMOOTHING);
+        self.smoothed = old - old / SMOOTHING_DIVISOR + sample.div_ceil(SMOOTHING_DIVISOR);
         self.running = 0;
         self.since = now;
     }
 
-    /// Tokens a second over the last few closed samples: one large request counts little.
+    /// Returns the smoothed rate of the closed samples; a single large request has little effect.
     pub fn usual(&self) -> u64 {
         self.smoothed
     }
 
-    /// Tokens a second, the open sample included.
+    /// Returns the smoothed rate, or the tokens of the current sample if those are more.
     pub fn per_second(&self) -> u64 {
         self.smoothed.max(self.running)
     }
--- a/crates/core/src/budget/reserve.rs
+++ b/crates/core/src/budget/reserve.rs
@@ -1,10 +1,9 @@
-//! A data centre's reserve for the time that it is cut off.
+//! A data centre's token reserve for partitions from the control group.
 //!
-//! A process with a disk in each data centre holds a part of every budget that is spent there. Its
-//! routers turn to it only while the group is out of reach. A router's own slices can therefore
-//! stay small, so that its death strands little, and a cut of hours refuses little: the reserve
-//! outlives the routers. While the group is in reach it calls the reserve back like any other
-//! holder's slices.
+//! In each data centre a process with a disk holds a part of every budget that is spent there.
+//! Routers request leases from it only while the control group is unreachable. So a router's own
+//! slices can stay small and strand few tokens when it dies, and requests are still served in a
+//! partition of hours. The control group recalls the reserve like any other holder's slices.
 
 use std::collections::BTreeMap;
 
@@ -15,51 +14,51 @@
 use super::policy::Policy;
 use crate::unit::{HolderId, LeaseId, Time, Tokens};
 
-/// A change of a reserve. The holder of the reserve stores each before it acts on it.
+/// A change of a reserve, stored on disk before it is applied.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ReserveCommand {
-    /// The group granted a part of a budget.
+    /// The control group granted a lease on a budget.
     Granted(String, Grant, Policy),
-    /// A router asks.
+    /// A router requests a lease.
     Ask(Ask),
-    /// A router reports.
+    /// A router reports on its leases.
     Report(HolderId, Vec<Report>),
-    /// So many free tokens of a budget are to go back to the group.
+    /// Returns up to this many free tokens of a budget to the control group.
     GiveBack(String, Tokens),
-    /// The group has committed a report.
+    /// The control group has committed a report.
     Acknowledged(String, Report),
 }
 
-/// What a command came to.
+/// The result of a [`ReserveCommand`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ReserveAnswer {
-    /// The answer to an ask.
+    /// The answer to a lease request.
     Decided(Decision),
-    /// For each report whether its lease is open.
+    /// For each report, whether its lease is open.
     Reported(Vec<bool>),
-    /// Nothing to say.
+    /// The command has no result.
     Nothing,
 }
 
-/// A data centre's reserve of all budgets.
+/// The ledger of a data centre's reserve, over all budgets.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct ReserveLedger {
     region: Region,
-    /// The number of the last ask of the group that was granted, by budget.
+    /// Sequence number of the last request that the control group granted, by budget.
     granted: BTreeMap<String, u64>,
 }
 
 impl ReserveLedger {
-    /// Does a command; `id` names the lease if one is granted.
-    pub fn apply(&mut self, now: Time, id: LeaseId, d: &ReserveCommand) -> ReserveAnswer {
-        match d {
+    /// Applies a command at `now` and returns its result. A granted lease gets the identity `id`.
+    pub fn apply(&mut self, now: Time, id: LeaseId, command: &ReserveCommand) -> ReserveAnswer {
+        match command {
             ReserveCommand::Granted(budget, g, policy) => {
                 self.region.allot(budget, g, *policy);
                 *self.granted.entry(budget.clone()).or_default() += 1;
                 ReserveAnswer::Nothing
             }
             ReserveCommand::Ask(ask) => {
-                // A recall would need the other routers' word; the asker cannot wait for it.
+                // A recall waits for reports of other routers, which takes too long here.
                 let decision = self.region.ask_once(now, id, ask);
                 ReserveAnswer::Decided(decision.unwrap_or(Err(Shortage::Spent)))
             }
@@ -78,23 +77,23 @@
         }
     }
 
-    /// Tokens of a budget that routers could still be given.
+    /// Returns the free tokens of a budget.
     pub fn free(&self, budget: &str) -> Tokens {
         self.region.ledger().get(budget).map_or(0, |f| f.free())
     }
 
-    /// The budgets that it holds a part of, or did.
+    /// Iterates over the names of the budgets of which it holds or has held a lease.
     pub fn budgets(&self) -> impl Iterator<Item = &String> {
         self.granted.keys()
     }
 
-    /// The reports on a budget for the group.
+    /// Returns the reports on a budget for the control group.
     pub fn reports(&self, budget: &str) -> Vec<Report> {
         self.region.reports(budget)
     }
 
-    /// What to ask the group for so that the reserve comes to `target`, if it is far below. A
-    /// resend has the same number until it is granted.
+    /// Returns the lease request to the control group that fills the reserve up to `target`, if no
+    /// more than half of it is free. Resends keep their number until one is granted.
     pub fn ask(&self, holder: HolderId, budget: &str, target: Tokens) -> Option<Ask> {
         let have = self.free(budget);
         if target == 0 || have > target / 2 {
@@ -105,7 +104,7 @@
         Some(Ask { holder, budget: budget.to_owned(), seq, need: 0, want })
     }
 
-    /// How many free tokens are more than twice the target.
+    /// Returns the free tokens beyond `target` if there are more than twice `target`, else zero.
     pub fn excess(&self, budget: &str, target: Tokens) -> Tokens {
         let have = self.free(budget);
         if have > target.saturating_mul(2) { have - target } else { 0 }
--- a/crates/core/src/budget/unseen.rs
+++ b/crates/core/src/budget/unseen.rs
@@ -1,64 +1,66 @@
-//! What an engine may have made of a stream that broke off, beyond what its router has read.
+//! Upper bound on the events that an engine has generated on a broken stream and its router has
+//! not read.
 //!
-//! An engine goes on until it notices that its connection is closed, and what it made while its router read
-//! nothing, as the caller took nothing, lies on the way. How much that is follows from the pace at which it
-//! made what was read.
+//! An engine generates until it notices that its connection is closed, and buffers fill while the
+//! router does not read because its client does not. The bound follows from the rate at which the
+//! engine generated the events that were read.
 
 use std::time::Duration;
 
-/// How long an engine may take to notice that its connection is closed.
-const NOTICED_WITHIN: Duration = Duration::from_millis(50);
+/// Time within which an engine notices that its connection is closed.
+const CLOSE_NOTICE_TIME: Duration = Duration::from_millis(50);
 
-/// The time between two events, until some have come.
-const GAP_GUESS: Duration = Duration::from_millis(20);
+/// Assumed time between two events before two have been read.
+const DEFAULT_GAP: Duration = Duration::from_millis(20);
 
-/// An engine may make events faster than it did before, so many times.
-const FASTER: u32 = 2;
+/// Factor by which an engine may exceed its earlier rate of events.
+const MAX_SPEEDUP: u32 = 2;
 
-/// Events that are on their way, at least.
-const ON_THEIR_WAY: u64 = 2;
+/// Least number of events assumed to be in flight.
+const MIN_IN_FLIGHT: u64 = 2;
 
-/// The pace of one stream.
+/// The rate of events on one stream, and the time in which it was not read.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Pace {
     events: u64,
-    /// From the first event to the last.
+    /// Time from the first event to the last.
     span: Duration,
-    /// For how long nothing was read.
+    /// Time in which the stream was not read.
     held_up: Duration,
-    /// More had come than was read.
+    /// Whether an unknown number of events was received but not read.
     lost_track: bool,
 }
 
 impl Pace {
-    /// Notes that so many events have come until `span` after the first.
+    /// Records `events` more events, the last of them `span` after the first of the stream.
     pub fn came(&mut self, events: u64, span: Duration) {
         self.events += events;
         self.span = span;
     }
 
-    /// Notes that nothing was read for a while, as the caller took nothing.
+    /// Records that the stream was not read for `span` because the client did not read.
     pub fn held_up(&mut self, span: Duration) {
         self.held_up += span;
     }
 
-    /// Notes that more had come than was read: nobody knows how much.
+    /// Records that an unknown number of events was received but not read.
     pub fn lose_track(&mut self) {
         self.lost_track = true;
     }
 
-    /// The most events that may have been made unseen. The engine went on while nothing was read: the time in
-    /// which what came was made is without that.
+    /// Returns the most events that may have been generated but not read; `u64::MAX` if unknown.
+    ///
+    /// The engine's rate is that of the time in which the stream was read.
     pub fn unseen(&self) -> u64 {
         if self.lost_track {
             return u64::MAX;
         }
         let gap = match self.events {
-            0 | 1 => GAP_GUESS,
+            0 | 1 => DEFAULT_GAP,
             n => self.span.saturating_sub(self.held_up) / (n - 1).min(u64::from(u32::MAX)) as u32,
         };
-        let made_in = (self.held_up + NOTICED_WITHIN) * FASTER;
+        let made_in = (self.held_up + CLOSE_NOTICE_TIME) * MAX_SPEEDUP;
         let made = made_in.as_micros().div_ceil(gap.as_micros().max(1));
-        u64::try_from(made).unwrap_or(u64::MAX).max(ON_THEIR_WAY)
+        u64::try_from(made).unwrap_or(u64::MAX).max(MIN_IN_FLIGHT)
     }
 }
