--- a/crates/core/src/bill.rs
+++ b/crates/core/src/bill.rs
@@ -1,4 +1,4 @@
-//! Bills: what each request cost, once for each request id.
+//! Bills: the tokens that each request used, billed once per request id.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -6,94 +6,98 @@
 
 use crate::unit::{HolderId, Millis, RequestId, Time, Tokens};
 
-/// How long a billed request id is remembered. A caller that uses an id again later than this
-/// makes a new request.
+/// How long a billed request id is kept. After that, the id stands for a new request.
 pub const BILL_KEPT: Millis = Millis::seconds(24 * 3600);
 
-/// What one request used.
+/// The tokens that one run of a request used.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Bill {
-    /// The request.
+    /// Request id.
     pub id: RequestId,
-    /// The run of the request that this is the bill of; a resend carries the same one.
+    /// The billed run of the request; a resend of the bill has the same one.
     pub run: u64,
-    /// The budget that paid.
+    /// Name of the charged budget.
     pub budget: String,
     /// Prompt tokens.
     pub prompt: Tokens,
     /// Generated tokens.
     pub output: Tokens,
-    /// The answer was whole.
+    /// Whether the answer was complete.
     pub whole: bool,
 }
 
 impl Bill {
-    /// All tokens.
+    /// Returns the sum of prompt and generated tokens.
     pub fn tokens(&self) -> Tokens {
         self.prompt + self.output
     }
 }
 
-/// What became of a bill.
+/// The result of posting a bill.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Posting {
-    /// It is the request's bill.
+    /// The request is billed for this run.
     Billed,
-    /// The same bill was posted before.
+    /// Duplicate of a bill that was posted before.
     Repeated,
-    /// It takes the place of the bill of a run that was cut short.
+    /// Replaces the bill of an earlier run whose answer was incomplete.
     Replaced,
-    /// Another run of the request was billed before: its tokens were used up but are not billed.
+    /// Another run of the request is billed already; the tokens of this one count as unbilled.
     OtherRun,
 }
 
-/// Sums over one budget.
+/// Totals of the bills of one budget.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Total {
     /// Requests billed.
     pub requests: u64,
     /// Tokens billed.
     pub billed: Tokens,
-    /// Tokens used by further runs of requests already billed.
+    /// Tokens used by further runs of billed requests.
     pub unbilled: Tokens,
 }
 
-/// What is remembered of a billed request.
+/// The stored bill of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Posted {
-    /// The run that was billed.
+    /// The billed run.
     pub run: u64,
     /// Prompt tokens.
     pub prompt: u32,
     /// Generated tokens.
     pub output: u32,
-    /// The answer was whole.
+    /// Whether the answer was complete.
     pub whole: bool,
 }
 
 impl Posted {
-    fn of(b: &Bill) -> Posted {
-        let cut = |n: Tokens| u32::try_from(n).unwrap_or(u32::MAX);
-        Posted { run: b.run, prompt: cut(b.prompt), output: cut(b.output), whole: b.whole }
+    fn from_bill(b: &Bill) -> Posted {
+        let saturate = |n: Tokens| u32::try_from(n).unwrap_or(u32::MAX);
+        Posted {
+            run: b.run,
+            prompt: saturate(b.prompt),
+            output: saturate(b.output),
+            whole: b.whole,
+        }
     }
 }
 
-/// The bills of one group.
+/// The bills of one control group.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Bills {
     posted: HashMap<RequestId, Posted>,
     order: VecDeque<(Time, RequestId)>,
     totals: BTreeMap<String, Total>,
-    /// Further runs seen, so that a resend of one is not counted twice.
+    /// Unbilled runs, to detect duplicates.
     extra: BTreeMap<RequestId, Vec<u64>>,
-    /// The last batch taken from each holder. It outlives the ids, so that a batch that is sent
-    /// again after a cut of any length is not billed again.
+    /// Number of the last batch posted by each holder. Kept longer than the request ids, so that a
+    /// batch resent after a long partition is not billed twice.
     batches: BTreeMap<HolderId, u64>,
 }
 
 impl Bills {
-    /// Posts a holder's batch. Batches are numbered from 1, and one is sent, unchanged, until it
-    /// is acknowledged.
+    /// Posts a holder's batch of bills and returns the result for each of them. A batch is numbered
+    /// from 1 at its holder, and resent unchanged until it is acknowledged.
     pub fn post_batch(
         &mut self,
         now: Time,
@@ -109,9 +113,8 @@
         bills.iter().map(|b| self.post(now, b)).collect()
     }
 
-    /// Posts a bill.
     fn post(&mut self, now: Time, b: &Bill) -> Posting {
-        self.forget(now);
+        self.remove_expired(now);
         match self.posted.get(&b.id) {
             Some(p) if p.run == b.run => Posting::Repeated,
             Some(p) if b.whole && !p.whole => self.replace(*p, b),
@@ -120,9 +123,9 @@
         }
     }
 
-    /// Bills the run that gave the whole answer instead of one that was cut short.
+    /// Bills the run with the complete answer in place of an incomplete one.
     fn replace(&mut self, old: Posted, b: &Bill) -> Posting {
-        self.posted.insert(b.id, Posted::of(b));
+        self.posted.insert(b.id, Posted::from_bill(b));
         self.extra.entry(b.id).or_default().push(old.run);
         let used = u64::from(old.prompt) + u64::from(old.output);
         let total = self.totals.entry(b.budget.clone()).or_default();
@@ -132,7 +135,7 @@
     }
 
     fn post_first(&mut self, now: Time, b: &Bill) -> Posting {
-        self.posted.insert(b.id, Posted::of(b));
+        self.posted.insert(b.id, Posted::from_bill(b));
         self.order.push_back((now, b.id));
         let total = self.totals.entry(b.budget.clone()).or_default();
         total.requests += 1;
@@ -150,7 +153,7 @@
         Posting::OtherRun
     }
 
-    fn forget(&mut self, now: Time) {
+    fn remove_expired(&mut self, now: Time) {
         while self.order.front().is_some_and(|(at, _)| now.since(*at) > BILL_KEPT) {
             let Some((_, id)) = self.order.pop_front() else { break };
             self.posted.remove(&id);
@@ -158,22 +161,22 @@
         }
     }
 
-    /// The sums of one budget.
+    /// Returns the totals of a budget.
     pub fn total(&self, budget: &str) -> Total {
         self.totals.get(budget).copied().unwrap_or_default()
     }
 
-    /// The bill of one request, while it is remembered.
+    /// Returns the bill of a request, for as long as it is kept.
     pub fn get(&self, id: &RequestId) -> Option<&Posted> {
         self.posted.get(id)
     }
 
-    /// How many ids are remembered.
+    /// Returns the number of request ids kept.
     pub fn len(&self) -> usize {
         self.posted.len()
     }
 
-    /// Whether no id is remembered.
+    /// Returns whether no request id is kept.
     pub fn is_empty(&self) -> bool {
         self.posted.is_empty()
     }
--- a/crates/core/src/budget/bound.rs
+++ b/crates/core/src/budget/bound.rs
@@ -56,7 +56,7 @@
 
 impl SpendingLimit {
     /// Returns the most tokens that the holder may have spent in total by `now`.
-    pub fn limit_at(&self, now: Time) -> Tokens {
+    pub fn at(&self, now: Time) -> Tokens {
         // Rounds down where the grantor rounds up, so the holder never exceeds its estimate.
         let beyond = self.rate.saturating_mul(now.since(self.since).0) / 1000;
         self.limit.saturating_add(beyond)
@@ -65,7 +65,7 @@
     /// Returns how long after `now` the limit reaches `n` tokens in total; `None` if it does not
     /// grow.
     pub fn time_until(&self, now: Time, n: Tokens) -> Option<Millis> {
-        let missing = n.saturating_sub(self.limit_at(now));
+        let missing = n.saturating_sub(self.at(now));
         if missing == 0 {
             return Some(Millis(0));
         }
--- a/crates/core/src/budget/slice_store.rs
+++ b/crates/core/src/budget/slice_store.rs
@@ -127,13 +127,13 @@
 
     /// Returns whether `n` more tokens exceed the holder's limit at `now`.
     pub fn is_limited(&self, now: Time, n: Tokens) -> bool {
-        self.policy.bounded && self.spent + self.reserved + n > self.limit.limit_at(now)
+        self.policy.bounded && self.spent + self.reserved + n > self.limit.at(now)
     }
 
     /// Returns how many more tokens the holder's limit allows at `now`.
     pub fn allowed(&self, now: Time) -> Tokens {
         match self.policy.bounded {
-            true => self.limit.limit_at(now).saturating_sub(self.spent + self.reserved),
+            true => self.limit.at(now).saturating_sub(self.spent + self.reserved),
             false => Tokens::MAX,
         }
     }
--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -1,8 +1,8 @@
-//! Claims: what makes a request marked not repeatable run at most once.
+//! Claims, which run a request marked not repeatable at most once.
 //!
 //! A claim is committed to the log of the account's home group before any byte of the request
-//! goes upstream. Its outcome is kept for a while and answers every later copy; after that a
-//! mark remains, so that an old id is refused rather than run again.
+//! is sent upstream. Its outcome is stored and answers later copies of the request; when that
+//! expires, a tombstone remains, so that a copy is refused instead of run again.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -10,62 +10,67 @@
 
 use crate::unit::{HolderId, Millis, RequestId, Time};
 
-/// How long an outcome is kept whole.
+/// How long an outcome is stored.
 pub const OUTCOME_KEPT: Millis = Millis::seconds(24 * 3600);
 
-/// How long the mark of a used id is kept.
+/// How long the tombstone of a request id is kept after its outcome has expired.
 pub const MARK_KEPT: Millis = Millis::seconds(30 * 24 * 3600);
 
-/// The largest body that is kept with an outcome, in bytes.
+/// Largest response body that is stored with an outcome, in bytes.
 pub const BODY_KEPT: usize = 16 * 1024;
 
 /// A digest of a request's method, path and body.
 pub type BodyDigest = [u8; 16];
 
-/// What an upstream answered.
+/// A stored response of an upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Outcome {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Value of `Content-Type`, empty if there was none.
+    /// Value of `Content-Type`; empty if there is none.
     pub kind: String,
-    /// The body, if it is no larger than [`BODY_KEPT`].
+    /// The body, unless it is larger than [`BODY_KEPT`].
     pub body: Option<Vec<u8>>,
 }
 
-/// How a claimed request ended, as far as its router can tell.
+/// How a claimed request ended, as observed by its router.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum End {
-    /// No byte of it can have reached an upstream: the id is free again.
+    /// No byte of it reached an upstream; the id may be claimed again.
     NotRun,
     /// The upstream answered.
     Answered(Outcome),
-    /// Bytes were sent and no whole answer came.
+    /// Bytes were sent, but no complete response was received.
     Unknown,
 }
 
-/// The answer to a claim.
+/// The result of claiming a request id.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// The claimant may send the request, once.
+    /// The claimant may send the request upstream once.
     Run,
-    /// A live router is running it.
+    /// Another claim on it is in progress.
     Running,
-    /// It was started and its outcome is not known.
+    /// It was started and its outcome is unknown.
     Unknown,
-    /// It has run; this was the answer.
+    /// It has run, with this response.
     Done(Outcome),
-    /// It has run; the answer is no longer kept.
+    /// It has run; its response is no longer stored.
     Expired,
-    /// The id was used with another body.
+    /// The id was used with another method, path or body.
     OtherBody,
 }
 
+/// State of a claim.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 enum Stage {
-    Started { holder: HolderId, seq: u64 },
+    Started {
+        holder: HolderId,
+        seq: u64,
+    },
     Unknown,
     Done(Outcome),
+    /// Tombstone of a request whose outcome has expired.
     Mark,
 }
 
@@ -75,21 +80,21 @@
     stage: Stage,
 }
 
-/// All claims of one group.
+/// The claims of one control group.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Claims {
     by_id: BTreeMap<RequestId, Claim>,
     outcomes: VecDeque<(Time, RequestId)>,
     marks: VecDeque<(Time, RequestId)>,
-    /// The claims under way of each holder.
+    /// Requests with a claim in progress, by holder.
     open: BTreeMap<HolderId, BTreeSet<RequestId>>,
-    /// Claims that were given up before they came here.
+    /// Claims that their holder cancelled before they were received.
     void: BTreeSet<(HolderId, u64)>,
 }
 
 impl Claims {
-    /// Claims `id` for `holder`. `seq` numbers the claim at its holder, so that a resend of the
-    /// same claim gets the same answer.
+    /// Claims `id` for `holder` and returns the result. `seq` numbers the claim at its holder, so
+    /// that a resend of the same claim gets the same result.
     pub fn claim(
         &mut self,
         now: Time,
@@ -98,7 +103,7 @@
         id: RequestId,
         body: BodyDigest,
     ) -> Verdict {
-        self.forget(now);
+        self.remove_expired(now);
         if let Some(c) = self.by_id.get(&id) {
             return c.verdict(holder, seq, &body);
         }
@@ -110,7 +115,8 @@
         Verdict::Run
     }
 
-    /// Records how a claimed request ended; only its claimant's word counts.
+    /// Records how a claimed request ended. Ignored if another claim holds the id, except for a
+    /// response that arrives after the claim was marked as unknown.
     pub fn conclude(&mut self, now: Time, holder: HolderId, seq: u64, id: RequestId, end: End) {
         let Some(c) = self.by_id.get_mut(&id) else {
             if end == End::NotRun {
@@ -118,30 +124,30 @@
             }
             return;
         };
-        let mine =
+        let is_claimant =
             matches!(c.stage, Stage::Started { holder: h, seq: q } if (h, q) == (holder, seq));
-        let late = matches!(c.stage, Stage::Unknown) && matches!(end, End::Answered(_));
-        if !mine && !late {
+        let is_late_answer = matches!(c.stage, Stage::Unknown) && matches!(end, End::Answered(_));
+        if !is_claimant && !is_late_answer {
             return;
         }
-        self.close(holder, id);
+        self.remove_open(holder, id);
         match end {
             End::NotRun => {
                 self.by_id.remove(&id);
             }
-            End::Answered(o) => self.end(now, id, Stage::Done(o)),
-            End::Unknown => self.end(now, id, Stage::Unknown),
+            End::Answered(o) => self.set_outcome(now, id, Stage::Done(o)),
+            End::Unknown => self.set_outcome(now, id, Stage::Unknown),
         }
     }
 
-    fn close(&mut self, holder: HolderId, id: RequestId) {
+    fn remove_open(&mut self, holder: HolderId, id: RequestId) {
         if let Some(open) = self.open.get_mut(&holder) {
             open.remove(&id);
         }
         self.open.retain(|_, ids| !ids.is_empty());
     }
 
-    fn end(&mut self, now: Time, id: RequestId, stage: Stage) {
+    fn set_outcome(&mut self, now: Time, id: RequestId, stage: Stage) {
         if let Some(c) = self.by_id.get_mut(&id) {
             let first = matches!(c.stage, Stage::Started { .. });
             c.stage = stage;
@@ -151,26 +157,26 @@
         }
     }
 
-    /// Marks every claim that `holder` has not concluded as of unknown outcome: it may not be
-    /// heard of again.
+    /// Sets the outcome of all claims of `holder` in progress to unknown, because the holder may be
+    /// dead.
     pub fn abandon(&mut self, now: Time, holder: HolderId) {
         for id in self.open.remove(&holder).unwrap_or_default() {
-            self.end(now, id, Stage::Unknown);
+            self.set_outcome(now, id, Stage::Unknown);
         }
         self.void.retain(|(h, _)| *h != holder);
     }
 
-    /// How many ids are remembered.
+    /// Returns the number of request ids kept.
     pub fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    /// Whether no id is remembered.
+    /// Returns whether no request id is kept.
     pub fn is_empty(&self) -> bool {
         self.by_id.is_empty()
     }
 
-    fn forget(&mut self, now: Time) {
+    fn remove_expired(&mut self, now: Time) {
         while self.outcomes.front().is_some_and(|(at, _)| now.since(*at) > OUTCOME_KEPT) {
             let Some((_, id)) = self.outcomes.pop_front() else { break };
             if let Some(c) = self.by_id.get_mut(&id) {
--- a/crates/core/src/command.rs
+++ b/crates/core/src/command.rs
@@ -1,4 +1,4 @@
-//! The commands of a group's replicated log, and their answers.
+//! Commands of a control group's replicated log, and their results.
 
 use serde::{Deserialize, Serialize};
 
@@ -12,179 +12,180 @@
 use crate::fleet::rollout::Step;
 use crate::unit::{HolderId, LeaseId, Millis, RequestId, Tokens, Version};
 
-/// A change of a group's state.
+/// A change of a control group's state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// A router has started.
+    /// Registers a router that has started.
     Register {
-        /// Name of its `Vm`.
+        /// Name of the router's `Vm`.
         vm: String,
-        /// Its data centre.
+        /// The router's data centre.
         data_centre: String,
-        /// Address for callers.
+        /// Address for clients.
         address: String,
-        /// Drawn at its start.
+        /// Random number drawn when the process started.
         nonce: u64,
-        /// How long it had been running, at least, when it said so: its predecessor on the `Vm`
-        /// was dead before.
+        /// Least time that the process had run when it sent this; its predecessor on the `Vm`
+        /// died before that.
         #[serde(default)]
         age: Millis,
         /// Address for other routers; empty if it has none.
         #[serde(default)]
         link: String,
     },
-    /// A data centre's reserve has started. It keeps its number as long as its disk.
+    /// Registers a data centre's reserve that has started. It keeps its holder id while it keeps
+    /// its disk.
     Enlist {
-        /// Name of the `Vm` that keeps it.
+        /// Name of the `Vm` that the reserve runs on.
         vm: String,
-        /// Drawn when its disk was first used.
+        /// Random number drawn when its disk was first used.
         nonce: u64,
     },
-    /// A router is stopping: it takes no new callers.
+    /// Marks a router as stopping: it accepts no new clients.
     Leave(HolderId),
-    /// A router has stopped, with nothing in hand.
+    /// Removes a router that has stopped and holds no leases.
     Gone(HolderId),
-    /// The leader has not heard of a router for long.
+    /// Sets the open claims of a router without recent heartbeats to an unknown outcome.
     Lapse(HolderId),
-    /// A holder asks for tokens.
+    /// Requests a lease for a holder.
     Ask(Ask),
-    /// A holder tells what it spent, and sends bills.
+    /// Reports a holder's spending, bills and bounds.
     Tally {
-        /// Who.
+        /// The holder.
         holder: HolderId,
-        /// On its leases.
+        /// Reports on its leases.
         reports: Vec<Report>,
-        /// Number of the batch of bills; 0 if there are none.
+        /// Number of the batch of bills; 0 without bills.
         batch: u64,
-        /// Of requests that ended.
+        /// Bills of requests that have ended.
         bills: Vec<Bill>,
-        /// Number of this report of bounds at its holder; 0 if it binds itself to nothing.
+        /// Sequence number of this report of bounds at its holder; 0 without bounds.
         #[serde(default)]
         seq: u64,
-        /// Number of the last such report that the holder knows to be taken.
+        /// Number of the last report of bounds whose acceptance the holder has learned of.
         #[serde(default)]
         after: u64,
-        /// What the holder binds itself to.
+        /// Bounds on the holder's spending.
         #[serde(default)]
         bounds: Vec<Bound>,
     },
     /// Claims a request that may run at most once.
     Claim {
-        /// Who would run it.
+        /// The claimant.
         holder: HolderId,
         /// Number of the claim at this holder.
         seq: u64,
         /// The request.
         id: RequestId,
-        /// What it consists of.
+        /// Digest of its method, path and body.
         body: BodyDigest,
     },
-    /// Tells how a claimed request ended.
+    /// Records how a claimed request ended.
     Conclude {
-        /// Who claimed it.
+        /// The claimant.
         holder: HolderId,
         /// Number of the claim at this holder.
         seq: u64,
         /// The request.
         id: RequestId,
-        /// How.
+        /// How it ended.
         end: End,
     },
     /// Changes the configuration.
     Apply(Change),
     /// Adds tokens to a budget.
     TopUp {
-        /// The operation's id.
+        /// Operation id, which makes a resend harmless.
         op: String,
-        /// The budget.
+        /// Budget name.
         budget: String,
-        /// How many.
+        /// Number of tokens to add.
         tokens: Tokens,
     },
-    /// Frees what a lost holder had not reported, on an operator's word.
+    /// Closes a lost holder's lease and frees its unreported tokens, by order of an operator.
     Release {
-        /// The operation's id.
+        /// Operation id, which makes a resend harmless.
         op: String,
         /// The lease.
         lease: LeaseId,
     },
-    /// Puts a whole document in force, unless one of its version or a higher one is.
+    /// Replaces the published configuration document, unless its version is at least as high.
     Publish {
         /// Its version.
         version: Version,
         /// The document as submitted.
         source: String,
-        /// What each budget that it names holds in all.
+        /// The prepaid total of each budget that it names.
         budgets: Vec<(String, Tokens)>,
-        /// The services that it names.
+        /// Names of its services.
         #[serde(default)]
         services: Vec<String>,
     },
-    /// Keeps new work from the replicas of a data centre, or lets it in again.
+    /// Starts or ends the evacuation of a data centre, whose replicas then get no new work.
     Evacuate {
-        /// Which.
+        /// The data centre.
         data_centre: String,
-        /// Whether work is kept from it.
+        /// Whether the evacuation starts; false ends it.
         evacuate: bool,
     },
-    /// Moves a service's requests to replicas of a version.
+    /// Starts a rollout, which moves a service's requests to replicas of a version.
     StartRollout {
         /// The service.
         service: String,
         /// The version.
         version: String,
-        /// By when.
+        /// Time within which the rollout is to complete.
         within: Millis,
     },
-    /// Takes a roll-out back.
+    /// Aborts the rollout of a service.
     AbortRollout(String),
-    /// A roll-out takes its next step.
+    /// Advances a rollout by one step.
     StepRollout(Step),
-    /// Replicas have ended with requests under way.
+    /// Records replicas that ended while requests were running on them.
     Ended(Vec<EndedReplica>),
-    /// Requests under which replicas had ended were answered whole.
+    /// Records suspect requests that were answered completely.
     Survived(Vec<Fingerprint>),
-    /// A request may be sent to replicas again, on an operator's word.
+    /// Lifts the quarantine of a request, by order of an operator.
     LiftQuarantine(Fingerprint),
-    /// Quarantines whose time is over end.
+    /// Ends the expired quarantines.
     EndQuarantines,
-    /// A holder is dead: its successor has registered.
-    // Logs of earlier releases hold it under this name.
+    /// Closes the leases of a dead holder, whose successor has registered.
+    // The name stored by earlier releases.
     #[serde(rename = "Bury")]
     WriteOff {
-        /// Who.
+        /// The dead holder.
         holder: HolderId,
-        /// For how long it may have gone on after its last reports.
+        /// How long it may have run after its last reports.
         elapsed: Elapsed,
     },
 }
 
-/// What a command came to.
+/// The result of a [`Command`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Answer {
-    /// The router's registration.
+    /// The holder id of the registration.
     Registered(HolderId),
-    /// The answer to an ask.
+    /// The answer to a lease request.
     Decided(Decision),
-    /// For each report whether its lease is open, and what became of each bill.
+    /// The results of a [`Command::Tally`].
     Tallied {
-        /// In the order of the reports.
+        /// For each report, whether its lease is open.
         known: Vec<bool>,
-        /// In the order of the bills.
+        /// For each bill, the result of posting it.
         postings: Vec<Posting>,
     },
-    /// The answer to a claim.
+    /// The result of a claim.
     Claimed(Verdict),
-    /// The version that the change made, or why it was refused.
+    /// The configuration version that the change created, or why it was refused.
     Applied(Result<Version, Refusal>),
-    /// What a budget holds in all after a top-up.
+    /// The prepaid total of a budget after a top-up.
     Funded(Tokens),
-    /// What came free.
+    /// Number of tokens freed by a release.
     Released(Tokens),
-    /// Nothing more to say.
+    /// The command was applied and has no other result.
     Done,
-    /// Not done.
+    /// The command was refused.
     Refused(Code),
-    /// The version of the document in force.
+    /// The version of the published document.
     Published(Version),
 }
