--- a/crates/core/src/code.rs
+++ b/crates/core/src/code.rs
@@ -1,6 +1,6 @@
-//! The numbered result codes that callers and operators see.
+//! The numbered result codes returned to clients and operators.
 //!
-//! `docs/RESULT-CODES.md` lists them; a test keeps the page and this table in step.
+//! `docs/RESULT-CODES.md` lists them; a test compares the page with this table.
 
 use std::fmt;
 
@@ -10,16 +10,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Ran {
-    /// No byte of it can have reached an upstream.
+    /// No byte of it reached an upstream.
     No,
-    /// An upstream has run it.
+    /// An upstream ran it.
     Yes,
-    /// It may have run, at most once if it was marked not repeatable.
+    /// It may have run; at most once if it is marked not repeatable.
     Unknown,
 }
 
 impl Ran {
-    /// The word used in headers and error bodies.
+    /// Returns the value used in headers and error bodies.
     pub fn as_str(self) -> &'static str {
         match self {
             Ran::No => "no",
@@ -31,32 +31,32 @@
 
 macro_rules! codes {
     ($($(#[$doc:meta])* $name:ident = $num:literal, $status:literal, $kind:literal, $text:literal;)*) => {
-        /// A numbered result.
+        /// A numbered result code.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
         pub enum Code {
             $(#[doc = $text] $(#[$doc])* $name,)*
         }
 
         impl Code {
-            /// Every code, in the order of its number.
+            /// All codes in ascending order of their numbers.
             pub const ALL: &[Code] = &[$(Code::$name,)*];
 
-            /// The number.
+            /// Returns the number of the code.
             pub fn number(self) -> u16 {
                 match self { $(Code::$name => $num,)* }
             }
 
-            /// The HTTP status that carries it; 0 where none does.
+            /// Returns the HTTP status of responses with this code; 0 if it is not sent over HTTP.
             pub fn status(self) -> u16 {
                 match self { $(Code::$name => $status,)* }
             }
 
-            /// The `type` of the error body, in the words of language-model clients.
+            /// Returns the `type` of the error body, as language-model clients expect it.
             pub fn kind(self) -> &'static str {
                 match self { $(Code::$name => $kind,)* }
             }
 
-            /// What it means, in a sentence.
+            /// Returns the description of the code.
             pub fn text(self) -> &'static str {
                 match self { $(Code::$name => $text,)* }
             }
--- a/crates/core/src/hash.rs
+++ b/crates/core/src/hash.rs
@@ -1,19 +1,19 @@
-//! A hash that is the same in every process and release: 64-bit FNV-1a, and the rank of an address
-//! for a key that is drawn from it.
+//! A hash that is stable across processes and releases (64-bit FNV-1a), and rendezvous hashing with
+//! it.
 
 use std::net::SocketAddr;
 
-/// A hash in the making.
+/// An incremental 64-bit FNV-1a hash.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Fnv(u64);
 
 impl Fnv {
-    /// The hash of nothing.
+    /// Returns the hash of no bytes.
     pub(crate) const fn new() -> Fnv {
         Fnv(0xcbf2_9ce4_8422_2325)
     }
 
-    /// Adds a part; where one part ends and the next begins makes a difference.
+    /// Adds a part and a separator, so that the boundaries between parts affect the hash.
     pub(crate) fn part(self, bytes: &[u8]) -> Fnv {
         bytes.iter().chain(&[0xff]).fold(self, |h, b| h.byte(*b))
     }
@@ -23,14 +23,14 @@
         Fnv((self.0 ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01b3))
     }
 
-    /// The hash so far.
+    /// Returns the hash of the bytes added.
     pub(crate) fn value(self) -> u64 {
         self.0
     }
 }
 
-/// How an address ranks for a key, by rendezvous hashing: the highest rank of all addresses is its
-/// home, and an address that goes moves only the keys whose home it was.
+/// Returns the rank of an address for a key, by rendezvous hashing. The address with the highest
+/// rank is the key's home, so removing an address moves only the keys that it was home of.
 pub(crate) fn rendezvous(key: u64, address: SocketAddr) -> u64 {
     let mut bytes = [0; 18];
     match address {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,7 +1,7 @@
-//! Coordination parts for prepaid token budgets.
+//! Coordination logic for prepaid token budgets and the router fleet that spends them.
 //!
-//! Nothing here does input or output, reads a clock or starts a thread. Each function that
-//! decides takes the present time; randomness comes from a seeded generator handed in.
+//! This crate does no I/O, reads no clock and starts no threads. Functions that depend on the time
+//! take it as an argument; randomness comes from a seeded generator that the caller passes in.
 
 pub mod bill;
 pub mod budget;
--- a/crates/core/src/query.rs
+++ b/crates/core/src/query.rs
@@ -1,4 +1,4 @@
-//! Questions about a group's state, answered by its leader after a confirmed read.
+//! Queries of a control group's state, answered by its leader after a linearizable read.
 
 use serde::{Deserialize, Serialize};
 
@@ -12,63 +12,64 @@
 use crate::raft::Members;
 use crate::unit::{HolderId, Index, LeaseId, NodeId, RequestId, Term, Tokens, Version};
 
-/// A question.
+/// A query of a control group's state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Query {
-    /// A router's standing question: what is new for it. It is answered when there is something,
-    /// or after a while; it is the router's sign of life too.
+    /// A router's watch (long poll). It is answered when something has changed for the router, or
+    /// after a timeout, and is the router's heartbeat too.
     Follow {
-        /// Who asks.
+        /// The router's registration.
         holder: HolderId,
-        /// The configuration that it has in force.
+        /// Version of the router's configuration.
         version: Version,
-        /// Digest of the sites that it knows; [`NO_SITES`] if it wants none.
+        /// [`digest`] of the router's list of sites; [`NO_SITES`] if it does not want the list.
         sites: u64,
     },
     /// The state of the group and of its routers.
     Status,
-    /// All budgets, or one.
+    /// The budget of this name, or all budgets.
     Budgets(Option<String>),
     /// The leases of one budget.
     Leases(String),
-    /// The bill of a request.
+    /// The stored bill of a request.
     Bill(RequestId),
     /// The configuration's templates and applications.
     Config,
-    /// The accepted changes, newest first, at most this many.
+    /// The accepted configuration changes, newest first, at most this many.
     History(usize),
-    /// The items that lead back to a version.
+    /// The items of a configuration change that restores a version.
     BackTo(Version),
-    /// The document in force.
+    /// The published configuration document.
     Published,
-    /// The members of the group, for a process that may know old ones.
+    /// The members of the control group, for a process whose list may be out of date.
     Members,
-    /// The requests that are sent to no replica.
+    /// The quarantined requests.
     Quarantined,
-    /// The last roll-out of each service, or of one.
+    /// The last rollout of this service, or of each service.
     Rollouts(Option<String>),
-    /// The limits that replicas name, as far as the process that is asked has heard.
+    /// The rate limits of replicas that are known to the queried process.
     Limits,
 }
 
-/// Where a router serves callers.
+/// The address and state of a router, for clients.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Site {
-    /// Name of its `Vm`.
+    /// Name of the router's `Vm`.
     pub vm: String,
-    /// Its data centre.
+    /// The router's data centre.
     pub data_centre: String,
-    /// Address for callers.
+    /// Address for clients.
     pub address: String,
-    /// It is heard of and not leaving.
+    /// Whether the router's heartbeats are recent and it is not stopping.
     pub usable: bool,
 }
 
-/// In place of a digest: the router wants no list of sites. 300 sites are 17 kB, told to each of 300
-/// routers whenever one falls silent.
+/// Value in place of a digest for a router that does not want the list of sites, which saves a
+/// full list to every router whenever one of them fails.
 pub const NO_SITES: u64 = u64::MAX;
 
-/// The digest by which a router tells which list of sites it knows; stable across releases.
+/// Returns the digest of a list of sites, by which a router names the list it has. Stable across
+/// releases.
 pub fn digest(sites: &[Site]) -> u64 {
     let add = |h: Fnv, s: &Site| {
         let h = h.part(s.vm.as_bytes()).part(s.data_centre.as_bytes());
@@ -77,127 +78,127 @@
     sites.iter().fold(Fnv::new(), add).value()
 }
 
-/// What is new for a router.
+/// Changes for a router since its last watch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct News {
-    /// Changes of the configuration.
+    /// Changes of the configuration since the router's version.
     pub difference: Difference,
-    /// Budgets of which idle tokens are called back.
+    /// Names of the budgets of which the router has to return idle tokens.
     pub recalls: Vec<String>,
-    /// The sites, if they differ from those that the router knows.
+    /// The sites, if they differ from the router's list.
     pub sites: Option<Vec<Site>>,
-    /// The router's registration is not known: it has to register again.
+    /// Whether the router's registration is unknown and it has to register again.
     pub stranger: bool,
 }
 
-/// One router, as the leader sees it.
+/// The state of a router at the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouterStatus {
-    /// Where it serves.
+    /// Its address and state for clients.
     pub site: Site,
-    /// Its registration.
+    /// Holder id of its registration.
     pub holder: HolderId,
-    /// The configuration that it has in force, once it has been heard of.
+    /// Version of its configuration; `None` before its first heartbeat.
     pub version: Option<Version>,
-    /// Milliseconds since it was last heard of.
+    /// Milliseconds since its last heartbeat.
     pub silent_ms: u64,
-    /// It is stopping.
+    /// Whether it is stopping.
     pub leaving: bool,
 }
 
-/// One replica of the group, as the leader sees it.
+/// The state of a member of the control group at the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeStatus {
-    /// Its identity.
+    /// Member id.
     pub id: NodeId,
     /// Its address.
     pub address: String,
-    /// It counts for quorums.
+    /// Whether it is a voter.
     pub voter: bool,
-    /// It leads.
+    /// Whether it is the leader.
     pub leader: bool,
-    /// It has answered within the last second.
+    /// Whether it has answered within the last second.
     pub heard: bool,
-    /// Entries that it lacks.
+    /// Number of log entries that it lacks.
     pub behind: Index,
 }
 
-/// The state of a group.
+/// The state of a control group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
     /// The region.
     pub region: String,
     /// The leader's term.
     pub term: Term,
-    /// The last committed position.
+    /// Index of the last committed entry.
     pub committed: Index,
-    /// The configuration in force.
+    /// Version of the current configuration.
     pub version: Version,
-    /// How many more replicas may be lost while the group goes on.
+    /// Number of members that may still fail without loss of the quorum.
     pub spare: usize,
-    /// Whether a replica may be removed or replaced now without risk.
+    /// Whether a member may be removed or replaced without risk.
     pub safe: bool,
-    /// The replicas.
+    /// The members.
     pub nodes: Vec<NodeStatus>,
     /// The routers.
     pub routers: Vec<RouterStatus>,
-    /// The data centres that get no new work.
+    /// The evacuated data centres, which get no new work.
     #[serde(default)]
     pub evacuated: Vec<String>,
 }
 
-/// One budget.
+/// The state of a budget.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BudgetStatus {
-    /// Its name.
+    /// Budget name.
     pub name: String,
     /// The client account that pays.
     pub client_account: String,
-    /// Prepaid tokens, top-ups included.
+    /// Prepaid tokens, including top-ups.
     pub funded: Tokens,
-    /// Reported as spent.
+    /// Tokens reported as spent.
     pub spent: Tokens,
-    /// Held by routers and not reported as spent.
+    /// Tokens leased and not reported as spent.
     pub held: Tokens,
-    /// The part of it whose lease has ended without a report; it counts as spent.
+    /// The part of `held` whose lease has expired without a report; it counts as spent.
     pub stranded: Tokens,
-    /// Neither spent nor held.
+    /// Tokens neither spent nor held.
     pub free: Tokens,
-    /// Sums of its bills.
+    /// Totals of its bills.
     pub total: Total,
 }
 
-/// One lease.
+/// The state of a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseStatus {
-    /// Its identity.
+    /// Lease id.
     pub id: LeaseId,
-    /// Who holds it, unless that registration was replaced.
+    /// Name of the holder's `Vm`; `None` if its registration was replaced.
     pub vm: Option<String>,
     /// The lease.
     pub lease: Lease,
-    /// Milliseconds until its end, 0 if that has passed.
+    /// Milliseconds until it expires; 0 if it has expired.
     pub left_ms: u64,
 }
 
-/// One request that is sent to no replica.
+/// A quarantined request, which is sent to no replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineStatus {
-    /// What its copies have in common.
+    /// Fingerprint that all copies of the request share.
     pub fingerprint: Fingerprint,
-    /// The client account; empty if it has none.
+    /// Client account; empty if there is none.
     pub account: String,
-    /// Replicas that ended under it.
+    /// Number of replicas that ended while running it.
     pub replicas: usize,
-    /// Milliseconds since it began.
+    /// Milliseconds since the quarantine began.
     pub since_ms: u64,
-    /// Milliseconds until it ends by itself.
+    /// Milliseconds until the quarantine expires.
     pub left_ms: u64,
-    /// How often it has been so.
+    /// Number of times that the request has been quarantined.
     pub terms: u32,
 }
 
-/// An answer.
+/// The answer to a [`Query`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Reply {
     /// To [`Query::Follow`].
@@ -212,7 +213,7 @@
     Bill(Option<Posted>),
     /// To [`Query::Config`].
     Config {
-        /// The version in force.
+        /// The current version.
         version: Version,
         /// The templates.
         templates: Vec<Template>,
@@ -221,9 +222,10 @@
     },
     /// To [`Query::History`].
     History(Vec<Entry>),
-    /// To [`Query::BackTo`]; `None` if the history does not reach there.
+    /// To [`Query::BackTo`], with the current version; `None` if the history does not reach back
+    /// that far.
     Items(Version, Option<Vec<Item>>),
-    /// To [`Query::Published`]: the document as submitted, if there is one.
+    /// To [`Query::Published`]: the document as submitted, if one is published.
     Published(Option<String>),
     /// To [`Query::Members`].
     Members(Members),
@@ -235,11 +237,11 @@
     Limits(Vec<Word>),
 }
 
-/// A replica's identity and group, as it says itself; not confirmed by anybody.
+/// A control process's own view of its id and group, not confirmed by a quorum.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
-    /// The identity in its data folder.
+    /// The member id in its data folder.
     pub node: NodeId,
-    /// The members that it knows; none if it has not been made part of a group.
+    /// The members as it knows them; empty if it has not joined a group.
     pub members: Members,
 }
--- a/crates/core/src/unit.rs
+++ b/crates/core/src/unit.rs
@@ -1,10 +1,10 @@
-//! Units and identities that every other module uses.
+//! Units of time and tokens, and the identity types shared by all modules.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// A point in time, in milliseconds since an origin that the caller chooses and keeps.
+/// A point in time, in milliseconds since an origin chosen by the caller.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -16,63 +16,63 @@
 )]
 pub struct Millis(pub u64);
 
-/// A count of tokens of a model.
+/// A number of language-model tokens.
 pub type Tokens = u64;
 
-/// The number of an accepted configuration; each accepted change takes the next one.
+/// The number of a configuration; each accepted change increments it.
 pub type Version = u64;
 
-/// The term of a replicated log's leader.
+/// A Raft term.
 pub type Term = u64;
 
-/// A position in a replicated log; the first entry has 1.
+/// The index of an entry in a replicated log, from 1.
 pub type Index = u64;
 
-/// The identity of one replica of a control group; never used again once its disk is lost.
+/// The identity of a member of a control group; not reused after its disk is lost.
 pub type NodeId = u64;
 
 impl Time {
-    /// The time `span` after this one.
+    /// Returns the time `span` after this one.
     pub fn after(self, span: Millis) -> Time {
         Time(self.0.saturating_add(span.0))
     }
 
-    /// The time `span` before this one, the origin at the earliest.
+    /// Returns the time `span` before this one, or the origin if that is later.
     pub fn before(self, span: Millis) -> Time {
         Time(self.0.saturating_sub(span.0))
     }
 
-    /// How long ago `earlier` was, zero if it lies ahead.
+    /// Returns the span from `earlier` to this time, or zero if `earlier` is later.
     pub fn since(self, earlier: Time) -> Millis {
         Millis(self.0.saturating_sub(earlier.0))
     }
 }
 
 impl Millis {
-    /// A span of whole seconds.
+    /// Creates a span of `n` seconds.
     pub const fn seconds(n: u64) -> Millis {
         Millis(n * 1000)
     }
 
-    /// `self * num / den`, without overflow for any span below 500 million years.
+    /// Returns `self * num / den`, rounded down. The result has to fit in 64 bits.
     pub fn scale(self, num: u64, den: u64) -> Millis {
         Millis((u128::from(self.0) * u128::from(num) / u128::from(den.max(1))) as u64)
     }
 
-    /// Whole seconds, rounded up and at least one: the form of a `Retry-After` header.
+    /// Returns the value of a `Retry-After` header: whole seconds, rounded up, at least one.
     pub fn retry_after(self) -> u64 {
         self.0.div_ceil(1000).max(1)
     }
 }
 
-/// The largest whole part of a decimal number that is told apart from larger ones.
-const DECIMAL_MOST: u64 = 1_000_000;
+/// Largest whole part of a decimal number; larger ones are clamped.
+const MAX_WHOLE_PART: u64 = 1_000_000;
 
-/// Digits of a fraction that count.
-const DECIMAL_DIGITS: usize = 3;
+/// Number of fraction digits that are read; further digits are dropped.
+const FRACTION_DIGITS: usize = 3;
 
-/// Reads a decimal number in thousandths: digits, and a fraction if there is one. Nothing else is a
-/// number here: no sign, exponent or unit.
+/// Parses a decimal number with an optional fraction, and returns it in thousandths. Returns
+/// `None` for any other text, such as one with a sign, exponent or unit.
 pub fn thousandths(text: &str) -> Option<u64> {
     let text = text.trim();
     let (whole, fraction) = text.split_once('.').unwrap_or((text, "0"));
@@ -80,14 +80,14 @@
     if !is_number(whole) || !is_number(fraction) {
         return None;
     }
-    // More digits than a number holds are more than any.
-    let whole = whole.parse().unwrap_or(DECIMAL_MOST).min(DECIMAL_MOST);
-    let digits: String = fraction.chars().chain("000".chars()).take(DECIMAL_DIGITS).collect();
+    // Parsing fails only on overflow, as all bytes are digits.
+    let whole = whole.parse().unwrap_or(MAX_WHOLE_PART).min(MAX_WHOLE_PART);
+    let digits: String = fraction.chars().chain("000".chars()).take(FRACTION_DIGITS).collect();
     let rest: u64 = digits.parse().ok()?;
     Some(whole * 1_000 + rest)
 }
 
-/// The identity of a lease: the log position that granted it, which no other entry ever has.
+/// The identity of a lease: the unique log position of the entry that granted it.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -104,10 +104,10 @@
     }
 }
 
-/// The identity of one registration of a router, or of a region's group at a budget's home.
+/// The identity of a registration: of a router, a reserve, or a region's group at a budget's home.
 ///
-/// It is the log index that registered it. A restarted process on the same `Vm` gets another
-/// and so owns nothing of its predecessor's.
+/// It is the index of the log entry that registered it. A restarted router on the same `Vm` gets a
+/// new one, and holds none of its predecessor's leases and claims.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -119,7 +119,7 @@
     }
 }
 
-/// The digest of a client account's name and the request id that its caller chose.
+/// The identity of a request: a digest of the client account's name and the client's request id.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
