--- a/crates/core/src/fleet/admission.rs
+++ b/crates/core/src/fleet/admission.rs
@@ -1,26 +1,27 @@
-//! Whether a gateway takes one more request.
+//! Admission control: rejects requests by priority before a gateway runs out of memory.
 //!
-//! Callers may stay with one gateway whatever they are told, so that it gets many times its part.
-//! What it cannot bear is refused at once, the less urgent first, before its memory is used up.
+//! Clients may keep using one gateway although the control group names others, so a single gateway
+//! can receive much more than its share. Requests beyond its capacity are rejected at once, the
+//! lowest priority first.
 
-/// The memory of one request under way, in bytes: its connections' buffers on both sides, and its
-/// body. An open stream was measured at 40 KiB.
+/// Memory reserved for one active request, in bytes: socket buffers on both sides and the body. An
+/// open stream takes about 40 KiB.
 const REQUEST_BYTES: u64 = 128 * 1024;
 
-/// The part of a process's memory that requests may use, as a divisor.
-const MEMORY_PART: u64 = 2;
+/// Requests may use one part in this many of the process's memory.
+const MEMORY_DIVISOR: u64 = 2;
 
-/// Eighths of the places that requests may use, by priority; those that are less urgent still have
-/// the last.
+/// Share of the capacity open to each priority, in eighths. Lower priorities use the last entry.
 const EIGHTHS: [u64; 3] = [8, 7, 6];
 
-/// Requests under way at once, for a process that may use `memory` bytes.
+/// Returns how many requests may be active at once in a process that may use `memory` bytes; at
+/// least 1.
 pub fn places(memory: u64) -> u64 {
-    (memory / MEMORY_PART / REQUEST_BYTES).max(1)
+    (memory / MEMORY_DIVISOR / REQUEST_BYTES).max(1)
 }
 
-/// Whether a request of `priority`, 0 being the most urgent, is taken while `active` are under way,
-/// itself included, of `places`.
+/// Returns whether a request of `priority` (0 is the most urgent) is admitted. `active` counts the
+/// active requests including this one, `places` is the capacity of the process.
 pub fn may_begin(active: u64, places: u64, priority: u8) -> bool {
     let rank = usize::from(priority).min(EIGHTHS.len() - 1);
     active <= (places * EIGHTHS[rank]).div_ceil(8)
--- a/crates/core/src/fleet/clocks.rs
+++ b/crates/core/src/fleet/clocks.rs
@@ -1,25 +1,26 @@
-//! The time of day that most control processes agree on, so that one whose clock was set does not
-//! measure wrong spans.
+//! Wall clock time agreed among control processes: the median of their clocks.
+//!
+//! A process whose own clock is wrong or jumps still measures correct durations.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use crate::unit::{Millis, Time};
 
-/// A clock that was not heard of for this long does not count.
-const HEARD_WITHIN: Millis = Millis::seconds(4);
+/// Clock readings older than this are ignored.
+const READING_TTL: Millis = Millis::seconds(4);
 
-/// What two processes' agreed times are taken to differ by at least: a clock is heard late by the way
-/// of its message and by the wait for the process that takes it. Some 30 ms in a data centre by the
-/// longest tick, times five; chosen, not measured as a limit.
-const MARGIN_LEAST: Millis = Millis(150);
+/// Lower bound of the margin between two processes' agreed times. It covers network delay and the
+/// wait until the receiver processes the message, about 30 ms in a data centre.
+const MIN_MARGIN: Millis = Millis(150);
 
-/// The same at most, whatever is heard.
-const MARGIN_MOST: Millis = Millis(500);
+/// Upper bound of the margin.
+const MAX_MARGIN: Millis = Millis(500);
 
-/// What the other control processes' clocks show, against a steady clock of this process.
+/// Offsets of the other control processes' wall clocks from this process's monotonic clock.
 #[derive(Clone, Debug, Default)]
 pub struct Clocks {
+    /// By address: the offset in milliseconds and when it was read.
     others: BTreeMap<SocketAddr, (i64, Time)>,
 }
 
@@ -28,49 +29,51 @@
 }
 
 impl Clocks {
-    /// Notes at `now` what the clock of another process showed just before.
+    /// Records that the wall clock of the process at `from` showed `wall` at `now`.
     pub fn note(&mut self, now: Time, from: SocketAddr, wall: Time) {
         self.others.insert(from, (offset(now, wall), now));
     }
 
-    /// The time of day at `now`, where this process's own clock shows `own`: the median of all
-    /// clocks that are heard.
+    /// Returns the agreed wall clock time at `now`: the median of all fresh readings and of `own`,
+    /// the reading of this process's wall clock.
     pub fn agreed(&self, now: Time, own: Time) -> Time {
-        let heard = self.heard(now).chain([offset(now, own)]);
-        let mut all: Vec<i64> = heard.collect();
+        let offsets = self.fresh_offsets(now).chain([offset(now, own)]);
+        let mut all: Vec<i64> = offsets.collect();
         all.sort_unstable();
-        // Of an even number the lower one: time that seems shorter is corrected by what follows.
+        // With an even count the lower middle value is taken: an agreed time that is too early is
+        // corrected by later readings.
         let median = all[(all.len() - 1) / 2];
         Time((now.0 as i64 + median).max(0) as u64)
     }
 
-    /// What the time of day that another process agreed on may differ by from the one at `now`, where
-    /// this process's own clock shows `own`; `None` while fewer than `quorum` clocks are heard.
+    /// Returns the maximum assumed difference between the agreed time here at `now` and the agreed
+    /// time of another process; `None` while fewer than `quorum` clocks are fresh. `own` is the reading
+    /// of this process's wall clock.
     ///
-    /// Clocks that agree now agreed a while ago too, and most of those that the other process heard
-    /// are among them. What it was late in hearing them shows here as the distance to the own clock.
-    /// Every millisecond of it counts as time in which a dead holder spent at its rate.
+    /// The margin is the smallest spread of any `quorum` clocks, plus the distance from the agreed time
+    /// to `own`, which accounts for late readings, plus a minimum; it is capped. Each millisecond of it
+    /// counts as time in which a dead lease holder kept spending at its rate.
     pub fn margin(&self, now: Time, own: Time, quorum: usize) -> Option<Millis> {
         if !self.is_sure(now, quorum) {
             return None;
         }
-        let mut all: Vec<i64> = self.heard(now).chain([offset(now, own)]).collect();
+        let mut all: Vec<i64> = self.fresh_offsets(now).chain([offset(now, own)]).collect();
         all.sort_unstable();
         let spread = |w: &[i64]| w[w.len() - 1] - w[0];
-        let closest = all.windows(quorum.max(1)).map(spread).min().unwrap_or_default();
+        let min_spread = all.windows(quorum.max(1)).map(spread).min().unwrap_or_default();
         let agreed = self.agreed(now, own);
-        let apart = agreed.since(own).max(own.since(agreed));
-        let margin = Millis(closest as u64 + apart.0 + MARGIN_LEAST.0);
-        Some(margin.min(MARGIN_MOST))
+        let distance = agreed.since(own).max(own.since(agreed));
+        let margin = Millis(min_spread as u64 + distance.0 + MIN_MARGIN.0);
+        Some(margin.min(MAX_MARGIN))
     }
 
-    /// Whether `quorum` clocks are heard, this process's own included.
+    /// Returns whether at least `quorum` clocks are fresh, including this process's own.
     pub fn is_sure(&self, now: Time, quorum: usize) -> bool {
-        self.heard(now).count() + 1 >= quorum
+        self.fresh_offsets(now).count() + 1 >= quorum
     }
 
-    fn heard(&self, now: Time) -> impl Iterator<Item = i64> {
-        let fresh = move |at: Time| now.since(at) < HEARD_WITHIN;
-        self.others.values().filter(move |(_, at)| fresh(*at)).map(|(offset, _)| *offset)
+    fn fresh_offsets(&self, now: Time) -> impl Iterator<Item = i64> {
+        let is_fresh = move |at: Time| now.since(at) < READING_TTL;
+        self.others.values().filter(move |(_, at)| is_fresh(*at)).map(|(offset, _)| *offset)
     }
 }
--- a/crates/core/src/fleet/contacts.rs
+++ b/crates/core/src/fleet/contacts.rs
@@ -1,9 +1,9 @@
-//! Control processes that one has heard of from others, and who leads them.
+//! Addresses of control processes and of their leader, learned by gossip.
 //!
-//! The members in a process's own log may be old, or none: it was removed while it was away, or its
-//! disk was lost. Every control process therefore tells the others where its members are, and every
-//! question tells where its asker is, so that one that belongs to no group finds the group as long
-//! as it reaches anybody who does, and passes on to others where that is.
+//! The member list in a process's own log may be outdated or empty: the process may have been removed
+//! while it was down, or may have lost its disk. Every watch request carries the requester's address
+//! and every answer carries the members' addresses, so a process outside the group finds it as long as
+//! it reaches any process that knows the group, and passes the addresses on.
 
 use std::collections::BTreeMap;
 
@@ -12,96 +12,98 @@
 use crate::raft::Members;
 use crate::unit::{Millis, NodeId, Term, Time};
 
-/// How long an address is tried after it was last told of. A process that was away for that long is
-/// told of again as soon as it asks anybody.
-const KEPT: Millis = Millis::seconds(60);
+/// How long an address is kept after it was last received. A process that was down for longer is
+/// learned again from its next request.
+const ADDRESS_TTL: Millis = Millis::seconds(60);
 
-/// How long a leader is believed in after it was last told of: a follower that hears nothing of it
-/// doubts it after two election timeouts, 1 s.
-const LEADER_KEPT: Millis = Millis(1_500);
+/// How long a leader is kept after it was last reported. A follower without heartbeats starts to doubt
+/// its leader after two election timeouts, 1 s.
+const LEADER_TTL: Millis = Millis(1_500);
 
-/// Addresses kept at most: a region has 9 control processes, and replaced ones come on top.
-const MOST: usize = 64;
+/// Maximum number of addresses: a region has 9 control processes, plus those that were replaced.
+const MAX_ADDRESSES: usize = 64;
 
-/// How long the founders of a group look for a leader among themselves before they look elsewhere.
-const FOUNDING: Millis = Millis::seconds(2);
+/// How long founding members wait for a leader among themselves before they look for another group.
+const FOUNDING_TIMEOUT: Millis = Millis::seconds(2);
 
-/// Who leads a group.
+/// The leader of a control group.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lead {
-    /// Its term.
+    /// The Raft term in which it leads.
     pub term: Term,
-    /// Where it listens for the others.
+    /// The address on which it listens for other control processes.
     pub address: String,
 }
 
-/// The control processes that one has heard of.
+/// Known control processes and the current leader.
 #[derive(Clone, Debug, Default)]
 pub struct Contacts {
-    heard: BTreeMap<String, Time>,
-    lead: Option<(Lead, Time)>,
+    last_heard: BTreeMap<String, Time>,
+    leader: Option<(Lead, Time)>,
 }
 
 impl Contacts {
-    /// Notes that a control process is said to be at `address`.
+    /// Records that a control process was reported at `address`. New addresses are dropped once the
+    /// list is full.
     pub fn hear(&mut self, now: Time, address: &str) {
-        if let Some(at) = self.heard.get_mut(address) {
+        if let Some(at) = self.last_heard.get_mut(address) {
             *at = now;
-        } else if self.heard.len() < MOST {
-            self.heard.insert(address.to_owned(), now);
+        } else if self.last_heard.len() < MAX_ADDRESSES {
+            self.last_heard.insert(address.to_owned(), now);
         }
     }
 
-    /// Notes who is said to lead, unless a newer term is known.
+    /// Records a reported leader and its address, unless a leader of a higher term is known.
     pub fn hear_lead(&mut self, now: Time, lead: &Lead) {
-        let newer = self.lead(now).is_none_or(|known| lead.term >= known.term);
-        if newer {
+        let is_newer = self.lead(now).is_none_or(|known| lead.term >= known.term);
+        if is_newer {
             self.hear(now, &lead.address);
-            self.lead = Some((lead.clone(), now));
+            self.leader = Some((lead.clone(), now));
         }
     }
 
-    /// Who leads, if somebody has said so lately.
+    /// Returns the leader, if one was reported recently.
     pub fn lead(&self, now: Time) -> Option<&Lead> {
-        self.lead.as_ref().filter(|(_, at)| now.since(*at) < LEADER_KEPT).map(|(lead, _)| lead)
+        self.leader.as_ref().filter(|(_, at)| now.since(*at) < LEADER_TTL).map(|(lead, _)| lead)
     }
 
-    /// The addresses.
+    /// Returns the known addresses in ascending order.
     pub fn addresses(&self) -> impl Iterator<Item = &str> {
-        self.heard.keys().map(String::as_str)
+        self.last_heard.keys().map(String::as_str)
     }
 
-    /// Forgets what was not told of for long.
+    /// Removes expired addresses.
     pub fn tick(&mut self, now: Time) {
-        self.heard.retain(|_, at| now.since(*at) < KEPT);
+        self.last_heard.retain(|_, at| now.since(*at) < ADDRESS_TTL);
     }
 }
 
-/// How a control process stands with its group.
+/// A control process's view of its own membership in the control group.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Place {
-    /// The identity in its data folder; 0 until it is known.
+    /// The node id stored in its data folder; 0 until it is read.
     pub node: NodeId,
-    /// The members that its log names.
+    /// The members named in its log.
     pub members: Members,
-    /// It knows a leader.
+    /// Whether it knows a leader.
     pub led: bool,
-    /// Its log holds nothing but who founded the group.
+    /// Whether its log holds no entries beyond the founding members.
     pub empty: bool,
-    /// It waits to be welcomed back after its start.
+    /// Whether it still waits to rejoin the group after a restart.
     pub rejoining: bool,
 }
 
 impl Place {
-    /// It is one of a group's founders, which has had no leader as far as it knows.
+    /// Returns whether it is a founding member of a group that has not had a leader yet, as far as it
+    /// knows.
     pub fn is_founding(&self) -> bool {
         self.empty && !self.led && self.members.voters.contains(&self.node)
     }
 
-    /// It does not count in a group that it hears of: it has to tell the leader that it is there.
-    /// `waited` is for how long it has been running. Founders look for each other first.
+    /// Returns whether it has to announce itself to the leader because it is not a voter of a led
+    /// group. `waited` is the time since its start: founding members wait for each other first.
     pub fn seeks_group(&self, waited: Millis) -> bool {
-        let counts = self.led && self.members.voters.contains(&self.node);
-        !counts && (!self.is_founding() || waited >= FOUNDING)
+        let is_led_voter = self.led && self.members.voters.contains(&self.node);
+        !is_led_voter && (!self.is_founding() || waited >= FOUNDING_TIMEOUT)
     }
 }
--- a/crates/core/src/fleet/demand.rs
+++ b/crates/core/src/fleet/demand.rs
@@ -1,44 +1,43 @@
-//! How much of a budget's demand comes to one router.
+//! Request rate of one budget at this router.
 //!
-//! Callers of one account may all use the same router. One that serves so much of an account keeps
-//! a slice of its own: a message to a home for each request would take a part of its link and of
-//! each request's time, and be lost once the link is full.
+//! All clients of an account may use the same router. A router with a high request rate for a budget
+//! holds a slice of its own: asking a home router for every request would add latency, take bandwidth
+//! and fail once the link is saturated.
 
 use crate::unit::{Millis, Time};
 
-/// Requests of one budget in a second from which on a router is its own home. Routers of a fleet of
-/// 291 met so far serve 3 of all budgets together, and one to which a whole account keeps 150 of it.
-const HEAVY: u32 = 20;
+/// Requests of one budget per window at which a router becomes its own home for it.
+const HEAVY_REQUESTS: u32 = 20;
 
-/// The span over which requests are counted.
-const SPAN: Millis = Millis(1_000);
+/// The window over which requests are counted.
+const WINDOW: Millis = Millis(1_000);
 
-/// How long a router stays its own home after the last span with so many.
-const KEPT: Millis = Millis::seconds(5);
+/// How long a router stays its own home after the rate was last that high.
+const HEAVY_TTL: Millis = Millis::seconds(5);
 
-/// The requests of one budget at this router.
+/// Counts the requests of one budget at this router.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Demand {
-    since: Time,
+    window_start: Time,
     count: u32,
-    heavy: Option<Time>,
+    last_heavy: Option<Time>,
 }
 
 impl Demand {
-    /// Counts a request.
+    /// Counts a request at `now`.
     pub fn note(&mut self, now: Time) {
-        if now.since(self.since) >= SPAN {
-            self.since = now;
+        if now.since(self.window_start) >= WINDOW {
+            self.window_start = now;
             self.count = 0;
         }
         self.count += 1;
-        if self.count >= HEAVY {
-            self.heavy = Some(now);
+        if self.count >= HEAVY_REQUESTS {
+            self.last_heavy = Some(now);
         }
     }
 
-    /// Whether this router serves so much of the budget that it keeps tokens of its own.
+    /// Returns whether the rate was recently high enough for this router to hold its own tokens.
     pub fn is_heavy(&self, now: Time) -> bool {
-        self.heavy.is_some_and(|at| now.since(at) < KEPT)
+        self.last_heavy.is_some_and(|at| now.since(at) < HEAVY_TTL)
     }
 }
--- a/crates/core/src/fleet/document.rs
+++ b/crates/core/src/fleet/document.rs
@@ -1,7 +1,7 @@
-//! A whole configuration in one document: routes, services, limits and client accounts.
+//! A complete configuration in one document: routes, services, limits and client accounts.
 //!
-//! Beside templates, an operator may submit such a document as a whole. The one with the highest
-//! version is in force; a document is kept as it was submitted and read anew wherever it is used.
+//! An operator may submit such a document instead of templates. The document with the highest version
+//! is in force. It is stored as submitted and parsed wherever it is used.
 
 use std::collections::BTreeSet;
 
@@ -10,168 +10,170 @@
 use crate::code::Code;
 use crate::unit::{Millis, Tokens, Version};
 
-/// Whether a request may run more than once, and what its answer is.
+/// How often the requests of a route may run, and the form of their responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// It may run more than once.
+    /// A request may run more than once.
     Safe,
-    /// It runs at most once.
+    /// A request runs at most once.
     Unsafe,
-    /// Its answer is a stream of events; it runs at most once unless the route is resumable.
+    /// The response is a stream of events; a request runs at most once unless the route is resumable.
     Stream,
 }
 
-/// A service that a route sends to, and its share of the requests.
+/// A service that receives a share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
-    /// The service's name.
+    /// Name of the service.
     pub service: String,
-    /// Its share, relative to the other targets of the route.
+    /// Weight relative to the other targets of the route.
     pub weight: u32,
 }
 
-/// A route: which requests go to which services, and under what bounds.
+/// A route: maps requests by host and path to services, with limits.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// Its name.
+    /// Name of the route.
     pub name: String,
-    /// The host that requests name.
+    /// Host to match.
     pub host: String,
-    /// What their path begins with.
+    /// Path prefix to match.
     pub prefix: String,
-    /// What may be repeated.
+    /// How often requests may run, and the form of their responses.
     pub kind: Kind,
-    /// The longest that a request is held.
+    /// Maximum time to complete a request.
     pub timeout: Millis,
-    /// The time within which an answer, or its first event, is in time.
+    /// Target latency of a response or, for a stream, of its first event.
     pub objective: Millis,
-    /// The longest pause between events with which a stream is in time.
+    /// Target for the longest pause between two events of a stream.
     #[serde(default)]
     pub gap: Option<Millis>,
-    /// Its rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     #[serde(default)]
     pub priority: u8,
-    /// Where requests go.
+    /// Services that receive the requests.
     pub targets: Vec<Target>,
-    /// The most replicas that one request is sent to.
+    /// Maximum number of replicas to which one request is sent.
     pub attempts: u32,
-    /// Requests need no key.
+    /// Whether requests are accepted without an API key.
     #[serde(default)]
     pub open: bool,
-    /// A stream may be continued at another replica.
+    /// Whether a stream may be resumed at another replica.
     #[serde(default)]
     pub resumable: bool,
-    /// The regions that requests may be served in; empty: any.
+    /// Regions in which requests may be served; empty for any.
     #[serde(default)]
     pub regions: BTreeSet<String>,
 }
 
-/// What is known of the engines of a service.
+/// Properties of the model engines of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Engine {
-    /// Requests that a replica runs side by side.
+    /// Requests that a replica runs concurrently.
     pub slots: u32,
-    /// Tokens that its memory holds.
+    /// KV cache capacity of a replica, in tokens.
     pub memory: Tokens,
-    /// Tokens that one event of a stream stands for, at most.
+    /// Maximum number of tokens in one stream event.
     pub stride: Tokens,
 }
 
-/// A service.
+/// A service and the capacity of its replicas.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Backend {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
-    /// Connections that one replica accepts from all callers together.
+    /// Maximum number of connections to one replica from all routers together.
     pub connections: u32,
-    /// What is known of its engines, for a service that runs a model.
+    /// Engine properties, for a service that runs a model.
     #[serde(default)]
     pub engine: Option<Engine>,
-    /// Requests a minute, of all routers together, that a replica bears while it is cold; `None`: any
-    /// number.
+    /// Requests per minute that a cold replica accepts from all routers together; `None` for no limit.
     #[serde(default)]
     pub cold_per_minute: Option<u32>,
 }
 
-/// What a caller may send, and how long it may take or rest.
+/// Size and time limits for client connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request head, in bytes.
     pub head: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request body, in bytes.
     pub body: usize,
-    /// Time for a head to arrive.
+    /// Maximum time to receive a request head.
     pub head_within: Millis,
-    /// Time that a kept connection may rest.
+    /// Idle timeout of a keep-alive connection.
     pub idle: Millis,
 }
 
-/// A client account.
+/// A client account with its keys and restrictions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Its name.
+    /// Name of the account.
     pub name: String,
-    /// Its bearer keys.
+    /// API keys, sent as bearer tokens.
     pub keys: Vec<String>,
-    /// Its rank, in place of its routes'.
+    /// Priority that overrides the route's.
     #[serde(default)]
     pub priority: Option<u8>,
-    /// All the tokens that it may get; `None`: no budget bounds it.
+    /// Total prepaid tokens; `None` for no budget limit.
     #[serde(default)]
     pub prepaid: Option<Tokens>,
-    /// The regions that its requests may be served in, of those of their route; empty: any.
+    /// Restricts the route's regions for requests of this account; empty for no restriction.
     #[serde(default)]
     pub regions: BTreeSet<String>,
 }
 
-/// A whole configuration.
+/// A complete configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
-    /// Its version; the highest is in force.
+    /// Version; the document with the highest one is in force.
     pub version: Version,
-    /// The routes.
+    /// Routes, matched by host and path prefix.
     pub routes: Vec<Route>,
-    /// The services.
+    /// Services to which the routes send requests.
     pub services: Vec<Backend>,
-    /// Bounds on callers.
+    /// Limits for client connections.
     pub limits: Limits,
-    /// The client accounts; `None`: requests need no key.
+    /// Client accounts; `None` if requests need no API key.
     #[serde(default)]
     pub accounts: Option<Vec<Tenant>>,
 }
 
-/// Why a document cannot be in force.
+/// The reason a document was rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Invalid {
-    /// The numbered code.
+    /// Result code.
     pub code: Code,
-    /// Which part, and what is wrong with it.
+    /// The invalid part and what is wrong with it.
     pub why: String,
 }
 
 impl Invalid {
-    /// A document with a fault.
+    /// Returns an error with code [`Code::DocumentBad`].
     pub fn new(why: impl Into<String>) -> Invalid {
         Invalid { code: Code::DocumentBad, why: why.into() }
     }
 }
 
 impl Document {
-    /// Whether it can be in force.
+    /// Checks the document for consistency.
+    ///
+    /// Returns an error if a route has an unknown service, only zero weights, a zero timeout, or the host
+    /// and prefix of another route, or if two accounts share a key.
     pub fn check(&self) -> Result<(), Invalid> {
         let services: BTreeSet<&str> = self.services.iter().map(|s| s.name.as_str()).collect();
-        let mut places = BTreeSet::new();
+        let mut matched = BTreeSet::new();
         for r in &self.routes {
             check_route(r, &services)?;
-            if !places.insert((r.host.as_str(), r.prefix.as_str())) {
+            if !matched.insert((r.host.as_str(), r.prefix.as_str())) {
                 let why = format!("two routes share host {} and prefix {}", r.host, r.prefix);
                 return Err(Invalid::new(why));
             }
@@ -181,20 +183,20 @@
 
     fn check_keys(&self) -> Result<(), Invalid> {
         let mut keys = BTreeSet::new();
-        for t in self.accounts.iter().flatten() {
-            let own: BTreeSet<&str> = t.keys.iter().map(String::as_str).collect();
+        for a in self.accounts.iter().flatten() {
+            let own: BTreeSet<&str> = a.keys.iter().map(String::as_str).collect();
             if own.iter().any(|k| !keys.insert(*k)) {
-                let why = format!("a key of account {} is another's too", t.name);
+                let why = format!("a key of account {} is another's too", a.name);
                 return Err(Invalid::new(why));
             }
         }
         Ok(())
     }
 
-    /// What each account has prepaid, by the name of its budget.
+    /// Returns the budget name and prepaid tokens of each account that has a budget.
     pub fn budgets(&self) -> impl Iterator<Item = (String, Tokens)> {
         let all = self.accounts.iter().flatten();
-        all.filter_map(|t| t.prepaid.map(|tokens| (budget_name(&t.name), tokens)))
+        all.filter_map(|a| a.prepaid.map(|tokens| (budget_name(&a.name), tokens)))
     }
 }
 
@@ -214,7 +216,8 @@
     Ok(())
 }
 
-/// The name of the budget of an account of a document. No budget of a template has a `/`.
+/// Returns the name of the budget of a document's account. Names of template budgets never contain a
+/// `/`, so they cannot collide.
 pub fn budget_name(account: &str) -> String {
     format!("account/{account}")
 }
--- a/crates/core/src/fleet/ends.rs
+++ b/crates/core/src/fleet/ends.rs
@@ -1,87 +1,88 @@
-//! Whether a replica whose connections ended has ended itself, or only they have.
+//! Decides whether a replica that lost connections has ended, or only its connections have.
 //!
-//! One look at its address does not tell: whoever holds the listening socket, a process that takes a
-//! while to exit, a supervisor or a proxy, accepts connections although nobody is left to answer. So
-//! each loss opens a case, which the first of these signs closes:
+//! A single probe of its address is not enough: an exiting process, a supervisor or a proxy may hold the
+//! listening socket and accept connections although nothing answers them. So each loss opens a case,
+//! which the first of these events closes:
 //!
-//! - nobody listens at the address: it has ended;
-//! - a connection from before the loss is still open: it lives;
-//! - another replica is at its address, or a later life of it is heard of: it has ended;
-//! - it falls silent, while what accepts connections in its place says nothing: it has ended;
-//! - it says that it leaves: its end is planned, and nothing that ran there is to blame;
-//! - none of these for [`HEARD_WITHIN`]: it lives.
+//! - a probe of the address is refused: the replica has ended;
+//! - a connection from before the loss is still open: it is alive;
+//! - another replica is at its address, or it has restarted under its id: it has ended;
+//! - its heartbeats stop: it has ended;
+//! - it is draining or has left: its end is planned and no request is suspected of causing it;
+//! - none of these for [`HEARD_WITHIN`]: it is alive.
 
 use std::net::SocketAddr;
 
 use crate::unit::{Millis, Time};
 
-/// How long a case stays open for news of the replica. Silence is noticed after four heartbeats; those
-/// of large fleets are 3 s apart, and news travel for a second more.
+/// How long a case stays open. A replica is silent after four missed heartbeats, which are 3 s apart in
+/// large fleets, and the change takes up to a second to arrive.
 pub const HEARD_WITHIN: Millis = Millis::seconds(15);
 
-/// Open cases of one gateway. Each holds some hundred bytes for each request that was lost.
-const CASES_MOST: usize = 256;
+/// Maximum number of open cases of one gateway; the oldest is dropped. A case takes some hundred bytes
+/// per lost request.
+const MAX_CASES: usize = 256;
 
-/// What shows that a replica has ended.
+/// Evidence that a replica has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shown {
-    /// Nobody listens at its address.
+    /// Its address refuses connections.
     Refused,
-    /// Another replica is there.
+    /// Another replica is at its address.
     Another,
-    /// It has started again under its id.
+    /// It has restarted under the same id.
     LaterLife,
-    /// It has said nothing for several heartbeats.
+    /// It has missed several heartbeats.
     Silent,
 }
 
 impl Shown {
-    /// Its words in logs.
+    /// Returns the text for logs.
     pub fn text(self) -> &'static str {
         match self {
-            Shown::Refused => "nobody listens at its address",
+            Shown::Refused => "its address refuses connections",
             Shown::Another => "another replica is at its address",
-            Shown::LaterLife => "it has started again under its id",
-            Shown::Silent => "it has fallen silent",
+            Shown::LaterLife => "it has restarted under the same id",
+            Shown::Silent => "it has missed several heartbeats",
         }
     }
 }
 
-/// News of a replica that bear on open cases.
+/// A change of a replica that may close open cases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sign<'a> {
-    /// This replica, of which nothing was known before, is at an address.
+    /// A replica with a new id has registered at this address.
     Arrived(SocketAddr, &'a str),
-    /// What answers at its address says that this replica is not there.
+    /// The process at its address has answered that it is not this replica.
     NotThere(&'a str),
-    /// It has started again under its id.
+    /// It has restarted under the same id.
     LaterLife(&'a str),
-    /// It has said nothing for several heartbeats.
+    /// It has missed several heartbeats.
     Silent(&'a str),
-    /// It has said that it leaves, or has left.
+    /// It is draining or has left.
     Leaves(&'a str),
 }
 
-/// A loss of connections to one replica.
+/// Lost connections to one replica; `V` describes a request that was active on one of them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Loss<V> {
-    /// Where it listened.
+    /// Address of the replica.
     pub address: SocketAddr,
-    /// Its id.
+    /// Id of the replica.
     pub replica: String,
-    /// When the first of them was lost.
+    /// When the first connection was lost.
     pub since: Time,
-    /// What was under way on them.
+    /// Requests that were active on the connections.
     pub lost: Vec<V>,
 }
 
 struct Case<V> {
     loss: Loss<V>,
-    /// Somebody still looks at its address.
-    looked_at: bool,
+    /// Whether a probe of the address is running.
+    probing: bool,
 }
 
-/// The losses of which it is not known yet what they were.
+/// Losses whose cause is not decided yet.
 pub struct Ends<V> {
     cases: Vec<Case<V>>,
 }
@@ -93,44 +94,47 @@
 }
 
 impl<V> Ends<V> {
-    /// Notes that a connection was lost. True if its address is to be looked at: it was the first, or
-    /// the look before is over.
+    /// Records that a connection to `replica` with request `v` was lost at `now`.
+    ///
+    /// Returns whether the caller has to probe the address, because no probe for this replica is running.
     pub fn lost(&mut self, now: Time, address: SocketAddr, replica: &str, v: V) -> bool {
-        let is_it = |c: &&mut Case<V>| c.looked_at && c.loss.is_of(address, replica);
-        if let Some(c) = self.cases.iter_mut().find(is_it) {
+        let matches = |c: &&mut Case<V>| c.probing && c.loss.is_of(address, replica);
+        if let Some(c) = self.cases.iter_mut().find(matches) {
             c.loss.lost.push(v);
             return false;
         }
-        if self.cases.len() >= CASES_MOST {
+        if self.cases.len() >= MAX_CASES {
             self.cases.remove(0);
         }
         let loss = Loss { address, replica: replica.to_owned(), since: now, lost: vec![v] };
-        self.cases.push(Case { loss, looked_at: true });
+        self.cases.push(Case { loss, probing: true });
         true
     }
 
-    /// Nobody listens at the replica's address.
+    /// Closes and returns the losses of a replica whose address refuses connections: it has ended.
     pub fn refused(&mut self, address: SocketAddr, replica: &str) -> Vec<Loss<V>> {
         self.close(|l| l.is_of(address, replica))
     }
 
-    /// A connection from before the loss is open: the loss was of connections only.
+    /// Closes and returns the losses of a replica that is alive: a connection from before them is open.
     pub fn lives(&mut self, address: SocketAddr, replica: &str) -> Vec<Loss<V>> {
         self.close(|l| l.is_of(address, replica))
     }
 
-    /// Somebody goes on listening at the replica's address: only news of it can tell.
+    /// Ends the probe of a replica's address that keeps accepting connections. Its losses stay open until
+    /// a change of the replica or the timeout closes them.
     pub fn listens(&mut self, address: SocketAddr, replica: &str) {
-        let is_it = |c: &&mut Case<V>| c.loss.is_of(address, replica);
-        self.cases.iter_mut().filter(is_it).for_each(|c| c.looked_at = false);
+        let matches = |c: &&mut Case<V>| c.loss.is_of(address, replica);
+        self.cases.iter_mut().filter(matches).for_each(|c| c.probing = false);
     }
 
-    /// Whether a loss of this replica's connections is open.
+    /// Returns whether a loss of this replica is open.
     pub fn is_open(&self, address: SocketAddr, replica: &str) -> bool {
         self.cases.iter().any(|c| c.loss.is_of(address, replica))
     }
 
-    /// Takes news of a replica. Returns the losses that they explain, and what they show.
+    /// Closes the losses that a change of a replica decides. Returns them with the evidence that the
+    /// replica has ended; `None` if there are none or the replica leaves as planned.
     pub fn take(&mut self, sign: Sign<'_>) -> Option<(Shown, Vec<Loss<V>>)> {
         let (shown, closed) = match sign {
             Sign::Arrived(at, id) => {
@@ -147,14 +151,15 @@
         (!closed.is_empty()).then_some((shown, closed))
     }
 
-    /// Closes the cases of which nothing was heard in time. Returns how many requests they held.
+    /// Closes the cases older than [`HEARD_WITHIN`], whose replicas count as alive. Returns the number of
+    /// requests in them.
     pub fn forget(&mut self, now: Time) -> usize {
-        let old = self.close(|l| now.since(l.since) >= HEARD_WITHIN);
-        old.iter().map(|l| l.lost.len()).sum()
+        let expired = self.close(|l| now.since(l.since) >= HEARD_WITHIN);
+        expired.iter().map(|l| l.lost.len()).sum()
     }
 
-    fn close(&mut self, which: impl Fn(&Loss<V>) -> bool) -> Vec<Loss<V>> {
-        let closed = self.cases.extract_if(.., |c| which(&c.loss));
+    fn close(&mut self, matches: impl Fn(&Loss<V>) -> bool) -> Vec<Loss<V>> {
+        let closed = self.cases.extract_if(.., |c| matches(&c.loss));
         closed.map(|c| c.loss).collect()
     }
 }
