--- a/crates/core/src/fleet/entry.rs
+++ b/crates/core/src/fleet/entry.rs
@@ -1,4 +1,4 @@
-//! Which routers a caller is told to use.
+//! Selects the router addresses that are returned to a client.
 
 use std::collections::BTreeMap;
 
@@ -7,103 +7,111 @@
 use super::watch::RouterSign;
 use crate::unit::{Millis, Time};
 
-/// A router that has said nothing for this long is left out while others are heard.
+/// A router without a heartbeat for this long is not listed while most others send theirs.
 const SILENT_AFTER: Millis = Millis(2_500);
 
-/// A router that has said nothing for this long is forgotten.
-const FORGET_AFTER: Millis = Millis::seconds(60);
+/// A router without a heartbeat for this long is no longer known.
+const KNOWN_FOR: Millis = Millis::seconds(60);
 
-/// Routers of the caller's own data centre that are enough to name no other.
-const NEAR_ENOUGH: usize = 2;
+/// Minimum number of routers in the client's data centre or region for the list to be limited to it.
+const MIN_NEAR: usize = 2;
 
 fn spill_sign(r: &RouterSign) -> Sign<'_> {
     Sign { vm: &r.vm, data_centre: &r.data_centre, busy: r.busy }
 }
 
-/// The routers that one control process has heard of.
+/// The latest heartbeat of each router, as received by one control process.
 #[derive(Clone, Debug, Default)]
 pub struct Routers {
-    heard: BTreeMap<String, (RouterSign, Time)>,
+    heartbeats: BTreeMap<String, (RouterSign, Time)>,
     spill: Spill,
-    /// Answers so far.
+    /// Number of address lists returned so far.
     answers: u64,
-    /// Which of the routers of other data centres are named next.
-    turn: usize,
+    /// Position of the next router of other data centres in the rotation.
+    next_other: usize,
 }
 
 impl Routers {
-    /// Notes a router's word. Returns whether it is new or stands otherwise than before.
+    /// Records a router's heartbeat. Returns whether the router is new or has changed in anything but
+    /// `busy`.
     pub fn note(&mut self, now: Time, r: &RouterSign) -> bool {
-        let old = self.heard.insert(r.vm.clone(), (r.clone(), now));
+        let old = self.heartbeats.insert(r.vm.clone(), (r.clone(), now));
         old.is_none_or(|(o, _)| RouterSign { busy: r.busy, ..o } != *r)
     }
 
-    /// Routers heard of lately.
+    /// Returns the number of routers that sent a heartbeat in the last minute.
     pub fn count(&self, now: Time) -> u32 {
-        self.heard.values().filter(|(_, at)| now.since(*at) < FORGET_AFTER).count() as u32
+        self.heartbeats.values().filter(|(_, at)| now.since(*at) < KNOWN_FOR).count() as u32
     }
 
-    /// Routers heard of since `since`.
+    /// Returns the number of routers that sent a heartbeat at or after `since`.
     pub fn heard_since(&self, since: Time) -> usize {
-        self.heard.values().filter(|(_, at)| *at >= since).count()
+        self.heartbeats.values().filter(|(_, at)| *at >= since).count()
     }
 
-    /// Whether nothing has been heard of a router for a while, by a process that has been listening
-    /// for as long.
+    /// Returns whether no heartbeat of a router has arrived recently. A router without any counts from
+    /// the start of this process, time 0.
     pub fn is_silent(&self, now: Time, vm: &str) -> bool {
-        let heard = self.heard.get(vm).map_or(Time(0), |(_, at)| *at);
-        now.since(heard) >= SILENT_AFTER
+        let last = self.heartbeats.get(vm).map_or(Time(0), |(_, at)| *at);
+        now.since(last) >= SILENT_AFTER
     }
 
-    /// Addresses of routers for each other, at most `most`.
-    pub fn links(&self, now: Time, most: usize) -> Vec<String> {
-        let known = self.heard.values().filter(|(_, at)| now.since(*at) < FORGET_AFTER);
-        known.take(most).map(|(r, _)| r.link.clone()).collect()
+    /// Returns at most `limit` addresses on which routers accept connections from other routers.
+    pub fn links(&self, now: Time, limit: usize) -> Vec<String> {
+        let known = self.heartbeats.values().filter(|(_, at)| now.since(*at) < KNOWN_FOR);
+        known.take(limit).map(|(r, _)| r.link.clone()).collect()
     }
 
-    /// Addresses for a caller in `data_centre`, at most `most`: its own data centre's alone where
-    /// those are enough, else its region's, else all.
+    /// Returns at most `limit` router addresses for a client in `data_centre`: only those of its data
+    /// centre if there are enough, else those of its region, else all.
     ///
-    /// Busy ones are left out of a part of the answers; where most of those are busy, some of others
-    /// are named as well.
+    /// Busy routers are left out of a fraction of the lists. If most routers of the data centre are busy,
+    /// some of others are added.
     ///
-    /// While most routers are silent, the cut is on this side: those that were open stay named.
+    /// If at least half of the open routers are silent, this process is assumed to be cut off and keeps
+    /// listing them.
     pub fn addresses(
         &mut self,
         now: Time,
         data_centre: &str,
         regions: &Regions,
-        most: usize,
+        limit: usize,
     ) -> Vec<String> {
-        let heard = self.heard.values().filter(|(r, at)| r.open && now.since(*at) < SILENT_AFTER);
-        self.spill.decide(now, heard.map(|(r, _)| spill_sign(r)));
+        let open =
+            self.heartbeats.values().filter(|(r, at)| r.open && now.since(*at) < SILENT_AFTER);
+        self.spill.decide(now, open.map(|(r, _)| spill_sign(r)));
         self.answers += 1;
-        let known = self.heard.values().filter(|(r, at)| r.open && now.since(*at) < FORGET_AFTER);
+        let known = self.heartbeats.values().filter(|(r, at)| r.open && now.since(*at) < KNOWN_FOR);
         let known: Vec<_> = known.collect();
-        let live = |at: Time| now.since(at) < SILENT_AFTER;
-        let heard: Vec<_> = known.iter().copied().filter(|(_, at)| live(*at)).collect();
-        let usable = if heard.len() * 2 > known.len() { heard } else { known };
-        let own = |r: &RouterSign| r.data_centre == data_centre;
-        let near = |r: &RouterSign| regions.are_near(&r.data_centre, data_centre);
-        let spared = |r: &RouterSign| self.spill.leaves_out(&r.vm, self.answers);
-        let left: Vec<_> = usable.iter().copied().filter(|(r, _)| !spared(r)).collect();
-        let usable = if left.is_empty() { usable } else { left };
-        let (in_region, abroad): (Vec<_>, Vec<_>) = usable.into_iter().partition(|(r, _)| near(r));
-        if in_region.len() < NEAR_ENOUGH {
-            let all = in_region.into_iter().chain(abroad);
-            return all.take(most).map(|(r, _)| r.address.clone()).collect();
+        let is_live = |at: Time| now.since(at) < SILENT_AFTER;
+        let live: Vec<_> = known.iter().copied().filter(|(_, at)| is_live(*at)).collect();
+        let usable = if live.len() * 2 > known.len() { live } else { known };
+        let is_own = |r: &RouterSign| r.data_centre == data_centre;
+        let is_near = |r: &RouterSign| regions.are_near(&r.data_centre, data_centre);
+        let is_left_out = |r: &RouterSign| self.spill.leaves_out(&r.vm, self.answers);
+        let remaining: Vec<_> = usable.iter().copied().filter(|(r, _)| !is_left_out(r)).collect();
+        let usable = if remaining.is_empty() { usable } else { remaining };
+        let (in_region, other_regions): (Vec<_>, Vec<_>) =
+            usable.into_iter().partition(|(r, _)| is_near(r));
+        if in_region.len() < MIN_NEAR {
+            let all = in_region.into_iter().chain(other_regions);
+            return all.take(limit).map(|(r, _)| r.address.clone()).collect();
         }
-        let (close, others): (Vec<_>, Vec<_>) =
-            in_region.iter().copied().partition(|(r, _)| own(r));
-        if close.len() < NEAR_ENOUGH {
-            return in_region.into_iter().take(most).map(|(r, _)| r.address.clone()).collect();
+        let (own_data_centre, other_data_centres): (Vec<_>, Vec<_>) =
+            in_region.iter().copied().partition(|(r, _)| is_own(r));
+        if own_data_centre.len() < MIN_NEAR {
+            return in_region.into_iter().take(limit).map(|(r, _)| r.address.clone()).collect();
         }
-        let beyond = self.spill.beyond(data_centre, others.len());
-        // Each answer goes on where the one before ended, so that all of them get their part.
-        let further = others.iter().cycle().skip(self.turn % others.len().max(1)).take(beyond);
-        let named = close.iter().chain(further).take(most);
-        let named = named.map(|(r, _)| r.address.clone()).collect();
-        self.turn = self.turn.wrapping_add(beyond);
-        named
+        let extra_count = self.spill.beyond(data_centre, other_data_centres.len());
+        // Continue where the previous list ended, so that all of them get an equal share.
+        let extra = other_data_centres
+            .iter()
+            .cycle()
+            .skip(self.next_other % other_data_centres.len().max(1))
+            .take(extra_count);
+        let listed = own_data_centre.iter().chain(extra).take(limit);
+        let listed = listed.map(|(r, _)| r.address.clone()).collect();
+        self.next_other = self.next_other.wrapping_add(extra_count);
+        listed
     }
 }
--- a/crates/core/src/fleet/evacuation.rs
+++ b/crates/core/src/fleet/evacuation.rs
@@ -1,8 +1,8 @@
-//! Data centres whose replicas get no new work, by an operator's order.
+//! Data centres that an operator has evacuated: their replicas get no new requests.
 //!
-//! The orders are kept in the replicated log, so that one that was acknowledged outlasts any restart.
-//! Each change has a revision, its position in the log: whoever follows several control processes
-//! takes the one with the highest revision, in whatever order they come.
+//! Orders are stored in the replicated log, so an acknowledged order survives restarts. The revision of
+//! a change is its log index: a process that follows several control processes keeps the highest
+//! revision, whatever the order of arrival.
 
 use std::collections::BTreeSet;
 
@@ -10,21 +10,21 @@
 
 use crate::unit::Index;
 
-/// A revision that is never reached: its bearer wants to hear of no evacuation.
+/// Sentinel revision in a watch request: the requester wants no updates.
 pub const NOT_WANTED: Index = Index::MAX;
 
-/// The data centres that are evacuated.
+/// The set of evacuated data centres.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evacuations {
-    /// Position of the order that changed them last; 0 if there was none.
+    /// Log index of the last order that changed the set; 0 if there was none.
     pub revision: Index,
-    /// Their names.
+    /// Names of the evacuated data centres.
     pub data_centres: BTreeSet<String>,
 }
 
 impl Evacuations {
-    /// Carries out the order at position `at`: work is kept from a data centre, or let in again. An
-    /// order that is carried out already changes nothing.
+    /// Applies the order at log index `at`, which begins (`evacuate`) or ends the evacuation of a data
+    /// centre. Returns whether the set has changed.
     pub fn order(&mut self, at: Index, data_centre: &str, evacuate: bool) -> bool {
         let changed = match evacuate {
             true => self.data_centres.insert(data_centre.to_owned()),
@@ -36,12 +36,12 @@
         changed
     }
 
-    /// Takes what another process tells, if it is newer. Returns whether it is.
-    pub fn take(&mut self, told: &Evacuations) -> bool {
-        let newer = told.revision > self.revision;
-        if newer {
-            *self = told.clone();
+    /// Replaces this set by one received from another process if that is newer. Returns whether it is.
+    pub fn take(&mut self, received: &Evacuations) -> bool {
+        let is_newer = received.revision > self.revision;
+        if is_newer {
+            *self = received.clone();
         }
-        newer
+        is_newer
     }
 }
--- a/crates/core/src/fleet/fetch.rs
+++ b/crates/core/src/fleet/fetch.rs
@@ -1,113 +1,118 @@
-//! From which control process a router fetches a newer document: from one at a time, and from
-//! another once that one lets it wait for the next part.
+//! Selects the control process from which a router fetches a newer document.
+//!
+//! The parts of a document are requested from one process at a time. If a part times out, the fetch
+//! continues with another process.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use crate::unit::{Millis, Time, Version};
 
-/// How long one part may take before another control process is asked for it.
-const PATIENCE: Millis = Millis(600);
+/// Maximum time to receive one part before another control process is asked.
+const PART_TIMEOUT: Millis = Millis(600);
 
-/// The control process that is asked, and since when.
+/// The control process that is fetched from, and the time of its last progress.
 #[derive(Clone, Copy, Debug)]
-struct Asked {
+struct Source {
     address: SocketAddr,
     since: Time,
 }
 
-/// A control process that has not sent a part in time.
+/// A control process that the fetch gave up, because it was unreachable or a part timed out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GivenUp {
-    /// Which one.
+    /// Address of the control process.
     pub from: SocketAddr,
-    /// How long it was waited for.
+    /// Time since its last progress.
     pub after: Millis,
 }
 
-/// What control processes have told, and the fetch under way.
+/// The document versions that control processes have announced, and the fetch in progress.
 #[derive(Clone, Debug, Default)]
 pub struct Fetch {
-    told: BTreeMap<SocketAddr, Version>,
-    known: Version,
-    asked: Option<Asked>,
+    announced: BTreeMap<SocketAddr, Version>,
+    latest: Version,
+    source: Option<Source>,
 }
 
 impl Fetch {
-    /// The highest version that anybody has told of; 0 if nobody has.
+    /// Returns the highest announced version; 0 if there is none.
     pub fn known(&self) -> Version {
-        self.known
+        self.latest
     }
 
-    /// The version that the control process at `address` has told of last.
+    /// Returns the version last announced by the control process at `address`; 0 if there is none.
     pub fn told_by(&self, address: SocketAddr) -> Version {
-        self.told.get(&address).copied().unwrap_or(0)
+        self.announced.get(&address).copied().unwrap_or(0)
     }
 
-    /// Whether the next part is to be asked for there.
+    /// Returns whether the document is being fetched from `address`.
     pub fn is_from(&self, address: SocketAddr) -> bool {
-        self.asked.is_some_and(|a| a.address == address)
+        self.source.is_some_and(|s| s.address == address)
     }
 
-    /// Whether a document is being fetched.
+    /// Returns whether a document is being fetched.
     pub fn is_active(&self) -> bool {
-        self.asked.is_some()
+        self.source.is_some()
     }
 
-    /// Notes that the control process at `from` has `version`. Returns whether that is the first
-    /// word of it.
+    /// Records that the control process at `from` has `version`. Returns whether it is the highest
+    /// version announced so far.
     pub fn told(&mut self, from: SocketAddr, version: Version) -> bool {
-        self.told.insert(from, version);
-        let first = version > self.known;
-        self.known = self.known.max(version);
-        first
+        self.announced.insert(from, version);
+        let is_highest = version > self.latest;
+        self.latest = self.latest.max(version);
+        is_highest
     }
 
-    /// Notes that a part has come from `from`.
+    /// Records that a part from `from` has arrived, which restarts the timeout.
     pub fn progress(&mut self, now: Time, from: SocketAddr) {
-        if let Some(a) = self.asked.as_mut().filter(|a| a.address == from) {
-            a.since = now;
+        if let Some(s) = self.source.as_mut().filter(|s| s.address == from) {
+            s.since = now;
         }
     }
 
-    /// Notes that the document is whole.
+    /// Ends the fetch because the document is complete.
     pub fn done(&mut self) {
-        self.asked = None;
+        self.source = None;
     }
 
-    /// Notes that the control process at `from` is out of reach.
+    /// Removes an unreachable control process. If it was being fetched from, ends the fetch and returns
+    /// it.
     pub fn lost(&mut self, now: Time, from: SocketAddr) -> Option<GivenUp> {
-        self.told.remove(&from);
-        let a = self.asked.take_if(|a| a.address == from)?;
-        Some(GivenUp { from, after: now.since(a.since) })
+        self.announced.remove(&from);
+        let s = self.source.take_if(|s| s.address == from)?;
+        Some(GivenUp { from, after: now.since(s.since) })
     }
 
-    /// Gives up the control process that is asked if it lets this router wait for too long.
+    /// Ends the fetch if the current part has timed out. Returns the control process in that case.
     pub fn overdue(&mut self, now: Time) -> Option<GivenUp> {
-        let a = self.asked.take_if(|a| now.since(a.since) >= PATIENCE)?;
-        Some(GivenUp { from: a.address, after: now.since(a.since) })
+        let s = self.source.take_if(|s| now.since(s.since) >= PART_TIMEOUT)?;
+        Some(GivenUp { from: s.address, after: now.since(s.since) })
     }
 
-    /// Chooses whom to ask, if nobody is asked and somebody has told of more than `held`: the one
-    /// that has told of most, and after one that was given up the next by address.
+    /// Starts a fetch and returns the address to fetch from, if no fetch is in progress and a version
+    /// above `held` was announced. It is the process with the highest version or, if `after` was just
+    /// given up, the next one by address.
     pub fn choose(
         &mut self,
         now: Time,
         held: Version,
         after: Option<SocketAddr>,
     ) -> Option<SocketAddr> {
-        if self.asked.is_some() {
+        if self.source.is_some() {
             return None;
         }
-        let best = self.told.values().copied().max().filter(|v| *v > held)?;
-        let of_use: Vec<_> = self.told.iter().filter(|(_, v)| **v > held).collect();
-        let next = after.and_then(|gone| {
-            let mut turn = of_use.iter().filter(|(a, _)| **a > gone).chain(of_use.iter());
-            turn.find(|(a, _)| **a != gone).map(|(a, _)| **a)
+        let best = self.announced.values().copied().max().filter(|v| *v > held)?;
+        let candidates: Vec<_> = self.announced.iter().filter(|(_, v)| **v > held).collect();
+        let next = after.and_then(|previous| {
+            let mut rotation =
+                candidates.iter().filter(|(a, _)| **a > previous).chain(candidates.iter());
+            rotation.find(|(a, _)| **a != previous).map(|(a, _)| **a)
         });
-        let first = || of_use.iter().find(|(_, v)| **v == best).map(|(a, _)| **a);
+        let first = || candidates.iter().find(|(_, v)| **v == best).map(|(a, _)| **a);
         let address = next.or_else(first)?;
-        self.asked = Some(Asked { address, since: now });
+        self.source = Some(Source { address, since: now });
         Some(address)
     }
 }
--- a/crates/core/src/fleet/fingerprint.rs
+++ b/crates/core/src/fleet/fingerprint.rs
@@ -1,4 +1,5 @@
-//! What makes two requests the same, whichever gateway they come to and under whatever id.
+//! Fingerprints that identify copies of the same request, whichever gateway receives them and whatever
+//! their request ids are.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -8,41 +9,39 @@
 
 use crate::hash::Fnv;
 
-/// The parts of a request in which all its copies agree. Ids, deadlines and other headers differ
-/// from copy to copy.
+/// The parts of a request that are equal in all its copies. Ids, deadlines and other headers may differ.
 #[derive(Clone, Copy, Debug, Hash)]
 pub struct Identity<'a> {
-    /// The client account. Another account's request is never the same: nobody can have another's
-    /// requests refused.
+    /// The client account. It is included so that no account can get another's requests rejected.
     pub account: Option<&'a str>,
-    /// The method.
+    /// HTTP method.
     pub method: &'a str,
-    /// The host that it names.
+    /// Requested host.
     pub host: &'a str,
-    /// Path and query.
+    /// Path and query string.
     pub path: &'a str,
-    /// The body.
+    /// Request body.
     pub body: &'a [u8],
 }
 
 impl Identity<'_> {
-    /// A hash of all but the body's bytes: requests of which it differs are not the same. It costs
-    /// no more than the names are long, so that it can be drawn for every request.
+    /// Returns a hash of all parts, with only the length of the body. It is cheap enough for every
+    /// request: requests with different hashes are never copies of each other.
     pub fn brief(&self) -> u64 {
         let length = (self.body.len() as u64).to_be_bytes();
         let account = self.account.unwrap_or_default();
-        let names = [account, self.method, self.host, self.path];
-        let named = names.iter().fold(Fnv::new(), |h, name| h.part(name.as_bytes()));
-        named.part(&length).value()
+        let parts = [account, self.method, self.host, self.path];
+        let hash = parts.iter().fold(Fnv::new(), |h, part| h.part(part.as_bytes()));
+        hash.part(&length).value()
     }
 }
 
-/// What all copies of one request have in common, and others have not.
+/// Identifies a request: equal for all its copies and different for other requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fingerprint {
-    /// [`Identity::brief`].
+    /// Hash without the body's bytes, see [`Identity::brief`].
     pub brief: u64,
-    /// A part of a cryptographic digest over all of it.
+    /// Truncated cryptographic digest of the whole request.
     pub digest: u64,
 }
 
@@ -52,16 +51,16 @@
     }
 }
 
-/// Hexadecimal digits of each half.
-const DIGITS: usize = 16;
+/// Number of hexadecimal digits of each half.
+const HALF_DIGITS: usize = 16;
 
 impl FromStr for Fingerprint {
     type Err = ParseIntError;
 
-    /// Reads what [`fmt::Display`] writes.
+    /// Parses the format that [`fmt::Display`] writes.
     fn from_str(s: &str) -> Result<Fingerprint, ParseIntError> {
-        let brief = s.get(..DIGITS).unwrap_or_default();
-        let digest = s.get(DIGITS..2 * DIGITS).filter(|_| s.len() == 2 * DIGITS);
+        let brief = s.get(..HALF_DIGITS).unwrap_or_default();
+        let digest = s.get(HALF_DIGITS..2 * HALF_DIGITS).filter(|_| s.len() == 2 * HALF_DIGITS);
         Ok(Fingerprint {
             brief: u64::from_str_radix(brief, 16)?,
             digest: u64::from_str_radix(digest.unwrap_or_default(), 16)?,
--- a/crates/core/src/fleet/format.rs
+++ b/crates/core/src/fleet/format.rs
@@ -1,16 +1,16 @@
-//! The forms in which documents are submitted.
+//! Formats in which documents are submitted.
 
 use super::document::{Document, Invalid};
 
-/// Reads and checks a document in the project's own form: JSON of the names in [`Document`].
+/// Parses and validates a document in the native format: JSON with the field names of [`Document`].
 pub fn json(source: &str) -> Result<Document, Invalid> {
     let d: Document = serde_json::from_str(source).map_err(|e| Invalid::new(e.to_string()))?;
     d.check()?;
     Ok(d)
 }
 
-/// A form of documents. The same source gives the same document in every process.
+/// A document format. Parsing is deterministic: every process gets the same document from a source.
 pub trait Format: 'static {
-    /// Reads and checks a document.
+    /// Parses and validates a document.
     fn document(source: &str) -> Result<Document, Invalid>;
 }
