--- a/crates/core/src/fleet/homes.rs
+++ b/crates/core/src/fleet/homes.rs
@@ -1,44 +1,46 @@
-//! Which routers of a data centre keep the tokens of a budget.
+//! Selects the home routers of a budget: those that hold its tokens for their data centre.
 //!
-//! Where a data centre has many routers, a slice for each of them is smaller than one request, and
-//! what a dead one may have spent unreported is counted many times over. So a few of them, found by
-//! rendezvous hashing, hold a budget's tokens for all routers of their data centre, which set tokens
-//! aside there for one request at a time. That is a matter of policy alone: each router's slices
-//! are its own, so two views of who is a home never spend a token twice.
+//! In a data centre with many routers, one slice per router would be smaller than a request, and each
+//! dead router would add to the tokens that count as spent unreported. So a few routers, selected by
+//! rendezvous hashing, hold a budget's tokens, and all routers of the data centre reserve tokens there
+//! for each request. This is only a placement policy: a slice belongs to the router that leased it, so
+//! routers that disagree about the homes never spend a token twice.
 
 use std::cmp::Reverse;
 use std::net::SocketAddr;
 
 use crate::hash::{Fnv, rendezvous};
 
-/// Routers of a data centre from which on budgets have homes there. With fewer, each holds its own
-/// slices: measured on data centres of 2 and 3 routers, and of 22 to 62.
+/// Minimum number of routers in a data centre for budgets to have homes there. With fewer, each router
+/// holds its own slices.
 pub const MANY: usize = 12;
 
-/// Homes of a budget in one data centre. A second one serves when the first does not answer.
+/// Number of homes of a budget in one data centre. The second serves if the first does not answer.
 pub const HOMES: usize = 2;
 
-/// Routers that are remembered as those next in line, where homes do not answer.
-const RANKED: usize = 4;
+/// Maximum number of home candidates, including the fallbacks for homes that do not answer.
+const MAX_CANDIDATES: usize = 4;
 
-/// The routers that come into question as homes of a budget, the first ones first.
+/// Returns the candidates for homes of a budget, best rank first, by rendezvous hashing of its name.
 pub fn ranked(budget: &str, routers: &[SocketAddr]) -> Vec<SocketAddr> {
     let key = Fnv::new().part(budget.as_bytes()).value();
     let mut all: Vec<_> = routers.iter().map(|a| (Reverse(rendezvous(key, *a)), *a)).collect();
     all.sort_unstable();
-    all.into_iter().take(RANKED).map(|(_, a)| a).collect()
+    all.into_iter().take(MAX_CANDIDATES).map(|(_, a)| a).collect()
 }
 
-/// The homes to ask for tokens, in order: the asking router itself if it is one, else one drawn by
-/// its address, so that each home serves a part of the routers. `is_out` tells which do not answer;
-/// if none does, all that come into question are named.
+/// Returns the homes to ask for tokens, in order.
+///
+/// Takes the first candidates of `ranked` that are not `is_out`, or all candidates if every one is. The
+/// order starts with `own` if it is a home, else at a position given by a hash of `own`, which spreads
+/// the routers over the homes.
 pub fn order(
     ranked: &[SocketAddr],
     own: SocketAddr,
     is_out: impl Fn(&SocketAddr) -> bool,
 ) -> Vec<SocketAddr> {
-    let answering = ranked.iter().copied().filter(|a| !is_out(a));
-    let mut homes: Vec<_> = answering.take(HOMES).collect();
+    let available = ranked.iter().copied().filter(|a| !is_out(a));
+    let mut homes: Vec<_> = available.take(HOMES).collect();
     if homes.is_empty() {
         homes = ranked.to_vec();
     }
@@ -48,8 +50,9 @@
     homes
 }
 
-/// Which of `n` a router begins with, so that not all begin with the same; 0 of none.
+/// Returns the index among `n` items at which router `own` starts, a hash of its address that spreads
+/// routers evenly; 0 if `n` is 0.
 pub fn turn(own: SocketAddr, n: usize) -> usize {
-    let draw = rendezvous(0, own) as usize;
-    draw.checked_rem(n).unwrap_or(0)
+    let hash = rendezvous(0, own) as usize;
+    hash.checked_rem(n).unwrap_or(0)
 }
--- a/crates/core/src/fleet/neighbours.rs
+++ b/crates/core/src/fleet/neighbours.rs
@@ -1,62 +1,63 @@
-//! The routers of each data centre, as a control process tells them to each other.
+//! Router addresses by data centre, which control processes send to routers.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-use super::entry::Routers as Heard;
+use super::entry::Routers as Heartbeats;
 use super::homes::MANY;
 use crate::hash::Fnv;
 use crate::member::Router;
 use crate::unit::{Millis, Time};
 
-/// How often the lists are made anew.
-const REFRESH: Millis = Millis(250);
+/// Minimum interval between two rebuilds of the lists.
+const REFRESH_INTERVAL: Millis = Millis(250);
 
-/// In place of a digest: no list is wanted.
+/// Sentinel digest in a watch request: the requester wants no list.
 pub const NOT_WANTED: u64 = u64::MAX;
 
 /// The routers of one data centre.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Area {
-    /// The data centre.
+    /// Name of the data centre.
     pub data_centre: String,
-    /// Its routers' addresses for other routers.
+    /// Addresses on which its routers accept connections from other routers.
     pub links: Vec<String>,
 }
 
-/// The digest by which a router tells which areas it knows, the same in every process and release.
+/// Returns a digest of the router addresses, by which a router names the list that it has. It is stable
+/// across processes and releases.
 pub fn digest(areas: &[Area]) -> u64 {
     let links = areas.iter().flat_map(|a| &a.links);
     links.fold(Fnv::new(), |h, l| h.part(l.as_bytes())).value()
 }
 
-/// The areas, as one control process knows them.
+/// The routers of all data centres, as known to one control process.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
     areas: Vec<Area>,
     digest: u64,
-    /// The data centres that have too few routers for homes.
+    /// Data centres with too few routers for homes.
     few: Vec<Area>,
     few_digest: u64,
-    made: Option<Time>,
+    refreshed: Option<Time>,
 }
 
 impl Directory {
-    /// Makes the lists anew if that is due.
+    /// Rebuilds the lists if they are older than the refresh interval.
     ///
-    /// Registrations outlast a restart of the control process, which has heard of nobody then. So
-    /// those that are registered are listed, but for those that leave or have fallen silent.
+    /// The lists start from the registered routers, because registrations survive a restart of the control
+    /// process and received heartbeats do not. Routers that are leaving or silent are left out.
     pub fn refresh<'a>(
         &mut self,
         now: Time,
         registered: impl Iterator<Item = &'a Router>,
-        heard: &Heard,
+        heartbeats: &Heartbeats,
     ) {
-        if self.made.is_some_and(|at| now.since(at) < REFRESH) {
+        if self.refreshed.is_some_and(|at| now.since(at) < REFRESH_INTERVAL) {
             return;
         }
-        self.made = Some(now);
+        self.refreshed = Some(now);
         let mut all: BTreeMap<&str, Vec<&Router>> = BTreeMap::new();
         for r in registered.filter(|r| !r.link.is_empty()) {
             all.entry(&r.data_centre).or_default().push(r);
@@ -65,7 +66,7 @@
             all.into_iter().partition(|(_, routers)| routers.len() >= MANY);
         let area = |(dc, routers): (&str, Vec<&Router>)| Area {
             data_centre: dc.to_owned(),
-            links: links(now, &routers, heard),
+            links: links(now, &routers, heartbeats),
         };
         self.areas = many.into_iter().map(area).collect();
         self.digest = digest(&self.areas);
@@ -73,36 +74,36 @@
         self.few_digest = digest(&self.few);
     }
 
-    /// The routers of data centres that have too few for homes.
+    /// Returns the data centres with too few routers for homes.
     pub fn few(&self) -> &[Area] {
         &self.few
     }
 
-    /// The digest of those.
+    /// Returns the digest of [`Directory::few`].
     pub fn few_digest(&self) -> u64 {
         self.few_digest
     }
 
-    /// The areas that have enough routers for homes.
+    /// Returns the data centres with enough routers for homes.
     pub fn areas(&self) -> &[Area] {
         &self.areas
     }
 
-    /// Their digest.
+    /// Returns the digest of [`Directory::areas`].
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Whether budgets have homes in a data centre.
+    /// Returns whether budgets have homes in a data centre.
     pub fn has_homes(&self, data_centre: &str) -> bool {
         self.areas.iter().any(|a| a.data_centre == data_centre)
     }
 }
 
-fn links(now: Time, routers: &[&Router], heard: &Heard) -> Vec<String> {
+fn links(now: Time, routers: &[&Router], heartbeats: &Heartbeats) -> Vec<String> {
     let staying = routers.iter().filter(|r| !r.leaving);
-    let live: Vec<_> = staying.clone().filter(|r| !heard.is_silent(now, &r.vm)).collect();
-    // While most are silent, the cut is on this side.
-    let named = if live.len() * 2 > routers.len() { live } else { staying.collect() };
-    named.into_iter().map(|r| r.link.clone()).collect()
+    let live: Vec<_> = staying.clone().filter(|r| !heartbeats.is_silent(now, &r.vm)).collect();
+    // If at least half are silent, this process is assumed to be cut off from them.
+    let listed = if live.len() * 2 > routers.len() { live } else { staying.collect() };
+    listed.into_iter().map(|r| r.link.clone()).collect()
 }
--- a/crates/core/src/fleet/pace.rs
+++ b/crates/core/src/fleet/pace.rs
@@ -1,69 +1,71 @@
-//! How far behind a process is with its own work, and how full its link is.
+//! Overload detection by event loop latency and link utilisation.
 //!
-//! Callers may stay with one gateway whatever they are told, and its processor then has more to do
-//! than it can. All its work waits in one queue, also what it hears of the fleet: a gateway that goes
-//! on taking requests hears of no new document, gets no loan in time, notices late that callers have
-//! gone, and answers nobody in time. A pass of that queue is measured at each request, at next to no
-//! cost, and new requests are refused while passes are so long that those under way suffer.
+//! Clients may keep using one gateway although the control group names others, and overload its CPU.
+//! All its tasks share one run queue, so an overloaded gateway that keeps accepting requests also
+//! receives documents and token loans late, detects disconnected clients late and misses its latency
+//! targets. The time of one pass through the run queue is measured at each request; new requests are
+//! rejected while passes take too long.
 
 use std::collections::VecDeque;
 
 use crate::unit::{Millis, Time};
 
-/// The longest pass with which requests are taken. Each event of a stream waits for a pass, and streams
-/// are to be passed on within 200 ms of the replica's sending; a link to a control process takes three
-/// passes to open, within 600 ms.
+/// Maximum pass time at which new requests are accepted. Stream events wait for one pass and have to be
+/// forwarded within 200 ms; opening a link to a control process takes three passes and times out after
+/// 600 ms.
 pub const LONGEST: Millis = Millis(200);
 
-/// For how long a pass counts: what comes within it meets the same queue.
-const LOOK_BACK: Millis = Millis(300);
+/// How long a pass affects admission: requests that arrive meanwhile wait in the same queue.
+const PASS_WINDOW: Millis = Millis(300);
 
-/// For how long after such a pass a gateway that hears of nobody takes itself for overloaded, not for
-/// cut off: links that broke meanwhile take a second to open and to be answered on.
-const RECENTLY: Millis = Millis::seconds(3);
+/// How long after too long a pass a gateway without contact to the control group counts as overloaded
+/// rather than cut off: reconnecting the links that broke meanwhile takes about a second.
+const OVERLOAD_TTL: Millis = Millis::seconds(3);
 
-/// Weight of the newest pass in the mean, as a divisor.
-const SMOOTHING: u64 = 16;
+/// Divisor of the newest pass in the exponential moving average.
+const SMOOTHING_DIVISOR: u64 = 16;
 
-/// A mean pass with which a gateway is busy. A request waits for some eight passes on its way: at 25 ms
-/// they take 200 ms of the second or less in which most answers are wanted.
+/// Mean pass time, in microseconds, at which a gateway reports itself busy. A request waits for about
+/// eight passes, 200 ms in all at 25 ms each, while most responses are due within one second.
 const BUSY_PASS_US: u64 = 25_000;
 
-/// The part of its link's capacity with which a gateway is busy, in hundredths. What is sent in bursts
-/// fills the rest, and what a gateway hears of the fleet waits behind it.
-const BUSY_LINK: u64 = 50;
+/// Link utilisation, in percent, at which a gateway reports itself busy. The rest is left for bursts,
+/// which delay messages from the control group.
+const BUSY_LINK_PERCENT: u64 = 50;
 
-/// The part with which new connections are refused: what callers send on those there are already fills
-/// the rest.
-const FULL_LINK: u64 = 80;
+/// Link utilisation, in percent, at which new connections are rejected. The rest is left for traffic on
+/// existing connections.
+const FULL_LINK_PERCENT: u64 = 80;
 
-/// Over how long a link is looked at, at least.
-const LINK_SPAN: Millis = Millis(300);
+/// Minimum window over which link utilisation is measured.
+const LINK_WINDOW: Millis = Millis(300);
 
-/// After so long without a request the mean says nothing any more.
-const MEAN_KEPT: Millis = Millis::seconds(2);
+/// How long the mean pass time stays valid after the last request.
+const MEAN_TTL: Millis = Millis::seconds(2);
 
-/// How often refusals are logged.
-const TELL_EVERY: Millis = Millis::seconds(1);
+/// Minimum interval between two log lines about rejected requests.
+const LOG_INTERVAL: Millis = Millis::seconds(1);
 
-/// The passes of late.
+/// Recent pass times, link utilisation and rejected requests of one process.
 #[derive(Clone, Debug, Default)]
 pub struct Pace {
-    /// When they ended, and how long they took: only those that no later one exceeds.
+    /// End and duration of recent passes. Those followed by an equal or longer one are dropped, so the
+    /// front is the longest.
     passes: VecDeque<(Time, Millis)>,
-    behind_at: Option<Time>,
+    overloaded_at: Option<Time>,
     mean_us: u64,
-    noted_at: Time,
-    /// Requests refused since that was told, and when it was.
-    refused: u64,
-    told_at: Time,
-    /// Bytes served by a time, and how full the link was in the span before.
+    last_pass: Time,
+    /// Requests rejected since the last log line.
+    rejected: u64,
+    logged_at: Time,
+    /// Start of the current link window, and the total of bytes served by then.
     served: (Time, u64),
-    link: u64,
+    /// Link utilisation in the previous window, in percent.
+    link_percent: u64,
 }
 
 impl Pace {
-    /// Notes a pass that ended at `now` and took so many microseconds.
+    /// Records a pass that ended at `now` and took `took_us` microseconds.
     pub fn note(&mut self, now: Time, took_us: u64) {
         let took = Millis(took_us / 1_000);
         while self.passes.back().is_some_and(|(_, t)| *t <= took) {
@@ -71,65 +73,68 @@
         }
         self.passes.push_back((now, took));
         if took > LONGEST {
-            self.behind_at = Some(now);
+            self.overloaded_at = Some(now);
         }
-        self.mean_us = self.mean_us - self.mean_us / SMOOTHING + took_us / SMOOTHING;
-        self.noted_at = now;
+        self.mean_us =
+            self.mean_us - self.mean_us / SMOOTHING_DIVISOR + took_us / SMOOTHING_DIVISOR;
+        self.last_pass = now;
     }
 
-    /// Whether the process is too far behind to take another request.
+    /// Returns whether a recent pass was too long for new requests to be accepted.
     pub fn is_behind(&mut self, now: Time) -> bool {
-        while self.passes.front().is_some_and(|(at, _)| now.since(*at) > LOOK_BACK) {
+        while self.passes.front().is_some_and(|(at, _)| now.since(*at) > PASS_WINDOW) {
             self.passes.pop_front();
         }
         self.passes.front().is_some_and(|(_, took)| *took > LONGEST)
     }
 
-    /// Counts a request that is refused or not. Returns how many were refused, if that is to be told.
+    /// Counts a request if it was rejected (`refused`). Returns the number of requests rejected since the
+    /// last log line if another one is due.
     pub fn told(&mut self, now: Time, refused: bool) -> Option<u64> {
-        self.refused += u64::from(refused);
-        if self.refused == 0 || now.since(self.told_at) < TELL_EVERY {
+        self.rejected += u64::from(refused);
+        if self.rejected == 0 || now.since(self.logged_at) < LOG_INTERVAL {
             return None;
         }
-        self.told_at = now;
-        Some(std::mem::take(&mut self.refused))
+        self.logged_at = now;
+        Some(std::mem::take(&mut self.rejected))
     }
 
-    /// Whether it was so lately.
+    /// Returns whether a pass was too long within the last few seconds.
     pub fn was_behind(&self, now: Time) -> bool {
-        self.behind_at.is_some_and(|at| now.since(at) < RECENTLY)
+        self.overloaded_at.is_some_and(|at| now.since(at) < OVERLOAD_TTL)
     }
 
-    /// The mean pass of late, in microseconds.
+    /// Returns the moving average of the pass time in microseconds; 0 if no pass was recorded recently.
     pub fn mean_us(&self, now: Time) -> u64 {
-        if now.since(self.noted_at) < MEAN_KEPT { self.mean_us } else { 0 }
+        if now.since(self.last_pass) < MEAN_TTL { self.mean_us } else { 0 }
     }
 
-    /// Notes how many bytes have come from callers and gone to them since the start, over a link that
-    /// bears `capacity` of them a second; 0: nobody knows. Each crosses it twice, once each way.
+    /// Updates the link utilisation once per window. `bytes` is the total sent to and received from
+    /// clients since the start, `capacity` the link's bytes per second, 0 if unknown. Each byte crosses
+    /// the link once in each direction.
     pub fn note_served(&mut self, now: Time, bytes: u64, capacity: u64) {
         let (since, before) = self.served;
-        let span = now.since(since);
-        if span < LINK_SPAN {
+        let elapsed = now.since(since);
+        if elapsed < LINK_WINDOW {
             return;
         }
         self.served = (now, bytes);
-        let fits = capacity * span.0 / 1_000;
-        self.link = ((bytes - before.min(bytes)) * 100).checked_div(fits).unwrap_or(0);
+        let capacity = capacity * elapsed.0 / 1_000;
+        self.link_percent = ((bytes - before.min(bytes)) * 100).checked_div(capacity).unwrap_or(0);
     }
 
-    /// How full the link was lately, in hundredths.
+    /// Returns the link utilisation in the previous window, in percent.
     pub fn link(&self) -> u64 {
-        self.link
+        self.link_percent
     }
 
-    /// Whether there is no room on the link for what further callers would send.
+    /// Returns whether the link is too full for new connections.
     pub fn is_full(&self) -> bool {
-        self.link >= FULL_LINK
+        self.link_percent >= FULL_LINK_PERCENT
     }
 
-    /// Whether callers are better off elsewhere.
+    /// Returns whether clients should prefer other gateways.
     pub fn is_busy(&self, now: Time) -> bool {
-        self.mean_us(now) >= BUSY_PASS_US || self.link >= BUSY_LINK
+        self.mean_us(now) >= BUSY_PASS_US || self.link_percent >= BUSY_LINK_PERCENT
     }
 }
--- a/crates/core/src/fleet/regions.rs
+++ b/crates/core/src/fleet/regions.rs
@@ -1,13 +1,13 @@
-//! Which region a data centre lies in.
+//! Maps data centres to regions.
 //!
-//! All regions are one system with one control group. What goes between them takes a link that is far
-//! and narrow, so work, tokens and news stay in their region as long as that serves callers.
+//! All regions share one control group. Links between regions have high latency and low bandwidth, so
+//! requests, tokens and updates stay within a region where possible.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde::{Deserialize, Serialize};
 
-/// The regions by data centre. Where nothing is said, all lie in one.
+/// The regions by data centre. Data centres without an entry count as near to all others.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Regions {
@@ -15,17 +15,17 @@
 }
 
 impl Regions {
-    /// The regions by data centre.
+    /// Creates the map from region names by data centre.
     pub fn new(of_data_centre: BTreeMap<String, String>) -> Regions {
         Regions { of_data_centre }
     }
 
-    /// The region of a data centre, if it is known.
+    /// Returns the region of a data centre, if known.
     pub fn of(&self, data_centre: &str) -> Option<&str> {
         self.of_data_centre.get(data_centre).map(String::as_str)
     }
 
-    /// Whether two data centres lie in one region, as far as is known.
+    /// Returns whether two data centres are in the same region; true if either region is unknown.
     pub fn are_near(&self, one: &str, other: &str) -> bool {
         match (self.of(one), self.of(other)) {
             (Some(a), Some(b)) => a == b,
@@ -33,8 +33,8 @@
         }
     }
 
-    /// Whether what may be served in `allowed` alone may be served in a data centre; empty: anywhere.
-    /// One whose region is not known serves nothing that is bound to regions.
+    /// Returns whether a data centre may serve a request that is restricted to the regions `allowed`;
+    /// an empty set allows any. A data centre of unknown region serves no restricted requests.
     pub fn allow(&self, allowed: &BTreeSet<String>, data_centre: &str) -> bool {
         allowed.is_empty() || self.of(data_centre).is_some_and(|r| allowed.contains(r))
     }
--- a/crates/core/src/fleet/share.rs
+++ b/crates/core/src/fleet/share.rs
@@ -1,11 +1,9 @@
-//! What routers ask and tell each other: tokens that one sets aside for a request of another, and
-//! the prompts that they have sent to replicas.
+//! Messages between routers: token loans, prompt placements and permits.
 //!
-//! A router that is short of a budget's tokens, and cannot have more of the group in time, may use
-//! those in other routers' slices, a part from each. A lender reserves them as for a request of its
-//! own, and settles when the borrower tells what was used. If it never does, all of it counts as
-//! used.
-//! Nothing moves between leases, so that the group's accounts need not know of it.
+//! A router that is short of a budget's tokens and cannot get more from the control group in time may
+//! borrow parts of other routers' slices. The lender reserves the tokens as for a request of its own and
+//! settles once the borrower reports what was used. Without a report, the whole loan counts as used. No
+//! tokens move between leases, so the control group's ledger is not involved.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -18,126 +16,129 @@
 use crate::route::Trail;
 use crate::unit::{Millis, Time, Tokens};
 
-/// How long a borrower may take to settle; longer than any request's time limit.
-const SETTLE_WITHIN: Millis = Millis::seconds(45);
+/// Maximum time for a borrower to settle a loan; longer than any request timeout.
+const LOAN_TIMEOUT: Millis = Millis::seconds(45);
 
-/// How long it is remembered that a loan was settled, against a late request for it.
-const SETTLED_KEPT: Millis = Millis::seconds(90);
+/// How long the ids of settled loans are kept, to reject late requests for them.
+const SETTLED_TTL: Millis = Millis::seconds(90);
 
-/// A prompt that a router has sent to a replica. Others reckon with the time that reading it takes,
-/// and know where its parts are cached.
+/// A prompt that a router has sent to a replica. Other routers include it in their estimates of the
+/// replica's load and of the prefixes that it has cached.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Placement {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// The replica.
+    /// Address of the replica.
     pub replica: SocketAddr,
-    /// What of the prompt it has to read.
+    /// Tokens of the prompt that the replica does not have cached.
     pub fresh: Tokens,
-    /// The prompt.
+    /// Prefixes of the prompt.
     pub trail: Trail,
 }
 
-/// What a router asks of another, or tells it.
+/// A message from one router to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Request {
-    /// Set tokens aside, as many of them as can be spared.
+    /// Reserve as many of the tokens as the lender can spare.
     Reserve {
-        /// Drawn by the borrower; another for each loan.
+        /// Random id of the loan, chosen by the borrower.
         id: u64,
-        /// The client account.
+        /// Name of the client account.
         account: String,
-        /// How many, at most.
+        /// Maximum number of tokens.
         tokens: Tokens,
     },
-    /// So many were used; the rest is the lender's again.
+    /// Settle a loan; unused tokens return to the lender.
     Settle {
-        /// The loan.
+        /// Id of the loan.
         id: u64,
-        /// How many.
+        /// Number of tokens used.
         used: Tokens,
     },
-    /// A prompt was sent to a replica.
+    /// Report that a prompt was sent to a replica.
     Placed(Placement),
-    /// Set tokens aside at a home of the budget: all of them if they can be had in time, else as
-    /// many as there are.
+    /// Reserve tokens at a home of the budget: all of them if they become available in time, else as many
+    /// as there are.
     Hold {
-        /// Drawn by the borrower; another for each loan.
+        /// Random id of the loan, chosen by the borrower.
         id: u64,
-        /// The client account.
+        /// Name of the client account.
         account: String,
-        /// How many, at most.
+        /// Maximum number of tokens.
         tokens: Tokens,
-        /// How long the home may wait for more.
+        /// Maximum time to wait for more tokens.
         within: Millis,
     },
-    /// Permits for requests to a replica that names a limit.
+    /// Request permits for a replica with a rate limit.
     Permit(Ask),
-    /// How much longer it stands back as the first router of a replica's permits.
+    /// Ask how much longer the receiver issues a replica's permits at a reduced rate, as the first of
+    /// its permit issuers.
     Settles {
-        /// The replica.
+        /// Id of the replica.
         replica: String,
-        /// Its data centre.
+        /// Data centre of the replica.
         data_centre: String,
     },
 }
 
-/// Why a home could not set aside all tokens that were asked for.
+/// The reason a home reserved fewer tokens than requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Short {
-    /// The group says that the whole budget does not hold them.
+    /// The whole budget is too small, according to the control group.
     Spent,
-    /// They are elsewhere; there may be more after this time.
+    /// The tokens are leased elsewhere; more may be available after this time.
     Busy(Millis),
-    /// The home has them, and may spend them after this time.
+    /// The home has the tokens, but its spending limit allows them only after this time.
     Limited(Millis),
-    /// This router takes on no loans.
+    /// The router does not accept loans.
     Closed,
 }
 
-/// A lender's answer.
+/// The response to a [`Request`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// So many are set aside; 0: the lender can spare none.
+    /// Number of tokens reserved; 0 if the lender can spare none.
     Reserved(Tokens),
-    /// It is settled.
+    /// The loan is settled.
     Settled,
-    /// It is taken note of.
+    /// The placement is recorded.
     Noted,
-    /// So many are set aside at a home, and why not all.
+    /// Number of tokens reserved at a home, and the reason if not all of them are.
     Held(Tokens, Option<Short>),
-    /// To [`Request::Permit`].
+    /// The response to [`Request::Permit`].
     Permitted(Grant),
-    /// To [`Request::Settles`]; none: it does not, or is not the first.
+    /// Remaining time at the reduced rate, the response to [`Request::Settles`]; `None` if the router is
+    /// not the first issuer or issues at the full rate.
     Settles(Option<Millis>),
 }
 
-/// The lenders to ask, at most `most`: those that can likely spare most first, and among equals
-/// any, so that not all borrowers ask the same.
+/// Returns at most `limit` lenders to ask, in descending order of the tokens they can probably spare.
+/// Ties are in random order, so that borrowers do not all ask the same lender.
 pub fn lenders<K>(
     peers: impl IntoIterator<Item = (K, Tokens)>,
-    most: usize,
+    limit: usize,
     rng: &mut impl Rng,
 ) -> Vec<K> {
-    // A key drawn anew at each comparison would be no order.
-    let drawn = peers.into_iter().map(|(peer, hope)| (Reverse(hope), rng.random::<u32>(), peer));
+    // One random number per peer: drawing it in the comparison would not give a consistent order.
+    let drawn = peers.into_iter().map(|(peer, spare)| (Reverse(spare), rng.random::<u32>(), peer));
     let mut all: Vec<_> = drawn.collect();
-    all.sort_by_key(|(hope, draw, _)| (*hope, *draw));
-    all.into_iter().take(most).map(|(_, _, peer)| peer).collect()
+    all.sort_by_key(|(spare, draw, _)| (*spare, *draw));
+    all.into_iter().take(limit).map(|(_, _, peer)| peer).collect()
 }
 
-/// What each part of a reservation is charged of `used` tokens, in the order of `parts`.
+/// Splits `used` tokens over the parts of a reservation: fills them in order and returns the charge of
+/// each.
 pub fn charges(parts: &[Tokens], used: Tokens) -> Vec<Tokens> {
-    let mut left = used;
+    let mut remaining = used;
     let mut charge = |part: &Tokens| {
-        let of_part = left.min(*part);
-        left -= of_part;
-        of_part
+        let charged = remaining.min(*part);
+        remaining -= charged;
+        charged
     };
     parts.iter().map(&mut charge).collect()
 }
 
-/// A lender's loans; `R` is what it holds for each.
+/// The loans of a lender, by id; `R` is the reservation held for each.
 #[derive(Debug)]
 pub struct Loans<R> {
     open: BTreeMap<u64, (Time, R)>,
@@ -151,13 +152,17 @@
 }
 
 impl<R> Loans<R> {
-    /// Whether loan `id` may be made: not if it was settled before its request came.
+    /// Returns whether loan `id` may be made; false if it was already settled, because then its request
+    /// arrived late.
     pub fn may_make(&self, id: u64) -> bool {
         !self.settled.contains_key(&id)
     }
 
-    /// Makes a loan of `held`, unless it was made or settled meanwhile: then `held` is handed back
-    /// to be given up, and a copy of the request is told of what was made first.
+    /// Records loan `id` with the reservation `held`.
+    ///
+    /// # Errors
+    ///
+    /// Returns `held`, for the caller to release, if the loan was made or settled meanwhile.
     pub fn make_once(&mut self, now: Time, id: u64, held: R) -> Result<(), R> {
         if self.open.contains_key(&id) || !self.may_make(id) {
             return Err(held);
@@ -166,32 +171,32 @@
         Ok(())
     }
 
-    /// What is held for loan `id`, if it is open.
+    /// Returns the reservation held for loan `id`, if the loan is open.
     pub fn get(&self, id: u64) -> Option<&R> {
         self.open.get(&id).map(|(_, held)| held)
     }
 
-    /// Makes a loan.
+    /// Records loan `id` with the reservation `held`.
     pub fn make(&mut self, now: Time, id: u64, held: R) {
         self.open.insert(id, (now, held));
     }
 
-    /// Ends a loan; returns what was held for it, once.
+    /// Marks a loan as settled. Returns its reservation if the loan was open.
     pub fn settle(&mut self, now: Time, id: u64) -> Option<R> {
         self.settled.insert(id, now);
         self.open.remove(&id).map(|(_, held)| held)
     }
 
-    /// Ends the loans whose borrowers keep silent, and returns what was held for them: all of it
-    /// counts as used.
+    /// Ends the loans that were not settled in time and returns their reservations, all of which count as
+    /// used.
     pub fn expire(&mut self, now: Time) -> Vec<R> {
-        self.settled.retain(|_, at| now.since(*at) < SETTLED_KEPT);
-        let late: Vec<u64> = self
+        self.settled.retain(|_, at| now.since(*at) < SETTLED_TTL);
+        let overdue: Vec<u64> = self
             .open
             .iter()
-            .filter(|(_, (since, _))| now.since(*since) >= SETTLE_WITHIN)
+            .filter(|(_, (since, _))| now.since(*since) >= LOAN_TIMEOUT)
             .map(|(id, _)| *id)
             .collect();
-        late.into_iter().filter_map(|id| self.settle(now, id)).collect()
+        overdue.into_iter().filter_map(|id| self.settle(now, id)).collect()
     }
 }
