--- a/crates/core/src/fleet/entry.rs
+++ b/crates/core/src/fleet/entry.rs
@@ -26,7 +26,7 @@
     heartbeats: BTreeMap<String, (RouterSign, Time)>,
     spill: Spill,
     /// Number of address lists returned so far.
-    answers: u64,
+    lists: u64,
     /// Position of the next router of other data centres in the rotation.
     next_other: usize,
 }
@@ -80,7 +80,7 @@
         let open =
             self.heartbeats.values().filter(|(r, at)| r.open && now.since(*at) < SILENT_AFTER);
         self.spill.decide(now, open.map(|(r, _)| spill_sign(r)));
-        self.answers += 1;
+        self.lists += 1;
         let known = self.heartbeats.values().filter(|(r, at)| r.open && now.since(*at) < KNOWN_FOR);
         let known: Vec<_> = known.collect();
         let is_live = |at: Time| now.since(at) < SILENT_AFTER;
@@ -88,7 +88,7 @@
         let usable = if live.len() * 2 > known.len() { live } else { known };
         let is_own = |r: &RouterSign| r.data_centre == data_centre;
         let is_near = |r: &RouterSign| regions.are_near(&r.data_centre, data_centre);
-        let is_left_out = |r: &RouterSign| self.spill.leaves_out(&r.vm, self.answers);
+        let is_left_out = |r: &RouterSign| self.spill.leaves_out(&r.vm, self.lists);
         let remaining: Vec<_> = usable.iter().copied().filter(|(r, _)| !is_left_out(r)).collect();
         let usable = if remaining.is_empty() { usable } else { remaining };
         let (in_region, other_regions): (Vec<_>, Vec<_>) =
--- a/crates/core/src/fleet/pace.rs
+++ b/crates/core/src/fleet/pace.rs
@@ -88,10 +88,10 @@
         self.passes.front().is_some_and(|(_, took)| *took > LONGEST)
     }
 
-    /// Counts a request if it was rejected (`refused`). Returns the number of requests rejected since the
+    /// Counts a request if it was rejected (`rejected`). Returns the number of requests rejected since the
     /// last log line if another one is due.
-    pub fn told(&mut self, now: Time, refused: bool) -> Option<u64> {
-        self.rejected += u64::from(refused);
+    pub fn told(&mut self, now: Time, rejected: bool) -> Option<u64> {
+        self.rejected += u64::from(rejected);
         if self.rejected == 0 || now.since(self.logged_at) < LOG_INTERVAL {
             return None;
         }
