--- a/crates/core/src/fleet/mod.rs
+++ b/crates/core/src/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! What a fleet of forwarding routers works from: whole documents of routes and accounts, the
-//! replicas that register, and the messages in which control processes pass both on.
+//! State of a fleet of gateways: versioned documents of routes and client accounts, the replicas
+//! that register, and the messages by which control processes distribute both.
 
 pub mod admission;
 pub mod clocks;
--- a/crates/core/src/fleet/repair.rs
+++ b/crates/core/src/fleet/repair.rs
@@ -1,4 +1,5 @@
-//! How a control group founds and mends itself without an operator.
+//! Chooses membership changes by which the control group grows and replaces lost members without an
+//! operator.
 
 use std::collections::BTreeMap;
 
@@ -6,43 +7,44 @@
 use crate::raft::{MemberChange, Members};
 use crate::unit::{Millis, NodeId, Time};
 
-/// A process that has not announced itself for this long is no candidate.
-const ANNOUNCED_WITHIN: Millis = Millis(2_500);
+/// A process whose last announcement is at least this old is no longer a candidate.
+const CANDIDATE_TTL: Millis = Millis(2_500);
 
-/// A member that has not answered for this long may be replaced.
+/// A member that has not answered for this long counts as lost and may be removed.
 const SILENT_AFTER: Millis = Millis(2_500);
 
-/// How a member stands with its leader.
+/// The state of a member as its leader sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Health {
-    /// How long it has not answered.
+    /// Time since its last answer.
     pub silent: Millis,
-    /// It has everything that is committed.
+    /// Whether its log contains all committed entries.
     pub caught_up: bool,
 }
 
-/// The processes that say that they belong to no group.
+/// Control processes that have announced that they belong to no group.
 #[derive(Clone, Debug, Default)]
 pub struct Candidates {
-    heard: BTreeMap<NodeId, (String, Time)>,
+    announced: BTreeMap<NodeId, (String, Time)>,
 }
 
 impl Candidates {
-    /// Notes a process's word.
+    /// Records the announcement of a process.
     pub fn note(&mut self, now: Time, a: Announce) {
-        self.heard.insert(a.node, (a.address, now));
+        self.announced.insert(a.node, (a.address, now));
     }
 
-    /// Forgets those that are silent.
+    /// Removes candidates whose last announcement is too old.
     pub fn tick(&mut self, now: Time) {
-        self.heard.retain(|_, (_, at)| now.since(*at) < ANNOUNCED_WITHIN);
+        self.announced.retain(|_, (_, at)| now.since(*at) < CANDIDATE_TTL);
     }
 }
 
-/// The next change that a leader makes to its group, which should have `want` voters.
+/// Returns the next membership change for a leader `me` to make in a group that should have `want`
+/// voters, or `None` if no change is needed or safe.
 ///
-/// `health` tells how each member but the leader stands. A change is made only if those that
-/// answer are a quorum after it, so that a repair never costs what it is to protect.
+/// `health` returns the state of each member other than the leader. A change is returned only if the
+/// members that answer form a quorum after it, so a repair cannot cost the group its quorum.
 pub fn next_change(
     members: &Members,
     me: NodeId,
@@ -55,7 +57,7 @@
         let after = members.with(&c)?;
         after.agree(answers).then_some(c)
     };
-    replaced(members, candidates)
+    disk_lost_member(members, candidates)
         .and_then(|n| safe(MemberChange::Remove(n)))
         .or_else(|| {
             let ready = |n: &NodeId| answers(*n) && health(*n).caught_up;
@@ -72,20 +74,24 @@
             safe(MemberChange::Remove(lost))
         })
         .or_else(|| {
-            let newcomer = newcomer(members, candidates).filter(|_| members.learners.is_empty());
-            newcomer.and_then(safe)
+            let addition =
+                add_candidate(members, candidates).filter(|_| members.learners.is_empty());
+            addition.and_then(safe)
         })
 }
 
-/// A member at whose address another process announces itself: its disk is lost.
-fn replaced(members: &Members, candidates: &Candidates) -> Option<NodeId> {
+/// Returns a member whose address is announced by a process with another id, which means that the
+/// member has lost its disk.
+fn disk_lost_member(members: &Members, candidates: &Candidates) -> Option<NodeId> {
     let mut all = members.addresses.iter();
-    let taken = |n: &NodeId, a: &String| candidates.heard.iter().any(|(c, h)| c != n && h.0 == *a);
-    all.find(|(n, a)| !candidates.heard.contains_key(n) && taken(n, a)).map(|(n, _)| *n)
+    let taken =
+        |n: &NodeId, a: &String| candidates.announced.iter().any(|(c, h)| c != n && h.0 == *a);
+    all.find(|(n, a)| !candidates.announced.contains_key(n) && taken(n, a)).map(|(n, _)| *n)
 }
 
-fn newcomer(members: &Members, candidates: &Candidates) -> Option<MemberChange> {
-    let mut all = candidates.heard.iter();
+/// Returns the change that adds the first candidate that is not a member as a learner.
+fn add_candidate(members: &Members, candidates: &Candidates) -> Option<MemberChange> {
+    let mut all = candidates.announced.iter();
     let (n, (address, _)) = all.find(|(n, _)| !members.contains(**n))?;
     Some(MemberChange::AddLearner(*n, address.clone()))
 }
--- a/crates/core/src/fleet/retry.rs
+++ b/crates/core/src/fleet/retry.rs
@@ -1,36 +1,37 @@
-//! A router's part of the fleet's budget of retries, over a sliding window.
+//! One router's share of the fleet's retry budget, over a sliding window.
 
 use std::collections::VecDeque;
 
 use crate::unit::{Millis, Time};
 
-/// The fleet's bound: in every window of `window`, no more than `hundredths` retries for each 100
-/// requests, and `extra` besides.
+/// The fleet's limit: in each window of length `window`, at most `hundredths` retries per 100 requests,
+/// plus `extra`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bound {
-    /// Retries for each 100 requests.
+    /// Retries per 100 requests.
     pub hundredths: u64,
-    /// Retries besides.
+    /// Additional retries of the whole fleet, independent of the number of requests.
     pub extra: u64,
-    /// The window.
+    /// Length of the sliding window.
     pub window: Millis,
 }
 
-/// One service's requests and retries at one router.
+/// The requests and retries of one service at one router within the window.
 #[derive(Clone, Debug)]
 pub struct Window {
-    /// When the router started that counts them.
+    /// When this router started.
     started: Time,
     requests: VecDeque<Time>,
     retries: VecDeque<Time>,
 }
 
 impl Window {
-    /// Nothing is counted yet by a router that started at `started`.
+    /// Returns an empty window of a router that started at `started`.
     pub fn new(started: Time) -> Window {
         Window { started, requests: VecDeque::new(), retries: VecDeque::new() }
     }
 
+    /// Drops requests and retries that are older than the window.
     fn trim(&mut self, now: Time, window: Millis) {
         for q in [&mut self.requests, &mut self.retries] {
             while q.front().is_some_and(|t| now.since(*t) >= window) {
@@ -39,23 +40,24 @@
         }
     }
 
-    /// Counts a request.
+    /// Records a request.
     pub fn request(&mut self, now: Time, b: &Bound) {
         self.trim(now, b.window);
         self.requests.push_back(now);
     }
 
-    /// Takes a retry out of this router's part, with `routers` of them; false if none is left.
+    /// Records a retry if this router's share of the budget allows it. Returns `false` if it does not.
     ///
-    /// Each router keeps to its own requests' share, and to an equal part of what is allowed
-    /// besides; the sum over all routers then keeps the fleet's bound in every window. One that started
-    /// less than a window ago may have made its part of that before, and has forgotten it.
+    /// The share of each of the `routers` routers is the percentage of its own requests plus an equal
+    /// part of `extra`, so the sum over all routers stays within the fleet's limit. A router that
+    /// started less than a window ago gets no part of `extra`, because it may have used that part before
+    /// the restart.
     pub fn take(&mut self, now: Time, b: &Bound, routers: u64) -> bool {
         self.trim(now, b.window);
-        let earned = self.requests.len() as u64 * b.hundredths / 100;
+        let from_requests = self.requests.len() as u64 * b.hundredths / 100;
         let is_new = now.since(self.started) < b.window;
-        let besides = if is_new { 0 } else { b.extra / routers.max(1) };
-        let allowed = earned + besides;
+        let extra = if is_new { 0 } else { b.extra / routers.max(1) };
+        let allowed = from_requests + extra;
         if self.retries.len() as u64 >= allowed {
             return false;
         }
--- a/crates/core/src/fleet/routes.rs
+++ b/crates/core/src/fleet/routes.rs
@@ -1,4 +1,4 @@
-//! A document arranged for looking up routes, keys and services.
+//! Lookup of routes, client accounts and services in the document in force.
 
 use std::collections::HashMap;
 
@@ -7,12 +7,13 @@
 use crate::hash::Fnv;
 use crate::unit::{Tokens, Version};
 
-/// A document in force.
+/// The document in force, indexed by host, key and service name.
 #[derive(Clone, Debug)]
 pub struct Routes {
     version: Version,
-    /// By host, the longest prefix first.
+    /// Routes by host in lower case, those with the longest path prefix first.
     by_host: HashMap<String, Vec<Route>>,
+    /// Index into `accounts` by key. `None` if the document has no accounts.
     by_key: Option<HashMap<String, usize>>,
     accounts: Vec<Tenant>,
     services: HashMap<String, Backend>,
@@ -20,7 +21,7 @@
 }
 
 impl Routes {
-    /// Arranges a document.
+    /// Builds the indexes for a document.
     pub fn new(d: Document) -> Routes {
         let mut by_host: HashMap<String, Vec<Route>> = HashMap::new();
         for r in d.routes {
@@ -29,41 +30,44 @@
         for routes in by_host.values_mut() {
             routes.sort_by_key(|r| std::cmp::Reverse(r.prefix.len()));
         }
-        let keyed = d.accounts.is_some();
+        let has_accounts = d.accounts.is_some();
         let accounts = d.accounts.unwrap_or_default();
         let keys = accounts.iter().enumerate();
-        let keys = keys.flat_map(|(n, t)| t.keys.iter().map(move |k| (k.clone(), n)));
-        let by_key = keyed.then(|| keys.collect());
+        let keys = keys.flat_map(|(i, t)| t.keys.iter().map(move |k| (k.clone(), i)));
+        let by_key = has_accounts.then(|| keys.collect());
         let services = d.services.into_iter().map(|s| (s.name.clone(), s)).collect();
         Routes { version: d.version, by_host, by_key, accounts, services, limits: d.limits }
     }
 
-    /// The document's version.
+    /// Returns the version of the document.
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// Bounds on callers.
+    /// Returns the limits on callers' requests and connections.
     pub fn limits(&self) -> &Limits {
         &self.limits
     }
 
-    /// The route of a request; `host` may carry a port.
+    /// Returns the route with the longest prefix that matches a request. `host` may include a port.
+    /// Fails with [`Code::RouteUnknown`] if there is none.
     pub fn route(&self, host: &str, path: &str) -> Result<&Route, Code> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name).to_ascii_lowercase();
         let routes = self.by_host.get(&name).ok_or(Code::RouteUnknown)?;
         routes.iter().find(|r| path.starts_with(&r.prefix)).ok_or(Code::RouteUnknown)
     }
 
-    /// The account that a request on `route` is for; `None` where it needs none.
+    /// Returns the client account of the key that a request on `route` carries, or `None` if the route
+    /// is open or the document has no accounts. Fails with [`Code::KeyMissing`] or [`Code::KeyUnknown`].
     pub fn account(&self, route: &Route, key: Option<&str>) -> Result<Option<&Tenant>, Code> {
         let Some(by_key) = self.by_key.as_ref().filter(|_| !route.open) else { return Ok(None) };
         let key = key.ok_or(Code::KeyMissing)?;
-        let n = by_key.get(key).ok_or(Code::KeyUnknown)?;
-        Ok(self.accounts.get(*n))
+        let i = by_key.get(key).ok_or(Code::KeyUnknown)?;
+        Ok(self.accounts.get(*i))
     }
 
-    /// The service that a request goes to: drawn by `draw` after the targets' weights.
+    /// Returns the service for a request: a choice among the route's targets by their weights, made by
+    /// the number `draw`.
     pub fn service(&self, route: &Route, draw: u64) -> Option<&Backend> {
         let sum: u64 = route.targets.iter().map(|t| u64::from(t.weight)).sum();
         let mut left = draw.checked_rem(sum)?;
@@ -77,23 +81,23 @@
         None
     }
 
-    /// What an account has prepaid, if a budget bounds it.
+    /// Returns an account's prepaid tokens, or `None` if it is unknown or has no budget.
     pub fn prepaid(&self, account: &str) -> Option<Tokens> {
         self.accounts.iter().find(|t| t.name == account)?.prepaid
     }
 
-    /// A service by name.
+    /// Returns the service with this name.
     pub fn backend(&self, name: &str) -> Option<&Backend> {
         self.services.get(name)
     }
 
-    /// All services.
+    /// Returns all services, in no particular order.
     pub fn backends(&self) -> impl Iterator<Item = &Backend> {
         self.services.values()
     }
 }
 
-/// A stable draw for a request's id.
+/// Returns a number derived from a request's id, the same for every attempt.
 pub fn draw(id: &str) -> u64 {
     Fnv::new().part(id.as_bytes()).value()
 }
--- a/crates/core/src/fleet/sound.rs
+++ b/crates/core/src/fleet/sound.rs
@@ -1,31 +1,31 @@
-//! Requests that were answered whole lately, so that one that is asked for again and again is not
-//! suspected of ending replicas that it runs on.
+//! Recently completed requests. A request that completes often must not be suspected of crashing
+//! the replicas that it runs on.
 
 use std::collections::HashSet;
 
-/// Requests of one generation. A gateway that answers thirty a second remembers half a minute to a
-/// minute of them, in some 20 kB.
-const GENERATION: usize = 1_024;
+/// Maximum number of requests per generation: 30 to 60 seconds of history at 30 requests per second,
+/// in about 20 kB.
+const MAX_PER_GENERATION: usize = 1_024;
 
-/// The requests, by a hash that the process keys for itself, in two generations: the older one goes
-/// when the newer is full.
+/// A set of recently completed requests, identified by a hash with a per-process key. It holds two
+/// generations and drops the older one when the newer one is full.
 #[derive(Clone, Debug, Default)]
 pub struct Sound {
-    new: HashSet<u64>,
-    old: HashSet<u64>,
+    newer: HashSet<u64>,
+    older: HashSet<u64>,
 }
 
 impl Sound {
-    /// Notes that a request was answered whole.
+    /// Records that the request with this hash completed.
     pub fn note(&mut self, hash: u64) {
-        if self.new.len() >= GENERATION {
-            self.old = std::mem::take(&mut self.new);
+        if self.newer.len() >= MAX_PER_GENERATION {
+            self.older = std::mem::take(&mut self.newer);
         }
-        self.new.insert(hash);
+        self.newer.insert(hash);
     }
 
-    /// Whether a request was answered whole lately.
+    /// Returns whether the request with this hash completed recently.
     pub fn has(&self, hash: u64) -> bool {
-        self.new.contains(&hash) || self.old.contains(&hash)
+        self.newer.contains(&hash) || self.older.contains(&hash)
     }
 }
--- a/crates/core/src/fleet/spill.rs
+++ b/crates/core/src/fleet/spill.rs
@@ -1,89 +1,96 @@
-//! How callers are led away from gateways that are busy.
+//! Directs callers away from busy gateways through the address lists that control processes return.
 //!
-//! Some callers stay with one gateway as long as they are told of it, and callers move from one data
-//! centre to another while gateways do not: one gateway, or the few of a data centre, then get the work
-//! of many. What callers are told is the only way to spread it. A busy gateway is left out of a part of
-//! the answers, more of them each second that it stays busy and fewer as soon as it does not, so that
-//! it keeps as many callers as it can bear: left out of all at once, it would pass its whole crowd on to
-//! the next. Where most of a data centre's gateways are busy, answers name some of others as well.
-//! Each control process decides for itself; all hear the same.
+//! Callers may keep using one gateway for as long as it is listed, and may move to another data centre
+//! while the gateways cannot. The list is therefore the only means to spread the load. A busy gateway
+//! is omitted from a share of the answers. The share grows every second while the gateway is busy and
+//! shrinks afterwards; omitting it from all answers at once would move its whole load to the next
+//! gateway. If most gateways of a data centre are busy, answers also list gateways of other data
+//! centres. Each control process computes the shares independently from the same router status.
 
 use std::collections::BTreeMap;
 
 use crate::hash::Fnv;
 use crate::unit::{Millis, Time};
 
-/// The part of a data centre's gateways that have to be busy for others to be named, in hundredths.
-const BUSY_PART: usize = 50;
+/// Percentage of a data centre's gateways that must be busy before other data centres are listed.
+const MIN_BUSY_PERCENT: usize = 50;
 
-/// How often it is decided: callers keep an answer for some seconds.
-const EVERY: Millis = Millis::seconds(1);
+/// Interval between updates. Callers cache an answer for some seconds.
+const UPDATE_INTERVAL: Millis = Millis::seconds(1);
 
-/// By how many thousandths a part rises in a second, and falls. Rising takes four seconds to the whole,
-/// falling half a minute: a gateway that is busy again at once costs its callers more than one that
-/// could bear some more.
-const RISE: u64 = 250;
-const FALL: u64 = 30;
+/// Increase of a share per update while a gateway or data centre is busy, in thousandths.
+const RISE_PER_UPDATE: u64 = 250;
 
-/// All of them.
-const ALL: u64 = 1_000;
+/// Decrease of a share per update otherwise, in thousandths. It is slower than the increase because a
+/// gateway that becomes busy again costs its callers more than one with unused capacity.
+const FALL_PER_UPDATE: u64 = 30;
 
-/// A gateway that takes callers, as it says itself.
+/// The share of 100 %, in thousandths.
+const FULL_SHARE: u64 = 1_000;
+
+/// The load that a gateway reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sign<'a> {
-    /// The name of its `Vm`.
+    /// Name of its `Vm`.
     pub vm: &'a str,
     /// Its data centre.
     pub data_centre: &'a str,
-    /// It has more work than it can do well.
+    /// Whether it has more work than it can serve in time.
     pub busy: bool,
 }
 
-/// The parts of answers in which gateways are left out, and which data centres name others' gateways.
+/// The share of answers that omit each busy gateway, and the share of remote gateways that answers to
+/// callers in a busy data centre list.
 #[derive(Clone, Debug, Default)]
 pub struct Spill {
-    left_out: BTreeMap<String, u64>,
-    beyond: BTreeMap<String, u64>,
-    decided: Time,
+    omitted: BTreeMap<String, u64>,
+    remote: BTreeMap<String, u64>,
+    updated_at: Time,
 }
 
-fn step(parts: &mut BTreeMap<String, u64>, name: &str, busy: bool) {
-    let part = parts.get(name).copied().unwrap_or(0);
-    let next = if busy { (part + RISE).min(ALL) } else { part.saturating_sub(FALL) };
+/// Raises or lowers the share stored under `name`, and removes it when it reaches 0.
+fn adjust_share(shares: &mut BTreeMap<String, u64>, name: &str, busy: bool) {
+    let share = shares.get(name).copied().unwrap_or(0);
+    let next = if busy {
+        (share + RISE_PER_UPDATE).min(FULL_SHARE)
+    } else {
+        share.saturating_sub(FALL_PER_UPDATE)
+    };
     match next {
-        0 => parts.remove(name),
-        _ => parts.insert(name.to_owned(), next),
+        0 => shares.remove(name),
+        _ => shares.insert(name.to_owned(), next),
     };
 }
 
 impl Spill {
-    /// Decides anew, if it is time.
+    /// Updates all shares from the gateways' reported load, at most once per second.
     pub fn decide<'a>(&mut self, now: Time, gateways: impl Iterator<Item = Sign<'a>>) {
-        if now.since(self.decided) < EVERY {
+        if now.since(self.updated_at) < UPDATE_INTERVAL {
             return;
         }
-        self.decided = now;
+        self.updated_at = now;
         let mut counts: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
         for g in gateways {
-            step(&mut self.left_out, g.vm, g.busy);
+            adjust_share(&mut self.omitted, g.vm, g.busy);
             let (busy, all) = counts.entry(g.data_centre).or_default();
             *busy += usize::from(g.busy);
             *all += 1;
         }
         for (data_centre, (busy, all)) in counts {
-            step(&mut self.beyond, data_centre, busy * 100 >= all * BUSY_PART);
+            adjust_share(&mut self.remote, data_centre, busy * 100 >= all * MIN_BUSY_PERCENT);
         }
     }
 
-    /// Whether answer number `n` leaves a gateway out.
+    /// Returns whether answer number `n` omits the gateway `vm`.
     pub fn leaves_out(&self, vm: &str, n: u64) -> bool {
-        let Some(part) = self.left_out.get(vm) else { return false };
-        Fnv::new().part(vm.as_bytes()).part(&n.to_be_bytes()).value() % ALL < *part
+        let Some(share) = self.omitted.get(vm) else { return false };
+        Fnv::new().part(vm.as_bytes()).part(&n.to_be_bytes()).value() % FULL_SHARE < *share
     }
 
-    /// How many of `others` a caller in a data centre is told of besides its own.
+    /// Returns how many of `others` gateways of other data centres to list for a caller in
+    /// `data_centre`.
     pub fn beyond(&self, data_centre: &str, others: usize) -> usize {
-        let part = self.beyond.get(data_centre).copied().unwrap_or(0);
-        (others as u64 * part).div_ceil(ALL) as usize
+        let share = self.remote.get(data_centre).copied().unwrap_or(0);
+        (others as u64 * share).div_ceil(FULL_SHARE) as usize
     }
 }
--- a/crates/core/src/fleet/telling.rs
+++ b/crates/core/src/fleet/telling.rs
@@ -1,38 +1,40 @@
-//! How much a router tells others of the prompts that it sends.
+//! Rate limit on the messages by which a gateway announces prompt placements to its peers.
 //!
-//! Each prompt is told to many peers, so a router that many callers use at once would fill its own
-//! link with it, and answer nobody in time. Peers that are told nothing choose by what they know.
+//! Each placement is announced to many peers, so announcements alone could saturate the link of a
+//! gateway with many callers. A peer that misses one chooses a replica by what it already knows.
 
 use crate::unit::{Millis, Time};
 
-/// Messages of a router in a second, and at once after a pause. Of some 250 bytes each with their answers
-/// they are a tenth of a link of 10 Mbit/s. Routers met so far tell 40 to 110 a second; one that every
-/// seventh caller of a fleet of 291 used would have told 10,000.
-const MESSAGES: u64 = 400;
+/// Messages per second, and the burst after a pause. At about 250 bytes per message and reply they use
+/// a tenth of a 10 Mbit/s link.
+const MESSAGES_PER_SECOND: u64 = 400;
 
-/// What a router may tell yet.
+/// A token bucket of messages to peers.
 #[derive(Clone, Copy, Debug)]
 pub struct Allowance {
-    /// Thousandths of messages.
-    left: u64,
-    since: Time,
+    /// Available tokens, in thousandths of a message.
+    available: u64,
+    refilled_at: Time,
 }
 
 impl Default for Allowance {
     fn default() -> Allowance {
-        Allowance { left: MESSAGES * 1_000, since: Time(0) }
+        Allowance { available: MESSAGES_PER_SECOND * 1_000, refilled_at: Time(0) }
     }
 }
 
 impl Allowance {
-    /// Takes `n` messages; false if they are too many now.
+    /// Takes tokens for `n` messages. Returns `false`, and takes none, if there are too few.
     pub fn take(&mut self, now: Time, n: u64) -> bool {
-        let Millis(span) = now.since(self.since);
-        self.left = self.left.saturating_add(span.saturating_mul(MESSAGES)).min(MESSAGES * 1_000);
-        self.since = now;
+        let Millis(elapsed) = now.since(self.refilled_at);
+        self.available = self
+            .available
+            .saturating_add(elapsed.saturating_mul(MESSAGES_PER_SECOND))
+            .min(MESSAGES_PER_SECOND * 1_000);
+        self.refilled_at = now;
         let wanted = n.saturating_mul(1_000);
-        let may = wanted <= self.left;
-        self.left -= if may { wanted } else { 0 };
-        may
+        let allowed = wanted <= self.available;
+        self.available -= if allowed { wanted } else { 0 };
+        allowed
     }
 }
