--- a/crates/core/src/fleet/registry.rs
+++ b/crates/core/src/fleet/registry.rs
@@ -1,10 +1,10 @@
-//! The replicas that have registered themselves, from heartbeats that may come late, twice or by
-//! way of another control process.
+//! The registered replicas, built from heartbeats that may arrive late, twice or through another
+//! control process.
 //!
-//! Nothing of it is durable: a control process that starts learns it anew from heartbeats and
-//! from the others. A replica may start again under the id that it had: its lives are ordered by
-//! when they began, and within one life by the numbers of its heartbeats. What is known of one that
-//! has left is kept until no late heartbeat of it can come.
+//! The registry is not durable: a control process rebuilds it after a start from heartbeats and
+//! from the other control processes. A replica may restart under the same id. Its incarnations are
+//! ordered by start time, and the heartbeats of one incarnation by sequence number. The record of a
+//! replica that has left is kept until no late heartbeat of it can arrive.
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -16,103 +16,105 @@
 
 use crate::unit::{Millis, Time};
 
-/// How long one that has left is remembered, against late heartbeats.
-const LEFT_KEPT: Millis = Millis::seconds(120);
+/// Time for which the record of a draining or departed replica is kept after its last heartbeat.
+const DEPARTED_TTL: Millis = Millis::seconds(120);
 
-/// How long after a heartbeat of the same replica one that another control process heard is passed on
-/// again, in heartbeats. Each process tells all others of what it heard itself. Some of them may be
-/// out of its reach: what they hear at second hand keeps a replica from being taken for silent, at a
-/// part of the messages.
-const SECOND_HAND: u64 = 2;
+/// Minimum interval between relayed heartbeats of one replica, in heartbeat intervals, if they come
+/// from another control process. Each process sends its own replicas' heartbeats to all others. The
+/// relayed ones keep a process that it cannot reach from marking these replicas silent.
+const MIN_RELAY_HEARTBEATS: u64 = 2;
 
-/// How often silent replicas are looked for.
-const TICK: Millis = Millis(100);
+/// Interval between scans for silent replicas and expired records.
+const SCAN_INTERVAL: Millis = Millis(100);
 
-/// Heartbeats that may be missed before a replica counts as silent.
-const MISSED: u64 = 4;
+/// Heartbeat intervals without a heartbeat after which a replica counts as silent.
+const MAX_MISSED_HEARTBEATS: u64 = 4;
 
-/// What a replica says of itself.
+/// The data that a replica sends with each heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Registration {
-    /// Its id; another start may have the same.
+    /// Id of the replica. It may stay the same across restarts.
     pub id: String,
-    /// The service that it belongs to.
+    /// Name of its service.
     pub service: String,
-    /// Where it listens.
+    /// IP address and port on which it accepts requests.
     pub address: String,
-    /// Its data centre.
+    /// Name of its data centre.
     pub data_centre: String,
-    /// Version of its software; empty if it does not say.
+    /// Version of its software, or empty if not reported.
     #[serde(default)]
     pub version: String,
-    /// Requests that it works on at a time.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// How much longer it stays slow after its start.
+    /// Remaining duration of its cold start, during which it is slow.
     pub cold: Millis,
-    /// Rises with every heartbeat, from each start on.
+    /// Heartbeat number within this incarnation, strictly increasing.
     pub sequence: u64,
-    /// When it started, in milliseconds since 1970 by its own clock; 0 if it does not say.
+    /// Start time of this incarnation by the replica's clock, in milliseconds since 1970, or 0 if
+    /// not reported.
     #[serde(default)]
     pub born: u64,
 }
 
-/// The longest that a replica may say that it stays slow: no start takes that long.
-const COLD_MOST: Millis = Millis::seconds(3_600);
+/// Maximum cold start that a registration may contain.
+const MAX_COLD: Millis = Millis::seconds(3_600);
 
 impl Registration {
-    /// Whether it can be what a replica says of itself; why not, if it cannot.
+    /// Validates the address and the cold start. Returns the reason if one of them is invalid.
     pub fn check(&self) -> Result<(), String> {
         if self.address.parse::<SocketAddr>().is_err() {
-            return Err(format!("'{}' is no address with a port", self.address));
+            return Err(format!("'{}' is not an IP address with a port", self.address));
         }
-        if self.cold > COLD_MOST {
-            return Err(format!("it cannot stay slow for {} ms", self.cold.0));
+        if self.cold > MAX_COLD {
+            return Err(format!("a cold start of {} ms exceeds the maximum", self.cold.0));
         }
         Ok(())
     }
 
-    /// Whether this is of a later life of the replica than `known`, or of an earlier one. Words that
-    /// do not tell their life are of the one that is known.
+    /// Compares the incarnations of two registrations of the same replica. They compare equal if
+    /// either has no start time.
     pub fn life(&self, known: &Registration) -> Ordering {
-        order_of_lives(self.born, known.born)
+        cmp_start_times(self.born, known.born)
     }
 }
 
-fn order_of_lives(one: u64, other: u64) -> Ordering {
-    if one == 0 || other == 0 { Ordering::Equal } else { one.cmp(&other) }
+/// Compares two start times of a replica, where 0 is unknown and equal to any.
+fn cmp_start_times(a: u64, b: u64) -> Ordering {
+    if a == 0 || b == 0 { Ordering::Equal } else { a.cmp(&b) }
 }
 
-/// How a replica stands.
+/// The state of a replica in the registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Standing {
-    /// It takes work.
+    /// It sends heartbeats and accepts requests.
     Ready,
-    /// It has said nothing for several heartbeats.
+    /// Several of its heartbeats are missing.
     Silent,
-    /// It gets no new work; it has said so.
+    /// It has announced that it is about to leave, and gets no new requests.
     Draining,
-    /// It has left.
+    /// It has left the fleet.
     Left,
 }
 
-/// One replica.
+/// The last registration of a replica and its state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// What it said last.
+    /// The newest registration received.
     pub registration: Registration,
-    /// How it stands.
+    /// The state of the replica.
     pub standing: Standing,
 }
 
 impl Record {
-    /// The same replica, of which it is known that it leaves.
+    /// Returns a copy of this record that is marked as draining.
     pub fn leaving(&self) -> Record {
         Record { registration: self.registration.clone(), standing: Standing::Draining }
     }
 
-    /// Whether the replica is there, and has not started again since its life that began at `born`.
+    /// Returns whether the replica has not left and has not restarted since its incarnation with
+    /// the start time `born`.
     pub fn is_there(&self, born: u64) -> bool {
-        let is_later = order_of_lives(self.registration.born, born) == Ordering::Greater;
+        let is_later = cmp_start_times(self.registration.born, born) == Ordering::Greater;
         self.standing < Standing::Left && !is_later
     }
 }
@@ -120,16 +122,17 @@
 #[derive(Clone, Debug)]
 struct Entry {
     record: Record,
-    heard: Time,
-    /// Position in the feed of the last change that matters to routers.
-    changed: u64,
-    /// Position in the feed of the last heartbeat that is passed on.
-    beaten: u64,
-    /// When one was passed on last.
-    passed: Time,
+    /// When its newest heartbeat arrived.
+    last_heartbeat: Time,
+    /// Position in the feed of the last change that is relevant to routers.
+    change_position: u64,
+    /// Position in the feed of the last published heartbeat.
+    heartbeat_position: u64,
+    /// When a heartbeat was last published.
+    published_at: Time,
 }
 
-/// Who told of a replica.
+/// The sender of a replica's record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
     /// The replica itself.
@@ -138,84 +141,94 @@
     Another,
 }
 
-/// A heartbeat that says nothing new.
+/// A heartbeat of a replica whose registration is otherwise unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Beat {
     /// The replica's id.
     pub id: String,
-    /// The heartbeat's number.
+    /// Sequence number of the heartbeat.
     pub sequence: u64,
-    /// When that life of it began; 0 if it does not say.
+    /// Start time of its incarnation, or 0 if not reported.
     #[serde(default)]
     pub born: u64,
 }
 
-/// A replica that said in an answer that it leaves.
+/// A replica that announced in a response that it is about to leave.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Leaving {
     /// The replica's id.
     pub replica: String,
-    /// When that life of it began; 0 if it does not say.
+    /// Start time of its incarnation, or 0 if not reported.
     pub born: u64,
 }
 
-/// A part of the feed.
+/// The changes between two positions of a registry's feed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Batch {
-    /// The replicas that are new or have changed.
+    /// Records of replicas that are new or have changed.
     pub records: Vec<Record>,
-    /// For another control process: heartbeats of those that have not changed.
+    /// Heartbeats of unchanged replicas, for other control processes only.
     pub beats: Vec<Beat>,
-    /// How far they bring a follower.
+    /// Position from which the follower continues.
     pub position: u64,
 }
 
-/// The replicas that one process knows of, with a feed of changes.
+/// The replicas known to one control process, with a feed of changes to them. Each published change
+/// or heartbeat gets the next position in the feed.
 #[derive(Clone, Debug, Default)]
 pub struct Registry {
     entries: BTreeMap<Arc<str>, Entry>,
     position: u64,
-    /// The replicas by the position of their last change that matters to routers: what a follower
-    /// lacks is found without looking at those that it has.
+    /// Replicas by the position of their last change that is relevant to routers. A follower's
+    /// missing changes are a range of it.
     by_change: BTreeMap<u64, Arc<str>>,
-    /// The same by their last heartbeat.
-    by_beat: BTreeMap<u64, Arc<str>>,
-    /// The replicas that told this process itself that they leave, by the position of that.
-    own_leaves: BTreeMap<u64, Arc<str>>,
+    /// Replicas by the position of their last published heartbeat.
+    by_heartbeat: BTreeMap<u64, Arc<str>>,
+    /// Replicas that announced to this process directly that they leave, by the position of that
+    /// change.
+    direct_leaves: BTreeMap<u64, Arc<str>>,
     next_tick: Time,
-    /// How often a replica tells of itself.
+    /// Heartbeat interval of the replicas.
     heartbeat: Millis,
 }
 
 impl Registry {
-    /// Position of the newest change.
+    /// Returns the newest position in the feed.
     pub fn position(&self) -> u64 {
         self.position
     }
 
-    /// Takes what is said of a replica. Returns whether it changes anything for routers.
+    /// Merges a record from `source` into the registry. Returns whether that is a change for
+    /// routers.
     pub fn take(&mut self, now: Time, r: Record, source: Source) -> bool {
         let known = self.entries.get(r.registration.id.as_str());
         let Some(merged) = merge(known, &r) else { return false };
-        let same = known.is_some_and(|e| matters_alike(&e.record, &merged));
-        let heard = match known {
-            Some(e) if !is_newer(&r.registration, &e.record.registration) => e.heard,
+        let same = known.is_some_and(|e| is_same_for_routers(&e.record, &merged));
+        let last_heartbeat = match known {
+            Some(e) if !is_newer(&r.registration, &e.record.registration) => e.last_heartbeat,
             _ => now,
         };
-        let changed = known.map_or(0, |e| e.changed);
+        let change_position = known.map_or(0, |e| e.change_position);
         let id: Arc<str> = Arc::from(r.registration.id);
-        let (beaten, passed) = known.map_or((0, Time(0)), |e| (e.beaten, e.passed));
-        let entry = Entry { record: merged, heard, changed, beaten, passed };
+        let (heartbeat_position, published_at) =
+            known.map_or((0, Time(0)), |e| (e.heartbeat_position, e.published_at));
+        let entry = Entry {
+            record: merged,
+            last_heartbeat,
+            change_position,
+            heartbeat_position,
+            published_at,
+        };
         self.entries.insert(id.clone(), entry);
-        self.pass_on(now, &id, !same, source);
+        self.publish(now, &id, !same, source);
         let leaves = self.entries.get(&id).is_some_and(|e| e.record.standing >= Standing::Draining);
         if leaves && !same && source == Source::Itself {
-            self.own_leaves.insert(self.position, id);
+            self.direct_leaves.insert(self.position, id);
         }
         !same
     }
 
-    /// Places at the ready replicas of a service, by their version.
+    /// Returns the total slots of a service's ready replicas, by software version.
     pub fn places(&self, service: &str) -> BTreeMap<String, u64> {
         let mut all: BTreeMap<String, u64> = BTreeMap::new();
         let ready = self.entries.values().map(|e| &e.record);
@@ -228,60 +241,61 @@
         all
     }
 
-    /// Takes a heartbeat that another control process passes on. Returns whether it changes anything
-    /// for routers. One of a replica that is not known comes with its record, if at all.
+    /// Applies a heartbeat relayed by another control process. Returns whether that is a change for
+    /// routers, which is the case if the replica was silent. A heartbeat of an unknown replica is
+    /// ignored; the sender relays its record as well.
     pub fn beat(&mut self, now: Time, b: &Beat) -> bool {
         let Some((id, e)) = self.entries.get_key_value(b.id.as_str()) else { return false };
         let id = id.clone();
         let known = &e.record.registration;
-        let same_life = order_of_lives(b.born, known.born) == Ordering::Equal;
+        let same_incarnation = cmp_start_times(b.born, known.born) == Ordering::Equal;
         let old = b.sequence <= known.sequence;
-        if !same_life || old || e.record.standing >= Standing::Draining {
+        if !same_incarnation || old || e.record.standing >= Standing::Draining {
             return false;
         }
         let back = e.record.standing == Standing::Silent;
         if let Some(e) = self.entries.get_mut(&id) {
             e.record.registration.sequence = b.sequence;
             e.record.standing = Standing::Ready;
-            e.heard = now;
+            e.last_heartbeat = now;
         }
-        self.pass_on(now, &id, back, Source::Another);
+        self.publish(now, &id, back, Source::Another);
         back
     }
 
-    /// Has the followers told of a replica, unless it is no news to them.
-    fn pass_on(&mut self, now: Time, id: &Arc<str>, changed: bool, source: Source) {
+    /// Publishes a replica's change or heartbeat in the feed. Relayed heartbeats are rate limited.
+    fn publish(&mut self, now: Time, id: &Arc<str>, changed: bool, source: Source) {
         let Some(e) = self.entries.get_mut(id) else { return };
-        let again = now.since(e.passed) >= self.heartbeat.scale(SECOND_HAND, 1);
+        let again = now.since(e.published_at) >= self.heartbeat.scale(MIN_RELAY_HEARTBEATS, 1);
         if changed || again || source == Source::Itself {
-            e.passed = now;
-            self.move_up(id, changed);
+            e.published_at = now;
+            self.move_to_end(id, changed);
         }
     }
 
-    /// Gives a replica the newest position, also among the changes if it has one.
-    fn move_up(&mut self, id: &Arc<str>, changed: bool) {
+    /// Moves a replica to a new position at the end of the feed, also in `by_change` if `changed`.
+    fn move_to_end(&mut self, id: &Arc<str>, changed: bool) {
         let Some(e) = self.entries.get_mut(id) else { return };
         self.position += 1;
-        self.by_beat.remove(&e.beaten);
-        self.by_beat.insert(self.position, id.clone());
-        e.beaten = self.position;
+        self.by_heartbeat.remove(&e.heartbeat_position);
+        self.by_heartbeat.insert(self.position, id.clone());
+        e.heartbeat_position = self.position;
         if changed {
-            self.by_change.remove(&e.changed);
+            self.by_change.remove(&e.change_position);
             self.by_change.insert(self.position, id.clone());
-            e.changed = self.position;
+            e.change_position = self.position;
         }
     }
 
-    /// Notes that a replica has left. Returns whether it was known.
+    /// Records that a replica has left. Returns whether that is a change for routers.
     pub fn leave(&mut self, now: Time, id: &str) -> bool {
         let Some(e) = self.entries.get(id) else { return false };
         let registration = e.record.registration.clone();
         self.take(now, Record { registration, standing: Standing::Left }, Source::Itself)
     }
 
-    /// Takes another process's word that a replica leaves, as it said so in an answer. Returns whether that
-    /// was not known of this life of it.
+    /// Marks a replica as draining that announced this in a response to another process. Returns
+    /// whether that is new for this incarnation.
     pub fn leaving(&mut self, now: Time, l: &Leaving) -> bool {
         let known = self.get(&l.replica);
         let known = known.filter(|r| r.is_there(l.born) && r.standing < Standing::Draining);
@@ -289,23 +303,26 @@
         self.take(now, record, Source::Another)
     }
 
-    /// Lets time pass: replicas that miss heartbeats, expected every `every`, are silent.
+    /// Marks replicas silent that have missed several heartbeats at the interval `every`, and
+    /// removes expired records of replicas that drain or have left.
     pub fn tick(&mut self, now: Time, every: Millis) {
         if now < self.next_tick {
             return;
         }
-        self.next_tick = now.after(TICK);
+        self.next_tick = now.after(SCAN_INTERVAL);
         self.heartbeat = every;
-        let patience = every.scale(MISSED, 1);
-        let is_gone =
-            |e: &Entry| e.record.standing >= Standing::Draining && now.since(e.heard) >= LEFT_KEPT;
-        let is_silent =
-            |e: &Entry| e.record.standing == Standing::Ready && now.since(e.heard) >= patience;
+        let timeout = every.scale(MAX_MISSED_HEARTBEATS, 1);
+        let is_expired = |e: &Entry| {
+            e.record.standing >= Standing::Draining && now.since(e.last_heartbeat) >= DEPARTED_TTL
+        };
+        let is_silent = |e: &Entry| {
+            e.record.standing == Standing::Ready && now.since(e.last_heartbeat) >= timeout
+        };
         let mut silent = Vec::new();
         self.entries.retain(|id, e| {
-            if is_gone(e) {
-                self.by_beat.remove(&e.beaten);
-                self.by_change.remove(&e.changed);
+            if is_expired(e) {
+                self.by_heartbeat.remove(&e.heartbeat_position);
+                self.by_change.remove(&e.change_position);
                 return false;
             }
             if is_silent(e) {
@@ -315,66 +332,69 @@
             true
         });
         for id in silent {
-            self.move_up(&id, true);
+            self.move_to_end(&id, true);
         }
         let entries = &self.entries;
-        self.own_leaves.retain(|_, id| entries.contains_key(id));
+        self.direct_leaves.retain(|_, id| entries.contains_key(id));
     }
 
-    /// Whether a replica has told this process itself after `since` that it leaves.
+    /// Returns whether a replica has announced to this process directly, after position `since`,
+    /// that it leaves.
     pub fn has_own_leaves(&self, since: u64) -> bool {
-        self.own_leaves.last_key_value().is_some_and(|(newest, _)| *newest > since)
+        self.direct_leaves.last_key_value().is_some_and(|(newest, _)| *newest > since)
     }
 
-    /// The replicas that have told this process itself after `since` that they leave, at most `most` of
-    /// them, and how far that brings a follower. Every router is told of these: whoever has acknowledged
-    /// such a word may be cut off from the other control processes in the next instant.
-    pub fn own_leaves(&self, since: u64, most: usize) -> (Vec<Record>, u64) {
-        let mut newer = self.own_leaves.range((Bound::Excluded(since), Bound::Unbounded));
-        let told: Vec<_> = newer.by_ref().take(most).collect();
-        let last = told.last().map_or(since, |(at, _)| **at);
+    /// Returns at most `max` records of replicas that announced to this process directly, after
+    /// position `since`, that they leave, and the position from which to continue. Every router
+    /// gets these, because this process may lose contact with the other control processes right
+    /// after it has acknowledged the announcement.
+    pub fn own_leaves(&self, since: u64, max: usize) -> (Vec<Record>, u64) {
+        let mut newer = self.direct_leaves.range((Bound::Excluded(since), Bound::Unbounded));
+        let batch: Vec<_> = newer.by_ref().take(max).collect();
+        let last = batch.last().map_or(since, |(at, _)| **at);
         let position = if newer.next().is_some() { last } else { self.position };
-        let known = told.into_iter().filter_map(|(_, id)| self.entries.get(id));
+        let known = batch.into_iter().filter_map(|(_, id)| self.entries.get(id));
         (known.map(|e| e.record.clone()).collect(), position)
     }
 
-    /// Whether anything has changed for routers after `since`.
+    /// Returns whether there is a change for routers after position `since`.
     pub fn has_changes(&self, since: u64) -> bool {
         self.newest_change() > since
     }
 
-    /// Position of the newest change for routers; 0 if there was none.
+    /// Returns the position of the newest change for routers, or 0 if there is none.
     pub fn newest_change(&self) -> u64 {
         self.by_change.last_key_value().map_or(0, |(newest, _)| *newest)
     }
 
-    /// Whether anything was said after `since`, heartbeats included.
+    /// Returns whether a change or heartbeat was published after position `since`.
     pub fn has_beats(&self, since: u64) -> bool {
-        self.by_beat.last_key_value().is_some_and(|(newest, _)| *newest > since)
+        self.by_heartbeat.last_key_value().is_some_and(|(newest, _)| *newest > since)
     }
 
-    /// What has changed for routers after `since`, the oldest change first, at most `most` records.
-    pub fn changes(&self, since: u64, most: usize) -> Batch {
+    /// Returns the changes for routers after position `since`, oldest first, at most `max` records.
+    pub fn changes(&self, since: u64, max: usize) -> Batch {
         let mut newer = self.by_change.range((Bound::Excluded(since), Bound::Unbounded));
-        let told: Vec<_> = newer.by_ref().take(most).collect();
-        let last = told.last().map_or(since, |(at, _)| **at);
+        let batch: Vec<_> = newer.by_ref().take(max).collect();
+        let last = batch.last().map_or(since, |(at, _)| **at);
         let position = if newer.next().is_some() { last } else { self.position };
-        let records = told.into_iter().filter_map(|(_, id)| self.entries.get(id));
+        let records = batch.into_iter().filter_map(|(_, id)| self.entries.get(id));
         Batch { records: records.map(|e| e.record.clone()).collect(), beats: Vec::new(), position }
     }
 
-    /// What another control process that has followed up to `since` is told: at most `most` records,
-    /// and so many heartbeats.
-    pub fn relay(&self, since: u64, most: usize, most_beats: usize) -> Batch {
-        let Batch { records, position, .. } = self.changes(since, most);
-        let mut newer = self.by_beat.range((Bound::Excluded(since), Bound::Included(position)));
-        let told: Vec<_> = newer.by_ref().take(most_beats).collect();
-        let last = told.last().map_or(since, |(at, _)| **at);
+    /// Returns the changes after position `since` for another control process: at most `max`
+    /// records and at most `max_beats` heartbeats of unchanged replicas.
+    pub fn relay(&self, since: u64, max: usize, max_beats: usize) -> Batch {
+        let Batch { records, position, .. } = self.changes(since, max);
+        let mut newer =
+            self.by_heartbeat.range((Bound::Excluded(since), Bound::Included(position)));
+        let batch: Vec<_> = newer.by_ref().take(max_beats).collect();
+        let last = batch.last().map_or(since, |(at, _)| **at);
         let position = if newer.next().is_some() { last } else { position };
-        let known = told.into_iter().filter_map(|(_, id)| self.entries.get(id));
-        // One that has changed goes with its record.
-        let alike = known.filter(|e| e.changed <= since);
-        let beats = alike.map(|e| Beat {
+        let known = batch.into_iter().filter_map(|(_, id)| self.entries.get(id));
+        // The record of a changed replica already contains its newest heartbeat.
+        let unchanged = known.filter(|e| e.change_position <= since);
+        let beats = unchanged.map(|e| Beat {
             id: e.record.registration.id.clone(),
             sequence: e.record.registration.sequence,
             born: e.record.registration.born,
@@ -382,21 +402,21 @@
         Batch { records, beats: beats.collect(), position }
     }
 
-    /// One replica.
+    /// Returns the record of a replica.
     pub fn get(&self, id: &str) -> Option<&Record> {
         self.entries.get(id).map(|e| &e.record)
     }
 
-    /// All replicas.
+    /// Returns the records of all replicas, ordered by id.
     pub fn iter(&self) -> impl Iterator<Item = &Record> {
         self.entries.values().map(|e| &e.record)
     }
 }
 
-/// What is known after `r`; `None` if it is old news.
+/// Merges `r` into a known entry. Returns the resulting record, or `None` if nothing changes.
 ///
-/// Draining and leaving are for good in one life, whatever comes later in whatever order. A later life
-/// is another replica.
+/// Within one incarnation a replica never returns from draining or left, in whatever order records
+/// arrive. A later incarnation replaces the record.
 fn merge(known: Option<&Entry>, r: &Record) -> Option<Record> {
     let Some(e) = known else { return Some(r.clone()) };
     let old = &e.record;
@@ -417,14 +437,14 @@
     (merged != *old).then_some(merged)
 }
 
-/// Whether `r` was said later than what is known.
+/// Returns whether `r` is from a later incarnation or heartbeat than `known`.
 fn is_newer(r: &Registration, known: &Registration) -> bool {
     let later = r.life(known).then(r.sequence.cmp(&known.sequence));
     later == Ordering::Greater
 }
 
-/// Whether routers need not be told of the difference.
-fn matters_alike(a: &Record, b: &Record) -> bool {
+/// Returns whether the difference between two records is irrelevant to routers.
+fn is_same_for_routers(a: &Record, b: &Record) -> bool {
     let (x, y) = (&a.registration, &b.registration);
     a.standing == b.standing
         && x.born == y.born
@@ -432,6 +452,6 @@
         && x.address == y.address
         && x.slots == y.slots
         && (x.cold == Millis(0)) == (y.cold == Millis(0))
-        // It has become cold once more.
+        // A longer cold start means that the replica has become cold again.
         && y.cold <= x.cold
 }
--- a/crates/core/src/fleet/repair.rs
+++ b/crates/core/src/fleet/repair.rs
@@ -43,8 +43,8 @@
 /// Returns the next membership change for a leader `me` to make in a group that should have `want`
 /// voters, or `None` if no change is needed or safe.
 ///
-/// `health` returns the state of each member other than the leader. A change is returned only if the
-/// members that answer form a quorum after it, so a repair cannot cost the group its quorum.
+/// `health` returns the state of each member other than the leader. A change is returned only if
+/// the members that answer form a quorum after it, so a repair cannot cost the group its quorum.
 pub fn next_change(
     members: &Members,
     me: NodeId,
--- a/crates/core/src/fleet/replicas.rs
+++ b/crates/core/src/fleet/replicas.rs
@@ -1,6 +1,6 @@
-//! The replicas of all services, as a router hears of them from several control processes in any
-//! order. A record changes what depends on it and nothing else: a start with 1,000 replicas costs a
-//! router 1,000 such changes, not 1,000 lists of them all.
+//! A router's table of the replicas of all services, merged from records that several control
+//! processes send in any order. Applying a record costs time for the addresses that it affects
+//! only, independent of the number of replicas.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -11,82 +11,85 @@
 use crate::route::Condition;
 use crate::unit::{Millis, Time};
 
-/// How long one that has left is remembered against late news. Control processes forget it after as
-/// long, and tell of it no more.
-const LEFT_KEPT: Millis = Millis::seconds(120);
+/// Time for which a departed replica is kept, so that late records do not restore it. Control
+/// processes drop its record after the same time.
+const LEFT_TTL: Millis = Millis::seconds(120);
 
-/// How long one that leaves and goes on telling of itself is remembered. Whoever forgets it sooner takes it for
-/// ready as soon as a control process that has started again says so.
-const DRAINING_KEPT: Millis = Millis::seconds(3_600);
+/// Time for which a draining replica is kept. It may continue to send heartbeats, and a control
+/// process that has restarted reports it as ready.
+const DRAINING_TTL: Millis = Millis::seconds(3_600);
 
-/// What changes at one address.
+/// A change of the replica that a service has at one address.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// The address.
+    /// Address at which the replica changes.
     pub address: SocketAddr,
-    /// The replica that is there now, if any.
+    /// The replica to use at this address from now on, if any.
     pub there: Option<(Upstream, Condition)>,
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct Entry {
     record: Record,
-    /// Rises with each replica, or life of one, that was first heard of.
+    /// Order in which this incarnation was first seen.
     order: u64,
-    /// Another replica has answered at its address.
+    /// Whether another replica has answered at its address.
     replaced: bool,
 }
 
-/// Whether a record is of a start that was not known.
+/// Whether a record is evidence of a replica start that was unknown before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Start {
-    /// Of one that is known.
+    /// The record is of a known incarnation.
     Known,
-    /// Of a replica of which nothing was known.
+    /// The record is of an unknown replica.
     New,
-    /// Of a later life of a replica that is known.
+    /// The record is of a later incarnation of a known replica.
     LaterLife,
 }
 
-/// What is known of all of them.
+/// The replicas of all services, by id and by address.
 #[derive(Clone, Debug, Default)]
 pub struct Replicas {
-    by_id: BTreeMap<String, Known>,
+    by_id: BTreeMap<String, Entry>,
     by_address: HashMap<SocketAddr, Vec<String>>,
-    /// Those that have left: when, and which life.
+    /// Departed replicas in order of time: when, id and start time of the incarnation.
     left: VecDeque<(Time, String, u64)>,
-    /// The same for those that leave.
+    /// Draining replicas, in the same form.
     draining: VecDeque<(Time, String, u64)>,
     order: u64,
 }
 
 impl Replicas {
-    /// Takes what is said of a replica. Returns how it stands and what changes, if it is news. A later
-    /// life of one that is known leaves nothing of the former: its address is emptied first.
+    /// Applies a record. Returns the replica's resulting state and the changes of addresses, or
+    /// `None` if the record contains nothing new. A later incarnation of a known replica replaces
+    /// the former one, whose address is cleared first.
     pub fn take(&mut self, now: Time, r: Record) -> Option<(Standing, Vec<Change>)> {
-        self.forget_left(now);
+        self.expire(now);
         let id = r.registration.id.clone();
         let known = self.by_id.get(&id);
-        if known.is_some_and(|k| !is_news(&k.record, &r)) {
+        if known.is_some_and(|k| !is_update(&k.record, &r)) {
             return None;
         }
         let mut changes = Vec::new();
-        let of_life = known.filter(|k| !is_later_life(&k.record, &r));
-        if known.is_some() && of_life.is_none() {
-            changes.extend(self.vacate(&id));
+        let same_incarnation = known.filter(|k| !is_later_incarnation(&k.record, &r));
+        if known.is_some() && same_incarnation.is_none() {
+            changes.extend(self.clear_address(&id));
         }
-        let standing = of_life.map_or(r.standing, |k| after(k.record.standing, r.standing));
-        let before = known.map(|k| place(&k.record));
-        let (order, replaced) = of_life.map_or((self.order, false), |k| (k.order, k.replaced));
-        self.order += u64::from(of_life.is_none());
+        let standing =
+            same_incarnation.map_or(r.standing, |k| merge_standing(k.record.standing, r.standing));
+        let before = known.map(|k| location(&k.record));
+        let (order, replaced) =
+            same_incarnation.map_or((self.order, false), |k| (k.order, k.replaced));
+        self.order += u64::from(same_incarnation.is_none());
         let mut record = Record { standing, ..r };
-        let born = of_life.map_or(0, |k| k.record.registration.born);
+        let born = same_incarnation.map_or(0, |k| k.record.registration.born);
         let born = born.max(record.registration.born);
         record.registration.born = born;
-        let here = place(&record);
-        self.by_id.insert(id.clone(), Known { record, order, replaced });
+        let here = location(&record);
+        self.by_id.insert(id.clone(), Entry { record, order, replaced });
         match standing {
             Standing::Left => self.left.push_back((now, id.clone(), born)),
             Standing::Draining => self.draining.push_back((now, id.clone(), born)),
@@ -94,77 +97,80 @@
         }
         let moved = before.filter(|b| *b != here);
         if let Some((_, Some(address))) = &moved {
-            self.leave(*address, &id);
+            self.remove_at(*address, &id);
         }
         if let (_, Some(address)) = here {
-            self.arrive(address, id);
+            self.insert_at(address, id);
         }
         let places = moved.into_iter().chain([here]);
-        changes.extend(places.filter_map(|(s, a)| self.change(s, a?)));
+        changes.extend(places.filter_map(|(s, a)| self.address_change(s, a?)));
         Some((standing, changes))
     }
 
-    /// Whether a record tells of a start that was not known.
+    /// Returns whether a record is evidence of a replica start that was unknown before.
     pub fn start(&self, r: &Record) -> Start {
         match self.by_id.get(&r.registration.id) {
             None => Start::New,
-            Some(k) if is_later_life(&k.record, r) => Start::LaterLife,
+            Some(k) if is_later_incarnation(&k.record, r) => Start::LaterLife,
             Some(_) => Start::Known,
         }
     }
 
-    /// When the present life of a replica began; 0 if that is not known.
+    /// Returns the start time of a replica's current incarnation, or 0 if it is unknown.
     pub fn born(&self, id: &str) -> u64 {
         self.by_id.get(id).map_or(0, |k| k.record.registration.born)
     }
 
-    /// The service and the address of a replica.
+    /// Returns the service and the address of a replica, or `None` if it is unknown.
     pub fn place_of(&self, id: &str) -> Option<(String, SocketAddr)> {
-        let (service, address) = place(&self.by_id.get(id)?.record);
+        let (service, address) = location(&self.by_id.get(id)?.record);
         Some((service, address?))
     }
 
-    /// How a replica stands.
+    /// Returns the state of a replica.
     pub fn standing(&self, id: &str) -> Option<Standing> {
         self.by_id.get(id).map(|k| k.record.standing)
     }
 
-    /// The word that a replica leaves; none if that is known.
+    /// Returns a record that marks a replica as draining, or `None` if it is unknown or already
+    /// drains or has left.
     pub fn leaving(&self, id: &str) -> Option<Record> {
         let known = &self.by_id.get(id)?.record;
         (known.standing < Standing::Draining).then(|| known.leaving())
     }
 
-    /// Whether a replica is there, in this life of it or one that is not told apart.
+    /// Returns whether a replica has not left and has not restarted since its incarnation with the
+    /// start time `born`.
     pub fn is_there(&self, id: &str, born: u64) -> bool {
         self.by_id.get(id).is_some_and(|k| k.record.is_there(born))
     }
 
-    /// What has its address forgotten by those who send there, if it is the one that is there.
-    fn vacate(&self, id: &str) -> Option<Change> {
-        let (service, address) = place(&self.by_id.get(id)?.record);
-        let there = self.change(service, address?)?;
-        let is_there = there.there.as_ref().is_some_and(|(u, _)| u.vm.name == id);
-        is_there.then_some(Change { there: None, ..there })
+    /// Returns the change that clears a replica's address, if the replica is the one in use there.
+    fn clear_address(&self, id: &str) -> Option<Change> {
+        let (service, address) = location(&self.by_id.get(id)?.record);
+        let change = self.address_change(service, address?)?;
+        let is_there = change.there.as_ref().is_some_and(|(u, _)| u.vm.name == id);
+        is_there.then_some(Change { there: None, ..change })
     }
 
-    /// Takes an answer from `address` that says that this replica is not there: of two that are said
-    /// to be, it is the other. A late heartbeat may make one that has crashed look alive.
+    /// Records that another replica answered at this replica's address. Returns the change of that
+    /// address, or `None` if the replica is unknown or already marked. Two replicas may be recorded
+    /// at one address if a late heartbeat arrives from one that has crashed.
     pub fn not_there(&mut self, id: &str) -> Option<Change> {
         let known = self.by_id.get_mut(id).filter(|k| !k.replaced)?;
         known.replaced = true;
-        let (service, address) = place(&known.record);
-        self.change(service, address?)
+        let (service, address) = location(&known.record);
+        self.address_change(service, address?)
     }
 
-    fn arrive(&mut self, address: SocketAddr, id: String) {
+    fn insert_at(&mut self, address: SocketAddr, id: String) {
         let here = self.by_address.entry(address).or_default();
         if !here.contains(&id) {
             here.push(id);
         }
     }
 
-    fn leave(&mut self, address: SocketAddr, id: &str) {
+    fn remove_at(&mut self, address: SocketAddr, id: &str) {
         let Some(here) = self.by_address.get_mut(&address) else { return };
         here.retain(|other| other != id);
         if here.is_empty() {
@@ -172,33 +178,34 @@
         }
     }
 
-    fn forget_left(&mut self, now: Time) {
-        let is_due = |(at, ..): &(Time, String, u64), kept| now.since(*at) >= kept;
-        while self.left.front().is_some_and(|l| is_due(l, LEFT_KEPT)) {
+    /// Removes replicas that drain or have left and whose retention time is over.
+    fn expire(&mut self, now: Time) {
+        let is_due = |(at, ..): &(Time, String, u64), ttl| now.since(*at) >= ttl;
+        while self.left.front().is_some_and(|l| is_due(l, LEFT_TTL)) {
             let Some((_, id, born)) = self.left.pop_front() else { return };
-            self.forget(&id, born);
+            self.remove_incarnation(&id, born);
         }
-        while self.draining.front().is_some_and(|l| is_due(l, DRAINING_KEPT)) {
+        while self.draining.front().is_some_and(|l| is_due(l, DRAINING_TTL)) {
             let Some((_, id, born)) = self.draining.pop_front() else { return };
-            self.forget(&id, born);
+            self.remove_incarnation(&id, born);
         }
     }
 
-    /// Forgets a replica, unless it has started again.
-    fn forget(&mut self, id: &str, born: u64) {
-        let is_it = |k: &Known| k.record.registration.born == born;
-        if !self.by_id.get(id).is_some_and(is_it) {
+    /// Removes a replica, unless it has restarted.
+    fn remove_incarnation(&mut self, id: &str, born: u64) {
+        let is_same = |k: &Entry| k.record.registration.born == born;
+        if !self.by_id.get(id).is_some_and(is_same) {
             return;
         }
         let Some(known) = self.by_id.remove(id) else { return };
-        if let (_, Some(address)) = place(&known.record) {
-            self.leave(address, id);
+        if let (_, Some(address)) = location(&known.record) {
+            self.remove_at(address, id);
         }
     }
 
-    /// What a service has at an address: of several replicas that are said to be there the one that
-    /// speaks, of those the one that nobody has found replaced, and of those the newest.
-    fn change(&self, service: String, address: SocketAddr) -> Option<Change> {
+    /// Returns the replica to use for a service at an address. Of several recorded there it prefers
+    /// one that is ready, then one that is not marked as replaced, then the newest.
+    fn address_change(&self, service: String, address: SocketAddr) -> Option<Change> {
         let here = self.by_address.get(&address).into_iter().flatten();
         let known = here.filter_map(|id| self.by_id.get(id));
         let usable = known.filter(|k| {
@@ -210,13 +217,14 @@
     }
 }
 
-/// Draining and leaving are for good in one life.
-fn after(known: Standing, said: Standing) -> Standing {
-    if known >= Standing::Draining { known.max(said) } else { said }
+/// Merges two states of one incarnation, which never returns from draining or left.
+fn merge_standing(known: Standing, received: Standing) -> Standing {
+    if known >= Standing::Draining { known.max(received) } else { received }
 }
 
-/// Whether `r` says more than is known. Draining and leaving count whatever their sequence.
-fn is_news(known: &Record, r: &Record) -> bool {
+/// Returns whether `r` contains anything new. Draining and left are new regardless of the sequence
+/// number.
+fn is_update(known: &Record, r: &Record) -> bool {
     match r.registration.life(&known.registration) {
         Ordering::Greater => return true,
         Ordering::Less => return false,
@@ -228,11 +236,11 @@
     ends || (newer && *r != *known) || (same && r.standing > known.standing)
 }
 
-fn is_later_life(known: &Record, r: &Record) -> bool {
+fn is_later_incarnation(known: &Record, r: &Record) -> bool {
     r.registration.life(&known.registration) == Ordering::Greater
 }
 
-fn place(r: &Record) -> (String, Option<SocketAddr>) {
+fn location(r: &Record) -> (String, Option<SocketAddr>) {
     (r.registration.service.clone(), r.registration.address.parse().ok())
 }
 
--- a/crates/core/src/fleet/retry.rs
+++ b/crates/core/src/fleet/retry.rs
@@ -4,8 +4,8 @@
 
 use crate::unit::{Millis, Time};
 
-/// The fleet's limit: in each window of length `window`, at most `hundredths` retries per 100 requests,
-/// plus `extra`.
+/// The fleet's limit: in each window of length `window`, at most `hundredths` retries per 100
+/// requests, plus `extra`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bound {
     /// Retries per 100 requests.
@@ -46,12 +46,13 @@
         self.requests.push_back(now);
     }
 
-    /// Records a retry if this router's share of the budget allows it. Returns `false` if it does not.
+    /// Records a retry if this router's share of the budget allows it. Returns `false` if it does
+    /// not.
     ///
-    /// The share of each of the `routers` routers is the percentage of its own requests plus an equal
-    /// part of `extra`, so the sum over all routers stays within the fleet's limit. A router that
-    /// started less than a window ago gets no part of `extra`, because it may have used that part before
-    /// the restart.
+    /// The share of each of the `routers` routers is the percentage of its own requests plus an
+    /// equal part of `extra`, so the sum over all routers stays within the fleet's limit. A router
+    /// that started less than a window ago gets no part of `extra`, because it may have used that
+    /// part before the restart.
     pub fn take(&mut self, now: Time, b: &Bound, routers: u64) -> bool {
         self.trim(now, b.window);
         let from_requests = self.requests.len() as u64 * b.hundredths / 100;
--- a/crates/core/src/fleet/routes.rs
+++ b/crates/core/src/fleet/routes.rs
@@ -57,8 +57,9 @@
         routes.iter().find(|r| path.starts_with(&r.prefix)).ok_or(Code::RouteUnknown)
     }
 
-    /// Returns the client account of the key that a request on `route` carries, or `None` if the route
-    /// is open or the document has no accounts. Fails with [`Code::KeyMissing`] or [`Code::KeyUnknown`].
+    /// Returns the client account of the key that a request on `route` carries, or `None` if the
+    /// route is open or the document has no accounts. Fails with [`Code::KeyMissing`] or
+    /// [`Code::KeyUnknown`].
     pub fn account(&self, route: &Route, key: Option<&str>) -> Result<Option<&Tenant>, Code> {
         let Some(by_key) = self.by_key.as_ref().filter(|_| !route.open) else { return Ok(None) };
         let key = key.ok_or(Code::KeyMissing)?;
@@ -66,8 +67,8 @@
         Ok(self.accounts.get(*i))
     }
 
-    /// Returns the service for a request: a choice among the route's targets by their weights, made by
-    /// the number `draw`.
+    /// Returns the service for a request: a choice among the route's targets by their weights, made
+    /// by the number `draw`.
     pub fn service(&self, route: &Route, draw: u64) -> Option<&Backend> {
         let sum: u64 = route.targets.iter().map(|t| u64::from(t.weight)).sum();
         let mut left = draw.checked_rem(sum)?;
--- a/crates/core/src/fleet/sound.rs
+++ b/crates/core/src/fleet/sound.rs
@@ -3,8 +3,8 @@
 
 use std::collections::HashSet;
 
-/// Maximum number of requests per generation: 30 to 60 seconds of history at 30 requests per second,
-/// in about 20 kB.
+/// Maximum number of requests per generation: 30 to 60 seconds of history at 30 requests per
+/// second, in about 20 kB.
 const MAX_PER_GENERATION: usize = 1_024;
 
 /// A set of recently completed requests, identified by a hash with a per-process key. It holds two
--- a/crates/core/src/fleet/sources.rs
+++ b/crates/core/src/fleet/sources.rs
@@ -1,13 +1,13 @@
-//! Which control processes tell a router of replicas.
+//! Selects the control processes from which a router receives replica records.
 //!
-//! Every control process knows all replicas, and a router asks each of them about documents. Were each
-//! to tell each router of each replica as well, a start of 3,000 replicas with 300 routers and nine
-//! control processes were 8 million records; two sources are enough for one to fall silent, or to be
-//! cut off from the others, while the other goes on telling what is new.
+//! Every control process knows all replicas, and a router watches each control process. If each
+//! sent all replica records to each router, the start of 3,000 replicas with 300 routers and nine
+//! control processes would take 8 million records. Two sources are enough to continue when one of
+//! them fails or loses contact with the others.
 //!
-//! The nearest ones are chosen: what they tell is most of what a router hears, and a link between data
-//! centres or regions costs more than one within. One that is cut off with its data centre hears no
-//! leader, and another takes its place.
+//! The nearest control processes are selected, because these records are most of a router's inbound
+//! control traffic and links between data centres or regions cost more. A control process that is
+//! partitioned with its data centre reports no leader and is replaced by another.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,19 +15,19 @@
 use crate::hash::rendezvous;
 use crate::unit::{Millis, Time};
 
-/// Sources of a router.
+/// Number of sources per router.
 const SOURCES: usize = 2;
 
-/// How long one that has fallen silent is not chosen again, unless there is no other.
-const AVOIDED: Millis = Millis::seconds(5);
+/// Time after a failure during which a control process is selected only if there is no other.
+const FAILURE_COOLDOWN: Millis = Millis::seconds(5);
 
-/// How near a control process is.
+/// The distance of a control process from the router, in ascending order of preference.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Nearness {
     /// In another region.
     Far,
-    /// In the router's region, or nobody knows yet: whoever says so first is no nearer than the others,
-    /// and a router that starts does not begin its list anew with each of them.
+    /// In the router's region, or not known yet. This is the default so that at the router's start
+    /// a control process that reports its region does not displace those that have not done so yet.
     #[default]
     Region,
     /// In the router's data centre.
@@ -35,100 +35,105 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Known {
+struct Contact {
     nearness: Nearness,
-    /// It hears a leader, or has not said yet.
-    led: bool,
-    lost: Option<Time>,
+    /// Whether it reports a leader. An added control process counts as reporting one until it
+    /// answers.
+    has_leader: bool,
+    /// When it last failed to answer, unless it has answered since.
+    failed_at: Option<Time>,
 }
 
-/// The control processes that a router asks.
+/// The control processes that a router watches, and those selected as sources of replica records.
 #[derive(Clone, Debug)]
 pub struct Sources {
-    /// Spreads routers over control processes.
+    /// Key of the rendezvous hash that spreads routers over equally ranked control processes.
     key: u64,
-    known: BTreeMap<SocketAddr, Known>,
-    chosen: Vec<SocketAddr>,
+    contacts: BTreeMap<SocketAddr, Contact>,
+    selected: Vec<SocketAddr>,
 }
 
 impl Sources {
-    /// Knows nobody yet; `key` differs from router to router.
+    /// Returns an empty set. `key` should differ between routers.
     pub fn new(key: u64) -> Sources {
-        Sources { key, known: BTreeMap::new(), chosen: Vec::new() }
+        Sources { key, contacts: BTreeMap::new(), selected: Vec::new() }
     }
 
-    /// Adds a control process that is asked from now on. It takes the place of a source that ranks
-    /// lower: routers know the same few at first, which would tell them all.
+    /// Adds a control process that the router watches from now on. A new one replaces a selected
+    /// source with a lower rank. Otherwise all routers would keep the few control processes that
+    /// they know at the start.
     pub fn add(&mut self, now: Time, address: SocketAddr) {
-        let added = !self.known.contains_key(&address);
-        self.known.entry(address).or_insert(Known { led: true, ..Known::default() });
+        let added = !self.contacts.contains_key(&address);
+        self.contacts.entry(address).or_insert(Contact { has_leader: true, ..Contact::default() });
         if added {
-            self.chosen.clear();
-            self.choose(now);
+            self.selected.clear();
+            self.select(now);
         }
     }
 
-    /// Notes an answer, and whether its sender hears a leader.
-    pub fn heard(&mut self, now: Time, from: SocketAddr, led: bool) {
-        let known = self.known.entry(from).or_default();
-        let changed = known.led != led || known.lost.is_some();
-        *known = Known { led, lost: None, ..*known };
-        let nearness = known.nearness;
-        let worse = |a: &SocketAddr| !self.is_good(now, *a) || self.nearness(a) < nearness;
-        if changed && (!led || self.chosen.iter().any(worse)) {
-            self.choose(now);
+    /// Records an answer, and whether its sender knows a leader.
+    pub fn heard(&mut self, now: Time, from: SocketAddr, has_leader: bool) {
+        let contact = self.contacts.entry(from).or_default();
+        let changed = contact.has_leader != has_leader || contact.failed_at.is_some();
+        *contact = Contact { has_leader, failed_at: None, ..*contact };
+        let nearness = contact.nearness;
+        let is_worse = |a: &SocketAddr| !self.is_usable(now, *a) || self.nearness(a) < nearness;
+        if changed && (!has_leader || self.selected.iter().any(is_worse)) {
+            self.select(now);
         }
     }
 
-    /// Notes how near a control process is.
+    /// Records how near a control process is.
     pub fn place(&mut self, now: Time, from: SocketAddr, nearness: Nearness) {
-        let known = self.known.entry(from).or_default();
-        if known.nearness != nearness {
-            known.nearness = nearness;
-            self.choose(now);
+        let contact = self.contacts.entry(from).or_default();
+        if contact.nearness != nearness {
+            contact.nearness = nearness;
+            self.select(now);
         }
     }
 
-    /// Notes that a control process does not answer.
+    /// Records that a control process does not answer.
     pub fn lost(&mut self, now: Time, from: SocketAddr) {
-        self.known.entry(from).or_default().lost = Some(now);
-        if self.chosen.contains(&from) {
-            self.choose(now);
+        self.contacts.entry(from).or_default().failed_at = Some(now);
+        if self.selected.contains(&from) {
+            self.select(now);
         }
     }
 
-    /// Whether a control process is to tell of replicas.
+    /// Returns whether a control process is selected as a source of replica records.
     pub fn wants(&self, from: SocketAddr) -> bool {
-        self.chosen.contains(&from)
+        self.selected.contains(&from)
     }
 
     fn nearness(&self, a: &SocketAddr) -> Nearness {
-        self.known.get(a).map_or(Nearness::default(), |k| k.nearness)
+        self.contacts.get(a).map_or(Nearness::default(), |k| k.nearness)
     }
 
-    fn is_good(&self, now: Time, a: SocketAddr) -> bool {
-        let heard = |k: &Known| k.lost.is_none_or(|at| now.since(at) >= AVOIDED);
-        self.known.get(&a).is_some_and(|k| k.led && heard(k))
+    /// Returns whether a control process knows a leader and has not failed recently.
+    fn is_usable(&self, now: Time, a: SocketAddr) -> bool {
+        let has_recovered =
+            |k: &Contact| k.failed_at.is_none_or(|at| now.since(at) >= FAILURE_COOLDOWN);
+        self.contacts.get(&a).is_some_and(|k| k.has_leader && has_recovered(k))
     }
 
-    /// Keeps the sources that are good unless a nearer one is, and takes the others in the order of
-    /// their ranks: those that hear a leader first, then those that answer, then any.
-    fn choose(&mut self, now: Time) {
+    /// Selects the highest ranked control processes: usable ones first, by nearness, and at the
+    /// same nearness those already selected. The others follow, those that answer first.
+    fn select(&mut self, now: Time) {
         let rank = |a: &SocketAddr| {
-            let answers = self.known.get(a).is_some_and(|k| k.lost.is_none());
-            let stays = self.chosen.contains(a);
-            let good = self.is_good(now, *a);
+            let answers = self.contacts.get(a).is_some_and(|k| k.failed_at.is_none());
+            let is_selected = self.selected.contains(a);
+            let usable = self.is_usable(now, *a);
             (
-                good,
-                good.then_some(self.nearness(a)),
-                good && stays,
+                usable,
+                usable.then_some(self.nearness(a)),
+                usable && is_selected,
                 answers,
                 rendezvous(self.key, *a),
             )
         };
-        let mut all: Vec<_> = self.known.keys().copied().collect();
+        let mut all: Vec<_> = self.contacts.keys().copied().collect();
         all.sort_by_key(|a| std::cmp::Reverse(rank(a)));
         all.truncate(SOURCES);
-        self.chosen = all;
+        self.selected = all;
     }
 }
--- a/crates/core/src/fleet/spill.rs
+++ b/crates/core/src/fleet/spill.rs
@@ -1,11 +1,12 @@
 //! Directs callers away from busy gateways through the address lists that control processes return.
 //!
-//! Callers may keep using one gateway for as long as it is listed, and may move to another data centre
-//! while the gateways cannot. The list is therefore the only means to spread the load. A busy gateway
-//! is omitted from a share of the answers. The share grows every second while the gateway is busy and
-//! shrinks afterwards; omitting it from all answers at once would move its whole load to the next
-//! gateway. If most gateways of a data centre are busy, answers also list gateways of other data
-//! centres. Each control process computes the shares independently from the same router status.
+//! Callers may keep using one gateway for as long as it is listed, and may move to another data
+//! centre while the gateways cannot. The list is therefore the only means to spread the load. A
+//! busy gateway is omitted from a share of the answers. The share grows every second while the
+//! gateway is busy and shrinks afterwards; omitting it from all answers at once would move its
+//! whole load to the next gateway. If most gateways of a data centre are busy, answers also list
+//! gateways of other data centres. Each control process computes the shares independently from the
+//! same router status.
 
 use std::collections::BTreeMap;
 
@@ -21,8 +22,8 @@
 /// Increase of a share per update while a gateway or data centre is busy, in thousandths.
 const RISE_PER_UPDATE: u64 = 250;
 
-/// Decrease of a share per update otherwise, in thousandths. It is slower than the increase because a
-/// gateway that becomes busy again costs its callers more than one with unused capacity.
+/// Decrease of a share per update otherwise, in thousandths. It is slower than the increase because
+/// a gateway that becomes busy again costs its callers more than one with unused capacity.
 const FALL_PER_UPDATE: u64 = 30;
 
 /// The share of 100 %, in thousandths.
@@ -39,8 +40,8 @@
     pub busy: bool,
 }
 
-/// The share of answers that omit each busy gateway, and the share of remote gateways that answers to
-/// callers in a busy data centre list.
+/// The share of answers that omit each busy gateway, and the share of remote gateways that answers
+/// to callers in a busy data centre list.
 #[derive(Clone, Debug, Default)]
 pub struct Spill {
     omitted: BTreeMap<String, u64>,
--- a/crates/core/src/fleet/telling.rs
+++ b/crates/core/src/fleet/telling.rs
@@ -5,8 +5,8 @@
 
 use crate::unit::{Millis, Time};
 
-/// Messages per second, and the burst after a pause. At about 250 bytes per message and reply they use
-/// a tenth of a 10 Mbit/s link.
+/// Messages per second, and the burst after a pause. At about 250 bytes per message and reply they
+/// use a tenth of a 10 Mbit/s link.
 const MESSAGES_PER_SECOND: u64 = 400;
 
 /// A token bucket of messages to peers.
--- a/crates/core/src/fleet/transfer.rs
+++ b/crates/core/src/fleet/transfer.rs
@@ -1,8 +1,8 @@
-//! Documents on their way from a control process to a router: packed once, sent in parts.
+//! Transfer of documents from control processes to routers: packed once, sent in parts.
 //!
-//! A document may be larger than a router's link carries in the time that one answer may take. So
-//! each answer brings one part, what has arrived is kept whatever becomes of the process that sent
-//! it, and any other process that has the same packed document goes on with it.
+//! A document may be too large for a router's link to carry within the deadline of one answer. Each
+//! answer therefore contains one part. The router keeps the parts if their sender fails, and
+//! continues with any other process that has the same packed document.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -13,45 +13,45 @@
 use crate::hash::Fnv;
 use crate::unit::Version;
 
-/// Bytes of one part: 26 ms of a link that carries 10 Mbit/s.
+/// Maximum size of one part in bytes: 26 ms on a 10 Mbit/s link.
 pub const PART: usize = 32 * 1024;
 
-/// Packed documents that are kept for routers that have a part of them. One that is overtaken is
-/// still sent to its end: a router that began anew with each of many changes would have none.
-const KEPT: usize = 3;
+/// Number of packed documents that are kept. A transfer of a superseded document continues to its
+/// end; a router that restarted with each of many changes would never complete one.
+const MAX_KEPT_DOCUMENTS: usize = 3;
 
-/// The largest packed document that a router takes.
-const MOST: u64 = 64 * 1024 * 1024;
+/// Maximum size of a packed document that a router accepts, in bytes.
+const MAX_PACKED_BYTES: u64 = 64 * 1024 * 1024;
 
-/// What a router wants next of a document.
+/// A router's request for the next part of a document.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Want {
-    /// Version of the document that it has in force; 0 for none.
+    /// Version of the document that the router has in force, or 0.
     pub held: Version,
-    /// Version of the document that it has a part of; 0 for none.
+    /// Version of the partly received document, or 0.
     pub version: Version,
-    /// Digest of that document as it was packed.
+    /// Digest of the packed bytes of that document.
     pub digest: u64,
-    /// Bytes that it has of it.
+    /// Number of bytes of it already received.
     pub offset: u64,
 }
 
 /// A part of a packed document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Part {
-    /// The document's version.
+    /// Version of the document.
     pub version: Version,
-    /// Digest of all packed bytes.
+    /// Digest of all packed bytes of the document.
     pub digest: u64,
-    /// How many there are.
+    /// Number of all packed bytes.
     pub total: u64,
-    /// Where this part begins.
+    /// Offset of this part.
     pub offset: u64,
-    /// Its bytes.
+    /// Bytes of this part.
     pub bytes: ByteBuf,
 }
 
-/// A packed document at a control process.
+/// A packed document that a control process serves.
 #[derive(Clone, Debug)]
 struct Packed {
     version: Version,
@@ -59,73 +59,75 @@
     bytes: Arc<[u8]>,
 }
 
-/// The digest of packed bytes, the same in every process and release.
+/// Returns the digest of packed bytes, which must be the same in every process and release.
 fn digest(bytes: &[u8]) -> u64 {
     Fnv::new().part(bytes).value()
 }
 
-/// The packed documents that a control process hands out.
+/// The packed documents that a control process serves.
 #[derive(Clone, Debug, Default)]
 pub struct Packs {
-    /// The newest first.
-    all: VecDeque<Packed>,
+    /// Ordered by version, newest first.
+    documents: VecDeque<Packed>,
 }
 
 impl Packs {
-    /// Version of the newest one; 0 if there is none.
+    /// Returns the version of the newest packed document, or 0 if there is none.
     pub fn newest(&self) -> Version {
-        self.all.front().map_or(0, |p| p.version)
+        self.documents.front().map_or(0, |p| p.version)
     }
 
-    /// Takes a packed document that is newer than all before.
+    /// Adds a packed document and drops the oldest beyond the maximum. Ignores a document that is
+    /// not newer than all others.
     pub fn put(&mut self, version: Version, bytes: Vec<u8>) {
         if version <= self.newest() {
             return;
         }
-        self.all.push_front(Packed { version, digest: digest(&bytes), bytes: bytes.into() });
-        self.all.truncate(KEPT);
+        self.documents.push_front(Packed { version, digest: digest(&bytes), bytes: bytes.into() });
+        self.documents.truncate(MAX_KEPT_DOCUMENTS);
     }
 
-    /// The next part for a router: of the document that it has begun if that is kept here, else the
-    /// first of the newest. `None`: it has the newest in force.
+    /// Returns the next part for a router: of the document that it has partly received if that is
+    /// kept here, else the first part of the newest. Returns `None` if the router already has this
+    /// version or a newer one in force, or if there is no document.
     pub fn part(&self, want: &Want) -> Option<Part> {
-        let begun = |p: &&Packed| {
+        let is_started = |p: &&Packed| {
             let same = p.version == want.version && p.digest == want.digest;
             same && want.offset < p.bytes.len() as u64
         };
-        let (pack, offset) = match self.all.iter().find(begun) {
+        let (packed, offset) = match self.documents.iter().find(is_started) {
             Some(p) => (p, want.offset),
-            None => (self.all.front()?, 0),
+            None => (self.documents.front()?, 0),
         };
-        if pack.version <= want.held {
+        if packed.version <= want.held {
             return None;
         }
         let start = offset as usize;
-        let end = (start + PART).min(pack.bytes.len());
+        let end = (start + PART).min(packed.bytes.len());
         Some(Part {
-            version: pack.version,
-            digest: pack.digest,
-            total: pack.bytes.len() as u64,
+            version: packed.version,
+            digest: packed.digest,
+            total: packed.bytes.len() as u64,
             offset,
-            bytes: ByteBuf::from(&pack.bytes[start..end]),
+            bytes: ByteBuf::from(&packed.bytes[start..end]),
         })
     }
 }
 
-/// What a part has brought.
+/// The result of adding a part to an assembly.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Taken {
-    /// Nothing that is of use.
+    /// The part is of no use and was ignored.
     Nothing,
-    /// More is to come.
+    /// More parts are needed.
     More,
-    /// The whole packed document.
+    /// The complete packed document.
     Whole(Vec<u8>),
-    /// All parts are here, and do not have the digest that they should: begin anew.
+    /// All parts have arrived but do not match the digest. The transfer starts again.
     Corrupt,
 }
 
-/// What a router has of a document that is on its way.
+/// A partly received document at a router.
 #[derive(Clone, Debug, Default)]
 pub struct Assembly {
     version: Version,
@@ -135,15 +137,17 @@
 }
 
 impl Assembly {
-    /// What to ask for, with the document of version `held` in force.
+    /// Returns the request for the next part, with the document of version `held` in force.
     pub fn want(&self, held: Version) -> Want {
         let offset = self.bytes.len() as u64;
         Want { held, version: self.version, digest: self.digest, offset }
     }
 
-    /// Takes a part, with the document of version `held` in force.
+    /// Adds a part, with the document of version `held` in force. The first part of another
+    /// document that is not older replaces what has been received. Ignores parts that are out of
+    /// order, too old or of a document that is too large.
     pub fn take(&mut self, held: Version, p: Part) -> Taken {
-        if p.version <= held || p.version < self.version || p.total > MOST {
+        if p.version <= held || p.version < self.version || p.total > MAX_PACKED_BYTES {
             return Taken::Nothing;
         }
         let same = p.version == self.version && p.digest == self.digest && p.total == self.total;
@@ -161,9 +165,9 @@
         if (self.bytes.len() as u64) < self.total {
             return Taken::More;
         }
-        let done = std::mem::take(self);
-        match digest(&done.bytes) == done.digest {
-            true => Taken::Whole(done.bytes),
+        let assembled = std::mem::take(self);
+        match digest(&assembled.bytes) == assembled.digest {
+            true => Taken::Whole(assembled.bytes),
             false => Taken::Corrupt,
         }
     }
--- a/crates/core/src/fleet/watch.rs
+++ b/crates/core/src/fleet/watch.rs
@@ -1,5 +1,5 @@
-//! The standing question that routers and control processes put to each control process, and its
-//! answer: what is new of replicas, routers, control processes and the document in force.
+//! The watch (long poll) by which routers and control processes follow a control process, and its
+//! response: changes of replicas, routers, control processes and the document in force.
 
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteBuf;
@@ -16,146 +16,147 @@
 use crate::hash::Fnv;
 use crate::unit::{Index, Version};
 
-/// How far a watcher has followed one control process.
+/// The position up to which a watcher has followed one control process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Feed {
-    /// Drawn at that process's start.
+    /// Random number that the control process draws at its start.
     pub boot: u64,
-    /// Position in its feed.
+    /// Position in its feed of replica changes.
     pub position: u64,
-    /// Position up to which it has told of replicas that told it itself that they leave.
+    /// Position up to which it has sent replicas that announced to it directly that they leave.
     #[serde(default)]
     pub leaves: u64,
-    /// Digest of the addresses of control processes that it told of last.
+    /// Digest of the control process addresses that it sent last.
     #[serde(default)]
     pub controls: u64,
-    /// Position up to which it has told of replicas' limits.
+    /// Position up to which it has sent replicas' rate limits.
     #[serde(default)]
     pub limits: u64,
 }
 
-/// The digest of addresses of control processes, the same in every process and release.
+/// Returns the digest of a list of control process addresses, which must be the same in every
+/// process and release.
 pub fn digest(controls: &[String]) -> u64 {
     controls.iter().fold(Fnv::new(), |h, a| h.part(a.as_bytes())).value()
 }
 
-/// Where a router serves, and whether it takes callers.
+/// The addresses of a router and whether it accepts callers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouterSign {
-    /// Name of its `Vm`.
+    /// Name of the router's `Vm`.
     pub vm: String,
     /// Its data centre.
     pub data_centre: String,
-    /// Address for callers.
+    /// Address on which it accepts callers.
     pub address: String,
-    /// Address for other routers.
+    /// Address on which it accepts other routers.
     pub link: String,
-    /// It has a document in force and is not stopping.
+    /// Whether it has a document in force and is not shutting down.
     pub open: bool,
-    /// It has more work than it can do well: callers are better off elsewhere.
+    /// Whether it is overloaded, so that callers should prefer other routers.
     #[serde(default)]
     pub busy: bool,
 }
 
-/// The standing question.
+/// A watch request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Watch {
-    /// The router that asks; `None`: another control process.
+    /// The watching router, or `None` if the watcher is another control process.
     pub router: Option<RouterSign>,
-    /// What it has.
+    /// Position up to which the watcher has followed this control process.
     pub feed: Feed,
-    /// Version of the document that it has, or that this process has told it of; 0 for none.
+    /// Newest document version that the watcher has or that this process has reported to it, or 0.
     pub version: Version,
-    /// The next part of a newer document is wanted of this process, at once.
+    /// Request for the next part of a newer document, to be answered at once.
     pub fetch: Option<Want>,
-    /// Digest of the areas that the router knows.
+    /// Digest of the router lists by data centre (`areas`) that the watcher has.
     #[serde(default)]
     pub areas: u64,
-    /// Where the asker listens for the others, if it is a control process.
+    /// Address on which the watcher accepts other control processes, if it is one.
     #[serde(default)]
     pub control: Option<String>,
-    /// Revision of the evacuations that the asker knows.
+    /// Revision of the evacuations that the watcher has.
     #[serde(default)]
     pub evacuations: Index,
-    /// Others tell the asker of replicas.
+    /// Whether to omit replica changes, because the watcher gets them from other control processes.
     #[serde(default)]
     pub without_replicas: bool,
-    /// Revision of the quarantined requests that the asker knows.
+    /// Revision of the quarantined requests that the watcher has.
     #[serde(default)]
     pub quarantine: Index,
-    /// Revision of the roll-outs that the asker knows.
+    /// Revision of the rollouts that the watcher has.
     #[serde(default)]
     pub rollouts: Index,
-    /// What the router has seen of roll-outs under way.
+    /// The router's reports on rollouts in progress.
     #[serde(default)]
     pub reports: Vec<Report>,
-    /// What the router has heard of replicas' limits.
+    /// Replicas' rate limits that the router has received.
     #[serde(default)]
     pub heard: Vec<Word>,
-    /// Digest of the routers that the asker knows of data centres with few of them.
+    /// Digest of the router lists of data centres with few routers (`few`) that the watcher has.
     #[serde(default)]
     pub few: u64,
-    /// Replicas that said in answers to the router that they leave.
+    /// Replicas that announced in responses to the router that they leave.
     #[serde(default)]
     pub leaving: Vec<Leaving>,
 }
 
-/// The answer.
+/// The response to a watch request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Seen {
-    /// How far it brings the watcher.
+    /// Position up to which the watcher has followed after this response.
     pub feed: Feed,
-    /// Replicas that are new or have changed, where they are few.
+    /// Replicas that are new or have changed, unless `packed` contains them.
     pub replicas: Vec<Record>,
     /// Version of the document in force.
     pub version: Version,
-    /// A part of a newer document, if one was asked for.
+    /// Part of a newer document, if the watcher requested one.
     pub part: Option<Part>,
-    /// Addresses of the group's control processes; empty if the asker was told of the same before.
+    /// Addresses of the control processes, or empty if the watcher already has them.
     pub controls: Vec<String>,
-    /// How many routers this process has heard of lately.
+    /// Number of routers that this process has recently received a watch from.
     pub routers: u32,
-    /// Addresses of routers for each other, some of them where there are many.
+    /// Addresses on which routers accept each other, limited in number.
     pub peers: Vec<String>,
-    /// What its clock shows, in milliseconds since 1970.
+    /// Wall-clock time of the control process, in milliseconds since 1970.
     pub wall: u64,
-    /// The areas, if the router knows others.
+    /// Routers by data centre, if the watcher's list differs.
     #[serde(default)]
     pub areas: Option<Vec<Area>>,
-    /// Who leads the group, as far as this process knows.
+    /// The group's leader, if this process knows one.
     #[serde(default)]
     pub lead: Option<Lead>,
-    /// The data centre of the process that answers, if the asker has heard nothing of this start.
+    /// Data centre of this process, or empty if the watcher has followed it since its start.
     #[serde(default)]
     pub data_centre: String,
-    /// The data centres that get no new work, if the asker knows an older revision.
+    /// The evacuated data centres, if the watcher has an older revision.
     #[serde(default)]
     pub evacuations: Option<Evacuations>,
-    /// The quarantined requests, if the asker knows an older revision.
+    /// The quarantined requests, if the watcher has an older revision.
     #[serde(default)]
     pub quarantine: Option<Told>,
-    /// The roll-outs, if the asker knows an older revision.
+    /// The rollouts, if the watcher has an older revision.
     #[serde(default)]
     pub rollouts: Option<Rollouts>,
-    /// For another control process: heartbeats of replicas that have not changed.
+    /// Heartbeats of unchanged replicas, if the watcher is a control process.
     #[serde(default)]
     pub beats: Vec<Beat>,
-    /// Many replicas that are new or have changed, compressed: a list of records.
+    /// Compressed list of the records of replicas that are new or have changed, if they are many.
     #[serde(default)]
     pub packed: Option<ByteBuf>,
-    /// Limits of replicas that have changed.
+    /// Changed rate limits of replicas.
     #[serde(default)]
     pub limits: Vec<Word>,
-    /// The routers of data centres with few of them, if the asker knows others.
+    /// Routers of data centres with few routers, if the watcher's list differs.
     #[serde(default)]
     pub few: Option<Vec<Area>>,
 }
 
-/// A control process that belongs to no group says that it is there.
+/// Announcement of a control process that belongs to no group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announce {
-    /// Its identity.
+    /// Id of the process.
     pub node: u64,
-    /// Where it listens for the others.
+    /// Address on which it accepts other control processes.
     pub address: String,
 }
