--- a/crates/core/src/fleet/limit/homes.rs
+++ b/crates/core/src/fleet/limit/homes.rs
@@ -1,10 +1,11 @@
-//! Which routers hand out the permits of a replica.
+//! Selection of the routers that issue permits for a replica.
 //!
-//! Each router finds them by rendezvous hashing over the routers that it is told of: those of the
-//! replica's data centre, or all where there are too few. Nothing is agreed on. While routers have
-//! different lists, two of them may take themselves for the first, so one that has just come to be the
-//! first hands out no more than the second until all have heard. Meanwhile, and while the first is dead, the second
-//! hands out all, for as long as it knows for sure that the first does not.
+//! Each router computes them by rendezvous hashing over the routers of the replica's data centre, or
+//! over all routers where the data centre has too few. The first is the primary issuer, the next the
+//! secondary. There is no agreement: while routers hold different lists, two of them may both act as
+//! the primary. A new primary therefore issues at the reduced rate until all routers have the current
+//! list. The secondary issues at the full rate in the meantime, and while the primary is dead, as long
+//! as a recent probe confirms that the primary does not.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -12,85 +13,85 @@
 use crate::fleet::homes::ranked;
 use crate::unit::{Millis, Time};
 
-/// Routers of a replica's data centre that are enough to ask no other.
-const ENOUGH: usize = 3;
+/// Routers that a data centre needs to issue the permits of its own replicas.
+const MIN_LOCAL_ROUTERS: usize = 3;
 
-/// Routers that are asked for a replica's permits, one after the other.
+/// Routers that may issue permits for one replica: the primary and the secondary.
 pub const ASKED: usize = 2;
 
-/// How long after a router has come to be the first it hands out the second's part: within this time
-/// every router in touch has the new list, and the former first has nobody left who asks it.
+/// How long a new primary issues at the reduced rate. By then every reachable router has the current
+/// list, and none asks the previous primary.
 pub const SETTLED: Millis = Millis::seconds(4);
 
-/// How long a look at the first router holds: it was dead, or stood back. One that starts after the look
-/// stands back for longer.
+/// How long a probe that found the primary dead or at the reduced rate remains valid. Shorter than
+/// [`SETTLED`], so that a primary that starts after the probe is still at the reduced rate.
 pub const LOOK_HOLDS: Millis = Millis::seconds(1);
 
-/// What a router is among those that hand out a replica's permits.
+/// The part of a replica's limit that a router issues.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rank {
-    /// All ask it first.
+    /// The whole limit: an established primary, or a secondary that replaces the primary.
     First,
-    /// It stands in for the first, or has not been the first for long.
+    /// A fraction of the limit: a secondary, or a new primary.
     Second,
 }
 
-/// The routers that hand out the permits of one replica.
+/// The routers that issue permits for one replica.
 #[derive(Clone, Debug)]
-struct Home {
+struct Issuers {
     routers: Vec<SocketAddr>,
-    /// Since when this router is the first.
-    first: Option<Time>,
-    /// This router is the second.
-    is_second: bool,
-    /// Until when it is sure that the first one hands out no more than the second's part.
-    stands_back: Time,
+    /// When this router became the primary, if it is.
+    primary_since: Option<Time>,
+    is_secondary: bool,
+    /// Until when the primary is known to issue no more than the reduced rate.
+    primary_reduced_until: Time,
 }
 
-impl Home {
-    /// Whether this router, the second one, hands out all in the first's place.
-    fn stands_in(&self, now: Time) -> bool {
-        self.is_second && now < self.stands_back
+impl Issuers {
+    /// Returns whether this router, as the secondary, issues at the full rate.
+    fn replaces_primary(&self, now: Time) -> bool {
+        self.is_secondary && now < self.primary_reduced_until
     }
 }
 
-/// The routers that hand out permits, as one router sees them.
+/// One router's view of which routers issue permits.
 #[derive(Clone, Debug, Default)]
 pub struct Homes {
-    /// The routers of each data centre.
-    areas: BTreeMap<String, Vec<SocketAddr>>,
-    changed: Time,
-    homes: HashMap<String, Home>,
-    /// Since when this router was the first for a replica, by the list before.
-    before: HashMap<String, Time>,
+    routers: BTreeMap<String, Vec<SocketAddr>>,
+    updated: Time,
+    issuers: HashMap<String, Issuers>,
+    /// Under the previous list: the replicas whose primary this router was, and since when.
+    previously_primary: HashMap<String, Time>,
 }
 
 impl Homes {
-    /// Takes the routers of each data centre into use.
-    pub fn set(&mut self, now: Time, areas: BTreeMap<String, Vec<SocketAddr>>) {
-        if areas == self.areas {
+    /// Replaces the lists of routers by data centre.
+    pub fn set(&mut self, now: Time, routers: BTreeMap<String, Vec<SocketAddr>>) {
+        if routers == self.routers {
             return;
         }
-        self.areas = areas;
-        self.changed = now;
-        let homes = std::mem::take(&mut self.homes);
-        let since = |h: &Home| match h.first {
-            None if h.stands_in(now) => Some(now.before(SETTLED)),
-            first => first,
+        self.routers = routers;
+        self.updated = now;
+        let issuers = std::mem::take(&mut self.issuers);
+        let since = |h: &Issuers| match h.primary_since {
+            None if h.replaces_primary(now) => Some(now.before(SETTLED)),
+            since => since,
         };
-        self.before = homes.into_iter().filter_map(|(r, h)| Some((r, since(&h)?))).collect();
+        self.previously_primary =
+            issuers.into_iter().filter_map(|(r, h)| Some((r, since(&h)?))).collect();
     }
 
-    /// Notes that the first router of a replica hands out no more than the second's part until `until`, by a
-    /// look at it that began at `now`.
+    /// Records that the primary of `replica` issues no more than the reduced rate until `until`,
+    /// according to a probe of `first` that started at `now`.
     pub fn stands_back(&mut self, now: Time, replica: &str, first: SocketAddr, until: Time) {
-        let home = self.homes.get_mut(replica).filter(|h| h.routers.first() == Some(&first));
-        if let Some(h) = home {
-            h.stands_back = until.min(now.after(LOOK_HOLDS));
+        let issuers = self.issuers.get_mut(replica).filter(|h| h.routers.first() == Some(&first));
+        if let Some(h) = issuers {
+            h.primary_reduced_until = until.min(now.after(LOOK_HOLDS));
         }
     }
 
-    /// The first router, if this one is the second and does not know that the first stands back.
+    /// Returns the primary if this router is the secondary and its last probe result is missing or
+    /// about to become invalid.
     pub fn first_to_look_at(
         &mut self,
         now: Time,
@@ -98,12 +99,13 @@
         replica: &str,
         data_centre: &str,
     ) -> Option<SocketAddr> {
-        let h = self.home(own, replica, data_centre);
-        let known = h.stands_in(now.after(Millis(LOOK_HOLDS.0 / 2)));
-        h.routers.first().copied().filter(|_| h.is_second && !known)
+        let h = self.issuers_of(own, replica, data_centre);
+        let known = h.replaces_primary(now.after(Millis(LOOK_HOLDS.0 / 2)));
+        h.routers.first().copied().filter(|_| h.is_secondary && !known)
     }
 
-    /// When this router, the first one, stops standing back; none if it does not, or is not the first.
+    /// Returns when this router, as a new primary, switches to the full rate, or `None` if it already
+    /// has or is not the primary.
     pub fn settles(
         &mut self,
         now: Time,
@@ -111,21 +113,22 @@
         replica: &str,
         data_centre: &str,
     ) -> Option<Time> {
-        let since = self.home(own, replica, data_centre).first?;
+        let since = self.issuers_of(own, replica, data_centre).primary_since?;
         Some(since.after(SETTLED)).filter(|until| now < *until)
     }
 
-    /// How many routers there are.
+    /// Returns the number of routers in all data centres.
     pub fn routers(&self) -> usize {
-        self.areas.values().map(Vec::len).sum()
+        self.routers.values().map(Vec::len).sum()
     }
 
-    /// The routers to ask for the permits of a replica in `data_centre`, in order.
+    /// Returns the routers to ask for permits of a replica in `data_centre`, in order.
     pub fn of(&mut self, own: SocketAddr, replica: &str, data_centre: &str) -> &[SocketAddr] {
-        &self.home(own, replica, data_centre).routers
+        &self.issuers_of(own, replica, data_centre).routers
     }
 
-    /// What this router is among them; none: no other should ask it.
+    /// Returns the rate at which this router issues permits of a replica, or `None` if it is not one
+    /// of its issuers.
     pub fn rank(
         &mut self,
         now: Time,
@@ -133,35 +136,41 @@
         replica: &str,
         data_centre: &str,
     ) -> Option<Rank> {
-        let home = self.home(own, replica, data_centre);
-        if home.first.is_none() && !home.is_second {
+        let issuers = self.issuers_of(own, replica, data_centre);
+        if issuers.primary_since.is_none() && !issuers.is_secondary {
             return None;
         }
-        let settled = home.first.is_some_and(|since| now.since(since) >= SETTLED);
-        let all = settled || home.stands_in(now);
-        Some(if all { Rank::First } else { Rank::Second })
+        let established = issuers.primary_since.is_some_and(|since| now.since(since) >= SETTLED);
+        let full = established || issuers.replaces_primary(now);
+        Some(if full { Rank::First } else { Rank::Second })
     }
 
-    /// Forgets a replica.
+    /// Removes all state of a replica.
     pub fn forget(&mut self, replica: &str) {
-        self.homes.remove(replica);
-        self.before.remove(replica);
+        self.issuers.remove(replica);
+        self.previously_primary.remove(replica);
     }
 
-    fn home(&mut self, own: SocketAddr, replica: &str, data_centre: &str) -> &Home {
-        let (areas, changed, before) = (&self.areas, self.changed, &self.before);
-        self.homes.entry(replica.to_owned()).or_insert_with(|| {
-            let near = areas.get(data_centre).filter(|a| a.len() >= ENOUGH);
-            let all: Vec<_> = match near {
-                Some(near) => near.clone(),
-                None => areas.values().flatten().copied().collect(),
+    fn issuers_of(&mut self, own: SocketAddr, replica: &str, data_centre: &str) -> &Issuers {
+        let (by_data_centre, updated, previous) =
+            (&self.routers, self.updated, &self.previously_primary);
+        self.issuers.entry(replica.to_owned()).or_insert_with(|| {
+            let local = by_data_centre.get(data_centre).filter(|r| r.len() >= MIN_LOCAL_ROUTERS);
+            let all: Vec<_> = match local {
+                Some(local) => local.clone(),
+                None => by_data_centre.values().flatten().copied().collect(),
             };
             let mut routers = ranked(replica, &all);
             routers.truncate(ASKED);
-            let is_first = routers.first() == Some(&own);
-            let since = before.get(replica).copied().unwrap_or(changed);
-            let is_second = routers.get(1) == Some(&own);
-            Home { routers, first: is_first.then_some(since), is_second, stands_back: Time(0) }
+            let is_primary = routers.first() == Some(&own);
+            let since = previous.get(replica).copied().unwrap_or(updated);
+            let is_secondary = routers.get(1) == Some(&own);
+            Issuers {
+                routers,
+                primary_since: is_primary.then_some(since),
+                is_secondary,
+                primary_reduced_until: Time(0),
+            }
         })
     }
 }
--- a/crates/core/src/fleet/limit/known.rs
+++ b/crates/core/src/fleet/limit/known.rs
@@ -1,9 +1,9 @@
-//! What one process knows of the limits that replicas name: by answers that it passed on itself, and as
-//! others tell it.
+//! The rate limits of replicas as one process knows them, from responses that it forwarded and from
+//! reports of other processes.
 //!
-//! Answers overtake each other. One to a request that was sent after the last word had come says how
-//! things are; one to an earlier request may be older than that word, so it lowers a limit and never
-//! raises or lifts it. A word of another process counts by when it was heard there.
+//! Responses may arrive out of order. A response to a request that was sent after the last observation
+//! is current. One to an earlier request may predate that observation, so it can lower a limit but not
+//! raise or lift it. Reports of other processes count from the time of their observation.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -13,31 +13,31 @@
 use super::Rate;
 use crate::unit::{Millis, Time};
 
-/// Words of different processes that were heard within this time of each other may have been said in
-/// either order: the lower limit holds. It covers the time that a word is under way.
-const APART: Millis = Millis(250);
+/// Observations of different processes within this time of each other have no known order: the lower
+/// limit applies. Covers the time that a report is in transit.
+const ORDER_UNCERTAINTY: Millis = Millis(250);
 
-/// How long it is remembered that a limit was lifted, against late words of it.
-const LIFTED_KEPT: Millis = Millis::seconds(10);
+/// How long a lifted limit is remembered, so that a late report does not restore it.
+const LIFTED_RETENTION: Millis = Millis::seconds(10);
 
-/// A limit that nobody has heard for so long is forgotten with its replica; requests that are let
-/// through hear it again.
-const NAMED_KEPT: Millis = Millis::seconds(120);
+/// How long a limit is remembered without a further observation. Responses to later requests announce
+/// it again.
+const LIMIT_RETENTION: Millis = Millis::seconds(120);
 
-/// One process's word on a replica's limit, to another.
+/// One process's report on a replica's limit, sent to other processes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Word {
-    /// The replica.
+    /// The replica's id.
     pub replica: String,
-    /// The life of it, as its registration tells; 0 if that does not.
+    /// The replica's incarnation, from its registration; 0 if unknown.
     pub born: u64,
-    /// The limit; none: it is lifted.
+    /// The limit, or `None` if it is lifted.
     pub rate: Option<Rate>,
-    /// How long ago an answer said so.
+    /// Time since a response announced it.
     pub age: Millis,
 }
 
-/// A change of what is known of one replica.
+/// A change of a replica's limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Change {
     /// The limit before.
@@ -50,46 +50,48 @@
 struct Limit {
     born: u64,
     rate: Option<Rate>,
-    /// Since when it names one.
-    named: Time,
-    heard: Time,
+    /// Since when the replica has had a limit.
+    limited_since: Time,
+    /// Last observation by any process.
+    observed: Time,
     position: u64,
-    /// When this process last told what it heard itself; none: it has to.
+    /// When this process last reported its own observation; `None` if not yet.
     reported: Option<Time>,
-    /// When this process last heard it itself.
-    own: Option<Time>,
+    /// Last observation by this process.
+    observed_here: Option<Time>,
 }
 
 /// The limits that one process knows, with a feed of their changes.
 #[derive(Clone, Debug, Default)]
 pub struct Limits {
-    all: BTreeMap<String, Limit>,
+    by_replica: BTreeMap<String, Limit>,
     by_position: BTreeMap<u64, String>,
     position: u64,
 }
 
-/// Whether one limit is lower than another; none is the highest.
+/// Returns whether `a` is lower than `b`; `None` is unlimited.
 fn is_lower(a: Option<Rate>, b: Option<Rate>) -> bool {
     a.is_some_and(|a| b.is_none_or(|b| a < b))
 }
 
 impl Limits {
-    /// The limit of a replica.
+    /// Returns the limit of a replica.
     pub fn rate(&self, replica: &str) -> Option<Rate> {
-        self.all.get(replica)?.rate
+        self.by_replica.get(replica)?.rate
     }
 
-    /// How long a replica has named a limit.
+    /// Returns how long a replica has had a limit.
     pub fn age(&self, now: Time, replica: &str) -> Millis {
-        self.all.get(replica).map_or(Millis(0), |l| now.since(l.named))
+        self.by_replica.get(replica).map_or(Millis(0), |l| now.since(l.limited_since))
     }
 
-    /// The replicas that name a limit.
+    /// Iterates over the replicas with a limit.
     pub fn named(&self) -> impl Iterator<Item = (&str, Rate)> {
-        self.all.iter().filter_map(|(replica, l)| Some((replica.as_str(), l.rate?)))
+        self.by_replica.iter().filter_map(|(replica, l)| Some((replica.as_str(), l.rate?)))
     }
 
-    /// Takes what the answer to a request sent at `sent` says of its replica's limit.
+    /// Records the limit announced by a response to a request sent at `sent`, or `None` if it announced
+    /// none. Returns the change, if any.
     pub fn answered(
         &mut self,
         now: Time,
@@ -98,20 +100,19 @@
         sent: Time,
         rate: Option<Rate>,
     ) -> Option<Change> {
-        let known = self.all.get_mut(replica).filter(|l| l.born == born);
+        let known = self.by_replica.get_mut(replica).filter(|l| l.born == born);
         let Some(l) = known else {
-            // Nothing is known of this life of it.
             rate?;
             self.put(now, replica, born, rate, now, true);
             return Some(Change { from: None, to: rate });
         };
         if l.rate == rate {
-            l.heard = now;
-            l.own = Some(now);
+            l.observed = now;
+            l.observed_here = Some(now);
             return None;
         }
         let from = l.rate;
-        let may_be_older = sent < l.heard;
+        let may_be_older = sent < l.observed;
         if may_be_older && !is_lower(rate, from) {
             return None;
         }
@@ -119,32 +120,32 @@
         Some(Change { from, to: rate })
     }
 
-    /// Takes another process's word.
+    /// Applies another process's report. Returns the change, if any.
     pub fn take(&mut self, now: Time, w: &Word) -> Option<Change> {
-        let heard = now.before(w.age);
-        let known = self.all.get_mut(&w.replica);
+        let observed = now.before(w.age);
+        let known = self.by_replica.get_mut(&w.replica);
         let Some(l) = known.filter(|l| l.born <= w.born || w.born == 0) else {
-            let is_new = !self.all.contains_key(&w.replica);
+            let is_new = !self.by_replica.contains_key(&w.replica);
             if is_new && w.rate.is_some() {
-                self.put(now, &w.replica, w.born, w.rate, heard, false);
+                self.put(now, &w.replica, w.born, w.rate, observed, false);
                 return Some(Change { from: None, to: w.rate });
             }
             return None;
         };
-        let later_life = w.born > l.born && l.born != 0;
-        if l.rate == w.rate && !later_life {
-            l.heard = l.heard.max(heard);
+        let restarted = w.born > l.born && l.born != 0;
+        if l.rate == w.rate && !restarted {
+            l.observed = l.observed.max(observed);
             return None;
         }
         let from = l.rate;
-        let is_later = heard > l.heard.after(APART);
-        let is_as_late = heard.after(APART) >= l.heard;
-        let counts = later_life || is_later || (is_as_late && is_lower(w.rate, from));
-        if !counts {
+        let is_later = observed > l.observed.after(ORDER_UNCERTAINTY);
+        let may_be_later = observed.after(ORDER_UNCERTAINTY) >= l.observed;
+        let applies = restarted || is_later || (may_be_later && is_lower(w.rate, from));
+        if !applies {
             return None;
         }
         let born = w.born.max(l.born);
-        self.put(now, &w.replica, born, w.rate, heard, false);
+        self.put(now, &w.replica, born, w.rate, observed, false);
         Some(Change { from, to: w.rate })
     }
 
@@ -154,91 +155,93 @@
         replica: &str,
         born: u64,
         rate: Option<Rate>,
-        heard: Time,
-        own: bool,
+        observed: Time,
+        is_own: bool,
     ) {
         self.position += 1;
         let position = self.position;
-        let before = self.all.get(replica);
+        let before = self.by_replica.get(replica);
         if let Some(l) = before {
             self.by_position.remove(&l.position);
         }
-        let named = match before {
-            Some(l) if l.rate.is_some() && l.born == born => l.named,
-            _ => heard,
+        let limited_since = match before {
+            Some(l) if l.rate.is_some() && l.born == born => l.limited_since,
+            _ => observed,
         };
-        let own = own.then_some(now);
-        let l = Limit { born, rate, named, heard, position, reported: None, own };
-        self.all.insert(replica.to_owned(), l);
+        let observed_here = is_own.then_some(now);
+        let l =
+            Limit { born, rate, limited_since, observed, position, reported: None, observed_here };
+        self.by_replica.insert(replica.to_owned(), l);
         self.by_position.insert(position, replica.to_owned());
     }
 
-    /// Forgets what a replica has named: it has left, or started again.
+    /// Removes a replica that has left or restarted. Returns its limit.
     pub fn forget(&mut self, replica: &str) -> Option<Rate> {
-        let l = self.all.remove(replica)?;
+        let l = self.by_replica.remove(replica)?;
         self.by_position.remove(&l.position);
         l.rate
     }
 
-    /// Forgets what nobody has heard for long, and replicas that are not there any more: `is_there` tells
-    /// of a replica and its life. Returns those that named a limit.
+    /// Removes limits that have not been observed for long, and those of replicas for which `is_there`,
+    /// called with the id and incarnation, returns false. Returns the removed replicas that had a
+    /// limit.
     pub fn trim(&mut self, now: Time, is_there: impl Fn(&str, u64) -> bool) -> Vec<String> {
         let is_old = |replica: &str, l: &Limit| {
-            let kept = if l.rate.is_some() { NAMED_KEPT } else { LIFTED_KEPT };
-            now.since(l.heard) >= kept || !is_there(replica, l.born)
+            let retention = if l.rate.is_some() { LIMIT_RETENTION } else { LIFTED_RETENTION };
+            now.since(l.observed) >= retention || !is_there(replica, l.born)
         };
-        let old = self.all.iter().filter(|(replica, l)| is_old(replica, l));
+        let old = self.by_replica.iter().filter(|(replica, l)| is_old(replica, l));
         let mut old: Vec<_> = old.map(|(replica, _)| replica.clone()).collect();
         old.retain(|replica| self.forget(replica).is_some());
         old
     }
 
-    /// A word on each replica that names a limit.
+    /// Returns a report on each replica with a limit.
     pub fn words(&self, now: Time) -> Vec<Word> {
-        self.named().filter_map(|(replica, _)| self.word(now, replica)).collect()
+        self.named().filter_map(|(replica, _)| self.report(now, replica)).collect()
     }
 
-    fn word(&self, now: Time, replica: &str) -> Option<Word> {
-        let l = self.all.get(replica)?;
-        let age = now.since(l.heard);
+    fn report(&self, now: Time, replica: &str) -> Option<Word> {
+        let l = self.by_replica.get(replica)?;
+        let age = now.since(l.observed);
         Some(Word { replica: replica.to_owned(), born: l.born, rate: l.rate, age })
     }
 
-    /// Position of the newest change.
+    /// Returns the position of the newest change.
     pub fn position(&self) -> u64 {
         self.position
     }
 
-    /// Whether anything has changed after `since`.
+    /// Returns whether there is a change after position `since`.
     pub fn has_changes(&self, since: u64) -> bool {
         self.by_position.last_key_value().is_some_and(|(newest, _)| *newest > since)
     }
 
-    /// What has changed after `since`, the oldest change first and at most `most`, and how far that brings
-    /// a follower.
+    /// Returns at most `most` changes after position `since`, oldest first, and the position from which
+    /// to continue.
     pub fn changes(&self, now: Time, since: u64, most: usize) -> (Vec<Word>, u64) {
         let mut newer = self.by_position.range((Bound::Excluded(since), Bound::Unbounded));
-        let told: Vec<_> = newer.by_ref().take(most).collect();
-        let last = told.last().map_or(since, |(at, _)| **at);
+        let batch: Vec<_> = newer.by_ref().take(most).collect();
+        let last = batch.last().map_or(since, |(at, _)| **at);
         let position = if newer.next().is_some() { last } else { self.position };
-        let words = told.into_iter().filter_map(|(_, replica)| self.word(now, replica));
-        (words.collect(), position)
+        let reports = batch.into_iter().filter_map(|(_, replica)| self.report(now, replica));
+        (reports.collect(), position)
     }
 
-    /// What this process heard itself and has to tell: a change at once, and as long as it is heard,
-    /// the same again every `again`, at most `most` words. They count as told.
+    /// Returns at most `most` due reports on this process's own observations, and marks them as
+    /// reported. A change is due at once, and an unchanged limit every `again` while it is observed.
     pub fn reports(&mut self, now: Time, again: Millis, most: usize) -> Vec<Word> {
-        let is_due = |l: &Limit| match (l.own, l.reported) {
+        let is_due = |l: &Limit| match (l.observed_here, l.reported) {
             (None, _) => false,
             (Some(_), None) => true,
-            (Some(own), Some(at)) => own > at && now.since(at) >= again,
+            (Some(observed), Some(at)) => observed > at && now.since(at) >= again,
         };
-        let due = self.all.iter_mut().filter(|(_, l)| is_due(l)).take(most);
-        let word = |(replica, l): (&String, &mut Limit)| {
+        let due = self.by_replica.iter_mut().filter(|(_, l)| is_due(l)).take(most);
+        let report = |(replica, l): (&String, &mut Limit)| {
             l.reported = Some(now);
-            let age = now.since(l.heard);
+            let age = now.since(l.observed);
             Word { replica: replica.clone(), born: l.born, rate: l.rate, age }
         };
-        due.map(word).collect()
+        due.map(report).collect()
     }
 }
--- a/crates/core/src/fleet/limit/mod.rs
+++ b/crates/core/src/fleet/limit/mod.rs
@@ -1,11 +1,10 @@
-//! Limits that replicas name in their answers: how many requests a second one takes from all routers
-//! together, for as long as it says so.
+//! Rate limits that replicas announce in their responses.
 //!
-//! The bound is the fleet's, and no router can keep it alone: it knows nothing of what others send,
-//! and a part of one request a second is less than one request at each of eight routers, or of a
-//! thousand. So routers ask for a permit before each request to such a replica, and one of them, found by
-//! rendezvous hashing, hands out the permits of one replica ([`permits`], [`homes`]). What a limit
-//! is, is known from answers and told to all ([`known`]).
+//! A limit bounds the requests per second that a replica accepts from all routers together. No router
+//! can enforce it alone, and an equal share of it may be less than one request per second. Routers
+//! therefore obtain a permit before each request to a limited replica. One router per replica, chosen
+//! by rendezvous hashing, issues the permits ([`permits`], [`homes`]). Limits are learned from
+//! responses and shared between processes ([`known`]).
 
 pub mod homes;
 pub mod known;
@@ -17,17 +16,17 @@
 
 use crate::unit::thousandths;
 
-/// A limit: thousandths of a request a second.
+/// A rate limit in thousandths of a request per second.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Rate(pub u64);
 
-/// Thousandths of one request.
-const WHOLE: u64 = 1_000;
+/// Thousandths in one request.
+const THOUSANDTHS: u64 = 1_000;
 
 impl Rate {
-    /// Reads a decimal number of requests a second, as [`thousandths`] does.
+    /// Parses a decimal number of requests per second, with the syntax of [`thousandths`].
     pub fn parse(text: &str) -> Option<Rate> {
         thousandths(text).map(Rate)
     }
@@ -35,11 +34,11 @@
 
 impl fmt::Display for Rate {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}.{:03}", self.0 / WHOLE, self.0 % WHOLE)
+        write!(f, "{}.{:03}", self.0 / THOUSANDTHS, self.0 % THOUSANDTHS)
     }
 }
 
-/// A limit or none, as logs show it.
+/// Formats an optional limit for logs: the rate, or `none`.
 pub struct Named(pub Option<Rate>);
 
 impl fmt::Display for Named {
@@ -51,14 +50,14 @@
     }
 }
 
-/// What the head of an answer says of its replica's limit.
+/// The parsed rate limit header of a response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Said {
-    /// It names none.
+    /// The response has no such header.
     #[default]
     Nothing,
-    /// It takes so many requests.
+    /// The replica's limit.
     Limit(Rate),
-    /// Something that is no limit, or more than one.
+    /// The header is malformed, or there are several.
     Unreadable,
 }
--- a/crates/core/src/fleet/limit/permits.rs
+++ b/crates/core/src/fleet/limit/permits.rs
@@ -1,10 +1,10 @@
-//! Permits: each lets one request go to a replica that names a limit.
+//! Permits for requests to replicas with a rate limit.
 //!
-//! A bucket for each replica fills at the rate of its limit and holds little more than two permits, so that
-//! what is handed out in any span is close to what the limit allows in it. The first router of a
-//! replica hands out all of the limit, the second one a quarter: also while both do, which is as long as
-//! some routers cannot reach the first or have an older list, the sum stays within one and a half times
-//! the limit, what lies in buckets and what is handed out and not used yet included.
+//! A token bucket per replica fills at the rate of the limit. It holds little more than two permits,
+//! so that the permits issued in any period stay close to the limit. The primary router of a replica
+//! issues at the full rate and the secondary at a quarter of it. Both may do so at once while some
+//! routers cannot reach the primary or hold an older list. The total, including permits in buckets and
+//! issued permits that are not used yet, then stays within one and a half times the limit.
 
 use std::collections::BTreeMap;
 
@@ -15,86 +15,87 @@
 use crate::route::pressure::Pressure;
 use crate::unit::{Millis, Time};
 
-/// How long a permit is good, from the moment at which it was asked for.
+/// How long a permit is valid, counted from the request for it.
 pub const GOOD_FOR: Millis = Millis(250);
 
-/// The most permits of one answer.
-const BATCH: u32 = 16;
+/// Maximum number of permits in one response.
+const MAX_BATCH: u32 = 16;
 
-/// What the second router hands out: one part in so many of the limit.
-const SECOND: u64 = 4;
+/// The reduced rate is the limit divided by this.
+const REDUCED_DIVISOR: u64 = 4;
 
-/// Permits that a bucket saves up: those who are to come one after the other are seldom in time.
-const SAVED: u64 = 2;
+/// Permits that a bucket holds at any rate: routers that retry are rarely exactly on time.
+const BASE_BURST: u64 = 2;
 
-/// How long a bucket fills beyond those.
-const BURST: Millis = Millis(250);
+/// Period at the bucket's rate whose permits it holds in addition.
+const BURST_PERIOD: Millis = Millis(250);
 
-/// A replica whose limit is lower gets one request in ten seconds all the same: if none went there,
-/// nobody would hear that its need is over.
-const LEAST: Rate = Rate(100);
+/// Lower bound of the rate: one request in ten seconds. Without requests no response could announce
+/// that the limit is lifted.
+const MIN_RATE: Rate = Rate(100);
 
-/// The longest and the shortest time after which a router asks again that got none.
-const AGAIN: (Millis, Millis) = (Millis(50), Millis::seconds(4));
+/// Shortest and longest time after which a router that got no permit retries.
+const RETRY_RANGE: (Millis, Millis) = (Millis(50), Millis::seconds(4));
 
-/// Millionths of a permit. A limit in thousandths a second is as many of them a millisecond.
-const ONE: u64 = 1_000_000;
+/// Millionths in one permit. A rate in thousandths per second equals that many millionths per
+/// millisecond.
+const MILLIONTHS: u64 = 1_000_000;
 
-/// A router asks for permits.
+/// A router's request for permits.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ask {
-    /// The replica.
+    /// The replica's id.
     pub replica: String,
-    /// Its data centre.
+    /// The replica's data centre.
     pub data_centre: String,
-    /// Its limit, as far as the router knows.
+    /// The replica's limit as the requesting router has it.
     pub rate: Rate,
-    /// How urgent the request is; 0 is the most.
+    /// Priority of the request to send; 0 is the most urgent.
     pub priority: u8,
-    /// How many it can use while they are good.
+    /// Permits that the router can use while they are valid.
     pub wanted: u32,
 }
 
-/// What it gets.
+/// The response to a request for permits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    /// So many permits.
+    /// Number of permits issued.
     pub permits: u32,
-    /// If none: when to ask again.
+    /// When to retry if there are none.
     pub after: Millis,
-    /// The router that answers stands back for now: the other one may have more.
+    /// The responding router is a new primary at the reduced rate: the secondary may have permits.
     #[serde(default)]
     pub stands_back: bool,
 }
 
-/// The permits of one replica.
+/// The token bucket of one replica.
 #[derive(Clone, Debug)]
 struct Bucket {
-    /// Millionths of permits that are there.
+    /// Millionths of permits in the bucket at `at`.
     level: u64,
-    /// As of when.
     at: Time,
-    /// When the next router that got none is to ask again.
-    turn: Time,
+    /// Retry time of the last router that got no permit.
+    last_retry: Time,
     pressure: Pressure,
 }
 
-/// The permits that one router hands out.
+/// The permits that one router issues, by replica.
 #[derive(Clone, Debug, Default)]
 pub struct Permits {
     buckets: BTreeMap<String, Bucket>,
 }
 
 impl Permits {
-    /// Answers a router's ask. A bucket begins empty: what was sent before it was there counts too.
+    /// Issues permits for `ask`, or returns when to retry. A new bucket starts empty, because requests
+    /// sent before it existed count towards the limit.
     pub fn grant(&mut self, now: Time, ask: &Ask, rank: Rank) -> Grant {
-        let full = ask.rate.max(LEAST).0;
+        let full = ask.rate.max(MIN_RATE).0;
         let rate = match rank {
             Rank::First => full,
-            Rank::Second => full.div_ceil(SECOND),
+            Rank::Second => full.div_ceil(REDUCED_DIVISOR),
         };
-        let fresh = || Bucket { level: 0, at: now, turn: now, pressure: Pressure::default() };
-        let b = self.buckets.entry(ask.replica.clone()).or_insert_with(fresh);
+        let empty = || Bucket { level: 0, at: now, last_retry: now, pressure: Pressure::default() };
+        let b = self.buckets.entry(ask.replica.clone()).or_insert_with(empty);
         b.fill(now, rate);
         let permits = b.take(now, ask);
         match permits {
@@ -103,13 +104,13 @@
         }
     }
 
-    /// Forgets a replica.
+    /// Removes a replica's bucket.
     pub fn forget(&mut self, replica: &str) {
         self.buckets.remove(replica);
     }
 
-    /// Forgets the replicas that nobody has asked for lately: their buckets would be full, and begin
-    /// empty instead.
+    /// Removes the buckets that have not been used for `after`. Recreated, they start empty instead of
+    /// full.
     pub fn trim(&mut self, now: Time, after: Millis) {
         self.buckets.retain(|_, b| now.since(b.at) < after);
     }
@@ -117,9 +118,9 @@
 
 impl Bucket {
     fn fill(&mut self, now: Time, rate: u64) {
-        let most = SAVED * ONE + rate * BURST.0;
-        let Millis(span) = now.since(self.at);
-        self.level = self.level.saturating_add(span.saturating_mul(rate)).min(most);
+        let capacity = BASE_BURST * MILLIONTHS + rate * BURST_PERIOD.0;
+        let Millis(elapsed) = now.since(self.at);
+        self.level = self.level.saturating_add(elapsed.saturating_mul(rate)).min(capacity);
         self.at = self.at.max(now);
     }
 
@@ -127,21 +128,21 @@
         if !self.pressure.allows(now, ask.priority) {
             return 0;
         }
-        let there = (self.level / ONE).min(u64::from(BATCH)) as u32;
-        let permits = there.min(ask.wanted.max(1));
-        self.level -= u64::from(permits) * ONE;
+        let available = (self.level / MILLIONTHS).min(u64::from(MAX_BATCH)) as u32;
+        let permits = available.min(ask.wanted.max(1));
+        self.level -= u64::from(permits) * MILLIONTHS;
         if permits > 0 {
             self.pressure.took();
         }
         permits
     }
 
-    /// Notes that an ask got none. Those that got none are to ask one after the other, as permits come in.
+    /// Records a refusal and returns when to retry. Retries are spaced at the rate of the bucket.
     fn refuse(&mut self, now: Time, priority: u8, rate: u64) -> Millis {
         self.pressure.refuse(now, priority);
-        let each = Millis(ONE.div_ceil(rate.max(1)));
-        let latest = now.after(AGAIN.1);
-        self.turn = self.turn.max(now).after(each).min(latest);
-        self.turn.since(now).max(AGAIN.0)
+        let interval = Millis(MILLIONTHS.div_ceil(rate.max(1)));
+        let latest = now.after(RETRY_RANGE.1);
+        self.last_retry = self.last_retry.max(now).after(interval).min(latest);
+        self.last_retry.since(now).max(RETRY_RANGE.0)
     }
 }
