--- a/crates/core/src/fleet/quarantine/judgement.rs
+++ b/crates/core/src/fleet/quarantine/judgement.rs
@@ -1,173 +1,189 @@
-//! Which requests explain the ends of replicas.
+//! Attribution of replica terminations to the requests that caused them.
 //!
-//! All control processes judge each report, in the one thread that also hears their leader: the work
-//! must not grow with the square of the suspects. Strikes are counted again only where it matters, and who
-//! was at an end of a replica is looked up.
+//! All control processes run this for each report, on the thread that also handles heartbeats of their
+//! leader, so its cost must not grow with the square of the number of suspects. Strikes are recounted
+//! only where they can matter, and the requests in flight at a termination are indexed by its number.
 
 use std::collections::{BTreeMap, BinaryHeap};
 
-use super::suspect::{STRIKES_OF_RIVALS, Suspect};
+use super::suspect::{STRIKES_IF_AMBIGUOUS, Suspect};
 use crate::fleet::fingerprint::Fingerprint;
 
-/// One suspect of whom something can depend on others.
-struct Case<'a> {
+/// A suspect that can be a cause, or can make another one ambiguous.
+struct Candidate<'a> {
     fingerprint: Fingerprint,
     suspect: &'a Suspect,
-    /// Its strikes, but for those that others explain, as they were counted in this round.
+    /// Strikes that no other request explains, as of round `counted_in`.
     strikes: Vec<u64>,
-    counted: usize,
-    /// Its strikes whatever others explain.
-    all: Vec<u64>,
-    /// Nobody has found it guilty yet.
-    open: bool,
+    counted_in: usize,
+    /// All strikes, explained or not.
+    all_strikes: Vec<u64>,
+    /// Not identified as a cause yet.
+    is_open: bool,
 }
 
-impl Case<'_> {
-    fn is_enough(&self) -> bool {
-        self.open && self.suspect.may_be_enough() && self.strikes.len() >= self.suspect.bound()
+impl Candidate<'_> {
+    fn has_enough(&self) -> bool {
+        self.is_open
+            && self.suspect.may_have_enough()
+            && self.strikes.len() >= self.suspect.threshold()
     }
 }
 
-/// What holds of one end of a replica.
+/// One termination of a replica.
 #[derive(Clone, Default)]
-struct Known {
-    explained: bool,
-    /// The cases that were there.
-    there: Vec<usize>,
+struct TerminationState {
+    is_explained: bool,
+    /// Indices of the candidates in flight.
+    candidates: Vec<usize>,
 }
 
-/// The ends of replicas, by number: they are numbered one after the other.
-struct Ends {
+/// The terminations of replicas, indexed by their consecutive numbers.
+struct Terminations {
     first: u64,
-    all: Vec<Known>,
+    states: Vec<TerminationState>,
 }
 
-impl Ends {
-    fn of(cases: &[Case]) -> Ends {
-        let numbers = || cases.iter().flat_map(|c| &c.suspect.ends).map(|e| e.number);
+impl Terminations {
+    fn of(candidates: &[Candidate]) -> Terminations {
+        let numbers = || candidates.iter().flat_map(|c| &c.suspect.ends).map(|e| e.number);
         let (first, last) = (numbers().min().unwrap_or(0), numbers().max().unwrap_or(0));
-        Ends { first, all: vec![Known::default(); (last - first) as usize + 1] }
+        Terminations {
+            first,
+            states: vec![TerminationState::default(); (last - first) as usize + 1],
+        }
     }
 
-    fn get(&self, number: u64) -> &Known {
-        &self.all[(number - self.first) as usize]
+    fn get(&self, number: u64) -> &TerminationState {
+        &self.states[(number - self.first) as usize]
     }
 
-    fn get_mut(&mut self, number: u64) -> &mut Known {
-        &mut self.all[(number - self.first) as usize]
+    fn get_mut(&mut self, number: u64) -> &mut TerminationState {
+        &mut self.states[(number - self.first) as usize]
     }
 }
 
-struct Judgement<'a> {
-    cases: Vec<Case<'a>>,
-    ends: Ends,
-    /// The cases that may have enough strikes, by how many they had when they were counted last: never
-    /// fewer than now, as what others explain only takes strikes away.
-    foremost: BinaryHeap<(usize, usize)>,
-    /// How often ends were explained.
+struct Attribution<'a> {
+    candidates: Vec<Candidate<'a>>,
+    terminations: Terminations,
+    /// Candidates that may have enough strikes, by their last count. It is an upper bound, as explained
+    /// terminations only reduce the strikes of others.
+    queue: BinaryHeap<(usize, usize)>,
+    /// Number of times that terminations were marked as explained.
     round: usize,
 }
 
-/// The requests that explain the ends of replicas, those with the most strikes first, and how many
-/// strikes each has.
-pub(super) fn guilty(suspects: &BTreeMap<Fingerprint, Suspect>) -> Vec<(Fingerprint, usize)> {
-    let mut j = Judgement::new(suspects);
-    let mut guilty = Vec::new();
-    while let Some((case, rivals)) = j.next() {
-        let strikes = j.cases[case].strikes.clone();
-        for n in rivals.into_iter().chain([case]) {
-            j.cases[n].open = false;
-            guilty.push((j.cases[n].fingerprint, strikes.len()));
+/// Returns the requests that explain the terminations of replicas, those with the most strikes first,
+/// and the number of strikes of each.
+pub(super) fn find_causes(suspects: &BTreeMap<Fingerprint, Suspect>) -> Vec<(Fingerprint, usize)> {
+    let mut a = Attribution::new(suspects);
+    let mut causes = Vec::new();
+    while let Some((cause, equivalent)) = a.next() {
+        let strikes = a.candidates[cause].strikes.clone();
+        for n in equivalent.into_iter().chain([cause]) {
+            a.candidates[n].is_open = false;
+            causes.push((a.candidates[n].fingerprint, strikes.len()));
         }
-        // What the others have left may tell them apart now.
-        strikes.iter().for_each(|end| j.ends.get_mut(*end).explained = true);
-        j.round += 1;
+        // The remaining strikes may no longer be ambiguous.
+        strikes.iter().for_each(|number| a.terminations.get_mut(*number).is_explained = true);
+        a.round += 1;
     }
-    guilty
+    causes
 }
 
-impl<'a> Judgement<'a> {
-    fn new(suspects: &'a BTreeMap<Fingerprint, Suspect>) -> Judgement<'a> {
-        // One with a single strike, of which more are wanted, is neither guilty nor speaks for others.
-        let matters = |s: &&Suspect| s.ends.len() > 1 || s.may_be_enough();
-        let known = suspects.iter().filter(|(_, s)| matters(s));
-        let case = |(f, s): (&Fingerprint, &'a Suspect)| {
-            let all = s.strikes(|_| false);
-            Case { fingerprint: *f, suspect: s, strikes: all.clone(), counted: 0, all, open: true }
+impl<'a> Attribution<'a> {
+    fn new(suspects: &'a BTreeMap<Fingerprint, Suspect>) -> Attribution<'a> {
+        // Others have too few strikes, and a single strike makes no other candidate ambiguous.
+        let matters = |s: &&Suspect| s.ends.len() > 1 || s.may_have_enough();
+        let relevant = suspects.iter().filter(|(_, s)| matters(s));
+        let candidate = |(f, s): (&Fingerprint, &'a Suspect)| {
+            let all_strikes = s.strikes(|_| false);
+            Candidate {
+                fingerprint: *f,
+                suspect: s,
+                strikes: all_strikes.clone(),
+                counted_in: 0,
+                all_strikes,
+                is_open: true,
+            }
         };
-        let cases: Vec<_> = known.map(case).collect();
-        let mut ends = Ends::of(&cases);
-        for (n, c) in cases.iter().enumerate() {
-            c.suspect.ends.iter().for_each(|e| ends.get_mut(e.number).there.push(n));
+        let candidates: Vec<_> = relevant.map(candidate).collect();
+        let mut terminations = Terminations::of(&candidates);
+        for (n, c) in candidates.iter().enumerate() {
+            c.suspect.ends.iter().for_each(|e| terminations.get_mut(e.number).candidates.push(n));
         }
-        let enough = cases.iter().enumerate().filter(|(_, c)| c.is_enough());
-        let foremost = enough.map(|(n, c)| (c.strikes.len(), n)).collect();
-        Judgement { cases, ends, foremost, round: 0 }
+        let enough = candidates.iter().enumerate().filter(|(_, c)| c.has_enough());
+        let queue = enough.map(|(n, c)| (c.strikes.len(), n)).collect();
+        Attribution { candidates, terminations, queue, round: 0 }
     }
 
-    /// Counts the strikes of a case anew, if ends were explained since it was done last.
-    fn count(&mut self, n: usize) {
-        if self.cases[n].counted == self.round {
+    /// Recounts the strikes of candidate `n` if terminations were explained since its last count.
+    fn recount(&mut self, n: usize) {
+        if self.candidates[n].counted_in == self.round {
             return;
         }
-        let strikes = self.cases[n].suspect.strikes(|e| self.ends.get(e).explained);
-        let c = &mut self.cases[n];
-        (c.strikes, c.counted) = (strikes, self.round);
+        let strikes = self.candidates[n].suspect.strikes(|e| self.terminations.get(e).is_explained);
+        let c = &mut self.candidates[n];
+        (c.strikes, c.counted_in) = (strikes, self.round);
     }
 
-    /// The next request that explains ends, with those that explain just the same: the one with the most
-    /// strikes that is told apart from others, or has so many that it need not be.
+    /// Returns the next cause and the candidates with the same strikes: the one with the most strikes
+    /// that is unambiguous or has [`STRIKES_IF_AMBIGUOUS`].
     fn next(&mut self) -> Option<(usize, Vec<usize>)> {
-        let mut doubtful = Vec::new();
+        let mut ambiguous = Vec::new();
         let found = loop {
-            let Some((strikes, n)) = self.foremost.pop() else { break None };
-            self.count(n);
-            let c = &self.cases[n];
-            if !c.is_enough() {
+            let Some((strikes, n)) = self.queue.pop() else { break None };
+            self.recount(n);
+            let c = &self.candidates[n];
+            if !c.has_enough() {
                 continue;
             }
             if c.strikes.len() < strikes {
-                self.foremost.push((c.strikes.len(), n));
+                self.queue.push((c.strikes.len(), n));
                 continue;
             }
-            let rivals = self.rivals(n);
-            let told_apart = rivals.is_empty() && self.is_alone_once(n);
-            if told_apart || strikes >= STRIKES_OF_RIVALS {
-                break Some((n, rivals));
+            let equivalent = self.equivalent(n);
+            let is_unambiguous = equivalent.is_empty() && self.has_unshared_strike(n);
+            if is_unambiguous || strikes >= STRIKES_IF_AMBIGUOUS {
+                break Some((n, equivalent));
             }
-            doubtful.push((strikes, n));
+            ambiguous.push((strikes, n));
         };
-        self.foremost.extend(doubtful);
+        self.queue.extend(ambiguous);
         found
     }
 
-    /// The other requests that have the same strikes, and enough of them.
-    fn rivals(&mut self, n: usize) -> Vec<usize> {
-        let strikes = self.cases[n].strikes.clone();
+    /// Returns the other open candidates whose strikes are the same and enough.
+    fn equivalent(&mut self, n: usize) -> Vec<usize> {
+        let strikes = self.candidates[n].strikes.clone();
         let Some(first) = strikes.first() else { return Vec::new() };
-        let mut there = self.ends.get(*first).there.clone();
-        there.retain(|m| {
-            let other = &self.cases[*m];
-            *m != n && other.open && strikes.len() >= other.suspect.bound()
+        let mut others = self.terminations.get(*first).candidates.clone();
+        others.retain(|m| {
+            let other = &self.candidates[*m];
+            *m != n && other.is_open && strikes.len() >= other.suspect.threshold()
         });
-        there.iter().for_each(|m| self.count(*m));
-        there.retain(|m| self.cases[*m].strikes == strikes);
-        there
+        others.iter().for_each(|m| self.recount(*m));
+        others.retain(|m| self.candidates[*m].strikes == strikes);
+        others
     }
 
-    /// Whether a replica ended under a request where no other was that other ends speak against: one with
-    /// several strikes, some of them without it. Strikes that a third one explains speak against it too.
-    fn is_alone_once(&self, n: usize) -> bool {
-        let strikes = &self.cases[n].strikes;
-        let is_apart = |m: &usize| {
-            let other = &self.cases[*m];
-            let several = other.suspect.ends.len() > 1 && other.all.len() > 1;
-            *m != n && other.open && several && other.all.iter().any(|e| !strikes.contains(e))
+    /// Returns whether candidate `n` has a strike that it shares with no independent candidate. Another
+    /// candidate is independent if it has several strikes, at least one of them not among those of `n`,
+    /// whether or not a third one explains it.
+    fn has_unshared_strike(&self, n: usize) -> bool {
+        let strikes = &self.candidates[n].strikes;
+        let is_independent = |m: &usize| {
+            let other = &self.candidates[*m];
+            let several = other.suspect.ends.len() > 1 && other.all_strikes.len() > 1;
+            *m != n
+                && other.is_open
+                && several
+                && other.all_strikes.iter().any(|e| !strikes.contains(e))
         };
-        let shares = |end: &u64| {
-            let mut there = self.ends.get(*end).there.iter();
-            there.any(|m| is_apart(m) && self.cases[*m].all.contains(end))
+        let is_shared = |number: &u64| {
+            let mut others = self.terminations.get(*number).candidates.iter();
+            others.any(|m| is_independent(m) && self.candidates[*m].all_strikes.contains(number))
         };
-        strikes.iter().any(|end| !shares(end))
+        strikes.iter().any(|number| !is_shared(number))
     }
 }
--- a/crates/core/src/fleet/quarantine/message.rs
+++ b/crates/core/src/fleet/quarantine/message.rs
@@ -1,48 +1,48 @@
-//! What gateways report, and what they are told.
+//! Messages between gateways and control processes on quarantined requests.
 
 use serde::{Deserialize, Serialize};
 
 use crate::fleet::fingerprint::Fingerprint;
 use crate::unit::{Index, Millis};
 
-/// A request that was under way at a replica that has ended.
+/// A request that was in flight at a replica when it terminated.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnderWay {
-    /// The request.
+    /// The request's fingerprint.
     pub fingerprint: Fingerprint,
-    /// Its client account; empty if it has none.
+    /// The client account; empty if there is none.
     pub account: String,
-    /// How long before the end it had been sent.
+    /// Time between sending the request and the termination.
     pub age: Millis,
 }
 
-/// A gateway's report of a replica that has ended.
+/// A gateway's report on a replica that terminated.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndedReplica {
     /// The replica's id.
     pub replica: String,
-    /// How long ago.
+    /// Time since the termination.
     pub ago: Millis,
-    /// What the gateway had sent there.
+    /// The requests from this gateway that were in flight.
     pub under_way: Vec<UnderWay>,
 }
 
-/// What gateways go by.
+/// The requests that gateways have to refuse or to observe.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Told {
-    /// Position of the command that changed it last.
+    /// Log position of the last change.
     pub revision: Index,
-    /// Requests that are sent to no replica.
+    /// Quarantined requests, which gateways send to no replica.
     pub quarantined: Vec<Fingerprint>,
-    /// Requests with several strikes: it matters to hear that one was answered whole.
+    /// Requests with several terminations: gateways report each complete response.
     pub suspects: Vec<Fingerprint>,
-    /// Requests with one strike. Most never come again; it matters to hear of those that are answered
-    /// whole again and again.
+    /// Requests with one termination. Most are never repeated, so gateways report a complete response
+    /// only from the second on.
     pub struck: Vec<Fingerprint>,
 }
 
 impl Told {
-    /// Takes what another process tells, if it is newer. Returns whether it is.
+    /// Replaces this list by `told` if that is newer. Returns whether it is.
     pub fn take(&mut self, told: Told) -> bool {
         let newer = told.revision > self.revision;
         if newer {
@@ -52,33 +52,33 @@
     }
 }
 
-/// What changed for a request.
+/// The start of a request's quarantine, or why it ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// It is quarantined.
+    /// The request is quarantined.
     Begun,
-    /// It is not any more: another request explains what ended under it.
+    /// Released: another request explains the terminations.
     Explained,
-    /// It is not any more: it was answered whole.
+    /// Released: a replica completed the request.
     Answered,
-    /// It is not any more: its time is over.
+    /// Released: the quarantine expired.
     Over,
-    /// It is not any more: an operator's word.
+    /// Released by an operator.
     Lifted,
-    /// It is not any more: there are too many.
+    /// Released: too many requests are quarantined.
     Dropped,
 }
 
 impl Change {
-    /// Its name in logs.
+    /// Returns the text for log lines.
     pub fn name(self) -> &'static str {
         match self {
             Change::Begun => "quarantined",
-            Change::Explained => "another request explains it",
-            Change::Answered => "it was answered whole",
-            Change::Over => "its time is over",
+            Change::Explained => "released: explained by another request",
+            Change::Answered => "released: request completed",
+            Change::Over => "released: quarantine expired",
             Change::Lifted => "lifted by an operator",
-            Change::Dropped => "too many are quarantined",
+            Change::Dropped => "released: too many requests are quarantined",
         }
     }
 }
--- a/crates/core/src/fleet/quarantine/mod.rs
+++ b/crates/core/src/fleet/quarantine/mod.rs
@@ -1,21 +1,20 @@
-//! Requests that end every replica that runs them, and are therefore sent to none.
+//! Quarantine of requests that terminate every replica that runs them.
 //!
-//! A replica that ends takes all requests with it that it has, the one that ended it and those that
-//! were only there. Each of them gets a strike; a request is quarantined at [`STRIKES`] of them, if
-//! the ends of replicas under it are not explained better by another. What was only there is told
-//! from what did it in four ways:
+//! When a replica terminates, each request in flight gets a strike, whether it is the cause or not. A
+//! request is quarantined at [`STRIKES`] strikes, unless another request explains those terminations
+//! better. Four rules separate causes from coincidence:
 //!
-//! - A strike counts only if the request was sent after the strike before. Replicas that end together,
-//!   as when a rack loses power, are one strike for what ran on several of them.
-//! - The request under which most replicas ended explains their ends, and nobody else gets strikes for
-//!   them. Who was quarantined before that showed is free again.
-//! - One whose every strike may as well be another's, as that one has strikes without it too, or the
-//!   very same ones, goes on until one more end tells them apart, or [`STRIKES_OF_RIVALS`] have come.
-//! - A request that any gateway answers whole has ended nobody, and gets no strikes for a while.
+//! - A strike counts only if the request was sent after its previous strike. Replicas that terminate
+//!   together, as when a rack loses power, give one strike to a request that ran on several of them.
+//! - The request with the most strikes explains its terminations. Others get no strikes for them, and
+//!   are released if they were quarantined because of them.
+//! - A request is ambiguous if another has the same strikes, or if it shares each strike with a request
+//!   that also has strikes without it. It is quarantined once a further termination resolves this, or
+//!   at [`STRIKES_IF_AMBIGUOUS`] strikes.
+//! - A request that any gateway answers completely is no cause, and gets no strikes for a while.
 //!
-//! The state is replicated: what is known of a request outlasts every gateway, and a loss of power
-//! everywhere. A gateway that reaches no control process goes by a state of its own, of the ends that
-//! it saw itself.
+//! The state is replicated, so it survives the loss of every gateway and of power everywhere. A gateway
+//! that reaches no control process uses a local state of the terminations that it detected itself.
 
 mod judgement;
 mod message;
@@ -25,65 +24,69 @@
 
 use serde::{Deserialize, Serialize};
 
-use judgement::guilty;
+use judgement::find_causes;
 pub use message::{Change, EndedReplica, Told, UnderWay};
-use suspect::{End, Suspect};
-pub use suspect::{STRIKES, STRIKES_OF_RIVALS};
+pub use suspect::{STRIKES, STRIKES_IF_AMBIGUOUS};
+use suspect::{Suspect, Termination};
 
 use super::fingerprint::Fingerprint;
 use crate::unit::{Index, Millis, Time};
 
-/// Reports on one replica that lie no farther apart are of the same end. Gateways see it in one
-/// instant, and their reports take some tens of milliseconds.
-const SAME_END: Millis = Millis(300);
+/// Reports on one replica within this time of each other concern the same termination. Gateways detect
+/// it at nearly the same time, and their reports take some tens of milliseconds.
+const SAME_TERMINATION: Millis = Millis(300);
 
-/// How long after the first report on an end another may come: a gateway that was cut off reports as
-/// soon as it can.
-const REPORTED_WITHIN: Millis = Millis::seconds(60);
+/// How long after its first report a termination is remembered: a gateway that was disconnected reports
+/// late.
+const REPORT_WINDOW: Millis = Millis::seconds(60);
 
-/// How long strikes are remembered.
-const REMEMBERED: Millis = Millis::seconds(600);
+/// How long after its last termination a suspect is remembered.
+const SUSPECT_RETENTION: Millis = Millis::seconds(600);
 
-/// How long a request that was answered whole gets no strikes.
-const SOUND_FOR: Millis = Millis::seconds(600);
+/// How long a request that was answered completely gets no strikes.
+const COMPLETION_EXEMPTION: Millis = Millis::seconds(600);
 
-/// How long a quarantine lasts at first, doubled with each further one. Each time one ends, the
-/// request may end one replica more: a wrong quarantine costs its request an hour, a right one the
-/// fleet one replica an hour at most.
-const TERM: Millis = Millis::seconds(3_600);
+/// Length of a request's first quarantine, doubled for each further one. After each the request may
+/// terminate one replica more, so a wrong quarantine lasts an hour and a right one costs at most one
+/// replica per hour.
+const FIRST_TERM: Millis = Millis::seconds(3_600);
 
-/// Doublings of [`TERM`], at most: some two days.
-const DOUBLINGS: u32 = 6;
+/// Maximum number of doublings of [`FIRST_TERM`]: 64 hours.
+const MAX_DOUBLINGS: u32 = 6;
 
-/// How long, and of how many requests, it is remembered that they were quarantined.
-const FORMER_FOR: Millis = Millis::seconds(7 * 24 * 3_600);
-const FORMER_MOST: usize = 1_024;
+/// How long an expired quarantine is remembered.
+const PAST_RETENTION: Millis = Millis::seconds(7 * 24 * 3_600);
 
-/// Requests that were answered whole of which that is remembered.
-const SOUND_MOST: usize = 1_024;
+/// Maximum number of expired quarantines remembered.
+const MAX_PAST: usize = 1_024;
 
-/// Suspects that are remembered: all that run on 32 replicas with 64 places.
-const SUSPECTS_MOST: usize = 2_048;
+/// Maximum number of requests exempt because they were answered completely.
+const MAX_EXEMPT: usize = 1_024;
 
-/// Quarantined requests in all, and of one client account: nobody can fill the list for all others.
-const QUARANTINED_MOST: usize = 256;
-const OF_ACCOUNT_MOST: usize = 32;
+/// Maximum number of suspects: the requests on 32 replicas with 64 slots each.
+const MAX_SUSPECTS: usize = 2_048;
 
-/// Suspects that gateways are told of: those with most strikes first, then the newest. Some 20 bytes
-/// each.
-const TOLD_MOST: usize = 128;
+/// Maximum number of quarantined requests.
+const MAX_QUARANTINED: usize = 256;
 
-/// The last end of a replica, and when it was heard of.
+/// Maximum number of quarantined requests per client account, so that none fills the list alone.
+const MAX_QUARANTINED_PER_ACCOUNT: usize = 32;
+
+/// Maximum number of suspects sent to gateways, at some 20 bytes each.
+const MAX_LISTED_SUSPECTS: usize = 128;
+
+/// The last termination of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Numbered {
+struct LastTermination {
     number: u64,
     at: Time,
+    /// When the first report arrived.
     heard: Time,
 }
 
-/// A request whose quarantine is over.
+/// A request whose quarantine has expired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Former {
+struct PastQuarantine {
     terms: u32,
     over: Time,
 }
@@ -91,92 +94,94 @@
 /// A quarantined request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Quarantined {
-    /// Its client account.
+    /// The client account; empty if there is none.
     pub account: String,
-    /// Since when.
+    /// Start of the quarantine.
     pub since: Time,
-    /// Until when, unless it ends sooner.
+    /// When the quarantine expires.
     pub until: Time,
-    /// How often it has been so.
+    /// Number of quarantines of this request, including this one.
     pub terms: u32,
-    /// Replicas that ended under it.
+    /// Terminations of replicas that are attributed to the request.
     pub strikes: usize,
 }
 
-/// What is known of all requests under which replicas have ended.
+/// The replicated state of quarantined requests and suspects.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Quarantine {
-    /// Position of the command that changed what gateways are told; 0 if there was none.
+    /// Log position of the last change of the list for gateways; 0 if there was none.
     revision: Index,
-    /// The same for quarantined requests alone.
+    /// Log position of the last change of `quarantined`.
     urgent: Index,
     next_number: u64,
-    /// The last end of each replica that has ended lately.
-    replicas: BTreeMap<String, Numbered>,
+    /// The last termination of each replica that terminated recently.
+    replicas: BTreeMap<String, LastTermination>,
     suspects: BTreeMap<Fingerprint, Suspect>,
-    /// Suspects by the time of their first end.
+    /// Suspects by the time of their first termination.
     order: VecDeque<Fingerprint>,
     quarantined: BTreeMap<Fingerprint, Quarantined>,
-    /// Requests whose quarantines are over.
-    former: BTreeMap<Fingerprint, Former>,
-    /// Requests that were answered whole after a strike, and when.
+    /// Requests whose quarantine has expired.
+    former: BTreeMap<Fingerprint, PastQuarantine>,
+    /// Suspects that were released as answered completely, and when.
     sound: BTreeMap<Fingerprint, Time>,
 }
 
 impl Quarantine {
-    /// Position of the last change of what gateways are told.
+    /// Returns the log position of the last change of the list for gateways; 0 if there was none.
     pub fn revision(&self) -> Index {
         self.revision
     }
 
-    /// Position of the last change of what is quarantined.
+    /// Returns the log position of the last change of the quarantined requests; 0 if there was none.
     pub fn urgent(&self) -> Index {
         self.urgent
     }
 
-    /// Whether a request is quarantined.
+    /// Returns whether a request is quarantined.
     pub fn holds(&self, f: &Fingerprint) -> bool {
         self.quarantined.contains_key(f)
     }
 
-    /// The quarantined requests.
+    /// Iterates over the quarantined requests.
     pub fn iter(&self) -> impl Iterator<Item = (&Fingerprint, &Quarantined)> {
         self.quarantined.iter()
     }
 
-    /// Takes reports of replicas that have ended, at log position `pos`.
+    /// Records reports on terminated replicas at log position `pos`. Returns the requests that are
+    /// quarantined or released as a result.
     pub fn note(
         &mut self,
         now: Time,
         pos: Index,
         ended: &[EndedReplica],
     ) -> Vec<(Fingerprint, Change)> {
-        self.forget(now);
-        let mut suspicious = false;
+        self.expire(now);
+        let mut may_change = false;
         for e in ended {
             let at = Time(now.0.saturating_sub(e.ago.0));
-            let number = self.number(now, &e.replica, at);
+            let number = self.termination_number(now, &e.replica, at);
             for u in &e.under_way {
-                suspicious |= self.strike(number, at, u, pos);
+                may_change |= self.record_in_flight(number, at, u, pos);
             }
         }
-        if suspicious { self.judge(now, pos) } else { Vec::new() }
+        if may_change { self.attribute(now, pos) } else { Vec::new() }
     }
 
-    /// The number of the end of a replica.
-    fn number(&mut self, now: Time, replica: &str, at: Time) -> u64 {
+    /// Returns the number of a replica's termination: that of an earlier report, or a new one.
+    fn termination_number(&mut self, now: Time, replica: &str, at: Time) -> u64 {
         let known = self.replicas.get(replica);
-        if let Some(known) = known.filter(|k| at.0.abs_diff(k.at.0) <= SAME_END.0) {
+        if let Some(known) = known.filter(|k| at.0.abs_diff(k.at.0) <= SAME_TERMINATION.0) {
             return known.number;
         }
         self.next_number += 1;
-        let numbered = Numbered { number: self.next_number, at, heard: now };
-        self.replicas.insert(replica.to_owned(), numbered);
+        let last = LastTermination { number: self.next_number, at, heard: now };
+        self.replicas.insert(replica.to_owned(), last);
         self.next_number
     }
 
-    /// Notes the end of a replica under a request. Returns whether it may be enough for a quarantine.
-    fn strike(&mut self, number: u64, at: Time, u: &UnderWay, pos: Index) -> bool {
+    /// Records the termination of a replica that had a request in flight. Returns whether the request may
+    /// have enough strikes for a quarantine.
+    fn record_in_flight(&mut self, number: u64, at: Time, u: &UnderWay, pos: Index) -> bool {
         if self.sound.contains_key(&u.fingerprint) {
             return false;
         }
@@ -187,75 +192,77 @@
             s.terms = self.former.get(&u.fingerprint).map_or(0, |f| f.terms);
             self.order.push_back(u.fingerprint);
         }
-        s.take(End { number, at, sent });
+        s.record(Termination { number, at, sent });
         self.revision = pos;
-        s.may_be_enough()
+        s.may_have_enough()
     }
 
-    /// Quarantines the requests that explain the ends of replicas.
-    fn judge(&mut self, now: Time, pos: Index) -> Vec<(Fingerprint, Change)> {
-        let guilty = guilty(&self.suspects);
-        self.quarantine(now, pos, &guilty)
+    /// Quarantines the requests that explain the terminations of replicas, and releases those that no
+    /// longer do.
+    fn attribute(&mut self, now: Time, pos: Index) -> Vec<(Fingerprint, Change)> {
+        let causes = find_causes(&self.suspects);
+        self.quarantine(now, pos, &causes)
     }
 
     fn quarantine(
         &mut self,
         now: Time,
         pos: Index,
-        guilty: &[(Fingerprint, usize)],
+        causes: &[(Fingerprint, usize)],
     ) -> Vec<(Fingerprint, Change)> {
         let mut changes = Vec::new();
-        // One whose ends are forgotten by now stays for its term.
+        // A request whose terminations have been dropped stays quarantined until its term expires.
         let explained = |f: &Fingerprint| {
-            self.suspects.contains_key(f) && !guilty.iter().any(|(other, _)| other == f)
+            self.suspects.contains_key(f) && !causes.iter().any(|(other, _)| other == f)
         };
-        let free: Vec<_> = self.quarantined.keys().copied().filter(explained).collect();
-        for f in free {
+        let released: Vec<_> = self.quarantined.keys().copied().filter(explained).collect();
+        for f in released {
             self.quarantined.remove(&f);
             changes.push((f, Change::Explained));
         }
-        for (f, strikes) in guilty {
+        for (f, strikes) in causes {
             let Some(s) = self.suspects.get_mut(f) else { continue };
             if let Some(q) = self.quarantined.get_mut(f) {
                 q.strikes = *strikes;
                 continue;
             }
-            let span = Millis(TERM.0 << s.terms.min(DOUBLINGS));
-            let (account, until) = (s.account.clone(), now.after(span));
+            let term = Millis(FIRST_TERM.0 << s.terms.min(MAX_DOUBLINGS));
+            let (account, until) = (s.account.clone(), now.after(term));
             let q =
                 Quarantined { account, since: now, until, terms: s.terms + 1, strikes: *strikes };
             self.quarantined.insert(*f, q);
             changes.push((*f, Change::Begun));
         }
-        changes.extend(self.drop_surplus());
+        changes.extend(self.evict_surplus());
         if !changes.is_empty() {
             (self.revision, self.urgent) = (pos, pos);
         }
         changes
     }
 
-    /// Keeps the list within its bounds: the oldest of an account, or of all, goes.
-    fn drop_surplus(&mut self) -> Vec<(Fingerprint, Change)> {
-        let mut of_account: BTreeMap<&str, usize> = BTreeMap::new();
+    /// Releases the oldest quarantined requests beyond the limits per account and in total.
+    fn evict_surplus(&mut self) -> Vec<(Fingerprint, Change)> {
+        let mut by_account: BTreeMap<&str, usize> = BTreeMap::new();
         let mut by_age: Vec<_> = self.quarantined.iter().collect();
         by_age.sort_by_key(|(f, q)| (std::cmp::Reverse(q.since), **f));
         let mut surplus = Vec::new();
         for (kept, (f, q)) in by_age.into_iter().enumerate() {
-            let own = of_account.entry(&q.account).or_default();
-            *own += 1;
-            if *own > OF_ACCOUNT_MOST || kept >= QUARANTINED_MOST {
+            let of_account = by_account.entry(&q.account).or_default();
+            *of_account += 1;
+            if *of_account > MAX_QUARANTINED_PER_ACCOUNT || kept >= MAX_QUARANTINED {
                 surplus.push(*f);
             }
         }
-        let drop = |f: Fingerprint| {
+        let evict = |f: Fingerprint| {
             self.quarantined.remove(&f);
             self.suspects.remove(&f);
             (f, Change::Dropped)
         };
-        surplus.into_iter().map(drop).collect()
+        surplus.into_iter().map(evict).collect()
     }
 
-    /// Takes the word that requests were answered whole, at log position `pos`.
+    /// Records at log position `pos` that requests were answered completely. Returns those that are
+    /// released from quarantine.
     pub fn answered(
         &mut self,
         now: Time,
@@ -265,10 +272,11 @@
         self.release(now, pos, all, Change::Answered)
     }
 
-    /// Takes an operator's word that a request may be sent again.
+    /// Releases a request on an operator's command and removes its history. Returns the change, if it
+    /// was quarantined.
     pub fn lift(&mut self, now: Time, pos: Index, f: Fingerprint) -> Vec<(Fingerprint, Change)> {
         let changes = self.release(now, pos, &[f], Change::Lifted);
-        // Its strikes count from the first again.
+        // Later strikes count as for a new request.
         self.sound.remove(&f);
         self.former.remove(&f);
         changes
@@ -279,9 +287,9 @@
         now: Time,
         pos: Index,
         all: &[Fingerprint],
-        why: Change,
+        reason: Change,
     ) -> Vec<(Fingerprint, Change)> {
-        self.forget(now);
+        self.expire(now);
         let mut changes = Vec::new();
         for f in all {
             if self.suspects.remove(f).is_some() {
@@ -290,78 +298,80 @@
             }
             if self.quarantined.remove(f).is_some() {
                 (self.revision, self.urgent) = (pos, pos);
-                changes.push((*f, why));
+                changes.push((*f, reason));
             }
         }
         changes
     }
 
-    /// Whether a quarantine's time is over.
+    /// Returns whether a quarantine has expired.
     pub fn is_due(&self, now: Time) -> bool {
         self.quarantined.values().any(|q| q.until <= now)
     }
 
-    /// Ends the quarantines whose time is over. The next end of a replica under such a request begins
-    /// another.
+    /// Releases the requests whose quarantine has expired, at log position `pos`. One further strike
+    /// quarantines such a request again.
     pub fn end_terms(&mut self, now: Time, pos: Index) -> Vec<(Fingerprint, Change)> {
-        let over = self.quarantined.iter().filter(|(_, q)| q.until <= now);
-        let over: Vec<_> = over.map(|(f, q)| (*f, q.clone())).collect();
-        for (f, q) in &over {
+        let expired = self.quarantined.iter().filter(|(_, q)| q.until <= now);
+        let expired: Vec<_> = expired.map(|(f, q)| (*f, q.clone())).collect();
+        for (f, q) in &expired {
             self.quarantined.remove(f);
             self.suspects.remove(f);
-            self.former.insert(*f, Former { terms: q.terms, over: now });
+            self.former.insert(*f, PastQuarantine { terms: q.terms, over: now });
             (self.revision, self.urgent) = (pos, pos);
         }
-        over.into_iter().map(|(f, _)| (f, Change::Over)).collect()
+        expired.into_iter().map(|(f, _)| (f, Change::Over)).collect()
     }
 
-    /// Forgets what is too old, and the oldest of too many.
-    fn forget(&mut self, now: Time) {
-        self.sound.retain(|_, at| now.since(*at) < SOUND_FOR);
-        keep_newest(&mut self.sound, SOUND_MOST, |at| *at);
-        self.former.retain(|_, f| now.since(f.over) < FORMER_FOR);
-        keep_newest(&mut self.former, FORMER_MOST, |f| f.over);
-        self.replicas.retain(|_, n| now.since(n.heard) < REPORTED_WITHIN);
-        let mut looked = 0;
+    /// Removes expired entries, and the oldest ones beyond each limit.
+    fn expire(&mut self, now: Time) {
+        self.sound.retain(|_, at| now.since(*at) < COMPLETION_EXEMPTION);
+        keep_newest(&mut self.sound, MAX_EXEMPT, |at| *at);
+        self.former.retain(|_, f| now.since(f.over) < PAST_RETENTION);
+        keep_newest(&mut self.former, MAX_PAST, |f| f.over);
+        self.replicas.retain(|_, n| now.since(n.heard) < REPORT_WINDOW);
+        let mut requeued = 0;
         while let Some(f) = self.order.front().copied() {
-            let is_old = |s: &Suspect| now.since(s.last()) >= REMEMBERED;
+            let is_old = |s: &Suspect| now.since(s.last()) >= SUSPECT_RETENTION;
             let old = self.suspects.get(&f).is_none_or(is_old);
-            let surplus = self.order.len() > SUSPECTS_MOST;
+            let surplus = self.order.len() > MAX_SUSPECTS;
             if !old && !surplus {
                 return;
             }
             self.order.pop_front();
             let several = self.suspects.get(&f).is_some_and(|s| s.ends.len() > 1);
-            if !old && several && looked < SUSPECTS_MOST {
-                // One strike is cheap to have; those with more go last.
+            if !old && several && requeued < MAX_SUSPECTS {
+                // Suspects with a single termination are removed first.
                 self.order.push_back(f);
-                looked += 1;
+                requeued += 1;
                 continue;
             }
             self.suspects.remove(&f);
         }
     }
 
-    /// What gateways go by.
+    /// Returns the list for gateways. Of the suspects it has those with the most terminations, then the
+    /// newest.
     pub fn told(&self) -> Told {
         let mut all: Vec<_> = self.suspects.iter().filter(|(f, _)| !self.holds(f)).collect();
         all.sort_by_key(|(f, s)| std::cmp::Reverse((s.ends.len(), s.last(), **f)));
-        all.truncate(TOLD_MOST);
+        all.truncate(MAX_LISTED_SUSPECTS);
         let (suspects, struck): (Vec<_>, Vec<_>) =
             all.into_iter().partition(|(_, s)| s.ends.len() > 1);
-        let names = |all: Vec<(&Fingerprint, &Suspect)>| all.into_iter().map(|(f, _)| *f).collect();
+        let fingerprints =
+            |all: Vec<(&Fingerprint, &Suspect)>| all.into_iter().map(|(f, _)| *f).collect();
         Told {
             revision: self.revision,
             quarantined: self.quarantined.keys().copied().collect(),
-            suspects: names(suspects),
-            struck: names(struck),
+            suspects: fingerprints(suspects),
+            struck: fingerprints(struck),
         }
     }
 }
 
-/// Drops the oldest of more than `most` entries.
-fn keep_newest<T>(all: &mut BTreeMap<Fingerprint, T>, most: usize, at: impl Fn(&T) -> Time) {
-    while all.len() > most {
+/// Removes the oldest entries beyond `max`.
+fn keep_newest<T>(all: &mut BTreeMap<Fingerprint, T>, max: usize, at: impl Fn(&T) -> Time) {
+    while all.len() > max {
         let Some(oldest) = all.iter().min_by_key(|(_, t)| at(t)).map(|(f, _)| *f) else { return };
         all.remove(&oldest);
     }
--- a/crates/core/src/fleet/quarantine/suspect.rs
+++ b/crates/core/src/fleet/quarantine/suspect.rs
@@ -1,76 +1,76 @@
-//! Requests under which replicas have ended, and which of them have ended these.
+//! Suspects: requests that were in flight at replicas that terminated.
 
 use serde::{Deserialize, Serialize};
 
 use crate::unit::{Millis, Time};
 
-/// Ends of replicas at which a request is quarantined. One more would end one more replica for each
-/// such request; one less would take the word of two coincidences.
+/// Strikes at which a request is quarantined. More would cost a further replica per such request; fewer
+/// could be coincidence.
 pub const STRIKES: usize = 3;
 
-/// Ends of replicas at which a request is quarantined at all of which others may have been to blame.
-pub const STRIKES_OF_RIVALS: usize = 5;
+/// Strikes at which a request is quarantined although others may have caused all of them.
+pub const STRIKES_IF_AMBIGUOUS: usize = 5;
 
-/// How much earlier than a strike a request may seem to have been sent that was sent after it: reports
-/// take different times on their way.
-const SLACK: Millis = Millis(100);
+/// How much earlier than the previous termination a request may seem to have been sent, and still get
+/// a strike. Covers the differences between the delays of reports.
+const ORDER_TOLERANCE: Millis = Millis(100);
 
-/// Ends that are remembered of one suspect: more than any rule looks at.
-const ENDS_MOST: usize = 32;
+/// Maximum number of terminations kept per suspect.
+const MAX_TERMINATIONS: usize = 32;
 
-/// One end of a replica under a request.
+/// A replica's termination with a given request in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct End {
-    /// Its number; the same for all requests that it took.
+pub(super) struct Termination {
+    /// The number of the termination, shared by all requests in flight.
     pub number: u64,
-    /// When the replica ended.
+    /// When the replica terminated.
     pub at: Time,
-    /// When the request had been sent there.
+    /// When the request was sent to it.
     pub sent: Time,
 }
 
-/// A request under which replicas have ended.
+/// A request that was in flight at replicas that terminated.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Suspect {
-    /// Its client account; empty if it has none.
+    /// The client account; empty if there is none.
     pub account: String,
-    /// The latest ends of replicas under it, the oldest first.
-    pub ends: Vec<End>,
-    /// Quarantines that it has been through, without the one under way.
+    /// The latest terminations, oldest first.
+    pub ends: Vec<Termination>,
+    /// Number of earlier quarantines.
     pub terms: u32,
 }
 
 impl Suspect {
-    /// Takes the end of a replica at which it was.
-    pub fn take(&mut self, end: End) {
-        if let Some(known) = self.ends.iter_mut().find(|e| e.number == end.number) {
-            // Of two copies at one replica the newer decides.
-            known.sent = known.sent.max(end.sent);
+    /// Records the termination of a replica that had this request in flight.
+    pub fn record(&mut self, termination: Termination) {
+        if let Some(known) = self.ends.iter_mut().find(|e| e.number == termination.number) {
+            // The replica had several copies of the request: the newest counts.
+            known.sent = known.sent.max(termination.sent);
             return;
         }
-        self.ends.push(end);
+        self.ends.push(termination);
         self.ends.sort_by_key(|e| e.at);
-        let surplus = self.ends.len().saturating_sub(ENDS_MOST);
+        let surplus = self.ends.len().saturating_sub(MAX_TERMINATIONS);
         self.ends.drain(..surplus);
     }
 
-    /// Whether replicas have ended under it often enough for a quarantine, as far as can be told
-    /// without looking at others.
-    pub fn may_be_enough(&self) -> bool {
-        self.ends.len() >= self.bound()
+    /// Returns whether the terminations would suffice for a quarantine if all of them were strikes.
+    pub fn may_have_enough(&self) -> bool {
+        self.ends.len() >= self.threshold()
     }
 
-    /// When a replica ended under it last.
+    /// Returns the time of the last termination.
     pub fn last(&self) -> Time {
         self.ends.iter().map(|e| e.at).max().unwrap_or_default()
     }
 
-    /// The ends that count as strikes, but for those that another request explains.
+    /// Returns the numbers of the terminations that count as strikes, without those for which
+    /// `is_explained` returns true.
     pub(super) fn strikes(&self, is_explained: impl Fn(u64) -> bool) -> Vec<u64> {
         let mut strikes = Vec::new();
         let mut last = None;
         for e in self.ends.iter().filter(|e| !is_explained(e.number)) {
-            if last.is_none_or(|last| e.sent.after(SLACK) >= last) {
+            if last.is_none_or(|last| e.sent.after(ORDER_TOLERANCE) >= last) {
                 strikes.push(e.number);
                 last = Some(e.at);
             }
@@ -78,8 +78,8 @@
         strikes
     }
 
-    /// Strikes at which it is quarantined: one that was before gets no second chance.
-    pub(super) fn bound(&self) -> usize {
+    /// Returns the strikes at which the request is quarantined: one if it has been quarantined before.
+    pub(super) fn threshold(&self) -> usize {
         if self.terms > 0 { 1 } else { STRIKES }
     }
 }
