--- a/crates/core/src/fleet/rollout/evidence.rs
+++ b/crates/core/src/fleet/rollout/evidence.rs
@@ -1,8 +1,8 @@
-//! What gateways report of the old and the new version of a service.
+//! Gateways' reports on the outcomes of the old and the new version of a service.
 //!
-//! Counters only rise while a gateway lives, so a report that comes late, twice or by another way
-//! counts once: of each life of a gateway the last report is taken. They are kept by route, as a
-//! version may be bad on one route only.
+//! Counters only increase while a gateway process runs, and the last report of each process counts. A
+//! report that arrives late, twice or by another path therefore counts once. Outcomes are kept by route,
+//! as a version may be faulty on one route only.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -10,49 +10,53 @@
 
 use crate::unit::{Index, Time};
 
-/// Classes of how long answers took against what was expected.
-pub const CLASSES: usize = 16;
+/// Number of classes of the ratio of actual to expected latency.
+pub const LATENCY_CLASSES: usize = 16;
 
-/// The lowest bound of these classes, in thousandths of what was expected, and by how much each is
-/// above the one before, in hundredths. They reach from a fifth of it to some eighty times of it.
-const FIRST_BOUND: u64 = 200;
-const STEP: u64 = 150;
+/// Upper bound of the lowest class, in thousandths of the expected latency.
+const FIRST_BOUND_PERMILLE: u64 = 200;
 
-/// The time to a first event beside waiting and reading, in microseconds: a few steps of an engine, or
-/// the work of a plain service. Without it, answers that need next to nothing would differ by large factors.
-const LEAST_EXPECTED_US: u64 = 50_000;
+/// Each bound in percent of the one before. The classes range from a fifth to about 60 times the
+/// expected latency.
+const BOUND_GROWTH_PERCENT: u64 = 150;
 
-/// Routes of one service that are told apart; all others count as one.
-const ROUTES_MOST: usize = 64;
+/// Time to the first event besides queueing and prompt processing, in microseconds: a few steps of an
+/// engine, or the work of a plain service. Added to the expected latency, so that very short responses do
+/// not differ by large factors.
+const BASE_LATENCY_US: u64 = 50_000;
 
-/// The name that routes beyond these are counted under.
+/// Maximum number of routes per service that are counted separately.
+const MAX_ROUTES: usize = 64;
+
+/// Name under which all further routes are counted.
 const OTHER_ROUTES: &str = "";
 
-/// How attempts at replicas of one version ended.
+/// Outcomes of the attempts at replicas of one version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Outcomes {
-    /// Those that a replica answered or should have answered.
+    /// Attempts that the replica answered or should have answered.
     pub ended: u64,
-    /// Those of them that failed: the replica's own failure, no whole answer, or none in time.
+    /// Attempts of these that failed: an error of the replica, or no complete response in time.
     pub bad: u64,
-    /// The others by how long their first byte took, lowest class first.
-    pub slow: [u32; CLASSES],
+    /// The other attempts by the latency class of their first byte, lowest first.
+    pub slow: [u32; LATENCY_CLASSES],
 }
 
 impl Outcomes {
-    /// Notes an attempt that failed.
+    /// Records a failed attempt.
     pub fn failed(&mut self) {
         self.ended += 1;
         self.bad += 1;
     }
 
-    /// Notes an attempt that was answered: when its first byte came, and when it was expected.
+    /// Records a successful attempt with the actual and the expected time to its first byte, in
+    /// microseconds.
     pub fn answered(&mut self, first_us: u64, expected_us: u64) {
         self.ended += 1;
-        self.slow[class(first_us, expected_us)] += 1;
+        self.slow[latency_class(first_us, expected_us)] += 1;
     }
 
-    /// Adds others to these.
+    /// Adds the counts of `o`.
     pub fn add(&mut self, o: &Outcomes) {
         self.ended += o.ended;
         self.bad += o.bad;
@@ -62,38 +66,37 @@
     }
 }
 
-/// The class of an answer.
-fn class(first_us: u64, expected_us: u64) -> usize {
-    let of = first_us.saturating_mul(1_000) / (expected_us + LEAST_EXPECTED_US);
-    let mut bound = FIRST_BOUND;
+fn latency_class(first_us: u64, expected_us: u64) -> usize {
+    let permille = first_us.saturating_mul(1_000) / (expected_us + BASE_LATENCY_US);
+    let mut bound = FIRST_BOUND_PERMILLE;
     let mut class = 0;
-    while class + 1 < CLASSES && of >= bound {
-        bound = bound * STEP / 100;
+    while class + 1 < LATENCY_CLASSES && permille >= bound {
+        bound = bound * BOUND_GROWTH_PERCENT / 100;
         class += 1;
     }
     class
 }
 
-/// The old and the new version side by side.
+/// Outcomes of the old and the new version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sides {
-    /// The versions that requests move away from.
+    /// Outcomes of the versions that requests move away from.
     pub old: Outcomes,
-    /// The version that they move to.
+    /// Outcomes of the version that requests move to.
     pub new: Outcomes,
 }
 
-/// What is known of one roll-out, by route.
+/// Outcomes in one rollout, by route.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
-    /// By the name of the route.
+    /// Outcomes by the name of the route.
     pub routes: BTreeMap<String, Sides>,
 }
 
 impl Evidence {
-    /// The outcomes of a route.
+    /// Returns the outcomes of a route for update.
     pub fn of(&mut self, route: &str) -> &mut Sides {
-        let known = self.routes.contains_key(route) || self.routes.len() < ROUTES_MOST;
+        let known = self.routes.contains_key(route) || self.routes.len() < MAX_ROUTES;
         let name = if known { route } else { OTHER_ROUTES };
         if !self.routes.contains_key(name) {
             self.routes.insert(name.to_owned(), Sides::default());
@@ -101,7 +104,7 @@
         self.routes.entry(name.to_owned()).or_default()
     }
 
-    /// Adds what another gateway saw.
+    /// Adds the outcomes of another gateway.
     pub fn add(&mut self, e: &Evidence) {
         for (route, sides) in &e.routes {
             let own = self.of(route);
@@ -110,7 +113,7 @@
         }
     }
 
-    /// All routes together.
+    /// Returns the outcomes of all routes together.
     pub fn total(&self) -> Sides {
         let mut all = Sides::default();
         for s in self.routes.values() {
@@ -126,68 +129,67 @@
     }
 }
 
-/// What one gateway says of one roll-out.
+/// One gateway's report on one rollout.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// The service.
     pub service: String,
-    /// Position of the order.
+    /// Log position of the order.
     pub order: Index,
-    /// Position of the last step that the gateway has taken.
+    /// Log position of the last step that the gateway has applied.
     pub revision: Index,
-    /// Drawn at the gateway's start: its counters are of this life.
+    /// Random id of the gateway process, to which the counters belong.
     pub life: u64,
-    /// What it has seen since it heard of the order.
+    /// Outcomes since the gateway received the order.
     pub evidence: Evidence,
-    /// Requests of its own that run at the old version.
+    /// Requests from this gateway in flight at the old version.
     pub at_old: u64,
 }
 
-/// The last reports of each life of each gateway, at a control process.
+/// The last report of each gateway process on each order, at a control process.
 #[derive(Clone, Debug, Default)]
 pub struct Reports {
-    of_order: HashMap<Index, BTreeMap<(String, u64), Heard>>,
+    by_order: HashMap<Index, BTreeMap<(String, u64), ReceivedReport>>,
 }
 
 #[derive(Clone, Debug)]
-struct Heard {
+struct ReceivedReport {
     at: Time,
     report: Report,
 }
 
 impl Reports {
-    /// Takes what the gateway on `vm` says.
+    /// Records a report of the gateway on `vm`, unless it is older than the last one.
     pub fn take(&mut self, now: Time, vm: &str, r: Report) {
-        let lives = self.of_order.entry(r.order).or_default();
+        let reports = self.by_order.entry(r.order).or_default();
         let key = (vm.to_owned(), r.life);
-        let old = |h: &Heard| {
+        let is_older = |h: &ReceivedReport| {
             h.report.revision > r.revision || h.report.evidence.ended() > r.evidence.ended()
         };
-        if lives.get(&key).is_some_and(old) {
+        if reports.get(&key).is_some_and(is_older) {
             return;
         }
-        lives.insert(key, Heard { at: now, report: r });
+        reports.insert(key, ReceivedReport { at: now, report: r });
     }
 
-    /// Forgets the reports on all orders but these.
+    /// Removes the reports on all orders but these.
     pub fn keep(&mut self, orders: &[Index]) {
-        self.of_order.retain(|order, _| orders.contains(order));
+        self.by_order.retain(|order, _| orders.contains(order));
     }
 
-    /// What all gateways have seen of an order.
+    /// Returns the outcomes of an order, added up over all gateways.
     pub fn evidence(&self, order: Index) -> Evidence {
         let mut all = Evidence::default();
-        for h in self.lives(order) {
+        for h in self.reports_on(order) {
             all.add(&h.report.evidence);
         }
         all
     }
 
-    /// Gateways that were heard since `since`, those of them that have taken the step at `revision`,
-    /// and requests that run at the old version there.
+    /// Returns the progress with the step at `revision` of the gateways that have reported since `since`.
     pub fn standing(&self, order: Index, revision: Index, since: Time) -> Standing {
         let mut s = Standing::default();
-        for h in self.lives(order).filter(|h| h.at >= since) {
+        for h in self.reports_on(order).filter(|h| h.at >= since) {
             s.heard += 1;
             s.moved += usize::from(h.report.revision >= revision);
             s.at_old += h.report.at_old;
@@ -195,18 +197,18 @@
         s
     }
 
-    fn lives(&self, order: Index) -> impl Iterator<Item = &Heard> {
-        self.of_order.get(&order).into_iter().flat_map(BTreeMap::values)
+    fn reports_on(&self, order: Index) -> impl Iterator<Item = &ReceivedReport> {
+        self.by_order.get(&order).into_iter().flat_map(BTreeMap::values)
     }
 }
 
-/// How far gateways are with a step.
+/// Progress of the gateways with a step.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Standing {
-    /// Gateways that were heard lately.
+    /// Number of gateways that reported recently.
     pub heard: usize,
-    /// Those of them that have taken it.
+    /// Number of these that have applied the step.
     pub moved: usize,
-    /// Requests that run at the old version there.
+    /// Number of their requests in flight at the old version.
     pub at_old: u64,
 }
--- a/crates/core/src/fleet/rollout/mod.rs
+++ b/crates/core/src/fleet/rollout/mod.rs
@@ -1,15 +1,15 @@
-//! Roll-outs: the requests of a service move to replicas of another version, unless that version
-//! turns out to be bad.
+//! Rollouts: the requests of a service move to replicas of another version, unless that version proves
+//! faulty.
 //!
-//! An operator's order is kept in the replicated log before it is acknowledged, and so is each step;
-//! the leader decides on them ([`step::next`]) by what gateways report. A roll-out waits for replicas
-//! of the version, gives them a small part of the requests on trial, moves all to them shortly before
-//! the order's time is over, and is completed once nothing runs at the old ones any more.
+//! An operator's order is committed to the replicated log before it is acknowledged, and so is each
+//! step. The leader decides on the steps ([`step::next`]) from the reports of gateways. A rollout waits
+//! for replicas of the new version, sends them a small share of the requests on trial, moves all
+//! requests shortly before the order's duration ends, and completes once no request runs at an old
+//! replica.
 //!
-//! Nothing here needs one clock for the whole fleet. How much a version gets is bounded by each
-//! gateway for itself, as a part of the requests that come to it; when a step is due is measured on
-//! the leader's steady clock; a gateway that hears nothing for a while goes back to the old version by
-//! its own.
+//! No step depends on synchronised clocks. Each gateway bounds the new version's share of the requests
+//! that it receives; the leader times the steps by its monotonic clock; a gateway that is disconnected
+//! returns to the old version.
 
 pub mod evidence;
 pub mod plan;
@@ -24,38 +24,38 @@
 use crate::code::Code;
 use crate::unit::{Index, Millis, Time};
 
-/// Services of which the last roll-out is remembered: the oldest that has ended goes first.
-const REMEMBERED: usize = 256;
+/// Maximum number of services whose last rollout is kept; the oldest finished one is removed first.
+const MAX_ROLLOUTS: usize = 256;
 
-/// How long after the end of an order's time the same order counts as sent again: callers send one
-/// again for ten seconds at most.
-const SAME_ORDER: Millis = Millis::seconds(15);
+/// How long after an order's duration an identical order counts as a retry. Callers retry for at most
+/// ten seconds.
+const RETRY_WINDOW: Millis = Millis::seconds(15);
 
-/// The longest time that an order may give.
-const WITHIN_MOST: Millis = Millis::seconds(24 * 3_600);
+/// Longest duration of an order.
+const MAX_DURATION: Millis = Millis::seconds(24 * 3_600);
 
-/// How far a roll-out has come.
+/// The stage of a rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Stage {
-    /// No replica of the version is ready yet.
+    /// No replica of the new version is ready yet.
     Waiting,
-    /// A small part of the requests goes to the version.
+    /// A small share of the requests goes to the new version.
     Trial,
-    /// All new requests go to the version; some may still run at the old one.
+    /// All new requests go to the new version; earlier ones may still run at the old one.
     Moving,
-    /// The version is the service's own, and the old replicas may stop.
+    /// The service runs the new version, and the old replicas may stop.
     Completed,
-    /// Nothing goes to the version.
+    /// No request goes to the new version.
     RolledBack,
 }
 
 impl Stage {
-    /// Whether it has ended.
+    /// Returns whether the rollout has finished.
     pub fn is_over(self) -> bool {
         matches!(self, Stage::Completed | Stage::RolledBack)
     }
 
-    /// Its word in answers and logs.
+    /// Returns the text for responses and logs.
     pub fn text(self) -> &'static str {
         match self {
             Stage::Waiting => "waiting",
@@ -67,67 +67,71 @@
     }
 }
 
-/// The last roll-out of a service.
+/// The last rollout of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rollout {
     /// The version that requests move to.
     pub version: String,
-    /// The versions that they move away from; empty before the trial.
+    /// The versions that requests move away from; empty before the trial.
     pub from: BTreeSet<String>,
-    /// By when it is to be completed, from its order on.
+    /// Time in which the rollout has to complete, counted from the order.
     pub within: Millis,
-    /// When it was ordered, by its leader's time of day.
+    /// When it was ordered, by the wall clock of the leader.
     pub ordered: Time,
-    /// Position of the order.
+    /// Log position of the order.
     pub order: Index,
-    /// Position of its last step.
+    /// Log position of the last step.
     pub revision: Index,
-    /// How far it has come.
+    /// The current stage.
     pub stage: Stage,
-    /// Thousandths of the requests that go to the version on trial.
+    /// Share of the requests that go to the new version on trial, in thousandths.
     pub trial: u64,
-    /// Why the last step was taken.
+    /// Reason for the last step.
     pub why: String,
 }
 
-/// A step of a roll-out.
+/// The transition of a rollout to its next stage.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Step {
     /// The service.
     pub service: String,
-    /// Position of the order that it belongs to.
+    /// Log position of the order that the step belongs to.
     pub order: Index,
-    /// What it comes to.
+    /// The stage to enter.
     pub stage: Stage,
     /// The versions that requests move away from.
     pub from: BTreeSet<String>,
-    /// Thousandths of the requests that go to the version on trial.
+    /// Share of the requests that go to the new version on trial, in thousandths.
     pub trial: u64,
-    /// Why.
+    /// Reason for the step.
     pub why: String,
 }
 
-/// The roll-outs of all services.
+/// The replicated state of all rollouts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rollouts {
-    /// Position of the last order or step; 0 if there was none.
+    /// Log position of the last order or step; 0 if there was none.
     pub revision: Index,
     of_service: BTreeMap<String, Rollout>,
 }
 
 impl Rollouts {
-    /// The last roll-out of a service.
+    /// Returns the last rollout of a service.
     pub fn get(&self, service: &str) -> Option<&Rollout> {
         self.of_service.get(service)
     }
 
-    /// The last roll-out of each service.
+    /// Iterates over the last rollout of each service.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &Rollout)> {
         self.of_service.iter().map(|(service, r)| (service.as_str(), r))
     }
 
-    /// Carries out an order at position `pos`. The same order sent again changes nothing; another
-    /// version has to wait until the roll-out under way has ended.
+    /// Starts a rollout ordered at log position `pos`. A retry of the same order has no effect.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`Code::RolloutBad`] for an empty version or a duration out of range, and
+    /// [`Code::RolloutUnderWay`] while a rollout to another version is not finished.
     pub fn start(
         &mut self,
         now: Time,
@@ -136,12 +140,12 @@
         version: &str,
         within: Millis,
     ) -> Result<(), Code> {
-        if version.is_empty() || within == Millis(0) || within > WITHIN_MOST {
+        if version.is_empty() || within == Millis(0) || within > MAX_DURATION {
             return Err(Code::RolloutBad);
         }
         if let Some(known) = self.of_service.get(service) {
-            let lately = now < known.ordered.after(known.within).after(SAME_ORDER);
-            if known.version == version && (lately || !known.stage.is_over()) {
+            let is_recent = now < known.ordered.after(known.within).after(RETRY_WINDOW);
+            if known.version == version && (is_recent || !known.stage.is_over()) {
                 return Ok(());
             }
             if !known.stage.is_over() {
@@ -161,16 +165,20 @@
         };
         self.of_service.insert(service.to_owned(), rollout);
         self.revision = pos;
-        self.drop_surplus();
+        self.remove_surplus();
         Ok(())
     }
 
-    /// Takes a roll-out back on an operator's word.
+    /// Rolls back a service's rollout on an operator's command, at log position `pos`.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`Code::RolloutUnknown`] if there is none, and [`Code::RolloutOver`] if it is completed.
     pub fn abort(&mut self, pos: Index, service: &str) -> Result<(), Code> {
         let r = self.of_service.get_mut(service).ok_or(Code::RolloutUnknown)?;
         match r.stage {
             Stage::RolledBack => return Ok(()),
-            // The old replicas may have stopped.
+            // The old replicas may have stopped already.
             Stage::Completed => return Err(Code::RolloutOver),
             Stage::Waiting | Stage::Trial | Stage::Moving => {}
         }
@@ -181,8 +189,8 @@
         Ok(())
     }
 
-    /// Takes a step at position `pos`, unless the roll-out has ended or another has begun. Returns
-    /// whether it was taken.
+    /// Applies a step at log position `pos`. Returns false if the rollout is finished, has already
+    /// reached that stage, or was replaced by another.
     pub fn advance(&mut self, pos: Index, step: &Step) -> bool {
         let Some(r) = self.of_service.get_mut(&step.service) else { return false };
         if r.order != step.order || r.stage >= step.stage || r.stage.is_over() {
@@ -197,7 +205,7 @@
         true
     }
 
-    /// Takes what another process tells, if it is newer. Returns whether it is.
+    /// Replaces this state by `told` if that is newer. Returns whether it is.
     pub fn take(&mut self, told: &Rollouts) -> bool {
         let newer = told.revision > self.revision;
         if newer {
@@ -206,10 +214,10 @@
         newer
     }
 
-    fn drop_surplus(&mut self) {
-        while self.of_service.len() > REMEMBERED {
-            let over = self.of_service.iter().filter(|(_, r)| r.stage.is_over());
-            let oldest = over.min_by_key(|(_, r)| r.revision).map(|(s, _)| s.clone());
+    fn remove_surplus(&mut self) {
+        while self.of_service.len() > MAX_ROLLOUTS {
+            let finished = self.of_service.iter().filter(|(_, r)| r.stage.is_over());
+            let oldest = finished.min_by_key(|(_, r)| r.revision).map(|(s, _)| s.clone());
             let Some(oldest) = oldest else { return };
             self.of_service.remove(&oldest);
         }
--- a/crates/core/src/fleet/rollout/split.rs
+++ b/crates/core/src/fleet/rollout/split.rs
@@ -1,43 +1,43 @@
-//! Which replicas of a service a gateway sends a request to while a roll-out is under way.
+//! The split of a service's requests between versions during a rollout.
 
 use super::{Rollout, Stage};
 use crate::hash::Fnv;
 
-/// Thousandths.
-const WHOLE: u64 = 1_000;
+/// The whole in thousandths.
+const PERMILLE: u64 = 1_000;
 
-/// The side of a roll-out that a replica is on.
+/// How a rollout classifies a replica by its version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Side {
-    /// No roll-out tells it from others.
+    /// Not affected by a rollout.
     #[default]
     Any,
     /// A version that requests move away from.
     Old,
-    /// The version that they move to.
+    /// The version that requests move to.
     New,
-    /// The version that they move to, but the trial is borne by others of it.
+    /// The version that requests move to, but other replicas of it take part in the trial.
     Spare,
-    /// Nothing goes to it.
+    /// A version that gets no requests.
     Barred,
 }
 
-/// Where a request may go: to which side first, and to which if nobody there can take it.
+/// The versions to which a request may be sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Way {
-    /// No roll-out matters: to any replica that is not barred.
+    /// Any replica that is not excluded.
     #[default]
     Any,
-    /// To the old version, if it has a replica.
+    /// The old version.
     Old,
-    /// To the version on trial; tried again, to the old one.
+    /// The replicas on trial. A retry goes to the old version.
     Trial,
-    /// To the new version, if it has a replica.
+    /// The new version.
     New,
 }
 
 impl Way {
-    /// Whether a replica on this side may get the request.
+    /// Returns whether a replica on this side may get the request.
     pub fn allows(self, side: Side) -> bool {
         match self {
             Way::Any => side != Side::Barred,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The ways to try one after the other, each where no replica is left on the one before.
+    /// Returns the preferences to try in order. Each applies if no replica is left for those before it.
     pub fn fallbacks(self) -> &'static [Way] {
         match self {
             Way::Any => &[Way::Any],
@@ -58,27 +58,28 @@
     }
 }
 
-/// Whether a replica of the version, by its id, bears the trial: as many of them as the share of
-/// requests that goes there, so that each bears what an old one does. Where no id does, all do.
-fn bears_trial(id: &str, trial: u64) -> bool {
+/// Returns whether the replica `id` of the new version takes part in the trial. The part of the replicas
+/// equals the share of the requests, so that each has about the load of an old one. If no id is
+/// selected, the fallbacks lead to all replicas of the version.
+fn is_on_trial(id: &str, trial: u64) -> bool {
     draw(id) < trial
 }
 
-/// A number below 1,000 from an id.
+/// Returns the hash of an id, reduced to a number below 1,000.
 pub fn draw(id: &str) -> u64 {
-    Fnv::new().part(id.as_bytes()).value() % WHOLE
+    Fnv::new().part(id.as_bytes()).value() % PERMILLE
 }
 
-/// The side of the replica `id` of `version`.
+/// Returns the side of the replica `id`, which runs `version`.
 pub fn side(r: &Rollout, id: &str, version: &str) -> Side {
     let is_new = version == r.version;
     match r.stage {
         Stage::Waiting if is_new => Side::Barred,
         Stage::Waiting => Side::Any,
-        Stage::Trial if is_new && !bears_trial(id, r.trial) => Side::Spare,
+        Stage::Trial if is_new && !is_on_trial(id, r.trial) => Side::Spare,
         Stage::Trial | Stage::Moving if is_new => Side::New,
         Stage::Trial | Stage::Moving => Side::Old,
-        // Old replicas stop at once, and a version that comes later is none of theirs.
+        // Old replicas may stop at any time, and a version that starts later is not one of theirs.
         Stage::Completed if r.from.contains(version) => Side::Old,
         Stage::Completed if is_new => Side::New,
         Stage::Completed => Side::Any,
@@ -87,16 +88,16 @@
     }
 }
 
-/// What a gateway knows besides the roll-out itself.
+/// The state of a gateway that affects the split.
 #[derive(Clone, Copy, Debug)]
 pub struct Local {
-    /// A control process told of roll-outs lately.
+    /// A control process answered recently, so the rollout's stage is current.
     pub in_touch: bool,
-    /// This gateway has seen enough of the version by itself.
+    /// This gateway's own evidence shows a fault of the new version.
     pub stopped: bool,
 }
 
-/// Where a request goes that drew this number.
+/// Returns the preference of a request whose id hashes to `drawn`.
 pub fn way(r: &Rollout, drawn: u64, l: Local) -> Way {
     match r.stage {
         Stage::Waiting | Stage::RolledBack => Way::Any,
--- a/crates/core/src/fleet/rollout/step.rs
+++ b/crates/core/src/fleet/rollout/step.rs
@@ -1,4 +1,4 @@
-//! The leader's next step of a roll-out.
+//! The leader's choice of the next step of a rollout.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,32 +8,32 @@
 use super::{Rollout, Stage, Step};
 use crate::unit::Millis;
 
-/// The least places that the new version needs, in hundredths of the old one's: with fewer it could
-/// not bear the service's requests.
-const PLACES_LEAST: u64 = 50;
+/// Minimum number of slots of the new version, in percent of the old one's: fewer could not serve the
+/// service's requests.
+const MIN_SLOTS_PERCENT: u64 = 50;
 
-/// What the leader knows of a roll-out.
+/// The state of a rollout as the leader sees it.
 #[derive(Clone, Debug)]
 pub struct View<'a> {
-    /// How long ago it was ordered, on the leader's steady clock.
+    /// Time since the order, by the leader's monotonic clock.
     pub elapsed: Millis,
-    /// Places at ready replicas, by their version.
+    /// Slots of ready replicas, by version.
     pub places: &'a BTreeMap<String, u64>,
-    /// What gateways have seen.
+    /// Outcomes reported by all gateways.
     pub evidence: &'a Evidence,
-    /// How far those in touch are with the last step.
+    /// Progress of the connected gateways with the last step.
     pub standing: Standing,
-    /// Gateways that are in touch.
+    /// Number of connected gateways.
     pub gateways: usize,
 }
 
-/// What is to be done next, if anything.
+/// Returns the next step of the rollout, if one is due.
 pub fn next(service: &str, r: &Rollout, plan: &Plan, v: &View<'_>) -> Option<Step> {
     let step = |stage: Stage, why: String| Step {
         service: service.to_owned(),
         order: r.order,
         stage,
-        from: from(r, v),
+        from: replaced_versions(r, v),
         trial: plan.trial,
         why,
     };
@@ -44,15 +44,15 @@
     }
     let new = v.places.get(&r.version).copied().unwrap_or(0);
     let old: u64 = v.places.iter().filter(|(n, _)| **n != r.version).map(|(_, n)| *n).sum();
-    let over = v.elapsed >= r.within;
+    let expired = v.elapsed >= r.within;
     match r.stage {
         Stage::Waiting if new > 0 => {
             Some(step(Stage::Trial, format!("{new} places of it, {old} of others")))
         }
-        Stage::Waiting if over => {
+        Stage::Waiting if expired => {
             Some(step(Stage::RolledBack, "no replica of it is ready".to_owned()))
         }
-        Stage::Trial if new * 100 < old * PLACES_LEAST => over.then(|| {
+        Stage::Trial if new * 100 < old * MIN_SLOTS_PERCENT => expired.then(|| {
             let why = format!("{new} places cannot take over from {old}");
             step(Stage::RolledBack, why)
         }),
@@ -72,14 +72,15 @@
     }
 }
 
-/// Every gateway in touch sends to the new version alone, and has nothing under way at the old one.
+/// Returns whether every connected gateway sends to the new version only and has no request in flight at
+/// an old replica.
 fn is_moved(v: &View<'_>) -> bool {
     let s = v.standing;
     s.at_old == 0 && s.moved == s.heard && s.heard >= v.gateways
 }
 
-/// The versions that requests move away from.
-fn from(r: &Rollout, v: &View<'_>) -> BTreeSet<String> {
+/// Returns the versions that requests move away from.
+fn replaced_versions(r: &Rollout, v: &View<'_>) -> BTreeSet<String> {
     let others = v.places.keys().filter(|n| **n != r.version).cloned();
     r.from.iter().cloned().chain(others).collect()
 }
--- a/crates/core/src/fleet/rollout/verdict.rs
+++ b/crates/core/src/fleet/rollout/verdict.rs
@@ -1,138 +1,141 @@
-//! Whether a version is bad, by what was seen of it and of the old one over the same time.
+//! Detection of a faulty version by comparison with the old version over the same period.
 //!
-//! Both bear requests of the same routes at the same time, so what troubles the service as a whole
-//! shows on both sides and speaks against neither. Two things are compared on each route, and over
-//! all routes:
+//! Both versions serve requests of the same routes at the same time, so a problem of the service as a
+//! whole affects both and shows no fault. Two measures are compared per route and over all routes:
 //!
-//! - **Failures.** Against the old version's share of them, raised by what chance may have hidden
-//!   there, by the bound of Chernoff: `n * KL(share, old share)`; that of several routes adds up. It is looked at with every report;
-//!   [`SURE`] is set so high that this many looks do no harm.
-//! - **Times.** Each answer's time against what was expected of it, by the ranks of both sides, with
-//!   the old side's times raised by half: a version that merely is not warm yet is not slow.
+//! - **Failures.** The score is the exponent of Chernoff's bound, `n * KL(rate, old rate)`, with the old
+//!   version's failure rate raised to its upper confidence bound. The scores of routes add up. As the
+//!   test runs with every report, [`MIN_SCORE`] is high enough for repeated tests.
+//! - **Latency.** A rank test on the ratio of actual to expected latency, with the old version's raised
+//!   by half: a version that is merely not warmed up yet is not slow.
 
-use super::evidence::{CLASSES, Evidence, Outcomes, Sides};
+use super::evidence::{Evidence, LATENCY_CLASSES, Outcomes, Sides};
 
-/// How sure a verdict on failures has to be: one wrong one in `exp(12)`, 160,000, looks at a route.
-const SURE: f64 = 12.0;
+/// Minimum score of a fault by failures: one false positive in `exp(12)`, about 160,000, tests of a route.
+const MIN_SCORE: f64 = 12.0;
 
-/// Failures that a verdict needs at least.
-const BAD_LEAST: u64 = 4;
+/// Minimum number of failures of a faulty version.
+const MIN_FAILURES: u64 = 4;
 
-/// A share of failures below this counts as this much: a single failure of the new version against
-/// none of the old one shows nothing.
-const SHARE_LEAST: f64 = 0.01;
+/// Lower bound of the old version's failure rate: a single failure of the new version against none of the
+/// old one is not significant.
+const MIN_FAILURE_RATE: f64 = 0.01;
 
-/// Standard deviations by which the ranks have to differ: one in three million.
-const DEVIATIONS: f64 = 5.0;
+/// Minimum difference of the ranks, in standard deviations: one false positive in three million tests.
+const MIN_DEVIATIONS: f64 = 5.0;
 
-/// Answers of the new version that a verdict on their times needs at least.
-const TIMED_LEAST: u64 = 20;
+/// Minimum number of responses of each version for the latency test.
+const MIN_TIMED_RESPONSES: u64 = 20;
 
-/// A version of which this many answers were bad is stopped at less certainty: after 50 it has to get
-/// nothing more. With one in `exp(4)` one good version in thirteen was taken back, where one route of
-/// four failed in 14 of 100 by itself.
-const MANY_BAD: u64 = 25;
-const SURE_OF_MANY: f64 = 8.0;
+/// Number of failures from which [`MIN_SCORE_OF_MANY`] applies.
+const MANY_FAILURES: u64 = 25;
 
-/// What is wrong with a version.
+/// Minimum score at [`MANY_FAILURES`]. It is lower, as a bad version must get no requests after 50
+/// failures.
+const MIN_SCORE_OF_MANY: f64 = 8.0;
+
+/// A fault of the new version.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// It fails more often.
+    /// It fails more often than the old one.
     Fails {
-        /// Its failures, and its answers with them.
+        /// Failures and total responses of the new version.
         new: (u64, u64),
-        /// The same of the old one.
+        /// Failures and total responses of the old version.
         old: (u64, u64),
     },
-    /// It is slower.
+    /// It is slower than the old one.
     Slow {
-        /// By how many standard deviations.
+        /// Difference of the ranks, in standard deviations.
         deviations: f64,
-        /// Its answers.
+        /// Timed responses of the new version.
         answers: u64,
     },
 }
 
-/// What chance adds to the certainty of each route, on the mean: routes together have to be surer by it.
-const OF_CHANCE: f64 = 0.5;
+/// Mean score of a route whose versions fail equally often, subtracted before scores are added up.
+const CHANCE_SCORE: f64 = 0.5;
 
-/// Finds what is wrong with the new version: the route, empty for all together, and the fault.
+/// Returns the first fault of the new version and its route, which is empty for all routes together.
 pub fn judge(e: &Evidence) -> Option<(String, Fault)> {
-    let of_route = e.routes.iter().find_map(|(route, s)| Some((route.clone(), fault(s)?)));
-    of_route.or_else(|| Some((String::new(), fault_of_all(e)?)))
+    let of_route = e.routes.iter().find_map(|(route, s)| Some((route.clone(), route_fault(s)?)));
+    of_route.or_else(|| Some((String::new(), total_fault(e)?)))
 }
 
-fn fault(s: &Sides) -> Option<Fault> {
-    is_sure(fails(s), s.new.bad).then(|| counts(s)).or_else(|| slow(s))
+fn route_fault(s: &Sides) -> Option<Fault> {
+    is_significant(failure_score(s), s.new.bad).then(|| failures(s)).or_else(|| slowness(s))
 }
 
-/// All routes together. Their shares of failures differ, so not their failures are added up, but how
-/// sure each of them makes it that the version fails more often.
-fn fault_of_all(e: &Evidence) -> Option<Fault> {
+/// Tests all routes together. Their failure rates differ, so the scores are added up instead of the
+/// failures.
+fn total_fault(e: &Evidence) -> Option<Fault> {
     let total = e.total();
-    let of_route = |s: &Sides| (fails(s) - OF_CHANCE).max(0.0);
-    let certainty = e.routes.values().map(of_route).sum();
-    is_sure(certainty, total.new.bad).then(|| counts(&total)).or_else(|| slow(&total))
+    let above_chance = |s: &Sides| (failure_score(s) - CHANCE_SCORE).max(0.0);
+    let score = e.routes.values().map(above_chance).sum();
+    is_significant(score, total.new.bad).then(|| failures(&total)).or_else(|| slowness(&total))
 }
 
-fn is_sure(certainty: f64, bad: u64) -> bool {
-    bad >= BAD_LEAST && (certainty >= SURE || (bad >= MANY_BAD && certainty >= SURE_OF_MANY))
+fn is_significant(score: f64, bad: u64) -> bool {
+    bad >= MIN_FAILURES
+        && (score >= MIN_SCORE || (bad >= MANY_FAILURES && score >= MIN_SCORE_OF_MANY))
 }
 
-fn counts(s: &Sides) -> Fault {
+fn failures(s: &Sides) -> Fault {
     Fault::Fails { new: (s.new.bad, s.new.ended), old: (s.old.bad, s.old.ended) }
 }
 
-/// The old version's share of failures at its worst: raised by two standard deviations.
-fn worst_share(o: &Outcomes) -> f64 {
+/// Returns an upper bound of the failure rate: the smoothed rate plus two standard deviations.
+fn max_failure_rate(o: &Outcomes) -> f64 {
     let n = o.ended as f64 + 2.0;
-    let share = (o.bad as f64 + 1.0) / n;
-    (share + 2.0 * (share * (1.0 - share) / n).sqrt()).clamp(SHARE_LEAST, 0.999)
+    let rate = (o.bad as f64 + 1.0) / n;
+    (rate + 2.0 * (rate * (1.0 - rate) / n).sqrt()).clamp(MIN_FAILURE_RATE, 0.999)
 }
 
-/// How sure it is that the new version fails more often, as the exponent of chance.
-fn fails(s: &Sides) -> f64 {
-    let expected = worst_share(&s.old);
-    let share = s.new.bad as f64 / s.new.ended.max(1) as f64;
-    if share <= expected {
+/// Returns the score for a higher failure rate of the new version: the negated logarithm of the bound on
+/// its probability by chance.
+fn failure_score(s: &Sides) -> f64 {
+    let expected = max_failure_rate(&s.old);
+    let rate = s.new.bad as f64 / s.new.ended.max(1) as f64;
+    if rate <= expected {
         return 0.0;
     }
-    s.new.ended as f64 * divergence(share, expected)
+    s.new.ended as f64 * kl_divergence(rate, expected)
 }
 
-/// The Kullback-Leibler divergence of two shares.
-fn divergence(p: f64, q: f64) -> f64 {
-    let part = |p: f64, q: f64| if p > 0.0 { p * (p / q).ln() } else { 0.0 };
-    part(p, q) + part(1.0 - p, 1.0 - q)
+/// Returns the Kullback-Leibler divergence of two Bernoulli distributions.
+fn kl_divergence(p: f64, q: f64) -> f64 {
+    let term = |p: f64, q: f64| if p > 0.0 { p * (p / q).ln() } else { 0.0 };
+    term(p, q) + term(1.0 - p, 1.0 - q)
 }
 
-/// Compares ranks, the old side's classes one higher: that is half as long again.
-fn slow(s: &Sides) -> Option<Fault> {
+/// Tests whether the new version is slower than the old one with its latency classes raised by one, which
+/// is half as long again.
+fn slowness(s: &Sides) -> Option<Fault> {
     let raised = |n: usize| n.checked_sub(1).map_or(0, |n| u64::from(s.old.slow[n]));
     let old = |n: usize| match n + 1 {
-        CLASSES => raised(n) + u64::from(s.old.slow[n]),
+        LATENCY_CLASSES => raised(n) + u64::from(s.old.slow[n]),
         _ => raised(n),
     };
     let new = |n: usize| u64::from(s.new.slow[n]);
-    let answers: u64 = (0..CLASSES).map(new).sum();
-    let others: u64 = (0..CLASSES).map(old).sum();
-    if answers < TIMED_LEAST || others < TIMED_LEAST {
+    let answers: u64 = (0..LATENCY_CLASSES).map(new).sum();
+    let old_answers: u64 = (0..LATENCY_CLASSES).map(old).sum();
+    if answers < MIN_TIMED_RESPONSES || old_answers < MIN_TIMED_RESPONSES {
         return None;
     }
-    // Mann and Whitney's U, with ties counting half, and its variance corrected for them.
+    // The Mann-Whitney U statistic, with its variance corrected for ties.
     let (mut below, mut u, mut ties) = (0.0, 0.0, 0.0);
-    for n in 0..CLASSES {
+    for n in 0..LATENCY_CLASSES {
         let (a, b) = (new(n) as f64, old(n) as f64);
         u += a * (below + b / 2.0);
         below += b;
         ties += (a + b).powi(3) - (a + b);
     }
-    let (a, b) = (answers as f64, others as f64);
+    let (a, b) = (answers as f64, old_answers as f64);
     let all = a + b;
     let variance = a * b / 12.0 * (all + 1.0 - ties / (all * (all - 1.0)));
     if variance <= 0.0 {
         return None;
     }
     let deviations = (u - a * b / 2.0) / variance.sqrt();
-    (deviations >= DEVIATIONS).then_some(Fault::Slow { deviations, answers })
+    (deviations >= MIN_DEVIATIONS).then_some(Fault::Slow { deviations, answers })
 }
