--- a/crates/control/src/fleet_view.rs
+++ b/crates/control/src/fleet_view.rs
@@ -13,7 +13,7 @@
 use cypressfork_core::fleet::rollout::Rollouts;
 use cypressfork_core::fleet::rollout::evidence::Reports;
 use cypressfork_core::fleet::transfer::Packs;
-use cypressfork_core::fleet::watch::{Announce, Feed, RouterSign, Seen, Watch, digest};
+use cypressfork_core::fleet::watch::{Announce, Feed, RouterSign, Watch, WatchResponse, digest};
 use cypressfork_core::member::Routers as Registered;
 use cypressfork_core::unit::{Millis, Time, Version};
 use cypressfork_node::event::Event;
@@ -239,7 +239,7 @@
     }
 
     /// The answers that are due.
-    pub fn answers(&mut self, now: Time, f: &Followed) -> Vec<(T, Seen)> {
+    pub fn answers(&mut self, now: Time, f: &Followed) -> Vec<(T, WatchResponse)> {
         self.next_look = now.after(LOOK);
         let (due, rest): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.standing).into_iter().partition(|s| self.is_due(now, s, f));
@@ -279,7 +279,7 @@
             || (beats && self.registry.has_beats(s.since))
     }
 
-    fn seen(&mut self, now: Time, s: &Standing<T>, f: &Followed) -> Seen {
+    fn seen(&mut self, now: Time, s: &Standing<T>, f: &Followed) -> WatchResponse {
         let router = s.watch.router.is_some();
         let mut beats = Vec::new();
         let mut leaves = self.registry.position();
@@ -306,7 +306,7 @@
             true => (Vec::new(), s.limits),
             false => self.limits.changes(now, s.limits, WORDS),
         };
-        Seen {
+        WatchResponse {
             feed: Feed {
                 boot: self.boot,
                 position: changes.position,
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -13,7 +13,7 @@
 use cypressfork_core::fleet::clocks::Clocks;
 use cypressfork_core::fleet::contacts::{Contacts, Place};
 use cypressfork_core::fleet::regions::Regions;
-use cypressfork_core::fleet::watch::{Feed, Seen};
+use cypressfork_core::fleet::watch::{Feed, WatchResponse};
 use cypressfork_core::query::{Query, Reply};
 use cypressfork_core::raft::{Members, Message};
 use cypressfork_core::unit::{Millis, NodeId, Time};
@@ -73,7 +73,7 @@
     /// The group's answer to a command of the reserve.
     ReserveAnswered(Box<Command>, Result<Answer, Code>),
     /// What another control process has heard.
-    Seen(SocketAddr, Box<Seen>),
+    Seen(SocketAddr, Box<WatchResponse>),
 }
 
 impl Input {
--- a/crates/control/src/server/fleet.rs
+++ b/crates/control/src/server/fleet.rs
@@ -10,7 +10,7 @@
 use cypressfork_core::fleet::evacuation;
 use cypressfork_core::fleet::neighbours::NOT_WANTED;
 use cypressfork_core::fleet::registry::{Registration, Source, Standing};
-use cypressfork_core::fleet::watch::{Announce, Feed, Seen, Watch};
+use cypressfork_core::fleet::watch::{Announce, Feed, Watch, WatchResponse};
 use cypressfork_core::raft::Members;
 use cypressfork_core::unit::Millis;
 use cypressfork_node::event::Event;
@@ -236,7 +236,7 @@
         })
     }
 
-    fn seen(&self, from: SocketAddr, seen: Seen) {
+    fn seen(&self, from: SocketAddr, seen: WatchResponse) {
         let feed = seen.feed;
         // What does not fit is asked for again.
         if self.tx.try_send(Input::Seen(from, Box::new(seen))).is_ok() {
--- a/crates/control/tests/leaves.rs
+++ b/crates/control/tests/leaves.rs
@@ -8,7 +8,7 @@
 use cypressfork_core::fleet::quarantine::Quarantine;
 use cypressfork_core::fleet::registry::{Record, Registration, Source, Standing};
 use cypressfork_core::fleet::rollout::Rollouts;
-use cypressfork_core::fleet::watch::{Feed, RouterSign, Seen, Watch};
+use cypressfork_core::fleet::watch::{Feed, RouterSign, Watch, WatchResponse};
 use cypressfork_core::member::Routers;
 use cypressfork_core::unit::{Millis, Time};
 use rstest::rstest;
@@ -63,7 +63,7 @@
 }
 
 /// Answers that are due until `until`, looked for every 20 ms from `from` on.
-fn answers(view: &mut FleetView<u8>, from: u64, until: u64) -> Vec<Seen> {
+fn answers(view: &mut FleetView<u8>, from: u64, until: u64) -> Vec<WatchResponse> {
     let (registered, evacuations) = (Routers::default(), Evacuations::default());
     let (quarantine, rollouts) = (Quarantine::default(), Rollouts::default());
     let mut all = Vec::new();
--- a/crates/core/src/fleet/watch.rs
+++ b/crates/core/src/fleet/watch.rs
@@ -103,7 +103,7 @@
 
 /// The response to a watch request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct WatchResponse {
     /// Position up to which the watcher has followed after this response.
     pub feed: Feed,
     /// Replicas that are new or have changed, unless `packed` contains them.
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use cypressfork_core::fleet::watch::{Seen, Watch};
+use cypressfork_core::fleet::watch::{Watch, WatchResponse};
 use cypressfork_wire::{Ask, Call, Frame, body};
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
@@ -23,7 +23,7 @@
     /// The question to put next; `None` ends the watch.
     fn question(&self, to: SocketAddr) -> Option<Watch>;
     /// Takes an answer.
-    fn seen(&self, from: SocketAddr, seen: Seen);
+    fn seen(&self, from: SocketAddr, seen: WatchResponse);
     /// The control process is out of reach.
     fn lost(&self, from: SocketAddr);
     /// Waits until the next question is to be put though the last is not answered yet.
@@ -67,7 +67,7 @@
             }
         };
         let Ok(Ok(Frame::Answer(r))) = answer else { return };
-        let seen = r.body.as_deref().and_then(|b| body::unpack::<Seen>(b).ok());
+        let seen = r.body.as_deref().and_then(|b| body::unpack::<WatchResponse>(b).ok());
         let Some(seen) = seen.filter(|_| r.code == 0) else { return };
         watcher.seen(address, seen);
         due = r.id == id;
--- a/crates/router/src/gateway/follow.rs
+++ b/crates/router/src/gateway/follow.rs
@@ -9,7 +9,7 @@
 use cypressfork_core::fleet::neighbours::Area;
 use cypressfork_core::fleet::registry::Record;
 use cypressfork_core::fleet::sources::Nearness;
-use cypressfork_core::fleet::watch::{RouterSign, Seen, Watch};
+use cypressfork_core::fleet::watch::{RouterSign, Watch, WatchResponse};
 use cypressfork_core::query::{NO_SITES, Query, Reply};
 use cypressfork_core::unit::{HolderId, Time, Version};
 use cypressfork_node::emit;
@@ -93,7 +93,7 @@
         })
     }
 
-    fn seen(&self, from: SocketAddr, seen: Seen) {
+    fn seen(&self, from: SocketAddr, seen: WatchResponse) {
         let gw = &self.gw;
         gw.sources.borrow_mut().heard(gw.now(), from, seen.lead.is_some());
         if !seen.data_centre.is_empty() {
--- a/crates/wire/tests/fuzz.rs
+++ b/crates/wire/tests/fuzz.rs
@@ -11,7 +11,7 @@
 use cypressfork_core::fleet::limit::known::Word;
 use cypressfork_core::fleet::share::{Reply as Lent, Request};
 use cypressfork_core::fleet::transfer::{Part, Want};
-use cypressfork_core::fleet::watch::{RouterSign, Seen, Watch};
+use cypressfork_core::fleet::watch::{RouterSign, Watch, WatchResponse};
 use cypressfork_core::query::{Query, Reply};
 use cypressfork_core::raft::Members;
 use cypressfork_core::unit::Millis;
@@ -70,9 +70,14 @@
     }
 }
 
-fn seen() -> Seen {
+fn seen() -> WatchResponse {
     let part = Part { version: 4, digest: 5, total: 6, offset: 0, bytes: vec![1, 2, 3].into() };
-    Seen { version: 4, part: Some(part), controls: vec!["10.0.0.9:1".into()], ..Seen::default() }
+    WatchResponse {
+        version: 4,
+        part: Some(part),
+        controls: vec!["10.0.0.9:1".into()],
+        ..WatchResponse::default()
+    }
 }
 
 /// Reads `bytes` as everything that comes as the body of a call or an answer.
@@ -82,7 +87,7 @@
         let _ = body::unpack::<T>(bytes);
     }
     one::<Watch>(bytes);
-    one::<Seen>(bytes);
+    one::<WatchResponse>(bytes);
     one::<Command>(bytes);
     one::<Answer>(bytes);
     one::<Query>(bytes);
