--- a/crates/control/src/fleet_view.rs
+++ b/crates/control/src/fleet_view.rs
@@ -13,7 +13,7 @@
 use cypressfork_core::fleet::rollout::Rollouts;
 use cypressfork_core::fleet::rollout::evidence::Reports;
 use cypressfork_core::fleet::transfer::Packs;
-use cypressfork_core::fleet::watch::{Announce, Feed, RouterSign, Watch, WatchResponse, digest};
+use cypressfork_core::fleet::watch::{Announce, Feed, RouterStatus, Watch, WatchResponse, digest};
 use cypressfork_core::member::Routers as Registered;
 use cypressfork_core::unit::{Millis, Time, Version};
 use cypressfork_node::event::Event;
@@ -296,7 +296,7 @@
                 Changes { records: part.records, packed: None, position: part.position }
             }
         };
-        let has_homes = |r: &RouterSign| self.directory.has_homes(&r.data_centre);
+        let has_homes = |r: &RouterStatus| self.directory.has_homes(&r.data_centre);
         let peers = s.watch.router.as_ref().is_some_and(|r| !has_homes(r));
         let controls = digest(&f.controls);
         let same = s.watch.feed.boot == self.boot && s.watch.feed.controls == controls;
--- a/crates/control/tests/leaves.rs
+++ b/crates/control/tests/leaves.rs
@@ -8,7 +8,7 @@
 use cypressfork_core::fleet::quarantine::Quarantine;
 use cypressfork_core::fleet::registry::{Record, Registration, Source, Standing};
 use cypressfork_core::fleet::rollout::Rollouts;
-use cypressfork_core::fleet::watch::{Feed, RouterSign, Watch, WatchResponse};
+use cypressfork_core::fleet::watch::{Feed, RouterStatus, Watch, WatchResponse};
 use cypressfork_core::member::Routers;
 use cypressfork_core::unit::{Millis, Time};
 use rstest::rstest;
@@ -36,7 +36,7 @@
 
 /// The question of a router that hears of replicas elsewhere.
 fn question(feed: Feed) -> Watch {
-    let router = RouterSign {
+    let router = RouterStatus {
         vm: "edge-1".to_owned(),
         data_centre: "b".to_owned(),
         address: String::new(),
--- a/crates/core/src/fleet/entry.rs
+++ b/crates/core/src/fleet/entry.rs
@@ -4,7 +4,7 @@
 
 use super::regions::Regions;
 use super::spill::{Sign, Spill};
-use super::watch::RouterSign;
+use super::watch::RouterStatus;
 use crate::unit::{Millis, Time};
 
 /// A router without a heartbeat for this long is not listed while most others send theirs.
@@ -16,14 +16,14 @@
 /// Minimum number of routers in the client's data centre or region for the list to be limited to it.
 const MIN_NEAR: usize = 2;
 
-fn spill_sign(r: &RouterSign) -> Sign<'_> {
+fn spill_sign(r: &RouterStatus) -> Sign<'_> {
     Sign { vm: &r.vm, data_centre: &r.data_centre, busy: r.busy }
 }
 
 /// The latest heartbeat of each router, as received by one control process.
 #[derive(Clone, Debug, Default)]
 pub struct Routers {
-    heartbeats: BTreeMap<String, (RouterSign, Time)>,
+    heartbeats: BTreeMap<String, (RouterStatus, Time)>,
     spill: Spill,
     /// Number of address lists returned so far.
     lists: u64,
@@ -34,9 +34,9 @@
 impl Routers {
     /// Records a router's heartbeat. Returns whether the router is new or has changed in anything but
     /// `busy`.
-    pub fn note(&mut self, now: Time, r: &RouterSign) -> bool {
+    pub fn note(&mut self, now: Time, r: &RouterStatus) -> bool {
         let old = self.heartbeats.insert(r.vm.clone(), (r.clone(), now));
-        old.is_none_or(|(o, _)| RouterSign { busy: r.busy, ..o } != *r)
+        old.is_none_or(|(o, _)| RouterStatus { busy: r.busy, ..o } != *r)
     }
 
     /// Returns the number of routers that sent a heartbeat in the last minute.
@@ -86,9 +86,9 @@
         let is_live = |at: Time| now.since(at) < SILENT_AFTER;
         let live: Vec<_> = known.iter().copied().filter(|(_, at)| is_live(*at)).collect();
         let usable = if live.len() * 2 > known.len() { live } else { known };
-        let is_own = |r: &RouterSign| r.data_centre == data_centre;
-        let is_near = |r: &RouterSign| regions.are_near(&r.data_centre, data_centre);
-        let is_left_out = |r: &RouterSign| self.spill.leaves_out(&r.vm, self.lists);
+        let is_own = |r: &RouterStatus| r.data_centre == data_centre;
+        let is_near = |r: &RouterStatus| regions.are_near(&r.data_centre, data_centre);
+        let is_left_out = |r: &RouterStatus| self.spill.leaves_out(&r.vm, self.lists);
         let remaining: Vec<_> = usable.iter().copied().filter(|(r, _)| !is_left_out(r)).collect();
         let usable = if remaining.is_empty() { usable } else { remaining };
         let (in_region, other_regions): (Vec<_>, Vec<_>) =
--- a/crates/core/src/fleet/watch.rs
+++ b/crates/core/src/fleet/watch.rs
@@ -42,7 +42,7 @@
 
 /// The addresses of a router and whether it accepts callers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RouterSign {
+pub struct RouterStatus {
     /// Name of the router's `Vm`.
     pub vm: String,
     /// Its data centre.
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Watch {
     /// The watching router, or `None` if the watcher is another control process.
-    pub router: Option<RouterSign>,
+    pub router: Option<RouterStatus>,
     /// Position up to which the watcher has followed this control process.
     pub feed: Feed,
     /// Newest document version that the watcher has or that this process has reported to it, or 0.
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -16,7 +16,7 @@
 use cypressfork_core::fleet::retry::{Bound, Window};
 use cypressfork_core::fleet::routes::Routes;
 use cypressfork_core::fleet::share::{Loans, charges, lenders};
-use cypressfork_core::fleet::watch::{Announce, RouterSign};
+use cypressfork_core::fleet::watch::{Announce, RouterStatus};
 use cypressfork_core::raft::{MemberChange, Members};
 use cypressfork_core::unit::{Millis, NodeId, Time};
 use rand::SeedableRng;
@@ -229,8 +229,8 @@
     assert!(!retries.is_empty());
 }
 
-fn sign(vm: &str, data_centre: &str, open: bool) -> RouterSign {
-    RouterSign {
+fn sign(vm: &str, data_centre: &str, open: bool) -> RouterStatus {
+    RouterStatus {
         vm: vm.to_owned(),
         data_centre: data_centre.to_owned(),
         address: format!("{vm}:80"),
--- a/crates/core/tests/homes.rs
+++ b/crates/core/tests/homes.rs
@@ -6,7 +6,7 @@
 use cypressfork_core::fleet::entry::Routers as Heard;
 use cypressfork_core::fleet::homes::{HOMES, MANY, order, ranked};
 use cypressfork_core::fleet::neighbours::{Area, Directory, digest};
-use cypressfork_core::fleet::watch::RouterSign;
+use cypressfork_core::fleet::watch::RouterStatus;
 use cypressfork_core::member::Router;
 use cypressfork_core::unit::{HolderId, Time};
 use rstest::rstest;
@@ -120,8 +120,8 @@
     }
 }
 
-fn sign(n: usize) -> RouterSign {
-    RouterSign {
+fn sign(n: usize) -> RouterStatus {
+    RouterStatus {
         vm: format!("entry-{n}"),
         data_centre: "tamar-a".into(),
         address: String::new(),
--- a/crates/core/tests/overload.rs
+++ b/crates/core/tests/overload.rs
@@ -9,7 +9,7 @@
 use cypressfork_core::fleet::entry::Routers;
 use cypressfork_core::fleet::pace::{LONGEST, Pace};
 use cypressfork_core::fleet::regions::Regions;
-use cypressfork_core::fleet::watch::RouterSign;
+use cypressfork_core::fleet::watch::RouterStatus;
 use cypressfork_core::unit::Time;
 use rstest::rstest;
 
@@ -39,9 +39,9 @@
     assert_eq!(pace.was_behind(Time(now)), was);
 }
 
-fn sign(data_centre: &str, n: usize, pass: u64) -> RouterSign {
+fn sign(data_centre: &str, n: usize, pass: u64) -> RouterStatus {
     let vm = format!("{data_centre}-{n:02}");
-    RouterSign {
+    RouterStatus {
         address: format!("{vm}:80"),
         link: format!("{vm}:81"),
         vm,
--- a/crates/core/tests/regions.rs
+++ b/crates/core/tests/regions.rs
@@ -7,7 +7,7 @@
 use cypressfork_core::config::{Upstream, Vm};
 use cypressfork_core::fleet::entry::Routers;
 use cypressfork_core::fleet::regions::Regions;
-use cypressfork_core::fleet::watch::RouterSign;
+use cypressfork_core::fleet::watch::RouterStatus;
 use cypressfork_core::route::lateness::Aim;
 use cypressfork_core::route::{Condition, Pool, Trail, Work};
 use cypressfork_core::unit::Time;
@@ -45,7 +45,7 @@
 fn callers_stay_in_their_region(#[case] routers: &[&str], #[case] named: &[&str]) {
     let mut all = Routers::default();
     for (n, dc) in routers.iter().enumerate() {
-        let sign = RouterSign {
+        let sign = RouterStatus {
             vm: format!("vm-{n}"),
             data_centre: (*dc).to_owned(),
             address: (*dc).to_owned(),
--- a/crates/router/src/gateway/follow.rs
+++ b/crates/router/src/gateway/follow.rs
@@ -9,7 +9,7 @@
 use cypressfork_core::fleet::neighbours::Area;
 use cypressfork_core::fleet::registry::Record;
 use cypressfork_core::fleet::sources::Nearness;
-use cypressfork_core::fleet::watch::{RouterSign, Watch, WatchResponse};
+use cypressfork_core::fleet::watch::{RouterStatus, Watch, WatchResponse};
 use cypressfork_core::query::{NO_SITES, Query, Reply};
 use cypressfork_core::unit::{HolderId, Time, Version};
 use cypressfork_node::emit;
@@ -59,7 +59,7 @@
     fn question(&self, to: SocketAddr) -> Option<Watch> {
         let gw = &self.gw;
         self.urge.clear();
-        let router = RouterSign {
+        let router = RouterStatus {
             vm: gw.settings.base.vm.clone(),
             data_centre: gw.settings.base.data_centre.clone(),
             address: gw.settings.listen.to_string(),
--- a/crates/wire/tests/fuzz.rs
+++ b/crates/wire/tests/fuzz.rs
@@ -11,7 +11,7 @@
 use cypressfork_core::fleet::limit::known::Word;
 use cypressfork_core::fleet::share::{Reply as Lent, Request};
 use cypressfork_core::fleet::transfer::{Part, Want};
-use cypressfork_core::fleet::watch::{RouterSign, Watch, WatchResponse};
+use cypressfork_core::fleet::watch::{RouterStatus, Watch, WatchResponse};
 use cypressfork_core::query::{Query, Reply};
 use cypressfork_core::raft::Members;
 use cypressfork_core::unit::Millis;
@@ -43,7 +43,7 @@
 
 fn watch() -> Watch {
     let text = |s: &str| s.to_owned();
-    let router = RouterSign {
+    let router = RouterStatus {
         vm: text("edge-1"),
         data_centre: text("tamar-a"),
         address: text("10.0.0.1:80"),
