--- a/crates/control/src/fleet_view.rs
+++ b/crates/control/src/fleet_view.rs
@@ -13,7 +13,9 @@
 use cypressfork_core::fleet::rollout::Rollouts;
 use cypressfork_core::fleet::rollout::evidence::Reports;
 use cypressfork_core::fleet::transfer::Packs;
-use cypressfork_core::fleet::watch::{Announce, Feed, RouterStatus, Watch, WatchResponse, digest};
+use cypressfork_core::fleet::watch::{
+    Announce, FeedCursor, RouterStatus, Watch, WatchResponse, controls_digest,
+};
 use cypressfork_core::member::Routers as Registered;
 use cypressfork_core::unit::{Millis, Time, Version};
 use cypressfork_node::event::Event;
@@ -298,7 +300,7 @@
         };
         let has_homes = |r: &RouterStatus| self.directory.has_homes(&r.data_centre);
         let peers = s.watch.router.as_ref().is_some_and(|r| !has_homes(r));
-        let controls = digest(&f.controls);
+        let controls = controls_digest(&f.controls);
         let same = s.watch.feed.boot == self.boot && s.watch.feed.controls == controls;
         let known = s.watch.areas == NOT_WANTED || s.watch.areas == self.directory.digest();
         let few = s.watch.few == NOT_WANTED || s.watch.few == self.directory.few_digest();
@@ -307,7 +309,7 @@
             false => self.limits.changes(now, s.limits, WORDS),
         };
         WatchResponse {
-            feed: Feed {
+            feed: FeedCursor {
                 boot: self.boot,
                 position: changes.position,
                 leaves,
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -13,7 +13,7 @@
 use cypressfork_core::fleet::clocks::Clocks;
 use cypressfork_core::fleet::contacts::{Contacts, Place};
 use cypressfork_core::fleet::regions::Regions;
-use cypressfork_core::fleet::watch::{Feed, WatchResponse};
+use cypressfork_core::fleet::watch::{FeedCursor, WatchResponse};
 use cypressfork_core::query::{Query, Reply};
 use cypressfork_core::raft::{Members, Message};
 use cypressfork_core::unit::{Millis, NodeId, Time};
@@ -131,7 +131,7 @@
     heard_at: BTreeMap<NodeId, String>,
     fleet: Option<Fleet>,
     /// How far the other control processes are followed.
-    feeds: Rc<RefCell<BTreeMap<SocketAddr, Feed>>>,
+    feeds: Rc<RefCell<BTreeMap<SocketAddr, FeedCursor>>>,
     /// The control processes that are followed.
     followed: Rc<RefCell<BTreeSet<SocketAddr>>>,
     next_follow: Time,
--- a/crates/control/src/server/fleet.rs
+++ b/crates/control/src/server/fleet.rs
@@ -10,7 +10,7 @@
 use cypressfork_core::fleet::evacuation;
 use cypressfork_core::fleet::neighbours::NOT_WANTED;
 use cypressfork_core::fleet::registry::{Registration, Source, Standing};
-use cypressfork_core::fleet::watch::{Announce, Feed, Watch, WatchResponse};
+use cypressfork_core::fleet::watch::{Announce, FeedCursor, Watch, WatchResponse};
 use cypressfork_core::raft::Members;
 use cypressfork_core::unit::Millis;
 use cypressfork_node::event::Event;
@@ -206,7 +206,7 @@
 
 /// Follows another control process.
 struct PeerWatch {
-    feeds: Rc<RefCell<BTreeMap<SocketAddr, Feed>>>,
+    feeds: Rc<RefCell<BTreeMap<SocketAddr, FeedCursor>>>,
     /// Those that are to be followed on.
     followed: Rc<RefCell<BTreeSet<SocketAddr>>>,
     tx: mpsc::Sender<Input>,
--- a/crates/control/tests/leaves.rs
+++ b/crates/control/tests/leaves.rs
@@ -8,7 +8,7 @@
 use cypressfork_core::fleet::quarantine::Quarantine;
 use cypressfork_core::fleet::registry::{Record, Registration, Source, Standing};
 use cypressfork_core::fleet::rollout::Rollouts;
-use cypressfork_core::fleet::watch::{Feed, RouterStatus, Watch, WatchResponse};
+use cypressfork_core::fleet::watch::{FeedCursor, RouterStatus, Watch, WatchResponse};
 use cypressfork_core::member::Routers;
 use cypressfork_core::unit::{Millis, Time};
 use rstest::rstest;
@@ -35,7 +35,7 @@
 }
 
 /// The question of a router that hears of replicas elsewhere.
-fn question(feed: Feed) -> Watch {
+fn question(feed: FeedCursor) -> Watch {
     let router = RouterStatus {
         vm: "edge-1".to_owned(),
         data_centre: "b".to_owned(),
@@ -96,7 +96,7 @@
     for id in ["i-1", "i-2"] {
         view.registry.take(Time(10), record(id, 1, Standing::Ready), Source::Itself);
     }
-    let feed = Feed { boot: BOOT, leaves: view.registry.position(), ..Feed::default() };
+    let feed = FeedCursor { boot: BOOT, leaves: view.registry.position(), ..FeedCursor::default() };
     view.watch(Time(1_000), question(feed), 0);
     view.registry.take(Time(1_050), record("i-2", 2, Standing::Draining), source);
     let got = answers(&mut view, 1_050, 1_050 + TOLD_WITHIN);
@@ -116,7 +116,7 @@
     let mut view = FleetView::new(BOOT, Millis(1_000));
     view.registry.take(Time(10), record("i-1", 1, Standing::Ready), Source::Itself);
     view.registry.take(Time(20), record("i-1", 2, Standing::Draining), Source::Itself);
-    view.watch(Time(1_000), question(Feed::default()), 0);
+    view.watch(Time(1_000), question(FeedCursor::default()), 0);
     let got = answers(&mut view, 1_000, 2_100);
     assert_eq!(got.len(), 1);
     assert_eq!(got[0].replicas, []);
--- a/crates/core/src/fleet/watch.rs
+++ b/crates/core/src/fleet/watch.rs
@@ -18,7 +18,7 @@
 
 /// The position up to which a watcher has followed one control process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Feed {
+pub struct FeedCursor {
     /// Random number that the control process draws at its start.
     pub boot: u64,
     /// Position in its feed of replica changes.
@@ -36,7 +36,7 @@
 
 /// Returns the digest of a list of control process addresses, which must be the same in every
 /// process and release.
-pub fn digest(controls: &[String]) -> u64 {
+pub fn controls_digest(controls: &[String]) -> u64 {
     controls.iter().fold(Fnv::new(), |h, a| h.part(a.as_bytes())).value()
 }
 
@@ -64,7 +64,7 @@
     /// The watching router, or `None` if the watcher is another control process.
     pub router: Option<RouterStatus>,
     /// Position up to which the watcher has followed this control process.
-    pub feed: Feed,
+    pub feed: FeedCursor,
     /// Newest document version that the watcher has or that this process has reported to it, or 0.
     pub version: Version,
     /// Request for the next part of a newer document, to be answered at once.
@@ -105,7 +105,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchResponse {
     /// Position up to which the watcher has followed after this response.
-    pub feed: Feed,
+    pub feed: FeedCursor,
     /// Replicas that are new or have changed, unless `packed` contains them.
     pub replicas: Vec<Record>,
     /// Version of the document in force.
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -18,7 +18,7 @@
 use cypressfork_core::fleet::routes::Routes;
 use cypressfork_core::fleet::share::Placement;
 use cypressfork_core::fleet::sources::Sources;
-use cypressfork_core::fleet::watch::Feed;
+use cypressfork_core::fleet::watch::FeedCursor;
 use cypressfork_core::route::turns::{Back, Turns};
 use cypressfork_core::route::{Choice, HeldBack, Pool, Work};
 use cypressfork_core::unit::{Millis, Time};
@@ -99,7 +99,7 @@
     /// Services that move to another version.
     pub trials: Trials,
     /// How far each control process is followed.
-    pub feeds: RefCell<BTreeMap<SocketAddr, Feed>>,
+    pub feeds: RefCell<BTreeMap<SocketAddr, FeedCursor>>,
     /// The data centres whose replicas get no new work.
     pub evacuations: RefCell<Evacuations>,
     /// The control processes that tell of replicas.
