--- a/crates/core/src/fleet/entry.rs
+++ b/crates/core/src/fleet/entry.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::regions::Regions;
-use super::spill::{Sign, Spill};
+use super::spill::{LoadShedding, RouterLoad};
 use super::watch::RouterStatus;
 use crate::unit::{Millis, Time};
 
@@ -16,15 +16,15 @@
 /// Minimum number of routers in the client's data centre or region for the list to be limited to it.
 const MIN_NEAR: usize = 2;
 
-fn spill_sign(r: &RouterStatus) -> Sign<'_> {
-    Sign { vm: &r.vm, data_centre: &r.data_centre, busy: r.busy }
+fn router_load(r: &RouterStatus) -> RouterLoad<'_> {
+    RouterLoad { vm: &r.vm, data_centre: &r.data_centre, busy: r.busy }
 }
 
 /// The latest heartbeat of each router, as received by one control process.
 #[derive(Clone, Debug, Default)]
 pub struct Routers {
     heartbeats: BTreeMap<String, (RouterStatus, Time)>,
-    spill: Spill,
+    spill: LoadShedding,
     /// Number of address lists returned so far.
     lists: u64,
     /// Position of the next router of other data centres in the rotation.
@@ -79,7 +79,7 @@
     ) -> Vec<String> {
         let open =
             self.heartbeats.values().filter(|(r, at)| r.open && now.since(*at) < SILENT_AFTER);
-        self.spill.decide(now, open.map(|(r, _)| spill_sign(r)));
+        self.spill.update(now, open.map(|(r, _)| router_load(r)));
         self.lists += 1;
         let known = self.heartbeats.values().filter(|(r, at)| r.open && now.since(*at) < KNOWN_FOR);
         let known: Vec<_> = known.collect();
@@ -88,7 +88,7 @@
         let usable = if live.len() * 2 > known.len() { live } else { known };
         let is_own = |r: &RouterStatus| r.data_centre == data_centre;
         let is_near = |r: &RouterStatus| regions.are_near(&r.data_centre, data_centre);
-        let is_left_out = |r: &RouterStatus| self.spill.leaves_out(&r.vm, self.lists);
+        let is_left_out = |r: &RouterStatus| self.spill.omits(&r.vm, self.lists);
         let remaining: Vec<_> = usable.iter().copied().filter(|(r, _)| !is_left_out(r)).collect();
         let usable = if remaining.is_empty() { usable } else { remaining };
         let (in_region, other_regions): (Vec<_>, Vec<_>) =
@@ -102,7 +102,7 @@
         if own_data_centre.len() < MIN_NEAR {
             return in_region.into_iter().take(limit).map(|(r, _)| r.address.clone()).collect();
         }
-        let extra_count = self.spill.beyond(data_centre, other_data_centres.len());
+        let extra_count = self.spill.remote_count(data_centre, other_data_centres.len());
         // Continue where the previous list ended, so that all of them get an equal share.
         let extra = other_data_centres
             .iter()
--- a/crates/core/src/fleet/spill.rs
+++ b/crates/core/src/fleet/spill.rs
@@ -31,7 +31,7 @@
 
 /// The load that a gateway reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Sign<'a> {
+pub struct RouterLoad<'a> {
     /// Name of its `Vm`.
     pub vm: &'a str,
     /// Its data centre.
@@ -43,7 +43,7 @@
 /// The share of answers that omit each busy gateway, and the share of remote gateways that answers
 /// to callers in a busy data centre list.
 #[derive(Clone, Debug, Default)]
-pub struct Spill {
+pub struct LoadShedding {
     omitted: BTreeMap<String, u64>,
     remote: BTreeMap<String, u64>,
     updated_at: Time,
@@ -63,9 +63,9 @@
     };
 }
 
-impl Spill {
+impl LoadShedding {
     /// Updates all shares from the gateways' reported load, at most once per second.
-    pub fn decide<'a>(&mut self, now: Time, gateways: impl Iterator<Item = Sign<'a>>) {
+    pub fn update<'a>(&mut self, now: Time, gateways: impl Iterator<Item = RouterLoad<'a>>) {
         if now.since(self.updated_at) < UPDATE_INTERVAL {
             return;
         }
@@ -83,14 +83,14 @@
     }
 
     /// Returns whether answer number `n` omits the gateway `vm`.
-    pub fn leaves_out(&self, vm: &str, n: u64) -> bool {
+    pub fn omits(&self, vm: &str, n: u64) -> bool {
         let Some(share) = self.omitted.get(vm) else { return false };
         Fnv::new().part(vm.as_bytes()).part(&n.to_be_bytes()).value() % FULL_SHARE < *share
     }
 
     /// Returns how many of `others` gateways of other data centres to list for a caller in
     /// `data_centre`.
-    pub fn beyond(&self, data_centre: &str, others: usize) -> usize {
+    pub fn remote_count(&self, data_centre: &str, others: usize) -> usize {
         let share = self.remote.get(data_centre).copied().unwrap_or(0);
         (others as u64 * share).div_ceil(FULL_SHARE) as usize
     }
