--- a/crates/core/src/fleet/telling.rs
+++ b/crates/core/src/fleet/telling.rs
@@ -11,21 +11,21 @@
 
 /// A token bucket of messages to peers.
 #[derive(Clone, Copy, Debug)]
-pub struct Allowance {
+pub struct MessageRateLimit {
     /// Available tokens, in thousandths of a message.
     available: u64,
     refilled_at: Time,
 }
 
-impl Default for Allowance {
-    fn default() -> Allowance {
-        Allowance { available: MESSAGES_PER_SECOND * 1_000, refilled_at: Time(0) }
+impl Default for MessageRateLimit {
+    fn default() -> MessageRateLimit {
+        MessageRateLimit { available: MESSAGES_PER_SECOND * 1_000, refilled_at: Time(0) }
     }
 }
 
-impl Allowance {
+impl MessageRateLimit {
     /// Takes tokens for `n` messages. Returns `false`, and takes none, if there are too few.
-    pub fn take(&mut self, now: Time, n: u64) -> bool {
+    pub fn try_take(&mut self, now: Time, n: u64) -> bool {
         let Millis(elapsed) = now.since(self.refilled_at);
         self.available = self
             .available
--- a/crates/core/tests/telling.rs
+++ b/crates/core/tests/telling.rs
@@ -1,6 +1,6 @@
 //! What a router tells others of its prompts is bounded, however many callers use it.
 
-use cypressfork_core::fleet::telling::Allowance;
+use cypressfork_core::fleet::telling::MessageRateLimit;
 use cypressfork_core::unit::Time;
 use rstest::rstest;
 
@@ -11,17 +11,17 @@
 #[case::one_that_many_callers_use(200, 57, 77)]
 #[case::more_peers_than_messages(1, 500, 0)]
 fn a_flood_of_prompts_is_told_in_part(#[case] prompts: u64, #[case] peers: u64, #[case] told: u64) {
-    let mut a = Allowance::default();
+    let mut a = MessageRateLimit::default();
     let at = |n: u64| Time(5_000 + n * 1_000 / prompts);
-    let taken = (0..prompts * 10).filter(|n| a.take(at(*n), peers)).count();
+    let taken = (0..prompts * 10).filter(|n| a.try_take(at(*n), peers)).count();
     assert_eq!(taken as u64, told);
 }
 
 #[test]
 fn time_that_goes_back_gives_nothing() {
-    let mut a = Allowance::default();
-    assert!(a.take(Time(9_000), 400));
-    assert!(!a.take(Time(1_000), 1));
-    assert!(!a.take(Time(1_001), 1));
-    assert!(a.take(Time(1_010), 3));
+    let mut a = MessageRateLimit::default();
+    assert!(a.try_take(Time(9_000), 400));
+    assert!(!a.try_take(Time(1_000), 1));
+    assert!(!a.try_take(Time(1_001), 1));
+    assert!(a.try_take(Time(1_010), 3));
 }
--- a/crates/router/src/gateway/share.rs
+++ b/crates/router/src/gateway/share.rs
@@ -11,7 +11,7 @@
 use cypressfork_core::fleet::document::budget_name;
 use cypressfork_core::fleet::limit::permits;
 use cypressfork_core::fleet::share::{Loans, Placement, Reply, Request, Short, lenders};
-use cypressfork_core::fleet::telling::Allowance;
+use cypressfork_core::fleet::telling::MessageRateLimit;
 use cypressfork_core::unit::{Millis, Time, Tokens};
 use cypressfork_node::emit;
 use cypressfork_node::event::Event;
@@ -85,7 +85,7 @@
     loans: RefCell<Loans<Lent>>,
     /// When each peer last did not answer when it was told of a prompt.
     unheard: Rc<RefCell<BTreeMap<SocketAddr, Time>>>,
-    telling: RefCell<Allowance>,
+    telling: RefCell<MessageRateLimit>,
     /// Lenders that have yet to hear what was used.
     unsettled: Rc<Cell<usize>>,
     /// Where the tokens of budgets are kept.
@@ -292,7 +292,7 @@
     pub fn tell(&self, gw: &Gateway, p: Placement) {
         let (now, clock) = (gw.now(), gw.clock);
         let peers = self.peers.borrow();
-        if !self.telling.borrow_mut().take(now, peers.len() as u64) {
+        if !self.telling.borrow_mut().try_take(now, peers.len() as u64) {
             return counter!(metric::UNTOLD).increment(1);
         }
         let ask = Ask::Share(body::pack(&Request::Placed(p)));
