--- a/crates/core/src/fleet/sound.rs
+++ b/crates/core/src/fleet/sound.rs
@@ -10,14 +10,14 @@
 /// A set of recently completed requests, identified by a hash with a per-process key. It holds two
 /// generations and drops the older one when the newer one is full.
 #[derive(Clone, Debug, Default)]
-pub struct Sound {
+pub struct CompletedRequests {
     newer: HashSet<u64>,
     older: HashSet<u64>,
 }
 
-impl Sound {
+impl CompletedRequests {
     /// Records that the request with this hash completed.
-    pub fn note(&mut self, hash: u64) {
+    pub fn record(&mut self, hash: u64) {
         if self.newer.len() >= MAX_PER_GENERATION {
             self.older = std::mem::take(&mut self.newer);
         }
@@ -25,7 +25,7 @@
     }
 
     /// Returns whether the request with this hash completed recently.
-    pub fn has(&self, hash: u64) -> bool {
+    pub fn contains(&self, hash: u64) -> bool {
         self.newer.contains(&hash) || self.older.contains(&hash)
     }
 }
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -3,7 +3,7 @@
 
 use cypressfork_core::fleet::fingerprint::{Fingerprint, Identity};
 use cypressfork_core::fleet::quarantine::{Change, EndedReplica, Quarantine, UnderWay};
-use cypressfork_core::fleet::sound::Sound;
+use cypressfork_core::fleet::sound::CompletedRequests;
 use cypressfork_core::unit::{Millis, Time};
 use rstest::rstest;
 
@@ -229,10 +229,10 @@
 
 #[test]
 fn what_was_answered_lately_is_remembered_within_bounds() {
-    let mut s = Sound::default();
-    s.note(1);
-    (10..1_500).for_each(|n| s.note(n));
-    assert!(s.has(1) && s.has(1_499) && !s.has(2));
-    (2_000..3_500).for_each(|n| s.note(n));
-    assert!(!s.has(1), "it was answered long ago");
+    let mut s = CompletedRequests::default();
+    s.record(1);
+    (10..1_500).for_each(|n| s.record(n));
+    assert!(s.contains(1) && s.contains(1_499) && !s.contains(2));
+    (2_000..3_500).for_each(|n| s.record(n));
+    assert!(!s.contains(1), "it was answered long ago");
 }
--- a/crates/router/src/gateway/quarantine.rs
+++ b/crates/router/src/gateway/quarantine.rs
@@ -13,7 +13,7 @@
 use cypressfork_core::command::Command;
 use cypressfork_core::fleet::fingerprint::Fingerprint;
 use cypressfork_core::fleet::quarantine::{EndedReplica, Quarantine, Told, UnderWay};
-use cypressfork_core::fleet::sound::Sound;
+use cypressfork_core::fleet::sound::CompletedRequests;
 use cypressfork_core::unit::{Index, Time};
 use cypressfork_node::digest::fingerprint;
 use cypressfork_node::event::Event;
@@ -52,7 +52,7 @@
 pub struct Quarantines {
     told: RefCell<Told>,
     /// Requests that this gateway answered whole lately.
-    sound: RefCell<Sound>,
+    sound: RefCell<CompletedRequests>,
     hasher: RandomState,
     /// Briefs of all that `told` names, for a first look at each request.
     briefs: RefCell<HashSet<u64>>,
@@ -116,7 +116,7 @@
     /// Notes that a request was answered whole, and tells the group if that matters to anybody.
     pub fn answered(&self, job: &Job) {
         let identity = job.identity();
-        self.sound.borrow_mut().note(self.hasher.hash_one(identity));
+        self.sound.borrow_mut().record(self.hasher.hash_one(identity));
         if self.briefs.borrow().is_empty() {
             return;
         }
@@ -139,7 +139,7 @@
 
     /// Whether this gateway answered a copy of a request whole lately.
     pub fn is_sound(&self, hash: u64) -> bool {
-        self.sound.borrow().has(hash)
+        self.sound.borrow().contains(hash)
     }
 
     /// Notes that a replica has ended at `since` with these requests under way.
