--- a/crates/control/src/fleet_view.rs
+++ b/crates/control/src/fleet_view.rs
@@ -8,7 +8,7 @@
 use cypressfork_core::fleet::limit::known::{Limits, Word};
 use cypressfork_core::fleet::neighbours::{Directory, NOT_WANTED};
 use cypressfork_core::fleet::quarantine::{Quarantine, Told};
-use cypressfork_core::fleet::registry::{Beat, Record, Registry, Source};
+use cypressfork_core::fleet::registry::{Beat, Record, RecordSource, Registry};
 use cypressfork_core::fleet::repair::Candidates;
 use cypressfork_core::fleet::rollout::Rollouts;
 use cypressfork_core::fleet::rollout::evidence::Reports;
@@ -215,7 +215,7 @@
     /// Takes what another control process has heard.
     pub fn learn(&mut self, now: Time, replicas: Vec<Record>, beats: &[Beat], limits: &[Word]) {
         for r in replicas {
-            self.registry.take(now, r, Source::Another);
+            self.registry.take(now, r, RecordSource::Peer);
         }
         for b in beats {
             self.registry.beat(now, b);
--- a/crates/control/src/server/fleet.rs
+++ b/crates/control/src/server/fleet.rs
@@ -9,7 +9,7 @@
 use cypressfork_core::code::Code;
 use cypressfork_core::fleet::evacuation;
 use cypressfork_core::fleet::neighbours::NOT_WANTED;
-use cypressfork_core::fleet::registry::{Registration, Source, Standing};
+use cypressfork_core::fleet::registry::{RecordSource, Registration, Standing};
 use cypressfork_core::fleet::watch::{Announce, FeedCursor, Watch, WatchResponse};
 use cypressfork_core::raft::Members;
 use cypressfork_core::unit::Millis;
@@ -95,7 +95,7 @@
             }
             Call::Beat(r) if r.standing < Standing::Draining || led => {
                 let id = r.registration.id.clone();
-                if f.view.registry.take(now, r, Source::Itself) {
+                if f.view.registry.take(now, r, RecordSource::Replica) {
                     emit!(Event::ReplicaChanged, replica = id);
                 }
                 CallAnswer::Noted
--- a/crates/control/tests/leaves.rs
+++ b/crates/control/tests/leaves.rs
@@ -6,7 +6,7 @@
 use cypressfork_control::fleet_view::{FleetView, Followed};
 use cypressfork_core::fleet::evacuation::Evacuations;
 use cypressfork_core::fleet::quarantine::Quarantine;
-use cypressfork_core::fleet::registry::{Record, Registration, Source, Standing};
+use cypressfork_core::fleet::registry::{Record, RecordSource, Registration, Standing};
 use cypressfork_core::fleet::rollout::Rollouts;
 use cypressfork_core::fleet::watch::{FeedCursor, RouterStatus, Watch, WatchResponse};
 use cypressfork_core::member::Routers;
@@ -86,15 +86,15 @@
 }
 
 #[rstest]
-#[case::it_told_this_process(Source::Itself, &["i-2"])]
-#[case::another_process_passed_it_on(Source::Another, &[])]
+#[case::it_told_this_process(RecordSource::Replica, &["i-2"])]
+#[case::another_process_passed_it_on(RecordSource::Peer, &[])]
 fn every_router_is_told_of_leaves_by_the_process_that_heard_of_them(
-    #[case] source: Source,
+    #[case] source: RecordSource,
     #[case] told: &[&str],
 ) {
     let mut view = FleetView::new(BOOT, Millis(1_000));
     for id in ["i-1", "i-2"] {
-        view.registry.take(Time(10), record(id, 1, Standing::Ready), Source::Itself);
+        view.registry.take(Time(10), record(id, 1, Standing::Ready), RecordSource::Replica);
     }
     let feed = FeedCursor { boot: BOOT, leaves: view.registry.position(), ..FeedCursor::default() };
     view.watch(Time(1_000), question(feed), 0);
@@ -114,8 +114,8 @@
 #[test]
 fn earlier_leaves_are_left_to_the_sources() {
     let mut view = FleetView::new(BOOT, Millis(1_000));
-    view.registry.take(Time(10), record("i-1", 1, Standing::Ready), Source::Itself);
-    view.registry.take(Time(20), record("i-1", 2, Standing::Draining), Source::Itself);
+    view.registry.take(Time(10), record("i-1", 1, Standing::Ready), RecordSource::Replica);
+    view.registry.take(Time(20), record("i-1", 2, Standing::Draining), RecordSource::Replica);
     view.watch(Time(1_000), question(FeedCursor::default()), 0);
     let got = answers(&mut view, 1_000, 2_100);
     assert_eq!(got.len(), 1);
--- a/crates/core/src/fleet/registry.rs
+++ b/crates/core/src/fleet/registry.rs
@@ -134,11 +134,11 @@
 
 /// The sender of a replica's record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Source {
+pub enum RecordSource {
     /// The replica itself.
-    Itself,
+    Replica,
     /// Another control process.
-    Another,
+    Peer,
 }
 
 /// A heartbeat of a replica whose registration is otherwise unchanged.
@@ -200,7 +200,7 @@
 
     /// Merges a record from `source` into the registry. Returns whether that is a change for
     /// routers.
-    pub fn take(&mut self, now: Time, r: Record, source: Source) -> bool {
+    pub fn take(&mut self, now: Time, r: Record, source: RecordSource) -> bool {
         let known = self.entries.get(r.registration.id.as_str());
         let Some(merged) = merge(known, &r) else { return false };
         let same = known.is_some_and(|e| is_same_for_routers(&e.record, &merged));
@@ -222,7 +222,7 @@
         self.entries.insert(id.clone(), entry);
         self.publish(now, &id, !same, source);
         let leaves = self.entries.get(&id).is_some_and(|e| e.record.standing >= Standing::Draining);
-        if leaves && !same && source == Source::Itself {
+        if leaves && !same && source == RecordSource::Replica {
             self.direct_leaves.insert(self.position, id);
         }
         !same
@@ -259,15 +259,15 @@
             e.record.standing = Standing::Ready;
             e.last_heartbeat = now;
         }
-        self.publish(now, &id, back, Source::Another);
+        self.publish(now, &id, back, RecordSource::Peer);
         back
     }
 
     /// Publishes a replica's change or heartbeat in the feed. Relayed heartbeats are rate limited.
-    fn publish(&mut self, now: Time, id: &Arc<str>, changed: bool, source: Source) {
+    fn publish(&mut self, now: Time, id: &Arc<str>, changed: bool, source: RecordSource) {
         let Some(e) = self.entries.get_mut(id) else { return };
         let again = now.since(e.published_at) >= self.heartbeat.scale(MIN_RELAY_HEARTBEATS, 1);
-        if changed || again || source == Source::Itself {
+        if changed || again || source == RecordSource::Replica {
             e.published_at = now;
             self.move_to_end(id, changed);
         }
@@ -291,7 +291,7 @@
     pub fn leave(&mut self, now: Time, id: &str) -> bool {
         let Some(e) = self.entries.get(id) else { return false };
         let registration = e.record.registration.clone();
-        self.take(now, Record { registration, standing: Standing::Left }, Source::Itself)
+        self.take(now, Record { registration, standing: Standing::Left }, RecordSource::Replica)
     }
 
     /// Marks a replica as draining that announced this in a response to another process. Returns
@@ -300,7 +300,7 @@
         let known = self.get(&l.replica);
         let known = known.filter(|r| r.is_there(l.born) && r.standing < Standing::Draining);
         let Some(record) = known.map(Record::leaving) else { return false };
-        self.take(now, record, Source::Another)
+        self.take(now, record, RecordSource::Peer)
     }
 
     /// Marks replicas silent that have missed several heartbeats at the interval `every`, and
--- a/crates/core/tests/lives.rs
+++ b/crates/core/tests/lives.rs
@@ -5,7 +5,9 @@
 use std::net::SocketAddr;
 
 use cypressfork_core::config::{Upstream, Vm};
-use cypressfork_core::fleet::registry::{Beat, Record, Registration, Registry, Source, Standing};
+use cypressfork_core::fleet::registry::{
+    Beat, Record, RecordSource, Registration, Registry, Standing,
+};
 use cypressfork_core::fleet::replicas::Replicas;
 use cypressfork_core::route::{Condition, Pool, Work};
 use cypressfork_core::unit::{Millis, Time};
@@ -48,7 +50,7 @@
 fn at_control(words: &[Word]) -> Record {
     let mut r = Registry::default();
     for (n, w) in words.iter().enumerate() {
-        let source = if n % 2 == 0 { Source::Itself } else { Source::Another };
+        let source = if n % 2 == 0 { RecordSource::Replica } else { RecordSource::Peer };
         r.take(Time(1_000 + n as u64), record(*w), source);
     }
     r.iter().next().unwrap().clone()
@@ -99,7 +101,7 @@
 #[test]
 fn a_relayed_heartbeat_is_of_one_life() {
     let mut r = Registry::default();
-    r.take(Time(0), record((20, 80, 1, Ready)), Source::Another);
+    r.take(Time(0), record((20, 80, 1, Ready)), RecordSource::Peer);
     r.tick(Time(10_000), Millis(1_000));
     let beat = |born, sequence| Beat { id: "i-1".to_owned(), sequence, born };
     assert!(!r.beat(Time(10_000), &beat(10, 99)), "of the life before");
--- a/crates/core/tests/transfer.rs
+++ b/crates/core/tests/transfer.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 use cypressfork_core::fleet::fetch::{Fetch, GivenUp};
-use cypressfork_core::fleet::registry::{Record, Registration, Registry, Source, Standing};
+use cypressfork_core::fleet::registry::{Record, RecordSource, Registration, Registry, Standing};
 use cypressfork_core::fleet::transfer::{Assembly, PART, Packs, Part, Taken, Want};
 use cypressfork_core::unit::{Millis, Time};
 use proptest::prelude::*;
@@ -209,7 +209,11 @@
             sequence: 1,
             born: 0,
         };
-        registry.take(Time(n), Record { registration, standing: Standing::Ready }, Source::Another);
+        registry.take(
+            Time(n),
+            Record { registration, standing: Standing::Ready },
+            RecordSource::Peer,
+        );
     }
     // One that was known early changes late: its place in the feed is the later one.
     registry.leave(Time(800), "r-000");
