--- a/crates/control/src/fleet_view.rs
+++ b/crates/control/src/fleet_view.rs
@@ -8,7 +8,7 @@
 use cypressfork_core::fleet::limit::known::{Limits, Word};
 use cypressfork_core::fleet::neighbours::{Directory, NOT_WANTED};
 use cypressfork_core::fleet::quarantine::{Quarantine, Told};
-use cypressfork_core::fleet::registry::{Beat, Record, RecordSource, Registry};
+use cypressfork_core::fleet::registry::{Heartbeat, Record, RecordSource, Registry};
 use cypressfork_core::fleet::repair::Candidates;
 use cypressfork_core::fleet::rollout::Rollouts;
 use cypressfork_core::fleet::rollout::evidence::Reports;
@@ -213,12 +213,18 @@
     }
 
     /// Takes what another control process has heard.
-    pub fn learn(&mut self, now: Time, replicas: Vec<Record>, beats: &[Beat], limits: &[Word]) {
+    pub fn learn(
+        &mut self,
+        now: Time,
+        replicas: Vec<Record>,
+        beats: &[Heartbeat],
+        limits: &[Word],
+    ) {
         for r in replicas {
             self.registry.take(now, r, RecordSource::Peer);
         }
         for b in beats {
-            self.registry.beat(now, b);
+            self.registry.apply_heartbeat(now, b);
         }
         self.hear_limits(now, limits);
     }
@@ -278,7 +284,7 @@
             || (waited >= GATHER_CHANGES && s.is_told(&self.registry))
             || (waited >= GATHER_CHANGES && s.is_told_of_leaves(&self.registry))
             || (waited >= GATHER_CHANGES && s.is_told_of_limits(&self.limits))
-            || (beats && self.registry.has_beats(s.since))
+            || (beats && self.registry.has_heartbeats(s.since))
     }
 
     fn seen(&mut self, now: Time, s: &Standing<T>, f: &Followed) -> WatchResponse {
@@ -293,8 +299,8 @@
             }
             true => self.feed_cache.changes(now, &self.registry, s.since, RECORDS),
             false => {
-                let part = self.registry.relay(s.since, RECORDS, BEATS);
-                beats = part.beats;
+                let part = self.registry.relay_batch(s.since, RECORDS, BEATS);
+                beats = part.heartbeats;
                 Changes { records: part.records, packed: None, position: part.position }
             }
         };
--- a/crates/control/src/server/fleet.rs
+++ b/crates/control/src/server/fleet.rs
@@ -101,7 +101,7 @@
                 CallAnswer::Noted
             }
             Call::Leave(id) if led => {
-                if f.view.registry.leave(now, &id) {
+                if f.view.registry.mark_left(now, &id) {
                     emit!(Event::ReplicaChanged, replica = id);
                 }
                 CallAnswer::Noted
--- a/crates/control/tests/feed_cache.rs
+++ b/crates/control/tests/feed_cache.rs
@@ -87,7 +87,7 @@
     let (mut registry, mut cache) = (Registry::default(), FeedCache::default());
     (0..300).for_each(|n| _ = registry.take(Time(0), record(n, 1), RecordSource::Replica));
     assert_eq!(records(cache.changes(Time(0), &registry, 0, 256)).len(), 256);
-    registry.leave(Time(1_000), "r-7");
+    registry.mark_left(Time(1_000), "r-7");
     registry.tick(Time(200_000), Millis(1_000_000));
     let told = records(cache.changes(Time(200_000), &registry, 0, 256));
     assert!(told.iter().all(|r| r.registration.id != "r-7"));
--- a/crates/core/src/fleet/registry.rs
+++ b/crates/core/src/fleet/registry.rs
@@ -143,7 +143,7 @@
 
 /// A heartbeat of a replica whose registration is otherwise unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// The replica's id.
     pub id: String,
     /// Sequence number of the heartbeat.
@@ -168,7 +168,7 @@
     /// Records of replicas that are new or have changed.
     pub records: Vec<Record>,
     /// Heartbeats of unchanged replicas, for other control processes only.
-    pub beats: Vec<Beat>,
+    pub heartbeats: Vec<Heartbeat>,
     /// Position from which the follower continues.
     pub position: u64,
 }
@@ -244,7 +244,7 @@
     /// Applies a heartbeat relayed by another control process. Returns whether that is a change for
     /// routers, which is the case if the replica was silent. A heartbeat of an unknown replica is
     /// ignored; the sender relays its record as well.
-    pub fn beat(&mut self, now: Time, b: &Beat) -> bool {
+    pub fn apply_heartbeat(&mut self, now: Time, b: &Heartbeat) -> bool {
         let Some((id, e)) = self.entries.get_key_value(b.id.as_str()) else { return false };
         let id = id.clone();
         let known = &e.record.registration;
@@ -288,7 +288,7 @@
     }
 
     /// Records that a replica has left. Returns whether that is a change for routers.
-    pub fn leave(&mut self, now: Time, id: &str) -> bool {
+    pub fn mark_left(&mut self, now: Time, id: &str) -> bool {
         let Some(e) = self.entries.get(id) else { return false };
         let registration = e.record.registration.clone();
         self.take(now, Record { registration, standing: Standing::Left }, RecordSource::Replica)
@@ -368,7 +368,7 @@
     }
 
     /// Returns whether a change or heartbeat was published after position `since`.
-    pub fn has_beats(&self, since: u64) -> bool {
+    pub fn has_heartbeats(&self, since: u64) -> bool {
         self.by_heartbeat.last_key_value().is_some_and(|(newest, _)| *newest > since)
     }
 
@@ -379,27 +379,31 @@
         let last = batch.last().map_or(since, |(at, _)| **at);
         let position = if newer.next().is_some() { last } else { self.position };
         let records = batch.into_iter().filter_map(|(_, id)| self.entries.get(id));
-        Batch { records: records.map(|e| e.record.clone()).collect(), beats: Vec::new(), position }
+        Batch {
+            records: records.map(|e| e.record.clone()).collect(),
+            heartbeats: Vec::new(),
+            position,
+        }
     }
 
     /// Returns the changes after position `since` for another control process: at most `max`
-    /// records and at most `max_beats` heartbeats of unchanged replicas.
-    pub fn relay(&self, since: u64, max: usize, max_beats: usize) -> Batch {
+    /// records and at most `max_heartbeats` heartbeats of unchanged replicas.
+    pub fn relay_batch(&self, since: u64, max: usize, max_heartbeats: usize) -> Batch {
         let Batch { records, position, .. } = self.changes(since, max);
         let mut newer =
             self.by_heartbeat.range((Bound::Excluded(since), Bound::Included(position)));
-        let batch: Vec<_> = newer.by_ref().take(max_beats).collect();
+        let batch: Vec<_> = newer.by_ref().take(max_heartbeats).collect();
         let last = batch.last().map_or(since, |(at, _)| **at);
         let position = if newer.next().is_some() { last } else { position };
         let known = batch.into_iter().filter_map(|(_, id)| self.entries.get(id));
         // The record of a changed replica already contains its newest heartbeat.
         let unchanged = known.filter(|e| e.change_position <= since);
-        let beats = unchanged.map(|e| Beat {
+        let heartbeats = unchanged.map(|e| Heartbeat {
             id: e.record.registration.id.clone(),
             sequence: e.record.registration.sequence,
             born: e.record.registration.born,
         });
-        Batch { records, beats: beats.collect(), position }
+        Batch { records, heartbeats: heartbeats.collect(), position }
     }
 
     /// Returns the record of a replica.
--- a/crates/core/src/fleet/watch.rs
+++ b/crates/core/src/fleet/watch.rs
@@ -9,7 +9,7 @@
 use super::limit::known::Word;
 use super::neighbours::Area;
 use super::quarantine::Told;
-use super::registry::{Beat, Leaving, Record};
+use super::registry::{Heartbeat, Leaving, Record};
 use super::rollout::Rollouts;
 use super::rollout::evidence::Report;
 use super::transfer::{Part, Want};
@@ -140,7 +140,7 @@
     pub rollouts: Option<Rollouts>,
     /// Heartbeats of unchanged replicas, if the watcher is a control process.
     #[serde(default)]
-    pub beats: Vec<Beat>,
+    pub beats: Vec<Heartbeat>,
     /// Compressed list of the records of replicas that are new or have changed, if they are many.
     #[serde(default)]
     pub packed: Option<ByteBuf>,
--- a/crates/core/tests/lives.rs
+++ b/crates/core/tests/lives.rs
@@ -6,7 +6,7 @@
 
 use cypressfork_core::config::{Upstream, Vm};
 use cypressfork_core::fleet::registry::{
-    Beat, Record, RecordSource, Registration, Registry, Standing,
+    Heartbeat, Record, RecordSource, Registration, Registry, Standing,
 };
 use cypressfork_core::fleet::replicas::Replicas;
 use cypressfork_core::route::{Condition, Pool, Work};
@@ -103,10 +103,10 @@
     let mut r = Registry::default();
     r.take(Time(0), record((20, 80, 1, Ready)), RecordSource::Peer);
     r.tick(Time(10_000), Millis(1_000));
-    let beat = |born, sequence| Beat { id: "i-1".to_owned(), sequence, born };
-    assert!(!r.beat(Time(10_000), &beat(10, 99)), "of the life before");
+    let beat = |born, sequence| Heartbeat { id: "i-1".to_owned(), sequence, born };
+    assert!(!r.apply_heartbeat(Time(10_000), &beat(10, 99)), "of the life before");
     assert_eq!(r.iter().next().unwrap().standing, Standing::Silent);
-    assert!(r.beat(Time(10_000), &beat(20, 2)));
+    assert!(r.apply_heartbeat(Time(10_000), &beat(20, 2)));
     assert_eq!(r.iter().next().unwrap().standing, Ready);
 }
 
--- a/crates/core/tests/registry.rs
+++ b/crates/core/tests/registry.rs
@@ -1,7 +1,7 @@
 //! The replicas that register, as a control process hears of them and tells others.
 
 use cypressfork_core::fleet::registry::{
-    Beat, Leaving, Record, RecordSource, Registration, Registry, Standing,
+    Heartbeat, Leaving, Record, RecordSource, Registration, Registry, Standing,
 };
 use cypressfork_core::unit::{Millis, Time};
 use rstest::rstest;
@@ -55,14 +55,14 @@
     let since = r.position();
     assert!(!r.take(Time(900), record("i-1", 2, Standing::Ready), RecordSource::Replica));
     assert_eq!(r.changes(since, MOST).records.len(), 0);
-    let beats = vec![Beat { id: "i-1".to_owned(), sequence: 2, born: 0 }];
-    assert_eq!(r.relay(since, MOST, MOST).beats, beats, "other control processes do");
+    let beats = vec![Heartbeat { id: "i-1".to_owned(), sequence: 2, born: 0 }];
+    assert_eq!(r.relay_batch(since, MOST, MOST).heartbeats, beats, "other control processes do");
     r.tick(Time(4_800), Millis(1_000));
     assert_eq!(r.changes(since, MOST).records.len(), 0, "it spoke 3.9 s ago");
     r.tick(Time(4_900), Millis(1_000));
     assert_eq!(r.changes(since, MOST).records[0].standing, Standing::Silent);
-    assert!(r.leave(Time(5_000), "i-1"));
-    assert!(!r.leave(Time(5_000), "i-2"), "nobody knows it");
+    assert!(r.mark_left(Time(5_000), "i-1"));
+    assert!(!r.mark_left(Time(5_000), "i-2"), "nobody knows it");
 }
 
 /// Three control processes, of which the first alone is in reach of a replica, and the third in reach
@@ -79,11 +79,11 @@
             all[0].take(now, record("i-1", n, Standing::Ready), RecordSource::Replica);
         }
         for to in 1..3 {
-            let told = all[to - 1].relay(since[to - 1], MOST, MOST);
+            let told = all[to - 1].relay_batch(since[to - 1], MOST, MOST);
             since[to - 1] = told.position;
-            passed_on += told.beats.len() * to.saturating_sub(1);
+            passed_on += told.heartbeats.len() * to.saturating_sub(1);
             told.records.into_iter().for_each(|r| _ = all[to].take(now, r, RecordSource::Peer));
-            told.beats.iter().for_each(|b| _ = all[to].beat(now, b));
+            told.heartbeats.iter().for_each(|b| _ = all[to].apply_heartbeat(now, b));
         }
         all.iter_mut().for_each(|r| r.tick(now, every));
         assert!(all.iter().all(|r| r.iter().all(|r| r.standing == Standing::Ready)), "at {now:?}");
@@ -106,9 +106,9 @@
     let mut r = Registry::default();
     r.take(Time(0), record("i-1", 5, standing), RecordSource::Peer);
     let since = r.position();
-    let beat = |id: &str| Beat { id: id.to_owned(), sequence, born: 0 };
-    assert_eq!(r.beat(Time(9), &beat("i-1")), changes);
-    assert!(!r.beat(Time(9), &beat("i-2")), "nobody knows it");
+    let beat = |id: &str| Heartbeat { id: id.to_owned(), sequence, born: 0 };
+    assert_eq!(r.apply_heartbeat(Time(9), &beat("i-1")), changes);
+    assert!(!r.apply_heartbeat(Time(9), &beat("i-2")), "nobody knows it");
     assert_eq!(r.iter().next().unwrap().standing, after);
     assert_eq!(r.changes(since, MOST).records.len(), usize::from(changes));
 }
@@ -122,18 +122,18 @@
         let id = format!("i-{}", n % 50);
         from.take(Time(n), record(&id, n + 1, Standing::Ready), RecordSource::Replica);
         if n % 10 == 0 {
-            let told = from.relay(since, 3, 5);
+            let told = from.relay_batch(since, 3, 5);
             since = told.position;
             told.records.into_iter().for_each(|r| _ = to.take(Time(n), r, RecordSource::Peer));
-            told.beats.iter().for_each(|b| _ = to.beat(Time(n), b));
+            told.heartbeats.iter().for_each(|b| _ = to.apply_heartbeat(Time(n), b));
         }
     }
     while since < from.position() {
-        let told = from.relay(since, 3, 5);
+        let told = from.relay_batch(since, 3, 5);
         assert!(told.position > since);
         since = told.position;
         told.records.into_iter().for_each(|r| _ = to.take(Time(400), r, RecordSource::Peer));
-        told.beats.iter().for_each(|b| _ = to.beat(Time(400), b));
+        told.heartbeats.iter().for_each(|b| _ = to.apply_heartbeat(Time(400), b));
     }
     let of = |r: &Registry| -> Vec<_> {
         r.iter().map(|r| (r.registration.id.clone(), r.registration.sequence)).collect()
@@ -145,7 +145,7 @@
 fn one_that_has_left_is_remembered_against_late_heartbeats() {
     let mut r = Registry::default();
     r.take(Time(0), record("i-1", 5, Standing::Ready), RecordSource::Replica);
-    r.leave(Time(0), "i-1");
+    r.mark_left(Time(0), "i-1");
     r.tick(Time(60_000), Millis(1_000));
     assert!(!r.take(Time(60_000), record("i-1", 4, Standing::Ready), RecordSource::Replica));
     r.tick(Time(200_000), Millis(1_000));
--- a/crates/core/tests/transfer.rs
+++ b/crates/core/tests/transfer.rs
@@ -216,7 +216,7 @@
         );
     }
     // One that was known early changes late: its place in the feed is the later one.
-    registry.leave(Time(800), "r-000");
+    registry.mark_left(Time(800), "r-000");
     let (mut since, mut seen, mut answers) = (0, Vec::new(), 0);
     while registry.has_changes(since) {
         let batch = registry.changes(since, 256);
