--- a/crates/control/src/server/fleet.rs
+++ b/crates/control/src/server/fleet.rs
@@ -82,8 +82,8 @@
                     false => CallAnswer::Entry(addresses, f.entry_keep),
                 }
             }
-            Call::Beat(r) if r.registration.check().is_err() => {
-                let why = r.registration.check().err().unwrap_or_default();
+            Call::Beat(r) if r.registration.validate().is_err() => {
+                let why = r.registration.validate().err().unwrap_or_default();
                 CallAnswer::Refused(Code::RegistrationBad, why)
             }
             // Acknowledged, as its sender may be in the right before long: a document may name it.
--- a/crates/core/src/fleet/registry.rs
+++ b/crates/core/src/fleet/registry.rs
@@ -61,7 +61,7 @@
 
 impl Registration {
     /// Validates the address and the cold start. Returns the reason if one of them is invalid.
-    pub fn check(&self) -> Result<(), String> {
+    pub fn validate(&self) -> Result<(), String> {
         if self.address.parse::<SocketAddr>().is_err() {
             return Err(format!("'{}' is not an IP address with a port", self.address));
         }
@@ -73,7 +73,7 @@
 
     /// Compares the incarnations of two registrations of the same replica. They compare equal if
     /// either has no start time.
-    pub fn life(&self, known: &Registration) -> Ordering {
+    pub fn cmp_incarnation(&self, known: &Registration) -> Ordering {
         cmp_start_times(self.born, known.born)
     }
 }
@@ -424,7 +424,7 @@
 fn merge(known: Option<&Entry>, r: &Record) -> Option<Record> {
     let Some(e) = known else { return Some(r.clone()) };
     let old = &e.record;
-    match r.registration.life(&old.registration) {
+    match r.registration.cmp_incarnation(&old.registration) {
         Ordering::Greater => return Some(r.clone()),
         Ordering::Less => return None,
         Ordering::Equal => {}
@@ -443,7 +443,7 @@
 
 /// Returns whether `r` is from a later incarnation or heartbeat than `known`.
 fn is_newer(r: &Registration, known: &Registration) -> bool {
-    let later = r.life(known).then(r.sequence.cmp(&known.sequence));
+    let later = r.cmp_incarnation(known).then(r.sequence.cmp(&known.sequence));
     later == Ordering::Greater
 }
 
--- a/crates/core/src/fleet/replicas.rs
+++ b/crates/core/src/fleet/replicas.rs
@@ -225,7 +225,7 @@
 /// Returns whether `r` contains anything new. Draining and left are new regardless of the sequence
 /// number.
 fn is_update(known: &Record, r: &Record) -> bool {
-    match r.registration.life(&known.registration) {
+    match r.registration.cmp_incarnation(&known.registration) {
         Ordering::Greater => return true,
         Ordering::Less => return false,
         Ordering::Equal => {}
@@ -237,7 +237,7 @@
 }
 
 fn is_later_incarnation(known: &Record, r: &Record) -> bool {
-    r.registration.life(&known.registration) == Ordering::Greater
+    r.registration.cmp_incarnation(&known.registration) == Ordering::Greater
 }
 
 fn location(r: &Record) -> (String, Option<SocketAddr>) {
