--- a/crates/control/src/fleet_view.rs
+++ b/crates/control/src/fleet_view.rs
@@ -198,7 +198,7 @@
 
     /// Takes words on limits; those of former lives of replicas say nothing any more.
     fn hear_limits(&mut self, now: Time, words: &[Word]) {
-        for w in words.iter().filter(|w| is_there(&self.registry, &w.replica, w.born)) {
+        for w in words.iter().filter(|w| is_running(&self.registry, &w.replica, w.born)) {
             if let Some(change) = self.limits.take(now, w) {
                 emit!(
                     Event::LimitChanged,
@@ -236,7 +236,7 @@
         if now >= self.next_trim {
             self.next_trim = now.after(TRIM_EVERY);
             let registry = &self.registry;
-            self.limits.trim(now, |replica, born| is_there(registry, replica, born));
+            self.limits.trim(now, |replica, born| is_running(registry, replica, born));
             gauge!(metric::LIMITED).set(self.limits.named().count() as f64);
         }
     }
@@ -348,6 +348,6 @@
 }
 
 /// Whether a replica is registered, in this life of it or one that is not told apart.
-fn is_there(registry: &Registry, replica: &str, born: u64) -> bool {
-    registry.get(replica).is_some_and(|r| r.is_there(born))
+fn is_running(registry: &Registry, replica: &str, born: u64) -> bool {
+    registry.get(replica).is_some_and(|r| r.is_running(born))
 }
--- a/crates/core/src/fleet/registry.rs
+++ b/crates/core/src/fleet/registry.rs
@@ -113,7 +113,7 @@
 
     /// Returns whether the replica has not left and has not restarted since its incarnation with
     /// the start time `born`.
-    pub fn is_there(&self, born: u64) -> bool {
+    pub fn is_running(&self, born: u64) -> bool {
         let is_later = cmp_start_times(self.registration.born, born) == Ordering::Greater;
         self.standing < Standing::Left && !is_later
     }
@@ -298,7 +298,7 @@
     /// whether that is new for this incarnation.
     pub fn leaving(&mut self, now: Time, l: &Leaving) -> bool {
         let known = self.get(&l.replica);
-        let known = known.filter(|r| r.is_there(l.born) && r.standing < Standing::Draining);
+        let known = known.filter(|r| r.is_running(l.born) && r.standing < Standing::Draining);
         let Some(record) = known.map(Record::leaving) else { return false };
         self.take(now, record, RecordSource::Peer)
     }
--- a/crates/core/src/fleet/replicas.rs
+++ b/crates/core/src/fleet/replicas.rs
@@ -141,16 +141,16 @@
 
     /// Returns whether a replica has not left and has not restarted since its incarnation with the
     /// start time `born`.
-    pub fn is_there(&self, id: &str, born: u64) -> bool {
-        self.by_id.get(id).is_some_and(|k| k.record.is_there(born))
+    pub fn is_running(&self, id: &str, born: u64) -> bool {
+        self.by_id.get(id).is_some_and(|k| k.record.is_running(born))
     }
 
     /// Returns the change that clears a replica's address, if the replica is the one in use there.
     fn clear_address(&self, id: &str) -> Option<Change> {
         let (service, address) = location(&self.by_id.get(id)?.record);
         let change = self.address_change(service, address?)?;
-        let is_there = change.there.as_ref().is_some_and(|(u, _)| u.vm.name == id);
-        is_there.then_some(Change { there: None, ..change })
+        let is_current = change.there.as_ref().is_some_and(|(u, _)| u.vm.name == id);
+        is_current.then_some(Change { there: None, ..change })
     }
 
     /// Records that another replica answered at this replica's address. Returns the change of that
--- a/crates/router/src/gateway/limits.rs
+++ b/crates/router/src/gateway/limits.rs
@@ -136,7 +136,7 @@
 
     /// Takes what a control process tells of limits.
     pub fn told(&self, gw: &Gateway, words: &[Word]) {
-        for w in words.iter().filter(|w| gw.is_there(&w.replica, w.born)) {
+        for w in words.iter().filter(|w| gw.is_running(&w.replica, w.born)) {
             let change = self.known.borrow_mut().take(gw.now(), w);
             if let Some(change) = change {
                 self.apply(gw, &w.replica, change, "control", "");
@@ -194,7 +194,7 @@
     /// Forgets what is old.
     pub fn trim(&self, gw: &Gateway) {
         let now = gw.now();
-        let gone = self.known.borrow_mut().trim(now, |replica, born| gw.is_there(replica, born));
+        let gone = self.known.borrow_mut().trim(now, |replica, born| gw.is_running(replica, born));
         for replica in gone {
             self.forget(&replica);
             gw.set_limited(&replica, false);
--- a/crates/router/src/gateway/notices.rs
+++ b/crates/router/src/gateway/notices.rs
@@ -164,7 +164,7 @@
 
     /// Forgets replicas that are not there any more.
     pub fn trim(&self, gw: &Gateway) {
-        self.leaving.borrow_mut().retain(|replica, k| gw.is_there(replica, k.born));
+        self.leaving.borrow_mut().retain(|replica, k| gw.is_running(replica, k.born));
     }
 }
 
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -544,8 +544,8 @@
     }
 
     /// Whether a replica is there, in this life of it or one that is not told apart.
-    pub fn is_there(&self, replica: &str, born: u64) -> bool {
-        self.replicas.borrow().is_there(replica, born)
+    pub fn is_running(&self, replica: &str, born: u64) -> bool {
+        self.replicas.borrow().is_running(replica, born)
     }
 
     /// Takes another gateway's word that it has sent a prompt to a replica.
