--- a/crates/control/src/fleet_view.rs
+++ b/crates/control/src/fleet_view.rs
@@ -176,7 +176,7 @@
         let heard = std::mem::take(&mut watch.heard);
         self.hear_limits(now, &heard);
         for l in std::mem::take(&mut watch.leaving) {
-            if self.registry.leaving(now, &l) {
+            if self.registry.apply_leaving(now, &l) {
                 emit!(Event::ReplicaChanged, replica = l.replica, by = "answer");
             }
         }
--- a/crates/core/src/fleet/registry.rs
+++ b/crates/core/src/fleet/registry.rs
@@ -107,7 +107,7 @@
 
 impl Record {
     /// Returns a copy of this record that is marked as draining.
-    pub fn leaving(&self) -> Record {
+    pub fn as_draining(&self) -> Record {
         Record { registration: self.registration.clone(), standing: Standing::Draining }
     }
 
@@ -296,10 +296,10 @@
 
     /// Marks a replica as draining that announced this in a response to another process. Returns
     /// whether that is new for this incarnation.
-    pub fn leaving(&mut self, now: Time, l: &Leaving) -> bool {
+    pub fn apply_leaving(&mut self, now: Time, l: &Leaving) -> bool {
         let known = self.get(&l.replica);
         let known = known.filter(|r| r.is_running(l.born) && r.standing < Standing::Draining);
-        let Some(record) = known.map(Record::leaving) else { return false };
+        let Some(record) = known.map(Record::as_draining) else { return false };
         self.take(now, record, RecordSource::Peer)
     }
 
--- a/crates/core/src/fleet/replicas.rs
+++ b/crates/core/src/fleet/replicas.rs
@@ -134,9 +134,9 @@
 
     /// Returns a record that marks a replica as draining, or `None` if it is unknown or already
     /// drains or has left.
-    pub fn leaving(&self, id: &str) -> Option<Record> {
+    pub fn draining_record(&self, id: &str) -> Option<Record> {
         let known = &self.by_id.get(id)?.record;
-        (known.standing < Standing::Draining).then(|| known.leaving())
+        (known.standing < Standing::Draining).then(|| known.as_draining())
     }
 
     /// Returns whether a replica has not left and has not restarted since its incarnation with the
--- a/crates/core/tests/registry.rs
+++ b/crates/core/tests/registry.rs
@@ -157,11 +157,11 @@
 fn a_word_that_a_replica_leaves_counts_for_its_life() {
     let mut r = Registry::default();
     let leaving = |born| Leaving { replica: "a".to_owned(), born };
-    assert!(!r.leaving(Time(0), &leaving(5)), "it is not known yet");
+    assert!(!r.apply_leaving(Time(0), &leaving(5)), "it is not known yet");
     r.take(Time(0), lives("a", 7, 1), RecordSource::Replica);
-    assert!(!r.leaving(Time(1), &leaving(5)), "of a former life");
-    assert!(r.leaving(Time(1), &leaving(7)));
-    assert!(!r.leaving(Time(2), &leaving(7)), "it is known");
+    assert!(!r.apply_leaving(Time(1), &leaving(5)), "of a former life");
+    assert!(r.apply_leaving(Time(1), &leaving(7)));
+    assert!(!r.apply_leaving(Time(2), &leaving(7)), "it is known");
     r.take(Time(3), lives("a", 7, 2), RecordSource::Replica);
     assert_eq!(r.get("a").unwrap().standing, Standing::Draining);
     r.take(Time(4), lives("a", 9, 1), RecordSource::Replica);
--- a/crates/core/tests/replicas.rs
+++ b/crates/core/tests/replicas.rs
@@ -186,9 +186,9 @@
 fn a_replica_that_leaves_is_not_ready_again_in_that_life() {
     let mut replicas = Replicas::default();
     replicas.take(Time(0), record("a", 80, 1, Ready));
-    let leaves = replicas.leaving("a").unwrap();
+    let leaves = replicas.draining_record("a").unwrap();
     replicas.take(Time(1), leaves);
-    assert!(replicas.leaving("a").is_none(), "it is known");
+    assert!(replicas.draining_record("a").is_none(), "it is known");
     for minutes in [1, 3, 30] {
         let (standing, changes) =
             replicas.take(Time(minutes * 60_000), record("a", 80, 1 + minutes, Ready)).unwrap();
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -306,7 +306,7 @@
 
     /// Takes a replica's own word that it leaves. Returns whether that was not known.
     pub fn replica_leaves(&self, id: &str) -> bool {
-        let record = self.replicas.borrow().leaving(id);
+        let record = self.replicas.borrow().draining_record(id);
         let is_news = record.is_some();
         self.apply_replicas(record.into_iter().collect());
         is_news
