--- a/crates/control/src/fleet_view.rs
+++ b/crates/control/src/fleet_view.rs
@@ -221,7 +221,7 @@
         limits: &[Word],
     ) {
         for r in replicas {
-            self.registry.take(now, r, RecordSource::Peer);
+            self.registry.apply(now, r, RecordSource::Peer);
         }
         for b in beats {
             self.registry.apply_heartbeat(now, b);
--- a/crates/control/src/server/fleet.rs
+++ b/crates/control/src/server/fleet.rs
@@ -95,7 +95,7 @@
             }
             Call::Beat(r) if r.standing < Standing::Draining || led => {
                 let id = r.registration.id.clone();
-                if f.view.registry.take(now, r, RecordSource::Replica) {
+                if f.view.registry.apply(now, r, RecordSource::Replica) {
                     emit!(Event::ReplicaChanged, replica = id);
                 }
                 CallAnswer::Noted
--- a/crates/control/tests/feed_cache.rs
+++ b/crates/control/tests/feed_cache.rs
@@ -34,7 +34,7 @@
     let (mut registry, mut cache) = (Registry::default(), FeedCache::default());
     let mut routers: Vec<(u64, BTreeMap<String, Record>)> = vec![(0, BTreeMap::new()); 7];
     for n in 0..3_000 {
-        registry.take(Time(n as u64), record(n % 700, 1 + n as u64 / 700), RecordSource::Replica);
+        registry.apply(Time(n as u64), record(n % 700, 1 + n as u64 / 700), RecordSource::Replica);
         if n % 90 != 0 {
             continue;
         }
@@ -66,7 +66,7 @@
 #[test]
 fn a_start_is_told_compressed() {
     let (mut registry, mut cache) = (Registry::default(), FeedCache::default());
-    (0..3_000).for_each(|n| _ = registry.take(Time(0), record(n, 1), RecordSource::Replica));
+    (0..3_000).for_each(|n| _ = registry.apply(Time(0), record(n, 1), RecordSource::Replica));
     let plain: usize = (0..3_000).map(|n| body::pack(&record(n, 1)).len()).sum();
     let mut bytes = 0;
     for _ in 0..300 {
@@ -85,7 +85,7 @@
 #[test]
 fn one_that_is_forgotten_is_not_told_again() {
     let (mut registry, mut cache) = (Registry::default(), FeedCache::default());
-    (0..300).for_each(|n| _ = registry.take(Time(0), record(n, 1), RecordSource::Replica));
+    (0..300).for_each(|n| _ = registry.apply(Time(0), record(n, 1), RecordSource::Replica));
     assert_eq!(records(cache.changes(Time(0), &registry, 0, 256)).len(), 256);
     registry.mark_left(Time(1_000), "r-7");
     registry.tick(Time(200_000), Millis(1_000_000));
--- a/crates/core/src/fleet/registry.rs
+++ b/crates/core/src/fleet/registry.rs
@@ -200,7 +200,7 @@
 
     /// Merges a record from `source` into the registry. Returns whether that is a change for
     /// routers.
-    pub fn take(&mut self, now: Time, r: Record, source: RecordSource) -> bool {
+    pub fn apply(&mut self, now: Time, r: Record, source: RecordSource) -> bool {
         let known = self.entries.get(r.registration.id.as_str());
         let Some(merged) = merge(known, &r) else { return false };
         let same = known.is_some_and(|e| is_same_for_routers(&e.record, &merged));
@@ -291,7 +291,7 @@
     pub fn mark_left(&mut self, now: Time, id: &str) -> bool {
         let Some(e) = self.entries.get(id) else { return false };
         let registration = e.record.registration.clone();
-        self.take(now, Record { registration, standing: Standing::Left }, RecordSource::Replica)
+        self.apply(now, Record { registration, standing: Standing::Left }, RecordSource::Replica)
     }
 
     /// Marks a replica as draining that announced this in a response to another process. Returns
@@ -300,7 +300,7 @@
         let known = self.get(&l.replica);
         let known = known.filter(|r| r.is_running(l.born) && r.standing < Standing::Draining);
         let Some(record) = known.map(Record::as_draining) else { return false };
-        self.take(now, record, RecordSource::Peer)
+        self.apply(now, record, RecordSource::Peer)
     }
 
     /// Marks replicas silent that have missed several heartbeats at the interval `every`, and
--- a/crates/core/src/fleet/replicas.rs
+++ b/crates/core/src/fleet/replicas.rs
@@ -66,7 +66,7 @@
     /// Applies a record. Returns the replica's resulting state and the changes of addresses, or
     /// `None` if the record contains nothing new. A later incarnation of a known replica replaces
     /// the former one, whose address is cleared first.
-    pub fn take(&mut self, now: Time, r: Record) -> Option<(Standing, Vec<Change>)> {
+    pub fn apply(&mut self, now: Time, r: Record) -> Option<(Standing, Vec<Change>)> {
         self.expire(now);
         let id = r.registration.id.clone();
         let known = self.by_id.get(&id);
--- a/crates/core/tests/lives.rs
+++ b/crates/core/tests/lives.rs
@@ -51,7 +51,7 @@
     let mut r = Registry::default();
     for (n, w) in words.iter().enumerate() {
         let source = if n % 2 == 0 { RecordSource::Replica } else { RecordSource::Peer };
-        r.take(Time(1_000 + n as u64), record(*w), source);
+        r.apply(Time(1_000 + n as u64), record(*w), source);
     }
     r.iter().next().unwrap().clone()
 }
@@ -61,7 +61,7 @@
     let mut replicas = Replicas::default();
     let mut there = BTreeMap::new();
     for (n, w) in words.iter().enumerate() {
-        let Some((_, changes)) = replicas.take(Time(n as u64), record(*w)) else { continue };
+        let Some((_, changes)) = replicas.apply(Time(n as u64), record(*w)) else { continue };
         for c in changes {
             there.insert(c.address.port(), c.there.is_some());
         }
@@ -101,7 +101,7 @@
 #[test]
 fn a_relayed_heartbeat_is_of_one_life() {
     let mut r = Registry::default();
-    r.take(Time(0), record((20, 80, 1, Ready)), RecordSource::Peer);
+    r.apply(Time(0), record((20, 80, 1, Ready)), RecordSource::Peer);
     r.tick(Time(10_000), Millis(1_000));
     let beat = |born, sequence| Heartbeat { id: "i-1".to_owned(), sequence, born };
     assert!(!r.apply_heartbeat(Time(10_000), &beat(10, 99)), "of the life before");
@@ -114,9 +114,9 @@
 #[test]
 fn a_later_life_outlasts_the_memory_of_the_one_that_left() {
     let mut replicas = Replicas::default();
-    replicas.take(Time(0), record((10, 80, 5, Left)));
-    replicas.take(Time(1_000), record((20, 80, 1, Ready)));
-    let (standing, changes) = replicas.take(Time(200_000), record((20, 81, 2, Ready))).unwrap();
+    replicas.apply(Time(0), record((10, 80, 5, Left)));
+    replicas.apply(Time(1_000), record((20, 80, 1, Ready)));
+    let (standing, changes) = replicas.apply(Time(200_000), record((20, 81, 2, Ready))).unwrap();
     let there: Vec<_> = changes.iter().map(|c| (c.address.port(), c.there.is_some())).collect();
     assert_eq!((standing, there), (Ready, vec![(80, false), (81, true)]));
 }
@@ -128,7 +128,7 @@
     let mut pool = Pool::default();
     let mut rng = SmallRng::seed_from_u64(7);
     let mut take = |pool: &mut Pool, now: Time, w: Word| {
-        for c in replicas.take(now, record(w)).unwrap().1 {
+        for c in replicas.apply(now, record(w)).unwrap().1 {
             match c.there {
                 Some((u, condition)) => pool.put(now, &u, &condition),
                 None => pool.remove(now, c.address),
--- a/crates/core/tests/registry.rs
+++ b/crates/core/tests/registry.rs
@@ -43,7 +43,7 @@
 fn what_a_replica_says(#[case] said: &[(u64, Standing)], #[case] stands: Standing) {
     let mut r = Registry::default();
     for (sequence, standing) in said {
-        r.take(Time(1_000), record("i-1", *sequence, *standing), RecordSource::Replica);
+        r.apply(Time(1_000), record("i-1", *sequence, *standing), RecordSource::Replica);
     }
     assert_eq!(r.iter().next().unwrap().standing, stands);
 }
@@ -51,9 +51,9 @@
 #[test]
 fn routers_hear_of_changes_and_not_of_heartbeats() {
     let mut r = Registry::default();
-    assert!(r.take(Time(0), record("i-1", 1, Standing::Ready), RecordSource::Replica));
+    assert!(r.apply(Time(0), record("i-1", 1, Standing::Ready), RecordSource::Replica));
     let since = r.position();
-    assert!(!r.take(Time(900), record("i-1", 2, Standing::Ready), RecordSource::Replica));
+    assert!(!r.apply(Time(900), record("i-1", 2, Standing::Ready), RecordSource::Replica));
     assert_eq!(r.changes(since, MOST).records.len(), 0);
     let beats = vec![Heartbeat { id: "i-1".to_owned(), sequence: 2, born: 0 }];
     assert_eq!(r.relay_batch(since, MOST, MOST).heartbeats, beats, "other control processes do");
@@ -76,13 +76,13 @@
     for n in 1..=60 {
         let now = Time(n * 500);
         if n % 2 == 0 && n != 30 && n != 31 {
-            all[0].take(now, record("i-1", n, Standing::Ready), RecordSource::Replica);
+            all[0].apply(now, record("i-1", n, Standing::Ready), RecordSource::Replica);
         }
         for to in 1..3 {
             let told = all[to - 1].relay_batch(since[to - 1], MOST, MOST);
             since[to - 1] = told.position;
             passed_on += told.heartbeats.len() * to.saturating_sub(1);
-            told.records.into_iter().for_each(|r| _ = all[to].take(now, r, RecordSource::Peer));
+            told.records.into_iter().for_each(|r| _ = all[to].apply(now, r, RecordSource::Peer));
             told.heartbeats.iter().for_each(|b| _ = all[to].apply_heartbeat(now, b));
         }
         all.iter_mut().for_each(|r| r.tick(now, every));
@@ -104,7 +104,7 @@
     #[case] after: Standing,
 ) {
     let mut r = Registry::default();
-    r.take(Time(0), record("i-1", 5, standing), RecordSource::Peer);
+    r.apply(Time(0), record("i-1", 5, standing), RecordSource::Peer);
     let since = r.position();
     let beat = |id: &str| Heartbeat { id: id.to_owned(), sequence, born: 0 };
     assert_eq!(r.apply_heartbeat(Time(9), &beat("i-1")), changes);
@@ -120,11 +120,11 @@
     let mut since = 0;
     for n in 0..400_u64 {
         let id = format!("i-{}", n % 50);
-        from.take(Time(n), record(&id, n + 1, Standing::Ready), RecordSource::Replica);
+        from.apply(Time(n), record(&id, n + 1, Standing::Ready), RecordSource::Replica);
         if n % 10 == 0 {
             let told = from.relay_batch(since, 3, 5);
             since = told.position;
-            told.records.into_iter().for_each(|r| _ = to.take(Time(n), r, RecordSource::Peer));
+            told.records.into_iter().for_each(|r| _ = to.apply(Time(n), r, RecordSource::Peer));
             told.heartbeats.iter().for_each(|b| _ = to.apply_heartbeat(Time(n), b));
         }
     }
@@ -132,7 +132,7 @@
         let told = from.relay_batch(since, 3, 5);
         assert!(told.position > since);
         since = told.position;
-        told.records.into_iter().for_each(|r| _ = to.take(Time(400), r, RecordSource::Peer));
+        told.records.into_iter().for_each(|r| _ = to.apply(Time(400), r, RecordSource::Peer));
         told.heartbeats.iter().for_each(|b| _ = to.apply_heartbeat(Time(400), b));
     }
     let of = |r: &Registry| -> Vec<_> {
@@ -144,10 +144,10 @@
 #[test]
 fn one_that_has_left_is_remembered_against_late_heartbeats() {
     let mut r = Registry::default();
-    r.take(Time(0), record("i-1", 5, Standing::Ready), RecordSource::Replica);
+    r.apply(Time(0), record("i-1", 5, Standing::Ready), RecordSource::Replica);
     r.mark_left(Time(0), "i-1");
     r.tick(Time(60_000), Millis(1_000));
-    assert!(!r.take(Time(60_000), record("i-1", 4, Standing::Ready), RecordSource::Replica));
+    assert!(!r.apply(Time(60_000), record("i-1", 4, Standing::Ready), RecordSource::Replica));
     r.tick(Time(200_000), Millis(1_000));
     assert_eq!(r.iter().count(), 0);
 }
@@ -158,12 +158,12 @@
     let mut r = Registry::default();
     let leaving = |born| Leaving { replica: "a".to_owned(), born };
     assert!(!r.apply_leaving(Time(0), &leaving(5)), "it is not known yet");
-    r.take(Time(0), lives("a", 7, 1), RecordSource::Replica);
+    r.apply(Time(0), lives("a", 7, 1), RecordSource::Replica);
     assert!(!r.apply_leaving(Time(1), &leaving(5)), "of a former life");
     assert!(r.apply_leaving(Time(1), &leaving(7)));
     assert!(!r.apply_leaving(Time(2), &leaving(7)), "it is known");
-    r.take(Time(3), lives("a", 7, 2), RecordSource::Replica);
+    r.apply(Time(3), lives("a", 7, 2), RecordSource::Replica);
     assert_eq!(r.get("a").unwrap().standing, Standing::Draining);
-    r.take(Time(4), lives("a", 9, 1), RecordSource::Replica);
+    r.apply(Time(4), lives("a", 9, 1), RecordSource::Replica);
     assert_eq!(r.get("a").unwrap().standing, Standing::Ready);
 }
--- a/crates/core/tests/replicas.rs
+++ b/crates/core/tests/replicas.rs
@@ -34,7 +34,8 @@
     let mut replicas = Replicas::default();
     let mut there = BTreeMap::new();
     for (n, r) in said.iter().enumerate() {
-        let (_, changes) = replicas.take(Time(n as u64), r.clone()).unwrap_or((r.standing, vec![]));
+        let (_, changes) =
+            replicas.apply(Time(n as u64), r.clone()).unwrap_or((r.standing, vec![]));
         for c in changes {
             apply(&mut there, &c);
         }
@@ -85,14 +86,14 @@
     let mut there = BTreeMap::new();
     let said = [record("new", 80, 1, Ready), record("old", 80, 9, Ready)];
     for r in said {
-        let (_, changes) = replicas.take(Time(0), r).unwrap();
+        let (_, changes) = replicas.apply(Time(0), r).unwrap();
         changes.iter().for_each(|c| apply(&mut there, c));
     }
     assert_eq!(there[&80], "old", "it was heard of last");
     apply(&mut there, &replicas.not_there("old").unwrap());
     assert_eq!(there[&80], "new");
     let (_, changes) =
-        replicas.take(Time(5), record("old", 80, 10, Ready)).unwrap_or_default_left();
+        replicas.apply(Time(5), record("old", 80, 10, Ready)).unwrap_or_default_left();
     changes.iter().for_each(|c| apply(&mut there, c));
     assert_eq!(there[&80], "new");
 }
@@ -185,13 +186,13 @@
 #[test]
 fn a_replica_that_leaves_is_not_ready_again_in_that_life() {
     let mut replicas = Replicas::default();
-    replicas.take(Time(0), record("a", 80, 1, Ready));
+    replicas.apply(Time(0), record("a", 80, 1, Ready));
     let leaves = replicas.draining_record("a").unwrap();
-    replicas.take(Time(1), leaves);
+    replicas.apply(Time(1), leaves);
     assert!(replicas.draining_record("a").is_none(), "it is known");
     for minutes in [1, 3, 30] {
         let (standing, changes) =
-            replicas.take(Time(minutes * 60_000), record("a", 80, 1 + minutes, Ready)).unwrap();
+            replicas.apply(Time(minutes * 60_000), record("a", 80, 1 + minutes, Ready)).unwrap();
         assert_eq!(standing, Draining);
         assert!(changes.iter().all(|c| c.there.is_none()));
     }
--- a/crates/core/tests/transfer.rs
+++ b/crates/core/tests/transfer.rs
@@ -209,7 +209,7 @@
             sequence: 1,
             born: 0,
         };
-        registry.take(
+        registry.apply(
             Time(n),
             Record { registration, standing: Standing::Ready },
             RecordSource::Peer,
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -322,7 +322,7 @@
             if start == Start::LaterLife || r.standing == Standing::Left {
                 self.limits.forget(&id);
             }
-            let Some((standing, changes)) = self.replicas.borrow_mut().take(now, r) else {
+            let Some((standing, changes)) = self.replicas.borrow_mut().apply(now, r) else {
                 continue;
             };
             changes.iter().for_each(|c| self.change_pool(now, c));
