--- a/crates/control/src/fleet_view.rs
+++ b/crates/control/src/fleet_view.rs
@@ -123,7 +123,7 @@
     /// Replicas have told this process that they leave. A router that hears of replicas elsewhere is told
     /// as well: this process has acknowledged it, and may be cut off from those before they know.
     fn is_told_of_leaves(&self, registry: &Registry) -> bool {
-        self.watch.without_replicas && registry.has_own_leaves(self.leaves)
+        self.watch.without_replicas && registry.has_direct_leaves(self.leaves)
     }
 
     /// Limits have changed. A router hears of them where it hears of replicas.
@@ -293,7 +293,7 @@
         let mut leaves = self.registry.position();
         let changes = match router {
             true if s.watch.without_replicas => {
-                let (records, upto) = self.registry.own_leaves(s.leaves, RECORDS);
+                let (records, upto) = self.registry.direct_leaves(s.leaves, RECORDS);
                 leaves = upto;
                 Changes { records, position: s.since, ..Changes::default() }
             }
--- a/crates/control/src/leader_tasks.rs
+++ b/crates/control/src/leader_tasks.rs
@@ -133,7 +133,7 @@
             let ordered = *known.entry(r.order).or_insert(Time(at.now.0.saturating_sub(so_far.0)));
             let standing: Standing = view.reports.standing(r.order, r.revision, since);
             let evidence = view.reports.evidence(r.order);
-            let places = view.registry.places(service);
+            let places = view.registry.ready_slots(service);
             let elapsed = at.now.since(ordered);
             let v = View { elapsed, places: &places, evidence: &evidence, standing, gateways };
             steps.extend(step::next(service, r, &plan(r.within, allowed), &v));
--- a/crates/core/src/fleet/registry.rs
+++ b/crates/core/src/fleet/registry.rs
@@ -229,7 +229,7 @@
     }
 
     /// Returns the total slots of a service's ready replicas, by software version.
-    pub fn places(&self, service: &str) -> BTreeMap<String, u64> {
+    pub fn ready_slots(&self, service: &str) -> BTreeMap<String, u64> {
         let mut all: BTreeMap<String, u64> = BTreeMap::new();
         let ready = self.entries.values().map(|e| &e.record);
         for r in ready.filter(|r| r.standing == Standing::Ready) {
@@ -340,7 +340,7 @@
 
     /// Returns whether a replica has announced to this process directly, after position `since`,
     /// that it leaves.
-    pub fn has_own_leaves(&self, since: u64) -> bool {
+    pub fn has_direct_leaves(&self, since: u64) -> bool {
         self.direct_leaves.last_key_value().is_some_and(|(newest, _)| *newest > since)
     }
 
@@ -348,7 +348,7 @@
     /// position `since`, that they leave, and the position from which to continue. Every router
     /// gets these, because this process may lose contact with the other control processes right
     /// after it has acknowledged the announcement.
-    pub fn own_leaves(&self, since: u64, max: usize) -> (Vec<Record>, u64) {
+    pub fn direct_leaves(&self, since: u64, max: usize) -> (Vec<Record>, u64) {
         let mut newer = self.direct_leaves.range((Bound::Excluded(since), Bound::Unbounded));
         let batch: Vec<_> = newer.by_ref().take(max).collect();
         let last = batch.last().map_or(since, |(at, _)| **at);
