--- a/crates/core/src/fleet/replicas.rs
+++ b/crates/core/src/fleet/replicas.rs
@@ -21,13 +21,13 @@
 
 /// A change of the replica that a service has at one address.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Change {
+pub struct AddressChange {
     /// Name of the service.
     pub service: String,
     /// Address at which the replica changes.
     pub address: SocketAddr,
     /// The replica to use at this address from now on, if any.
-    pub there: Option<(Upstream, Condition)>,
+    pub upstream: Option<(Upstream, Condition)>,
 }
 
 #[derive(Clone, Debug)]
@@ -52,7 +52,7 @@
 
 /// The replicas of all services, by id and by address.
 #[derive(Clone, Debug, Default)]
-pub struct Replicas {
+pub struct ReplicaTable {
     by_id: BTreeMap<String, Entry>,
     by_address: HashMap<SocketAddr, Vec<String>>,
     /// Departed replicas in order of time: when, id and start time of the incarnation.
@@ -62,11 +62,11 @@
     order: u64,
 }
 
-impl Replicas {
+impl ReplicaTable {
     /// Applies a record. Returns the replica's resulting state and the changes of addresses, or
     /// `None` if the record contains nothing new. A later incarnation of a known replica replaces
     /// the former one, whose address is cleared first.
-    pub fn apply(&mut self, now: Time, r: Record) -> Option<(Standing, Vec<Change>)> {
+    pub fn apply(&mut self, now: Time, r: Record) -> Option<(Standing, Vec<AddressChange>)> {
         self.expire(now);
         let id = r.registration.id.clone();
         let known = self.by_id.get(&id);
@@ -108,7 +108,7 @@
     }
 
     /// Returns whether a record is evidence of a replica start that was unknown before.
-    pub fn start(&self, r: &Record) -> Start {
+    pub fn classify_start(&self, r: &Record) -> Start {
         match self.by_id.get(&r.registration.id) {
             None => Start::New,
             Some(k) if is_later_incarnation(&k.record, r) => Start::LaterLife,
@@ -122,7 +122,7 @@
     }
 
     /// Returns the service and the address of a replica, or `None` if it is unknown.
-    pub fn place_of(&self, id: &str) -> Option<(String, SocketAddr)> {
+    pub fn location(&self, id: &str) -> Option<(String, SocketAddr)> {
         let (service, address) = location(&self.by_id.get(id)?.record);
         Some((service, address?))
     }
@@ -146,17 +146,17 @@
     }
 
     /// Returns the change that clears a replica's address, if the replica is the one in use there.
-    fn clear_address(&self, id: &str) -> Option<Change> {
+    fn clear_address(&self, id: &str) -> Option<AddressChange> {
         let (service, address) = location(&self.by_id.get(id)?.record);
         let change = self.address_change(service, address?)?;
-        let is_current = change.there.as_ref().is_some_and(|(u, _)| u.vm.name == id);
-        is_current.then_some(Change { there: None, ..change })
+        let is_current = change.upstream.as_ref().is_some_and(|(u, _)| u.vm.name == id);
+        is_current.then_some(AddressChange { upstream: None, ..change })
     }
 
     /// Records that another replica answered at this replica's address. Returns the change of that
     /// address, or `None` if the replica is unknown or already marked. Two replicas may be recorded
     /// at one address if a late heartbeat arrives from one that has crashed.
-    pub fn not_there(&mut self, id: &str) -> Option<Change> {
+    pub fn mark_replaced(&mut self, id: &str) -> Option<AddressChange> {
         let known = self.by_id.get_mut(id).filter(|k| !k.replaced)?;
         known.replaced = true;
         let (service, address) = location(&known.record);
@@ -205,15 +205,15 @@
 
     /// Returns the replica to use for a service at an address. Of several recorded there it prefers
     /// one that is ready, then one that is not marked as replaced, then the newest.
-    fn address_change(&self, service: String, address: SocketAddr) -> Option<Change> {
+    fn address_change(&self, service: String, address: SocketAddr) -> Option<AddressChange> {
         let here = self.by_address.get(&address).into_iter().flatten();
         let known = here.filter_map(|id| self.by_id.get(id));
         let usable = known.filter(|k| {
             k.record.standing <= Standing::Silent && k.record.registration.service == service
         });
         let best = usable.min_by_key(|k| (k.record.standing, k.replaced, u64::MAX - k.order));
-        let there = best.map(|k| (upstream(address, &k.record), condition(&k.record)));
-        Some(Change { service, address, there })
+        let upstream = best.map(|k| (upstream(address, &k.record), condition(&k.record)));
+        Some(AddressChange { service, address, upstream })
     }
 }
 
--- a/crates/core/tests/lives.rs
+++ b/crates/core/tests/lives.rs
@@ -8,7 +8,7 @@
 use cypressfork_core::fleet::registry::{
     Heartbeat, Record, RecordSource, Registration, Registry, Standing,
 };
-use cypressfork_core::fleet::replicas::Replicas;
+use cypressfork_core::fleet::replicas::ReplicaTable;
 use cypressfork_core::route::{Condition, Pool, Work};
 use cypressfork_core::unit::{Millis, Time};
 use rand::SeedableRng;
@@ -58,12 +58,12 @@
 
 /// The ports at which a router has the replica.
 fn at_router(words: &[Word]) -> Vec<u16> {
-    let mut replicas = Replicas::default();
+    let mut replicas = ReplicaTable::default();
     let mut there = BTreeMap::new();
     for (n, w) in words.iter().enumerate() {
         let Some((_, changes)) = replicas.apply(Time(n as u64), record(*w)) else { continue };
         for c in changes {
-            there.insert(c.address.port(), c.there.is_some());
+            there.insert(c.address.port(), c.upstream.is_some());
         }
     }
     there.into_iter().filter(|(_, is_there)| *is_there).map(|(port, _)| port).collect()
@@ -113,23 +113,23 @@
 /// A life that began is remembered, also when the one before would be forgotten.
 #[test]
 fn a_later_life_outlasts_the_memory_of_the_one_that_left() {
-    let mut replicas = Replicas::default();
+    let mut replicas = ReplicaTable::default();
     replicas.apply(Time(0), record((10, 80, 5, Left)));
     replicas.apply(Time(1_000), record((20, 80, 1, Ready)));
     let (standing, changes) = replicas.apply(Time(200_000), record((20, 81, 2, Ready))).unwrap();
-    let there: Vec<_> = changes.iter().map(|c| (c.address.port(), c.there.is_some())).collect();
+    let there: Vec<_> = changes.iter().map(|c| (c.address.port(), c.upstream.is_some())).collect();
     assert_eq!((standing, there), (Ready, vec![(80, false), (81, true)]));
 }
 
 /// What a router learned of the former life goes with it: it is left out no longer, and has no request.
 #[test]
 fn nothing_is_left_of_the_former_life() {
-    let mut replicas = Replicas::default();
+    let mut replicas = ReplicaTable::default();
     let mut pool = Pool::default();
     let mut rng = SmallRng::seed_from_u64(7);
     let mut take = |pool: &mut Pool, now: Time, w: Word| {
         for c in replicas.apply(now, record(w)).unwrap().1 {
-            match c.there {
+            match c.upstream {
                 Some((u, condition)) => pool.put(now, &u, &condition),
                 None => pool.remove(now, c.address),
             }
--- a/crates/core/tests/replicas.rs
+++ b/crates/core/tests/replicas.rs
@@ -6,7 +6,7 @@
 
 use cypressfork_core::config::{Upstream, Vm};
 use cypressfork_core::fleet::registry::{Record, Registration, Standing};
-use cypressfork_core::fleet::replicas::{Change, Replicas};
+use cypressfork_core::fleet::replicas::{AddressChange, ReplicaTable};
 use cypressfork_core::route::{Condition, Pool, Trail, Work};
 use cypressfork_core::unit::{Millis, Time};
 use rand::SeedableRng;
@@ -31,7 +31,7 @@
 
 /// What is at each address after all changes.
 fn at_end(said: &[Record]) -> BTreeMap<u16, String> {
-    let mut replicas = Replicas::default();
+    let mut replicas = ReplicaTable::default();
     let mut there = BTreeMap::new();
     for (n, r) in said.iter().enumerate() {
         let (_, changes) =
@@ -43,8 +43,8 @@
     there
 }
 
-fn apply(there: &mut BTreeMap<u16, String>, c: &Change) {
-    match &c.there {
+fn apply(there: &mut BTreeMap<u16, String>, c: &AddressChange) {
+    match &c.upstream {
         Some((u, condition)) => {
             let silent = if condition.leaving { "silent " } else { "" };
             there.insert(c.address.port(), format!("{silent}{}", u.vm.name))
@@ -82,7 +82,7 @@
 /// there: the first answer from the address decides.
 #[test]
 fn one_that_was_found_replaced_is_not_taken_for_alive_again() {
-    let mut replicas = Replicas::default();
+    let mut replicas = ReplicaTable::default();
     let mut there = BTreeMap::new();
     let said = [record("new", 80, 1, Ready), record("old", 80, 9, Ready)];
     for r in said {
@@ -90,7 +90,7 @@
         changes.iter().for_each(|c| apply(&mut there, c));
     }
     assert_eq!(there[&80], "old", "it was heard of last");
-    apply(&mut there, &replicas.not_there("old").unwrap());
+    apply(&mut there, &replicas.mark_replaced("old").unwrap());
     assert_eq!(there[&80], "new");
     let (_, changes) =
         replicas.apply(Time(5), record("old", 80, 10, Ready)).unwrap_or_default_left();
@@ -99,11 +99,11 @@
 }
 
 trait OrNone {
-    fn unwrap_or_default_left(self) -> (Standing, Vec<Change>);
+    fn unwrap_or_default_left(self) -> (Standing, Vec<AddressChange>);
 }
 
-impl OrNone for Option<(Standing, Vec<Change>)> {
-    fn unwrap_or_default_left(self) -> (Standing, Vec<Change>) {
+impl OrNone for Option<(Standing, Vec<AddressChange>)> {
+    fn unwrap_or_default_left(self) -> (Standing, Vec<AddressChange>) {
         self.unwrap_or((Left, Vec::new()))
     }
 }
@@ -185,7 +185,7 @@
 /// heartbeats go on, and a control process that has started again says that it is ready.
 #[test]
 fn a_replica_that_leaves_is_not_ready_again_in_that_life() {
-    let mut replicas = Replicas::default();
+    let mut replicas = ReplicaTable::default();
     replicas.apply(Time(0), record("a", 80, 1, Ready));
     let leaves = replicas.draining_record("a").unwrap();
     replicas.apply(Time(1), leaves);
@@ -194,6 +194,6 @@
         let (standing, changes) =
             replicas.apply(Time(minutes * 60_000), record("a", 80, 1 + minutes, Ready)).unwrap();
         assert_eq!(standing, Draining);
-        assert!(changes.iter().all(|c| c.there.is_none()));
+        assert!(changes.iter().all(|c| c.upstream.is_none()));
     }
 }
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -11,7 +11,7 @@
 use cypressfork_core::fleet::evacuation::Evacuations;
 use cypressfork_core::fleet::pace::Pace;
 use cypressfork_core::fleet::registry::{Record, Standing};
-use cypressfork_core::fleet::replicas::{Change, Replicas, Start};
+use cypressfork_core::fleet::replicas::{AddressChange, ReplicaTable, Start};
 use cypressfork_core::fleet::retry::Window;
 use cypressfork_core::fleet::rollout::Rollouts;
 use cypressfork_core::fleet::rollout::split::{Side, Way};
@@ -118,7 +118,7 @@
     pub stopping: Cell<bool>,
     /// Connections with a request under way.
     pub active: Cell<usize>,
-    replicas: RefCell<Replicas>,
+    replicas: RefCell<ReplicaTable>,
     pools: RefCell<HashMap<String, Pool>>,
     /// When the process started.
     started: Time,
@@ -318,7 +318,7 @@
         for r in said {
             let g = &r.registration;
             let (id, address, sequence) = (g.id.clone(), g.address.clone(), g.sequence);
-            let start = self.replicas.borrow().start(&r);
+            let start = self.replicas.borrow().classify_start(&r);
             if start == Start::LaterLife || r.standing == Standing::Left {
                 self.limits.forget(&id);
             }
@@ -350,7 +350,7 @@
     /// Takes an answer that says that this replica is not at its address any more.
     pub fn replica_not_there(&self, id: &str) {
         take_sign(self, Sign::NotThere(id));
-        let change = self.replicas.borrow_mut().not_there(id);
+        let change = self.replicas.borrow_mut().mark_replaced(id);
         if let Some(c) = &change {
             emit!(Event::ReplicaReplaced, replica = id, address = c.address);
             self.change_pool(self.now(), c);
@@ -362,7 +362,7 @@
         self.replicas.borrow().born(replica)
     }
 
-    fn change_pool(&self, now: Time, c: &Change) {
+    fn change_pool(&self, now: Time, c: &AddressChange) {
         let mut pools = self.pools.borrow_mut();
         let closed = || self.evacuations.borrow().data_centres.clone();
         let pool = pools.entry(c.service.clone()).or_insert_with(|| {
@@ -375,7 +375,7 @@
             }
             pool
         });
-        match &c.there {
+        match &c.upstream {
             Some((upstream, condition)) => {
                 pool.put(now, upstream, condition);
                 let limited = self.limits.names_one(&upstream.vm.name);
@@ -482,7 +482,7 @@
 
     /// Notes whether a replica names a limit.
     pub fn set_limited(&self, replica: &str, limited: bool) {
-        let Some((service, address)) = self.replicas.borrow().place_of(replica) else { return };
+        let Some((service, address)) = self.replicas.borrow().location(replica) else { return };
         let mut pools = self.pools.borrow_mut();
         let Some(pool) = pools.get_mut(&service) else { return };
         if pool.get(address).is_some_and(|r| r.upstream.vm.name == replica) {
