--- a/crates/core/src/fleet/replicas.rs
+++ b/crates/core/src/fleet/replicas.rs
@@ -47,7 +47,7 @@
     /// The record is of an unknown replica.
     New,
     /// The record is of a later incarnation of a known replica.
-    LaterLife,
+    Restarted,
 }
 
 /// The replicas of all services, by id and by address.
@@ -111,7 +111,7 @@
     pub fn classify_start(&self, r: &Record) -> Start {
         match self.by_id.get(&r.registration.id) {
             None => Start::New,
-            Some(k) if is_later_incarnation(&k.record, r) => Start::LaterLife,
+            Some(k) if is_later_incarnation(&k.record, r) => Start::Restarted,
             Some(_) => Start::Known,
         }
     }
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -319,7 +319,7 @@
             let g = &r.registration;
             let (id, address, sequence) = (g.id.clone(), g.address.clone(), g.sequence);
             let start = self.replicas.borrow().classify_start(&r);
-            if start == Start::LaterLife || r.standing == Standing::Left {
+            if start == Start::Restarted || r.standing == Standing::Left {
                 self.limits.forget(&id);
             }
             let Some((standing, changes)) = self.replicas.borrow_mut().apply(now, r) else {
@@ -335,7 +335,7 @@
     /// Takes what news of a replica say of one whose connections were lost.
     fn take_signs(&self, start: Start, standing: Standing, id: &str, address: &str) {
         match (start, standing) {
-            (Start::LaterLife, _) => take_sign(self, Sign::LaterLife(id)),
+            (Start::Restarted, _) => take_sign(self, Sign::LaterLife(id)),
             (_, Standing::Silent) => take_sign(self, Sign::Silent(id)),
             (_, Standing::Draining | Standing::Left) => take_sign(self, Sign::Leaves(id)),
             (Start::New, Standing::Ready) => {
