--- a/crates/core/src/fleet/sources.rs
+++ b/crates/core/src/fleet/sources.rs
@@ -46,17 +46,17 @@
 
 /// The control processes that a router watches, and those selected as sources of replica records.
 #[derive(Clone, Debug)]
-pub struct Sources {
+pub struct ReplicaSources {
     /// Key of the rendezvous hash that spreads routers over equally ranked control processes.
     key: u64,
     contacts: BTreeMap<SocketAddr, Contact>,
     selected: Vec<SocketAddr>,
 }
 
-impl Sources {
+impl ReplicaSources {
     /// Returns an empty set. `key` should differ between routers.
-    pub fn new(key: u64) -> Sources {
-        Sources { key, contacts: BTreeMap::new(), selected: Vec::new() }
+    pub fn new(key: u64) -> ReplicaSources {
+        ReplicaSources { key, contacts: BTreeMap::new(), selected: Vec::new() }
     }
 
     /// Adds a control process that the router watches from now on. A new one replaces a selected
@@ -72,7 +72,7 @@
     }
 
     /// Records an answer, and whether its sender knows a leader.
-    pub fn heard(&mut self, now: Time, from: SocketAddr, has_leader: bool) {
+    pub fn record_response(&mut self, now: Time, from: SocketAddr, has_leader: bool) {
         let contact = self.contacts.entry(from).or_default();
         let changed = contact.has_leader != has_leader || contact.failed_at.is_some();
         *contact = Contact { has_leader, failed_at: None, ..*contact };
@@ -84,7 +84,7 @@
     }
 
     /// Records how near a control process is.
-    pub fn place(&mut self, now: Time, from: SocketAddr, nearness: Nearness) {
+    pub fn set_nearness(&mut self, now: Time, from: SocketAddr, nearness: Nearness) {
         let contact = self.contacts.entry(from).or_default();
         if contact.nearness != nearness {
             contact.nearness = nearness;
@@ -93,7 +93,7 @@
     }
 
     /// Records that a control process does not answer.
-    pub fn lost(&mut self, now: Time, from: SocketAddr) {
+    pub fn record_failure(&mut self, now: Time, from: SocketAddr) {
         self.contacts.entry(from).or_default().failed_at = Some(now);
         if self.selected.contains(&from) {
             self.select(now);
@@ -101,7 +101,7 @@
     }
 
     /// Returns whether a control process is selected as a source of replica records.
-    pub fn wants(&self, from: SocketAddr) -> bool {
+    pub fn is_selected(&self, from: SocketAddr) -> bool {
         self.selected.contains(&from)
     }
 
--- a/crates/core/tests/sources.rs
+++ b/crates/core/tests/sources.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use cypressfork_core::fleet::sources::{Nearness, Sources};
+use cypressfork_core::fleet::sources::{Nearness, ReplicaSources};
 use cypressfork_core::unit::Time;
 use rstest::rstest;
 
@@ -11,14 +11,14 @@
     SocketAddr::from(([10, 0, 0, n], 80))
 }
 
-fn of(key: u64, controls: u8) -> Sources {
-    let mut s = Sources::new(key);
+fn of(key: u64, controls: u8) -> ReplicaSources {
+    let mut s = ReplicaSources::new(key);
     (1..=controls).for_each(|n| s.add(Time(0), control(n)));
     s
 }
 
-fn wanted(s: &Sources) -> Vec<u8> {
-    (1..=14).filter(|n| s.wants(control(*n))).collect()
+fn wanted(s: &ReplicaSources) -> Vec<u8> {
+    (1..=14).filter(|n| s.is_selected(control(*n))).collect()
 }
 
 #[rstest]
@@ -44,12 +44,12 @@
 fn a_silent_source_is_replaced_and_the_other_stays() {
     let mut s = of(3, 9);
     let before = wanted(&s);
-    s.lost(Time(10), control(before[0]));
+    s.record_failure(Time(10), control(before[0]));
     let after = wanted(&s);
     assert_eq!(after.len(), 2);
     assert!(after.contains(&before[1]) && !after.contains(&before[0]));
     // Back soon after, it is no reason to change again.
-    s.heard(Time(50), control(before[0]), true);
+    s.record_response(Time(50), control(before[0]), true);
     assert_eq!(wanted(&s), after);
 }
 
@@ -58,21 +58,21 @@
 fn a_source_without_a_leader_is_replaced_if_another_has_one() {
     let mut s = of(3, 5);
     let before = wanted(&s);
-    s.heard(Time(10), control(before[0]), false);
+    s.record_response(Time(10), control(before[0]), false);
     assert!(!wanted(&s).contains(&before[0]));
     // During an election nobody has one: those that answer go on telling.
-    (1..=5).for_each(|n| s.heard(Time(20), control(n), false));
+    (1..=5).for_each(|n| s.record_response(Time(20), control(n), false));
     assert_eq!(wanted(&s).len(), 2);
-    s.heard(Time(30), control(before[0]), true);
+    s.record_response(Time(30), control(before[0]), true);
     assert!(wanted(&s).contains(&before[0]));
 }
 
 #[test]
 fn with_all_silent_some_are_asked_all_the_same() {
     let mut s = of(3, 3);
-    (1..=3).for_each(|n| s.lost(Time(10), control(n)));
+    (1..=3).for_each(|n| s.record_failure(Time(10), control(n)));
     assert_eq!(wanted(&s).len(), 2);
-    s.heard(Time(40), control(2), true);
+    s.record_response(Time(40), control(2), true);
     assert!(wanted(&s).contains(&2));
 }
 
@@ -87,14 +87,14 @@
                 5 | 6 => Nearness::Region,
                 _ => Nearness::Far,
             };
-            s.place(Time(5), control(n), near);
+            s.set_nearness(Time(5), control(n), near);
         }
         let first = wanted(&s);
         assert!(first.contains(&4) && (first.contains(&5) || first.contains(&6)), "{first:?}");
         // Its data centre is cut off from the group.
-        s.heard(Time(10), control(4), false);
+        s.record_response(Time(10), control(4), false);
         assert_eq!(wanted(&s), [5, 6]);
-        s.heard(Time(20), control(4), true);
+        s.record_response(Time(20), control(4), true);
         assert!(wanted(&s).contains(&4), "back in touch it is the nearest again");
     }
 }
@@ -109,12 +109,12 @@
         let mut changes = 0;
         for n in 1..=14 {
             let near = if n == 9 { Nearness::DataCentre } else { Nearness::Region };
-            s.place(Time(u64::from(n)), control(n), near);
+            s.set_nearness(Time(u64::from(n)), control(n), near);
             let after = wanted(&s);
             changes += usize::from(after != before);
             before = after;
         }
         assert!(changes <= 1, "{changes} changes");
-        assert!(s.wants(control(9)));
+        assert!(s.is_selected(control(9)));
     }
 }
--- a/crates/router/src/gateway/follow.rs
+++ b/crates/router/src/gateway/follow.rs
@@ -74,7 +74,7 @@
         let areas = gw.share.homes.digest_for(to);
         let evacuations = gw.evacuations.borrow().revision;
         let quarantine = gw.quarantines.revision();
-        let without_replicas = !gw.sources.borrow().wants(to);
+        let without_replicas = !gw.sources.borrow().is_selected(to);
         Some(Watch {
             router: Some(router),
             feed,
@@ -95,9 +95,9 @@
 
     fn seen(&self, from: SocketAddr, seen: WatchResponse) {
         let gw = &self.gw;
-        gw.sources.borrow_mut().heard(gw.now(), from, seen.lead.is_some());
+        gw.sources.borrow_mut().record_response(gw.now(), from, seen.lead.is_some());
         if !seen.data_centre.is_empty() {
-            gw.sources.borrow_mut().place(gw.now(), from, nearness(gw, &seen.data_centre));
+            gw.sources.borrow_mut().set_nearness(gw.now(), from, nearness(gw, &seen.data_centre));
         }
         gw.feeds.borrow_mut().insert(from, seen.feed);
         gw.routers.set(gw.routers.get().max(seen.routers));
@@ -142,7 +142,7 @@
     }
 
     fn lost(&self, from: SocketAddr) {
-        self.gw.sources.borrow_mut().lost(self.gw.now(), from);
+        self.gw.sources.borrow_mut().record_failure(self.gw.now(), from);
         documents::lost(&self.gw, from);
         self.gw.share.homes.lost(from);
         emit!(Event::LinkFailed, address = from);
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -17,7 +17,7 @@
 use cypressfork_core::fleet::rollout::split::{Side, Way};
 use cypressfork_core::fleet::routes::Routes;
 use cypressfork_core::fleet::share::Placement;
-use cypressfork_core::fleet::sources::Sources;
+use cypressfork_core::fleet::sources::ReplicaSources;
 use cypressfork_core::fleet::watch::FeedCursor;
 use cypressfork_core::route::turns::{Back, Turns};
 use cypressfork_core::route::{Choice, HeldBack, Pool, Work};
@@ -103,7 +103,7 @@
     /// The data centres whose replicas get no new work.
     pub evacuations: RefCell<Evacuations>,
     /// The control processes that tell of replicas.
-    pub sources: RefCell<Sources>,
+    pub sources: RefCell<ReplicaSources>,
     /// Other gateways that lend tokens.
     pub share: Share,
     /// The control processes that are followed, and the wish to ask one of them at once.
@@ -148,7 +148,7 @@
             trials: Trials::default(),
             feeds: RefCell::default(),
             evacuations: RefCell::default(),
-            sources: RefCell::new(Sources::new(rand::random())),
+            sources: RefCell::new(ReplicaSources::new(rand::random())),
             share: Share::default(),
             following: RefCell::default(),
             routers: Cell::new(0),
@@ -254,7 +254,7 @@
     pub fn urge_sources(&self) {
         let sources = self.sources.borrow();
         let all = self.following.borrow();
-        all.iter().filter(|(a, _)| sources.wants(**a)).for_each(|(_, u)| u.wish());
+        all.iter().filter(|(a, _)| sources.is_selected(**a)).for_each(|(_, u)| u.wish());
     }
 
     /// Has all control processes asked at once.
