--- a/crates/core/src/fleet/retry.rs
+++ b/crates/core/src/fleet/retry.rs
@@ -4,12 +4,12 @@
 
 use crate::unit::{Millis, Time};
 
-/// The fleet's limit: in each window of length `window`, at most `hundredths` retries per 100
+/// The fleet's limit: in each window of length `window`, at most `percent` retries per 100
 /// requests, plus `extra`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bound {
+pub struct RetryLimit {
     /// Retries per 100 requests.
-    pub hundredths: u64,
+    pub percent: u64,
     /// Additional retries of the whole fleet, independent of the number of requests.
     pub extra: u64,
     /// Length of the sliding window.
@@ -18,17 +18,17 @@
 
 /// The requests and retries of one service at one router within the window.
 #[derive(Clone, Debug)]
-pub struct Window {
+pub struct RetryWindow {
     /// When this router started.
     started: Time,
     requests: VecDeque<Time>,
     retries: VecDeque<Time>,
 }
 
-impl Window {
+impl RetryWindow {
     /// Returns an empty window of a router that started at `started`.
-    pub fn new(started: Time) -> Window {
-        Window { started, requests: VecDeque::new(), retries: VecDeque::new() }
+    pub fn new(started: Time) -> RetryWindow {
+        RetryWindow { started, requests: VecDeque::new(), retries: VecDeque::new() }
     }
 
     /// Drops requests and retries that are older than the window.
@@ -41,7 +41,7 @@
     }
 
     /// Records a request.
-    pub fn request(&mut self, now: Time, b: &Bound) {
+    pub fn record_request(&mut self, now: Time, b: &RetryLimit) {
         self.trim(now, b.window);
         self.requests.push_back(now);
     }
@@ -53,9 +53,9 @@
     /// equal part of `extra`, so the sum over all routers stays within the fleet's limit. A router
     /// that started less than a window ago gets no part of `extra`, because it may have used that
     /// part before the restart.
-    pub fn take(&mut self, now: Time, b: &Bound, routers: u64) -> bool {
+    pub fn try_take(&mut self, now: Time, b: &RetryLimit, routers: u64) -> bool {
         self.trim(now, b.window);
-        let from_requests = self.requests.len() as u64 * b.hundredths / 100;
+        let from_requests = self.requests.len() as u64 * b.percent / 100;
         let is_new = now.since(self.started) < b.window;
         let extra = if is_new { 0 } else { b.extra / routers.max(1) };
         let allowed = from_requests + extra;
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -13,7 +13,7 @@
 use cypressfork_core::fleet::patience;
 use cypressfork_core::fleet::regions::Regions;
 use cypressfork_core::fleet::repair::{Candidates, Health, next_change};
-use cypressfork_core::fleet::retry::{Bound, Window};
+use cypressfork_core::fleet::retry::{RetryLimit, RetryWindow};
 use cypressfork_core::fleet::routes::Routes;
 use cypressfork_core::fleet::share::{Loans, charges, lenders};
 use cypressfork_core::fleet::watch::{Announce, RouterStatus};
@@ -203,15 +203,15 @@
 #[case::eight_routers(8, 54)]
 #[case::seventy_routers(70, 204)]
 fn the_fleet_keeps_its_budget_of_retries_in_every_window(#[case] routers: u64, #[case] extra: u64) {
-    let bound = Bound { hundredths: 20, extra, window: Millis(10_000) };
-    let mut windows: Vec<Window> = (0..routers).map(|_| Window::new(Time(0))).collect();
+    let bound = RetryLimit { percent: 20, extra, window: Millis(10_000) };
+    let mut windows: Vec<RetryWindow> = (0..routers).map(|_| RetryWindow::new(Time(0))).collect();
     let (mut requests, mut retries) = (Vec::new(), Vec::new());
     for ms in (0..60_000).step_by(50) {
         let w = &mut windows[(ms / 50) as usize % routers as usize];
-        w.request(Time(ms), &bound);
+        w.record_request(Time(ms), &bound);
         requests.push(ms);
         for _ in 0..5 {
-            if w.take(Time(ms), &bound, routers) {
+            if w.try_take(Time(ms), &bound, routers) {
                 retries.push(ms);
             }
         }
@@ -411,18 +411,18 @@
     #[values(1_000, 5_000, 9_900, 10_100)] killed: u64,
     #[values(1, 4, 8)] of_eight: usize,
 ) {
-    let bound = Bound { hundredths: 20, extra: 56, window: Millis(10_000) };
-    let mut windows: Vec<_> = (0..8).map(|_| Window::new(Time(0))).collect();
+    let bound = RetryLimit { percent: 20, extra: 56, window: Millis(10_000) };
+    let mut windows: Vec<_> = (0..8).map(|_| RetryWindow::new(Time(0))).collect();
     let (mut requests, mut retries) = (Vec::new(), Vec::new());
     for now in (20_000..50_000).step_by(20) {
         if now == 30_000 + killed / 20 * 20 {
-            windows[..of_eight].fill_with(|| Window::new(Time(now)));
+            windows[..of_eight].fill_with(|| RetryWindow::new(Time(now)));
         }
         let w = &mut windows[(now / 20 % 8) as usize];
-        w.request(Time(now), &bound);
+        w.record_request(Time(now), &bound);
         requests.push(now);
         // All of what is allowed is used at once.
-        while w.take(Time(now), &bound, 9) {
+        while w.try_take(Time(now), &bound, 9) {
             retries.push(now);
         }
     }
--- a/crates/router/src/gateway/settings.rs
+++ b/crates/router/src/gateway/settings.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use cypressfork_core::fleet::admission;
-use cypressfork_core::fleet::retry::Bound;
+use cypressfork_core::fleet::retry::RetryLimit;
 use cypressfork_core::unit::Millis;
 use cypressfork_node::settings::{Base, Common, Error, Quantity, Raw, address, quantity, range};
 use serde::{Deserialize, Serialize};
@@ -105,7 +105,7 @@
     /// Time between reports of what was spent.
     pub report: Duration,
     /// The whole fleet's bound on retries.
-    pub retry: Bound,
+    pub retry: RetryLimit,
     /// Requests under way at once.
     pub places: u64,
     /// Bytes a second that the machine's link bears each way; 0: nobody knows.
@@ -134,8 +134,8 @@
         let serve = quantity("stop_serve_s", self.stop_serve_s, default::STOP_SERVE, 0.0..=MOST)?;
         // Each is rounded to the safe side: fewer retries in a longer window, less memory, a
         // shorter stop.
-        let retry = Bound {
-            hundredths: (ratio * 100.0).floor() as u64,
+        let retry = RetryLimit {
+            percent: (ratio * 100.0).floor() as u64,
             extra: extra.floor() as u64,
             window: Millis((window * 1_000.0).ceil() as u64),
         };
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -12,7 +12,7 @@
 use cypressfork_core::fleet::pace::Pace;
 use cypressfork_core::fleet::registry::{Record, Standing};
 use cypressfork_core::fleet::replicas::{AddressChange, ReplicaTable, Start};
-use cypressfork_core::fleet::retry::Window;
+use cypressfork_core::fleet::retry::RetryWindow;
 use cypressfork_core::fleet::rollout::Rollouts;
 use cypressfork_core::fleet::rollout::split::{Side, Way};
 use cypressfork_core::fleet::routes::Routes;
@@ -122,7 +122,7 @@
     pools: RefCell<HashMap<String, Pool>>,
     /// When the process started.
     started: Time,
-    retries: RefCell<HashMap<String, Window>>,
+    retries: RefCell<HashMap<String, RetryWindow>>,
     /// When the next caller of each service is told to come back that was refused for rests.
     turns: RefCell<HashMap<String, Turns>>,
     token_store: RefCell<Option<Rc<TokenStore>>>,
@@ -576,8 +576,9 @@
     /// Counts a request for a service.
     pub fn count_request(&self, service: &str) {
         let mut all = self.retries.borrow_mut();
-        let window = all.entry(service.to_owned()).or_insert_with(|| Window::new(self.started));
-        window.request(self.now(), &self.settings.retry);
+        let window =
+            all.entry(service.to_owned()).or_insert_with(|| RetryWindow::new(self.started));
+        window.record_request(self.now(), &self.settings.retry);
     }
 
     /// Takes a retry out of this router's part of the fleet's budget.
@@ -588,8 +589,9 @@
             bound.extra = 0;
         }
         let mut all = self.retries.borrow_mut();
-        let window = all.entry(service.to_owned()).or_insert_with(|| Window::new(self.started));
-        let taken = window.take(self.now(), &bound, routers + 1);
+        let window =
+            all.entry(service.to_owned()).or_insert_with(|| RetryWindow::new(self.started));
+        let taken = window.try_take(self.now(), &bound, routers + 1);
         if !taken {
             counter!(metric::RETRIES_REFUSED, "service" => service.to_owned()).increment(1);
         }
