--- a/crates/control/src/fleet_view.rs
+++ b/crates/control/src/fleet_view.rs
@@ -193,7 +193,7 @@
 
     /// Takes a process's word that it belongs to no group.
     pub fn announce(&mut self, now: Time, a: Announce) {
-        self.candidates.note(now, a);
+        self.candidates.record(now, a);
     }
 
     /// Takes words on limits; those of former lives of replicas say nothing any more.
--- a/crates/control/tests/support/places.rs
+++ b/crates/control/tests/support/places.rs
@@ -133,7 +133,7 @@
         let at = self.moment();
         let members: Members = self.machine(leader).raft().committed_members().clone();
         let a = Announce { node: id, address: self.nodes[&id].address.clone() };
-        self.nodes.get_mut(&leader).unwrap().candidates.note(at.now, a);
+        self.nodes.get_mut(&leader).unwrap().candidates.record(at.now, a);
         let machine = self.nodes.get_mut(&id).unwrap().machine.as_mut().unwrap();
         machine.take_members(at, members);
     }
--- a/crates/core/src/fleet/repair.rs
+++ b/crates/core/src/fleet/repair.rs
@@ -30,7 +30,7 @@
 
 impl Candidates {
     /// Records the announcement of a process.
-    pub fn note(&mut self, now: Time, a: Announce) {
+    pub fn record(&mut self, now: Time, a: Announce) {
         self.announced.insert(a.node, (a.address, now));
     }
 
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -157,7 +157,7 @@
     }
     let mut heard = Candidates::default();
     for (node, address) in candidates {
-        heard.note(Time(0), Announce { node: *node, address: (*address).to_owned() });
+        heard.record(Time(0), Announce { node: *node, address: (*address).to_owned() });
     }
     let health = |n: NodeId| {
         let lost = silent.contains(&n);
@@ -191,7 +191,7 @@
 #[test]
 fn silent_candidates_are_forgotten() {
     let mut c = Candidates::default();
-    c.note(Time(0), Announce { node: 4, address: "d:1".into() });
+    c.record(Time(0), Announce { node: 4, address: "d:1".into() });
     c.tick(Time(3_000));
     let members = Members::of([(1, "a:1".to_owned())]);
     let health = |_| Health { silent: Millis(0), caught_up: true };
