--- a/crates/control/src/fleet_view.rs
+++ b/crates/control/src/fleet_view.rs
@@ -12,7 +12,7 @@
 use cypressfork_core::fleet::repair::Candidates;
 use cypressfork_core::fleet::rollout::Rollouts;
 use cypressfork_core::fleet::rollout::evidence::Reports;
-use cypressfork_core::fleet::transfer::Packs;
+use cypressfork_core::fleet::transfer::PackedDocuments;
 use cypressfork_core::fleet::watch::{
     Announce, FeedCursor, RouterStatus, Watch, WatchResponse, controls_digest,
 };
@@ -98,7 +98,7 @@
     boot: u64,
     heartbeat: Millis,
     standing: Vec<Standing<T>>,
-    packs: Packs,
+    packs: PackedDocuments,
     feed_cache: FeedCache,
     told: Option<Told>,
 }
@@ -160,7 +160,7 @@
             boot,
             heartbeat,
             standing: Vec::new(),
-            packs: Packs::default(),
+            packs: PackedDocuments::default(),
             feed_cache: FeedCache::default(),
             told: None,
         }
@@ -252,8 +252,8 @@
         let (due, rest): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.standing).into_iter().partition(|s| self.is_due(now, s, f));
         self.standing = rest;
-        if due.iter().any(|s| s.is_behind(f.version)) && self.packs.newest() < f.version {
-            self.packs.put(f.version, packed::pack(f.source));
+        if due.iter().any(|s| s.is_behind(f.version)) && self.packs.newest_version() < f.version {
+            self.packs.insert(f.version, packed::pack(f.source));
         }
         self.directory.refresh(now, f.registered.iter(), &self.routers);
         due.into_iter()
--- a/crates/core/src/fleet/transfer.rs
+++ b/crates/core/src/fleet/transfer.rs
@@ -14,7 +14,7 @@
 use crate::unit::Version;
 
 /// Maximum size of one part in bytes: 26 ms on a 10 Mbit/s link.
-pub const PART: usize = 32 * 1024;
+pub const PART_BYTES: usize = 32 * 1024;
 
 /// Number of packed documents that are kept. A transfer of a superseded document continues to its
 /// end; a router that restarted with each of many changes would never complete one.
@@ -25,7 +25,7 @@
 
 /// A router's request for the next part of a document.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Want {
+pub struct PartRequest {
     /// Version of the document that the router has in force, or 0.
     pub held: Version,
     /// Version of the partly received document, or 0.
@@ -66,21 +66,21 @@
 
 /// The packed documents that a control process serves.
 #[derive(Clone, Debug, Default)]
-pub struct Packs {
+pub struct PackedDocuments {
     /// Ordered by version, newest first.
     documents: VecDeque<Packed>,
 }
 
-impl Packs {
+impl PackedDocuments {
     /// Returns the version of the newest packed document, or 0 if there is none.
-    pub fn newest(&self) -> Version {
+    pub fn newest_version(&self) -> Version {
         self.documents.front().map_or(0, |p| p.version)
     }
 
     /// Adds a packed document and drops the oldest beyond the maximum. Ignores a document that is
     /// not newer than all others.
-    pub fn put(&mut self, version: Version, bytes: Vec<u8>) {
-        if version <= self.newest() {
+    pub fn insert(&mut self, version: Version, bytes: Vec<u8>) {
+        if version <= self.newest_version() {
             return;
         }
         self.documents.push_front(Packed { version, digest: digest(&bytes), bytes: bytes.into() });
@@ -90,7 +90,7 @@
     /// Returns the next part for a router: of the document that it has partly received if that is
     /// kept here, else the first part of the newest. Returns `None` if the router already has this
     /// version or a newer one in force, or if there is no document.
-    pub fn part(&self, want: &Want) -> Option<Part> {
+    pub fn part(&self, want: &PartRequest) -> Option<Part> {
         let is_started = |p: &&Packed| {
             let same = p.version == want.version && p.digest == want.digest;
             same && want.offset < p.bytes.len() as u64
@@ -103,7 +103,7 @@
             return None;
         }
         let start = offset as usize;
-        let end = (start + PART).min(packed.bytes.len());
+        let end = (start + PART_BYTES).min(packed.bytes.len());
         Some(Part {
             version: packed.version,
             digest: packed.digest,
@@ -116,13 +116,13 @@
 
 /// The result of adding a part to an assembly.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum PartOutcome {
     /// The part is of no use and was ignored.
-    Nothing,
+    Ignored,
     /// More parts are needed.
-    More,
+    Incomplete,
     /// The complete packed document.
-    Whole(Vec<u8>),
+    Complete(Vec<u8>),
     /// All parts have arrived but do not match the digest. The transfer starts again.
     Corrupt,
 }
@@ -138,17 +138,17 @@
 
 impl Assembly {
     /// Returns the request for the next part, with the document of version `held` in force.
-    pub fn want(&self, held: Version) -> Want {
+    pub fn want(&self, held: Version) -> PartRequest {
         let offset = self.bytes.len() as u64;
-        Want { held, version: self.version, digest: self.digest, offset }
+        PartRequest { held, version: self.version, digest: self.digest, offset }
     }
 
     /// Adds a part, with the document of version `held` in force. The first part of another
     /// document that is not older replaces what has been received. Ignores parts that are out of
     /// order, too old or of a document that is too large.
-    pub fn take(&mut self, held: Version, p: Part) -> Taken {
+    pub fn take(&mut self, held: Version, p: Part) -> PartOutcome {
         if p.version <= held || p.version < self.version || p.total > MAX_PACKED_BYTES {
-            return Taken::Nothing;
+            return PartOutcome::Ignored;
         }
         let same = p.version == self.version && p.digest == self.digest && p.total == self.total;
         if !same && p.offset == 0 {
@@ -159,16 +159,16 @@
                 bytes: Vec::new(),
             };
         } else if !same || p.offset != self.bytes.len() as u64 {
-            return Taken::Nothing;
+            return PartOutcome::Ignored;
         }
         self.bytes.extend_from_slice(&p.bytes);
         if (self.bytes.len() as u64) < self.total {
-            return Taken::More;
+            return PartOutcome::Incomplete;
         }
         let assembled = std::mem::take(self);
         match digest(&assembled.bytes) == assembled.digest {
-            true => Taken::Whole(assembled.bytes),
-            false => Taken::Corrupt,
+            true => PartOutcome::Complete(assembled.bytes),
+            false => PartOutcome::Corrupt,
         }
     }
 }
--- a/crates/core/src/fleet/watch.rs
+++ b/crates/core/src/fleet/watch.rs
@@ -12,7 +12,7 @@
 use super::registry::{Heartbeat, Leaving, Record};
 use super::rollout::Rollouts;
 use super::rollout::evidence::Report;
-use super::transfer::{Part, Want};
+use super::transfer::{Part, PartRequest};
 use crate::hash::Fnv;
 use crate::unit::{Index, Version};
 
@@ -68,7 +68,7 @@
     /// Newest document version that the watcher has or that this process has reported to it, or 0.
     pub version: Version,
     /// Request for the next part of a newer document, to be answered at once.
-    pub fetch: Option<Want>,
+    pub fetch: Option<PartRequest>,
     /// Digest of the router lists by data centre (`areas`) that the watcher has.
     #[serde(default)]
     pub areas: u64,
--- a/crates/core/tests/transfer.rs
+++ b/crates/core/tests/transfer.rs
@@ -7,7 +7,9 @@
 
 use cypressfork_core::fleet::fetch::{Fetch, GivenUp};
 use cypressfork_core::fleet::registry::{Record, RecordSource, Registration, Registry, Standing};
-use cypressfork_core::fleet::transfer::{Assembly, PART, Packs, Part, Taken, Want};
+use cypressfork_core::fleet::transfer::{
+    Assembly, PART_BYTES, PackedDocuments, Part, PartOutcome, PartRequest,
+};
 use cypressfork_core::unit::{Millis, Time};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -16,9 +18,9 @@
     (0..len).map(|n| (n as u64 * 31 + version) as u8).collect()
 }
 
-fn packs(all: &[(u64, usize)]) -> Packs {
-    let mut packs = Packs::default();
-    all.iter().for_each(|(version, len)| packs.put(*version, packed(*version, *len)));
+fn packs(all: &[(u64, usize)]) -> PackedDocuments {
+    let mut packs = PackedDocuments::default();
+    all.iter().for_each(|(version, len)| packs.insert(*version, packed(*version, *len)));
     packs
 }
 
@@ -30,11 +32,11 @@
 fn fetch(
     a: &mut Assembly,
     held: u64,
-    mut part: impl FnMut(&Want) -> Option<Part>,
+    mut part: impl FnMut(&PartRequest) -> Option<Part>,
 ) -> (Vec<u8>, usize) {
     for n in 1.. {
         let p = part(&a.want(held)).expect("there is a newer document");
-        if let Taken::Whole(bytes) = a.take(held, p) {
+        if let PartOutcome::Complete(bytes) = a.take(held, p) {
             return (bytes, n);
         }
         assert!(n < 10_000, "no end");
@@ -44,7 +46,7 @@
 
 #[test]
 fn a_document_comes_whole_in_as_many_parts_as_it_needs() {
-    for (len, parts) in [(1, 1), (PART, 1), (PART + 1, 2), (5 * PART, 5)] {
+    for (len, parts) in [(1, 1), (PART_BYTES, 1), (PART_BYTES + 1, 2), (5 * PART_BYTES, 5)] {
         let all = packs(&[(3, len)]);
         let (bytes, n) = fetch(&mut Assembly::default(), 2, |w| all.part(w));
         assert_eq!((bytes, n), (packed(3, len), parts), "{len} bytes");
@@ -54,71 +56,71 @@
 #[test]
 fn who_has_the_newest_in_force_gets_no_part() {
     let all = packs(&[(3, 10)]);
-    assert_eq!(all.part(&Want { held: 3, ..Want::default() }), None);
-    assert_eq!(Packs::default().part(&Want::default()), None);
+    assert_eq!(all.part(&PartRequest { held: 3, ..PartRequest::default() }), None);
+    assert_eq!(PackedDocuments::default().part(&PartRequest::default()), None);
 }
 
 #[test]
 fn another_process_goes_on_where_the_first_has_fallen_silent() {
-    let (one, other) = (packs(&[(3, 4 * PART)]), packs(&[(3, 4 * PART)]));
+    let (one, other) = (packs(&[(3, 4 * PART_BYTES)]), packs(&[(3, 4 * PART_BYTES)]));
     let mut turn = 0;
     let (bytes, parts) = fetch(&mut Assembly::default(), 0, |w| {
         turn += 1;
         if turn <= 2 { one.part(w) } else { other.part(w) }
     });
-    assert_eq!((bytes, parts), (packed(3, 4 * PART), 4), "nothing is sent twice");
+    assert_eq!((bytes, parts), (packed(3, 4 * PART_BYTES), 4), "nothing is sent twice");
 }
 
 #[test]
 fn a_document_that_is_overtaken_is_fetched_to_its_end_while_it_is_kept() {
-    let mut all = packs(&[(3, 4 * PART)]);
+    let mut all = packs(&[(3, 4 * PART_BYTES)]);
     let (mut a, mut version) = (Assembly::default(), 3);
     let (bytes, _) = fetch(&mut a, 0, |w| {
         let p = all.part(w);
         // A new version with every other part.
-        if !w.offset.is_multiple_of(2 * PART as u64) {
+        if !w.offset.is_multiple_of(2 * PART_BYTES as u64) {
             version += 1;
-            all.put(version, packed(version, 4 * PART));
+            all.insert(version, packed(version, 4 * PART_BYTES));
         }
         p
     });
-    assert_eq!(bytes, packed(3, 4 * PART));
+    assert_eq!(bytes, packed(3, 4 * PART_BYTES));
 }
 
 #[test]
 fn changes_without_end_do_not_keep_a_router_from_every_document() {
-    let mut all = packs(&[(1, 2 * PART)]);
+    let mut all = packs(&[(1, 2 * PART_BYTES)]);
     let mut a = Assembly::default();
     let mut version = 1;
     let (bytes, parts) = fetch(&mut a, 0, |w| {
         let p = all.part(w);
         version += 1;
-        all.put(version, packed(version, 2 * PART));
+        all.insert(version, packed(version, 2 * PART_BYTES));
         p
     });
     assert!(parts <= 4, "{parts} parts");
-    assert_eq!(bytes.len(), 2 * PART);
+    assert_eq!(bytes.len(), 2 * PART_BYTES);
 }
 
 #[test]
 fn a_process_that_packs_otherwise_sends_the_document_from_its_beginning() {
-    let one = packs(&[(3, 2 * PART)]);
-    let mut other = Packs::default();
-    other.put(3, packed(9, 3 * PART));
+    let one = packs(&[(3, 2 * PART_BYTES)]);
+    let mut other = PackedDocuments::default();
+    other.insert(3, packed(9, 3 * PART_BYTES));
     let mut a = Assembly::default();
     let first = one.part(&a.want(0)).unwrap();
-    assert_eq!(a.take(0, first), Taken::More);
+    assert_eq!(a.take(0, first), PartOutcome::Incomplete);
     let (bytes, parts) = fetch(&mut a, 0, |w| other.part(w));
-    assert_eq!((bytes, parts), (packed(9, 3 * PART), 3));
+    assert_eq!((bytes, parts), (packed(9, 3 * PART_BYTES), 3));
 }
 
 #[test]
 fn changed_bytes_are_found_out() {
     let all = packs(&[(3, 10)]);
-    let mut part = all.part(&Want::default()).unwrap();
+    let mut part = all.part(&PartRequest::default()).unwrap();
     part.bytes[4] ^= 1;
     let mut a = Assembly::default();
-    assert_eq!(a.take(0, part), Taken::Corrupt);
+    assert_eq!(a.take(0, part), PartOutcome::Corrupt);
     assert_eq!(a.want(0).offset, 0, "it begins anew");
 }
 
@@ -129,7 +131,7 @@
 fn late_doubled_and_older_parts_do_no_harm() {
     let config = Config { cases: 500, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &SEED);
-    let all: Vec<_> = [(3, 5 * PART), (4, 3 * PART + 7), (5, 2 * PART)]
+    let all: Vec<_> = [(3, 5 * PART_BYTES), (4, 3 * PART_BYTES + 7), (5, 2 * PART_BYTES)]
         .map(|(version, len)| packs(&[(version, len)]))
         .into();
     let order = prop::collection::vec((0usize..3, 0usize..6), 0..60);
@@ -138,11 +140,12 @@
         let mut held = 0;
         for (doc, part) in order {
             let version = 3 + doc as u64;
-            let whole = Want { version, ..Want::default() };
+            let whole = PartRequest { version, ..PartRequest::default() };
             let Some(first) = all[doc].part(&whole) else { continue };
-            let want = Want { offset: (part * PART) as u64, digest: first.digest, ..whole };
+            let want =
+                PartRequest { offset: (part * PART_BYTES) as u64, digest: first.digest, ..whole };
             let p = all[doc].part(&want).unwrap();
-            if let Taken::Whole(bytes) = a.take(held, p) {
+            if let PartOutcome::Complete(bytes) = a.take(held, p) {
                 prop_assert!(version > held);
                 held = version;
                 prop_assert_eq!(&bytes, &packed(version, bytes.len()));
@@ -150,7 +153,7 @@
         }
         if held < 5 {
             let (bytes, _) = fetch(&mut a, held, |w| all[2].part(w));
-            prop_assert_eq!(bytes, packed(5, 2 * PART));
+            prop_assert_eq!(bytes, packed(5, 2 * PART_BYTES));
         }
         Ok(())
     });
--- a/crates/router/src/gateway/documents.rs
+++ b/crates/router/src/gateway/documents.rs
@@ -9,7 +9,7 @@
 use cypressfork_core::fleet::fetch::{Fetch, GivenUp};
 use cypressfork_core::fleet::format::Format;
 use cypressfork_core::fleet::routes::Routes;
-use cypressfork_core::fleet::transfer::{Assembly, Part, Taken, Want};
+use cypressfork_core::fleet::transfer::{Assembly, Part, PartOutcome, PartRequest};
 use cypressfork_core::unit::{Millis, Time, Version};
 use cypressfork_node::emit;
 use cypressfork_node::event::Event;
@@ -55,7 +55,7 @@
     }
 
     /// What to ask of the control process at `address`, if the newer document is fetched there.
-    pub fn want(&self, address: SocketAddr) -> Option<Want> {
+    pub fn want(&self, address: SocketAddr) -> Option<PartRequest> {
         let fetched = self.fetch.borrow().is_from(address);
         fetched.then(|| self.assembly.borrow().want(self.held()))
     }
@@ -142,12 +142,12 @@
     docs.fetch.borrow_mut().progress(gw.now(), from);
     let taken = docs.assembly.borrow_mut().take(docs.held(), part);
     match taken {
-        Taken::Whole(bytes) => {
+        PartOutcome::Complete(bytes) => {
             docs.fetch.borrow_mut().done();
             put_in_force::<F>(gw, &bytes);
         }
-        Taken::Corrupt => emit!(Event::MessageBad, peer = from, why = "a document's digest"),
-        Taken::More | Taken::Nothing => {}
+        PartOutcome::Corrupt => emit!(Event::MessageBad, peer = from, why = "a document's digest"),
+        PartOutcome::Incomplete | PartOutcome::Ignored => {}
     }
 }
 
--- a/crates/wire/tests/fuzz.rs
+++ b/crates/wire/tests/fuzz.rs
@@ -10,7 +10,7 @@
 use cypressfork_core::fleet::limit::Rate;
 use cypressfork_core::fleet::limit::known::Word;
 use cypressfork_core::fleet::share::{Reply as Lent, Request};
-use cypressfork_core::fleet::transfer::{Part, Want};
+use cypressfork_core::fleet::transfer::{Part, PartRequest};
 use cypressfork_core::fleet::watch::{RouterStatus, Watch, WatchResponse};
 use cypressfork_core::query::{Query, Reply};
 use cypressfork_core::raft::Members;
@@ -51,7 +51,7 @@
         open: true,
         busy: true,
     };
-    let fetch = Some(Want { held: 3, version: 4, digest: 5, offset: 6 });
+    let fetch = Some(PartRequest { held: 3, version: 4, digest: 5, offset: 6 });
     Watch {
         router: Some(router),
         feed: Default::default(),
