--- a/crates/core/src/fleet/routes.rs
+++ b/crates/core/src/fleet/routes.rs
@@ -68,10 +68,10 @@
     }
 
     /// Returns the service for a request: a choice among the route's targets by their weights, made
-    /// by the number `draw`.
-    pub fn service(&self, route: &Route, draw: u64) -> Option<&Backend> {
+    /// by the request's `hash`.
+    pub fn choose_service(&self, route: &Route, hash: u64) -> Option<&Backend> {
         let sum: u64 = route.targets.iter().map(|t| u64::from(t.weight)).sum();
-        let mut left = draw.checked_rem(sum)?;
+        let mut left = hash.checked_rem(sum)?;
         for t in &route.targets {
             let weight = u64::from(t.weight);
             if left < weight {
@@ -99,6 +99,6 @@
 }
 
 /// Returns a number derived from a request's id, the same for every attempt.
-pub fn draw(id: &str) -> u64 {
+pub fn request_hash(id: &str) -> u64 {
     Fnv::new().part(id.as_bytes()).value()
 }
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -128,7 +128,7 @@
     let route = routes.route("club.example", "/").unwrap();
     let mut counts = BTreeMap::new();
     for draw in 0..400 {
-        *counts.entry(routes.service(route, draw).unwrap().name.clone()).or_insert(0) += 1;
+        *counts.entry(routes.choose_service(route, draw).unwrap().name.clone()).or_insert(0) += 1;
     }
     assert_eq!(counts, BTreeMap::from([("talk".into(), 100), ("board".into(), 300)]));
 }
--- a/crates/router/src/gateway/request.rs
+++ b/crates/router/src/gateway/request.rs
@@ -13,7 +13,7 @@
 use cypressfork_core::fleet::document::{Kind, Route, Tenant};
 use cypressfork_core::fleet::fingerprint::Fingerprint;
 use cypressfork_core::fleet::patience;
-use cypressfork_core::fleet::routes::{Routes, draw};
+use cypressfork_core::fleet::routes::{Routes, request_hash};
 use cypressfork_core::route::lateness::Aim;
 use cypressfork_core::route::{Bound, HeldBack, Work};
 use cypressfork_core::unit::{Millis, Tokens};
@@ -217,7 +217,8 @@
 ) -> Result<(Job, Option<Tokens>), Code> {
     let route: &Route = routes.route(&inbound.host, req.path())?;
     let account = routes.account(route, inbound.key.as_deref())?;
-    let backend = routes.service(route, draw(&inbound.id)).ok_or(Code::NoUpstream)?;
+    let backend =
+        routes.choose_service(route, request_hash(&inbound.id)).ok_or(Code::NoUpstream)?;
     let limit = inbound.deadline.map_or(route.timeout, |d| d.min(route.timeout));
     let mut headers = req.head().headers.clone();
     for name in OF_CONNECTION {
