--- a/crates/control/src/native.rs
+++ b/crates/control/src/native.rs
@@ -6,7 +6,7 @@
 use cypressfork_core::code::Code;
 use cypressfork_core::fleet::document::{Document, Invalid};
 use cypressfork_core::fleet::format::{self, Format};
-use cypressfork_core::fleet::registry::{Record, Registration, Standing};
+use cypressfork_core::fleet::registry::{Record, Registration, ReplicaStatus};
 use cypressfork_core::unit::Millis;
 use cypressfork_http::Body;
 use serde::Deserialize;
@@ -133,7 +133,7 @@
 
 fn beat(id: &str, body: &[u8]) -> Result<Call, Answer> {
     let b: Beat = serde_json::from_slice(body).map_err(|e| bad(e.to_string()))?;
-    let standing = if b.draining { Standing::Draining } else { Standing::Ready };
+    let standing = if b.draining { ReplicaStatus::Draining } else { ReplicaStatus::Ready };
     let registration = Registration {
         id: id.to_owned(),
         service: b.service,
--- a/crates/control/src/server/fleet.rs
+++ b/crates/control/src/server/fleet.rs
@@ -9,7 +9,7 @@
 use cypressfork_core::code::Code;
 use cypressfork_core::fleet::evacuation;
 use cypressfork_core::fleet::neighbours::NOT_WANTED;
-use cypressfork_core::fleet::registry::{RecordSource, Registration, Standing};
+use cypressfork_core::fleet::registry::{RecordSource, Registration, ReplicaStatus};
 use cypressfork_core::fleet::watch::{Announce, FeedCursor, Watch, WatchResponse};
 use cypressfork_core::raft::Members;
 use cypressfork_core::unit::Millis;
@@ -93,7 +93,7 @@
                 emit!(Event::ServiceUnnamed, replica = id, service = service);
                 CallAnswer::Noted
             }
-            Call::Beat(r) if r.standing < Standing::Draining || led => {
+            Call::Beat(r) if r.standing < ReplicaStatus::Draining || led => {
                 let id = r.registration.id.clone();
                 if f.view.registry.apply(now, r, RecordSource::Replica) {
                     emit!(Event::ReplicaChanged, replica = id);
--- a/crates/control/tests/feed_cache.rs
+++ b/crates/control/tests/feed_cache.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeMap;
 
 use cypressfork_control::feed_cache::{Changes, FeedCache};
-use cypressfork_core::fleet::registry::{Record, RecordSource, Registration, Registry, Standing};
+use cypressfork_core::fleet::registry::{
+    Record, RecordSource, Registration, Registry, ReplicaStatus,
+};
 use cypressfork_core::unit::{Millis, Time};
 use cypressfork_wire::{body, packed};
 
@@ -19,7 +21,7 @@
         sequence,
         born: 0,
     };
-    let standing = if sequence > 1 { Standing::Draining } else { Standing::Ready };
+    let standing = if sequence > 1 { ReplicaStatus::Draining } else { ReplicaStatus::Ready };
     Record { registration, standing }
 }
 
--- a/crates/control/tests/leaves.rs
+++ b/crates/control/tests/leaves.rs
@@ -6,7 +6,7 @@
 use cypressfork_control::fleet_view::{FleetView, Followed};
 use cypressfork_core::fleet::evacuation::Evacuations;
 use cypressfork_core::fleet::quarantine::Quarantine;
-use cypressfork_core::fleet::registry::{Record, RecordSource, Registration, Standing};
+use cypressfork_core::fleet::registry::{Record, RecordSource, Registration, ReplicaStatus};
 use cypressfork_core::fleet::rollout::Rollouts;
 use cypressfork_core::fleet::watch::{FeedCursor, RouterStatus, Watch, WatchResponse};
 use cypressfork_core::member::Routers;
@@ -19,7 +19,7 @@
 /// Within this time of its acknowledgement a router in touch hears of it.
 const TOLD_WITHIN: u64 = 200;
 
-fn record(id: &str, sequence: u64, standing: Standing) -> Record {
+fn record(id: &str, sequence: u64, standing: ReplicaStatus) -> Record {
     let registration = Registration {
         id: id.to_owned(),
         service: "talk".to_owned(),
@@ -94,11 +94,11 @@
 ) {
     let mut view = FleetView::new(BOOT, Millis(1_000));
     for id in ["i-1", "i-2"] {
-        view.registry.apply(Time(10), record(id, 1, Standing::Ready), RecordSource::Replica);
+        view.registry.apply(Time(10), record(id, 1, ReplicaStatus::Ready), RecordSource::Replica);
     }
     let feed = FeedCursor { boot: BOOT, leaves: view.registry.position(), ..FeedCursor::default() };
     view.watch(Time(1_000), question(feed), 0);
-    view.registry.apply(Time(1_050), record("i-2", 2, Standing::Draining), source);
+    view.registry.apply(Time(1_050), record("i-2", 2, ReplicaStatus::Draining), source);
     let got = answers(&mut view, 1_050, 1_050 + TOLD_WITHIN);
     let ids: Vec<_> =
         got.iter().flat_map(|s| &s.replicas).map(|r| r.registration.id.as_str()).collect();
@@ -114,8 +114,8 @@
 #[test]
 fn earlier_leaves_are_left_to_the_sources() {
     let mut view = FleetView::new(BOOT, Millis(1_000));
-    view.registry.apply(Time(10), record("i-1", 1, Standing::Ready), RecordSource::Replica);
-    view.registry.apply(Time(20), record("i-1", 2, Standing::Draining), RecordSource::Replica);
+    view.registry.apply(Time(10), record("i-1", 1, ReplicaStatus::Ready), RecordSource::Replica);
+    view.registry.apply(Time(20), record("i-1", 2, ReplicaStatus::Draining), RecordSource::Replica);
     view.watch(Time(1_000), question(FeedCursor::default()), 0);
     let got = answers(&mut view, 1_000, 2_100);
     assert_eq!(got.len(), 1);
--- a/crates/core/src/fleet/registry.rs
+++ b/crates/core/src/fleet/registry.rs
@@ -85,7 +85,7 @@
 
 /// The state of a replica in the registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Standing {
+pub enum ReplicaStatus {
     /// It sends heartbeats and accepts requests.
     Ready,
     /// Several of its heartbeats are missing.
@@ -102,20 +102,20 @@
     /// The newest registration received.
     pub registration: Registration,
     /// The state of the replica.
-    pub standing: Standing,
+    pub standing: ReplicaStatus,
 }
 
 impl Record {
     /// Returns a copy of this record that is marked as draining.
     pub fn as_draining(&self) -> Record {
-        Record { registration: self.registration.clone(), standing: Standing::Draining }
+        Record { registration: self.registration.clone(), standing: ReplicaStatus::Draining }
     }
 
     /// Returns whether the replica has not left and has not restarted since its incarnation with
     /// the start time `born`.
     pub fn is_running(&self, born: u64) -> bool {
         let is_later = cmp_start_times(self.registration.born, born) == Ordering::Greater;
-        self.standing < Standing::Left && !is_later
+        self.standing < ReplicaStatus::Left && !is_later
     }
 }
 
@@ -221,7 +221,8 @@
         };
         self.entries.insert(id.clone(), entry);
         self.publish(now, &id, !same, source);
-        let leaves = self.entries.get(&id).is_some_and(|e| e.record.standing >= Standing::Draining);
+        let leaves =
+            self.entries.get(&id).is_some_and(|e| e.record.standing >= ReplicaStatus::Draining);
         if leaves && !same && source == RecordSource::Replica {
             self.direct_leaves.insert(self.position, id);
         }
@@ -232,7 +233,7 @@
     pub fn ready_slots(&self, service: &str) -> BTreeMap<String, u64> {
         let mut all: BTreeMap<String, u64> = BTreeMap::new();
         let ready = self.entries.values().map(|e| &e.record);
-        for r in ready.filter(|r| r.standing == Standing::Ready) {
+        for r in ready.filter(|r| r.standing == ReplicaStatus::Ready) {
             let g = &r.registration;
             if g.service == service {
                 *all.entry(g.version.clone()).or_default() += u64::from(g.slots);
@@ -250,13 +251,13 @@
         let known = &e.record.registration;
         let same_incarnation = cmp_start_times(b.born, known.born) == Ordering::Equal;
         let old = b.sequence <= known.sequence;
-        if !same_incarnation || old || e.record.standing >= Standing::Draining {
+        if !same_incarnation || old || e.record.standing >= ReplicaStatus::Draining {
             return false;
         }
-        let back = e.record.standing == Standing::Silent;
+        let back = e.record.standing == ReplicaStatus::Silent;
         if let Some(e) = self.entries.get_mut(&id) {
             e.record.registration.sequence = b.sequence;
-            e.record.standing = Standing::Ready;
+            e.record.standing = ReplicaStatus::Ready;
             e.last_heartbeat = now;
         }
         self.publish(now, &id, back, RecordSource::Peer);
@@ -291,14 +292,18 @@
     pub fn mark_left(&mut self, now: Time, id: &str) -> bool {
         let Some(e) = self.entries.get(id) else { return false };
         let registration = e.record.registration.clone();
-        self.apply(now, Record { registration, standing: Standing::Left }, RecordSource::Replica)
+        self.apply(
+            now,
+            Record { registration, standing: ReplicaStatus::Left },
+            RecordSource::Replica,
+        )
     }
 
     /// Marks a replica as draining that announced this in a response to another process. Returns
     /// whether that is new for this incarnation.
     pub fn apply_leaving(&mut self, now: Time, l: &Leaving) -> bool {
         let known = self.get(&l.replica);
-        let known = known.filter(|r| r.is_running(l.born) && r.standing < Standing::Draining);
+        let known = known.filter(|r| r.is_running(l.born) && r.standing < ReplicaStatus::Draining);
         let Some(record) = known.map(Record::as_draining) else { return false };
         self.apply(now, record, RecordSource::Peer)
     }
@@ -313,10 +318,11 @@
         self.heartbeat = every;
         let timeout = every.scale(MAX_MISSED_HEARTBEATS, 1);
         let is_expired = |e: &Entry| {
-            e.record.standing >= Standing::Draining && now.since(e.last_heartbeat) >= DEPARTED_TTL
+            e.record.standing >= ReplicaStatus::Draining
+                && now.since(e.last_heartbeat) >= DEPARTED_TTL
         };
         let is_silent = |e: &Entry| {
-            e.record.standing == Standing::Ready && now.since(e.last_heartbeat) >= timeout
+            e.record.standing == ReplicaStatus::Ready && now.since(e.last_heartbeat) >= timeout
         };
         let mut silent = Vec::new();
         self.entries.retain(|id, e| {
@@ -326,7 +332,7 @@
                 return false;
             }
             if is_silent(e) {
-                e.record.standing = Standing::Silent;
+                e.record.standing = ReplicaStatus::Silent;
                 silent.push(id.clone());
             }
             true
@@ -433,7 +439,7 @@
     let mut last = if newer { r.registration.clone() } else { old.registration.clone() };
     last.born = r.registration.born.max(old.registration.born);
     let standing = match (old.standing, r.standing) {
-        (a, b) if a >= Standing::Draining || b >= Standing::Draining => a.max(b),
+        (a, b) if a >= ReplicaStatus::Draining || b >= ReplicaStatus::Draining => a.max(b),
         (_, b) if newer => b,
         (a, _) => a,
     };
--- a/crates/core/src/fleet/replicas.rs
+++ b/crates/core/src/fleet/replicas.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
 
-use super::registry::{Record, Standing};
+use super::registry::{Record, ReplicaStatus};
 use crate::config::{Upstream, Vm};
 use crate::route::Condition;
 use crate::unit::{Millis, Time};
@@ -66,7 +66,7 @@
     /// Applies a record. Returns the replica's resulting state and the changes of addresses, or
     /// `None` if the record contains nothing new. A later incarnation of a known replica replaces
     /// the former one, whose address is cleared first.
-    pub fn apply(&mut self, now: Time, r: Record) -> Option<(Standing, Vec<AddressChange>)> {
+    pub fn apply(&mut self, now: Time, r: Record) -> Option<(ReplicaStatus, Vec<AddressChange>)> {
         self.expire(now);
         let id = r.registration.id.clone();
         let known = self.by_id.get(&id);
@@ -91,9 +91,9 @@
         let here = location(&record);
         self.by_id.insert(id.clone(), Entry { record, order, replaced });
         match standing {
-            Standing::Left => self.left.push_back((now, id.clone(), born)),
-            Standing::Draining => self.draining.push_back((now, id.clone(), born)),
-            Standing::Ready | Standing::Silent => {}
+            ReplicaStatus::Left => self.left.push_back((now, id.clone(), born)),
+            ReplicaStatus::Draining => self.draining.push_back((now, id.clone(), born)),
+            ReplicaStatus::Ready | ReplicaStatus::Silent => {}
         }
         let moved = before.filter(|b| *b != here);
         if let Some((_, Some(address))) = &moved {
@@ -128,7 +128,7 @@
     }
 
     /// Returns the state of a replica.
-    pub fn standing(&self, id: &str) -> Option<Standing> {
+    pub fn standing(&self, id: &str) -> Option<ReplicaStatus> {
         self.by_id.get(id).map(|k| k.record.standing)
     }
 
@@ -136,7 +136,7 @@
     /// drains or has left.
     pub fn draining_record(&self, id: &str) -> Option<Record> {
         let known = &self.by_id.get(id)?.record;
-        (known.standing < Standing::Draining).then(|| known.as_draining())
+        (known.standing < ReplicaStatus::Draining).then(|| known.as_draining())
     }
 
     /// Returns whether a replica has not left and has not restarted since its incarnation with the
@@ -209,7 +209,7 @@
         let here = self.by_address.get(&address).into_iter().flatten();
         let known = here.filter_map(|id| self.by_id.get(id));
         let usable = known.filter(|k| {
-            k.record.standing <= Standing::Silent && k.record.registration.service == service
+            k.record.standing <= ReplicaStatus::Silent && k.record.registration.service == service
         });
         let best = usable.min_by_key(|k| (k.record.standing, k.replaced, u64::MAX - k.order));
         let upstream = best.map(|k| (upstream(address, &k.record), condition(&k.record)));
@@ -218,8 +218,8 @@
 }
 
 /// Merges two states of one incarnation, which never returns from draining or left.
-fn merge_standing(known: Standing, received: Standing) -> Standing {
-    if known >= Standing::Draining { known.max(received) } else { received }
+fn merge_standing(known: ReplicaStatus, received: ReplicaStatus) -> ReplicaStatus {
+    if known >= ReplicaStatus::Draining { known.max(received) } else { received }
 }
 
 /// Returns whether `r` contains anything new. Draining and left are new regardless of the sequence
@@ -232,7 +232,7 @@
     }
     let newer = r.registration.sequence > known.registration.sequence;
     let same = r.registration.sequence == known.registration.sequence;
-    let ends = r.standing >= Standing::Draining && r.standing > known.standing;
+    let ends = r.standing >= ReplicaStatus::Draining && r.standing > known.standing;
     ends || (newer && *r != *known) || (same && r.standing > known.standing)
 }
 
@@ -252,6 +252,6 @@
 
 fn condition(r: &Record) -> Condition {
     let g = &r.registration;
-    let leaving = r.standing == Standing::Silent;
+    let leaving = r.standing == ReplicaStatus::Silent;
     Condition { version: g.version.clone(), slots: g.slots, leaving, cold: g.cold }
 }
--- a/crates/core/tests/lives.rs
+++ b/crates/core/tests/lives.rs
@@ -6,7 +6,7 @@
 
 use cypressfork_core::config::{Upstream, Vm};
 use cypressfork_core::fleet::registry::{
-    Heartbeat, Record, RecordSource, Registration, Registry, Standing,
+    Heartbeat, Record, RecordSource, Registration, Registry, ReplicaStatus,
 };
 use cypressfork_core::fleet::replicas::ReplicaTable;
 use cypressfork_core::route::{Condition, Pool, Work};
@@ -16,7 +16,7 @@
 use rstest::rstest;
 
 /// Of which life, at which port, with which number, and how it stands.
-type Word = (u64, u16, u64, Standing);
+type Word = (u64, u16, u64, ReplicaStatus);
 
 fn record((born, port, sequence, standing): Word) -> Record {
     let registration = Registration {
@@ -69,7 +69,7 @@
     there.into_iter().filter(|(_, is_there)| *is_there).map(|(port, _)| port).collect()
 }
 
-use Standing::{Draining, Left, Ready};
+use ReplicaStatus::{Draining, Left, Ready};
 
 #[rstest]
 #[case::numbers_begin_anew(&[(10, 80, 50, Ready), (20, 80, 1, Ready)], (20, 1, Ready), &[80])]
@@ -86,7 +86,7 @@
 #[case::does_not_say(&[(0, 80, 1, Ready), (0, 80, 2, Ready)], (0, 2, Ready), &[80])]
 fn all_orders_come_to_the_same(
     #[case] words: &[Word],
-    #[case] (born, sequence, standing): (u64, u64, Standing),
+    #[case] (born, sequence, standing): (u64, u64, ReplicaStatus),
     #[case] ports: &[u16],
 ) {
     for order in orders(words) {
@@ -105,7 +105,7 @@
     r.tick(Time(10_000), Millis(1_000));
     let beat = |born, sequence| Heartbeat { id: "i-1".to_owned(), sequence, born };
     assert!(!r.apply_heartbeat(Time(10_000), &beat(10, 99)), "of the life before");
-    assert_eq!(r.iter().next().unwrap().standing, Standing::Silent);
+    assert_eq!(r.iter().next().unwrap().standing, ReplicaStatus::Silent);
     assert!(r.apply_heartbeat(Time(10_000), &beat(20, 2)));
     assert_eq!(r.iter().next().unwrap().standing, Ready);
 }
--- a/crates/core/tests/registry.rs
+++ b/crates/core/tests/registry.rs
@@ -1,7 +1,7 @@
 //! The replicas that register, as a control process hears of them and tells others.
 
 use cypressfork_core::fleet::registry::{
-    Heartbeat, Leaving, Record, RecordSource, Registration, Registry, Standing,
+    Heartbeat, Leaving, Record, RecordSource, Registration, Registry, ReplicaStatus,
 };
 use cypressfork_core::unit::{Millis, Time};
 use rstest::rstest;
@@ -9,7 +9,7 @@
 /// Records that one answer may hold, more than there are here.
 const MOST: usize = 1_000;
 
-fn record(id: &str, sequence: u64, standing: Standing) -> Record {
+fn record(id: &str, sequence: u64, standing: ReplicaStatus) -> Record {
     let registration = Registration {
         id: id.to_owned(),
         service: "talk".to_owned(),
@@ -25,22 +25,22 @@
 }
 
 fn lives(id: &str, born: u64, sequence: u64) -> Record {
-    let mut r = record(id, sequence, Standing::Ready);
+    let mut r = record(id, sequence, ReplicaStatus::Ready);
     r.registration.born = born;
     r
 }
 
 /// What is said of a replica, in this order, and how it stands then.
 #[rstest]
-#[case::ready(&[(1, Standing::Ready)], Standing::Ready)]
-#[case::draining_is_for_good(&[(1, Standing::Ready), (2, Standing::Draining), (3, Standing::Ready)], Standing::Draining)]
-#[case::a_late_heartbeat_does_not_revive(&[(5, Standing::Draining), (4, Standing::Ready)], Standing::Draining)]
-#[case::draining_that_comes_late_counts(&[(5, Standing::Ready), (4, Standing::Draining)], Standing::Draining)]
-#[case::left_is_for_good(&[(5, Standing::Left), (9, Standing::Ready)], Standing::Left)]
-#[case::left_beats_draining(&[(5, Standing::Left), (6, Standing::Draining)], Standing::Left)]
-#[case::silent_until_it_speaks(&[(5, Standing::Silent), (6, Standing::Ready)], Standing::Ready)]
-#[case::old_news_of_silence(&[(6, Standing::Ready), (5, Standing::Silent)], Standing::Ready)]
-fn what_a_replica_says(#[case] said: &[(u64, Standing)], #[case] stands: Standing) {
+#[case::ready(&[(1, ReplicaStatus::Ready)], ReplicaStatus::Ready)]
+#[case::draining_is_for_good(&[(1, ReplicaStatus::Ready), (2, ReplicaStatus::Draining), (3, ReplicaStatus::Ready)], ReplicaStatus::Draining)]
+#[case::a_late_heartbeat_does_not_revive(&[(5, ReplicaStatus::Draining), (4, ReplicaStatus::Ready)], ReplicaStatus::Draining)]
+#[case::draining_that_comes_late_counts(&[(5, ReplicaStatus::Ready), (4, ReplicaStatus::Draining)], ReplicaStatus::Draining)]
+#[case::left_is_for_good(&[(5, ReplicaStatus::Left), (9, ReplicaStatus::Ready)], ReplicaStatus::Left)]
+#[case::left_beats_draining(&[(5, ReplicaStatus::Left), (6, ReplicaStatus::Draining)], ReplicaStatus::Left)]
+#[case::silent_until_it_speaks(&[(5, ReplicaStatus::Silent), (6, ReplicaStatus::Ready)], ReplicaStatus::Ready)]
+#[case::old_news_of_silence(&[(6, ReplicaStatus::Ready), (5, ReplicaStatus::Silent)], ReplicaStatus::Ready)]
+fn what_a_replica_says(#[case] said: &[(u64, ReplicaStatus)], #[case] stands: ReplicaStatus) {
     let mut r = Registry::default();
     for (sequence, standing) in said {
         r.apply(Time(1_000), record("i-1", *sequence, *standing), RecordSource::Replica);
@@ -51,16 +51,16 @@
 #[test]
 fn routers_hear_of_changes_and_not_of_heartbeats() {
     let mut r = Registry::default();
-    assert!(r.apply(Time(0), record("i-1", 1, Standing::Ready), RecordSource::Replica));
+    assert!(r.apply(Time(0), record("i-1", 1, ReplicaStatus::Ready), RecordSource::Replica));
     let since = r.position();
-    assert!(!r.apply(Time(900), record("i-1", 2, Standing::Ready), RecordSource::Replica));
+    assert!(!r.apply(Time(900), record("i-1", 2, ReplicaStatus::Ready), RecordSource::Replica));
     assert_eq!(r.changes(since, MOST).records.len(), 0);
     let beats = vec![Heartbeat { id: "i-1".to_owned(), sequence: 2, born: 0 }];
     assert_eq!(r.relay_batch(since, MOST, MOST).heartbeats, beats, "other control processes do");
     r.tick(Time(4_800), Millis(1_000));
     assert_eq!(r.changes(since, MOST).records.len(), 0, "it spoke 3.9 s ago");
     r.tick(Time(4_900), Millis(1_000));
-    assert_eq!(r.changes(since, MOST).records[0].standing, Standing::Silent);
+    assert_eq!(r.changes(since, MOST).records[0].standing, ReplicaStatus::Silent);
     assert!(r.mark_left(Time(5_000), "i-1"));
     assert!(!r.mark_left(Time(5_000), "i-2"), "nobody knows it");
 }
@@ -76,7 +76,7 @@
     for n in 1..=60 {
         let now = Time(n * 500);
         if n % 2 == 0 && n != 30 && n != 31 {
-            all[0].apply(now, record("i-1", n, Standing::Ready), RecordSource::Replica);
+            all[0].apply(now, record("i-1", n, ReplicaStatus::Ready), RecordSource::Replica);
         }
         for to in 1..3 {
             let told = all[to - 1].relay_batch(since[to - 1], MOST, MOST);
@@ -86,22 +86,25 @@
             told.heartbeats.iter().for_each(|b| _ = all[to].apply_heartbeat(now, b));
         }
         all.iter_mut().for_each(|r| r.tick(now, every));
-        assert!(all.iter().all(|r| r.iter().all(|r| r.standing == Standing::Ready)), "at {now:?}");
+        assert!(
+            all.iter().all(|r| r.iter().all(|r| r.standing == ReplicaStatus::Ready)),
+            "at {now:?}"
+        );
     }
     assert!(passed_on < 15, "{passed_on} of 29 were passed on at second hand");
 }
 
 /// What a heartbeat without its record changes.
 #[rstest]
-#[case::newer(Standing::Ready, 6, false, Standing::Ready)]
-#[case::old(Standing::Silent, 5, false, Standing::Silent)]
-#[case::it_speaks_again(Standing::Silent, 6, true, Standing::Ready)]
-#[case::it_drains(Standing::Draining, 6, false, Standing::Draining)]
+#[case::newer(ReplicaStatus::Ready, 6, false, ReplicaStatus::Ready)]
+#[case::old(ReplicaStatus::Silent, 5, false, ReplicaStatus::Silent)]
+#[case::it_speaks_again(ReplicaStatus::Silent, 6, true, ReplicaStatus::Ready)]
+#[case::it_drains(ReplicaStatus::Draining, 6, false, ReplicaStatus::Draining)]
 fn a_heartbeat_alone(
-    #[case] standing: Standing,
+    #[case] standing: ReplicaStatus,
     #[case] sequence: u64,
     #[case] changes: bool,
-    #[case] after: Standing,
+    #[case] after: ReplicaStatus,
 ) {
     let mut r = Registry::default();
     r.apply(Time(0), record("i-1", 5, standing), RecordSource::Peer);
@@ -120,7 +123,7 @@
     let mut since = 0;
     for n in 0..400_u64 {
         let id = format!("i-{}", n % 50);
-        from.apply(Time(n), record(&id, n + 1, Standing::Ready), RecordSource::Replica);
+        from.apply(Time(n), record(&id, n + 1, ReplicaStatus::Ready), RecordSource::Replica);
         if n % 10 == 0 {
             let told = from.relay_batch(since, 3, 5);
             since = told.position;
@@ -144,10 +147,10 @@
 #[test]
 fn one_that_has_left_is_remembered_against_late_heartbeats() {
     let mut r = Registry::default();
-    r.apply(Time(0), record("i-1", 5, Standing::Ready), RecordSource::Replica);
+    r.apply(Time(0), record("i-1", 5, ReplicaStatus::Ready), RecordSource::Replica);
     r.mark_left(Time(0), "i-1");
     r.tick(Time(60_000), Millis(1_000));
-    assert!(!r.apply(Time(60_000), record("i-1", 4, Standing::Ready), RecordSource::Replica));
+    assert!(!r.apply(Time(60_000), record("i-1", 4, ReplicaStatus::Ready), RecordSource::Replica));
     r.tick(Time(200_000), Millis(1_000));
     assert_eq!(r.iter().count(), 0);
 }
@@ -163,7 +166,7 @@
     assert!(r.apply_leaving(Time(1), &leaving(7)));
     assert!(!r.apply_leaving(Time(2), &leaving(7)), "it is known");
     r.apply(Time(3), lives("a", 7, 2), RecordSource::Replica);
-    assert_eq!(r.get("a").unwrap().standing, Standing::Draining);
+    assert_eq!(r.get("a").unwrap().standing, ReplicaStatus::Draining);
     r.apply(Time(4), lives("a", 9, 1), RecordSource::Replica);
-    assert_eq!(r.get("a").unwrap().standing, Standing::Ready);
+    assert_eq!(r.get("a").unwrap().standing, ReplicaStatus::Ready);
 }
--- a/crates/core/tests/replicas.rs
+++ b/crates/core/tests/replicas.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use cypressfork_core::config::{Upstream, Vm};
-use cypressfork_core::fleet::registry::{Record, Registration, Standing};
+use cypressfork_core::fleet::registry::{Record, Registration, ReplicaStatus};
 use cypressfork_core::fleet::replicas::{AddressChange, ReplicaTable};
 use cypressfork_core::route::{Condition, Pool, Trail, Work};
 use cypressfork_core::unit::{Millis, Time};
@@ -14,7 +14,7 @@
 use rand::seq::SliceRandom;
 use rstest::rstest;
 
-fn record(id: &str, port: u16, sequence: u64, standing: Standing) -> Record {
+fn record(id: &str, port: u16, sequence: u64, standing: ReplicaStatus) -> Record {
     let registration = Registration {
         id: id.to_owned(),
         service: "talk".to_owned(),
@@ -53,7 +53,7 @@
     };
 }
 
-use Standing::{Draining, Left, Ready, Silent};
+use ReplicaStatus::{Draining, Left, Ready, Silent};
 
 #[rstest]
 #[case::one(&[("a", 80, 1, Ready)], &[(80, "a")])]
@@ -70,7 +70,7 @@
 #[case::the_newer_one_leaves(
     &[("a", 80, 7, Ready), ("b", 80, 1, Ready), ("b", 80, 2, Left)], &[(80, "a")])]
 fn who_is_at_an_address(
-    #[case] said: &[(&str, u16, u64, Standing)],
+    #[case] said: &[(&str, u16, u64, ReplicaStatus)],
     #[case] there: &[(u16, &str)],
 ) {
     let said: Vec<_> = said.iter().map(|(id, p, seq, s)| record(id, *p, *seq, *s)).collect();
@@ -99,11 +99,11 @@
 }
 
 trait OrNone {
-    fn unwrap_or_default_left(self) -> (Standing, Vec<AddressChange>);
+    fn unwrap_or_default_left(self) -> (ReplicaStatus, Vec<AddressChange>);
 }
 
-impl OrNone for Option<(Standing, Vec<AddressChange>)> {
-    fn unwrap_or_default_left(self) -> (Standing, Vec<AddressChange>) {
+impl OrNone for Option<(ReplicaStatus, Vec<AddressChange>)> {
+    fn unwrap_or_default_left(self) -> (ReplicaStatus, Vec<AddressChange>) {
         self.unwrap_or((Left, Vec::new()))
     }
 }
--- a/crates/core/tests/transfer.rs
+++ b/crates/core/tests/transfer.rs
@@ -6,7 +6,9 @@
 use std::net::SocketAddr;
 
 use cypressfork_core::fleet::fetch::{Fetch, GivenUp};
-use cypressfork_core::fleet::registry::{Record, RecordSource, Registration, Registry, Standing};
+use cypressfork_core::fleet::registry::{
+    Record, RecordSource, Registration, Registry, ReplicaStatus,
+};
 use cypressfork_core::fleet::transfer::{
     Assembly, PART_BYTES, PackedDocuments, Part, PartOutcome, PartRequest,
 };
@@ -214,7 +216,7 @@
         };
         registry.apply(
             Time(n),
-            Record { registration, standing: Standing::Ready },
+            Record { registration, standing: ReplicaStatus::Ready },
             RecordSource::Peer,
         );
     }
--- a/crates/router/src/gateway/notices.rs
+++ b/crates/router/src/gateway/notices.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 use cypressfork_core::fleet::limit::Said;
-use cypressfork_core::fleet::registry::{Leaving, Standing};
+use cypressfork_core::fleet::registry::{Leaving, ReplicaStatus};
 use cypressfork_core::route::rest;
 use cypressfork_node::event::Event;
 use cypressfork_node::{emit, metric};
@@ -131,8 +131,8 @@
     }
 
     /// Takes note that a control process takes a replica that leaves for ready, or knows better.
-    pub fn told(&self, replica: &str, born: u64, said: Standing) {
-        self.set_leaving(replica, born, said < Standing::Draining);
+    pub fn told(&self, replica: &str, born: u64, said: ReplicaStatus) {
+        self.set_leaving(replica, born, said < ReplicaStatus::Draining);
     }
 
     /// What control processes are to be told, until they say so themselves.
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -10,7 +10,7 @@
 use cypressfork_core::fleet::ends::Sign;
 use cypressfork_core::fleet::evacuation::Evacuations;
 use cypressfork_core::fleet::pace::Pace;
-use cypressfork_core::fleet::registry::{Record, Standing};
+use cypressfork_core::fleet::registry::{Record, ReplicaStatus};
 use cypressfork_core::fleet::replicas::{AddressChange, ReplicaTable, Start};
 use cypressfork_core::fleet::retry::RetryWindow;
 use cypressfork_core::fleet::rollout::Rollouts;
@@ -298,7 +298,7 @@
         self.apply_replicas(said);
         for (id, standing) in words {
             let known = self.replicas.borrow().standing(&id);
-            if known == Some(Standing::Draining) {
+            if known == Some(ReplicaStatus::Draining) {
                 self.notices.told(&id, self.born(&id), standing);
             }
         }
@@ -319,7 +319,7 @@
             let g = &r.registration;
             let (id, address, sequence) = (g.id.clone(), g.address.clone(), g.sequence);
             let start = self.replicas.borrow().classify_start(&r);
-            if start == Start::Restarted || r.standing == Standing::Left {
+            if start == Start::Restarted || r.standing == ReplicaStatus::Left {
                 self.limits.forget(&id);
             }
             let Some((standing, changes)) = self.replicas.borrow_mut().apply(now, r) else {
@@ -333,17 +333,17 @@
     }
 
     /// Takes what news of a replica say of one whose connections were lost.
-    fn take_signs(&self, start: Start, standing: Standing, id: &str, address: &str) {
+    fn take_signs(&self, start: Start, standing: ReplicaStatus, id: &str, address: &str) {
         match (start, standing) {
             (Start::Restarted, _) => take_sign(self, Sign::LaterLife(id)),
-            (_, Standing::Silent) => take_sign(self, Sign::Silent(id)),
-            (_, Standing::Draining | Standing::Left) => take_sign(self, Sign::Leaves(id)),
-            (Start::New, Standing::Ready) => {
+            (_, ReplicaStatus::Silent) => take_sign(self, Sign::Silent(id)),
+            (_, ReplicaStatus::Draining | ReplicaStatus::Left) => take_sign(self, Sign::Leaves(id)),
+            (Start::New, ReplicaStatus::Ready) => {
                 if let Ok(address) = address.parse() {
                     take_sign(self, Sign::Arrived(address, id));
                 }
             }
-            (Start::Known, Standing::Ready) => {}
+            (Start::Known, ReplicaStatus::Ready) => {}
         }
     }
 
@@ -604,7 +604,7 @@
     id: String,
     address: String,
     sequence: u64,
-    standing: Standing,
+    standing: ReplicaStatus,
 }
 
 /// Logs news of replicas: each of a few, and how many there are of more, as when a fleet starts.
@@ -621,7 +621,7 @@
         }
         return;
     }
-    let ready = news.iter().filter(|n| n.standing == Standing::Ready).count();
+    let ready = news.iter().filter(|n| n.standing == ReplicaStatus::Ready).count();
     let first = news.first().map_or("", |n| &n.id);
     let last = news.last().map_or("", |n| &n.id);
     emit!(Event::ReplicasChanged, changed = news.len(), ready = ready, first = first, last = last);
