--- a/crates/core/src/route/rest.rs
+++ b/crates/core/src/route/rest.rs
@@ -8,31 +8,31 @@
 
 /// The backoff requested by a response, parsed from its `Retry-After` header.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Said {
+pub enum RetryAfter {
     /// None.
     #[default]
-    Nothing,
+    Absent,
     /// Send nothing for this time.
-    Rest(Millis),
+    Delay(Millis),
     /// The header is not a valid duration.
-    Unreadable,
+    Invalid,
 }
 
-impl Said {
+impl RetryAfter {
     /// Parses a number of seconds.
-    pub fn parse(text: &str) -> Said {
-        thousandths(text).map_or(Said::Unreadable, |ms| Said::Rest(Millis(ms)))
+    pub fn parse(text: &str) -> RetryAfter {
+        thousandths(text).map_or(RetryAfter::Invalid, |ms| RetryAfter::Delay(Millis(ms)))
     }
 
     /// Combines two headers of one response: the longer backoff wins, and a valid one wins over an
     /// invalid one.
     #[must_use]
-    pub fn or_longer(self, other: Said) -> Said {
+    pub fn or_later(self, other: RetryAfter) -> RetryAfter {
         match (self, other) {
-            (Said::Rest(a), Said::Rest(b)) => Said::Rest(a.max(b)),
-            (Said::Rest(_), _) => self,
-            (Said::Nothing, _) | (_, Said::Rest(_)) => other,
-            (Said::Unreadable, _) => self,
+            (RetryAfter::Delay(a), RetryAfter::Delay(b)) => RetryAfter::Delay(a.max(b)),
+            (RetryAfter::Delay(_), _) => self,
+            (RetryAfter::Absent, _) | (_, RetryAfter::Delay(_)) => other,
+            (RetryAfter::Invalid, _) => self,
         }
     }
 }
--- a/crates/core/tests/rests.rs
+++ b/crates/core/tests/rests.rs
@@ -7,7 +7,7 @@
 
 use cypressfork_core::config::{Upstream, Vm};
 use cypressfork_core::route::pressure::Pressure;
-use cypressfork_core::route::rest::{Rest, Said};
+use cypressfork_core::route::rest::{Rest, RetryAfter};
 use cypressfork_core::route::turns::{Back, Turns};
 use cypressfork_core::route::{Bound, Choice, Condition, Pool, Trail, Work};
 use cypressfork_core::unit::{Millis, Time};
@@ -53,28 +53,28 @@
 }
 
 #[rstest]
-#[case::whole("3", Said::Rest(Millis(3_000)))]
-#[case::fraction("0.25", Said::Rest(Millis(250)))]
-#[case::none("0", Said::Rest(Millis(0)))]
-#[case::very_long("9999999999999", Said::Rest(Millis(1_000_000_000)))]
-#[case::negative("-1", Said::Unreadable)]
-#[case::exponent("1e999", Said::Unreadable)]
-#[case::text("soon", Said::Unreadable)]
-#[case::list("1, 2", Said::Unreadable)]
-#[case::empty("", Said::Unreadable)]
-fn a_rest_is_read_or_refused(#[case] text: &str, #[case] said: Said) {
-    assert_eq!(Said::parse(text), said);
+#[case::whole("3", RetryAfter::Delay(Millis(3_000)))]
+#[case::fraction("0.25", RetryAfter::Delay(Millis(250)))]
+#[case::none("0", RetryAfter::Delay(Millis(0)))]
+#[case::very_long("9999999999999", RetryAfter::Delay(Millis(1_000_000_000)))]
+#[case::negative("-1", RetryAfter::Invalid)]
+#[case::exponent("1e999", RetryAfter::Invalid)]
+#[case::text("soon", RetryAfter::Invalid)]
+#[case::list("1, 2", RetryAfter::Invalid)]
+#[case::empty("", RetryAfter::Invalid)]
+fn a_rest_is_read_or_refused(#[case] text: &str, #[case] said: RetryAfter) {
+    assert_eq!(RetryAfter::parse(text), said);
 }
 
 #[rstest]
-#[case::the_longer(&["1", "2"], Said::Rest(Millis(2_000)))]
-#[case::the_one_that_can_be_read(&["soon", "2"], Said::Rest(Millis(2_000)))]
-#[case::the_same_the_other_way(&["2", "soon"], Said::Rest(Millis(2_000)))]
-#[case::none_of_them(&["soon", "later"], Said::Unreadable)]
-#[case::no_word(&[], Said::Nothing)]
-fn of_several_words_the_longer_rest_holds(#[case] words: &[&str], #[case] said: Said) {
-    let all = words.iter().map(|w| Said::parse(w));
-    assert_eq!(all.fold(Said::Nothing, Said::or_longer), said);
+#[case::the_longer(&["1", "2"], RetryAfter::Delay(Millis(2_000)))]
+#[case::the_one_that_can_be_read(&["soon", "2"], RetryAfter::Delay(Millis(2_000)))]
+#[case::the_same_the_other_way(&["2", "soon"], RetryAfter::Delay(Millis(2_000)))]
+#[case::none_of_them(&["soon", "later"], RetryAfter::Invalid)]
+#[case::no_word(&[], RetryAfter::Absent)]
+fn of_several_words_the_longer_rest_holds(#[case] words: &[&str], #[case] said: RetryAfter) {
+    let all = words.iter().map(|w| RetryAfter::parse(w));
+    assert_eq!(all.fold(RetryAfter::Absent, RetryAfter::or_later), said);
 }
 
 /// Guards against a way of choosing that passes the rest by.
--- a/crates/router/src/gateway/attempt.rs
+++ b/crates/router/src/gateway/attempt.rs
@@ -237,7 +237,7 @@
             let notices = &self.job.gw.notices;
             if is_own || (said.id.is_none() && said.not_run) {
                 notices.heard(self.job, &self.addressee(), &said);
-                if !said.not_run && !said.another && said.rest == rest::Said::Nothing {
+                if !said.not_run && !said.another && said.rest == rest::RetryAfter::Absent {
                     self.job.gw.let_in(&self.job.service, self.choice);
                 }
                 return Ok((connection, head));
--- a/crates/router/src/gateway/dialect.rs
+++ b/crates/router/src/gateway/dialect.rs
@@ -67,7 +67,7 @@
     /// What it says of the replica's limit.
     pub limit: Said,
     /// What it says of a rest.
-    pub rest: rest::Said,
+    pub rest: rest::RetryAfter,
     /// The replica says that it leaves.
     pub leaving: bool,
 }
--- a/crates/router/src/gateway/native.rs
+++ b/crates/router/src/gateway/native.rs
@@ -75,25 +75,25 @@
 
 /// What an answer says of a rest: only a replica that turns a request away with 503 asks for one. It names
 /// seconds, or a date, which counts from the date of the answer.
-pub fn rest(head: &ResponseHead) -> rest::Said {
+pub fn rest(head: &ResponseHead) -> rest::RetryAfter {
     if head.status != StatusCode::SERVICE_UNAVAILABLE {
-        return rest::Said::Nothing;
+        return rest::RetryAfter::Absent;
     }
     let h = &head.headers;
     let read = |v: &HeaderValue| match v.to_str() {
-        Ok(s) => until_date(h, s).unwrap_or_else(|| rest::Said::parse(s)),
-        Err(_) => rest::Said::Unreadable,
+        Ok(s) => until_date(h, s).unwrap_or_else(|| rest::RetryAfter::parse(s)),
+        Err(_) => rest::RetryAfter::Invalid,
     };
     let all = h.get_all(RETRY_AFTER).map(read);
-    all.fold(rest::Said::Nothing, rest::Said::or_longer)
+    all.fold(rest::RetryAfter::Absent, rest::RetryAfter::or_later)
 }
 
 /// The span between the date of an answer and a later date.
-fn until_date(h: &HeaderMap, text: &str) -> Option<rest::Said> {
+fn until_date(h: &HeaderMap, text: &str) -> Option<rest::RetryAfter> {
     let end = httpdate::parse_http_date(text).ok()?;
     let sent = httpdate::parse_http_date(self::text(h, DATE)?).ok()?;
     let span = end.duration_since(sent).unwrap_or_default();
-    Some(rest::Said::Rest(Millis(span.as_millis() as u64)))
+    Some(rest::RetryAfter::Delay(Millis(span.as_millis() as u64)))
 }
 
 /// Whether the header `name` of an answer says that its replica leaves.
--- a/crates/router/src/gateway/notices.rs
+++ b/crates/router/src/gateway/notices.rs
@@ -99,9 +99,9 @@
             return;
         }
         match said.rest {
-            rest::Said::Nothing => {}
-            rest::Said::Unreadable => self.tell_unreadable(to.replica, &job.inbound.id),
-            rest::Said::Rest(span) => {
+            rest::RetryAfter::Absent => {}
+            rest::RetryAfter::Invalid => self.tell_unreadable(to.replica, &job.inbound.id),
+            rest::RetryAfter::Delay(span) => {
                 let under_way = job.gw.rest(&job.service, to.address, span);
                 counter!(metric::RESTS, "service" => job.service.clone()).increment(1);
                 emit!(
