--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -16,7 +16,7 @@
 mod vms;
 
 pub use limiter::{Entered, Limiter, Ticket, Waiter};
-pub use pool::held_back::{Bound, HeldBack};
+pub use pool::held_back::{BlockReason, Blocked};
 pub use pool::{Choice, Condition, Pool, Work};
 pub use prefix::{Prefixes, Trail};
 pub use replica::Replica;
--- a/crates/core/src/route/pool.rs
+++ b/crates/core/src/route/pool.rs
@@ -58,7 +58,7 @@
     /// Its priority; 0 is the highest.
     pub priority: u8,
     /// Excludes replicas that advertise a rate limit.
-    pub spares_limited: bool,
+    pub avoid_rate_limited: bool,
 }
 
 /// A replica that was chosen for a request.
@@ -357,7 +357,7 @@
     ) -> Vec<SocketAddr> {
         let is_blocked = |r: &Replica| {
             r.is_denied(now, work.priority)
-                || (work.spares_limited && r.rate_limited)
+                || (work.avoid_rate_limited && r.rate_limited)
                 || !self.allows_after_backoff(now, r, work)
         };
         let eligible = |r: &Replica| {
--- a/crates/core/src/route/pool/held_back.rs
+++ b/crates/core/src/route/pool/held_back.rs
@@ -11,21 +11,21 @@
 
 /// Why a replica that could serve a request may not be sent it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bound {
+pub enum BlockReason {
     /// Its advertised rate limit.
-    Limit,
+    RateLimit,
     /// The backoff that it requested, or the slow start after it.
-    Rest,
+    Backoff,
 }
 
 /// Why a request may not be sent to any replica, and for how long: that of the replica that becomes
 /// available first.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HeldBack {
+pub struct Blocked {
     /// Why the replica is not available.
-    pub by: Bound,
+    pub reason: BlockReason,
     /// Time until it is available.
-    pub after: Millis,
+    pub retry_after: Millis,
     /// Its name.
     pub replica: String,
 }
@@ -33,7 +33,7 @@
 impl Pool {
     /// Sets whether a replica advertises a rate limit. If so it is no prompt's home, and all
     /// routers agree on another one.
-    pub fn set_limited(&mut self, now: Time, address: SocketAddr, limited: bool) {
+    pub fn set_rate_limited(&mut self, now: Time, address: SocketAddr, limited: bool) {
         let Some(r) = self.replicas.get_mut(&address).filter(|r| r.rate_limited != limited) else {
             return;
         };
@@ -47,14 +47,14 @@
     }
 
     /// Blocks requests of this priority or lower from a rate-limited replica for `span`.
-    pub fn bar(&mut self, now: Time, address: SocketAddr, span: Millis, priority: u8) {
+    pub fn block(&mut self, now: Time, address: SocketAddr, span: Millis, priority: u8) {
         if let Some(r) = self.replicas.get_mut(&address) {
             r.denied = Some((now.after(span), priority));
         }
     }
 
     /// Returns the names of the replicas that advertise a rate limit.
-    pub fn limited(&self) -> impl Iterator<Item = String> {
+    pub fn rate_limited(&self) -> impl Iterator<Item = String> {
         let all = self.rate_limited.iter().filter_map(|a| self.replicas.get(a));
         all.map(|r| r.upstream.vm.name.clone())
     }
@@ -123,23 +123,25 @@
 
     /// Returns why and for how long rate limits and backoffs keep this request from replicas that
     /// could serve it, for the replica that becomes available first. None if neither applies.
-    pub fn held_back(&mut self, now: Time, work: &Work) -> Option<HeldBack> {
+    pub fn blocked(&mut self, now: Time, work: &Work) -> Option<Blocked> {
         let rate_limited = self.rate_limited.iter().filter_map(|a| self.replicas.get(a));
         let denied =
             rate_limited.filter(|r| self.may_serve(r, work) && r.is_denied(now, work.priority));
-        let denied = denied.filter_map(|r| Some((r.denied?.0.since(now), Bound::Limit, r)));
+        let denied =
+            denied.filter_map(|r| Some((r.denied?.0.since(now), BlockReason::RateLimit, r)));
         let backing_off = self.backing_off.iter().filter_map(|a| self.replicas.get(a));
         let backing_off = backing_off.filter(|r| self.may_serve(r, work));
         let backing_off = backing_off.filter(|r| !self.allows_after_backoff(now, r, work));
         let backing_off = backing_off.map(|r| match r.backoff.is_active(now) {
-            true => (r.backoff.remaining(now), Bound::Rest, r),
-            false => (SLOW_START_RETRY, Bound::Rest, r),
+            true => (r.backoff.remaining(now), BlockReason::Backoff, r),
+            false => (SLOW_START_RETRY, BlockReason::Backoff, r),
         });
-        let (after, by, r) = denied.chain(backing_off).min_by_key(|(after, ..)| *after)?;
+        let (retry_after, reason, r) =
+            denied.chain(backing_off).min_by_key(|(after, ..)| *after)?;
         let replica = r.upstream.vm.name.clone();
-        if by == Bound::Rest {
+        if reason == BlockReason::Backoff {
             self.priority_gate.refuse(now, work.priority);
         }
-        Some(HeldBack { by, after, replica })
+        Some(Blocked { reason, retry_after, replica })
     }
 }
--- a/crates/core/tests/rests.rs
+++ b/crates/core/tests/rests.rs
@@ -9,7 +9,7 @@
 use cypressfork_core::route::pressure::Pressure;
 use cypressfork_core::route::rest::{Backoff, RetryAfter};
 use cypressfork_core::route::turns::{Back, Turns};
-use cypressfork_core::route::{Bound, Choice, Condition, Pool, Trail, Work};
+use cypressfork_core::route::{BlockReason, Choice, Condition, Pool, Trail, Work};
 use cypressfork_core::unit::{Millis, Time};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -206,9 +206,12 @@
     let mut p = pool(2);
     p.back_off(Time(0), address(0), Millis::seconds(5));
     p.back_off(Time(0), address(1), Millis::seconds(2));
-    let h = p.held_back(Time(500), &Work::default()).unwrap();
-    assert_eq!((h.by, h.after, h.replica.as_str()), (Bound::Rest, Millis(1_500), "b-1"));
-    assert!(pool(2).held_back(Time(0), &Work::default()).is_none());
+    let h = p.blocked(Time(500), &Work::default()).unwrap();
+    assert_eq!(
+        (h.reason, h.retry_after, h.replica.as_str()),
+        (BlockReason::Backoff, Millis(1_500), "b-1")
+    );
+    assert!(pool(2).blocked(Time(0), &Work::default()).is_none());
 }
 
 /// Guards against less urgent requests that take the few places after a rest.
@@ -219,7 +222,7 @@
     let mut p = pool(1);
     p.back_off(Time(0), address(0), REST);
     assert!(choose(&mut p, 2_900, &urgent).is_none());
-    p.held_back(Time(2_900), &urgent);
+    p.blocked(Time(2_900), &urgent);
     assert!(choose(&mut p, 3_000, &other).is_none());
     assert!(choose(&mut p, 3_000, &urgent).is_some());
 }
--- a/crates/router/src/gateway/request.rs
+++ b/crates/router/src/gateway/request.rs
@@ -15,7 +15,7 @@
 use cypressfork_core::fleet::patience;
 use cypressfork_core::fleet::routes::{Routes, request_hash};
 use cypressfork_core::route::lateness::Aim;
-use cypressfork_core::route::{Bound, HeldBack, Work};
+use cypressfork_core::route::{BlockReason, Blocked, Work};
 use cypressfork_core::unit::{Millis, Tokens};
 use cypressfork_node::emit;
 use cypressfork_node::event::Event;
@@ -281,7 +281,7 @@
     /// Those of them by replicas that asked for rest.
     rested: usize,
     /// What keeps it away from the replicas that are left.
-    held_back: Option<HeldBack>,
+    held_back: Option<Blocked>,
 }
 
 impl<'a> Run<'a> {
@@ -367,7 +367,7 @@
             gw.bar(&job.service, &chosen, denied.after, job.priority);
             work.way = way;
             denials += 1;
-            work.spares_limited = denied.unanswered || denials >= DENIALS;
+            work.avoid_rate_limited = denied.unanswered || denials >= DENIALS;
         }
     }
 
@@ -469,7 +469,7 @@
             return self.broken(client, why.to_owned());
         }
         if let Some(held_back) = &self.held_back
-            && (held_back.by == Bound::Rest || self.rejected == 0)
+            && (held_back.reason == BlockReason::Backoff || self.rejected == 0)
         {
             return Outcome::Refused(self.refuse_held_back(held_back));
         }
@@ -482,16 +482,17 @@
     }
 
     /// Replicas could run it, and take no more for now.
-    fn refuse_held_back(&self, h: &HeldBack) -> Refusal {
+    fn refuse_held_back(&self, h: &Blocked) -> Refusal {
         let (gw, service) = (&self.job.gw, &self.job.service);
-        let (code, after, why) = match h.by {
-            Bound::Limit => {
+        let (code, after, why) = match h.reason {
+            BlockReason::RateLimit => {
                 let why = gw.limits.describe(gw.now(), &h.replica);
-                (Code::LimitReached, gw.limits.come_back(gw, service, h.after), why)
+                (Code::LimitReached, gw.limits.come_back(gw, service, h.retry_after), why)
             }
-            Bound::Rest => {
-                let why = format!("replica {} takes requests again in {} ms", h.replica, h.after.0);
-                (Code::UpstreamsResting, gw.come_back(service, h.after), why)
+            BlockReason::Backoff => {
+                let why =
+                    format!("replica {} takes requests again in {} ms", h.replica, h.retry_after.0);
+                (Code::UpstreamsResting, gw.come_back(service, h.retry_after), why)
             }
         };
         Refusal::from(code).after(after).detail(why)
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -20,7 +20,7 @@
 use cypressfork_core::fleet::sources::ReplicaSources;
 use cypressfork_core::fleet::watch::FeedCursor;
 use cypressfork_core::route::turns::{Back, Turns};
-use cypressfork_core::route::{Choice, HeldBack, Pool, Work};
+use cypressfork_core::route::{Blocked, Choice, Pool, Work};
 use cypressfork_core::unit::{Millis, Time};
 use cypressfork_http::client::Connection;
 use cypressfork_node::emit;
@@ -379,7 +379,7 @@
             Some((upstream, condition)) => {
                 pool.put(now, upstream, condition);
                 let limited = self.limits.names_one(&upstream.vm.name);
-                pool.set_limited(now, c.address, limited);
+                pool.set_rate_limited(now, c.address, limited);
             }
             None => {
                 pool.remove(now, c.address);
@@ -459,13 +459,13 @@
     /// Keeps requests that are no more urgent than this from a replica for `span`: its limit is reached.
     pub fn bar(&self, service: &str, c: &Chosen, span: Millis, priority: u8) {
         if let Some(pool) = self.pools.borrow_mut().get_mut(service) {
-            pool.bar(self.now(), c.choice.address, span, priority);
+            pool.block(self.now(), c.choice.address, span, priority);
         }
     }
 
     /// What keeps this work away from the replicas of a service that could do it.
-    pub fn held_back(&self, service: &str, work: &Work) -> Option<HeldBack> {
-        self.pools.borrow_mut().get_mut(service)?.held_back(self.now(), work)
+    pub fn held_back(&self, service: &str, work: &Work) -> Option<Blocked> {
+        self.pools.borrow_mut().get_mut(service)?.blocked(self.now(), work)
     }
 
     /// When a caller is to come back that replicas of `service` want no request of before `first`. Callers
@@ -486,7 +486,7 @@
         let mut pools = self.pools.borrow_mut();
         let Some(pool) = pools.get_mut(&service) else { return };
         if pool.get(address).is_some_and(|r| r.upstream.vm.name == replica) {
-            pool.set_limited(self.now(), address, limited);
+            pool.set_rate_limited(self.now(), address, limited);
         }
     }
 
@@ -540,7 +540,7 @@
     /// The replicas of a service that name a limit.
     pub fn limited_of(&self, service: &str) -> Vec<String> {
         let pools = self.pools.borrow();
-        pools.get(service).map(|p| p.limited().collect()).unwrap_or_default()
+        pools.get(service).map(|p| p.rate_limited().collect()).unwrap_or_default()
     }
 
     /// Whether a replica is there, in this life of it or one that is not told apart.
