--- a/crates/core/src/fleet/limit/permits.rs
+++ b/crates/core/src/fleet/limit/permits.rs
@@ -12,7 +12,7 @@
 
 use super::Rate;
 use super::homes::Rank;
-use crate::route::pressure::Pressure;
+use crate::route::pressure::PriorityGate;
 use crate::unit::{Millis, Time};
 
 /// How long a permit is valid, counted from the request for it.
@@ -76,7 +76,7 @@
     at: Time,
     /// Retry time of the last router that got no permit.
     last_retry: Time,
-    pressure: Pressure,
+    pressure: PriorityGate,
 }
 
 /// The permits that one router issues, by replica.
@@ -94,7 +94,8 @@
             Rank::First => full,
             Rank::Second => full.div_ceil(REDUCED_DIVISOR),
         };
-        let empty = || Bucket { level: 0, at: now, last_retry: now, pressure: Pressure::default() };
+        let empty =
+            || Bucket { level: 0, at: now, last_retry: now, pressure: PriorityGate::default() };
         let b = self.buckets.entry(ask.replica.clone()).or_insert_with(empty);
         b.fill(now, rate);
         let permits = b.take(now, ask);
@@ -125,21 +126,21 @@
     }
 
     fn take(&mut self, now: Time, ask: &Ask) -> u32 {
-        if !self.pressure.allows(now, ask.priority) {
+        if !self.pressure.admits(now, ask.priority) {
             return 0;
         }
         let available = (self.level / MILLIONTHS).min(u64::from(MAX_BATCH)) as u32;
         let permits = available.min(ask.wanted.max(1));
         self.level -= u64::from(permits) * MILLIONTHS;
         if permits > 0 {
-            self.pressure.took();
+            self.pressure.record_admitted();
         }
         permits
     }
 
     /// Records a refusal and returns when to retry. Retries are spaced at the rate of the bucket.
     fn refuse(&mut self, now: Time, priority: u8, rate: u64) -> Millis {
-        self.pressure.refuse(now, priority);
+        self.pressure.record_refused(now, priority);
         let interval = Millis(MILLIONTHS.div_ceil(rate.max(1)));
         let latest = now.after(RETRY_RANGE.1);
         self.last_retry = self.last_retry.max(now).after(interval).min(latest);
--- a/crates/core/src/route/pool.rs
+++ b/crates/core/src/route/pool.rs
@@ -12,7 +12,7 @@
 use super::cost::{Forecast, cost};
 use super::lateness::Aim;
 use super::prefix::{Prefixes, Trail};
-use super::pressure::Pressure;
+use super::pressure::PriorityGate;
 use super::replica::Replica;
 use super::ring::Ring;
 use crate::config::Upstream;
@@ -112,7 +112,7 @@
     /// Replicas that requested a backoff, until the slow start after it ends.
     backing_off: BTreeSet<SocketAddr>,
     /// Admits requests by priority to replicas in slow start.
-    priority_gate: Pressure,
+    priority_gate: PriorityGate,
     /// Recent requests that replicas accepted.
     accepted: Demand,
     /// Capacity of a cold replica in requests a minute; none: unlimited.
@@ -324,7 +324,7 @@
             self.outstanding += 1;
             if r.backoff.limits_requests() {
                 r.backoff.record_sent();
-                self.priority_gate.took();
+                self.priority_gate.record_admitted();
             }
         }
         self.prefixes.sent(now, c.address, &work.trail);
--- a/crates/core/src/route/pool/held_back.rs
+++ b/crates/core/src/route/pool/held_back.rs
@@ -118,7 +118,7 @@
     /// Returns whether backoff and slow start allow sending this request to a replica.
     pub(super) fn allows_after_backoff(&self, now: Time, r: &Replica, work: &Work) -> bool {
         !r.backoff.limits_requests()
-            || (r.backoff.allows_request(now) && self.priority_gate.allows(now, work.priority))
+            || (r.backoff.allows_request(now) && self.priority_gate.admits(now, work.priority))
     }
 
     /// Returns why and for how long rate limits and backoffs keep this request from replicas that
@@ -140,7 +140,7 @@
             denied.chain(backing_off).min_by_key(|(after, ..)| *after)?;
         let replica = r.upstream.vm.name.clone();
         if reason == BlockReason::Backoff {
-            self.priority_gate.refuse(now, work.priority);
+            self.priority_gate.record_refused(now, work.priority);
         }
         Some(Blocked { reason, retry_after, replica })
     }
--- a/crates/core/src/route/pressure.rs
+++ b/crates/core/src/route/pressure.rs
@@ -12,14 +12,14 @@
 
 /// Tracks the latest refusal at each priority and admits lower priorities accordingly.
 #[derive(Clone, Debug, Default)]
-pub struct Pressure {
+pub struct PriorityGate {
     last_refused: BTreeMap<u8, Time>,
     admitted: u64,
 }
 
-impl Pressure {
+impl PriorityGate {
     /// Returns whether a request of this priority is admitted; 0 is the highest priority.
-    pub fn allows(&self, now: Time, priority: u8) -> bool {
+    pub fn admits(&self, now: Time, priority: u8) -> bool {
         let unconditional = self.admitted % UNCONDITIONAL_EVERY == UNCONDITIONAL_EVERY - 1;
         let is_blocked =
             || self.last_refused.range(..priority).any(|(_, at)| now.since(*at) < REFUSAL_WINDOW);
@@ -27,12 +27,12 @@
     }
 
     /// Records an admitted request.
-    pub fn took(&mut self) {
+    pub fn record_admitted(&mut self) {
         self.admitted += 1;
     }
 
     /// Records a request that was refused for lack of capacity.
-    pub fn refuse(&mut self, now: Time, priority: u8) {
+    pub fn record_refused(&mut self, now: Time, priority: u8) {
         self.last_refused.insert(priority, now);
     }
 }
--- a/crates/core/tests/rests.rs
+++ b/crates/core/tests/rests.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 use cypressfork_core::config::{Upstream, Vm};
-use cypressfork_core::route::pressure::Pressure;
+use cypressfork_core::route::pressure::PriorityGate;
 use cypressfork_core::route::rest::{Backoff, RetryAfter};
 use cypressfork_core::route::turns::{Back, Turns};
 use cypressfork_core::route::{BlockReason, Choice, Condition, Pool, Trail, Work};
@@ -229,15 +229,15 @@
 
 #[test]
 fn one_place_in_four_goes_to_whoever_asks() {
-    let mut p = Pressure::default();
-    p.refuse(Time(0), 0);
+    let mut p = PriorityGate::default();
+    p.record_refused(Time(0), 0);
     let mut allowed = 0;
     for _ in 0..8 {
-        allowed += u32::from(p.allows(Time(10), 5));
-        p.took();
+        allowed += u32::from(p.admits(Time(10), 5));
+        p.record_admitted();
     }
     assert_eq!(allowed, 2);
-    assert!(p.allows(Time(500), 5), "it was long ago");
+    assert!(p.admits(Time(500), 5), "it was long ago");
 }
 
 #[rstest]
