--- a/crates/core/src/route/turns.rs
+++ b/crates/core/src/route/turns.rs
@@ -7,37 +7,37 @@
 /// Schedules the retries of one service's refused callers at one router, spaced so that each finds free
 /// capacity.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Turns {
+pub struct RetrySchedule {
     last: Time,
 }
 
 /// The spacing of retries.
 #[derive(Clone, Copy, Debug)]
-pub struct Back {
+pub struct RetrySpacing {
     /// Time until capacity is free again.
-    pub first: Millis,
+    pub earliest: Millis,
     /// Time between two callers.
-    pub each: Millis,
+    pub interval: Millis,
     /// The longest time returned to a caller. By then other callers have given up and freed capacity.
-    pub most: Millis,
+    pub max: Millis,
 }
 
-impl Turns {
+impl RetrySchedule {
     /// Returns the time after which the next caller is to retry. Once the schedule exceeds the
     /// longest time, returns a random time instead, to spread the remaining callers.
-    pub fn next(&mut self, now: Time, b: &Back, rng: &mut impl Rng) -> Millis {
-        self.last = self.last.max(now.after(b.first)).after(b.each);
+    pub fn next_delay(&mut self, now: Time, spacing: &RetrySpacing, rng: &mut impl Rng) -> Millis {
+        self.last = self.last.max(now.after(spacing.earliest)).after(spacing.interval);
         let delay = self.last.since(now);
-        if delay <= b.most {
+        if delay <= spacing.max {
             return delay;
         }
-        self.last = now.after(b.most);
-        let min_delay = b.first.min(b.most).max(Millis(b.most.0 / 2));
-        Millis(rng.random_range(min_delay.0..=b.most.0))
+        self.last = now.after(spacing.max);
+        let min_delay = spacing.earliest.min(spacing.max).max(Millis(spacing.max.0 / 2));
+        Millis(rng.random_range(min_delay.0..=spacing.max.0))
     }
 
     /// Returns whether the last scheduled retry is in the past.
-    pub fn is_over(&self, now: Time) -> bool {
+    pub fn is_idle(&self, now: Time) -> bool {
         self.last <= now
     }
 }
--- a/crates/core/tests/rests.rs
+++ b/crates/core/tests/rests.rs
@@ -8,7 +8,7 @@
 use cypressfork_core::config::{Upstream, Vm};
 use cypressfork_core::route::pressure::PriorityGate;
 use cypressfork_core::route::rest::{Backoff, RetryAfter};
-use cypressfork_core::route::turns::{Back, Turns};
+use cypressfork_core::route::turns::{RetrySchedule, RetrySpacing};
 use cypressfork_core::route::{BlockReason, Choice, Condition, Pool, Trail, Work};
 use cypressfork_core::unit::{Millis, Time};
 use rand::SeedableRng;
@@ -260,12 +260,12 @@
 /// Guards against callers that all come back at the end of the same rest.
 #[test]
 fn callers_come_back_one_after_the_other() {
-    let mut turns = Turns::default();
-    let back = Back { first: Millis(1_000), each: Millis(100), most: Millis(1_500) };
-    let mut told: Vec<_> = (0..20).map(|_| turns.next(Time(0), &back, &mut rng())).collect();
+    let mut turns = RetrySchedule::default();
+    let back = RetrySpacing { earliest: Millis(1_000), interval: Millis(100), max: Millis(1_500) };
+    let mut told: Vec<_> = (0..20).map(|_| turns.next_delay(Time(0), &back, &mut rng())).collect();
     assert_eq!(told[..5], [1_100, 1_200, 1_300, 1_400, 1_500].map(Millis));
     assert!(told.iter().all(|t| (Millis(1_000)..=Millis(1_500)).contains(t)), "{told:?}");
     told.dedup();
     assert!(told.len() > 5);
-    assert!(!turns.is_over(Time(1_499)) && turns.is_over(Time(1_500)));
+    assert!(!turns.is_idle(Time(1_499)) && turns.is_idle(Time(1_500)));
 }
--- a/crates/router/src/gateway/limits.rs
+++ b/crates/router/src/gateway/limits.rs
@@ -11,7 +11,7 @@
 use cypressfork_core::fleet::limit::permits::{Ask, GOOD_FOR, Grant, Permits};
 use cypressfork_core::fleet::limit::{Named, Rate, Said};
 use cypressfork_core::fleet::neighbours::{Area, NOT_WANTED, digest};
-use cypressfork_core::route::turns::{Back, Turns};
+use cypressfork_core::route::turns::{RetrySchedule, RetrySpacing};
 use cypressfork_core::unit::{Millis, Time};
 use cypressfork_node::event::Event;
 use cypressfork_node::{emit, metric};
@@ -96,7 +96,7 @@
     /// When gateways last did not answer an ask.
     out: RefCell<BTreeMap<SocketAddr, Time>>,
     /// When the next caller of each service is told to come back.
-    turns: RefCell<HashMap<String, Turns>>,
+    turns: RefCell<HashMap<String, RetrySchedule>>,
     /// Gateways that are to be looked at.
     pub looks: Looks,
     /// Replicas whose word could not be read, and has been logged.
@@ -202,7 +202,7 @@
         self.count();
         self.permits.borrow_mut().trim(now, PERMITS_KEPT);
         self.stock.borrow_mut().retain(|_, s| now.since(s.until) < PERMITS_KEPT);
-        self.turns.borrow_mut().retain(|_, turns| !turns.is_over(now));
+        self.turns.borrow_mut().retain(|_, turns| !turns.is_idle(now));
         self.out.borrow_mut().retain(|_, at| now.since(*at) < OUT_SPAN);
     }
 
@@ -379,7 +379,11 @@
         let each = Millis(1_000_000 * routers / allowed.max(1));
         let mut turns = self.turns.borrow_mut();
         let turns = turns.entry(service.to_owned()).or_default();
-        turns.next(now, &Back { first, each, most: BACK_MOST }, &mut rand::rng())
+        turns.next_delay(
+            now,
+            &RetrySpacing { earliest: first, interval: each, max: BACK_MOST },
+            &mut rand::rng(),
+        )
     }
 
     fn rate(&self, replica: &str) -> Rate {
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -19,7 +19,7 @@
 use cypressfork_core::fleet::share::Placement;
 use cypressfork_core::fleet::sources::ReplicaSources;
 use cypressfork_core::fleet::watch::FeedCursor;
-use cypressfork_core::route::turns::{Back, Turns};
+use cypressfork_core::route::turns::{RetrySchedule, RetrySpacing};
 use cypressfork_core::route::{Blocked, Choice, Pool, Work};
 use cypressfork_core::unit::{Millis, Time};
 use cypressfork_http::client::Connection;
@@ -124,7 +124,7 @@
     started: Time,
     retries: RefCell<HashMap<String, RetryWindow>>,
     /// When the next caller of each service is told to come back that was refused for rests.
-    turns: RefCell<HashMap<String, Turns>>,
+    turns: RefCell<HashMap<String, RetrySchedule>>,
     token_store: RefCell<Option<Rc<TokenStore>>>,
     /// Notified when a document or a registration has come.
     learned: Notify,
@@ -477,7 +477,11 @@
         let most = Millis(first.0 + SPREAD_MOST.0);
         let mut turns = self.turns.borrow_mut();
         let turns = turns.entry(service.to_owned()).or_default();
-        turns.next(self.now(), &Back { first, each, most }, &mut *self.rng.borrow_mut())
+        turns.next_delay(
+            self.now(),
+            &RetrySpacing { earliest: first, interval: each, max: most },
+            &mut *self.rng.borrow_mut(),
+        )
     }
 
     /// Notes whether a replica names a limit.
