--- a/crates/core/src/route/cost.rs
+++ b/crates/core/src/route/cost.rs
@@ -2,7 +2,7 @@
 //!
 //! The unit is a thousandth of a late answer. Differences in latency below that break ties.
 
-use super::lateness::Aim;
+use super::lateness::LatencyObjective;
 
 /// Cost of one late answer.
 const LATE: u64 = 1_000;
@@ -44,12 +44,12 @@
 }
 
 /// Returns the cost of sending a request with this latency objective to a replica.
-pub fn cost(f: &Forecast, objective: &Aim) -> u64 {
-    let objective_us = (objective.first.as_micros() as u64).max(1);
+pub fn cost(f: &Forecast, objective: &LatencyObjective) -> u64 {
+    let objective_us = (objective.first_event.as_micros() as u64).max(1);
     let late = lateness_risk(f.first_event_us, objective_us)
         + f.first_event_us.saturating_sub(objective_us) * EXTRA_LATE / objective_us;
     let paused = objective
-        .pause
+        .max_pause
         .map_or(0, |limit| lateness_risk(f.busy_us, limit.as_micros() as u64) * f.running);
     late + paused
         + f.recomputed_tokens * LATE / RECOMPUTED_TOKENS_PER_LATE
--- a/crates/core/src/route/lateness.rs
+++ b/crates/core/src/route/lateness.rs
@@ -5,66 +5,69 @@
 
 /// The time that one answered stream spent in each phase.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Spans {
+pub struct LatencyBreakdown {
     /// From its arrival until its tokens were reserved.
-    pub tokens: Duration,
+    pub reservation: Duration,
     /// From the reservation until the request was sent to the replica that sent the first event.
     pub gateway: Duration,
     /// From sending until the first event.
-    pub first: Duration,
+    pub first_event: Duration,
     /// The longest pause between two events from replicas.
     pub pause: Duration,
     /// The longest time that an event took from its replica's connection to the caller's.
-    pub passing: Duration,
+    pub forwarding: Duration,
 }
 
 /// The latency objective of a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Aim {
+pub struct LatencyObjective {
     /// The longest time until the first event.
-    pub first: Duration,
+    pub first_event: Duration,
     /// The longest pause between events; none: unlimited.
-    pub pause: Option<Duration>,
+    pub max_pause: Option<Duration>,
 }
 
 /// The main cause of a late stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cause {
+pub enum LateCause {
     /// It waited for the reservation of its tokens.
-    Tokens,
+    Reservation,
     /// It waited at the gateway, or earlier attempts failed.
     Gateway,
     /// The replica took too long to send the first event.
-    First,
+    FirstEvent,
     /// The replica paused between events.
     Pause,
     /// The gateway delayed an event.
-    Passing,
+    Forwarding,
 }
 
-impl Cause {
+impl LateCause {
     /// Returns its name in metrics and log lines.
     pub fn as_str(self) -> &'static str {
         match self {
-            Cause::Tokens => "tokens",
-            Cause::Gateway => "gateway",
-            Cause::First => "first_event",
-            Cause::Pause => "pause",
-            Cause::Passing => "passing",
+            LateCause::Reservation => "tokens",
+            LateCause::Gateway => "gateway",
+            LateCause::FirstEvent => "first_event",
+            LateCause::Pause => "pause",
+            LateCause::Forwarding => "passing",
         }
     }
 }
 
 /// Returns the main cause of a late stream; none if the stream met its objective.
-pub fn cause(s: &Spans, objective: &Aim) -> Option<Cause> {
-    if s.tokens + s.gateway + s.first > objective.first {
-        let spans =
-            [(s.tokens, Cause::Tokens), (s.gateway, Cause::Gateway), (s.first, Cause::First)];
+pub fn late_cause(s: &LatencyBreakdown, objective: &LatencyObjective) -> Option<LateCause> {
+    if s.reservation + s.gateway + s.first_event > objective.first_event {
+        let spans = [
+            (s.reservation, LateCause::Reservation),
+            (s.gateway, LateCause::Gateway),
+            (s.first_event, LateCause::FirstEvent),
+        ];
         return spans.into_iter().max_by_key(|(span, _)| *span).map(|(_, cause)| cause);
     }
-    let max_pause = objective.pause?;
+    let max_pause = objective.max_pause?;
     if s.pause > max_pause {
-        return Some(Cause::Pause);
+        return Some(LateCause::Pause);
     }
-    (s.pause + s.passing > max_pause).then_some(Cause::Passing)
+    (s.pause + s.forwarding > max_pause).then_some(LateCause::Forwarding)
 }
--- a/crates/core/src/route/pool.rs
+++ b/crates/core/src/route/pool.rs
@@ -10,7 +10,7 @@
 
 use super::cold::{self, ColdParams, Demand};
 use super::cost::{Forecast, cost};
-use super::lateness::Aim;
+use super::lateness::LatencyObjective;
 use super::prefix::{Prefixes, Trail};
 use super::pressure::PriorityGate;
 use super::replica::Replica;
@@ -50,7 +50,7 @@
     /// The prefixes of its prompt.
     pub trail: Trail,
     /// Its latency objective; none: minimise the time until the first event.
-    pub aim: Option<Aim>,
+    pub objective: Option<LatencyObjective>,
     /// Which version it may be sent to during a rollout.
     pub way: Way,
     /// Regions that may serve it; empty: any.
@@ -335,7 +335,7 @@
         let is_near = |c: &Choice| self.replicas.get(&c.address).is_some_and(|r| !r.other_region);
         let near = scored.iter().filter(|(c, _)| is_near(c)).min_by_key(|(_, cost)| *cost);
         let in_time = |c: &Choice| {
-            let limit_us = work.aim.map(|a| a.first.as_micros() as u64);
+            let limit_us = work.objective.map(|o| o.first_event.as_micros() as u64);
             limit_us.is_none_or(|limit_us| c.expected_us <= limit_us)
         };
         if let Some((c, _)) = near.filter(|(c, _)| in_time(c)) {
@@ -454,7 +454,7 @@
         };
         let first_event_us = r.expected_first_event_us(now, data_centre, uncached);
         let choice = Choice { address, fresh: uncached, expected_us: first_event_us, ticket: 0 };
-        let Some(objective) = &work.aim else { return (choice, first_event_us) };
+        let Some(objective) = &work.objective else { return (choice, first_event_us) };
         let shared = work.trail.shared().map_or(0, |(_, size)| size);
         let forecast = Forecast {
             first_event_us,
--- a/crates/core/tests/lateness.rs
+++ b/crates/core/tests/lateness.rs
@@ -2,28 +2,39 @@
 
 use std::time::Duration;
 
-use cypressfork_core::route::lateness::{Aim, Cause, Spans, cause};
+use cypressfork_core::route::lateness::{
+    LateCause, LatencyBreakdown, LatencyObjective, late_cause,
+};
 use rstest::rstest;
 
 /// Milliseconds for tokens, at the gateway, until the first event, in the longest pause and in
 /// passing an event on, where the first event should come within 500 and the next within 400.
 #[rstest]
 #[case::in_time([0, 0, 500, 400, 0], None)]
-#[case::waited_for_tokens([400, 50, 100, 0, 0], Some(Cause::Tokens))]
-#[case::waited_at_the_gateway([50, 400, 100, 0, 0], Some(Cause::Gateway))]
-#[case::the_replica_was_slow([100, 0, 401, 0, 0], Some(Cause::First))]
-#[case::it_paused([0, 0, 100, 401, 0], Some(Cause::Pause))]
-#[case::passed_on_late([0, 0, 100, 300, 101], Some(Cause::Passing))]
-#[case::a_late_start_counts_before_a_pause([0, 0, 501, 600, 0], Some(Cause::First))]
-fn a_late_stream_has_a_cause(#[case] ms: [u64; 5], #[case] expected: Option<Cause>) {
-    let [tokens, gateway, first, pause, passing] = ms.map(Duration::from_millis);
-    let spans = Spans { tokens, gateway, first, pause, passing };
-    let aim = Aim { first: Duration::from_millis(500), pause: Some(Duration::from_millis(400)) };
-    assert_eq!(cause(&spans, &aim), expected);
+#[case::waited_for_tokens([400, 50, 100, 0, 0], Some(LateCause::Reservation))]
+#[case::waited_at_the_gateway([50, 400, 100, 0, 0], Some(LateCause::Gateway))]
+#[case::the_replica_was_slow([100, 0, 401, 0, 0], Some(LateCause::FirstEvent))]
+#[case::it_paused([0, 0, 100, 401, 0], Some(LateCause::Pause))]
+#[case::passed_on_late([0, 0, 100, 300, 101], Some(LateCause::Forwarding))]
+#[case::a_late_start_counts_before_a_pause([0, 0, 501, 600, 0], Some(LateCause::FirstEvent))]
+fn a_late_stream_has_a_cause(#[case] ms: [u64; 5], #[case] expected: Option<LateCause>) {
+    let [reservation, gateway, first_event, pause, forwarding] = ms.map(Duration::from_millis);
+    let spans = LatencyBreakdown { reservation, gateway, first_event, pause, forwarding };
+    let objective = LatencyObjective {
+        first_event: Duration::from_millis(500),
+        max_pause: Some(Duration::from_millis(400)),
+    };
+    assert_eq!(late_cause(&spans, &objective), expected);
 }
 
 #[test]
 fn any_pause_is_in_time_where_the_route_names_none() {
-    let spans = Spans { pause: Duration::from_secs(9), ..Spans::default() };
-    assert_eq!(cause(&spans, &Aim { first: Duration::from_secs(1), pause: None }), None);
+    let spans = LatencyBreakdown { pause: Duration::from_secs(9), ..LatencyBreakdown::default() };
+    assert_eq!(
+        late_cause(
+            &spans,
+            &LatencyObjective { first_event: Duration::from_secs(1), max_pause: None }
+        ),
+        None
+    );
 }
--- a/crates/core/tests/regions.rs
+++ b/crates/core/tests/regions.rs
@@ -8,7 +8,7 @@
 use cypressfork_core::fleet::entry::Routers;
 use cypressfork_core::fleet::regions::Regions;
 use cypressfork_core::fleet::watch::RouterStatus;
-use cypressfork_core::route::lateness::Aim;
+use cypressfork_core::route::lateness::LatencyObjective;
 use cypressfork_core::route::{Condition, Pool, Trail, Work};
 use cypressfork_core::unit::Time;
 use proptest::prelude::*;
@@ -78,8 +78,13 @@
 }
 
 fn prompt(n: u64) -> Work {
-    let aim = Some(Aim { first: Duration::from_millis(800), pause: None });
-    Work { trail: Trail::of_parts([(n % 50, 2_000), (1_000 + n, 500)]), aim, ..Work::default() }
+    let objective =
+        Some(LatencyObjective { first_event: Duration::from_millis(800), max_pause: None });
+    Work {
+        trail: Trail::of_parts([(n % 50, 2_000), (1_000 + n, 500)]),
+        objective,
+        ..Work::default()
+    }
 }
 
 /// Requests that come evenly and stay within what the region bears all stay there, also where
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use cypressfork_core::config::{Priority, Upstream, Vm};
-use cypressfork_core::route::lateness::Aim;
+use cypressfork_core::route::lateness::LatencyObjective;
 use cypressfork_core::route::{
     Choice, Entered, Limiter, Listed, Pool, Retries, Trail, Vms, Waiter, Work,
 };
@@ -375,8 +375,15 @@
 
 /// A prompt of two parts, of which others may share the first, with the aims of a streaming route.
 fn prompt(shared: u64, own: u64, id: u64) -> Work {
-    let aim = Aim { first: Duration::from_millis(800), pause: Some(Duration::from_millis(500)) };
-    Work { trail: Trail::of_parts([(1, shared), (id, own)]), aim: Some(aim), ..Work::default() }
+    let objective = LatencyObjective {
+        first_event: Duration::from_millis(800),
+        max_pause: Some(Duration::from_millis(500)),
+    };
+    Work {
+        trail: Trail::of_parts([(1, shared), (id, own)]),
+        objective: Some(objective),
+        ..Work::default()
+    }
 }
 
 /// Another router has sent a replica a prompt: it is spared while it reads that, and not after.
--- a/crates/router/src/gateway/job.rs
+++ b/crates/router/src/gateway/job.rs
@@ -10,7 +10,7 @@
 use cypressfork_core::fleet::document::Kind;
 use cypressfork_core::fleet::fingerprint::Identity;
 use cypressfork_core::route::Work;
-use cypressfork_core::route::lateness::Aim;
+use cypressfork_core::route::lateness::LatencyObjective;
 use cypressfork_core::unit::Tokens;
 use tokio::time::Instant;
 
@@ -52,7 +52,7 @@
     /// Tokens of one event, at most.
     pub stride: Tokens,
     /// When it is in time.
-    pub aim: Aim,
+    pub aim: LatencyObjective,
     /// When it is given up.
     pub deadline: Instant,
 }
@@ -72,8 +72,8 @@
     pub fn work(&self) -> Work {
         let prompt = self.inbound.prompt.as_ref();
         let (trail, regions) = (self.prompt().trail, self.regions.clone());
-        let aim = prompt.map(|_| self.aim);
-        Work { trail, aim, regions, priority: self.priority, ..Work::default() }
+        let objective = prompt.map(|_| self.aim);
+        Work { trail, objective, regions, priority: self.priority, ..Work::default() }
     }
 
     /// What is left of its time.
--- a/crates/router/src/gateway/request.rs
+++ b/crates/router/src/gateway/request.rs
@@ -14,7 +14,7 @@
 use cypressfork_core::fleet::fingerprint::Fingerprint;
 use cypressfork_core::fleet::patience;
 use cypressfork_core::fleet::routes::{Routes, request_hash};
-use cypressfork_core::route::lateness::Aim;
+use cypressfork_core::route::lateness::LatencyObjective;
 use cypressfork_core::route::{BlockReason, Blocked, Work};
 use cypressfork_core::unit::{Millis, Tokens};
 use cypressfork_node::emit;
@@ -240,7 +240,10 @@
         regions: allowed_regions(route, account)?,
         account: account.map(|a| a.name.clone()),
         stride: backend.engine.map_or(1, |e| e.stride.max(1)),
-        aim: Aim { first: millis(route.objective), pause: route.gap.map(millis) },
+        aim: LatencyObjective {
+            first_event: millis(route.objective),
+            max_pause: route.gap.map(millis),
+        },
         deadline: Instant::now() + millis(limit),
         inbound,
     };
--- a/crates/router/src/gateway/timing.rs
+++ b/crates/router/src/gateway/timing.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use cypressfork_core::budget::Pace;
-use cypressfork_core::route::lateness::{Aim, Spans, cause};
+use cypressfork_core::route::lateness::{LatencyBreakdown, LatencyObjective, late_cause};
 use cypressfork_node::emit;
 use cypressfork_node::event::Event;
 use cypressfork_node::metric;
@@ -20,14 +20,15 @@
     first: Option<Instant>,
     event: Option<Instant>,
     pace: Pace,
-    spans: Spans,
+    spans: LatencyBreakdown,
 }
 
 impl Timing {
     /// Times of a request that arrived at `arrived` and has its tokens now.
     pub fn new(arrived: Instant) -> Timing {
         let funded = Instant::now();
-        let spans = Spans { tokens: funded - arrived, ..Spans::default() };
+        let spans =
+            LatencyBreakdown { reservation: funded - arrived, ..LatencyBreakdown::default() };
         Timing { arrived, funded, first: None, event: None, pace: Pace::default(), spans }
     }
 
@@ -52,7 +53,7 @@
             Some(before) => self.spans.pause = self.spans.pause.max(now - before),
             None => {
                 self.spans.gateway = sent.saturating_duration_since(self.funded);
-                self.spans.first = now.saturating_duration_since(sent);
+                self.spans.first_event = now.saturating_duration_since(sent);
             }
         }
     }
@@ -61,13 +62,13 @@
     pub fn passed(&mut self, took: Duration) {
         self.pace.held_up(took);
         if let Some(came) = self.event {
-            self.spans.passing = self.spans.passing.max(came.elapsed());
+            self.spans.forwarding = self.spans.forwarding.max(came.elapsed());
         }
     }
 
     /// Tells of a stream that was answered late, and why.
-    pub fn report(&self, id: &str, replica: &str, aim: &Aim) {
-        let Some(cause) = cause(&self.spans, aim) else { return };
+    pub fn report(&self, id: &str, replica: &str, aim: &LatencyObjective) {
+        let Some(cause) = late_cause(&self.spans, aim) else { return };
         counter!(metric::LATE, "cause" => cause.as_str()).increment(1);
         let ms = |span: Duration| span.as_millis();
         emit!(
@@ -75,11 +76,11 @@
             id = id,
             replica = replica,
             cause = cause.as_str(),
-            tokens_ms = ms(self.spans.tokens),
+            tokens_ms = ms(self.spans.reservation),
             gateway_ms = ms(self.spans.gateway),
-            first_ms = ms(self.spans.first),
+            first_ms = ms(self.spans.first_event),
             pause_ms = ms(self.spans.pause),
-            passing_ms = ms(self.spans.passing),
+            passing_ms = ms(self.spans.forwarding),
             whole_ms = ms(self.arrived.elapsed()),
         );
     }
