--- a/crates/core/examples/routing.rs
+++ b/crates/core/examples/routing.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 
 use cypressfork_core::config::{Upstream, Vm};
-use cypressfork_core::route::{Choice, Pool, Trail, Work};
+use cypressfork_core::route::{Choice, Pool, PromptPrefixes, Work};
 use cypressfork_core::unit::Time;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -71,7 +71,7 @@
     conversation: u64,
     turn: u64,
     tokens: u64,
-    trail: Trail,
+    prefixes: PromptPrefixes,
 }
 
 fn requests(mix: &Mix, load: f64) -> Vec<Request> {
@@ -90,15 +90,15 @@
         if open[pick].1 == mix.turns {
             open.swap_remove(pick);
         }
-        let trail = trail(mix, conversation, turn);
+        let prefixes = prefixes(mix, conversation, turn);
         let tokens = rng.random_range(mix.tokens / 2..mix.tokens * 3 / 2);
         let router = (conversation as usize) % ROUTERS;
-        out.push(Request { at: at as u64, router, conversation, turn, tokens, trail });
+        out.push(Request { at: at as u64, router, conversation, turn, tokens, prefixes });
     }
     out
 }
 
-fn trail(mix: &Mix, conversation: u64, turn: u64) -> Trail {
+fn prefixes(mix: &Mix, conversation: u64, turn: u64) -> PromptPrefixes {
     let shared = vec![(conversation % 4) as u8; mix.shared as usize];
     let own = |t: u64| {
         let mut part = vec![t as u8; mix.turn as usize];
@@ -106,7 +106,7 @@
         part
     };
     let parts: Vec<Vec<u8>> = std::iter::once(shared).chain((0..=turn).map(own)).collect();
-    Trail::new(parts.iter().map(Vec::as_slice))
+    PromptPrefixes::new(parts.iter().map(Vec::as_slice))
 }
 
 struct Job {
@@ -136,7 +136,7 @@
 
     fn remember(&mut self, r: &Request) {
         self.cache.retain(|c| c.0 != r.conversation);
-        self.cache.push_back((r.conversation, r.turn, r.trail.size()));
+        self.cache.push_back((r.conversation, r.turn, r.prefixes.size()));
         if !self.shared.contains(&(r.conversation % 4)) {
             self.shared.push(r.conversation % 4);
         }
@@ -230,7 +230,7 @@
                 None => open[(r.conversation % 4) as usize % open.len()],
             },
             Rule::Pool => {
-                let work = Work { trail: r.trail.clone(), ..Work::default() };
+                let work = Work { prefixes: r.prefixes.clone(), ..Work::default() };
                 let tried: Vec<_> = tried.iter().map(|n| address(*n)).collect();
                 let c = self.pool.choose(Time(now), "dc-0", &work, &tried, &mut self.rng).unwrap();
                 self.outstanding[c.address.port() as usize] += 1;
@@ -331,9 +331,9 @@
         }
         let cached = e.cached(mix, r);
         e.remember(r);
-        let prefill = r.trail.size() - cached.min(r.trail.size());
+        let prefill = r.prefixes.size() - cached.min(r.prefixes.size());
         s.cached += cached;
-        s.prompt += r.trail.size();
+        s.prompt += r.prefixes.size();
         e.queue.push_back(Job { request: index, prefill, tokens: r.tokens as f64, first: None });
         sent[index] = Some(Sent { engine: n, choice, at: now });
         return;
--- a/crates/core/src/fleet/share.rs
+++ b/crates/core/src/fleet/share.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::limit::permits::{Ask, Grant};
-use crate::route::Trail;
+use crate::route::PromptPrefixes;
 use crate::unit::{Millis, Time, Tokens};
 
 /// Maximum time for a borrower to settle a loan; longer than any request timeout.
@@ -33,7 +33,7 @@
     /// Tokens of the prompt that the replica does not have cached.
     pub fresh: Tokens,
     /// Prefixes of the prompt.
-    pub trail: Trail,
+    pub trail: PromptPrefixes,
 }
 
 /// A message from one router to another.
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -18,7 +18,7 @@
 pub use limiter::{Entered, Limiter, Ticket, Waiter};
 pub use pool::held_back::{BlockReason, Blocked};
 pub use pool::{Choice, Condition, Pool, Work};
-pub use prefix::{Prefixes, Trail};
+pub use prefix::{PrefixTable, PromptPrefixes};
 pub use replica::Replica;
 pub use retry::Retries;
 pub use vms::{Listed, Vms};
--- a/crates/core/src/route/pool.rs
+++ b/crates/core/src/route/pool.rs
@@ -11,7 +11,7 @@
 use super::cold::{self, ColdParams, Demand};
 use super::cost::{Forecast, cost};
 use super::lateness::LatencyObjective;
-use super::prefix::{Prefixes, Trail};
+use super::prefix::{PrefixTable, PromptPrefixes};
 use super::pressure::PriorityGate;
 use super::replica::Replica;
 use super::ring::Ring;
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Work {
     /// The prefixes of its prompt.
-    pub trail: Trail,
+    pub prefixes: PromptPrefixes,
     /// Its latency objective; none: minimise the time until the first event.
     pub objective: Option<LatencyObjective>,
     /// Which version it may be sent to during a rollout.
@@ -67,7 +67,7 @@
     /// Its address.
     pub address: SocketAddr,
     /// Estimated size of the part of the prompt that is not cached there.
-    pub fresh: u64,
+    pub uncached: u64,
     /// Expected time until the first event, in microseconds.
     pub expected_us: u64,
     /// Identifies the request at its pool, once committed.
@@ -97,7 +97,7 @@
     positions: HashMap<SocketAddr, usize>,
     /// The replicas that can be homes of prompts.
     ring: Ring,
-    prefixes: Prefixes,
+    prefixes: PrefixTable,
     last_ticket: u64,
     /// Outstanding requests of this router at all replicas.
     outstanding: u64,
@@ -210,7 +210,7 @@
         self.cold.remove(&address);
         self.rate_limited.remove(&address);
         self.backing_off.remove(&address);
-        self.prefixes.forget(now, address);
+        self.prefixes.clear(now, address);
         let Some(position) = self.positions.remove(&address) else { return };
         self.addresses.swap_remove(position);
         if let Some(moved) = self.addresses.get(position) {
@@ -274,10 +274,10 @@
 
     /// Records that another router sent a prompt to a replica, which has `uncached` tokens of it to
     /// process.
-    pub fn placed(&mut self, now: Time, address: SocketAddr, uncached: u64, t: &Trail) {
+    pub fn placed(&mut self, now: Time, address: SocketAddr, uncached: u64, t: &PromptPrefixes) {
         if let Some(r) = self.replicas.get_mut(&address) {
             r.backlog.add(now, uncached);
-            self.prefixes.sent(now, address, t);
+            self.prefixes.record_sent(now, address, t);
         }
     }
 
@@ -308,7 +308,7 @@
     ) -> Option<Choice> {
         self.demand.record(now);
         self.add_warmed_up(now);
-        let home = self.home(&work.trail);
+        let home = self.home(&work.prefixes);
         let sample = self.sample(now, work, tried, home, rng);
         let scored = sample.into_iter().map(|a| self.score(now, data_centre, work, a, home));
         self.cheapest(work, scored.collect())
@@ -319,7 +319,7 @@
         self.last_ticket += 1;
         c.ticket = self.last_ticket;
         if let Some(r) = self.replicas.get_mut(&c.address) {
-            r.backlog.add_request(now, c.ticket, c.fresh);
+            r.backlog.add_request(now, c.ticket, c.uncached);
             r.set_outstanding(now, r.outstanding + 1);
             self.outstanding += 1;
             if r.backoff.limits_requests() {
@@ -327,7 +327,7 @@
                 self.priority_gate.record_admitted();
             }
         }
-        self.prefixes.sent(now, c.address, &work.trail);
+        self.prefixes.record_sent(now, c.address, &work.prefixes);
     }
 
     /// Returns the cheapest candidate, preferring this router's region unless its answer would be late.
@@ -401,7 +401,7 @@
             let first = candidates.min_by_key(|r| r.ejected_until);
             return first.into_iter().map(|r| r.upstream.address).collect();
         }
-        let holders = self.prefixes.holders(&work.trail).filter(usable_warm);
+        let holders = self.prefixes.holders(&work.prefixes).filter(usable_warm);
         let holders: Vec<_> = holders.filter(|a| !sample.contains(a)).collect();
         sample.extend(holders);
         if let Some(home) = home.filter(|a| usable(a) && !sample.contains(a)) {
@@ -429,8 +429,8 @@
     }
 
     /// Returns the home of a prompt: the replica that all routers prefer for its shared prefix.
-    fn home(&self, t: &Trail) -> Option<SocketAddr> {
-        self.ring.home(t.shared()?.0)
+    fn home(&self, t: &PromptPrefixes) -> Option<SocketAddr> {
+        self.ring.home(t.shared_prefix()?.0)
     }
 
     /// Returns a candidate with the cost of choosing it.
@@ -442,20 +442,17 @@
         address: SocketAddr,
         home: Option<SocketAddr>,
     ) -> (Choice, u64) {
-        let sent = self.prefixes.cover(now, address, &work.trail);
+        let sent = self.prefixes.cached_size(now, address, &work.prefixes);
         let is_home = home == Some(address);
-        let cached = if is_home { sent.max(self.cached_at_home(&work.trail)) } else { sent };
-        let uncached = work.trail.size() - cached;
+        let cached = if is_home { sent.max(self.cached_at_home(&work.prefixes)) } else { sent };
+        let uncached = work.prefixes.size() - cached;
         let Some(r) = self.replicas.get(&address) else {
-            return (
-                Choice { address, fresh: uncached, expected_us: u64::MAX, ticket: 0 },
-                u64::MAX,
-            );
+            return (Choice { address, uncached, expected_us: u64::MAX, ticket: 0 }, u64::MAX);
         };
         let first_event_us = r.expected_first_event_us(now, data_centre, uncached);
-        let choice = Choice { address, fresh: uncached, expected_us: first_event_us, ticket: 0 };
+        let choice = Choice { address, uncached, expected_us: first_event_us, ticket: 0 };
         let Some(objective) = &work.objective else { return (choice, first_event_us) };
-        let shared = work.trail.shared().map_or(0, |(_, size)| size);
+        let shared = work.prefixes.shared_prefix().map_or(0, |(_, size)| size);
         let forecast = Forecast {
             first_event_us,
             busy_us: r.backlog.busy_us(now, r.backlog.prefill_us(uncached)),
@@ -474,8 +471,8 @@
 
     /// Returns how much of a prompt its home is assumed to have cached although this router never
     /// sent it: all routers send the shared prefix there first.
-    fn cached_at_home(&self, t: &Trail) -> u64 {
-        let unknown = t.shared().filter(|(hash, _)| !self.prefixes.is_known(*hash));
+    fn cached_at_home(&self, t: &PromptPrefixes) -> u64 {
+        let unknown = t.shared_prefix().filter(|(hash, _)| !self.prefixes.is_known(*hash));
         unknown.map_or(0, |(_, size)| size)
     }
 
@@ -487,7 +484,7 @@
     }
 
     /// Returns the estimate of the replicas' caches, to apply the events that replicas publish.
-    pub fn prefixes(&mut self) -> &mut Prefixes {
+    pub fn prefixes(&mut self) -> &mut PrefixTable {
         &mut self.prefixes
     }
 
@@ -519,7 +516,7 @@
         let span = Millis((EJECTION_BASE.0 << doublings).min(EJECTION_MAX.0));
         r.ejected_until = now.after(span);
         // It may have restarted with an empty cache.
-        self.prefixes.forget(now, c.address);
+        self.prefixes.clear(now, c.address);
         true
     }
 
--- a/crates/core/src/route/prefix.rs
+++ b/crates/core/src/route/prefix.rs
@@ -20,14 +20,14 @@
 /// The hashes of a prompt's prefixes, shortest first, each with its size in tokens or bytes.
 /// Prompts that share a prefix share its hash.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Trail {
+pub struct PromptPrefixes {
     steps: Vec<(u64, u64)>,
 }
 
-impl Trail {
+impl PromptPrefixes {
     /// Hashes the prefixes of a prompt that is given by its parts, such as the messages of a chat.
     /// Sizes are in bytes.
-    pub fn new<'a>(parts: impl IntoIterator<Item = &'a [u8]>) -> Trail {
+    pub fn new<'a>(parts: impl IntoIterator<Item = &'a [u8]>) -> PromptPrefixes {
         let (mut hash, mut size) = (Fnv::new(), 0);
         let mut steps = Vec::new();
         for part in parts {
@@ -35,11 +35,11 @@
             size += part.len() as u64;
             steps.push((hash.value(), size));
         }
-        Trail { steps }
+        PromptPrefixes { steps }
     }
 
     /// Hashes the prefixes of a prompt whose parts are given by id and size in tokens.
-    pub fn of_parts(parts: impl IntoIterator<Item = (u64, u64)>) -> Trail {
+    pub fn from_sized_parts(parts: impl IntoIterator<Item = (u64, u64)>) -> PromptPrefixes {
         let (mut hash, mut size) = (Fnv::new(), 0);
         let mut steps = Vec::new();
         for (id, tokens) in parts {
@@ -47,12 +47,12 @@
             size += tokens;
             steps.push((hash.value(), size));
         }
-        Trail { steps }
+        PromptPrefixes { steps }
     }
 
     /// Returns the hash and size of the longest prefix that other prompts may share: all parts but
     /// the last. None if the prompt has fewer than two parts.
-    pub fn shared(&self) -> Option<(u64, u64)> {
+    pub fn shared_prefix(&self) -> Option<(u64, u64)> {
         self.steps.iter().rev().nth(1).copied()
     }
 
@@ -73,7 +73,7 @@
 /// replicas report as evicted. Eviction events arrive late and with gaps, so older entries count
 /// less.
 #[derive(Clone, Debug, Default)]
-pub struct Prefixes {
+pub struct PrefixTable {
     holders: HashMap<u64, Vec<Holder>>,
     /// Hashes in the order of insertion.
     order: VecDeque<u64>,
@@ -83,9 +83,9 @@
     cleared_at: HashMap<SocketAddr, Time>,
 }
 
-impl Prefixes {
+impl PrefixTable {
     /// Records that a replica was sent a prompt.
-    pub fn sent(&mut self, now: Time, replica: SocketAddr, t: &Trail) {
+    pub fn record_sent(&mut self, now: Time, replica: SocketAddr, t: &PromptPrefixes) {
         for (hash, _) in &t.steps {
             if !self.holders.contains_key(hash) {
                 self.order.push_back(*hash);
@@ -105,19 +105,19 @@
     }
 
     /// Records that a replica evicted a prefix from its cache.
-    pub fn dropped(&mut self, replica: SocketAddr, hash: u64) {
+    pub fn record_dropped(&mut self, replica: SocketAddr, hash: u64) {
         if let Some(holders) = self.holders.get_mut(&hash) {
             holders.retain(|h| h.replica != replica);
         }
     }
 
     /// Records a gap in a replica's events: prefixes sent before `now` may have been evicted unnoticed.
-    pub fn gap(&mut self, now: Time, replica: SocketAddr) {
+    pub fn record_gap(&mut self, now: Time, replica: SocketAddr) {
         self.gaps.insert(replica, now);
     }
 
     /// Discards all prefixes of a replica that restarted or was removed.
-    pub fn forget(&mut self, now: Time, replica: SocketAddr) {
+    pub fn clear(&mut self, now: Time, replica: SocketAddr) {
         self.cleared_at.insert(replica, now);
     }
 
@@ -137,7 +137,7 @@
     }
 
     /// Returns the replicas that may have the longest known prefix of a prompt.
-    pub fn holders(&self, t: &Trail) -> impl Iterator<Item = SocketAddr> {
+    pub fn holders(&self, t: &PromptPrefixes) -> impl Iterator<Item = SocketAddr> {
         let held = |(hash, _): &(u64, u64)| self.is_known(*hash).then_some(*hash);
         let longest = t.steps.iter().rev().find_map(held);
         longest.into_iter().flat_map(|hash| self.holders_of(hash)).map(|h| h.replica)
@@ -146,7 +146,7 @@
     /// Returns how much of a prompt a replica is expected to have cached, in the unit of the
     /// prompt's sizes: the longest prefix sent there, discounted by its age and halved if a gap in
     /// events followed.
-    pub fn cover(&self, now: Time, replica: SocketAddr, t: &Trail) -> u64 {
+    pub fn cached_size(&self, now: Time, replica: SocketAddr, t: &PromptPrefixes) -> u64 {
         let held = |(hash, size): &(u64, u64)| {
             let holder = self.holders_of(*hash).find(|h| h.replica == replica)?;
             Some((holder.sent_at, *size))
--- a/crates/core/tests/evacuation.rs
+++ b/crates/core/tests/evacuation.rs
@@ -6,7 +6,7 @@
 use cypressfork_core::command::{Answer, Command};
 use cypressfork_core::config::{Upstream, Vm};
 use cypressfork_core::fleet::evacuation::Evacuations;
-use cypressfork_core::route::{Pool, Trail, Work};
+use cypressfork_core::route::{Pool, PromptPrefixes, Work};
 use cypressfork_core::state::State;
 use cypressfork_core::unit::{LeaseId, Time};
 use rand::SeedableRng;
@@ -62,8 +62,8 @@
     let mut rng = SmallRng::seed_from_u64(7);
     let mut used = BTreeSet::new();
     for n in 0..400_u64 {
-        let trail = Trail::of_parts([(n % 40, 13_000), (1_000 + n, 3_000)]);
-        let work = Work { trail, ..Work::default() };
+        let prefixes = PromptPrefixes::from_sized_parts([(n % 40, 13_000), (1_000 + n, 3_000)]);
+        let work = Work { prefixes, ..Work::default() };
         let Some(c) = pool.choose(Time(n * 10), "a", &work, &[], &mut rng) else { continue };
         used.insert(pool.get(c.address).unwrap().upstream.vm.data_centre.clone());
         pool.done(Time(n * 10 + 5), &c, false);
--- a/crates/core/tests/regions.rs
+++ b/crates/core/tests/regions.rs
@@ -9,7 +9,7 @@
 use cypressfork_core::fleet::regions::Regions;
 use cypressfork_core::fleet::watch::RouterStatus;
 use cypressfork_core::route::lateness::LatencyObjective;
-use cypressfork_core::route::{Condition, Pool, Trail, Work};
+use cypressfork_core::route::{Condition, Pool, PromptPrefixes, Work};
 use cypressfork_core::unit::Time;
 use proptest::prelude::*;
 use rand::SeedableRng;
@@ -81,7 +81,7 @@
     let objective =
         Some(LatencyObjective { first_event: Duration::from_millis(800), max_pause: None });
     Work {
-        trail: Trail::of_parts([(n % 50, 2_000), (1_000 + n, 500)]),
+        prefixes: PromptPrefixes::from_sized_parts([(n % 50, 2_000), (1_000 + n, 500)]),
         objective,
         ..Work::default()
     }
@@ -95,7 +95,7 @@
     let mut rng = SmallRng::seed_from_u64(1);
     let abroad: Vec<_> = at.iter().filter(|(_, dc)| dc.starts_with('s')).map(|(a, _)| *a).collect();
     for n in 0..50 {
-        pool.placed(Time(0), abroad[n as usize % abroad.len()], 2_000, &prompt(n).trail);
+        pool.placed(Time(0), abroad[n as usize % abroad.len()], 2_000, &prompt(n).prefixes);
     }
     for n in 0..400 {
         let now = Time(1_000 + n * 25);
--- a/crates/core/tests/replicas.rs
+++ b/crates/core/tests/replicas.rs
@@ -7,7 +7,7 @@
 use cypressfork_core::config::{Upstream, Vm};
 use cypressfork_core::fleet::registry::{Record, Registration, ReplicaStatus};
 use cypressfork_core::fleet::replicas::{AddressChange, ReplicaTable};
-use cypressfork_core::route::{Condition, Pool, Trail, Work};
+use cypressfork_core::route::{Condition, Pool, PromptPrefixes, Work};
 use cypressfork_core::unit::{Millis, Time};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -123,8 +123,8 @@
     let mut rng = SmallRng::seed_from_u64(3);
     (0..prompts)
         .map(|n| {
-            let trail = Trail::of_parts([(n, 1_000_000), (1 << 32 | n, 10)]);
-            let work = Work { trail, ..Work::default() };
+            let prefixes = PromptPrefixes::from_sized_parts([(n, 1_000_000), (1 << 32 | n, 10)]);
+            let work = Work { prefixes, ..Work::default() };
             let c = pool.choose(Time(n), "dc-0", &work, &[], &mut rng).unwrap();
             pool.done(Time(n), &c, false);
             c.address
--- a/crates/core/tests/rests.rs
+++ b/crates/core/tests/rests.rs
@@ -9,7 +9,7 @@
 use cypressfork_core::route::pressure::PriorityGate;
 use cypressfork_core::route::rest::{Backoff, RetryAfter};
 use cypressfork_core::route::turns::{RetrySchedule, RetrySpacing};
-use cypressfork_core::route::{BlockReason, Choice, Condition, Pool, Trail, Work};
+use cypressfork_core::route::{BlockReason, Choice, Condition, Pool, PromptPrefixes, Work};
 use cypressfork_core::unit::{Millis, Time};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -80,13 +80,13 @@
 /// Guards against a way of choosing that passes the rest by.
 #[rstest]
 #[case::plain(Work::default())]
-#[case::a_prompt_whose_home_it_is(Work { trail: Trail::of_parts(vec![(7, 9_000)]), ..Work::default() })]
+#[case::a_prompt_whose_home_it_is(Work { prefixes: PromptPrefixes::from_sized_parts(vec![(7, 9_000)]), ..Work::default() })]
 #[case::the_most_urgent(Work { priority: 0, ..Work::default() })]
 fn a_resting_replica_is_not_chosen(#[case] work: Work) {
     for resting in 0..4 {
         let mut p = pool(4);
         // It holds the prompt, and is idle besides.
-        p.placed(Time(0), address(resting), 0, &work.trail);
+        p.placed(Time(0), address(resting), 0, &work.prefixes);
         p.back_off(Time(0), address(resting), REST);
         assert!(!chosen(&mut p, 2_999, &work, 50).contains(&address(resting)));
     }
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -7,7 +7,7 @@
 use cypressfork_core::config::{Priority, Upstream, Vm};
 use cypressfork_core::route::lateness::LatencyObjective;
 use cypressfork_core::route::{
-    Choice, Entered, Limiter, Listed, Pool, Retries, Trail, Vms, Waiter, Work,
+    Choice, Entered, Limiter, Listed, Pool, PromptPrefixes, Retries, Vms, Waiter, Work,
 };
 use cypressfork_core::unit::{Millis, Time};
 use rand::SeedableRng;
@@ -165,7 +165,7 @@
 fn lesson(turns: usize) -> Work {
     let parts: Vec<String> =
         (0..turns).map(|n| format!("turn {n} {}", "x".repeat(2_000))).collect();
-    Work { trail: Trail::new(parts.iter().map(String::as_bytes)), ..Work::default() }
+    Work { prefixes: PromptPrefixes::new(parts.iter().map(String::as_bytes)), ..Work::default() }
 }
 
 #[test]
@@ -192,17 +192,17 @@
 fn an_old_a_dropped_or_a_doubtful_prefix_counts_less() {
     let (mut p, work) = (pool(1), lesson(3));
     let at = address(0);
-    let whole = work.trail.size();
+    let whole = work.prefixes.size();
     let known = p.prefixes();
-    known.sent(Time(0), at, &work.trail);
-    assert_eq!(known.cover(Time(0), at, &work.trail), whole);
-    assert_eq!(known.cover(Time(300_000), at, &work.trail), whole / 2);
-    known.gap(Time(10), at);
-    assert_eq!(known.cover(Time(10), at, &work.trail), whole * 300_000 / 300_010 / 2);
-    known.sent(Time(20), at, &work.trail);
-    assert_eq!(known.cover(Time(20), at, &work.trail), whole, "sent again after the gap");
-    known.forget(Time(20), at);
-    assert_eq!(known.cover(Time(20), at, &work.trail), 0);
+    known.record_sent(Time(0), at, &work.prefixes);
+    assert_eq!(known.cached_size(Time(0), at, &work.prefixes), whole);
+    assert_eq!(known.cached_size(Time(300_000), at, &work.prefixes), whole / 2);
+    known.record_gap(Time(10), at);
+    assert_eq!(known.cached_size(Time(10), at, &work.prefixes), whole * 300_000 / 300_010 / 2);
+    known.record_sent(Time(20), at, &work.prefixes);
+    assert_eq!(known.cached_size(Time(20), at, &work.prefixes), whole, "sent again after the gap");
+    known.clear(Time(20), at);
+    assert_eq!(known.cached_size(Time(20), at, &work.prefixes), 0);
 }
 
 #[test]
@@ -262,7 +262,7 @@
 fn a_long_prompt_on_its_way_counts_until_its_first_token() {
     let (mut p, mut r) = (pool(2), rng());
     let long = choice(&mut p, 0, &lesson(20), &mut r);
-    let other = Work { trail: Trail::new([&[7u8; 4_000][..]]), ..Work::default() };
+    let other = Work { prefixes: PromptPrefixes::new([&[7u8; 4_000][..]]), ..Work::default() };
     let next = choice(&mut p, 0, &other, &mut r);
     assert_ne!(next.address, long.address);
     p.done(Time(1), &next, false);
@@ -380,7 +380,7 @@
         max_pause: Some(Duration::from_millis(500)),
     };
     Work {
-        trail: Trail::of_parts([(1, shared), (id, own)]),
+        prefixes: PromptPrefixes::from_sized_parts([(1, shared), (id, own)]),
         objective: Some(objective),
         ..Work::default()
     }
@@ -396,7 +396,7 @@
 ) {
     let (mut p, mut r) = (pool(2), rng());
     let theirs = prompt(1_000, 40_000, 9);
-    p.placed(Time(0), address(0), 41_000, &theirs.trail);
+    p.placed(Time(0), address(0), 41_000, &theirs.prefixes);
     let c = choice(&mut p, now, &prompt(1_000, 300, 2), &mut r);
     assert_eq!(c.address, address(expected));
 }
@@ -406,9 +406,9 @@
 fn a_shared_part_is_found_where_another_router_has_sent_it() {
     for seed in 0..20 {
         let (mut p, mut r) = (pool(12), SmallRng::seed_from_u64(seed));
-        p.placed(Time(0), address(5), 8_000, &prompt(7_000, 1_000, 9).trail);
+        p.placed(Time(0), address(5), 8_000, &prompt(7_000, 1_000, 9).prefixes);
         let c = choice(&mut p, 2_000, &prompt(7_000, 300, 2), &mut r);
-        assert_eq!((c.address, c.fresh <= 400), (address(5), true), "seed {seed}");
+        assert_eq!((c.address, c.uncached <= 400), (address(5), true), "seed {seed}");
     }
 }
 
--- a/crates/router/src/ask.rs
+++ b/crates/router/src/ask.rs
@@ -1,7 +1,7 @@
 //! A model request's body: what it asks for, and how many tokens it can cost at most.
 
 use cypressfork_core::code::Code;
-use cypressfork_core::route::Trail;
+use cypressfork_core::route::PromptPrefixes;
 use cypressfork_core::unit::Tokens;
 use serde_json::{Map, Value, json};
 
@@ -129,14 +129,14 @@
     }
 
     /// The prompt's growing prefixes, by message or by piece of text.
-    pub fn trail(&self) -> Trail {
+    pub fn trail(&self) -> PromptPrefixes {
         let messages = self.body.get("messages").and_then(Value::as_array);
         if let Some(messages) = messages {
             let parts: Vec<_> = messages.iter().map(Value::to_string).collect();
-            return Trail::new(parts.iter().map(String::as_bytes));
+            return PromptPrefixes::new(parts.iter().map(String::as_bytes));
         }
         let prompt = self.body.get("prompt").and_then(Value::as_str).unwrap_or_default();
-        Trail::new(prompt.as_bytes().chunks(PIECE))
+        PromptPrefixes::new(prompt.as_bytes().chunks(PIECE))
     }
 
     /// The most tokens to generate under a service's limit.
--- a/crates/router/src/chat.rs
+++ b/crates/router/src/chat.rs
@@ -114,7 +114,7 @@
         }
     };
     let (service, trace) = (model.name.clone(), trace.clone());
-    let work = Work { trail: ask.trail(), ..Work::default() };
+    let work = Work { prefixes: ask.trail(), ..Work::default() };
     let plan = Plan { id, ask, service, cap, deadline, trace, policy, work };
     run(app, plan, hold, claim, permit).await
 }
--- a/crates/router/src/gateway/dialect.rs
+++ b/crates/router/src/gateway/dialect.rs
@@ -5,7 +5,7 @@
 use cypressfork_core::code::Code;
 use cypressfork_core::fleet::format::Format;
 use cypressfork_core::fleet::limit::Said;
-use cypressfork_core::route::{Trail, rest};
+use cypressfork_core::route::{PromptPrefixes, rest};
 use cypressfork_core::unit::{Millis, Tokens};
 
 use crate::reply::Refusal;
@@ -18,7 +18,7 @@
     /// The most tokens that the answer has.
     pub most: Tokens,
     /// The prompt's parts.
-    pub trail: Trail,
+    pub trail: PromptPrefixes,
 }
 
 /// What a caller's head says.
--- a/crates/router/src/gateway/job.rs
+++ b/crates/router/src/gateway/job.rs
@@ -71,9 +71,9 @@
     /// What it asks of a replica.
     pub fn work(&self) -> Work {
         let prompt = self.inbound.prompt.as_ref();
-        let (trail, regions) = (self.prompt().trail, self.regions.clone());
+        let (prefixes, regions) = (self.prompt().trail, self.regions.clone());
         let objective = prompt.map(|_| self.aim);
-        Work { trail, objective, regions, priority: self.priority, ..Work::default() }
+        Work { prefixes, objective, regions, priority: self.priority, ..Work::default() }
     }
 
     /// What is left of its time.
--- a/crates/router/src/gateway/native.rs
+++ b/crates/router/src/gateway/native.rs
@@ -8,7 +8,7 @@
 use cypressfork_core::fleet::document::{Document, Invalid};
 use cypressfork_core::fleet::format::{self, Format};
 use cypressfork_core::fleet::limit::{Rate, Said};
-use cypressfork_core::route::{Trail, rest};
+use cypressfork_core::route::{PromptPrefixes, rest};
 use cypressfork_core::unit::Millis;
 
 use super::dialect::{Dialect, Head, Inbound, Prompt, Told};
@@ -108,7 +108,7 @@
     let count = |s: &str| s.trim().parse().map_err(|_| Code::HeaderBad);
     let parts = parts.unwrap_or_default().split(',').filter(|p| !p.is_empty());
     let parts: Option<Vec<_>> = parts.map(part).collect();
-    let trail = Trail::of_parts(parts.ok_or(Code::HeaderBad)?);
+    let trail = PromptPrefixes::from_sized_parts(parts.ok_or(Code::HeaderBad)?);
     Ok(Some(Prompt { tokens: count(prompt)?, most: count(most)?, trail }))
 }
 
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -449,9 +449,9 @@
         if let Some(pool) = self.pools.borrow_mut().get_mut(service) {
             pool.commit(self.now(), work, &mut c.choice);
         }
-        if c.choice.fresh >= TELL_TOKENS {
-            let (service, trail) = (service.to_owned(), work.trail.clone());
-            let (replica, fresh) = (c.choice.address, c.choice.fresh);
+        if c.choice.uncached >= TELL_TOKENS {
+            let (service, trail) = (service.to_owned(), work.prefixes.clone());
+            let (replica, fresh) = (c.choice.address, c.choice.uncached);
             self.share.tell(self, Placement { service, replica, fresh, trail });
         }
     }
