--- a/crates/core/src/fleet/replicas.rs
+++ b/crates/core/src/fleet/replicas.rs
@@ -8,7 +8,7 @@
 
 use super::registry::{Record, ReplicaStatus};
 use crate::config::{Upstream, Vm};
-use crate::route::Condition;
+use crate::route::ReplicaInfo;
 use crate::unit::{Millis, Time};
 
 /// Time for which a departed replica is kept, so that late records do not restore it. Control
@@ -27,7 +27,7 @@
     /// Address at which the replica changes.
     pub address: SocketAddr,
     /// The replica to use at this address from now on, if any.
-    pub upstream: Option<(Upstream, Condition)>,
+    pub upstream: Option<(Upstream, ReplicaInfo)>,
 }
 
 #[derive(Clone, Debug)]
@@ -250,8 +250,8 @@
     Upstream { vm, address, checks_orders: false }
 }
 
-fn condition(r: &Record) -> Condition {
+fn condition(r: &Record) -> ReplicaInfo {
     let g = &r.registration;
     let leaving = r.standing == ReplicaStatus::Silent;
-    Condition { version: g.version.clone(), slots: g.slots, leaving, cold: g.cold }
+    ReplicaInfo { version: g.version.clone(), slots: g.slots, leaving, cold_for: g.cold }
 }
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -17,7 +17,7 @@
 
 pub use limiter::{Entered, Limiter, Ticket, Waiter};
 pub use pool::held_back::{BlockReason, Blocked};
-pub use pool::{Choice, Condition, Pool, Work};
+pub use pool::{Choice, Pool, ReplicaInfo, Work};
 pub use prefix::{PrefixTable, PromptPrefixes};
 pub use replica::Replica;
 pub use retry::Retries;
--- a/crates/core/src/route/pool.rs
+++ b/crates/core/src/route/pool.rs
@@ -76,7 +76,7 @@
 
 /// The state of a replica, as reported by itself or by the control group.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Condition {
+pub struct ReplicaInfo {
     /// Software version; empty if unknown.
     pub version: String,
     /// Requests that it runs concurrently.
@@ -84,7 +84,7 @@
     /// It is draining and gets no new work.
     pub leaving: bool,
     /// Time until it is warm.
-    pub cold: Millis,
+    pub cold_for: Millis,
 }
 
 /// One router's view of the replicas of one service.
@@ -139,13 +139,13 @@
         }
         for u in upstreams {
             let leaving = self.replicas.get(&u.address).is_some_and(|r| r.leaving);
-            self.put(now, u, &Condition { slots, leaving, ..Condition::default() });
+            self.put(now, u, &ReplicaInfo { slots, leaving, ..ReplicaInfo::default() });
         }
     }
 
     /// Adds or updates a replica, at a cost independent of the number of replicas. A different
     /// replica at the same address replaces the old one and its state.
-    pub fn put(&mut self, now: Time, u: &Upstream, condition: &Condition) {
+    pub fn put(&mut self, now: Time, u: &Upstream, info: &ReplicaInfo) {
         if self.replicas.get(&u.address).is_some_and(|r| r.upstream != *u) {
             self.remove(now, u.address);
         }
@@ -155,14 +155,14 @@
             self.replicas.insert(u.address, Replica::new(u));
         }
         let Some(r) = self.replicas.get_mut(&u.address) else { return };
-        r.slots = condition.slots.max(1);
-        r.version.clone_from(&condition.version);
+        r.slots = info.slots.max(1);
+        r.version.clone_from(&info.version);
         r.side = rollout_side(self.rollout.as_ref(), r);
-        r.leaving = condition.leaving;
+        r.leaving = info.leaving;
         r.evacuated = self.evacuated.contains(&u.vm.data_centre);
         r.other_region = !self.location.1.are_near(&self.location.0, &u.vm.data_centre);
-        r.cold_until = now.after(condition.cold);
-        if condition.cold > Millis(0) {
+        r.cold_until = now.after(info.cold_for);
+        if info.cold_for > Millis(0) {
             self.cold.insert(u.address);
         }
         self.update_ring(now, u.address);
--- a/crates/core/tests/cold.rs
+++ b/crates/core/tests/cold.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 
 use cypressfork_core::config::{Upstream, Vm};
-use cypressfork_core::route::{Choice, Condition, Pool, PromptPrefixes, Work};
+use cypressfork_core::route::{Choice, Pool, PromptPrefixes, ReplicaInfo, Work};
 use cypressfork_core::unit::{Millis, Time};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -47,7 +47,11 @@
         pool.set_peers(l.gateways as u64 - 1);
         for n in 0..l.replicas {
             let cold = if n < l.cold { Millis(3_000) } else { Millis(0) };
-            pool.put(Time(0), &upstream(n), &Condition { slots: 64, cold, ..Condition::default() });
+            pool.put(
+                Time(0),
+                &upstream(n),
+                &ReplicaInfo { slots: 64, cold_for: cold, ..ReplicaInfo::default() },
+            );
         }
         pool
     };
--- a/crates/core/tests/lives.rs
+++ b/crates/core/tests/lives.rs
@@ -9,7 +9,7 @@
     Heartbeat, Record, RecordSource, Registration, Registry, ReplicaStatus,
 };
 use cypressfork_core::fleet::replicas::ReplicaTable;
-use cypressfork_core::route::{Condition, Pool, Work};
+use cypressfork_core::route::{Pool, ReplicaInfo, Work};
 use cypressfork_core::unit::{Millis, Time};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -139,7 +139,7 @@
     let other = SocketAddr::from(([10, 0, 0, 2], 80));
     let vm = Vm { name: "i-2".to_owned(), data_centre: "a".to_owned() };
     let upstream = Upstream { vm, address: other, checks_orders: false };
-    pool.put(Time(0), &upstream, &Condition { slots: 8, ..Condition::default() });
+    pool.put(Time(0), &upstream, &ReplicaInfo { slots: 8, ..ReplicaInfo::default() });
     let work = Work::default();
     let first = SocketAddr::from(([10, 0, 0, 1], 80));
     for _ in 0..3 {
--- a/crates/core/tests/regions.rs
+++ b/crates/core/tests/regions.rs
@@ -9,7 +9,7 @@
 use cypressfork_core::fleet::regions::Regions;
 use cypressfork_core::fleet::watch::RouterStatus;
 use cypressfork_core::route::lateness::LatencyObjective;
-use cypressfork_core::route::{Condition, Pool, PromptPrefixes, Work};
+use cypressfork_core::route::{Pool, PromptPrefixes, ReplicaInfo, Work};
 use cypressfork_core::unit::Time;
 use proptest::prelude::*;
 use rand::SeedableRng;
@@ -70,7 +70,7 @@
             let address = SocketAddr::from(([10, c as u8, 0, n], 80));
             let vm = Vm { name: format!("{dc}-{n}"), data_centre: dc.to_owned() };
             let upstream = Upstream { vm, address, checks_orders: false };
-            pool.put(Time(0), &upstream, &Condition { slots: 8, ..Condition::default() });
+            pool.put(Time(0), &upstream, &ReplicaInfo { slots: 8, ..ReplicaInfo::default() });
             at.insert(address, dc);
         }
     }
--- a/crates/core/tests/replicas.rs
+++ b/crates/core/tests/replicas.rs
@@ -7,7 +7,7 @@
 use cypressfork_core::config::{Upstream, Vm};
 use cypressfork_core::fleet::registry::{Record, Registration, ReplicaStatus};
 use cypressfork_core::fleet::replicas::{AddressChange, ReplicaTable};
-use cypressfork_core::route::{Condition, Pool, PromptPrefixes, Work};
+use cypressfork_core::route::{Pool, PromptPrefixes, ReplicaInfo, Work};
 use cypressfork_core::unit::{Millis, Time};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -114,8 +114,8 @@
     Upstream { vm, address: SocketAddr::from(([10, b, c, d], 80)), checks_orders: false }
 }
 
-const READY: Condition =
-    Condition { version: String::new(), slots: 8, leaving: false, cold: Millis(0) };
+const READY: ReplicaInfo =
+    ReplicaInfo { version: String::new(), slots: 8, leaving: false, cold_for: Millis(0) };
 
 /// Where each of some prompts goes first at a router that knows nothing but the replicas: their
 /// shared part is large enough that reading it at another replica is never cheaper.
--- a/crates/core/tests/rests.rs
+++ b/crates/core/tests/rests.rs
@@ -9,7 +9,7 @@
 use cypressfork_core::route::pressure::PriorityGate;
 use cypressfork_core::route::rest::{Backoff, RetryAfter};
 use cypressfork_core::route::turns::{RetrySchedule, RetrySpacing};
-use cypressfork_core::route::{BlockReason, Choice, Condition, Pool, PromptPrefixes, Work};
+use cypressfork_core::route::{BlockReason, Choice, Pool, PromptPrefixes, ReplicaInfo, Work};
 use cypressfork_core::unit::{Millis, Time};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -144,11 +144,11 @@
 fn a_rest_belongs_to_one_replica() {
     let mut p = pool(1);
     p.back_off(Time(0), address(0), REST);
-    p.put(Time(10), &upstream(0), &Condition { slots: 3, ..Condition::default() });
+    p.put(Time(10), &upstream(0), &ReplicaInfo { slots: 3, ..ReplicaInfo::default() });
     assert!(p.is_backing_off(Time(10), address(0)));
     let mut other = upstream(0);
     other.vm.name = "b-9".to_owned();
-    p.put(Time(20), &other, &Condition { slots: 3, ..Condition::default() });
+    p.put(Time(20), &other, &ReplicaInfo { slots: 3, ..ReplicaInfo::default() });
     assert!(!p.is_backing_off(Time(20), address(0)));
 }
 
