--- a/crates/core/src/route/limiter.rs
+++ b/crates/core/src/route/limiter.rs
@@ -13,7 +13,7 @@
 
 /// A request in the queue of a limiter.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Waiter {
+pub struct QueuedRequest {
     /// Identifies it at the limiter.
     pub ticket: Ticket,
     /// The client account that sent it.
@@ -26,15 +26,15 @@
     pub concurrency: u32,
 }
 
-/// The result of [`Limiter::enter`].
+/// The result of [`Limiter::submit`].
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Entered {
+pub enum Admission {
     /// The request runs now.
-    Run,
+    Started,
     /// The request is queued.
-    Wait,
+    Queued,
     /// The request is queued and evicts this one, whose caller is to retry after the given time.
-    Instead(Ticket, Millis),
+    Displaced(Ticket, Millis),
     /// The request is refused; its caller is to retry after the given time.
     Refused(Millis),
 }
@@ -48,7 +48,7 @@
 pub struct Limiter {
     limit: u32,
     queue_capacity: usize,
-    waiting: BTreeMap<Priority, VecDeque<Waiter>>,
+    waiting: BTreeMap<Priority, VecDeque<QueuedRequest>>,
     running: BTreeMap<String, u32>,
     mean_run: Millis,
 }
@@ -60,7 +60,7 @@
     }
 
     /// Changes the limits. Running and queued requests are not affected.
-    pub fn set(&mut self, limit: u32, queue_capacity: u32) {
+    pub fn set_limits(&mut self, limit: u32, queue_capacity: u32) {
         self.limit = limit;
         self.queue_capacity = queue_capacity as usize;
     }
@@ -77,35 +77,35 @@
 
     /// Starts, queues or refuses a request. It is refused if it would miss its deadline, or if the
     /// queue is full and holds nothing of less value.
-    pub fn enter(&mut self, now: Time, w: Waiter) -> Entered {
+    pub fn submit(&mut self, now: Time, w: QueuedRequest) -> Admission {
         if self.waiting() == 0 && self.can_start(&w) {
             self.start(&w.client_account);
-            return Entered::Run;
+            return Admission::Started;
         }
         let wait = self.expected_wait(w.priority);
         if now.after(wait) > w.deadline {
-            return Entered::Refused(wait);
+            return Admission::Refused(wait);
         }
         if self.waiting() < self.queue_capacity {
             self.enqueue(w);
-            return Entered::Wait;
+            return Admission::Queued;
         }
         match self.eviction_candidate(&w) {
             Some(victim) => {
                 let wait = self.expected_wait(Priority::Bulk);
                 self.remove(victim);
                 self.enqueue(w);
-                Entered::Instead(victim, wait)
+                Admission::Displaced(victim, wait)
             }
-            None => Entered::Refused(wait),
+            None => Admission::Refused(wait),
         }
     }
 
-    fn enqueue(&mut self, w: Waiter) {
+    fn enqueue(&mut self, w: QueuedRequest) {
         self.waiting.entry(w.priority).or_default().push_back(w);
     }
 
-    fn can_start(&self, w: &Waiter) -> bool {
+    fn can_start(&self, w: &QueuedRequest) -> bool {
         self.running() < self.limit && self.running_of(&w.client_account) < w.concurrency
     }
 
@@ -118,7 +118,7 @@
     }
 
     /// Returns the queued request to evict in favour of `w`; none if `w` itself ranks lowest.
-    fn eviction_candidate(&self, w: &Waiter) -> Option<Ticket> {
+    fn eviction_candidate(&self, w: &QueuedRequest) -> Option<Ticket> {
         let (priority, queue) = self.waiting.iter().rev().find(|(_, q)| !q.is_empty())?;
         let of = |a: &str| queue.iter().filter(|x| x.client_account == a).count();
         let most = queue.iter().map(|x| of(&x.client_account)).max()?;
@@ -136,7 +136,7 @@
     }
 
     /// Records the end of a started request. `ran` is its run time; none leaves the average unchanged.
-    pub fn leave(&mut self, client_account: &str, ran: Option<Millis>) {
+    pub fn release(&mut self, client_account: &str, ran: Option<Millis>) {
         if let Some(n) = self.running.get_mut(client_account) {
             *n = n.saturating_sub(1);
         }
@@ -148,7 +148,7 @@
 
     /// Starts the next queued request that the limits allow and returns its ticket. To be called
     /// until it returns none.
-    pub fn admit(&mut self) -> Option<Ticket> {
+    pub fn start_next(&mut self) -> Option<Ticket> {
         if self.running() >= self.limit {
             return None;
         }
@@ -158,7 +158,7 @@
 
     fn start_next_of(&mut self, priority: Priority) -> Option<Ticket> {
         let queue = self.waiting.get(&priority)?;
-        let below_limit = |w: &&Waiter| self.running_of(&w.client_account) < w.concurrency;
+        let below_limit = |w: &&QueuedRequest| self.running_of(&w.client_account) < w.concurrency;
         let next =
             queue.iter().filter(below_limit).min_by_key(|w| self.running_of(&w.client_account))?;
         let (ticket, client_account) = (next.ticket, next.client_account.clone());
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -15,7 +15,7 @@
 pub mod turns;
 mod vms;
 
-pub use limiter::{Entered, Limiter, Ticket, Waiter};
+pub use limiter::{Admission, Limiter, QueuedRequest, Ticket};
 pub use pool::held_back::{BlockReason, Blocked};
 pub use pool::{Choice, Pool, ReplicaInfo, Work};
 pub use prefix::{PrefixTable, PromptPrefixes};
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -7,7 +7,7 @@
 use cypressfork_core::config::{Priority, Upstream, Vm};
 use cypressfork_core::route::lateness::LatencyObjective;
 use cypressfork_core::route::{
-    Choice, Entered, Limiter, Listed, Pool, PromptPrefixes, Retries, Vms, Waiter, Work,
+    Admission, Choice, Limiter, Listed, Pool, PromptPrefixes, QueuedRequest, Retries, Vms, Work,
 };
 use cypressfork_core::unit::{Millis, Time};
 use rand::SeedableRng;
@@ -50,16 +50,16 @@
     p.choose(Time(0), "here", &Work::default(), &others, &mut rng()).unwrap()
 }
 
-fn waiter(ticket: u64, account: &str, priority: Priority) -> Waiter {
+fn waiter(ticket: u64, account: &str, priority: Priority) -> QueuedRequest {
     let client_account = account.to_owned();
-    Waiter { ticket, client_account, priority, deadline: Time(1_000_000), concurrency: 9 }
+    QueuedRequest { ticket, client_account, priority, deadline: Time(1_000_000), concurrency: 9 }
 }
 
 /// A limiter with `run` requests of account `a` running.
 fn full(limit: u32, room: u32) -> Limiter {
     let mut g = Limiter::new(limit, room);
     for t in 0..u64::from(limit) {
-        assert_eq!(g.enter(Time(0), waiter(1_000 + t, "a", Priority::Normal)), Entered::Run);
+        assert_eq!(g.submit(Time(0), waiter(1_000 + t, "a", Priority::Normal)), Admission::Started);
     }
     g
 }
@@ -75,13 +75,13 @@
         (5, Priority::Live),
     ];
     for (t, p) in order {
-        assert_eq!(g.enter(Time(0), waiter(t, "b", p)), Entered::Wait);
+        assert_eq!(g.submit(Time(0), waiter(t, "b", p)), Admission::Queued);
     }
     let mut started = Vec::new();
-    g.leave("a", Some(Millis(10)));
-    while let Some(t) = g.admit() {
+    g.release("a", Some(Millis(10)));
+    while let Some(t) = g.start_next() {
         started.push(t);
-        g.leave("b", Some(Millis(10)));
+        g.release("b", Some(Millis(10)));
     }
     assert_eq!(started, [3, 5, 4, 2, 1]);
 }
@@ -100,11 +100,11 @@
 ) {
     let mut g = full(1, 2);
     for (t, a, p) in queued {
-        assert_eq!(g.enter(Time(0), waiter(*t, a, *p)), Entered::Wait);
+        assert_eq!(g.submit(Time(0), waiter(*t, a, *p)), Admission::Queued);
     }
-    match (g.enter(Time(0), waiter(9, comes.0, comes.1)), victim) {
-        (Entered::Instead(t, _), Some(v)) => assert_eq!(t, v),
-        (Entered::Refused(_), None) => {}
+    match (g.submit(Time(0), waiter(9, comes.0, comes.1)), victim) {
+        (Admission::Displaced(t, _), Some(v)) => assert_eq!(t, v),
+        (Admission::Refused(_), None) => {}
         other => panic!("{other:?}"),
     }
     assert_eq!(g.waiting(), 2);
@@ -114,26 +114,26 @@
 fn a_large_account_cannot_starve_a_small_one() {
     let mut g = full(4, 100);
     for t in 0..50 {
-        g.enter(Time(0), waiter(t, "large", Priority::Normal));
+        g.submit(Time(0), waiter(t, "large", Priority::Normal));
     }
-    g.enter(Time(0), waiter(99, "small", Priority::Normal));
-    g.leave("a", Some(Millis(10)));
-    assert_eq!(g.admit(), Some(0));
-    g.leave("a", Some(Millis(10)));
-    assert_eq!(g.admit(), Some(99), "the small account has nothing running");
+    g.submit(Time(0), waiter(99, "small", Priority::Normal));
+    g.release("a", Some(Millis(10)));
+    assert_eq!(g.start_next(), Some(0));
+    g.release("a", Some(Millis(10)));
+    assert_eq!(g.start_next(), Some(99), "the small account has nothing running");
 }
 
 #[test]
 fn an_account_at_its_limit_waits_while_others_go() {
     let mut g = Limiter::new(4, 10);
-    let limited = |t| Waiter { concurrency: 1, ..waiter(t, "a", Priority::Live) };
-    assert_eq!(g.enter(Time(0), limited(1)), Entered::Run);
-    assert_eq!(g.enter(Time(0), limited(2)), Entered::Wait);
-    assert_eq!(g.enter(Time(0), waiter(3, "b", Priority::Bulk)), Entered::Wait);
-    assert_eq!(g.admit(), Some(3));
-    assert_eq!(g.admit(), None);
-    g.leave("a", Some(Millis(5)));
-    assert_eq!(g.admit(), Some(2));
+    let limited = |t| QueuedRequest { concurrency: 1, ..waiter(t, "a", Priority::Live) };
+    assert_eq!(g.submit(Time(0), limited(1)), Admission::Started);
+    assert_eq!(g.submit(Time(0), limited(2)), Admission::Queued);
+    assert_eq!(g.submit(Time(0), waiter(3, "b", Priority::Bulk)), Admission::Queued);
+    assert_eq!(g.start_next(), Some(3));
+    assert_eq!(g.start_next(), None);
+    g.release("a", Some(Millis(5)));
+    assert_eq!(g.start_next(), Some(2));
 }
 
 /// A request that cannot be started before its deadline hears it at once, with when to come back.
@@ -141,24 +141,24 @@
 fn what_cannot_meet_its_deadline_is_refused_at_once() {
     let mut g = full(2, 10);
     for _ in 0..60 {
-        g.leave("a", Some(Millis(1_000)));
-        g.enter(Time(0), waiter(1, "a", Priority::Normal));
+        g.release("a", Some(Millis(1_000)));
+        g.submit(Time(0), waiter(1, "a", Priority::Normal));
     }
-    let hurried = Waiter { deadline: Time(100), ..waiter(7, "b", Priority::Live) };
-    match g.enter(Time(0), hurried) {
-        Entered::Refused(wait) => assert!((400..=600).contains(&wait.0), "{wait:?}"),
+    let hurried = QueuedRequest { deadline: Time(100), ..waiter(7, "b", Priority::Live) };
+    match g.submit(Time(0), hurried) {
+        Admission::Refused(wait) => assert!((400..=600).contains(&wait.0), "{wait:?}"),
         other => panic!("{other:?}"),
     }
-    assert_eq!(g.enter(Time(0), waiter(8, "b", Priority::Live)), Entered::Wait);
+    assert_eq!(g.submit(Time(0), waiter(8, "b", Priority::Live)), Admission::Queued);
 }
 
 #[test]
 fn a_request_whose_caller_has_gone_gives_up_its_place() {
     let mut g = full(1, 2);
-    g.enter(Time(0), waiter(1, "b", Priority::Live));
+    g.submit(Time(0), waiter(1, "b", Priority::Live));
     g.remove(1);
-    g.leave("a", None);
-    assert_eq!(g.admit(), None);
+    g.release("a", None);
+    assert_eq!(g.start_next(), None);
     assert_eq!((g.running(), g.waiting()), (0, 0));
 }
 
--- a/crates/router/src/queue.rs
+++ b/crates/router/src/queue.rs
@@ -7,7 +7,7 @@
 
 use cypressfork_core::code::Code;
 use cypressfork_core::config::Priority;
-use cypressfork_core::route::{Entered, Limiter, Ticket, Waiter};
+use cypressfork_core::route::{Admission, Limiter, QueuedRequest, Ticket};
 use cypressfork_core::unit::{Millis, Time};
 use cypressfork_node::time::Clock;
 use tokio::sync::oneshot;
@@ -52,7 +52,7 @@
         self.queue.waiting.borrow_mut().remove(&self.ticket);
         self.queue.limiter.borrow_mut().remove(self.ticket);
         if matches!(self.rx.try_recv(), Ok(Ok(()))) {
-            self.queue.limiter.borrow_mut().leave(self.client_account, None);
+            self.queue.limiter.borrow_mut().release(self.client_account, None);
             self.queue.pump();
         }
     }
@@ -75,7 +75,7 @@
 
     /// Changes the limits.
     pub fn set(&self, limit: u32, room: u32) {
-        self.limiter.borrow_mut().set(limit, room);
+        self.limiter.borrow_mut().set_limits(limit, room);
         self.pump();
     }
 
@@ -91,21 +91,21 @@
         self.tickets.set(ticket);
         let now = self.clock.now();
         let left = deadline.saturating_duration_since(Instant::now());
-        let waiter = Waiter {
+        let waiter = QueuedRequest {
             ticket,
             client_account: client_account.to_owned(),
             priority,
             deadline: now.after(millis(left)),
             concurrency,
         };
-        let entered = self.limiter.borrow_mut().enter(now, waiter);
-        match entered {
-            Entered::Run => return Ok(self.permit(client_account)),
-            Entered::Refused(wait) => return Err(refused(Code::Overloaded, wait)),
-            Entered::Instead(victim, wait) => {
+        let admission = self.limiter.borrow_mut().submit(now, waiter);
+        match admission {
+            Admission::Started => return Ok(self.permit(client_account)),
+            Admission::Refused(wait) => return Err(refused(Code::Overloaded, wait)),
+            Admission::Displaced(victim, wait) => {
                 self.tell(victim, Err(refused(Code::Overloaded, wait)));
             }
-            Entered::Wait => {}
+            Admission::Queued => {}
         }
         self.wait(ticket, client_account, deadline).await
     }
@@ -140,13 +140,13 @@
     /// Lets in whoever may run now.
     fn pump(&self) {
         loop {
-            let next = self.limiter.borrow_mut().admit();
+            let next = self.limiter.borrow_mut().start_next();
             let Some(ticket) = next else { return };
             let client = self.waiting.borrow().get(&ticket).map(|w| w.client_account.clone());
             if !self.tell(ticket, Ok(()))
                 && let Some(client) = client
             {
-                self.limiter.borrow_mut().leave(&client, None);
+                self.limiter.borrow_mut().release(&client, None);
             }
         }
     }
@@ -165,7 +165,7 @@
 impl Drop for Permit {
     fn drop(&mut self) {
         let ran = self.queue.clock.now().since(self.since);
-        self.queue.limiter.borrow_mut().leave(&self.client_account, Some(ran));
+        self.queue.limiter.borrow_mut().release(&self.client_account, Some(ran));
         self.queue.pump();
     }
 }
