--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -21,4 +21,4 @@
 pub use prefix::{PrefixTable, PromptPrefixes};
 pub use replica::Replica;
 pub use retry::Retries;
-pub use vms::{Listed, Vms};
+pub use vms::{ListedState, VmTracker};
--- a/crates/core/src/route/vms.rs
+++ b/crates/core/src/route/vms.rs
@@ -12,7 +12,7 @@
 
 /// State of a `Vm` in the platform's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Listed {
+pub enum ListedState {
     /// It is running.
     Live,
     /// It is about to be shut down.
@@ -31,13 +31,17 @@
 /// The state of the platform's `Vm`s, debounced: a flapping list does not return work to a `Vm`
 /// that is about to shut down. A failed poll changes nothing, since it is not recorded.
 #[derive(Clone, Debug, Default)]
-pub struct Vms {
+pub struct VmTracker {
     by_name: BTreeMap<String, Record>,
 }
 
-impl Vms {
+impl VmTracker {
     /// Records a list. Returns the `Vm`s whose state changed, with true if they are leaving now.
-    pub fn observe(&mut self, now: Time, list: &BTreeMap<String, Listed>) -> Vec<(String, bool)> {
+    pub fn observe(
+        &mut self,
+        now: Time,
+        list: &BTreeMap<String, ListedState>,
+    ) -> Vec<(String, bool)> {
         for name in list.keys() {
             self.by_name.entry(name.clone()).or_default();
         }
@@ -59,16 +63,16 @@
 }
 
 impl Record {
-    fn update(&mut self, now: Time, listed: Option<Listed>) {
+    fn update(&mut self, now: Time, listed: Option<ListedState>) {
         match listed {
-            Some(Listed::Live) => {
+            Some(ListedState::Live) => {
                 self.missed_polls = 0;
                 let since = *self.live_since.get_or_insert(now);
                 if now.since(since) >= LIVE_AFTER {
                     self.leaving = false;
                 }
             }
-            Some(Listed::Leaving) => {
+            Some(ListedState::Leaving) => {
                 self.missed_polls = 0;
                 self.live_since = None;
                 self.leaving = true;
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -7,7 +7,8 @@
 use cypressfork_core::config::{Priority, Upstream, Vm};
 use cypressfork_core::route::lateness::LatencyObjective;
 use cypressfork_core::route::{
-    Admission, Choice, Limiter, Listed, Pool, PromptPrefixes, QueuedRequest, Retries, Vms, Work,
+    Admission, Choice, Limiter, ListedState, Pool, PromptPrefixes, QueuedRequest, Retries,
+    VmTracker, Work,
 };
 use cypressfork_core::unit::{Millis, Time};
 use rand::SeedableRng;
@@ -342,11 +343,11 @@
 #[case::no_list("LxxxL", ".....")]
 #[case::no_list_while_leaving("GxxG", "!!!!")]
 fn the_platforms_list_is_read_with_care(#[case] polls: &str, #[case] leaving: &str) {
-    let mut v = Vms::default();
+    let mut v = VmTracker::default();
     for (n, (poll, want)) in polls.chars().zip(leaving.chars()).enumerate() {
         let state = match poll {
-            'L' => Some(Listed::Live),
-            'G' => Some(Listed::Leaving),
+            'L' => Some(ListedState::Live),
+            'G' => Some(ListedState::Leaving),
             _ => None,
         };
         if poll != 'x' {
--- a/crates/router/src/app.rs
+++ b/crates/router/src/app.rs
@@ -9,7 +9,7 @@
 use awc::{Client, Connector};
 use cypressfork_core::config::Service;
 use cypressfork_core::query::Site;
-use cypressfork_core::route::{Choice, Listed, Pool, Retries, Vms, Work};
+use cypressfork_core::route::{Choice, ListedState, Pool, Retries, VmTracker, Work};
 use cypressfork_node::emit;
 use cypressfork_node::event::Event;
 use cypressfork_node::group::Group;
@@ -49,7 +49,7 @@
     /// The replicas of each service.
     pub pools: RefCell<HashMap<String, Pool>>,
     queues: RefCell<HashMap<String, Rc<Queue>>>,
-    vms: RefCell<Vms>,
+    vms: RefCell<VmTracker>,
     retries: RefCell<HashMap<String, Retries>>,
     /// The routers of the region.
     pub sites: RefCell<Vec<Site>>,
@@ -158,7 +158,7 @@
     }
 
     /// Takes the platform's list of `Vm`s.
-    pub fn observe_vms(&self, list: &BTreeMap<String, Listed>) {
+    pub fn observe_vms(&self, list: &BTreeMap<String, ListedState>) {
         let changes = self.vms.borrow_mut().observe(self.clock.now(), list);
         for (vm, leaving) in &changes {
             let event = if *leaving { Event::UpstreamLeaving } else { Event::UpstreamStays };
--- a/crates/router/src/platform.rs
+++ b/crates/router/src/platform.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use cypressfork_core::route::Listed;
+use cypressfork_core::route::ListedState;
 use cypressfork_node::emit;
 use cypressfork_node::event::Event;
 use serde::Deserialize;
@@ -58,13 +58,13 @@
     }
 }
 
-async fn fetch(app: &App, url: &str) -> Option<BTreeMap<String, Listed>> {
+async fn fetch(app: &App, url: &str) -> Option<BTreeMap<String, ListedState>> {
     let mut response = app.client.get(url).timeout(WITHIN).send().await.ok()?;
     let bytes = response.body().limit(CAP).await.ok()?;
     let list: List = serde_json::from_slice(&bytes).ok()?;
     let listed = |s: State| match s {
-        State::Live => Listed::Live,
-        State::Leaving => Listed::Leaving,
+        State::Live => ListedState::Live,
+        State::Leaving => ListedState::Leaving,
     };
     Some(list.vms.into_iter().map(|v| (v.name, listed(v.state))).collect())
 }
