--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -20,5 +20,5 @@
 pub use pool::{Choice, Pool, ReplicaInfo, Work};
 pub use prefix::{PrefixTable, PromptPrefixes};
 pub use replica::Replica;
-pub use retry::Retries;
+pub use retry::RetryBudget;
 pub use vms::{ListedState, VmTracker};
--- a/crates/core/src/route/retry.rs
+++ b/crates/core/src/route/retry.rs
@@ -12,24 +12,24 @@
 /// The retry budget of one service at one router: one retry for every five requests, and a burst of
 /// up to twenty.
 #[derive(Clone, Copy, Debug)]
-pub struct Retries {
+pub struct RetryBudget {
     balance: u32,
 }
 
-impl Default for Retries {
-    fn default() -> Retries {
-        Retries { balance: MAX_BALANCE }
+impl Default for RetryBudget {
+    fn default() -> RetryBudget {
+        RetryBudget { balance: MAX_BALANCE }
     }
 }
 
-impl Retries {
+impl RetryBudget {
     /// Adds the credit of one request.
-    pub fn request(&mut self) {
+    pub fn record_request(&mut self) {
         self.balance = (self.balance + CREDIT).min(MAX_BALANCE);
     }
 
     /// Withdraws one retry. Returns false if the budget is exhausted.
-    pub fn take(&mut self) -> bool {
+    pub fn try_take(&mut self) -> bool {
         let covered = self.balance >= RETRY_COST;
         if covered {
             self.balance -= RETRY_COST;
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -7,7 +7,7 @@
 use cypressfork_core::config::{Priority, Upstream, Vm};
 use cypressfork_core::route::lateness::LatencyObjective;
 use cypressfork_core::route::{
-    Admission, Choice, Limiter, ListedState, Pool, PromptPrefixes, QueuedRequest, Retries,
+    Admission, Choice, Limiter, ListedState, Pool, PromptPrefixes, QueuedRequest, RetryBudget,
     VmTracker, Work,
 };
 use cypressfork_core::unit::{Millis, Time};
@@ -362,15 +362,15 @@
 /// more than once, after the twenty that a quiet time leaves.
 #[test]
 fn retries_stay_within_a_part_of_the_requests() {
-    let mut r = Retries::default();
+    let mut r = RetryBudget::default();
     let mut retries = 0;
     for _ in 0..1_000 {
-        r.request();
-        retries += (0..2).filter(|_| r.take()).count();
+        r.record_request();
+        retries += (0..2).filter(|_| r.try_take()).count();
     }
     assert!((200..=220).contains(&retries), "{retries} retries of 1,000 requests");
-    let quiet = (0..500).map(|_| r.request()).count();
-    let burst = (0..100).filter(|_| r.take()).count();
+    let quiet = (0..500).map(|_| r.record_request()).count();
+    let burst = (0..100).filter(|_| r.try_take()).count();
     assert_eq!((quiet, burst), (500, 20));
 }
 
--- a/crates/router/src/app.rs
+++ b/crates/router/src/app.rs
@@ -9,7 +9,7 @@
 use awc::{Client, Connector};
 use cypressfork_core::config::Service;
 use cypressfork_core::query::Site;
-use cypressfork_core::route::{Choice, ListedState, Pool, Retries, VmTracker, Work};
+use cypressfork_core::route::{Choice, ListedState, Pool, RetryBudget, VmTracker, Work};
 use cypressfork_node::emit;
 use cypressfork_node::event::Event;
 use cypressfork_node::group::Group;
@@ -50,7 +50,7 @@
     pub pools: RefCell<HashMap<String, Pool>>,
     queues: RefCell<HashMap<String, Rc<Queue>>>,
     vms: RefCell<VmTracker>,
-    retries: RefCell<HashMap<String, Retries>>,
+    retries: RefCell<HashMap<String, RetryBudget>>,
     /// The routers of the region.
     pub sites: RefCell<Vec<Site>>,
     /// Connections to engines and for calls that may be repeated.
@@ -188,9 +188,9 @@
         let mut all = self.retries.borrow_mut();
         let budget = all.entry(service.to_owned()).or_default();
         if tries > 0 {
-            return budget.take();
+            return budget.try_take();
         }
-        budget.request();
+        budget.record_request();
         true
     }
 
