--- a/crates/core/examples/embed.rs
+++ b/crates/core/examples/embed.rs
@@ -63,12 +63,12 @@
         checks_orders: true,
     };
     let mut pool = Pool::default();
-    pool.set(Time(0), &[upstream(1), upstream(2)], 8);
+    pool.set_upstreams(Time(0), &[upstream(1), upstream(2)], 8);
     let mut rng = SmallRng::seed_from_u64(1);
     let choice =
         pool.choose(Time(0), "tamar-a", &Work::default(), &[], &mut rng).expect("two are there");
-    pool.learn(Time(20), &choice, 20_000);
-    pool.done(Time(30), &choice, false);
+    pool.record_first_event(Time(20), &choice, 20_000);
+    pool.finish(Time(30), &choice, false);
     println!("routing: {}", choice.address);
 }
 
--- a/crates/core/examples/rests.rs
+++ b/crates/core/examples/rests.rs
@@ -126,8 +126,8 @@
         };
         let all: Vec<_> = (0..n).map(upstream).collect();
         let mut pool = Pool::default();
-        pool.set(Time(0), &all, PLACES);
-        pool.set_peers(routers as u64 - 1);
+        pool.set_upstreams(Time(0), &all, PLACES);
+        pool.set_peer_count(routers as u64 - 1);
         let work = |n: usize| WORK.0 + (WORK.1 - WORK.0) * (n as u64 % 4) / 3;
         Model {
             way,
@@ -153,7 +153,7 @@
         while self.ending.peek().is_some_and(|e| e.0.0 <= now) {
             let Some(std::cmp::Reverse((_, id))) = self.ending.pop() else { return };
             let Some((router, replica, c)) = self.open.remove(&id) else { continue };
-            self.routers[router].done(Time(now), &c, false);
+            self.routers[router].finish(Time(now), &c, false);
             *self.at.entry((router, replica)).or_default() -= 1;
             self.counts.served += u64::from(now >= BEGINS);
         }
@@ -192,7 +192,7 @@
             self.routers[router].commit(Time(now), &work, &mut c);
             self.count_send(now, router, replica);
             if let Some(end) = self.replicas[replica].take(now) {
-                self.routers[router].let_in(Time(now), &c);
+                self.routers[router].record_accepted(Time(now), &c);
                 *self.at.entry((router, replica)).or_default() += 1;
                 self.next += 1;
                 self.ending.push(std::cmp::Reverse((end, self.next)));
@@ -208,7 +208,7 @@
             if matches!(self.way, Way::Pace | Way::Lent) {
                 self.routers[router].back_off(Time(now), c.address, Millis(REST));
             }
-            self.routers[router].done(Time(now), &c, false);
+            self.routers[router].finish(Time(now), &c, false);
             let pool = &self.routers[router];
             if matches!(self.way, Way::Pace | Way::Lent) && pool.is_mostly_backing_off(Time(now)) {
                 return;
--- a/crates/core/examples/routing.rs
+++ b/crates/core/examples/routing.rs
@@ -199,7 +199,7 @@
             checks_orders: true,
         };
         let mut pool = Pool::default();
-        pool.set(Time(0), &(0..ENGINES).map(upstream).collect::<Vec<_>>(), SLOTS as u32);
+        pool.set_upstreams(Time(0), &(0..ENGINES).map(upstream).collect::<Vec<_>>(), SLOTS as u32);
         let rng = SmallRng::seed_from_u64(n);
         Router { pool, turn: n as usize, outstanding: vec![0; ENGINES], last: BTreeMap::new(), rng }
     }
@@ -293,7 +293,11 @@
             for request in firsts {
                 let x = sent[request].as_ref().filter(|x| x.engine == n);
                 if let Some((at, c)) = x.and_then(|x| Some((x.at, x.choice?))) {
-                    routers[all[request].router].pool.learn(Time(now), &c, (now - at) * 1000);
+                    routers[all[request].router].pool.record_first_event(
+                        Time(now),
+                        &c,
+                        (now - at) * 1000,
+                    );
                 }
             }
             for job in done {
@@ -324,7 +328,7 @@
         if e.down || e.queue.len() >= ENGINE_QUEUE {
             router.outstanding[n] -= 1;
             if let Some(c) = &choice {
-                router.pool.done(Time(now), c, true);
+                router.pool.finish(Time(now), c, true);
             }
             tried.push(n);
             continue;
@@ -355,7 +359,7 @@
     let router = &mut routers[r.router];
     router.outstanding[n] -= 1;
     if let Some(c) = &x.choice {
-        router.pool.done(Time(now), c, false);
+        router.pool.finish(Time(now), c, false);
     }
     s.first.push(job.first.unwrap_or(now) - x.at);
 }
--- a/crates/core/examples/slopes.rs
+++ b/crates/core/examples/slopes.rs
@@ -94,7 +94,7 @@
         Upstream { vm, address: SocketAddr::from(([a, b, c, d], 80)), checks_orders: true }
     };
     let mut p = Pool::default();
-    p.set(Time(0), &(0..replicas).map(upstream).collect::<Vec<_>>(), 8);
+    p.set_upstreams(Time(0), &(0..replicas).map(upstream).collect::<Vec<_>>(), 8);
     p
 }
 
@@ -108,7 +108,7 @@
         let prefixes = PromptPrefixes::new(parts.iter().map(Vec::as_slice).chain([own.as_slice()]));
         let work = Work { prefixes, ..Work::default() };
         let c = p.choose(Time(u64::from(n)), "dc-1", &work, &[], &mut rng).unwrap();
-        p.done(Time(u64::from(n)), &black_box(c), false);
+        p.finish(Time(u64::from(n)), &black_box(c), false);
     }
     let each = begin.elapsed().as_nanos() / u128::from(RUNS);
     println!("choice among {replicas} replicas: {each} ns");
--- a/crates/core/src/route/pool.rs
+++ b/crates/core/src/route/pool.rs
@@ -131,7 +131,7 @@
 
 impl Pool {
     /// Replaces the list of replicas. Those that remain keep their state.
-    pub fn set(&mut self, now: Time, upstreams: &[Upstream], slots: u32) {
+    pub fn set_upstreams(&mut self, now: Time, upstreams: &[Upstream], slots: u32) {
         let next: BTreeSet<_> = upstreams.iter().map(|u| u.address).collect();
         let gone: Vec<_> = self.addresses.iter().copied().filter(|a| !next.contains(a)).collect();
         for address in gone {
@@ -139,13 +139,13 @@
         }
         for u in upstreams {
             let leaving = self.replicas.get(&u.address).is_some_and(|r| r.leaving);
-            self.put(now, u, &ReplicaInfo { slots, leaving, ..ReplicaInfo::default() });
+            self.upsert(now, u, &ReplicaInfo { slots, leaving, ..ReplicaInfo::default() });
         }
     }
 
     /// Adds or updates a replica, at a cost independent of the number of replicas. A different
     /// replica at the same address replaces the old one and its state.
-    pub fn put(&mut self, now: Time, u: &Upstream, info: &ReplicaInfo) {
+    pub fn upsert(&mut self, now: Time, u: &Upstream, info: &ReplicaInfo) {
         if self.replicas.get(&u.address).is_some_and(|r| r.upstream != *u) {
             self.remove(now, u.address);
         }
@@ -179,7 +179,7 @@
     }
 
     /// Sets the capacity of cold replicas of this service in requests a minute; none: unlimited.
-    pub fn set_cold_bound(&mut self, now: Time, per_minute: Option<u32>) {
+    pub fn set_cold_rate_limit(&mut self, now: Time, per_minute: Option<u32>) {
         if self.cold_per_minute == per_minute {
             return;
         }
@@ -219,7 +219,7 @@
     }
 
     /// Sets the number of other routers that send to the same replicas.
-    pub fn set_peers(&mut self, n: u64) {
+    pub fn set_peer_count(&mut self, n: u64) {
         self.peers = n;
     }
 
@@ -237,7 +237,7 @@
 
     /// Sets the evacuated data centres. Their replicas get no new work, but finish their running
     /// requests.
-    pub fn set_closed(&mut self, now: Time, data_centres: &BTreeSet<String>) {
+    pub fn set_closed_data_centres(&mut self, now: Time, data_centres: &BTreeSet<String>) {
         self.evacuated = data_centres.clone();
         for r in self.replicas.values_mut() {
             r.evacuated = data_centres.contains(&r.upstream.vm.data_centre);
@@ -249,7 +249,7 @@
 
     /// Sets this router's data centre and the regions of all data centres. To be called before any
     /// replica is added.
-    pub fn set_place(&mut self, data_centre: &str, regions: &Regions) {
+    pub fn set_location(&mut self, data_centre: &str, regions: &Regions) {
         self.location = (data_centre.to_owned(), regions.clone());
     }
 
@@ -263,7 +263,7 @@
 
     /// Returns whether any replica that accepts work can serve requests for the old version of a
     /// rollout.
-    pub fn has_old(&self) -> bool {
+    pub fn has_old_replicas(&self) -> bool {
         self.replicas.values().any(|r| matches!(r.side, Side::Old | Side::Any) && r.accepts_work())
     }
 
@@ -274,7 +274,13 @@
 
     /// Records that another router sent a prompt to a replica, which has `uncached` tokens of it to
     /// process.
-    pub fn placed(&mut self, now: Time, address: SocketAddr, uncached: u64, t: &PromptPrefixes) {
+    pub fn record_peer_placement(
+        &mut self,
+        now: Time,
+        address: SocketAddr,
+        uncached: u64,
+        t: &PromptPrefixes,
+    ) {
         if let Some(r) = self.replicas.get_mut(&address) {
             r.backlog.add(now, uncached);
             self.prefixes.record_sent(now, address, t);
@@ -490,14 +496,14 @@
 
     /// Records the first event of a request, `first_us` after it was sent. Its prompt is processed
     /// by then.
-    pub fn learn(&mut self, now: Time, c: &Choice, first_us: u64) {
+    pub fn record_first_event(&mut self, now: Time, c: &Choice, first_us: u64) {
         if let Some(r) = self.replicas.get_mut(&c.address) {
             r.record_first_event(now, c.ticket, first_us);
         }
     }
 
     /// Records the end of a request. Returns whether that ejects its replica.
-    pub fn done(&mut self, now: Time, c: &Choice, failed: bool) -> bool {
+    pub fn finish(&mut self, now: Time, c: &Choice, failed: bool) -> bool {
         let Some(r) = self.replicas.get_mut(&c.address) else { return false };
         r.backlog.remove(c.ticket);
         r.backoff.record_ended(c.ticket);
--- a/crates/core/src/route/pool/held_back.rs
+++ b/crates/core/src/route/pool/held_back.rs
@@ -71,7 +71,7 @@
     }
 
     /// Records that a replica accepted a request.
-    pub fn let_in(&mut self, now: Time, c: &Choice) {
+    pub fn record_accepted(&mut self, now: Time, c: &Choice) {
         self.accepted.record(now);
         let Some(r) = self.replicas.get_mut(&c.address).filter(|r| r.backoff.limits_requests())
         else {
@@ -84,7 +84,7 @@
     }
 
     /// Returns the recent rate of requests that replicas accepted, per second.
-    pub fn let_in_per_second(&self) -> u64 {
+    pub fn accepted_per_second(&self) -> u64 {
         self.accepted.per_second()
     }
 
--- a/crates/core/tests/cold.rs
+++ b/crates/core/tests/cold.rs
@@ -43,11 +43,11 @@
 fn gateways(l: &Load, bound: Option<u32>) -> Vec<Pool> {
     let one = |_| {
         let mut pool = Pool::default();
-        pool.set_cold_bound(Time(0), bound);
-        pool.set_peers(l.gateways as u64 - 1);
+        pool.set_cold_rate_limit(Time(0), bound);
+        pool.set_peer_count(l.gateways as u64 - 1);
         for n in 0..l.replicas {
             let cold = if n < l.cold { Millis(3_000) } else { Millis(0) };
-            pool.put(
+            pool.upsert(
                 Time(0),
                 &upstream(n),
                 &ReplicaInfo { slots: 64, cold_for: cold, ..ReplicaInfo::default() },
@@ -78,7 +78,7 @@
         running.retain(|(end, g, c)| {
             let ends = *end <= now;
             if ends {
-                pools[*g].done(now, c, false);
+                pools[*g].finish(now, c, false);
             }
             !ends
         });
@@ -156,7 +156,7 @@
             };
             let at = Time(now + 20 * n);
             let c = pool.choose(at, "a", &work, &[], &mut rng).unwrap();
-            pool.done(at, &c, false);
+            pool.finish(at, &c, false);
             c.address
         });
         to.collect()
--- a/crates/core/tests/evacuation.rs
+++ b/crates/core/tests/evacuation.rs
@@ -66,7 +66,7 @@
         let work = Work { prefixes, ..Work::default() };
         let Some(c) = pool.choose(Time(n * 10), "a", &work, &[], &mut rng) else { continue };
         used.insert(pool.get(c.address).unwrap().upstream.vm.data_centre.clone());
-        pool.done(Time(n * 10 + 5), &c, false);
+        pool.finish(Time(n * 10 + 5), &c, false);
     }
     used
 }
@@ -75,16 +75,16 @@
 fn an_evacuated_data_centre_gets_no_new_work_until_it_is_taken_back() {
     let all: Vec<_> = (0..9).map(|n| upstream(n, ["a", "b", "c"][usize::from(n) % 3])).collect();
     let mut pool = Pool::default();
-    pool.set(Time(0), &all, 8);
+    pool.set_upstreams(Time(0), &all, 8);
     assert_eq!(data_centres_used(&mut pool), names(&["a", "b", "c"]));
-    pool.set_closed(Time(0), &names(&["b"]));
+    pool.set_closed_data_centres(Time(0), &names(&["b"]));
     assert_eq!(data_centres_used(&mut pool), names(&["a", "c"]));
     // One that registers meanwhile is in it too.
     let more: Vec<_> = all.iter().cloned().chain([upstream(9, "b")]).collect();
-    pool.set(Time(0), &more, 8);
+    pool.set_upstreams(Time(0), &more, 8);
     assert_eq!(data_centres_used(&mut pool), names(&["a", "c"]));
-    pool.set_closed(Time(0), &names(&["a", "b", "c"]));
+    pool.set_closed_data_centres(Time(0), &names(&["a", "b", "c"]));
     assert_eq!(data_centres_used(&mut pool), names(&[]));
-    pool.set_closed(Time(0), &names(&[]));
+    pool.set_closed_data_centres(Time(0), &names(&[]));
     assert_eq!(data_centres_used(&mut pool), names(&["a", "b", "c"]));
 }
--- a/crates/core/tests/lives.rs
+++ b/crates/core/tests/lives.rs
@@ -130,7 +130,7 @@
     let mut take = |pool: &mut Pool, now: Time, w: Word| {
         for c in replicas.apply(now, record(w)).unwrap().1 {
             match c.upstream {
-                Some((u, condition)) => pool.put(now, &u, &condition),
+                Some((u, condition)) => pool.upsert(now, &u, &condition),
                 None => pool.remove(now, c.address),
             }
         }
@@ -139,12 +139,12 @@
     let other = SocketAddr::from(([10, 0, 0, 2], 80));
     let vm = Vm { name: "i-2".to_owned(), data_centre: "a".to_owned() };
     let upstream = Upstream { vm, address: other, checks_orders: false };
-    pool.put(Time(0), &upstream, &ReplicaInfo { slots: 8, ..ReplicaInfo::default() });
+    pool.upsert(Time(0), &upstream, &ReplicaInfo { slots: 8, ..ReplicaInfo::default() });
     let work = Work::default();
     let first = SocketAddr::from(([10, 0, 0, 1], 80));
     for _ in 0..3 {
         let c = pool.choose(Time(10), "a", &work, &[other], &mut rng).unwrap();
-        pool.done(Time(10), &c, true);
+        pool.finish(Time(10), &c, true);
     }
     pool.choose(Time(400), "a", &work, &[other], &mut rng);
     assert!(pool.get(first).unwrap().is_out(Time(400)));
--- a/crates/core/tests/regions.rs
+++ b/crates/core/tests/regions.rs
@@ -63,14 +63,14 @@
 /// A router in `n1` with `each` replicas of 8 places in every data centre.
 fn pool(each: u8) -> (Pool, BTreeMap<SocketAddr, &'static str>) {
     let mut pool = Pool::default();
-    pool.set_place("n1", &regions());
+    pool.set_location("n1", &regions());
     let mut at = BTreeMap::new();
     for (c, dc) in CENTRES.into_iter().enumerate() {
         for n in 0..each {
             let address = SocketAddr::from(([10, c as u8, 0, n], 80));
             let vm = Vm { name: format!("{dc}-{n}"), data_centre: dc.to_owned() };
             let upstream = Upstream { vm, address, checks_orders: false };
-            pool.put(Time(0), &upstream, &ReplicaInfo { slots: 8, ..ReplicaInfo::default() });
+            pool.upsert(Time(0), &upstream, &ReplicaInfo { slots: 8, ..ReplicaInfo::default() });
             at.insert(address, dc);
         }
     }
@@ -95,7 +95,12 @@
     let mut rng = SmallRng::seed_from_u64(1);
     let abroad: Vec<_> = at.iter().filter(|(_, dc)| dc.starts_with('s')).map(|(a, _)| *a).collect();
     for n in 0..50 {
-        pool.placed(Time(0), abroad[n as usize % abroad.len()], 2_000, &prompt(n).prefixes);
+        pool.record_peer_placement(
+            Time(0),
+            abroad[n as usize % abroad.len()],
+            2_000,
+            &prompt(n).prefixes,
+        );
     }
     for n in 0..400 {
         let now = Time(1_000 + n * 25);
@@ -105,8 +110,8 @@
             "request {n} goes to {}",
             at[&choice.address]
         );
-        pool.learn(now, &choice, 60_000);
-        pool.done(now, &choice, false);
+        pool.record_first_event(now, &choice, 60_000);
+        pool.finish(now, &choice, false);
     }
 }
 
@@ -135,7 +140,7 @@
     ) {
         let (mut pool, at) = pool(3);
         let mut rng = SmallRng::seed_from_u64(seed);
-        pool.set_closed(Time(1), &names(&closed));
+        pool.set_closed_data_centres(Time(1), &names(&closed));
         let all: Vec<_> = at.keys().copied().collect();
         for n in gone {
             pool.remove(Time(2), all[n]);
--- a/crates/core/tests/replicas.rs
+++ b/crates/core/tests/replicas.rs
@@ -126,7 +126,7 @@
             let prefixes = PromptPrefixes::from_sized_parts([(n, 1_000_000), (1 << 32 | n, 10)]);
             let work = Work { prefixes, ..Work::default() };
             let c = pool.choose(Time(n), "dc-0", &work, &[], &mut rng).unwrap();
-            pool.done(Time(n), &c, false);
+            pool.finish(Time(n), &c, false);
             c.address
         })
         .collect()
@@ -142,7 +142,7 @@
     for _ in 0..3 {
         order.shuffle(&mut rng);
         let mut pool = Pool::default();
-        order.iter().for_each(|n| pool.put(Time(0), &upstream(*n), &READY));
+        order.iter().for_each(|n| pool.upsert(Time(0), &upstream(*n), &READY));
         (150..200).for_each(|n| pool.remove(Time(0), upstream(n).address));
         pools.push(pool);
     }
@@ -154,10 +154,10 @@
 #[test]
 fn a_replica_that_goes_moves_its_own_keys_alone() {
     let mut pool = Pool::default();
-    (0..200).for_each(|n| pool.put(Time(0), &upstream(n), &READY));
+    (0..200).for_each(|n| pool.upsert(Time(0), &upstream(n), &READY));
     let before = homes(&mut pool, 2_000);
     let mut pool = Pool::default();
-    (1..200).for_each(|n| pool.put(Time(0), &upstream(n), &READY));
+    (1..200).for_each(|n| pool.upsert(Time(0), &upstream(n), &READY));
     let after = homes(&mut pool, 2_000);
     let moved = before.iter().zip(&after).filter(|(b, a)| b != a);
     assert!(moved.clone().all(|(b, _)| *b == upstream(0).address));
@@ -173,7 +173,7 @@
 fn homes_are_spread_evenly(#[case] replicas: u32, #[case] most_percent: u64) {
     const KEYS: u64 = 20_000;
     let mut pool = Pool::default();
-    (0..replicas).for_each(|n| pool.put(Time(0), &upstream(n), &READY));
+    (0..replicas).for_each(|n| pool.upsert(Time(0), &upstream(n), &READY));
     let mut count: BTreeMap<SocketAddr, u64> = BTreeMap::new();
     homes(&mut pool, KEYS).into_iter().for_each(|a| *count.entry(a).or_default() += 1);
     let busiest = *count.values().max().unwrap();
--- a/crates/core/tests/rests.rs
+++ b/crates/core/tests/rests.rs
@@ -34,7 +34,7 @@
 fn pool(n: u16) -> Pool {
     let all: Vec<_> = (0..n).map(upstream).collect();
     let mut p = Pool::default();
-    p.set(Time(0), &all, SLOTS);
+    p.set_upstreams(Time(0), &all, SLOTS);
     p
 }
 
@@ -46,7 +46,7 @@
     let mut all = BTreeSet::new();
     for _ in 0..times {
         let Some(c) = choose(p, now, work) else { continue };
-        p.done(Time(now), &c, false);
+        p.finish(Time(now), &c, false);
         all.insert(c.address);
     }
     all
@@ -86,7 +86,7 @@
     for resting in 0..4 {
         let mut p = pool(4);
         // It holds the prompt, and is idle besides.
-        p.placed(Time(0), address(resting), 0, &work.prefixes);
+        p.record_peer_placement(Time(0), address(resting), 0, &work.prefixes);
         p.back_off(Time(0), address(resting), REST);
         assert!(!chosen(&mut p, 2_999, &work, 50).contains(&address(resting)));
     }
@@ -100,7 +100,7 @@
     let c = p.choose(Time(0), "here", &Work::default(), &others, &mut rng()).unwrap();
     p.back_off(Time(0), address(0), REST);
     for _ in 0..4 {
-        p.done(Time(0), &c, true);
+        p.finish(Time(0), &c, true);
     }
     assert_eq!(chosen(&mut p, 100, &Work::default(), 20), BTreeSet::from([address(1)]));
 }
@@ -134,8 +134,8 @@
     let mut p = pool(1);
     let c = choose(&mut p, 0, &Work::default()).unwrap();
     p.back_off(Time(10), address(0), REST);
-    p.let_in(Time(20), &c);
-    p.done(Time(20), &c, false);
+    p.record_accepted(Time(20), &c);
+    p.finish(Time(20), &c, false);
     assert!(choose(&mut p, 2_000, &Work::default()).is_none());
 }
 
@@ -144,11 +144,11 @@
 fn a_rest_belongs_to_one_replica() {
     let mut p = pool(1);
     p.back_off(Time(0), address(0), REST);
-    p.put(Time(10), &upstream(0), &ReplicaInfo { slots: 3, ..ReplicaInfo::default() });
+    p.upsert(Time(10), &upstream(0), &ReplicaInfo { slots: 3, ..ReplicaInfo::default() });
     assert!(p.is_backing_off(Time(10), address(0)));
     let mut other = upstream(0);
     other.vm.name = "b-9".to_owned();
-    p.put(Time(20), &other, &ReplicaInfo { slots: 3, ..ReplicaInfo::default() });
+    p.upsert(Time(20), &other, &ReplicaInfo { slots: 3, ..ReplicaInfo::default() });
     assert!(!p.is_backing_off(Time(20), address(0)));
 }
 
@@ -163,11 +163,11 @@
     assert!(choose(&mut p, 3_011, &Work::default()).is_none(), "its answer is waited for");
     // Those of before neither take the place of new ones nor speak for them.
     for c in &before {
-        p.let_in(Time(3_012), c);
-        p.done(Time(3_012), c, false);
+        p.record_accepted(Time(3_012), c);
+        p.finish(Time(3_012), c, false);
     }
     assert!(choose(&mut p, 3_013, &Work::default()).is_none());
-    p.let_in(Time(3_020), &first);
+    p.record_accepted(Time(3_020), &first);
     let mut open = vec![first];
     let mut at_once = Vec::new();
     for now in 4..7 {
@@ -176,8 +176,8 @@
         }
         at_once.push(open.len());
         for c in open.drain(..) {
-            p.let_in(Time(now * 1_000 + 1), &c);
-            p.done(Time(now * 1_000 + 2), &c, false);
+            p.record_accepted(Time(now * 1_000 + 1), &c);
+            p.finish(Time(now * 1_000 + 2), &c, false);
         }
     }
     assert_eq!(at_once, [2, 4, 5], "doubled up to half of what it had, then one more at a time");
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -32,7 +32,7 @@
 fn pool(n: u16) -> Pool {
     let all: Vec<_> = (0..n).map(upstream).collect();
     let mut p = Pool::default();
-    p.set(Time(0), &all, 8);
+    p.set_upstreams(Time(0), &all, 8);
     p
 }
 
@@ -173,11 +173,11 @@
 fn a_lessons_next_turn_goes_to_the_engine_that_has_its_prefix() {
     let (mut p, mut r) = (pool(50), rng());
     let first = choice(&mut p, 0, &lesson(3), &mut r);
-    p.done(Time(10), &first, false);
+    p.finish(Time(10), &first, false);
     for turns in 4..20 {
         let next = choice(&mut p, turns as u64 * 1_000, &lesson(turns), &mut r);
         assert_eq!(next.address, first.address);
-        p.done(Time(turns as u64 * 1_000 + 10), &next, false);
+        p.finish(Time(turns as u64 * 1_000 + 10), &next, false);
     }
 }
 
@@ -245,7 +245,7 @@
     let (mut p, mut r) = (pool(2), rng());
     let own: Vec<_> = (0..6).map(|_| choice_of(&mut p, 0)).collect();
     for c in &own {
-        p.done(Time(3_000), c, false);
+        p.finish(Time(3_000), c, false);
     }
     p.report(address(0), Time(1_000), 6, 0);
     p.report(address(1), Time(1_000), 2, 0);
@@ -266,9 +266,9 @@
     let other = Work { prefixes: PromptPrefixes::new([&[7u8; 4_000][..]]), ..Work::default() };
     let next = choice(&mut p, 0, &other, &mut r);
     assert_ne!(next.address, long.address);
-    p.done(Time(1), &next, false);
-    p.learn(Time(1), &long, 1_000);
-    p.done(Time(2), &long, false);
+    p.finish(Time(1), &next, false);
+    p.record_first_event(Time(1), &long, 1_000);
+    p.finish(Time(2), &long, false);
     let again = choice(&mut p, 3, &lesson(20), &mut r);
     assert_eq!(again.address, long.address);
 }
@@ -279,14 +279,14 @@
     let bad = address(0);
     let fail = |p: &mut Pool, now| {
         let c = choice_of(p, 0);
-        p.done(Time(now), &c, true)
+        p.finish(Time(now), &c, true)
     };
     assert!(!fail(&mut p, 0), "one failure is none");
     assert!(fail(&mut p, 0));
     let chosen = |p: &mut Pool, now, r: &mut SmallRng| {
         (0..40).any(|_| {
             let c = choice(p, now, &Work::default(), r);
-            p.done(Time(now), &c, false);
+            p.finish(Time(now), &c, false);
             c.address == bad
         })
     };
@@ -302,7 +302,7 @@
     for n in 0..6 {
         for _ in 0..4 {
             let c = choice_of(&mut p, n);
-            p.done(Time(0), &c, true);
+            p.finish(Time(0), &c, true);
         }
     }
     assert_eq!(p.usable(Time(1)), 3);
@@ -325,7 +325,7 @@
 fn a_changed_list_keeps_what_is_known_of_those_that_stay() {
     let (mut p, mut r) = (pool(2), rng());
     p.report(address(0), Time(1), 90, 90);
-    p.set(Time(0), &[upstream(0), upstream(1), upstream(2)], 8);
+    p.set_upstreams(Time(0), &[upstream(0), upstream(1), upstream(2)], 8);
     for _ in 0..10 {
         assert_ne!(choose(&mut p, 2, &Work::default(), &mut r), Some(address(0)));
     }
@@ -397,7 +397,7 @@
 ) {
     let (mut p, mut r) = (pool(2), rng());
     let theirs = prompt(1_000, 40_000, 9);
-    p.placed(Time(0), address(0), 41_000, &theirs.prefixes);
+    p.record_peer_placement(Time(0), address(0), 41_000, &theirs.prefixes);
     let c = choice(&mut p, now, &prompt(1_000, 300, 2), &mut r);
     assert_eq!(c.address, address(expected));
 }
@@ -407,7 +407,7 @@
 fn a_shared_part_is_found_where_another_router_has_sent_it() {
     for seed in 0..20 {
         let (mut p, mut r) = (pool(12), SmallRng::seed_from_u64(seed));
-        p.placed(Time(0), address(5), 8_000, &prompt(7_000, 1_000, 9).prefixes);
+        p.record_peer_placement(Time(0), address(5), 8_000, &prompt(7_000, 1_000, 9).prefixes);
         let c = choice(&mut p, 2_000, &prompt(7_000, 300, 2), &mut r);
         assert_eq!((c.address, c.uncached <= 400), (address(5), true), "seed {seed}");
     }
@@ -434,6 +434,6 @@
         let c = choice(&mut p, 1_500, &prompt(0, 500, 3), &mut r);
         assert_ne!(c.address, stuck.address);
     }
-    p.learn(Time(1_600), &stuck, 1_600_000);
-    p.done(Time(1_700), &stuck, false);
+    p.record_first_event(Time(1_600), &stuck, 1_600_000);
+    p.finish(Time(1_700), &stuck, false);
 }
--- a/crates/router/src/app.rs
+++ b/crates/router/src/app.rs
@@ -142,7 +142,7 @@
                 Service::Plain(_) => (PLAIN_SLOTS, PLAIN_QUEUE),
             };
             let pool = pools.entry(name.to_owned()).or_default();
-            pool.set(now, s.upstreams(), slots);
+            pool.set_upstreams(now, s.upstreams(), slots);
             let limit = slots.saturating_mul(s.upstreams().len() as u32);
             let fresh = || Rc::new(Queue::new(self.clock, limit, room));
             queues.entry(name.to_owned()).or_insert_with(fresh).set(limit, room);
@@ -197,7 +197,7 @@
     /// Learns from the time to the first token.
     pub fn learn(&self, service: &str, c: &Choice, first: Duration) {
         if let Some(pool) = self.pools.borrow_mut().get_mut(service) {
-            pool.learn(self.clock.now(), c, first.as_micros() as u64);
+            pool.record_first_event(self.clock.now(), c, first.as_micros() as u64);
         }
     }
 
@@ -205,7 +205,7 @@
     pub fn done(&self, service: &str, c: &Choice, failed: bool) {
         let mut pools = self.pools.borrow_mut();
         let Some(pool) = pools.get_mut(service) else { return };
-        if pool.done(self.clock.now(), c, failed) {
+        if pool.finish(self.clock.now(), c, failed) {
             emit!(Event::UpstreamEjected, service = service, address = c.address);
         }
     }
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -368,8 +368,8 @@
         let pool = pools.entry(c.service.clone()).or_insert_with(|| {
             let mut pool = Pool::default();
             let base = &self.settings.base;
-            pool.set_place(&base.data_centre, &base.regions);
-            pool.set_closed(now, &closed());
+            pool.set_location(&base.data_centre, &base.regions);
+            pool.set_closed_data_centres(now, &closed());
             if let Some(r) = self.trials.of(&c.service) {
                 pool.set_rollout(&r);
             }
@@ -377,7 +377,7 @@
         });
         match &c.upstream {
             Some((upstream, condition)) => {
-                pool.put(now, upstream, condition);
+                pool.upsert(now, upstream, condition);
                 let limited = self.limits.names_one(&upstream.vm.name);
                 pool.set_rate_limited(now, c.address, limited);
             }
@@ -395,7 +395,7 @@
         }
         let now = self.now();
         for pool in self.pools.borrow_mut().values_mut() {
-            pool.set_closed(now, &told.data_centres);
+            pool.set_closed_data_centres(now, &told.data_centres);
         }
         gauge!(metric::EVACUATED).set(told.data_centres.len() as f64);
         emit!(
@@ -424,12 +424,12 @@
     ) -> Option<Chosen> {
         let mut pools = self.pools.borrow_mut();
         let pool = pools.get_mut(service)?;
-        pool.set_cold_bound(self.now(), cold_bound);
+        pool.set_cold_rate_limit(self.now(), cold_bound);
         let dc = &self.settings.base.data_centre;
         let mut rng = self.rng.borrow_mut();
-        pool.set_peers(u64::from(self.routers.get().saturating_sub(1)));
+        pool.set_peer_count(u64::from(self.routers.get().saturating_sub(1)));
         let mut ways = work.way.fallbacks();
-        if work.way == Way::Old && !pool.has_old() {
+        if work.way == Way::Old && !pool.has_old_replicas() {
             // It has moved without this gateway's hearing of it.
             ways = Way::Any.fallbacks();
         }
@@ -471,7 +471,7 @@
     /// When a caller is to come back that replicas of `service` want no request of before `first`. Callers
     /// come back one after the other, as fast as replicas let requests in before.
     pub fn come_back(&self, service: &str, first: Millis) -> Millis {
-        let let_in = self.pools.borrow().get(service).map_or(0, Pool::let_in_per_second);
+        let let_in = self.pools.borrow().get(service).map_or(0, Pool::accepted_per_second);
         let first = first.min(FIRST_MOST);
         let each = Millis(1_000 / let_in.max(1));
         let most = Millis(first.0 + SPREAD_MOST.0);
@@ -504,7 +504,7 @@
     /// Notes that a replica has let a request in.
     pub fn let_in(&self, service: &str, c: &Choice) {
         if let Some(pool) = self.pools.borrow_mut().get_mut(service) {
-            pool.let_in(self.now(), c);
+            pool.record_accepted(self.now(), c);
         }
     }
 
@@ -555,14 +555,14 @@
     /// Takes another gateway's word that it has sent a prompt to a replica.
     pub fn placed(&self, p: &Placement) {
         if let Some(pool) = self.pools.borrow_mut().get_mut(&p.service) {
-            pool.placed(self.now(), p.replica, p.fresh, &p.trail);
+            pool.record_peer_placement(self.now(), p.replica, p.fresh, &p.trail);
         }
     }
 
     /// Learns from the time to the first event.
     pub fn learn(&self, service: &str, c: &Choice, first_us: u64) {
         if let Some(pool) = self.pools.borrow_mut().get_mut(service) {
-            pool.learn(self.now(), c, first_us);
+            pool.record_first_event(self.now(), c, first_us);
             let seconds = Duration::from_micros(first_us);
             histogram!(metric::FIRST_TOKEN, "service" => service.to_owned()).record(seconds);
         }
@@ -572,7 +572,7 @@
     pub fn done(&self, service: &str, c: &Choice, failed: bool) {
         let mut pools = self.pools.borrow_mut();
         let Some(pool) = pools.get_mut(service) else { return };
-        if pool.done(self.now(), c, failed) {
+        if pool.finish(self.now(), c, failed) {
             emit!(Event::UpstreamEjected, service = service, address = c.address);
         }
     }
