--- a/crates/core/examples/embed.rs
+++ b/crates/core/examples/embed.rs
@@ -8,7 +8,7 @@
 use cypressfork_core::claim::{Claims, End, Outcome, Verdict};
 use cypressfork_core::config::{Upstream, Vm};
 use cypressfork_core::raft::{Action, Members, Payload, Raft, Restored, Settings, SnapshotMeta};
-use cypressfork_core::route::{Pool, Work};
+use cypressfork_core::route::{Pool, RequestProfile};
 use cypressfork_core::unit::{HolderId, LeaseId, RequestId, Time};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -65,8 +65,9 @@
     let mut pool = Pool::default();
     pool.set_upstreams(Time(0), &[upstream(1), upstream(2)], 8);
     let mut rng = SmallRng::seed_from_u64(1);
-    let choice =
-        pool.choose(Time(0), "tamar-a", &Work::default(), &[], &mut rng).expect("two are there");
+    let choice = pool
+        .choose(Time(0), "tamar-a", &RequestProfile::default(), &[], &mut rng)
+        .expect("two are there");
     pool.record_first_event(Time(20), &choice, 20_000);
     pool.finish(Time(30), &choice, false);
     println!("routing: {}", choice.address);
--- a/crates/core/examples/rests.rs
+++ b/crates/core/examples/rests.rs
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 
 use cypressfork_core::config::{Upstream, Vm};
-use cypressfork_core::route::{Choice, Pool, Work};
+use cypressfork_core::route::{Choice, Pool, RequestProfile};
 use cypressfork_core::unit::{Millis, Time};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -181,7 +181,7 @@
         self.counts.requests += 1;
         let mut tried = Vec::new();
         for _ in 0..TRIES {
-            let work = Work::default();
+            let work = RequestProfile::default();
             let pool = &mut self.routers[router];
             let Some(mut c) = pool.pick(Time(now), "a", &work, &tried, rng) else { return };
             tried.push(c.address);
--- a/crates/core/examples/routing.rs
+++ b/crates/core/examples/routing.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 
 use cypressfork_core::config::{Upstream, Vm};
-use cypressfork_core::route::{Choice, Pool, PromptPrefixes, Work};
+use cypressfork_core::route::{Choice, Pool, PromptPrefixes, RequestProfile};
 use cypressfork_core::unit::Time;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -230,7 +230,8 @@
                 None => open[(r.conversation % 4) as usize % open.len()],
             },
             Rule::Pool => {
-                let work = Work { prefixes: r.prefixes.clone(), ..Work::default() };
+                let work =
+                    RequestProfile { prefixes: r.prefixes.clone(), ..RequestProfile::default() };
                 let tried: Vec<_> = tried.iter().map(|n| address(*n)).collect();
                 let c = self.pool.choose(Time(now), "dc-0", &work, &tried, &mut self.rng).unwrap();
                 self.outstanding[c.address.port() as usize] += 1;
--- a/crates/core/examples/slopes.rs
+++ b/crates/core/examples/slopes.rs
@@ -11,7 +11,7 @@
 use cypressfork_core::budget::{Ask, Ledger, Policy, Report};
 use cypressfork_core::claim::{Claims, End, Outcome};
 use cypressfork_core::config::{Upstream, Vm};
-use cypressfork_core::route::{Pool, PromptPrefixes, Work};
+use cypressfork_core::route::{Pool, PromptPrefixes, RequestProfile};
 use cypressfork_core::unit::{HolderId, LeaseId, RequestId, Time};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -106,7 +106,7 @@
     for n in 0..RUNS {
         let own = n.to_be_bytes();
         let prefixes = PromptPrefixes::new(parts.iter().map(Vec::as_slice).chain([own.as_slice()]));
-        let work = Work { prefixes, ..Work::default() };
+        let work = RequestProfile { prefixes, ..RequestProfile::default() };
         let c = p.choose(Time(u64::from(n)), "dc-1", &work, &[], &mut rng).unwrap();
         p.finish(Time(u64::from(n)), &black_box(c), false);
     }
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -17,7 +17,7 @@
 
 pub use limiter::{Admission, Limiter, QueuedRequest, Ticket};
 pub use pool::held_back::{BlockReason, Blocked};
-pub use pool::{Choice, Pool, ReplicaInfo, Work};
+pub use pool::{Choice, Pool, ReplicaInfo, RequestProfile};
 pub use prefix::{PrefixTable, PromptPrefixes};
 pub use replica::Replica;
 pub use retry::RetryBudget;
--- a/crates/core/src/route/pool.rs
+++ b/crates/core/src/route/pool.rs
@@ -46,7 +46,7 @@
 
 /// The properties of a request that decide which replica it is sent to.
 #[derive(Clone, Debug, Default)]
-pub struct Work {
+pub struct RequestProfile {
     /// The prefixes of its prompt.
     pub prefixes: PromptPrefixes,
     /// Its latency objective; none: minimise the time until the first event.
@@ -293,12 +293,12 @@
         &mut self,
         now: Time,
         data_centre: &str,
-        work: &Work,
+        profile: &RequestProfile,
         tried: &[SocketAddr],
         rng: &mut impl Rng,
     ) -> Option<Choice> {
-        let mut best = self.pick(now, data_centre, work, tried, rng)?;
-        self.commit(now, work, &mut best);
+        let mut best = self.pick(now, data_centre, profile, tried, rng)?;
+        self.commit(now, profile, &mut best);
         Some(best)
     }
 
@@ -308,20 +308,20 @@
         &mut self,
         now: Time,
         data_centre: &str,
-        work: &Work,
+        profile: &RequestProfile,
         tried: &[SocketAddr],
         rng: &mut impl Rng,
     ) -> Option<Choice> {
         self.demand.record(now);
         self.add_warmed_up(now);
-        let home = self.home(&work.prefixes);
-        let sample = self.sample(now, work, tried, home, rng);
-        let scored = sample.into_iter().map(|a| self.score(now, data_centre, work, a, home));
-        self.cheapest(work, scored.collect())
+        let home = self.home(&profile.prefixes);
+        let sample = self.sample(now, profile, tried, home, rng);
+        let scored = sample.into_iter().map(|a| self.score(now, data_centre, profile, a, home));
+        self.cheapest(profile, scored.collect())
     }
 
     /// Records the request as sent to the chosen replica.
-    pub fn commit(&mut self, now: Time, work: &Work, c: &mut Choice) {
+    pub fn commit(&mut self, now: Time, profile: &RequestProfile, c: &mut Choice) {
         self.last_ticket += 1;
         c.ticket = self.last_ticket;
         if let Some(r) = self.replicas.get_mut(&c.address) {
@@ -333,15 +333,15 @@
                 self.priority_gate.record_admitted();
             }
         }
-        self.prefixes.record_sent(now, c.address, &work.prefixes);
+        self.prefixes.record_sent(now, c.address, &profile.prefixes);
     }
 
     /// Returns the cheapest candidate, preferring this router's region unless its answer would be late.
-    fn cheapest(&self, work: &Work, scored: Vec<(Choice, u64)>) -> Option<Choice> {
+    fn cheapest(&self, profile: &RequestProfile, scored: Vec<(Choice, u64)>) -> Option<Choice> {
         let is_near = |c: &Choice| self.replicas.get(&c.address).is_some_and(|r| !r.other_region);
         let near = scored.iter().filter(|(c, _)| is_near(c)).min_by_key(|(_, cost)| *cost);
         let in_time = |c: &Choice| {
-            let limit_us = work.objective.map(|o| o.first_event.as_micros() as u64);
+            let limit_us = profile.objective.map(|o| o.first_event.as_micros() as u64);
             limit_us.is_none_or(|limit_us| c.expected_us <= limit_us)
         };
         if let Some((c, _)) = near.filter(|(c, _)| in_time(c)) {
@@ -356,18 +356,18 @@
     fn sample(
         &self,
         now: Time,
-        work: &Work,
+        profile: &RequestProfile,
         tried: &[SocketAddr],
         home: Option<SocketAddr>,
         rng: &mut impl Rng,
     ) -> Vec<SocketAddr> {
         let is_blocked = |r: &Replica| {
-            r.is_denied(now, work.priority)
-                || (work.avoid_rate_limited && r.rate_limited)
-                || !self.allows_after_backoff(now, r, work)
+            r.is_denied(now, profile.priority)
+                || (profile.avoid_rate_limited && r.rate_limited)
+                || !self.allows_after_backoff(now, r, profile)
         };
         let eligible = |r: &Replica| {
-            self.may_serve(r, work) && !tried.contains(&r.upstream.address) && !is_blocked(r)
+            self.may_serve(r, profile) && !tried.contains(&r.upstream.address) && !is_blocked(r)
         };
         let usable = |a: &SocketAddr| {
             self.replicas.get(a).is_some_and(|r| eligible(r) && r.ejected_until <= now)
@@ -407,7 +407,7 @@
             let first = candidates.min_by_key(|r| r.ejected_until);
             return first.into_iter().map(|r| r.upstream.address).collect();
         }
-        let holders = self.prefixes.holders(&work.prefixes).filter(usable_warm);
+        let holders = self.prefixes.holders(&profile.prefixes).filter(usable_warm);
         let holders: Vec<_> = holders.filter(|a| !sample.contains(a)).collect();
         sample.extend(holders);
         if let Some(home) = home.filter(|a| usable(a) && !sample.contains(a)) {
@@ -417,10 +417,10 @@
     }
 
     /// Returns whether a replica may serve this request, regardless of load, backoff and rate limit.
-    fn may_serve(&self, r: &Replica, work: &Work) -> bool {
+    fn may_serve(&self, r: &Replica, profile: &RequestProfile) -> bool {
         r.accepts_work()
-            && work.way.allows(r.side)
-            && self.location.1.allow(&work.regions, &r.upstream.vm.data_centre)
+            && profile.way.allows(r.side)
+            && self.location.1.allow(&profile.regions, &r.upstream.vm.data_centre)
     }
 
     /// Returns the probability that a cold replica stays in a sample, as numerator and denominator.
@@ -444,21 +444,21 @@
         &self,
         now: Time,
         data_centre: &str,
-        work: &Work,
+        profile: &RequestProfile,
         address: SocketAddr,
         home: Option<SocketAddr>,
     ) -> (Choice, u64) {
-        let sent = self.prefixes.cached_size(now, address, &work.prefixes);
+        let sent = self.prefixes.cached_size(now, address, &profile.prefixes);
         let is_home = home == Some(address);
-        let cached = if is_home { sent.max(self.cached_at_home(&work.prefixes)) } else { sent };
-        let uncached = work.prefixes.size() - cached;
+        let cached = if is_home { sent.max(self.cached_at_home(&profile.prefixes)) } else { sent };
+        let uncached = profile.prefixes.size() - cached;
         let Some(r) = self.replicas.get(&address) else {
             return (Choice { address, uncached, expected_us: u64::MAX, ticket: 0 }, u64::MAX);
         };
         let first_event_us = r.expected_first_event_us(now, data_centre, uncached);
         let choice = Choice { address, uncached, expected_us: first_event_us, ticket: 0 };
-        let Some(objective) = &work.objective else { return (choice, first_event_us) };
-        let shared = work.prefixes.shared_prefix().map_or(0, |(_, size)| size);
+        let Some(objective) = &profile.objective else { return (choice, first_event_us) };
+        let shared = profile.prefixes.shared_prefix().map_or(0, |(_, size)| size);
         let forecast = Forecast {
             first_event_us,
             busy_us: r.backlog.busy_us(now, r.backlog.prefill_us(uncached)),
--- a/crates/core/src/route/pool/held_back.rs
+++ b/crates/core/src/route/pool/held_back.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use super::{Choice, Pool, Replica, Work};
+use super::{Choice, Pool, Replica, RequestProfile};
 use crate::unit::{Millis, Time};
 
 /// Retry delay while a replica in slow start is full: the time in which one of its requests is
@@ -116,22 +116,27 @@
     }
 
     /// Returns whether backoff and slow start allow sending this request to a replica.
-    pub(super) fn allows_after_backoff(&self, now: Time, r: &Replica, work: &Work) -> bool {
+    pub(super) fn allows_after_backoff(
+        &self,
+        now: Time,
+        r: &Replica,
+        profile: &RequestProfile,
+    ) -> bool {
         !r.backoff.limits_requests()
-            || (r.backoff.allows_request(now) && self.priority_gate.admits(now, work.priority))
+            || (r.backoff.allows_request(now) && self.priority_gate.admits(now, profile.priority))
     }
 
     /// Returns why and for how long rate limits and backoffs keep this request from replicas that
     /// could serve it, for the replica that becomes available first. None if neither applies.
-    pub fn blocked(&mut self, now: Time, work: &Work) -> Option<Blocked> {
+    pub fn blocked(&mut self, now: Time, profile: &RequestProfile) -> Option<Blocked> {
         let rate_limited = self.rate_limited.iter().filter_map(|a| self.replicas.get(a));
-        let denied =
-            rate_limited.filter(|r| self.may_serve(r, work) && r.is_denied(now, work.priority));
+        let denied = rate_limited
+            .filter(|r| self.may_serve(r, profile) && r.is_denied(now, profile.priority));
         let denied =
             denied.filter_map(|r| Some((r.denied?.0.since(now), BlockReason::RateLimit, r)));
         let backing_off = self.backing_off.iter().filter_map(|a| self.replicas.get(a));
-        let backing_off = backing_off.filter(|r| self.may_serve(r, work));
-        let backing_off = backing_off.filter(|r| !self.allows_after_backoff(now, r, work));
+        let backing_off = backing_off.filter(|r| self.may_serve(r, profile));
+        let backing_off = backing_off.filter(|r| !self.allows_after_backoff(now, r, profile));
         let backing_off = backing_off.map(|r| match r.backoff.is_active(now) {
             true => (r.backoff.remaining(now), BlockReason::Backoff, r),
             false => (SLOW_START_RETRY, BlockReason::Backoff, r),
@@ -140,7 +145,7 @@
             denied.chain(backing_off).min_by_key(|(after, ..)| *after)?;
         let replica = r.upstream.vm.name.clone();
         if reason == BlockReason::Backoff {
-            self.priority_gate.record_refused(now, work.priority);
+            self.priority_gate.record_refused(now, profile.priority);
         }
         Some(Blocked { reason, retry_after, replica })
     }
--- a/crates/core/tests/cold.rs
+++ b/crates/core/tests/cold.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 
 use cypressfork_core::config::{Upstream, Vm};
-use cypressfork_core::route::{Choice, Pool, PromptPrefixes, ReplicaInfo, Work};
+use cypressfork_core::route::{Choice, Pool, PromptPrefixes, ReplicaInfo, RequestProfile};
 use cypressfork_core::unit::{Millis, Time};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -90,7 +90,7 @@
         let g = rng.random_range(0..if few { l.gateways.div_ceil(10) } else { l.gateways });
         let subject = if rng.random_range(0..l.hot) == 0 { 0 } else { rng.random_range(1..800) };
         let prefixes = PromptPrefixes::from_sized_parts([(subject, 13_000), (1 << 40 | ms, 3_700)]);
-        let work = Work { prefixes, ..Work::default() };
+        let work = RequestProfile { prefixes, ..RequestProfile::default() };
         let Some(c) = pools[g].choose(now, "a", &work, &[], &mut rng) else {
             refused += 1;
             continue;
@@ -150,9 +150,9 @@
     let mut rng = SmallRng::seed_from_u64(1);
     let mut served = |now: u64| -> Vec<_> {
         let to = (0..60).map(|n| {
-            let work = Work {
+            let work = RequestProfile {
                 prefixes: PromptPrefixes::from_sized_parts([(now + n, 9_000), (99, 1)]),
-                ..Work::default()
+                ..RequestProfile::default()
             };
             let at = Time(now + 20 * n);
             let c = pool.choose(at, "a", &work, &[], &mut rng).unwrap();
--- a/crates/core/tests/evacuation.rs
+++ b/crates/core/tests/evacuation.rs
@@ -6,7 +6,7 @@
 use cypressfork_core::command::{Answer, Command};
 use cypressfork_core::config::{Upstream, Vm};
 use cypressfork_core::fleet::evacuation::Evacuations;
-use cypressfork_core::route::{Pool, PromptPrefixes, Work};
+use cypressfork_core::route::{Pool, PromptPrefixes, RequestProfile};
 use cypressfork_core::state::State;
 use cypressfork_core::unit::{LeaseId, Time};
 use rand::SeedableRng;
@@ -63,7 +63,7 @@
     let mut used = BTreeSet::new();
     for n in 0..400_u64 {
         let prefixes = PromptPrefixes::from_sized_parts([(n % 40, 13_000), (1_000 + n, 3_000)]);
-        let work = Work { prefixes, ..Work::default() };
+        let work = RequestProfile { prefixes, ..RequestProfile::default() };
         let Some(c) = pool.choose(Time(n * 10), "a", &work, &[], &mut rng) else { continue };
         used.insert(pool.get(c.address).unwrap().upstream.vm.data_centre.clone());
         pool.finish(Time(n * 10 + 5), &c, false);
--- a/crates/core/tests/lives.rs
+++ b/crates/core/tests/lives.rs
@@ -9,7 +9,7 @@
     Heartbeat, Record, RecordSource, Registration, Registry, ReplicaStatus,
 };
 use cypressfork_core::fleet::replicas::ReplicaTable;
-use cypressfork_core::route::{Pool, ReplicaInfo, Work};
+use cypressfork_core::route::{Pool, ReplicaInfo, RequestProfile};
 use cypressfork_core::unit::{Millis, Time};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -140,7 +140,7 @@
     let vm = Vm { name: "i-2".to_owned(), data_centre: "a".to_owned() };
     let upstream = Upstream { vm, address: other, checks_orders: false };
     pool.upsert(Time(0), &upstream, &ReplicaInfo { slots: 8, ..ReplicaInfo::default() });
-    let work = Work::default();
+    let work = RequestProfile::default();
     let first = SocketAddr::from(([10, 0, 0, 1], 80));
     for _ in 0..3 {
         let c = pool.choose(Time(10), "a", &work, &[other], &mut rng).unwrap();
--- a/crates/core/tests/regions.rs
+++ b/crates/core/tests/regions.rs
@@ -9,7 +9,7 @@
 use cypressfork_core::fleet::regions::Regions;
 use cypressfork_core::fleet::watch::RouterStatus;
 use cypressfork_core::route::lateness::LatencyObjective;
-use cypressfork_core::route::{Pool, PromptPrefixes, ReplicaInfo, Work};
+use cypressfork_core::route::{Pool, PromptPrefixes, ReplicaInfo, RequestProfile};
 use cypressfork_core::unit::Time;
 use proptest::prelude::*;
 use rand::SeedableRng;
@@ -77,13 +77,13 @@
     (pool, at)
 }
 
-fn prompt(n: u64) -> Work {
+fn prompt(n: u64) -> RequestProfile {
     let objective =
         Some(LatencyObjective { first_event: Duration::from_millis(800), max_pause: None });
-    Work {
+    RequestProfile {
         prefixes: PromptPrefixes::from_sized_parts([(n % 50, 2_000), (1_000 + n, 500)]),
         objective,
-        ..Work::default()
+        ..RequestProfile::default()
     }
 }
 
@@ -148,7 +148,7 @@
         let allowed = names(&allowed);
         let mut tried = Vec::new();
         for n in 0..requests {
-            let work = Work { regions: allowed.clone(), ..prompt(n) };
+            let work = RequestProfile { regions: allowed.clone(), ..prompt(n) };
             let Some(choice) = pool.choose(Time(10 + n), "n1", &work, &tried, &mut rng) else {
                 tried.clear();
                 continue;
--- a/crates/core/tests/replicas.rs
+++ b/crates/core/tests/replicas.rs
@@ -7,7 +7,7 @@
 use cypressfork_core::config::{Upstream, Vm};
 use cypressfork_core::fleet::registry::{Record, Registration, ReplicaStatus};
 use cypressfork_core::fleet::replicas::{AddressChange, ReplicaTable};
-use cypressfork_core::route::{Pool, PromptPrefixes, ReplicaInfo, Work};
+use cypressfork_core::route::{Pool, PromptPrefixes, ReplicaInfo, RequestProfile};
 use cypressfork_core::unit::{Millis, Time};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -124,7 +124,7 @@
     (0..prompts)
         .map(|n| {
             let prefixes = PromptPrefixes::from_sized_parts([(n, 1_000_000), (1 << 32 | n, 10)]);
-            let work = Work { prefixes, ..Work::default() };
+            let work = RequestProfile { prefixes, ..RequestProfile::default() };
             let c = pool.choose(Time(n), "dc-0", &work, &[], &mut rng).unwrap();
             pool.finish(Time(n), &c, false);
             c.address
--- a/crates/core/tests/rests.rs
+++ b/crates/core/tests/rests.rs
@@ -9,7 +9,9 @@
 use cypressfork_core::route::pressure::PriorityGate;
 use cypressfork_core::route::rest::{Backoff, RetryAfter};
 use cypressfork_core::route::turns::{RetrySchedule, RetrySpacing};
-use cypressfork_core::route::{BlockReason, Choice, Pool, PromptPrefixes, ReplicaInfo, Work};
+use cypressfork_core::route::{
+    BlockReason, Choice, Pool, PromptPrefixes, ReplicaInfo, RequestProfile,
+};
 use cypressfork_core::unit::{Millis, Time};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -38,11 +40,11 @@
     p
 }
 
-fn choose(p: &mut Pool, now: u64, work: &Work) -> Option<Choice> {
+fn choose(p: &mut Pool, now: u64, work: &RequestProfile) -> Option<Choice> {
     p.choose(Time(now), "here", work, &[], &mut rng())
 }
 
-fn chosen(p: &mut Pool, now: u64, work: &Work, times: usize) -> BTreeSet<SocketAddr> {
+fn chosen(p: &mut Pool, now: u64, work: &RequestProfile, times: usize) -> BTreeSet<SocketAddr> {
     let mut all = BTreeSet::new();
     for _ in 0..times {
         let Some(c) = choose(p, now, work) else { continue };
@@ -79,10 +81,10 @@
 
 /// Guards against a way of choosing that passes the rest by.
 #[rstest]
-#[case::plain(Work::default())]
-#[case::a_prompt_whose_home_it_is(Work { prefixes: PromptPrefixes::from_sized_parts(vec![(7, 9_000)]), ..Work::default() })]
-#[case::the_most_urgent(Work { priority: 0, ..Work::default() })]
-fn a_resting_replica_is_not_chosen(#[case] work: Work) {
+#[case::plain(RequestProfile::default())]
+#[case::a_prompt_whose_home_it_is(RequestProfile { prefixes: PromptPrefixes::from_sized_parts(vec![(7, 9_000)]), ..RequestProfile::default() })]
+#[case::the_most_urgent(RequestProfile { priority: 0, ..RequestProfile::default() })]
+fn a_resting_replica_is_not_chosen(#[case] work: RequestProfile) {
     for resting in 0..4 {
         let mut p = pool(4);
         // It holds the prompt, and is idle besides.
@@ -97,18 +99,18 @@
 fn a_resting_replica_is_not_tried_as_all_others_fail() {
     let mut p = pool(2);
     let others = [address(0)];
-    let c = p.choose(Time(0), "here", &Work::default(), &others, &mut rng()).unwrap();
+    let c = p.choose(Time(0), "here", &RequestProfile::default(), &others, &mut rng()).unwrap();
     p.back_off(Time(0), address(0), REST);
     for _ in 0..4 {
         p.finish(Time(0), &c, true);
     }
-    assert_eq!(chosen(&mut p, 100, &Work::default(), 20), BTreeSet::from([address(1)]));
+    assert_eq!(chosen(&mut p, 100, &RequestProfile::default(), 20), BTreeSet::from([address(1)]));
 }
 
 #[test]
 fn what_was_chosen_before_the_rest_is_not_sent_in_it() {
     let mut p = pool(2);
-    let c = choose(&mut p, 0, &Work::default()).unwrap();
+    let c = choose(&mut p, 0, &RequestProfile::default()).unwrap();
     let name = p.get(c.address).unwrap().upstream.vm.name.clone();
     assert!(p.may_send(Time(0), c.address, &name));
     p.back_off(Time(10), c.address, REST);
@@ -132,11 +134,11 @@
 #[test]
 fn a_request_let_in_during_a_rest_ends_nothing() {
     let mut p = pool(1);
-    let c = choose(&mut p, 0, &Work::default()).unwrap();
+    let c = choose(&mut p, 0, &RequestProfile::default()).unwrap();
     p.back_off(Time(10), address(0), REST);
     p.record_accepted(Time(20), &c);
     p.finish(Time(20), &c, false);
-    assert!(choose(&mut p, 2_000, &Work::default()).is_none());
+    assert!(choose(&mut p, 2_000, &RequestProfile::default()).is_none());
 }
 
 /// What changes of a replica's record leaves its rest; another replica at the address has none.
@@ -157,21 +159,25 @@
 fn after_a_rest_one_request_goes_first_and_more_as_they_are_let_in() {
     let mut p = pool(1);
     // Eight are there when it asks for rest.
-    let before: Vec<_> = (0..8).map(|_| choose(&mut p, 0, &Work::default()).unwrap()).collect();
+    let before: Vec<_> =
+        (0..8).map(|_| choose(&mut p, 0, &RequestProfile::default()).unwrap()).collect();
     p.back_off(Time(10), address(0), REST);
-    let first = choose(&mut p, 3_010, &Work::default()).unwrap();
-    assert!(choose(&mut p, 3_011, &Work::default()).is_none(), "its answer is waited for");
+    let first = choose(&mut p, 3_010, &RequestProfile::default()).unwrap();
+    assert!(
+        choose(&mut p, 3_011, &RequestProfile::default()).is_none(),
+        "its answer is waited for"
+    );
     // Those of before neither take the place of new ones nor speak for them.
     for c in &before {
         p.record_accepted(Time(3_012), c);
         p.finish(Time(3_012), c, false);
     }
-    assert!(choose(&mut p, 3_013, &Work::default()).is_none());
+    assert!(choose(&mut p, 3_013, &RequestProfile::default()).is_none());
     p.record_accepted(Time(3_020), &first);
     let mut open = vec![first];
     let mut at_once = Vec::new();
     for now in 4..7 {
-        while let Some(c) = choose(&mut p, now * 1_000, &Work::default()) {
+        while let Some(c) = choose(&mut p, now * 1_000, &RequestProfile::default()) {
             open.push(c);
         }
         at_once.push(open.len());
@@ -206,19 +212,19 @@
     let mut p = pool(2);
     p.back_off(Time(0), address(0), Millis::seconds(5));
     p.back_off(Time(0), address(1), Millis::seconds(2));
-    let h = p.blocked(Time(500), &Work::default()).unwrap();
+    let h = p.blocked(Time(500), &RequestProfile::default()).unwrap();
     assert_eq!(
         (h.reason, h.retry_after, h.replica.as_str()),
         (BlockReason::Backoff, Millis(1_500), "b-1")
     );
-    assert!(pool(2).blocked(Time(0), &Work::default()).is_none());
+    assert!(pool(2).blocked(Time(0), &RequestProfile::default()).is_none());
 }
 
 /// Guards against less urgent requests that take the few places after a rest.
 #[test]
 fn the_more_urgent_go_first_after_a_rest() {
-    let urgent = Work { priority: 0, ..Work::default() };
-    let other = Work { priority: 5, ..Work::default() };
+    let urgent = RequestProfile { priority: 0, ..RequestProfile::default() };
+    let other = RequestProfile { priority: 5, ..RequestProfile::default() };
     let mut p = pool(1);
     p.back_off(Time(0), address(0), REST);
     assert!(choose(&mut p, 2_900, &urgent).is_none());
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -7,8 +7,8 @@
 use cypressfork_core::config::{Priority, Upstream, Vm};
 use cypressfork_core::route::lateness::LatencyObjective;
 use cypressfork_core::route::{
-    Admission, Choice, Limiter, ListedState, Pool, PromptPrefixes, QueuedRequest, RetryBudget,
-    VmTracker, Work,
+    Admission, Choice, Limiter, ListedState, Pool, PromptPrefixes, QueuedRequest, RequestProfile,
+    RetryBudget, VmTracker,
 };
 use cypressfork_core::unit::{Millis, Time};
 use rand::SeedableRng;
@@ -36,11 +36,11 @@
     p
 }
 
-fn choice(p: &mut Pool, now: u64, work: &Work, r: &mut SmallRng) -> Choice {
+fn choice(p: &mut Pool, now: u64, work: &RequestProfile, r: &mut SmallRng) -> Choice {
     p.choose(Time(now), "here", work, &[], r).unwrap()
 }
 
-fn choose(p: &mut Pool, now: u64, work: &Work, r: &mut SmallRng) -> Option<SocketAddr> {
+fn choose(p: &mut Pool, now: u64, work: &RequestProfile, r: &mut SmallRng) -> Option<SocketAddr> {
     p.choose(Time(now), "here", work, &[], r).map(|c| c.address)
 }
 
@@ -48,7 +48,7 @@
 fn choice_of(p: &mut Pool, n: u16) -> Choice {
     let others: Vec<_> =
         p.iter().map(|r| r.upstream.address).filter(|a| *a != address(n)).collect();
-    p.choose(Time(0), "here", &Work::default(), &others, &mut rng()).unwrap()
+    p.choose(Time(0), "here", &RequestProfile::default(), &others, &mut rng()).unwrap()
 }
 
 fn waiter(ticket: u64, account: &str, priority: Priority) -> QueuedRequest {
@@ -163,10 +163,13 @@
     assert_eq!((g.running(), g.waiting()), (0, 0));
 }
 
-fn lesson(turns: usize) -> Work {
+fn lesson(turns: usize) -> RequestProfile {
     let parts: Vec<String> =
         (0..turns).map(|n| format!("turn {n} {}", "x".repeat(2_000))).collect();
-    Work { prefixes: PromptPrefixes::new(parts.iter().map(String::as_bytes)), ..Work::default() }
+    RequestProfile {
+        prefixes: PromptPrefixes::new(parts.iter().map(String::as_bytes)),
+        ..RequestProfile::default()
+    }
 }
 
 #[test]
@@ -210,7 +213,7 @@
 fn work_is_spread_and_stays_near() {
     let (mut p, mut r) = (pool(20), rng());
     for _ in 0..100 {
-        choose(&mut p, 0, &Work::default(), &mut r).unwrap();
+        choose(&mut p, 0, &RequestProfile::default(), &mut r).unwrap();
     }
     let most = p.iter().map(|u| u.outstanding).max().unwrap();
     assert!(most <= 8, "{most} on one of 20 after 100");
@@ -225,7 +228,8 @@
         for n in 0..50 {
             p.report(address(n), Time(1), if n == 7 { 0 } else { 6 }, 0);
         }
-        *hits.entry(choose(&mut p, 2, &Work::default(), &mut r).unwrap()).or_insert(0) += 1;
+        *hits.entry(choose(&mut p, 2, &RequestProfile::default(), &mut r).unwrap()).or_insert(0) +=
+            1;
     }
     assert!(hits[&address(7)] <= 40, "{} of 200", hits[&address(7)]);
 }
@@ -235,7 +239,7 @@
     let (mut p, mut r) = (pool(2), rng());
     p.report(address(0), Time(100), 50, 50);
     p.report(address(0), Time(50), 0, 0);
-    assert_eq!(choose(&mut p, 101, &Work::default(), &mut r), Some(address(1)));
+    assert_eq!(choose(&mut p, 101, &RequestProfile::default(), &mut r), Some(address(1)));
 }
 
 /// A report that is late shows this router's requests as they were then; what it sent and what
@@ -250,12 +254,16 @@
     p.report(address(0), Time(1_000), 6, 0);
     p.report(address(1), Time(1_000), 2, 0);
     assert_eq!(
-        choose(&mut p, 6_000, &Work::default(), &mut r),
+        choose(&mut p, 6_000, &RequestProfile::default(), &mut r),
         Some(address(0)),
         "its six have ended"
     );
     p.report(address(0), Time(4_000), 9, 0);
-    assert_eq!(choose(&mut p, 6_001, &Work::default(), &mut r), Some(address(1)), "nine of others");
+    assert_eq!(
+        choose(&mut p, 6_001, &RequestProfile::default(), &mut r),
+        Some(address(1)),
+        "nine of others"
+    );
 }
 
 /// Prompts that wait to be taken in hold up those after them.
@@ -263,7 +271,10 @@
 fn a_long_prompt_on_its_way_counts_until_its_first_token() {
     let (mut p, mut r) = (pool(2), rng());
     let long = choice(&mut p, 0, &lesson(20), &mut r);
-    let other = Work { prefixes: PromptPrefixes::new([&[7u8; 4_000][..]]), ..Work::default() };
+    let other = RequestProfile {
+        prefixes: PromptPrefixes::new([&[7u8; 4_000][..]]),
+        ..RequestProfile::default()
+    };
     let next = choice(&mut p, 0, &other, &mut r);
     assert_ne!(next.address, long.address);
     p.finish(Time(1), &next, false);
@@ -285,7 +296,7 @@
     assert!(fail(&mut p, 0));
     let chosen = |p: &mut Pool, now, r: &mut SmallRng| {
         (0..40).any(|_| {
-            let c = choice(p, now, &Work::default(), r);
+            let c = choice(p, now, &RequestProfile::default(), r);
             p.finish(Time(now), &c, false);
             c.address == bad
         })
@@ -306,7 +317,7 @@
         }
     }
     assert_eq!(p.usable(Time(1)), 3);
-    assert!(choose(&mut p, 1, &Work::default(), &mut r).is_some());
+    assert!(choose(&mut p, 1, &RequestProfile::default(), &mut r).is_some());
 }
 
 #[test]
@@ -314,11 +325,12 @@
     let (mut p, mut r) = (pool(3), rng());
     p.set_leaving(Time(0), "vm-0", true);
     for _ in 0..50 {
-        let c = p.choose(Time(0), "here", &Work::default(), &[address(1)], &mut r).unwrap();
+        let c =
+            p.choose(Time(0), "here", &RequestProfile::default(), &[address(1)], &mut r).unwrap();
         assert_eq!(c.address, address(2));
     }
     p.set_leaving(Time(0), "vm-2", true);
-    assert_eq!(p.choose(Time(0), "here", &Work::default(), &[address(1)], &mut r), None);
+    assert_eq!(p.choose(Time(0), "here", &RequestProfile::default(), &[address(1)], &mut r), None);
 }
 
 #[test]
@@ -327,7 +339,7 @@
     p.report(address(0), Time(1), 90, 90);
     p.set_upstreams(Time(0), &[upstream(0), upstream(1), upstream(2)], 8);
     for _ in 0..10 {
-        assert_ne!(choose(&mut p, 2, &Work::default(), &mut r), Some(address(0)));
+        assert_ne!(choose(&mut p, 2, &RequestProfile::default(), &mut r), Some(address(0)));
     }
 }
 
@@ -375,15 +387,15 @@
 }
 
 /// A prompt of two parts, of which others may share the first, with the aims of a streaming route.
-fn prompt(shared: u64, own: u64, id: u64) -> Work {
+fn prompt(shared: u64, own: u64, id: u64) -> RequestProfile {
     let objective = LatencyObjective {
         first_event: Duration::from_millis(800),
         max_pause: Some(Duration::from_millis(500)),
     };
-    Work {
+    RequestProfile {
         prefixes: PromptPrefixes::from_sized_parts([(1, shared), (id, own)]),
         objective: Some(objective),
-        ..Work::default()
+        ..RequestProfile::default()
     }
 }
 
--- a/crates/router/src/app.rs
+++ b/crates/router/src/app.rs
@@ -9,7 +9,7 @@
 use awc::{Client, Connector};
 use cypressfork_core::config::Service;
 use cypressfork_core::query::Site;
-use cypressfork_core::route::{Choice, ListedState, Pool, RetryBudget, VmTracker, Work};
+use cypressfork_core::route::{Choice, ListedState, Pool, RequestProfile, RetryBudget, VmTracker};
 use cypressfork_node::emit;
 use cypressfork_node::event::Event;
 use cypressfork_node::group::Group;
@@ -175,7 +175,12 @@
     }
 
     /// Chooses a replica of a service; [`App::done`] must follow.
-    pub fn choose(&self, service: &str, work: &Work, tried: &[SocketAddr]) -> Option<Choice> {
+    pub fn choose(
+        &self,
+        service: &str,
+        work: &RequestProfile,
+        tried: &[SocketAddr],
+    ) -> Option<Choice> {
         let mut pools = self.pools.borrow_mut();
         let dc = &self.settings.base.data_centre;
         let mut rng = self.rng.borrow_mut();
--- a/crates/router/src/chat.rs
+++ b/crates/router/src/chat.rs
@@ -8,7 +8,7 @@
 use cypressfork_core::budget::Policy;
 use cypressfork_core::claim::Outcome;
 use cypressfork_core::code::Code;
-use cypressfork_core::route::Work;
+use cypressfork_core::route::RequestProfile;
 use cypressfork_core::unit::{RequestId, Tokens};
 use cypressfork_http::Body;
 use cypressfork_node::digest::{body_digest, request_id};
@@ -48,7 +48,7 @@
     /// Slice policy of the budget that pays.
     pub policy: Policy,
     /// What the choice of an engine goes by.
-    pub work: Work,
+    pub work: RequestProfile,
 }
 
 /// What the handler waits for.
@@ -114,7 +114,7 @@
         }
     };
     let (service, trace) = (model.name.clone(), trace.clone());
-    let work = Work { prefixes: ask.trail(), ..Work::default() };
+    let work = RequestProfile { prefixes: ask.trail(), ..RequestProfile::default() };
     let plan = Plan { id, ask, service, cap, deadline, trace, policy, work };
     run(app, plan, hold, claim, permit).await
 }
--- a/crates/router/src/gateway/job.rs
+++ b/crates/router/src/gateway/job.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use cypressfork_core::fleet::document::Kind;
 use cypressfork_core::fleet::fingerprint::Identity;
-use cypressfork_core::route::Work;
+use cypressfork_core::route::RequestProfile;
 use cypressfork_core::route::lateness::LatencyObjective;
 use cypressfork_core::unit::Tokens;
 use tokio::time::Instant;
@@ -69,11 +69,17 @@
     }
 
     /// What it asks of a replica.
-    pub fn work(&self) -> Work {
+    pub fn work(&self) -> RequestProfile {
         let prompt = self.inbound.prompt.as_ref();
         let (prefixes, regions) = (self.prompt().trail, self.regions.clone());
         let objective = prompt.map(|_| self.aim);
-        Work { prefixes, objective, regions, priority: self.priority, ..Work::default() }
+        RequestProfile {
+            prefixes,
+            objective,
+            regions,
+            priority: self.priority,
+            ..RequestProfile::default()
+        }
     }
 
     /// What is left of its time.
--- a/crates/router/src/gateway/request.rs
+++ b/crates/router/src/gateway/request.rs
@@ -15,7 +15,7 @@
 use cypressfork_core::fleet::patience;
 use cypressfork_core::fleet::routes::{Routes, request_hash};
 use cypressfork_core::route::lateness::LatencyObjective;
-use cypressfork_core::route::{BlockReason, Blocked, Work};
+use cypressfork_core::route::{BlockReason, Blocked, RequestProfile};
 use cypressfork_core::unit::{Millis, Tokens};
 use cypressfork_node::emit;
 use cypressfork_node::event::Event;
@@ -354,7 +354,7 @@
         let job = self.job;
         let gw = &job.gw;
         let way = gw.trials.way(gw.now(), &job.service, &job.inbound.id, !self.tried.is_empty());
-        let mut work = Work { way, ..job.work() };
+        let mut work = RequestProfile { way, ..job.work() };
         let mut denials = 0;
         loop {
             let picked = gw.pick(&job.service, job.cold_bound, &mut work, &self.tried);
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -20,7 +20,7 @@
 use cypressfork_core::fleet::sources::ReplicaSources;
 use cypressfork_core::fleet::watch::FeedCursor;
 use cypressfork_core::route::turns::{RetrySchedule, RetrySpacing};
-use cypressfork_core::route::{Blocked, Choice, Pool, Work};
+use cypressfork_core::route::{Blocked, Choice, Pool, RequestProfile};
 use cypressfork_core::unit::{Millis, Time};
 use cypressfork_http::client::Connection;
 use cypressfork_node::emit;
@@ -419,7 +419,7 @@
         &self,
         service: &str,
         cold_bound: Option<u32>,
-        work: &mut Work,
+        work: &mut RequestProfile,
         tried: &[SocketAddr],
     ) -> Option<Chosen> {
         let mut pools = self.pools.borrow_mut();
@@ -445,7 +445,7 @@
 
     /// Counts a request that goes to a replica, and tells other gateways of a long prompt;
     /// [`Gateway::done`] must follow.
-    pub fn commit(&self, service: &str, work: &Work, c: &mut Chosen) {
+    pub fn commit(&self, service: &str, work: &RequestProfile, c: &mut Chosen) {
         if let Some(pool) = self.pools.borrow_mut().get_mut(service) {
             pool.commit(self.now(), work, &mut c.choice);
         }
@@ -464,7 +464,7 @@
     }
 
     /// What keeps this work away from the replicas of a service that could do it.
-    pub fn held_back(&self, service: &str, work: &Work) -> Option<Blocked> {
+    pub fn held_back(&self, service: &str, work: &RequestProfile) -> Option<Blocked> {
         self.pools.borrow_mut().get_mut(service)?.blocked(self.now(), work)
     }
 
--- a/crates/router/src/plain.rs
+++ b/crates/router/src/plain.rs
@@ -9,7 +9,7 @@
 use cypressfork_core::claim::{BODY_KEPT, End, Outcome};
 use cypressfork_core::code::{Code, Ran};
 use cypressfork_core::config::Priority;
-use cypressfork_core::route::Work;
+use cypressfork_core::route::RequestProfile;
 use cypressfork_core::unit::Millis;
 use cypressfork_http::Body;
 use cypressfork_node::digest::{body_digest, request_id};
@@ -140,7 +140,7 @@
     let mut tried = Vec::new();
     let mut last = Refusal::from(Code::NoUpstream).after(NO_UPSTREAM_AFTER);
     while tried.len() < TRIES && app.may_try(service, tried.len()) {
-        let Some(choice) = app.choose(service, &Work::default(), &tried) else { break };
+        let Some(choice) = app.choose(service, &RequestProfile::default(), &tried) else { break };
         let address = choice.address;
         tried.push(address);
         let mut hop = trace.span("dispatch");
