--- a/crates/core/src/budget/mod.rs
+++ b/crates/core/src/budget/mod.rs
@@ -19,4 +19,4 @@
 pub use policy::{Policy, Rate, report_every};
 pub use reserve::{ReserveAnswer, ReserveCommand, ReserveLedger};
 pub use slice_store::{Reservation, SliceStore};
-pub use unseen::Pace;
+pub use unseen::UnreadEstimate;
--- a/crates/core/src/budget/unseen.rs
+++ b/crates/core/src/budget/unseen.rs
@@ -21,45 +21,45 @@
 
 /// The rate of events on one stream, and the time in which it was not read.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Pace {
+pub struct UnreadEstimate {
     events: u64,
     /// Time from the first event to the last.
     span: Duration,
     /// Time in which the stream was not read.
-    held_up: Duration,
+    stalled: Duration,
     /// Whether an unknown number of events was received but not read.
-    lost_track: bool,
+    unbounded: bool,
 }
 
-impl Pace {
+impl UnreadEstimate {
     /// Records `events` more events, the last of them `span` after the first of the stream.
-    pub fn came(&mut self, events: u64, span: Duration) {
+    pub fn record_events(&mut self, events: u64, span: Duration) {
         self.events += events;
         self.span = span;
     }
 
     /// Records that the stream was not read for `span` because the client did not read.
-    pub fn held_up(&mut self, span: Duration) {
-        self.held_up += span;
+    pub fn record_stall(&mut self, span: Duration) {
+        self.stalled += span;
     }
 
     /// Records that an unknown number of events was received but not read.
-    pub fn lose_track(&mut self) {
-        self.lost_track = true;
+    pub fn mark_unbounded(&mut self) {
+        self.unbounded = true;
     }
 
     /// Returns the most events that may have been generated but not read; `u64::MAX` if unknown.
     ///
     /// The engine's rate is that of the time in which the stream was read.
-    pub fn unseen(&self) -> u64 {
-        if self.lost_track {
+    pub fn max_unread(&self) -> u64 {
+        if self.unbounded {
             return u64::MAX;
         }
         let gap = match self.events {
             0 | 1 => DEFAULT_GAP,
-            n => self.span.saturating_sub(self.held_up) / (n - 1).min(u64::from(u32::MAX)) as u32,
+            n => self.span.saturating_sub(self.stalled) / (n - 1).min(u64::from(u32::MAX)) as u32,
         };
-        let made_in = (self.held_up + CLOSE_NOTICE_TIME) * MAX_SPEEDUP;
+        let made_in = (self.stalled + CLOSE_NOTICE_TIME) * MAX_SPEEDUP;
         let made = made_in.as_micros().div_ceil(gap.as_micros().max(1));
         u64::try_from(made).unwrap_or(u64::MAX).max(MIN_IN_FLIGHT)
     }
--- a/crates/core/tests/unseen.rs
+++ b/crates/core/tests/unseen.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use cypressfork_core::budget::Pace;
+use cypressfork_core::budget::UnreadEstimate;
 use rstest::rstest;
 
 const fn ms(n: u64) -> Duration {
@@ -26,8 +26,8 @@
     #[case] unread: u64,
     #[case] unseen: u64,
 ) {
-    let mut pace = Pace::default();
-    pace.came(events, ms(span));
-    pace.held_up(ms(unread));
-    assert_eq!(pace.unseen(), unseen);
+    let mut pace = UnreadEstimate::default();
+    pace.record_events(events, ms(span));
+    pace.record_stall(ms(unread));
+    assert_eq!(pace.max_unread(), unseen);
 }
--- a/crates/router/src/gateway/request.rs
+++ b/crates/router/src/gateway/request.rs
@@ -305,7 +305,7 @@
 
     fn spent(&self, whole: bool) -> Spent {
         let (ran, events, stride) = (self.ran > 0, self.progress.events.passed(), self.job.stride);
-        let unseen = if whole { 0 } else { self.progress.timing.pace().unseen() };
+        let unseen = if whole { 0 } else { self.progress.timing.pace().max_unread() };
         Spent { ran, events, stride, unseen }
     }
 
--- a/crates/router/src/gateway/timing.rs
+++ b/crates/router/src/gateway/timing.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cypressfork_core::budget::Pace;
+use cypressfork_core::budget::UnreadEstimate;
 use cypressfork_core::route::lateness::{LatencyBreakdown, LatencyObjective, late_cause};
 use cypressfork_node::emit;
 use cypressfork_node::event::Event;
@@ -19,7 +19,7 @@
     /// When events first and last came from a replica.
     first: Option<Instant>,
     event: Option<Instant>,
-    pace: Pace,
+    pace: UnreadEstimate,
     spans: LatencyBreakdown,
 }
 
@@ -29,26 +29,26 @@
         let funded = Instant::now();
         let spans =
             LatencyBreakdown { reservation: funded - arrived, ..LatencyBreakdown::default() };
-        Timing { arrived, funded, first: None, event: None, pace: Pace::default(), spans }
+        Timing { arrived, funded, first: None, event: None, pace: UnreadEstimate::default(), spans }
     }
 
     /// The pace at which its events came.
-    pub fn pace(&self) -> &Pace {
+    pub fn pace(&self) -> &UnreadEstimate {
         &self.pace
     }
 
     /// Notes what had come already when the stream broke off: so many events, and whether those were all.
     pub fn left(&mut self, events: u64, all: bool) {
-        self.pace.came(events, self.first.map_or(Duration::ZERO, |first| first.elapsed()));
+        self.pace.record_events(events, self.first.map_or(Duration::ZERO, |first| first.elapsed()));
         if !all {
-            self.pace.lose_track();
+            self.pace.mark_unbounded();
         }
     }
 
     /// Notes that whole events came from a replica that was sent the request at `sent`.
     pub fn came(&mut self, sent: Instant, events: u64) {
         let now = Instant::now();
-        self.pace.came(events, now - *self.first.get_or_insert(now));
+        self.pace.record_events(events, now - *self.first.get_or_insert(now));
         match self.event.replace(now) {
             Some(before) => self.spans.pause = self.spans.pause.max(now - before),
             None => {
@@ -60,7 +60,7 @@
 
     /// Notes that the caller's connection has taken the events that came last, or was waited for in vain.
     pub fn passed(&mut self, took: Duration) {
-        self.pace.held_up(took);
+        self.pace.record_stall(took);
         if let Some(came) = self.event {
             self.spans.forwarding = self.spans.forwarding.max(came.elapsed());
         }
