--- a/crates/control/src/leader_tasks.rs
+++ b/crates/control/src/leader_tasks.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use cypressfork_core::budget::{Elapsed, Told, WriteOff};
+use cypressfork_core::budget::{BoundsReport, Elapsed, WriteOff};
 use cypressfork_core::command::Command;
 use cypressfork_core::fleet::repair::{Candidates, Health, next_change};
 use cypressfork_core::fleet::rollout::evidence::Standing;
@@ -89,15 +89,15 @@
         self.leader_tasks.next_write_off = at.now.after(WRITE_OFF_EVERY);
         let dead: Vec<_> = self.state.dead().collect();
         for (holder, age) in dead {
-            let chain = self.state.ledger().chain(holder);
+            let reports = self.state.ledger().last_reports(holder);
             // It was dead before its successor started.
-            let span = |t: Told| {
+            let span = |t: BoundsReport| {
                 self.since_told(at, holder, t, margin).map(|s| Millis(s.0.saturating_sub(age.0)))
             };
-            if let (Some(last), Some(before)) = (span(chain.last), span(chain.before)) {
+            if let (Some(last), Some(before)) = (span(reports.last), span(reports.before)) {
                 let elapsed = Elapsed { last: Some(last), before: Some(before) };
                 let WriteOff { counted, freed } =
-                    self.state.ledger().write_off_of(holder, &elapsed);
+                    self.state.ledger().write_off_amounts(holder, &elapsed);
                 emit!(
                     Event::HolderWrittenOff,
                     holder = holder,
@@ -148,7 +148,7 @@
         &self,
         at: Moment,
         holder: HolderId,
-        t: Told,
+        t: BoundsReport,
         margin: Option<Millis>,
     ) -> Option<Millis> {
         if t.seq == 0 {
--- a/crates/core/src/budget/bound.rs
+++ b/crates/core/src/budget/bound.rs
@@ -81,7 +81,7 @@
 
 /// A holder's report of its bounds, as recorded by the grantor.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct BoundsReport {
     /// Sequence number at the holder.
     pub seq: u64,
     /// Wall-clock time at which the grantor accepted it; 0 if unknown.
@@ -90,11 +90,11 @@
 
 /// A holder's last report of bounds, and the last one whose acceptance it had learned of by then.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Chain {
+pub struct LastReports {
     /// The last report.
-    pub last: Told,
+    pub last: BoundsReport,
     /// The report that the last one names as its last accepted one.
-    pub before: Told,
+    pub before: BoundsReport,
 }
 
 /// How long a dead holder may have run after each of its last two reports; `None` if unknown.
@@ -116,25 +116,25 @@
 /// The bounds of all holders, at their grantor.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Bounds {
-    chains: BTreeMap<HolderId, Chain>,
+    chains: BTreeMap<HolderId, LastReports>,
     words: BTreeMap<HolderId, BTreeMap<String, Pair>>,
 }
 
 impl Bounds {
     /// Records report `seq`, accepted at `at`. `after` is the last report whose acceptance the
     /// holder had learned of. A report that is not newer than the last one is ignored.
-    pub fn tell(&mut self, holder: HolderId, at: Time, seq: u64, after: u64, bounds: &[Bound]) {
-        let chain = self.chains.entry(holder).or_default();
-        if seq <= chain.last.seq {
+    pub fn record(&mut self, holder: HolderId, at: Time, seq: u64, after: u64, bounds: &[Bound]) {
+        let reports = self.chains.entry(holder).or_default();
+        if seq <= reports.last.seq {
             return;
         }
-        let follows = after == chain.last.seq;
+        let follows = after == reports.last.seq;
         if follows {
-            chain.before = chain.last;
-        } else if after != chain.before.seq {
-            chain.before = Told { seq: after, at: Time(0) };
+            reports.before = reports.last;
+        } else if after != reports.before.seq {
+            reports.before = BoundsReport { seq: after, at: Time(0) };
         }
-        chain.last = Told { seq, at };
+        reports.last = BoundsReport { seq, at };
         let words = self.words.entry(holder).or_default();
         if follows {
             for pair in words.values_mut() {
@@ -147,7 +147,7 @@
     }
 
     /// Returns the numbers and times of a holder's last two reports.
-    pub fn chain(&self, holder: HolderId) -> Chain {
+    pub fn last_reports(&self, holder: HolderId) -> LastReports {
         self.chains.get(&holder).copied().unwrap_or_default()
     }
 
@@ -159,7 +159,7 @@
     }
 
     /// Removes a holder's reports.
-    pub fn forget(&mut self, holder: HolderId) {
+    pub fn remove_holder(&mut self, holder: HolderId) {
         self.chains.remove(&holder);
         self.words.remove(&holder);
     }
--- a/crates/core/src/budget/ledger.rs
+++ b/crates/core/src/budget/ledger.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::Policy;
-use super::bound::{Bound, Bounds, Chain, Elapsed};
+use super::bound::{Bound, Bounds, Elapsed, LastReports};
 use crate::unit::{HolderId, LeaseId, Millis, Time, Tokens};
 
 /// Time for which a recall blocks other requests, and within which a holder has to answer it.
@@ -437,18 +437,25 @@
         Some(open)
     }
 
-    /// Records a holder's report of its bounds, see [`Bounds::tell`].
-    pub fn tell(&mut self, holder: HolderId, at: Time, seq: u64, after: u64, bounds: &[Bound]) {
-        self.bounds.tell(holder, at, seq, after, bounds);
+    /// Records a holder's report of its bounds, see [`Bounds::record`].
+    pub fn record_bounds(
+        &mut self,
+        holder: HolderId,
+        at: Time,
+        seq: u64,
+        after: u64,
+        bounds: &[Bound],
+    ) {
+        self.bounds.record(holder, at, seq, after, bounds);
     }
 
     /// Returns the numbers and times of a holder's last two reports of bounds.
-    pub fn chain(&self, holder: HolderId) -> Chain {
-        self.bounds.chain(holder)
+    pub fn last_reports(&self, holder: HolderId) -> LastReports {
+        self.bounds.last_reports(holder)
     }
 
     /// Returns what [`Ledger::write_off`] would count as spent and free, without changing anything.
-    pub fn write_off_of(&self, holder: HolderId, e: &Elapsed) -> WriteOff {
+    pub fn write_off_amounts(&self, holder: HolderId, e: &Elapsed) -> WriteOff {
         let mut sum = WriteOff::default();
         for (name, f) in self.funds.iter().filter(|(_, f)| f.policy.bounded) {
             let of_holder = f.leases.values().filter(|l| l.holder == holder);
@@ -474,12 +481,12 @@
                 self.budget_of.remove(&id);
             }
         }
-        self.bounds.forget(holder);
+        self.bounds.remove_holder(holder);
     }
 
     /// Drops the request state of a holder that has left or was replaced. Its leases stay open
     /// until they are reported on.
-    pub fn forget(&mut self, holder: HolderId) {
+    pub fn remove_holder(&mut self, holder: HolderId) {
         for f in self.funds.values_mut() {
             f.granted.remove(&holder);
         }
--- a/crates/core/src/budget/mod.rs
+++ b/crates/core/src/budget/mod.rs
@@ -14,7 +14,7 @@
 mod unseen;
 
 pub use allot::Region;
-pub use bound::{Bound, Bounds, Chain, Elapsed, Told};
+pub use bound::{Bound, Bounds, BoundsReport, Elapsed, LastReports};
 pub use ledger::{Ask, BudgetState, Decision, Grant, Lease, Ledger, Report, Shortage, WriteOff};
 pub use policy::{Policy, Rate, report_every};
 pub use reserve::{ReserveAnswer, ReserveCommand, ReserveLedger};
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -114,7 +114,7 @@
             }
             Command::Gone(h) => {
                 self.routers.remove(*h);
-                self.ledger.forget(*h);
+                self.ledger.remove_holder(*h);
                 self.claims.abandon(now, *h);
                 Answer::Done
             }
@@ -126,7 +126,7 @@
             Command::Tally { holder, reports, batch, bills, seq, after, bounds } => {
                 let known = self.report(now, *holder, reports);
                 if *seq > 0 {
-                    self.ledger.tell(*holder, at, *seq, *after, bounds);
+                    self.ledger.record_bounds(*holder, at, *seq, *after, bounds);
                 }
                 let postings = match batch {
                     0 => Vec::new(),
@@ -220,7 +220,7 @@
         let (holder, replaced) = self.routers.register(r);
         if let Some(old) = replaced {
             self.dead.insert(old, age);
-            self.ledger.forget(old);
+            self.ledger.remove_holder(old);
             self.claims.abandon(now, old);
         }
         Answer::Registered(holder)
--- a/crates/core/tests/bound.rs
+++ b/crates/core/tests/bound.rs
@@ -48,7 +48,7 @@
 ) {
     let mut b = Bounds::default();
     for (seq, after, word) in reports {
-        b.tell(HolderId(1), Time(1), *seq, *after, std::slice::from_ref(word));
+        b.record(HolderId(1), Time(1), *seq, *after, std::slice::from_ref(word));
     }
     assert_eq!(b.unreported(HolderId(1), BUDGET, &Elapsed { last, before }), unreported);
 }
@@ -130,7 +130,7 @@
     let holder = w.holders[0].id;
     let elapsed = Elapsed { last: span(1_000), before: span(1_000) };
     let open = w.held(0);
-    let told = w.ledger.write_off_of(holder, &elapsed);
+    let told = w.ledger.write_off_amounts(holder, &elapsed);
     assert_eq!(told.counted + told.freed, open);
     let spent = w.ledger.get(BUDGET).unwrap().spent();
     w.ledger.write_off(holder, &elapsed);
@@ -403,7 +403,7 @@
     fn take(&mut self, s: &Sent) -> Vec<bool> {
         self.came.entry((s.holder, s.seq)).or_insert(self.now);
         let known = s.reports.iter().map(|r| self.ledger.report(self.now, s.holder, r)).collect();
-        self.ledger.tell(s.holder, self.now, s.seq, s.after, &s.bounds);
+        self.ledger.record_bounds(s.holder, self.now, s.seq, s.after, &s.bounds);
         known
     }
 
@@ -422,7 +422,7 @@
             self.settle(n, r, all);
         }
         let id = self.holders[n].id;
-        let chain = self.ledger.chain(id);
+        let chain = self.ledger.last_reports(id);
         let since = |seq| match seq {
             0 => Some(Millis(0)),
             seq => self.came.get(&(id, seq)).map(|at| self.now.since(*at)),
