--- a/crates/core/examples/policies/world.rs
+++ b/crates/core/examples/policies/world.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use cypressfork_core::budget::{
-    Ask, Decision, Ledger, Region, Reservation, ReserveAnswer, ReserveCommand, ReserveLedger,
+    Ask, Decision, Ledger, RegionLedger, Reservation, ReserveAnswer, ReserveCommand, ReserveLedger,
     Shortage, SliceStore,
 };
 use cypressfork_core::unit::{HolderId, LeaseId, Time};
@@ -32,7 +32,7 @@
     fault: Fault,
     home: Ledger,
     /// The ledger of the second region, for the region's cut.
-    region: Region,
+    region: RegionLedger,
     region_seq: u64,
     /// The reserve of each data centre.
     reserves: Vec<ReserveLedger>,
@@ -51,7 +51,7 @@
             rule,
             fault,
             home,
-            region: Region::default(),
+            region: RegionLedger::default(),
             region_seq: 0,
             reserves: vec![ReserveLedger::default(); CENTRES],
             nodes: Vec::new(),
@@ -341,7 +341,7 @@
             Ask { holder: HolderId(1), budget: BUDGET.into(), seq, need: 1, want: target - have };
         if let Some(Ok(g)) = self.home.ask(now, id, &ask) {
             self.region_seq = seq;
-            self.region.allot(BUDGET, &g, self.rule.policy());
+            self.region.add_allotment(BUDGET, &g, self.rule.policy());
         }
     }
 }
--- a/crates/core/src/budget/allot.rs
+++ b/crates/core/src/budget/allot.rs
@@ -18,16 +18,16 @@
 ///
 /// It is the grantor of its routers, and a holder of leases ("allotments") from the home group.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Region {
+pub struct RegionLedger {
     ledger: Ledger,
     allotments: BTreeMap<String, BTreeMap<LeaseId, Allotment>>,
     /// Tokens spent under closed allotments, by budget.
     passed: BTreeMap<String, Tokens>,
 }
 
-impl Region {
+impl RegionLedger {
     /// Adds an allotment that the home group granted; a duplicate is ignored.
-    pub fn allot(&mut self, budget: &str, g: &Grant, policy: Policy) {
+    pub fn add_allotment(&mut self, budget: &str, g: &Grant, policy: Policy) {
         let all = self.allotments.entry(budget.to_owned()).or_default();
         all.entry(g.lease).or_insert(Allotment { keep: g.amount });
         self.update_total(budget, policy);
--- a/crates/core/src/budget/mod.rs
+++ b/crates/core/src/budget/mod.rs
@@ -13,7 +13,7 @@
 mod slice_store;
 mod unseen;
 
-pub use allot::Region;
+pub use allot::RegionLedger;
 pub use bound::{Bound, Bounds, BoundsReport, Elapsed, LastReports};
 pub use ledger::{Ask, BudgetState, Decision, Grant, Lease, Ledger, Report, Shortage, WriteOff};
 pub use policy::{Policy, Rate, report_every};
--- a/crates/core/src/budget/reserve.rs
+++ b/crates/core/src/budget/reserve.rs
@@ -9,7 +9,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::allot::Region;
+use super::allot::RegionLedger;
 use super::ledger::{Ask, Decision, Grant, Report, Shortage};
 use super::policy::Policy;
 use crate::unit::{HolderId, LeaseId, Time, Tokens};
@@ -43,7 +43,7 @@
 /// The ledger of a data centre's reserve, over all budgets.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct ReserveLedger {
-    region: Region,
+    region: RegionLedger,
     /// Sequence number of the last request that the control group granted, by budget.
     granted: BTreeMap<String, u64>,
 }
@@ -53,7 +53,7 @@
     pub fn apply(&mut self, now: Time, id: LeaseId, command: &ReserveCommand) -> ReserveAnswer {
         match command {
             ReserveCommand::Granted(budget, g, policy) => {
-                self.region.allot(budget, g, *policy);
+                self.region.add_allotment(budget, g, *policy);
                 *self.granted.entry(budget.clone()).or_default() += 1;
                 ReserveAnswer::Nothing
             }
--- a/crates/core/tests/escrow_levels.rs
+++ b/crates/core/tests/escrow_levels.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use cypressfork_core::budget::{Ask, Decision, Ledger, Policy, Region, Report, SliceStore};
+use cypressfork_core::budget::{Ask, Decision, Ledger, Policy, RegionLedger, Report, SliceStore};
 use cypressfork_core::unit::{HolderId, LeaseId, Millis, Time};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -25,7 +25,7 @@
 /// A region's group as a holder of the home's leases.
 struct Site {
     holder: HolderId,
-    region: Region,
+    region: RegionLedger,
     routers: Vec<Router>,
     seq: u64,
     /// Out of reach of the home.
@@ -105,7 +105,7 @@
         for _ in 0..REGIONS {
             let holder = w.holder();
             let routers = (0..ROUTERS).map(|_| w.router()).collect();
-            let region = Region::default();
+            let region = RegionLedger::default();
             w.sites.push(Site { holder, region, routers, seq: 0, cut: false });
         }
         w
@@ -180,7 +180,7 @@
         if let Some(Ok(g)) = self.home.ask(self.now, id, &ask) {
             let s = &mut self.sites[site];
             s.seq += 1;
-            s.region.allot(BUDGET, &g, policy());
+            s.region.add_allotment(BUDGET, &g, policy());
         }
     }
 
--- a/crates/core/tests/escrow_parts.rs
+++ b/crates/core/tests/escrow_parts.rs
@@ -1,7 +1,7 @@
 //! The parts of the escrow one by one: a slice store's slices, a region's allotments, a reserve.
 
 use cypressfork_core::budget::{
-    Ask, Grant, Ledger, Policy, Region, Report, ReserveAnswer, ReserveCommand, ReserveLedger,
+    Ask, Grant, Ledger, Policy, RegionLedger, Report, ReserveAnswer, ReserveCommand, ReserveLedger,
     Shortage, SliceStore,
 };
 use cypressfork_core::unit::{HolderId, LeaseId, Millis, Time};
@@ -97,16 +97,16 @@
     Ask { holder: HolderId(holder), budget: BUDGET.into(), seq, need, want: need }
 }
 
-fn region(allotments: &[u64]) -> Region {
-    let mut r = Region::default();
+fn region(allotments: &[u64]) -> RegionLedger {
+    let mut r = RegionLedger::default();
     for (n, amount) in allotments.iter().enumerate() {
-        r.allot(BUDGET, &grant(n as u64 + 1, *amount), policy());
+        r.add_allotment(BUDGET, &grant(n as u64 + 1, *amount), policy());
     }
     r
 }
 
 /// Spends through a region as a router does.
-fn spend(r: &mut Region, index: u64, n: u64) {
+fn spend(r: &mut RegionLedger, index: u64, n: u64) {
     let g = r.ask(Time(1), lease(index), &ask(index, 1, n)).unwrap().unwrap();
     let report = Report { lease: g.lease, used: n, keep: n, tight: true };
     assert!(r.report(Time(1), HolderId(index), &report));
@@ -118,7 +118,7 @@
     spend(&mut r, 50, 60);
     r.give_back(BUDGET, 40);
     assert_eq!(r.reports(BUDGET)[0].keep, 60);
-    r.allot(BUDGET, &grant(1, 100), policy());
+    r.add_allotment(BUDGET, &grant(1, 100), policy());
     assert_eq!(r.reports(BUDGET)[0].keep, 60, "the copy brings nothing back");
     assert_eq!(r.ask(Time(2), lease(51), &ask(51, 1, 1)), Some(Err(Shortage::Spent)));
 }
@@ -141,10 +141,10 @@
 fn spending_fills_the_oldest_allotment_and_a_closed_one_is_told_once() {
     let mut home = Ledger::default();
     home.fund(BUDGET, 1_000, policy());
-    let mut r = Region::default();
+    let mut r = RegionLedger::default();
     for seq in 1..=2 {
         let g = home.ask(Time(0), lease(seq), &ask(9, seq, 100)).unwrap().unwrap();
-        r.allot(BUDGET, &g, policy());
+        r.add_allotment(BUDGET, &g, policy());
     }
     spend(&mut r, 50, 130);
     for round in 0..2 {
