--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use cypressfork_core::budget::{Ask as BudgetAsk, Shortage};
+use cypressfork_core::budget::{LeaseRequest, Shortage};
 use cypressfork_core::code::Code;
 use cypressfork_core::command::{Answer, Command};
 use cypressfork_core::fleet::contacts::{Lead, Place};
@@ -422,7 +422,7 @@
     }
 
     /// Logs, as leader, why an ask is refused for good.
-    fn tell_short(&self, ask: &BudgetAsk) {
+    fn tell_short(&self, ask: &LeaseRequest) {
         let Some(f) = self.state.ledger().get(&ask.budget) else { return };
         if self.raft.leads() {
             emit!(
--- a/crates/control/src/reserve.rs
+++ b/crates/control/src/reserve.rs
@@ -130,7 +130,9 @@
             if excess > 0 {
                 self.apply(now, &ReserveCommand::GiveBack(budget.clone(), excess));
             }
-            commands.extend(self.reserve_ledger.ask(holder, &budget, target).map(Command::Ask));
+            commands.extend(
+                self.reserve_ledger.next_request(holder, &budget, target).map(Command::Ask),
+            );
             commands.extend(self.tally(holder, &budget, state));
         }
         commands
--- a/crates/core/examples/embed.rs
+++ b/crates/core/examples/embed.rs
@@ -19,8 +19,9 @@
     let mut ledger = Ledger::default();
     ledger.fund("orders", 10_000, Policy::default());
     let mut slices = SliceStore::new(Policy::default(), 0);
-    let ask = slices.ask(now, holder, "orders", 500).expect("the slices is empty");
-    let decision = ledger.ask(now, LeaseId { term: 1, index: 1 }, &ask).expect("funded above");
+    let ask = slices.next_request(now, holder, "orders", 500).expect("the slices is empty");
+    let decision =
+        ledger.request_lease(now, LeaseId { term: 1, index: 1 }, &ask).expect("funded above");
     slices.answer(ask.seq, &decision);
     let held = slices.reserve(now, 500).expect("the slice covers the need");
     let charged = slices.settle(now, held, 420);
--- a/crates/core/examples/policies/world.rs
+++ b/crates/core/examples/policies/world.rs
@@ -3,8 +3,8 @@
 use std::collections::VecDeque;
 
 use cypressfork_core::budget::{
-    Ask, Decision, Ledger, RegionLedger, Reservation, ReserveAnswer, ReserveCommand, ReserveLedger,
-    Shortage, SliceStore,
+    Decision, LeaseRequest, Ledger, RegionLedger, Reservation, ReserveAnswer, ReserveCommand,
+    ReserveLedger, Shortage, SliceStore,
 };
 use cypressfork_core::unit::{HolderId, LeaseId, Time};
 
@@ -106,12 +106,12 @@
         LeaseId { term: 1, index: self.index }
     }
 
-    fn decide(&mut self, n: usize, ask: &Ask) -> Decision {
+    fn decide(&mut self, n: usize, ask: &LeaseRequest) -> Decision {
         let (now, id) = (Time(self.now), self.lease());
         if self.in_far_region(n) && self.has_region() {
-            return self.region.ask(now, id, ask).unwrap_or(Err(Shortage::Spent));
+            return self.region.request_lease(now, id, ask).unwrap_or(Err(Shortage::Spent));
         }
-        self.home.ask(now, id, ask).unwrap()
+        self.home.request_lease(now, id, ask).unwrap()
     }
 
     fn ask(&mut self, n: usize, need: u64, want: u64) -> bool {
@@ -119,7 +119,7 @@
             return false;
         }
         let (now, holder) = (Time(self.now), self.nodes[n].holder);
-        let Some(mut ask) = self.nodes[n].slices.ask(now, holder, BUDGET, need) else {
+        let Some(mut ask) = self.nodes[n].slices.next_request(now, holder, BUDGET, need) else {
             return false;
         };
         if !matches!(self.rule, Rule::Escrow(_)) {
@@ -138,7 +138,9 @@
 
     fn ask_again(&mut self, n: usize, need: u64) -> bool {
         let (now, holder) = (Time(self.now), self.nodes[n].holder);
-        let Some(ask) = self.nodes[n].slices.ask(now, holder, BUDGET, need) else { return false };
+        let Some(ask) = self.nodes[n].slices.next_request(now, holder, BUDGET, need) else {
+            return false;
+        };
         let decision = self.decide(n, &ask);
         self.nodes[n].slices.answer(ask.seq, &decision);
         decision.is_ok()
@@ -209,7 +211,7 @@
         if let Some(held) = self.nodes[n].spare.reserve(now, bound) {
             return Some(held);
         }
-        let ask = self.nodes[n].spare.ask(now, holder, BUDGET, bound)?;
+        let ask = self.nodes[n].spare.next_request(now, holder, BUDGET, bound)?;
         let seq = ask.seq;
         let id = self.lease();
         let done = self.reserves[n % CENTRES].apply(now, id, &ReserveCommand::Ask(ask));
@@ -238,8 +240,8 @@
             if excess > 0 {
                 self.reserves[c].apply(now, id, &ReserveCommand::GiveBack(BUDGET.into(), excess));
                 self.report_reserve(c, holder);
-            } else if let Some(ask) = self.reserves[c].ask(holder, BUDGET, target)
-                && let Some(Ok(g)) = self.home.ask(now, id, &ask)
+            } else if let Some(ask) = self.reserves[c].next_request(holder, BUDGET, target)
+                && let Some(Ok(g)) = self.home.request_lease(now, id, &ask)
             {
                 let policy = self.rule.policy();
                 self.reserves[c].apply(now, id, &ReserveCommand::Granted(BUDGET.into(), g, policy));
@@ -337,9 +339,14 @@
             return;
         }
         let seq = self.region_seq + 1;
-        let ask =
-            Ask { holder: HolderId(1), budget: BUDGET.into(), seq, need: 1, want: target - have };
-        if let Some(Ok(g)) = self.home.ask(now, id, &ask) {
+        let ask = LeaseRequest {
+            holder: HolderId(1),
+            budget: BUDGET.into(),
+            seq,
+            need: 1,
+            want: target - have,
+        };
+        if let Some(Ok(g)) = self.home.request_lease(now, id, &ask) {
             self.region_seq = seq;
             self.region.add_allotment(BUDGET, &g, self.rule.policy());
         }
--- a/crates/core/examples/slopes.rs
+++ b/crates/core/examples/slopes.rs
@@ -8,7 +8,7 @@
 use std::time::Instant;
 
 use cypressfork_core::bill::{Bill, Bills};
-use cypressfork_core::budget::{Ask, Ledger, Policy, Report};
+use cypressfork_core::budget::{LeaseRequest, Ledger, Policy, Report};
 use cypressfork_core::claim::{Claims, End, Outcome};
 use cypressfork_core::config::{Upstream, Vm};
 use cypressfork_core::route::{Pool, PromptPrefixes, RequestProfile};
@@ -38,8 +38,8 @@
     format!("account-{:03}-budget-{:04}", n % 300, n / 300)
 }
 
-fn ask(holder: u64, n: u64) -> Ask {
-    Ask { holder: HolderId(holder), budget: budget(n), seq: 1, need: 0, want: 1_000 }
+fn ask(holder: u64, n: u64) -> LeaseRequest {
+    LeaseRequest { holder: HolderId(holder), budget: budget(n), seq: 1, need: 0, want: 1_000 }
 }
 
 fn ledger(budgets: u64) -> Ledger {
@@ -54,7 +54,7 @@
     for h in 0..holders {
         for n in 0..budgets {
             let id = LeaseId { term: 1, index: h * budgets + n };
-            assert!(l.ask(Time(0), id, &ask(h, n)).unwrap().is_ok());
+            assert!(l.request_lease(Time(0), id, &ask(h, n)).unwrap().is_ok());
         }
     }
 }
--- a/crates/core/src/budget/allot.rs
+++ b/crates/core/src/budget/allot.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::ledger::{Ask, Decision, Grant, Ledger, Report};
+use super::ledger::{Decision, Grant, LeaseRequest, Ledger, Report};
 use super::policy::Policy;
 use crate::unit::{HolderId, LeaseId, Time, Tokens};
 
@@ -42,14 +42,24 @@
 
     /// Decides a router's lease request from the allotments, and starts a recall if the free tokens
     /// are too few. Returns `None` if there is no such budget.
-    pub fn ask(&mut self, now: Time, id: LeaseId, ask: &Ask) -> Option<Decision> {
-        self.ledger.ask(now, id, ask)
+    pub fn request_lease(
+        &mut self,
+        now: Time,
+        id: LeaseId,
+        ask: &LeaseRequest,
+    ) -> Option<Decision> {
+        self.ledger.request_lease(now, id, ask)
     }
 
     /// Decides a router's lease request from the free tokens only, without a recall. Returns `None`
     /// if there is no such budget.
-    pub fn ask_once(&mut self, now: Time, id: LeaseId, ask: &Ask) -> Option<Decision> {
-        self.ledger.ask_once(now, id, ask)
+    pub fn request_from_free(
+        &mut self,
+        now: Time,
+        id: LeaseId,
+        ask: &LeaseRequest,
+    ) -> Option<Decision> {
+        self.ledger.request_from_free(now, id, ask)
     }
 
     /// Applies a router's report. Returns false if the lease is not open or belongs to another
--- a/crates/core/src/budget/ledger.rs
+++ b/crates/core/src/budget/ledger.rs
@@ -25,7 +25,7 @@
 
 /// A holder's request for a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct LeaseRequest {
     /// The requesting holder.
     pub holder: HolderId,
     /// Budget name.
@@ -74,7 +74,7 @@
     Spent,
 }
 
-/// The grantor's answer to an [`Ask`].
+/// The grantor's answer to an [`LeaseRequest`].
 pub type Decision = Result<Grant, Shortage>;
 
 /// A part of a budget that one holder may spend.
@@ -130,7 +130,7 @@
 }
 
 impl Recall {
-    fn is_for(&self, ask: &Ask) -> bool {
+    fn is_for(&self, ask: &LeaseRequest) -> bool {
         (self.holder, self.seq) == (ask.holder, ask.seq)
     }
 
@@ -194,12 +194,12 @@
     }
 
     /// Returns the open lease that an earlier copy of the request was granted.
-    fn find_granted(&self, ask: &Ask) -> Option<(LeaseId, Lease)> {
+    fn find_granted(&self, ask: &LeaseRequest) -> Option<(LeaseId, Lease)> {
         let same = |l: &Lease| l.holder == ask.holder && l.seq == ask.seq;
         self.leases.iter().find(|(_, l)| same(l)).map(|(id, l)| (*id, *l))
     }
 
-    fn grant(&mut self, now: Time, id: LeaseId, ask: &Ask, amount: Tokens) -> Grant {
+    fn grant(&mut self, now: Time, id: LeaseId, ask: &LeaseRequest, amount: Tokens) -> Grant {
         let span = self.policy.offline;
         let end = now.after(span.scale(LEASE_DRIFT.0, LEASE_DRIFT.1));
         let (holder, seq) = (ask.holder, ask.seq);
@@ -211,7 +211,7 @@
     }
 
     /// Returns why a request cannot be granted, and starts or continues a recall for it.
-    fn shortage(&mut self, now: Time, ask: &Ask) -> Shortage {
+    fn shortage(&mut self, now: Time, ask: &LeaseRequest) -> Shortage {
         if ask.need == 0 {
             return Shortage::Busy(SETTLE_RETRY);
         }
@@ -236,7 +236,7 @@
         self.free() + live.map(Lease::open).sum::<Tokens>() < need
     }
 
-    fn refresh_recall(&mut self, now: Time, ask: &Ask) -> Recall {
+    fn refresh_recall(&mut self, now: Time, ask: &LeaseRequest) -> Recall {
         let mut r = match self.recall.filter(|r| r.is_active(now)) {
             Some(r) => r,
             None => self.start_recall(now, ask),
@@ -248,7 +248,7 @@
         r
     }
 
-    fn start_recall(&mut self, now: Time, ask: &Ask) -> Recall {
+    fn start_recall(&mut self, now: Time, ask: &LeaseRequest) -> Recall {
         for l in self.leases.values_mut() {
             l.tight = false;
         }
@@ -256,7 +256,7 @@
     }
 
     /// Returns the answer to a resend of a granted request, or to a late duplicate of an older one.
-    fn previous_decision(&self, ask: &Ask) -> Option<Decision> {
+    fn previous_decision(&self, ask: &LeaseRequest) -> Option<Decision> {
         if let Some((lease, l)) = self.find_granted(ask) {
             return Some(Ok(Grant { lease, amount: l.keep, span: self.policy.offline }));
         }
@@ -264,13 +264,19 @@
         late.then_some(Err(Shortage::Busy(SETTLE_RETRY)))
     }
 
-    fn try_grant(&mut self, now: Time, id: LeaseId, ask: &Ask, want: Tokens) -> Option<Grant> {
+    fn try_grant(
+        &mut self,
+        now: Time,
+        id: LeaseId,
+        ask: &LeaseRequest,
+        want: Tokens,
+    ) -> Option<Grant> {
         let holders = self.holder_count().max(1);
         let amount = self.policy.give(self.free(), holders, ask.need, want)?;
         Some(self.grant(now, id, ask, amount))
     }
 
-    fn ask(&mut self, now: Time, id: LeaseId, ask: &Ask) -> Decision {
+    fn request_lease(&mut self, now: Time, id: LeaseId, ask: &LeaseRequest) -> Decision {
         if let Some(decision) = self.previous_decision(ask) {
             return decision;
         }
@@ -290,7 +296,7 @@
         Ok(grant)
     }
 
-    fn ask_once(&mut self, now: Time, id: LeaseId, ask: &Ask) -> Decision {
+    fn request_from_free(&mut self, now: Time, id: LeaseId, ask: &LeaseRequest) -> Decision {
         if let Some(decision) = self.previous_decision(ask) {
             return decision;
         }
@@ -392,20 +398,30 @@
 
     /// Decides a lease request, and starts a recall if the free tokens are too few. A granted
     /// lease gets the identity `id`. Returns `None` if the budget does not exist.
-    pub fn ask(&mut self, now: Time, id: LeaseId, ask: &Ask) -> Option<Decision> {
-        let decision = self.funds.get_mut(&ask.budget)?.ask(now, id, ask);
+    pub fn request_lease(
+        &mut self,
+        now: Time,
+        id: LeaseId,
+        ask: &LeaseRequest,
+    ) -> Option<Decision> {
+        let decision = self.funds.get_mut(&ask.budget)?.request_lease(now, id, ask);
         self.update_recalling(&ask.budget);
         Some(self.index_lease(id, ask, decision))
     }
 
     /// Decides a lease request from the free tokens only, without a recall. Returns `None` if the
     /// budget does not exist.
-    pub fn ask_once(&mut self, now: Time, id: LeaseId, ask: &Ask) -> Option<Decision> {
-        let decision = self.funds.get_mut(&ask.budget)?.ask_once(now, id, ask);
+    pub fn request_from_free(
+        &mut self,
+        now: Time,
+        id: LeaseId,
+        ask: &LeaseRequest,
+    ) -> Option<Decision> {
+        let decision = self.funds.get_mut(&ask.budget)?.request_from_free(now, id, ask);
         Some(self.index_lease(id, ask, decision))
     }
 
-    fn index_lease(&mut self, id: LeaseId, ask: &Ask, decision: Decision) -> Decision {
+    fn index_lease(&mut self, id: LeaseId, ask: &LeaseRequest, decision: Decision) -> Decision {
         if decision.is_ok_and(|g| g.lease == id) {
             self.budget_of.insert(id, ask.budget.clone());
         }
--- a/crates/core/src/budget/mod.rs
+++ b/crates/core/src/budget/mod.rs
@@ -15,7 +15,9 @@
 
 pub use allot::RegionLedger;
 pub use bound::{Bound, Bounds, BoundsReport, Elapsed, LastReports};
-pub use ledger::{Ask, BudgetState, Decision, Grant, Lease, Ledger, Report, Shortage, WriteOff};
+pub use ledger::{
+    BudgetState, Decision, Grant, Lease, LeaseRequest, Ledger, Report, Shortage, WriteOff,
+};
 pub use policy::{Policy, Rate, report_every};
 pub use reserve::{ReserveAnswer, ReserveCommand, ReserveLedger};
 pub use slice_store::{Reservation, SliceStore};
--- a/crates/core/src/budget/reserve.rs
+++ b/crates/core/src/budget/reserve.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::allot::RegionLedger;
-use super::ledger::{Ask, Decision, Grant, Report, Shortage};
+use super::ledger::{Decision, Grant, LeaseRequest, Report, Shortage};
 use super::policy::Policy;
 use crate::unit::{HolderId, LeaseId, Time, Tokens};
 
@@ -20,7 +20,7 @@
     /// The control group granted a lease on a budget.
     Granted(String, Grant, Policy),
     /// A router requests a lease.
-    Ask(Ask),
+    Ask(LeaseRequest),
     /// A router reports on its leases.
     Report(HolderId, Vec<Report>),
     /// Returns up to this many free tokens of a budget to the control group.
@@ -59,7 +59,7 @@
             }
             ReserveCommand::Ask(ask) => {
                 // A recall waits for reports of other routers, which takes too long here.
-                let decision = self.region.ask_once(now, id, ask);
+                let decision = self.region.request_from_free(now, id, ask);
                 ReserveAnswer::Decided(decision.unwrap_or(Err(Shortage::Spent)))
             }
             ReserveCommand::Report(holder, reports) => {
@@ -94,14 +94,19 @@
 
     /// Returns the lease request to the control group that fills the reserve up to `target`, if no
     /// more than half of it is free. Resends keep their number until one is granted.
-    pub fn ask(&self, holder: HolderId, budget: &str, target: Tokens) -> Option<Ask> {
+    pub fn next_request(
+        &self,
+        holder: HolderId,
+        budget: &str,
+        target: Tokens,
+    ) -> Option<LeaseRequest> {
         let have = self.free(budget);
         if target == 0 || have > target / 2 {
             return None;
         }
         let seq = self.granted.get(budget).copied().unwrap_or(0) + 1;
         let want = target - have;
-        Some(Ask { holder, budget: budget.to_owned(), seq, need: 0, want })
+        Some(LeaseRequest { holder, budget: budget.to_owned(), seq, need: 0, want })
     }
 
     /// Returns the free tokens beyond `target` if there are more than twice `target`, else zero.
--- a/crates/core/src/budget/slice_store.rs
+++ b/crates/core/src/budget/slice_store.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::bound::{Bound, SpendingLimit};
-use super::ledger::{Ask, Decision, Grant, Report};
+use super::ledger::{Decision, Grant, LeaseRequest, Report};
 use super::policy::{Policy, Rate};
 use crate::unit::{HolderId, LeaseId, Millis, Time, Tokens};
 
@@ -72,7 +72,7 @@
 /// The lease request that has no answer yet.
 #[derive(Debug)]
 struct Pending {
-    ask: Ask,
+    ask: LeaseRequest,
     first_sent: Time,
 }
 
@@ -198,7 +198,13 @@
 
     /// Returns the lease request to send if fewer than `need` tokens are idle or the store is low.
     /// A pending request is returned again under its number, enlarged if needed.
-    pub fn ask(&mut self, now: Time, holder: HolderId, budget: &str, need: Tokens) -> Option<Ask> {
+    pub fn next_request(
+        &mut self,
+        now: Time,
+        holder: HolderId,
+        budget: &str,
+        need: Tokens,
+    ) -> Option<LeaseRequest> {
         self.rate.roll(now);
         let idle = self.idle(now);
         let want = self.policy.want(&self.rate, need);
@@ -214,7 +220,8 @@
         self.seq += 1;
         let missing = need.saturating_sub(idle);
         let want = want.saturating_sub(idle).max(missing);
-        let ask = Ask { holder, budget: budget.to_owned(), seq: self.seq, need: missing, want };
+        let ask =
+            LeaseRequest { holder, budget: budget.to_owned(), seq: self.seq, need: missing, want };
         self.pending = Some(Pending { ask: ask.clone(), first_sent: now });
         Some(ask)
     }
--- a/crates/core/src/command.rs
+++ b/crates/core/src/command.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::bill::{Bill, Posting};
-use crate::budget::{Ask, Bound, Decision, Elapsed, Report};
+use crate::budget::{Bound, Decision, Elapsed, LeaseRequest, Report};
 use crate::claim::{BodyDigest, End, Verdict};
 use crate::code::Code;
 use crate::config::{Change, Refusal};
@@ -48,7 +48,7 @@
     /// Sets the open claims of a router without recent heartbeats to an unknown outcome.
     Lapse(HolderId),
     /// Requests a lease for a holder.
-    Ask(Ask),
+    Ask(LeaseRequest),
     /// Reports a holder's spending, bills and bounds.
     Tally {
         /// The holder.
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::bill::Bills;
-use crate::budget::{Ask, Ledger, Policy, Report};
+use crate::budget::{LeaseRequest, Ledger, Policy, Report};
 use crate::claim::Claims;
 use crate::code::Code;
 use crate::command::{Answer, Command};
@@ -226,14 +226,14 @@
         Answer::Registered(holder)
     }
 
-    fn ask(&mut self, now: Time, pos: LeaseId, ask: &Ask) -> Answer {
+    fn ask(&mut self, now: Time, pos: LeaseId, ask: &LeaseRequest) -> Answer {
         if self.holder_name(ask.holder).is_none() {
             return Answer::Refused(Code::HolderStale);
         }
         if !self.may_grant(&ask.budget) {
             return Answer::Refused(Code::AccountClosed);
         }
-        match self.ledger.ask(now, pos, ask) {
+        match self.ledger.request_lease(now, pos, ask) {
             Some(decision) => Answer::Decided(decision),
             None => Answer::Refused(Code::BudgetUnknown),
         }
--- a/crates/core/tests/bound.rs
+++ b/crates/core/tests/bound.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use cypressfork_core::budget::{
-    Ask, Bound, Bounds, Elapsed, Ledger, Policy, Rate, Report, Reservation, SliceStore,
+    Bound, Bounds, Elapsed, LeaseRequest, Ledger, Policy, Rate, Report, Reservation, SliceStore,
     report_every,
 };
 use cypressfork_core::command::{Answer, Command};
@@ -216,7 +216,7 @@
     };
     let Answer::Registered(old) = apply(&register(1, 0)) else { panic!() };
     let budget = BUDGET.to_owned();
-    let ask = Ask { holder: old, budget, seq: 1, need: 90_000, want: 90_000 };
+    let ask = LeaseRequest { holder: old, budget, seq: 1, need: 90_000, want: 90_000 };
     assert!(matches!(apply(&Command::Ask(ask)), Answer::Decided(Ok(_))));
     let told = Command::Tally {
         holder: old,
@@ -350,10 +350,13 @@
 
     fn ask(&mut self, n: usize, need: Tokens) {
         let (now, id) = (self.now, self.holders[n].id);
-        let Some(ask): Option<Ask> = self.slices(n).ask(now, id, BUDGET, need) else { return };
+        let Some(ask): Option<LeaseRequest> = self.slices(n).next_request(now, id, BUDGET, need)
+        else {
+            return;
+        };
         self.ids += 1;
         let lease = LeaseId { term: 1, index: self.ids };
-        let decision = self.ledger.ask(now, lease, &ask).unwrap();
+        let decision = self.ledger.request_lease(now, lease, &ask).unwrap();
         self.slices(n).answer(ask.seq, &decision);
     }
 
--- a/crates/core/tests/escrow_levels.rs
+++ b/crates/core/tests/escrow_levels.rs
@@ -2,7 +2,9 @@
 
 use std::collections::VecDeque;
 
-use cypressfork_core::budget::{Ask, Decision, Ledger, Policy, RegionLedger, Report, SliceStore};
+use cypressfork_core::budget::{
+    Decision, LeaseRequest, Ledger, Policy, RegionLedger, Report, SliceStore,
+};
 use cypressfork_core::unit::{HolderId, LeaseId, Millis, Time};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -34,7 +36,7 @@
 
 /// A message on its way, delivered in any order, twice, or never.
 enum Post {
-    Ask(usize, usize, Ask),
+    Ask(usize, usize, LeaseRequest),
     Answer(usize, usize, u64, Decision),
     Report(usize, usize, HolderId, Time, Vec<Report>),
     Ack(usize, usize, HolderId, Time, Vec<(Report, bool)>),
@@ -158,7 +160,7 @@
         if let Some(held) = r.slices.reserve(now, bound) {
             // An engine that sends more than was reserved is cut at the reservation.
             self.consumed += r.slices.settle(now, held, used);
-        } else if let Some(ask) = r.slices.ask(now, r.holder, BUDGET, bound) {
+        } else if let Some(ask) = r.slices.next_request(now, r.holder, BUDGET, bound) {
             self.post.push_back(Post::Ask(site, router, ask));
         }
     }
@@ -175,9 +177,10 @@
         if s.cut {
             return;
         }
-        let ask = Ask { holder: s.holder, budget: BUDGET.into(), seq: s.seq + 1, need: 1, want };
+        let ask =
+            LeaseRequest { holder: s.holder, budget: BUDGET.into(), seq: s.seq + 1, need: 1, want };
         let id = self.lease();
-        if let Some(Ok(g)) = self.home.ask(self.now, id, &ask) {
+        if let Some(Ok(g)) = self.home.request_lease(self.now, id, &ask) {
             let s = &mut self.sites[site];
             s.seq += 1;
             s.region.add_allotment(BUDGET, &g, policy());
@@ -215,7 +218,7 @@
         match p {
             Post::Ask(site, router, ask) => {
                 let id = self.lease();
-                let d = self.sites[*site].region.ask(now, id, ask)?;
+                let d = self.sites[*site].region.request_lease(now, id, ask)?;
                 Some(Post::Answer(*site, *router, ask.seq, d))
             }
             Post::Answer(site, router, seq, d) => {
--- a/crates/core/tests/escrow_parts.rs
+++ b/crates/core/tests/escrow_parts.rs
@@ -1,8 +1,8 @@
 //! The parts of the escrow one by one: a slice store's slices, a region's allotments, a reserve.
 
 use cypressfork_core::budget::{
-    Ask, Grant, Ledger, Policy, RegionLedger, Report, ReserveAnswer, ReserveCommand, ReserveLedger,
-    Shortage, SliceStore,
+    Grant, LeaseRequest, Ledger, Policy, RegionLedger, Report, ReserveAnswer, ReserveCommand,
+    ReserveLedger, Shortage, SliceStore,
 };
 use cypressfork_core::unit::{HolderId, LeaseId, Millis, Time};
 
@@ -24,7 +24,7 @@
 fn slices(grants: &[(u64, u64)]) -> SliceStore {
     let mut p = SliceStore::new(policy(), 0);
     for (n, (at, amount)) in grants.iter().enumerate() {
-        let ask = p.ask(Time(*at), HolderId(1), BUDGET, 1_000_000).unwrap();
+        let ask = p.next_request(Time(*at), HolderId(1), BUDGET, 1_000_000).unwrap();
         p.answer(ask.seq, &Ok(grant(n as u64 + 1, *amount)));
     }
     p
@@ -93,8 +93,8 @@
     assert!(p.is_empty());
 }
 
-fn ask(holder: u64, seq: u64, need: u64) -> Ask {
-    Ask { holder: HolderId(holder), budget: BUDGET.into(), seq, need, want: need }
+fn ask(holder: u64, seq: u64, need: u64) -> LeaseRequest {
+    LeaseRequest { holder: HolderId(holder), budget: BUDGET.into(), seq, need, want: need }
 }
 
 fn region(allotments: &[u64]) -> RegionLedger {
@@ -107,7 +107,7 @@
 
 /// Spends through a region as a router does.
 fn spend(r: &mut RegionLedger, index: u64, n: u64) {
-    let g = r.ask(Time(1), lease(index), &ask(index, 1, n)).unwrap().unwrap();
+    let g = r.request_lease(Time(1), lease(index), &ask(index, 1, n)).unwrap().unwrap();
     let report = Report { lease: g.lease, used: n, keep: n, tight: true };
     assert!(r.report(Time(1), HolderId(index), &report));
 }
@@ -120,7 +120,7 @@
     assert_eq!(r.reports(BUDGET)[0].keep, 60);
     r.add_allotment(BUDGET, &grant(1, 100), policy());
     assert_eq!(r.reports(BUDGET)[0].keep, 60, "the copy brings nothing back");
-    assert_eq!(r.ask(Time(2), lease(51), &ask(51, 1, 1)), Some(Err(Shortage::Spent)));
+    assert_eq!(r.request_lease(Time(2), lease(51), &ask(51, 1, 1)), Some(Err(Shortage::Spent)));
 }
 
 #[test]
@@ -131,7 +131,7 @@
     let told: Vec<_> = r.reports(BUDGET).iter().map(|r| (r.used, r.keep)).collect();
     assert_eq!(told, [(100, 100), (30, 30)]);
     let mut r = region(&[100, 100]);
-    r.ask(Time(1), lease(50), &ask(50, 1, 130)).unwrap().unwrap();
+    r.request_lease(Time(1), lease(50), &ask(50, 1, 130)).unwrap().unwrap();
     r.give_back(BUDGET, u64::MAX);
     let kept: u64 = r.reports(BUDGET).iter().map(|r| r.keep).sum();
     assert_eq!(kept, 130, "held by a router, though not spent");
@@ -143,7 +143,7 @@
     home.fund(BUDGET, 1_000, policy());
     let mut r = RegionLedger::default();
     for seq in 1..=2 {
-        let g = home.ask(Time(0), lease(seq), &ask(9, seq, 100)).unwrap().unwrap();
+        let g = home.request_lease(Time(0), lease(seq), &ask(9, seq, 100)).unwrap().unwrap();
         r.add_allotment(BUDGET, &g, policy());
     }
     spend(&mut r, 50, 130);
@@ -164,15 +164,15 @@
 #[test]
 fn a_reserve_asks_when_low_and_gives_back_when_the_rest_shrinks() {
     let mut c = ReserveLedger::default();
-    let first = c.ask(HolderId(3), BUDGET, 1_000).unwrap();
+    let first = c.next_request(HolderId(3), BUDGET, 1_000).unwrap();
     assert_eq!((first.seq, first.need, first.want), (1, 0, 1_000));
     c.apply(Time(0), lease(1), &ReserveCommand::Granted(BUDGET.into(), grant(1, 900), policy()));
-    assert_eq!(c.ask(HolderId(3), BUDGET, 1_000), None, "it has enough");
+    assert_eq!(c.next_request(HolderId(3), BUDGET, 1_000), None, "it has enough");
     assert_eq!(c.excess(BUDGET, 500), 0);
     assert_eq!(c.excess(BUDGET, 100), 800);
     c.apply(Time(0), lease(2), &ReserveCommand::GiveBack(BUDGET.into(), 800));
     assert_eq!(c.reports(BUDGET)[0].keep, 100);
-    let next = c.ask(HolderId(3), BUDGET, 1_000).unwrap();
+    let next = c.next_request(HolderId(3), BUDGET, 1_000).unwrap();
     assert_eq!((next.seq, next.want), (2, 900));
 }
 
@@ -186,7 +186,7 @@
     assert!(matches!(decide(&mut c, 1, 60), ReserveAnswer::Decided(Ok(_))));
     assert!(matches!(decide(&mut c, 2, 60), ReserveAnswer::Decided(Err(_))));
     assert!(matches!(decide(&mut c, 3, 40), ReserveAnswer::Decided(Ok(_))));
-    let other = Ask { budget: "other".into(), ..ask(4, 1, 1) };
+    let other = LeaseRequest { budget: "other".into(), ..ask(4, 1, 1) };
     let none = c.apply(Time(1), lease(20), &ReserveCommand::Ask(other));
     assert_eq!(none, ReserveAnswer::Decided(Err(Shortage::Spent)));
 }
--- a/crates/core/tests/sessions.rs
+++ b/crates/core/tests/sessions.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use cypressfork_core::bill::Bill;
-use cypressfork_core::budget::{Ask, Report};
+use cypressfork_core::budget::{LeaseRequest, Report};
 use cypressfork_core::claim::{End, Outcome};
 use cypressfork_core::command::{Answer, Command};
 use cypressfork_core::config::{Application, Change, Item, Template};
@@ -94,7 +94,7 @@
 }
 
 fn ask(holder: HolderId, seq: u64, need: u64, want: u64) -> Command {
-    Command::Ask(Ask { holder, budget: "club-talk".into(), seq, need, want })
+    Command::Ask(LeaseRequest { holder, budget: "club-talk".into(), seq, need, want })
 }
 
 fn report(lease: LeaseId, used: u64, keep: u64) -> Report {
--- a/crates/core/tests/support/escrow.rs
+++ b/crates/core/tests/support/escrow.rs
@@ -1,7 +1,7 @@
 //! One ledger and its slice stores, with an exchange whose steps can fail.
 
 use cypressfork_core::budget::{
-    Ask, Decision, Grant, Ledger, Policy, Report, Reservation, Shortage, SliceStore,
+    Decision, Grant, LeaseRequest, Ledger, Policy, Report, Reservation, Shortage, SliceStore,
 };
 use cypressfork_core::unit::{HolderId, LeaseId, Millis, Time};
 
@@ -18,7 +18,7 @@
 
 /// A message that is kept to be delivered a second time.
 enum Copy {
-    Ask(Ask),
+    Ask(LeaseRequest),
     Answer(usize, u64, Decision),
     Report(usize, Vec<Report>),
     Ack(usize, Time, Vec<(Report, bool)>),
@@ -160,11 +160,11 @@
     pub fn ask(&mut self, n: usize, need: u64) -> Decision {
         let now = self.holder_now();
         let holder = self.nodes[n].holder;
-        let Some(ask) = self.nodes[n].slices.ask(now, holder, BUDGET, need) else {
+        let Some(ask) = self.nodes[n].slices.next_request(now, holder, BUDGET, need) else {
             return Err(Shortage::Busy(Millis(1)));
         };
         let id = self.id();
-        let decision = self.ledger.ask(self.grantor_now(), id, &ask).unwrap();
+        let decision = self.ledger.request_lease(self.grantor_now(), id, &ask).unwrap();
         self.nodes[n].slices.answer(ask.seq, &decision);
         decision
     }
@@ -173,9 +173,9 @@
     pub fn ask_on(&mut self, mut other: Ledger, n: usize, need: u64) {
         let now = self.holder_now();
         let holder = self.nodes[n].holder;
-        let ask = self.nodes[n].slices.ask(now, holder, BUDGET, need).unwrap();
+        let ask = self.nodes[n].slices.next_request(now, holder, BUDGET, need).unwrap();
         let id = self.id();
-        assert!(other.ask(self.grantor_now(), id, &ask).unwrap().is_ok());
+        assert!(other.request_lease(self.grantor_now(), id, &ask).unwrap().is_ok());
     }
 
     pub fn ledger_copy(&self) -> Ledger {
@@ -241,7 +241,9 @@
         if need == 0 && !self.nodes[n].slices.runs_low(now) {
             return;
         }
-        let Some(ask) = self.nodes[n].slices.ask(now, holder, BUDGET, need) else { return };
+        let Some(ask) = self.nodes[n].slices.next_request(now, holder, BUDGET, need) else {
+            return;
+        };
         if self.lost(Step::AskSent) {
             return;
         }
@@ -249,7 +251,7 @@
             self.copies.push(Copy::Ask(ask.clone()));
         }
         let id = self.id();
-        let decision = self.ledger.ask(self.grantor_now(), id, &ask).unwrap();
+        let decision = self.ledger.request_lease(self.grantor_now(), id, &ask).unwrap();
         if self.lost(Step::AskAnswered) {
             return;
         }
@@ -292,7 +294,7 @@
             match c {
                 Copy::Ask(ask) => {
                     let id = self.id();
-                    let decision = self.ledger.ask(self.grantor_now(), id, &ask).unwrap();
+                    let decision = self.ledger.request_lease(self.grantor_now(), id, &ask).unwrap();
                     let n = self.nodes.iter().position(|n| n.holder == ask.holder).unwrap();
                     self.nodes[n].slices.answer(ask.seq, &decision);
                 }
@@ -368,7 +370,7 @@
 
     /// A lease of exactly this size, not in any slice store.
     pub fn grant_exactly(&mut self, n: usize, amount: u64) -> LeaseId {
-        let ask = Ask {
+        let ask = LeaseRequest {
             holder: self.nodes[n].holder,
             budget: BUDGET.to_owned(),
             seq: 1_000_000 + self.index,
@@ -376,7 +378,7 @@
             want: amount,
         };
         let id = self.id();
-        let g: Grant = self.ledger.ask(self.grantor_now(), id, &ask).unwrap().unwrap();
+        let g: Grant = self.ledger.request_lease(self.grantor_now(), id, &ask).unwrap().unwrap();
         assert_eq!(g.amount, amount);
         g.lease
     }
@@ -385,11 +387,11 @@
     pub fn force_slice(&mut self, n: usize, amount: u64) {
         let now = self.holder_now();
         let holder = self.nodes[n].holder;
-        let mut ask = self.nodes[n].slices.ask(now, holder, BUDGET, amount).unwrap();
+        let mut ask = self.nodes[n].slices.next_request(now, holder, BUDGET, amount).unwrap();
         ask.need = amount;
         ask.want = amount;
         let id = self.id();
-        let d = self.ledger.ask(self.grantor_now(), id, &ask).unwrap();
+        let d = self.ledger.request_lease(self.grantor_now(), id, &ask).unwrap();
         self.nodes[n].slices.answer(ask.seq, &d);
         assert_eq!(d.unwrap().amount, amount);
     }
--- a/crates/router/src/token_store.rs
+++ b/crates/router/src/token_store.rs
@@ -8,7 +8,7 @@
 
 use cypressfork_core::bill::Bill;
 use cypressfork_core::budget::{
-    Ask, Bound, Policy, Report, Reservation, ReserveAnswer, ReserveCommand, Shortage,
+    Bound, LeaseRequest, Policy, Report, Reservation, ReserveAnswer, ReserveCommand, Shortage,
 };
 use cypressfork_core::code::Code;
 use cypressfork_core::command::{Answer, Command};
@@ -205,7 +205,7 @@
             if let Some(r) = found {
                 return Ok((Source::Reserve, r));
             }
-            let ask = p.slices.borrow_mut().ask(now, self.holder, budget, n);
+            let ask = p.slices.borrow_mut().next_request(now, self.holder, budget, n);
             let (Some(group), Some(ask)) = (&self.reserve, ask) else { break };
             emit!(Event::ReserveUsed, budget = budget, tokens = n);
             let within = RESERVE_WITHIN.min(deadline.saturating_duration_since(Instant::now()));
@@ -237,12 +237,12 @@
 
     async fn ask(&self, budget: &str, p: &BudgetSlices, need: Tokens) -> Asked {
         let now = self.clock.now();
-        let ask = p.slices.borrow_mut().ask(now, self.holder, budget, need);
+        let ask = p.slices.borrow_mut().next_request(now, self.holder, budget, need);
         let Some(ask) = ask else { return Asked::Decided(Err(Shortage::Busy(Millis(1)))) };
         self.send_ask(p, ask, ASK_WITHIN).await
     }
 
-    async fn send_ask(&self, p: &BudgetSlices, ask: Ask, within: Duration) -> Asked {
+    async fn send_ask(&self, p: &BudgetSlices, ask: LeaseRequest, within: Duration) -> Asked {
         let seq = ask.seq;
         match self.group.command(&Command::Ask(ask), within).await {
             Ok(Answer::Decided(d)) => {
