--- a/crates/core/examples/policies/world.rs
+++ b/crates/core/examples/policies/world.rs
@@ -234,7 +234,7 @@
             self.report_reserve(c, holder);
             let f = self.home.get(BUDGET).unwrap();
             let calling = f.recalling(now);
-            let target = if calling { 0 } else { self.rule.policy().target(f.free()) };
+            let target = if calling { 0 } else { self.rule.policy().reserve_target(f.free()) };
             let excess = self.reserves[c].excess(BUDGET, target);
             let id = self.lease();
             if excess > 0 {
--- a/crates/core/src/budget/ledger.rs
+++ b/crates/core/src/budget/ledger.rs
@@ -272,7 +272,7 @@
         want: Tokens,
     ) -> Option<Grant> {
         let holders = self.holder_count().max(1);
-        let amount = self.policy.give(self.free(), holders, ask.need, want)?;
+        let amount = self.policy.grant_size(self.free(), holders, ask.need, want)?;
         Some(self.grant(now, id, ask, amount))
     }
 
--- a/crates/core/src/budget/mod.rs
+++ b/crates/core/src/budget/mod.rs
@@ -18,7 +18,7 @@
 pub use ledger::{
     BudgetState, Decision, Grant, Lease, LeaseRequest, Ledger, Report, Shortage, WriteOff,
 };
-pub use policy::{Policy, Rate, report_every};
+pub use policy::{Policy, Rate, report_interval};
 pub use reserve::{ReserveAnswer, ReserveCommand, ReserveLedger};
 pub use slice_store::{Reservation, SliceStore};
 pub use unseen::UnreadEstimate;
--- a/crates/core/src/budget/policy.rs
+++ b/crates/core/src/budget/policy.rs
@@ -59,7 +59,7 @@
 
     /// Returns how many tokens a holder that spends at `rate` requests while a client request of
     /// `need` tokens waits.
-    pub fn want(&self, rate: &Rate, need: Tokens) -> Tokens {
+    pub fn request_size(&self, rate: &Rate, need: Tokens) -> Tokens {
         let ahead = rate.per_second() * self.horizon.0 / 1000;
         need.saturating_add(ahead.max(self.floor))
     }
@@ -70,15 +70,15 @@
     /// The budget loses these tokens when the holder dies, and for every holder in a power failure.
     /// So they cover little more than the spending during a partition; partitioned holders can
     /// borrow tokens from each other.
-    pub fn beyond(&self, rate: &Rate, idle: Tokens) -> (Tokens, Tokens) {
-        let usual = rate.usual();
-        let room = (usual / ROOM_DIVISOR).max(idle / IDLE_ROOM_DIVISOR);
-        let growth = (usual * 9 / 8).max(idle / IDLE_GROWTH_DIVISOR);
+    pub fn unreported_allowance(&self, rate: &Rate, idle: Tokens) -> (Tokens, Tokens) {
+        let smoothed = rate.smoothed();
+        let room = (smoothed / ROOM_DIVISOR).max(idle / IDLE_ROOM_DIVISOR);
+        let growth = (smoothed * 9 / 8).max(idle / IDLE_GROWTH_DIVISOR);
         (room, growth)
     }
 
     /// Returns the target size of a data centre's reserve while `free` tokens are free.
-    pub fn target(&self, free: Tokens) -> Tokens {
+    pub fn reserve_target(&self, free: Tokens) -> Tokens {
         free / 100 * self.reserve.min(100)
     }
 
@@ -86,7 +86,13 @@
     /// if `free` is less than `need`, or is zero.
     ///
     /// As the free tokens run out, the grant shrinks from `want` to `need`.
-    pub fn give(&self, free: Tokens, holders: u64, need: Tokens, want: Tokens) -> Option<Tokens> {
+    pub fn grant_size(
+        &self,
+        free: Tokens,
+        holders: u64,
+        need: Tokens,
+        want: Tokens,
+    ) -> Option<Tokens> {
         if need > free || (need == 0 && free == 0) {
             return None;
         }
@@ -104,7 +110,7 @@
 
 /// Returns the interval between two reports of each of `holders`, at most `most`. Fewer holders
 /// report more often.
-pub fn report_every(holders: u64, most: Millis) -> Millis {
+pub fn report_interval(holders: u64, most: Millis) -> Millis {
     Millis(holders * 1_000 / MAX_REPORTS_PER_SECOND).max(MIN_REPORT_INTERVAL).min(most)
 }
 
@@ -118,13 +124,13 @@
 
 impl Rate {
     /// Records `tokens` spent at `now`.
-    pub fn add(&mut self, now: Time, tokens: Tokens) {
-        self.roll(now);
+    pub fn record(&mut self, now: Time, tokens: Tokens) {
+        self.close_sample(now);
         self.running += tokens;
     }
 
     /// Closes the current sample if it is at least a second old.
-    pub fn roll(&mut self, now: Time) {
+    pub fn close_sample(&mut self, now: Time) {
         let span = now.since(self.since);
         if span < Millis::seconds(1) {
             return;
@@ -137,7 +143,7 @@
     }
 
     /// Returns the smoothed rate of the closed samples; a single large request has little effect.
-    pub fn usual(&self) -> u64 {
+    pub fn smoothed(&self) -> u64 {
         self.smoothed
     }
 
--- a/crates/core/src/budget/slice_store.rs
+++ b/crates/core/src/budget/slice_store.rs
@@ -164,8 +164,8 @@
         if !self.policy.bounded || (self.slices.is_empty() && self.spent == 0) {
             return None;
         }
-        self.rate.roll(now);
-        let (room, rate) = self.policy.beyond(&self.rate, self.idle(now));
+        self.rate.close_sample(now);
+        let (room, rate) = self.policy.unreported_allowance(&self.rate, self.idle(now));
         // New requests use up the room until the next report, so waiting ones are added to it.
         let limit =
             (self.spent + self.reserved).saturating_add(self.limit_demand).saturating_add(room);
@@ -192,7 +192,7 @@
                 s.used += spend;
             }
         }
-        self.rate.add(now, charged);
+        self.rate.record(now, charged);
         charged
     }
 
@@ -205,9 +205,9 @@
         budget: &str,
         need: Tokens,
     ) -> Option<LeaseRequest> {
-        self.rate.roll(now);
+        self.rate.close_sample(now);
         let idle = self.idle(now);
-        let want = self.policy.want(&self.rate, need);
+        let want = self.policy.request_size(&self.rate, need);
         if let Some(p) = &mut self.pending {
             // The grantor matches a resend by its number, so the sizes may grow.
             p.ask.need = p.ask.need.max(need.saturating_sub(idle));
@@ -249,14 +249,15 @@
 
     /// Returns whether the idle tokens are so few that a request is due although no client waits.
     pub fn runs_low(&mut self, now: Time) -> bool {
-        self.rate.roll(now);
-        self.pending.is_none() && self.idle(now) < self.policy.want(&self.rate, 0) / LOW_DIVISOR
+        self.rate.close_sample(now);
+        self.pending.is_none()
+            && self.idle(now) < self.policy.request_size(&self.rate, 0) / LOW_DIVISOR
     }
 
     /// Returns idle tokens to the grantor with the next reports: those beyond the policy's floor
     /// after a horizon without a reservation, all of them after several.
     pub fn shrink(&mut self, now: Time) {
-        self.rate.roll(now);
+        self.rate.close_sample(now);
         let quiet = now.since(self.last_reserved);
         if quiet > self.policy.horizon.scale(QUIET_HORIZONS, 1) {
             self.give_back(0);
--- a/crates/core/tests/bound.rs
+++ b/crates/core/tests/bound.rs
@@ -4,7 +4,7 @@
 
 use cypressfork_core::budget::{
     Bound, Bounds, Elapsed, LeaseRequest, Ledger, Policy, Rate, Report, Reservation, SliceStore,
-    report_every,
+    report_interval,
 };
 use cypressfork_core::command::{Answer, Command};
 use cypressfork_core::state::State;
@@ -102,15 +102,15 @@
     let policy = policy();
     let mut rate = Rate::default();
     for second in 0..20 {
-        rate.add(Time(second * 1_000), 500);
+        rate.record(Time(second * 1_000), 500);
     }
-    rate.roll(Time(20_000));
-    let (room, growth) = policy.beyond(&rate, 0);
-    rate.add(Time(20_000), 17_000);
-    let (room_after, growth_after) = policy.beyond(&rate, 0);
+    rate.close_sample(Time(20_000));
+    let (room, growth) = policy.unreported_allowance(&rate, 0);
+    rate.record(Time(20_000), 17_000);
+    let (room_after, growth_after) = policy.unreported_allowance(&rate, 0);
     assert_eq!((room, growth), (room_after, growth_after), "one sample is not closed yet");
-    rate.roll(Time(21_000));
-    let (room_after, growth_after) = policy.beyond(&rate, 0);
+    rate.close_sample(Time(21_000));
+    let (room_after, growth_after) = policy.unreported_allowance(&rate, 0);
     assert!(room_after < 5_000 && growth_after < 6_000, "{room_after} {growth_after}");
 }
 
@@ -118,7 +118,7 @@
 #[test]
 fn a_holder_with_little_idle_binds_itself_to_little() {
     let huge = Policy::for_prepaid(1_000_000_000);
-    assert_eq!(huge.beyond(&Rate::default(), 1_600), (100, 100));
+    assert_eq!(huge.unreported_allowance(&Rate::default(), 1_600), (100, 100));
 }
 
 /// What can have been spent unreported counts, and the rest comes free, as the event says.
@@ -529,5 +529,5 @@
     #[case] most: u64,
     #[case] every: u64,
 ) {
-    assert_eq!(report_every(holders, Millis(most)), Millis(every));
+    assert_eq!(report_interval(holders, Millis(most)), Millis(every));
 }
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use cypressfork_core::budget::report_every;
+use cypressfork_core::budget::report_interval;
 use cypressfork_core::fleet::ends::Sign;
 use cypressfork_core::fleet::evacuation::Evacuations;
 use cypressfork_core::fleet::pace::Pace;
@@ -175,7 +175,7 @@
     /// The time between two reports of what was spent.
     pub fn report_every(&self) -> Duration {
         let most = Millis(self.settings.report.as_millis() as u64);
-        Duration::from_millis(report_every(u64::from(self.routers.get()), most).0)
+        Duration::from_millis(report_interval(u64::from(self.routers.get()), most).0)
     }
 
     /// Whether callers are taken.
