--- a/crates/core/examples/embed.rs
+++ b/crates/core/examples/embed.rs
@@ -22,7 +22,7 @@
     let ask = slices.next_request(now, holder, "orders", 500).expect("the slices is empty");
     let decision =
         ledger.request_lease(now, LeaseId { term: 1, index: 1 }, &ask).expect("funded above");
-    slices.answer(ask.seq, &decision);
+    slices.apply_decision(ask.seq, &decision);
     let held = slices.reserve(now, 500).expect("the slice covers the need");
     let charged = slices.settle(now, held, 420);
     for report in slices.reports(now) {
--- a/crates/core/examples/policies/world.rs
+++ b/crates/core/examples/policies/world.rs
@@ -126,7 +126,7 @@
             ask.want = want.max(ask.need);
         }
         let decision = self.decide(n, &ask);
-        self.nodes[n].slices.answer(ask.seq, &decision);
+        self.nodes[n].slices.apply_decision(ask.seq, &decision);
         if matches!(decision, Err(Shortage::Busy(_))) && matches!(self.rule, Rule::Escrow(_)) {
             self.recall();
             if need > 0 && self.ask_again(n, need) {
@@ -142,14 +142,14 @@
             return false;
         };
         let decision = self.decide(n, &ask);
-        self.nodes[n].slices.answer(ask.seq, &decision);
+        self.nodes[n].slices.apply_decision(ask.seq, &decision);
         decision.is_ok()
     }
 
     fn recall(&mut self) {
         for n in 0..ROUTERS {
             if self.alive(n) && self.reaches(n) {
-                self.nodes[n].slices.recall();
+                self.nodes[n].slices.return_idle();
                 self.report(n);
             }
         }
@@ -188,8 +188,7 @@
                 self.ask(r.router, r.bound, want);
             }
             held = self.nodes[r.router].slices.reserve(now, r.bound);
-        } else if matches!(self.rule, Rule::Escrow(_)) && self.nodes[r.router].slices.runs_low(now)
-        {
+        } else if matches!(self.rule, Rule::Escrow(_)) && self.nodes[r.router].slices.is_low(now) {
             self.ask(r.router, 0, 0);
         }
         let spare = held.is_none();
@@ -216,7 +215,7 @@
         let id = self.lease();
         let done = self.reserves[n % CENTRES].apply(now, id, &ReserveCommand::Ask(ask));
         let ReserveAnswer::Decided(decision) = done else { return None };
-        self.nodes[n].spare.answer(seq, &decision);
+        self.nodes[n].spare.apply_decision(seq, &decision);
         self.nodes[n].spare.reserve(now, bound)
     }
 
@@ -262,7 +261,7 @@
     fn report_spare(&mut self, n: usize) {
         let (now, holder, id) = (Time(self.now), self.nodes[n].holder, self.lease());
         if self.reaches(n) {
-            self.nodes[n].spare.recall();
+            self.nodes[n].spare.return_idle();
         }
         let reports = self.nodes[n].spare.reports(now);
         let command = ReserveCommand::Report(holder, reports.clone());
@@ -284,8 +283,8 @@
                 continue;
             }
             match self.rule {
-                Rule::Escrow(_) => self.nodes[n].slices.shrink(Time(self.now)),
-                Rule::Each => self.nodes[n].slices.recall(),
+                Rule::Escrow(_) => self.nodes[n].slices.return_excess(Time(self.now)),
+                Rule::Each => self.nodes[n].slices.return_idle(),
                 _ => {}
             }
             self.report(n);
--- a/crates/core/src/budget/slice_store.rs
+++ b/crates/core/src/budget/slice_store.rs
@@ -101,7 +101,7 @@
     /// Reserves `n` tokens. Returns `None` and reserves nothing if too few are idle or the limit
     /// does not allow them.
     pub fn reserve(&mut self, now: Time, n: Tokens) -> Option<Reservation> {
-        if self.idle(now) < n || self.is_limited(now, n) {
+        if self.idle(now) < n || self.exceeds_limit(now, n) {
             return None;
         }
         self.last_reserved = now;
@@ -121,17 +121,17 @@
 
     /// Reserves as many of `n` tokens as possible; `None` if that is none.
     pub fn reserve_part(&mut self, now: Time, n: Tokens) -> Option<Reservation> {
-        let part = n.min(self.idle(now)).min(self.allowed(now));
+        let part = n.min(self.idle(now)).min(self.limit_remaining(now));
         (part > 0).then(|| self.reserve(now, part)).flatten()
     }
 
     /// Returns whether `n` more tokens exceed the holder's limit at `now`.
-    pub fn is_limited(&self, now: Time, n: Tokens) -> bool {
+    pub fn exceeds_limit(&self, now: Time, n: Tokens) -> bool {
         self.policy.bounded && self.spent + self.reserved + n > self.limit.at(now)
     }
 
     /// Returns how many more tokens the holder's limit allows at `now`.
-    pub fn allowed(&self, now: Time) -> Tokens {
+    pub fn limit_remaining(&self, now: Time) -> Tokens {
         match self.policy.bounded {
             true => self.limit.at(now).saturating_sub(self.spent + self.reserved),
             false => Tokens::MAX,
@@ -140,7 +140,7 @@
 
     /// Returns how long after `now` the growing limit allows `n` more tokens. `None` if there is no
     /// limit, if too few tokens are idle, or if the limit does not grow without a report.
-    pub fn allows_after(&self, now: Time, n: Tokens) -> Option<Millis> {
+    pub fn limit_wait(&self, now: Time, n: Tokens) -> Option<Millis> {
         if !self.policy.bounded || self.idle(now) < n {
             return None;
         }
@@ -148,13 +148,13 @@
     }
 
     /// Registers a request that waits for a limit higher by `n` tokens. The bounds returned by
-    /// [`SliceStore::bound`] include it until [`SliceStore::unwant_limit`].
-    pub fn want_limit(&mut self, n: Tokens) {
+    /// [`SliceStore::bound`] include it until [`SliceStore::remove_limit_demand`].
+    pub fn add_limit_demand(&mut self, n: Tokens) {
         self.limit_demand = self.limit_demand.saturating_add(n);
     }
 
     /// Unregisters a request that waited for a limit higher by `n` tokens.
-    pub fn unwant_limit(&mut self, n: Tokens) {
+    pub fn remove_limit_demand(&mut self, n: Tokens) {
         self.limit_demand = self.limit_demand.saturating_sub(n);
     }
 
@@ -173,7 +173,7 @@
     }
 
     /// Applies a bound that the grantor has accepted; its rate counts from `now`.
-    pub fn bound_taken(&mut self, now: Time, b: &Bound) {
+    pub fn confirm_bound(&mut self, now: Time, b: &Bound) {
         self.limit.accept(now, b);
     }
 
@@ -214,7 +214,7 @@
             p.ask.want = p.ask.want.max(p.ask.need);
             return Some(p.ask.clone());
         }
-        if idle >= need.max(1) && !self.runs_low(now) {
+        if idle >= need.max(1) && !self.is_low(now) {
             return None;
         }
         self.seq += 1;
@@ -230,7 +230,7 @@
     ///
     /// A late grant is accepted: its span counts from the first sending of the request, and an
     /// expired one is returned with the next report.
-    pub fn answer(&mut self, seq: u64, decision: &Decision) {
+    pub fn apply_decision(&mut self, seq: u64, decision: &Decision) {
         let Some(p) = self.pending.take_if(|p| p.ask.seq == seq) else { return };
         match decision {
             Ok(g) => self.insert(p.first_sent, g),
@@ -248,7 +248,7 @@
     }
 
     /// Returns whether the idle tokens are so few that a request is due although no client waits.
-    pub fn runs_low(&mut self, now: Time) -> bool {
+    pub fn is_low(&mut self, now: Time) -> bool {
         self.rate.close_sample(now);
         self.pending.is_none()
             && self.idle(now) < self.policy.request_size(&self.rate, 0) / LOW_DIVISOR
@@ -256,7 +256,7 @@
 
     /// Returns idle tokens to the grantor with the next reports: those beyond the policy's floor
     /// after a horizon without a reservation, all of them after several.
-    pub fn shrink(&mut self, now: Time) {
+    pub fn return_excess(&mut self, now: Time) {
         self.rate.close_sample(now);
         let quiet = now.since(self.last_reserved);
         if quiet > self.policy.horizon.scale(QUIET_HORIZONS, 1) {
@@ -267,7 +267,7 @@
     }
 
     /// Returns all idle tokens to the grantor, and makes the next reports cover every slice.
-    pub fn recall(&mut self) {
+    pub fn return_idle(&mut self) {
         self.give_back(0);
         for s in self.slices.values_mut() {
             s.acked = None;
--- a/crates/core/tests/bound.rs
+++ b/crates/core/tests/bound.rs
@@ -72,12 +72,12 @@
     let before = w.slices(0).bound(now, BUDGET).unwrap();
     // It begins to wait while a report is under way that does not ask for it.
     w.want(0, 40_000);
-    w.slices(0).bound_taken(now, &before);
+    w.slices(0).confirm_bound(now, &before);
     assert!(limit(&mut w) >= 40_000, "the answer to that report made it forgotten");
     // A second one waits too, and smaller requests come in between.
     w.want(0, 30_000);
     assert!(limit(&mut w) >= 70_000, "only the largest was asked for");
-    [40_000, 30_000].iter().for_each(|n| w.slices(0).unwant_limit(*n));
+    [40_000, 30_000].iter().for_each(|n| w.slices(0).remove_limit_demand(*n));
     assert_eq!(limit(&mut w), before.limit);
 }
 
@@ -88,7 +88,7 @@
     w.want(0, 8_000);
     w.tell(0, Fate::Answered);
     let now = w.now;
-    let allowed = w.slices(0).allowed(now);
+    let allowed = w.slices(0).limit_remaining(now);
     assert!(allowed > 0 && allowed < 50_000);
     assert!(w.reserve(0, 50_000).is_none());
     let part = w.slices(0).reserve_part(now, 50_000).unwrap();
@@ -143,10 +143,10 @@
     let mut w = World::new();
     w.tell(0, Fate::Answered);
     let now = w.now;
-    let first = w.slices(0).allowed(now);
+    let first = w.slices(0).limit_remaining(now);
     w.pass(4_000);
     let now = w.now;
-    let later = w.slices(0).allowed(now);
+    let later = w.slices(0).limit_remaining(now);
     assert!(later > first, "it may go on without an answer");
     assert!(w.reserve(0, later + 1).is_none(), "but no faster than it said");
     assert!(w.reserve(0, later).is_some());
@@ -158,23 +158,23 @@
     let mut w = World::new();
     w.tell(0, Fate::Answered);
     let now = w.now;
-    let allowed = w.slices(0).allowed(now);
-    assert_eq!(w.slices(0).allows_after(now, allowed), Some(Millis(0)));
-    let span = w.slices(0).allows_after(now, allowed + 2_000).unwrap();
+    let allowed = w.slices(0).limit_remaining(now);
+    assert_eq!(w.slices(0).limit_wait(now, allowed), Some(Millis(0)));
+    let span = w.slices(0).limit_wait(now, allowed + 2_000).unwrap();
     assert!(span > Millis(0));
     w.pass(span.0 - 2);
     assert!(w.reserve(0, allowed + 2_000).is_none(), "it is too early");
     w.pass(2);
     assert!(w.reserve(0, allowed + 2_000).is_some());
     let (now, idle) = (w.now, w.held(0));
-    assert_eq!(w.slices(0).allows_after(now, idle + 1), None, "tokens are missing");
+    assert_eq!(w.slices(0).limit_wait(now, idle + 1), None, "tokens are missing");
 }
 
 #[test]
 fn a_holder_that_was_never_answered_waits_for_a_report() {
     let mut w = World::new();
     let now = w.now;
-    assert_eq!(w.slices(0).allows_after(now, 10), None);
+    assert_eq!(w.slices(0).limit_wait(now, 10), None);
 }
 
 #[test]
@@ -357,11 +357,11 @@
         self.ids += 1;
         let lease = LeaseId { term: 1, index: self.ids };
         let decision = self.ledger.request_lease(now, lease, &ask).unwrap();
-        self.slices(n).answer(ask.seq, &decision);
+        self.slices(n).apply_decision(ask.seq, &decision);
     }
 
     fn want(&mut self, n: usize, tokens: Tokens) {
-        self.slices(n).want_limit(tokens);
+        self.slices(n).add_limit_demand(tokens);
         self.holders[n].waiting.push(tokens);
     }
 
@@ -397,8 +397,8 @@
                     h.slices.acknowledge(now, r, k);
                 }
                 h.told.1 = sent.seq;
-                sent.bounds.iter().for_each(|b| h.slices.bound_taken(now, b));
-                h.waiting.drain(..).for_each(|n| h.slices.unwant_limit(n));
+                sent.bounds.iter().for_each(|b| h.slices.confirm_bound(now, b));
+                h.waiting.drain(..).for_each(|n| h.slices.remove_limit_demand(n));
             }
         }
     }
@@ -508,7 +508,7 @@
                 Step::Tell(n, fate) => w.tell(n, fate),
                 Step::Pass(ms) => w.pass(ms),
                 Step::DeliverLate => w.deliver_late(),
-                Step::Recall(n) => w.slices(n).recall(),
+                Step::Recall(n) => w.slices(n).return_idle(),
                 Step::Replace(n) => w.replace(n),
             }
             w.check();
--- a/crates/core/tests/escrow_levels.rs
+++ b/crates/core/tests/escrow_levels.rs
@@ -133,7 +133,7 @@
             Step::Request { site, router, bound, used } => self.request(site, router, bound, used),
             Step::Report { site, router } => self.send_report(site, router),
             Step::Recall { site, router } => {
-                self.sites[site].routers[router].slices.recall();
+                self.sites[site].routers[router].slices.return_idle();
                 self.send_report(site, router);
             }
             Step::Allot { site, want } => self.allot(site, want),
@@ -167,7 +167,7 @@
 
     fn send_report(&mut self, site: usize, router: usize) {
         let r = &mut self.sites[site].routers[router];
-        r.slices.shrink(self.now);
+        r.slices.return_excess(self.now);
         let reports = r.slices.reports(self.now);
         self.post.push_back(Post::Report(site, router, r.holder, self.now, reports));
     }
@@ -226,7 +226,7 @@
                 let holder = self.sites[*site].routers[*router].holder;
                 let lease = d.ok().map(|g| g.lease);
                 if lease.is_none_or(|l| self.leased_to(*site, l) == Some(holder)) {
-                    self.sites[*site].routers[*router].slices.answer(*seq, d);
+                    self.sites[*site].routers[*router].slices.apply_decision(*seq, d);
                 }
                 None
             }
@@ -267,7 +267,7 @@
             self.sites[site].cut = false;
             for _ in 0..4 {
                 for router in 0..ROUTERS {
-                    self.sites[site].routers[router].slices.recall();
+                    self.sites[site].routers[router].slices.return_idle();
                     self.send_report(site, router);
                 }
                 while !self.post.is_empty() {
--- a/crates/core/tests/escrow_parts.rs
+++ b/crates/core/tests/escrow_parts.rs
@@ -25,7 +25,7 @@
     let mut p = SliceStore::new(policy(), 0);
     for (n, (at, amount)) in grants.iter().enumerate() {
         let ask = p.next_request(Time(*at), HolderId(1), BUDGET, 1_000_000).unwrap();
-        p.answer(ask.seq, &Ok(grant(n as u64 + 1, *amount)));
+        p.apply_decision(ask.seq, &Ok(grant(n as u64 + 1, *amount)));
     }
     p
 }
--- a/crates/core/tests/support/escrow.rs
+++ b/crates/core/tests/support/escrow.rs
@@ -165,7 +165,7 @@
         };
         let id = self.id();
         let decision = self.ledger.request_lease(self.grantor_now(), id, &ask).unwrap();
-        self.nodes[n].slices.answer(ask.seq, &decision);
+        self.nodes[n].slices.apply_decision(ask.seq, &decision);
         decision
     }
 
@@ -210,7 +210,7 @@
             let holder = self.nodes[n].holder;
             let due = self.ledger.recalls(self.grantor_now(), holder).count() > 0;
             if due && self.nodes[n].alive && !self.nodes[n].paused {
-                self.nodes[n].slices.recall();
+                self.nodes[n].slices.return_idle();
                 self.report_all(n);
             }
         }
@@ -227,7 +227,7 @@
         for n in 0..self.nodes.len() {
             if self.nodes[n].alive && !self.nodes[n].paused {
                 let now = self.holder_now();
-                self.nodes[n].slices.shrink(now);
+                self.nodes[n].slices.return_excess(now);
                 self.report_all(n);
             }
         }
@@ -238,7 +238,7 @@
         let now = self.holder_now();
         let need = self.nodes[n].waiting.map_or(0, |w| w.0);
         let holder = self.nodes[n].holder;
-        if need == 0 && !self.nodes[n].slices.runs_low(now) {
+        if need == 0 && !self.nodes[n].slices.is_low(now) {
             return;
         }
         let Some(ask) = self.nodes[n].slices.next_request(now, holder, BUDGET, need) else {
@@ -258,7 +258,7 @@
         if self.double == Some(Step::AskAnswered) {
             self.copies.push(Copy::Answer(n, ask.seq, decision));
         }
-        self.nodes[n].slices.answer(ask.seq, &decision);
+        self.nodes[n].slices.apply_decision(ask.seq, &decision);
     }
 
     /// Router `n` reports on all that has changed.
@@ -296,9 +296,9 @@
                     let id = self.id();
                     let decision = self.ledger.request_lease(self.grantor_now(), id, &ask).unwrap();
                     let n = self.nodes.iter().position(|n| n.holder == ask.holder).unwrap();
-                    self.nodes[n].slices.answer(ask.seq, &decision);
+                    self.nodes[n].slices.apply_decision(ask.seq, &decision);
                 }
-                Copy::Answer(n, seq, d) => self.nodes[n].slices.answer(seq, &d),
+                Copy::Answer(n, seq, d) => self.nodes[n].slices.apply_decision(seq, &d),
                 Copy::Report(n, reports) => {
                     self.deliver(n, &reports);
                 }
@@ -318,7 +318,7 @@
                 if self.nodes[n].alive && !self.nodes[n].paused {
                     self.ask_with_faults(n);
                     self.nodes[n].waiting = None;
-                    self.nodes[n].slices.recall();
+                    self.nodes[n].slices.return_idle();
                     self.report_all(n);
                 }
             }
@@ -392,7 +392,7 @@
         ask.want = amount;
         let id = self.id();
         let d = self.ledger.request_lease(self.grantor_now(), id, &ask).unwrap();
-        self.nodes[n].slices.answer(ask.seq, &d);
+        self.nodes[n].slices.apply_decision(ask.seq, &d);
         assert_eq!(d.unwrap().amount, amount);
     }
 
--- a/crates/router/src/budget_slices.rs
+++ b/crates/router/src/budget_slices.rs
@@ -53,7 +53,7 @@
     /// Gives back what is idle of a budget.
     pub fn recall(&self, budget: &str) {
         if let Some(p) = self.by_budget.borrow().get(budget) {
-            p.slices.borrow_mut().recall();
+            p.slices.borrow_mut().return_idle();
         }
     }
 
@@ -61,12 +61,12 @@
     pub fn recall_where(&self, of: impl Fn(&str) -> bool) -> bool {
         let all = self.by_budget.borrow();
         let named = all.iter().filter(|(budget, p)| of(budget) && !p.slices.borrow().is_empty());
-        named.map(|(_, p)| p.slices.borrow_mut().recall()).count() > 0
+        named.map(|(_, p)| p.slices.borrow_mut().return_idle()).count() > 0
     }
 
     /// Gives back everything that is idle.
     pub fn recall_all(&self) {
-        self.by_budget.borrow().values().for_each(|p| p.slices.borrow_mut().recall());
+        self.by_budget.borrow().values().for_each(|p| p.slices.borrow_mut().return_idle());
     }
 
     /// Whether nothing is held.
@@ -79,7 +79,7 @@
         let mut out = Vec::new();
         for (budget, p) in self.by_budget.borrow().iter() {
             let mut slices = p.slices.borrow_mut();
-            slices.shrink(now);
+            slices.return_excess(now);
             out.extend(slices.reports(now).into_iter().map(|r| (budget.clone(), r)));
         }
         out
@@ -96,7 +96,7 @@
         let all = self.by_budget.borrow();
         for b in bounds {
             if let Some(p) = all.get(&b.budget) {
-                p.slices.borrow_mut().bound_taken(now, b);
+                p.slices.borrow_mut().confirm_bound(now, b);
                 p.changed.notify_waiters();
             }
         }
--- a/crates/router/src/token_store.rs
+++ b/crates/router/src/token_store.rs
@@ -153,7 +153,7 @@
     /// Whether `n` tokens are idle and only the limit keeps them from being set aside.
     fn is_limited(&self, p: &BudgetSlices, now: Time, n: Tokens) -> bool {
         let slices = p.slices.borrow();
-        slices.idle(now) >= n && slices.is_limited(now, n)
+        slices.idle(now) >= n && slices.exceeds_limit(now, n)
     }
 
     /// When the limit allows `n` more by itself, if that is before `deadline`.
@@ -164,7 +164,7 @@
         n: Tokens,
         deadline: Instant,
     ) -> Option<Instant> {
-        let span = p.slices.borrow().allows_after(now, n)?;
+        let span = p.slices.borrow().limit_wait(now, n)?;
         let at = Instant::now() + Duration::from_millis(span.0);
         (at <= deadline).then_some(at)
     }
@@ -178,10 +178,10 @@
         allows: Option<Instant>,
         deadline: Instant,
     ) -> Result<(), Refusal> {
-        p.slices.borrow_mut().want_limit(n);
+        p.slices.borrow_mut().add_limit_demand(n);
         self.due.notify_one();
         let taken = timeout_at(allows.unwrap_or(deadline), p.changed.notified()).await;
-        p.slices.borrow_mut().unwant_limit(n);
+        p.slices.borrow_mut().remove_limit_demand(n);
         if taken.is_err() && allows.is_none() {
             return Err(Refusal::from(Code::BudgetBusy).after(Millis::seconds(1)));
         }
@@ -211,7 +211,7 @@
             let within = RESERVE_WITHIN.min(deadline.saturating_duration_since(Instant::now()));
             let seq = ask.seq;
             match command(group, &ReserveCommand::Ask(ask), within).await {
-                Ok(ReserveAnswer::Decided(d)) => p.slices.borrow_mut().answer(seq, &d),
+                Ok(ReserveAnswer::Decided(d)) => p.slices.borrow_mut().apply_decision(seq, &d),
                 _ => break,
             }
         }
@@ -246,11 +246,11 @@
         let seq = ask.seq;
         match self.group.command(&Command::Ask(ask), within).await {
             Ok(Answer::Decided(d)) => {
-                p.slices.borrow_mut().answer(seq, &d);
+                p.slices.borrow_mut().apply_decision(seq, &d);
                 Asked::Decided(d)
             }
             Ok(Answer::Refused(code)) => {
-                p.slices.borrow_mut().answer(seq, &Err(Shortage::Spent));
+                p.slices.borrow_mut().apply_decision(seq, &Err(Shortage::Spent));
                 Asked::Refused(code)
             }
             Ok(_) => Asked::Refused(Code::MessageBad),
@@ -263,7 +263,7 @@
         if p.asking.get() || self.away.get() {
             return;
         }
-        let low = p.slices.borrow_mut().runs_low(self.clock.now());
+        let low = p.slices.borrow_mut().is_low(self.clock.now());
         if low {
             self.start_ask(budget, p, 0);
         }
@@ -293,7 +293,7 @@
     /// Sets aside what is at hand of `n` tokens.
     pub fn take_at_hand(&self, budget: &str, policy: Policy, n: Tokens) -> Taken {
         let p = self.own.get(budget, policy);
-        let wait = p.slices.borrow().allows_after(self.clock.now(), n);
+        let wait = p.slices.borrow().limit_wait(self.clock.now(), n);
         let part = self.reserve_part(budget, policy, n).map(|r| (Source::Group, r));
         let is_whole = part.as_ref().is_some_and(|(_, r)| r.amount() == n);
         let short = wait.map_or(Short::Busy(BUSY_AFTER), Short::Limited);
@@ -319,7 +319,7 @@
         let now = self.clock.now();
         let p = self.own.get(budget, policy);
         let slices = p.slices.borrow();
-        (slices.idle(now), slices.allowed(now))
+        (slices.idle(now), slices.limit_remaining(now))
     }
 
     /// Ends a reservation of which `used` tokens were spent; returns what was charged.
