--- a/crates/core/examples/embed.rs
+++ b/crates/core/examples/embed.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use cypressfork_core::budget::{Ledger, Policy, SliceStore};
-use cypressfork_core::claim::{Claims, End, Outcome, Verdict};
+use cypressfork_core::claim::{ClaimDecision, ClaimEnd, Claims, Outcome};
 use cypressfork_core::config::{Upstream, Vm};
 use cypressfork_core::raft::{Action, Members, Payload, Raft, Restored, Settings, SnapshotMeta};
 use cypressfork_core::route::{Pool, RequestProfile};
@@ -37,9 +37,9 @@
 fn claims() {
     let (mut c, id, body) = (Claims::default(), RequestId([7; 16]), [0; 16]);
     let first = c.claim(Time(0), HolderId(1), 1, id, body);
-    assert_eq!(first, Verdict::Run);
+    assert_eq!(first, ClaimDecision::Run);
     let done = Outcome { status: 200, kind: "text/plain".into(), body: Some(b"lot 4".to_vec()) };
-    c.conclude(Time(1), HolderId(1), 1, id, End::Answered(done));
+    c.record_end(Time(1), HolderId(1), 1, id, ClaimEnd::Answered(done));
     println!("claims: a copy gets {:?}", c.claim(Time(2), HolderId(2), 1, id, body));
 }
 
--- a/crates/core/examples/slopes.rs
+++ b/crates/core/examples/slopes.rs
@@ -9,7 +9,7 @@
 
 use cypressfork_core::bill::{Bill, Bills};
 use cypressfork_core::budget::{LeaseRequest, Ledger, Policy, Report};
-use cypressfork_core::claim::{Claims, End, Outcome};
+use cypressfork_core::claim::{ClaimEnd, Claims, Outcome};
 use cypressfork_core::config::{Upstream, Vm};
 use cypressfork_core::route::{Pool, PromptPrefixes, RequestProfile};
 use cypressfork_core::unit::{HolderId, LeaseId, RequestId, Time};
@@ -82,7 +82,7 @@
         let id = RequestId(rng.random());
         c.claim(Time(k), HolderId(1), k, id, [0; 16]);
         let o = Outcome { status: 200, kind: String::new(), body: Some(vec![0; body]) };
-        c.conclude(Time(k), HolderId(1), k, id, End::Answered(o));
+        c.record_end(Time(k), HolderId(1), k, id, ClaimEnd::Answered(o));
     }
     c
 }
--- a/crates/core/src/bill.rs
+++ b/crates/core/src/bill.rs
@@ -7,7 +7,7 @@
 use crate::unit::{HolderId, Millis, RequestId, Time, Tokens};
 
 /// How long a billed request id is kept. After that, the id stands for a new request.
-pub const BILL_KEPT: Millis = Millis::seconds(24 * 3600);
+pub const BILL_RETENTION: Millis = Millis::seconds(24 * 3600);
 
 /// The tokens that one run of a request used.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -154,7 +154,7 @@
     }
 
     fn remove_expired(&mut self, now: Time) {
-        while self.order.front().is_some_and(|(at, _)| now.since(*at) > BILL_KEPT) {
+        while self.order.front().is_some_and(|(at, _)| now.since(*at) > BILL_RETENTION) {
             let Some((_, id)) = self.order.pop_front() else { break };
             self.posted.remove(&id);
             self.extra.remove(&id);
--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -11,13 +11,13 @@
 use crate::unit::{HolderId, Millis, RequestId, Time};
 
 /// How long an outcome is stored.
-pub const OUTCOME_KEPT: Millis = Millis::seconds(24 * 3600);
+pub const OUTCOME_RETENTION: Millis = Millis::seconds(24 * 3600);
 
 /// How long the tombstone of a request id is kept after its outcome has expired.
-pub const MARK_KEPT: Millis = Millis::seconds(30 * 24 * 3600);
+pub const TOMBSTONE_RETENTION: Millis = Millis::seconds(30 * 24 * 3600);
 
 /// Largest response body that is stored with an outcome, in bytes.
-pub const BODY_KEPT: usize = 16 * 1024;
+pub const MAX_STORED_BODY: usize = 16 * 1024;
 
 /// A digest of a request's method, path and body.
 pub type BodyDigest = [u8; 16];
@@ -29,13 +29,13 @@
     pub status: u16,
     /// Value of `Content-Type`; empty if there is none.
     pub kind: String,
-    /// The body, unless it is larger than [`BODY_KEPT`].
+    /// The body, unless it is larger than [`MAX_STORED_BODY`].
     pub body: Option<Vec<u8>>,
 }
 
 /// How a claimed request ended, as observed by its router.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum End {
+pub enum ClaimEnd {
     /// No byte of it reached an upstream; the id may be claimed again.
     NotRun,
     /// The upstream answered.
@@ -46,7 +46,7 @@
 
 /// The result of claiming a request id.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Verdict {
+pub enum ClaimDecision {
     /// The claimant may send the request upstream once.
     Run,
     /// Another claim on it is in progress.
@@ -102,41 +102,49 @@
         seq: u64,
         id: RequestId,
         body: BodyDigest,
-    ) -> Verdict {
+    ) -> ClaimDecision {
         self.remove_expired(now);
         if let Some(c) = self.by_id.get(&id) {
-            return c.verdict(holder, seq, &body);
+            return c.decision(holder, seq, &body);
         }
         if self.void.contains(&(holder, seq)) {
-            return Verdict::Running;
+            return ClaimDecision::Running;
         }
         self.by_id.insert(id, Claim { body, stage: Stage::Started { holder, seq } });
         self.open.entry(holder).or_default().insert(id);
-        Verdict::Run
+        ClaimDecision::Run
     }
 
     /// Records how a claimed request ended. Ignored if another claim holds the id, except for a
     /// response that arrives after the claim was marked as unknown.
-    pub fn conclude(&mut self, now: Time, holder: HolderId, seq: u64, id: RequestId, end: End) {
+    pub fn record_end(
+        &mut self,
+        now: Time,
+        holder: HolderId,
+        seq: u64,
+        id: RequestId,
+        end: ClaimEnd,
+    ) {
         let Some(c) = self.by_id.get_mut(&id) else {
-            if end == End::NotRun {
+            if end == ClaimEnd::NotRun {
                 self.void.insert((holder, seq));
             }
             return;
         };
         let is_claimant =
             matches!(c.stage, Stage::Started { holder: h, seq: q } if (h, q) == (holder, seq));
-        let is_late_answer = matches!(c.stage, Stage::Unknown) && matches!(end, End::Answered(_));
+        let is_late_answer =
+            matches!(c.stage, Stage::Unknown) && matches!(end, ClaimEnd::Answered(_));
         if !is_claimant && !is_late_answer {
             return;
         }
         self.remove_open(holder, id);
         match end {
-            End::NotRun => {
+            ClaimEnd::NotRun => {
                 self.by_id.remove(&id);
             }
-            End::Answered(o) => self.set_outcome(now, id, Stage::Done(o)),
-            End::Unknown => self.set_outcome(now, id, Stage::Unknown),
+            ClaimEnd::Answered(o) => self.set_outcome(now, id, Stage::Done(o)),
+            ClaimEnd::Unknown => self.set_outcome(now, id, Stage::Unknown),
         }
     }
 
@@ -177,14 +185,14 @@
     }
 
     fn remove_expired(&mut self, now: Time) {
-        while self.outcomes.front().is_some_and(|(at, _)| now.since(*at) > OUTCOME_KEPT) {
+        while self.outcomes.front().is_some_and(|(at, _)| now.since(*at) > OUTCOME_RETENTION) {
             let Some((_, id)) = self.outcomes.pop_front() else { break };
             if let Some(c) = self.by_id.get_mut(&id) {
                 c.stage = Stage::Mark;
                 self.marks.push_back((now, id));
             }
         }
-        while self.marks.front().is_some_and(|(at, _)| now.since(*at) > MARK_KEPT) {
+        while self.marks.front().is_some_and(|(at, _)| now.since(*at) > TOMBSTONE_RETENTION) {
             let Some((_, id)) = self.marks.pop_front() else { break };
             self.by_id.remove(&id);
         }
@@ -192,16 +200,16 @@
 }
 
 impl Claim {
-    fn verdict(&self, holder: HolderId, seq: u64, body: &BodyDigest) -> Verdict {
+    fn decision(&self, holder: HolderId, seq: u64, body: &BodyDigest) -> ClaimDecision {
         if self.body != *body {
-            return Verdict::OtherBody;
+            return ClaimDecision::OtherBody;
         }
         match &self.stage {
-            Stage::Started { holder: h, seq: q } if (*h, *q) == (holder, seq) => Verdict::Run,
-            Stage::Started { .. } => Verdict::Running,
-            Stage::Unknown => Verdict::Unknown,
-            Stage::Done(o) => Verdict::Done(o.clone()),
-            Stage::Mark => Verdict::Expired,
+            Stage::Started { holder: h, seq: q } if (*h, *q) == (holder, seq) => ClaimDecision::Run,
+            Stage::Started { .. } => ClaimDecision::Running,
+            Stage::Unknown => ClaimDecision::Unknown,
+            Stage::Done(o) => ClaimDecision::Done(o.clone()),
+            Stage::Mark => ClaimDecision::Expired,
         }
     }
 }
--- a/crates/core/src/command.rs
+++ b/crates/core/src/command.rs
@@ -4,7 +4,7 @@
 
 use crate::bill::{Bill, Posting};
 use crate::budget::{Bound, Decision, Elapsed, LeaseRequest, Report};
-use crate::claim::{BodyDigest, End, Verdict};
+use crate::claim::{BodyDigest, ClaimDecision, ClaimEnd};
 use crate::code::Code;
 use crate::config::{Change, Refusal};
 use crate::fleet::fingerprint::Fingerprint;
@@ -89,7 +89,7 @@
         /// The request.
         id: RequestId,
         /// How it ended.
-        end: End,
+        end: ClaimEnd,
     },
     /// Changes the configuration.
     Apply(Change),
@@ -175,7 +175,7 @@
         postings: Vec<Posting>,
     },
     /// The result of a claim.
-    Claimed(Verdict),
+    Claimed(ClaimDecision),
     /// The configuration version that the change created, or why it was refused.
     Applied(Result<Version, Refusal>),
     /// The prepaid total of a budget after a top-up.
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -141,7 +141,7 @@
                 Answer::Claimed(self.claims.claim(now, *holder, *seq, *id, *body))
             }
             Command::Conclude { holder, seq, id, end } => {
-                self.claims.conclude(now, *holder, *seq, *id, end.clone());
+                self.claims.record_end(now, *holder, *seq, *id, end.clone());
                 Answer::Done
             }
             Command::Apply(change) => self.change(now, change),
--- a/crates/router/src/claim.rs
+++ b/crates/router/src/claim.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use cypressfork_core::claim::{BodyDigest, End, Outcome, Verdict};
+use cypressfork_core::claim::{BodyDigest, ClaimDecision, ClaimEnd, Outcome};
 use cypressfork_core::code::{Code, Ran};
 use cypressfork_core::command::{Answer, Command};
 use cypressfork_core::unit::{HolderId, Millis, RequestId};
@@ -73,22 +73,22 @@
         Ok(Answer::Claimed(v)) => v,
         _ => {
             // Should the claim be committed yet, it must not stand in a retry's way.
-            mine.tell(End::NotRun);
+            mine.tell(ClaimEnd::NotRun);
             return Err(Refusal::from(Code::ClaimUnreachable).after(UNREACHABLE_AFTER));
         }
     };
-    if verdict != Verdict::Run {
+    if verdict != ClaimDecision::Run {
         mine.told.set(true);
     }
     match verdict {
-        Verdict::Run => Ok(Claimed::Run(mine)),
-        Verdict::Done(o) => Ok(Claimed::Done(o)),
-        Verdict::Running => {
+        ClaimDecision::Run => Ok(Claimed::Run(mine)),
+        ClaimDecision::Done(o) => Ok(Claimed::Done(o)),
+        ClaimDecision::Running => {
             Err(Refusal::from(Code::ClaimRunning).ran(Ran::Unknown).after(RUNNING_AFTER))
         }
-        Verdict::Unknown => Err(Refusal::from(Code::ClaimUnknown).ran(Ran::Unknown)),
-        Verdict::Expired => Err(Refusal::from(Code::ClaimExpired).ran(Ran::Yes)),
-        Verdict::OtherBody => Err(Refusal::from(Code::ClaimOtherBody)),
+        ClaimDecision::Unknown => Err(Refusal::from(Code::ClaimUnknown).ran(Ran::Unknown)),
+        ClaimDecision::Expired => Err(Refusal::from(Code::ClaimExpired).ran(Ran::Yes)),
+        ClaimDecision::OtherBody => Err(Refusal::from(Code::ClaimOtherBody)),
     }
 }
 
@@ -99,7 +99,7 @@
     }
 
     /// Tells how the request ended, in the background and until it is committed.
-    pub fn tell(&self, end: End) {
+    pub fn tell(&self, end: ClaimEnd) {
         if self.told.replace(true) {
             return;
         }
@@ -117,6 +117,6 @@
 
 impl Drop for Claim {
     fn drop(&mut self) {
-        self.tell(if self.started.get() { End::Unknown } else { End::NotRun });
+        self.tell(if self.started.get() { ClaimEnd::Unknown } else { ClaimEnd::NotRun });
     }
 }
--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -6,7 +6,7 @@
 use actix_http::StatusCode;
 use awc::error::{ConnectError, SendRequestError};
 use cypressfork_core::bill::Bill;
-use cypressfork_core::claim::End;
+use cypressfork_core::claim::ClaimEnd;
 use cypressfork_core::code::{Code, Ran};
 use cypressfork_core::unit::Millis;
 use cypressfork_node::emit;
@@ -288,9 +288,9 @@
         }
         let Some(claim) = self.claim.take() else { return };
         claim.tell(match (whole, ran) {
-            (true, _) => End::Answered(self.outcome()),
-            (false, Ran::No) => End::NotRun,
-            (false, _) => End::Unknown,
+            (true, _) => ClaimEnd::Answered(self.outcome()),
+            (false, Ran::No) => ClaimEnd::NotRun,
+            (false, _) => ClaimEnd::Unknown,
         });
     }
 }
--- a/crates/router/src/plain.rs
+++ b/crates/router/src/plain.rs
@@ -6,7 +6,7 @@
 use actix_http::header::{self, HeaderMap, HeaderName, HeaderValue};
 use actix_http::{Method, Response};
 use bytes::Bytes;
-use cypressfork_core::claim::{BODY_KEPT, End, Outcome};
+use cypressfork_core::claim::{ClaimEnd, MAX_STORED_BODY, Outcome};
 use cypressfork_core::code::{Code, Ran};
 use cypressfork_core::config::Priority;
 use cypressfork_core::route::RequestProfile;
@@ -121,9 +121,9 @@
     }
     let result = try_replicas(app, service, sending, trace).await;
     let end = match &result {
-        Ok(a) => End::Answered(outcome(a)),
-        Err(r) if r.ran == Ran::No => End::NotRun,
-        Err(_) => End::Unknown,
+        Ok(a) => ClaimEnd::Answered(outcome(a)),
+        Err(r) if r.ran == Ran::No => ClaimEnd::NotRun,
+        Err(_) => ClaimEnd::Unknown,
     };
     if let Some(c) = claim {
         c.tell(end);
@@ -187,7 +187,7 @@
 fn outcome(a: &Answer) -> Outcome {
     let kind = a.head.headers.get(header::CONTENT_TYPE);
     let kind = kind.and_then(|k| k.to_str().ok()).unwrap_or_default().to_owned();
-    let body = (a.body.len() <= BODY_KEPT).then(|| a.body.to_vec());
+    let body = (a.body.len() <= MAX_STORED_BODY).then(|| a.body.to_vec());
     Outcome { status: a.head.status.as_u16(), kind, body }
 }
 
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cypressfork_core::claim::{BODY_KEPT, Outcome};
+use cypressfork_core::claim::{MAX_STORED_BODY, Outcome};
 use cypressfork_node::emit;
 use cypressfork_node::event::Event;
 use cypressfork_node::metric;
@@ -122,7 +122,7 @@
     /// What is recorded of a claimed request's answer.
     pub(crate) fn outcome(&self) -> Outcome {
         let body = self.whole().to_string().into_bytes();
-        let keep = !self.plan.ask.stream && body.len() <= BODY_KEPT;
+        let keep = !self.plan.ask.stream && body.len() <= MAX_STORED_BODY;
         Outcome { status: 200, kind: "application/json".into(), body: keep.then_some(body) }
     }
 
