--- a/crates/control/src/leader_tasks.rs
+++ b/crates/control/src/leader_tasks.rs
@@ -8,7 +8,7 @@
 use cypressfork_core::fleet::rollout::evidence::Standing;
 use cypressfork_core::fleet::rollout::plan::plan;
 use cypressfork_core::fleet::rollout::step::{self, View};
-use cypressfork_core::member::LAPSE_AFTER;
+use cypressfork_core::member::CLAIM_HOLDER_TIMEOUT;
 use cypressfork_core::unit::{HolderId, Index, Millis, NodeId, Time};
 use cypressfork_node::emit;
 use cypressfork_node::event::Event;
@@ -154,13 +154,13 @@
         if t.seq == 0 {
             return Some(Millis(0));
         }
-        let seen = self.signs.since_told(at.now, holder, t.seq);
+        let seen = self.heartbeats.since_bounds_report(at.now, holder, t.seq);
         let by_clock = || margin.map(|m| Millis(at.wall.since(t.at).0 + m.0));
         seen.or_else(by_clock)
     }
 
     fn lapse_silent_routers(&mut self, at: Moment) {
-        let silent = |h: HolderId| self.signs.silence(at.now, h) >= LAPSE_AFTER;
+        let silent = |h: HolderId| self.heartbeats.since_last(at.now, h) >= CLAIM_HOLDER_TIMEOUT;
         let all: Vec<_> = self.state.routers().iter().map(|r| r.holder).collect();
         let (gone, heard): (Vec<_>, Vec<_>) = all.into_iter().partition(|h| silent(*h));
         for h in heard {
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -12,7 +12,7 @@
 use cypressfork_core::code::Code;
 use cypressfork_core::command::{Answer, Command};
 use cypressfork_core::fleet::contacts::{Lead, Place};
-use cypressfork_core::member::Signs;
+use cypressfork_core::member::HolderHeartbeats;
 use cypressfork_core::query::{Identity, Query};
 use cypressfork_core::raft::{
     Action, Entry, Members, Message, Payload, Raft, Restored, Settings as RaftSettings,
@@ -70,7 +70,7 @@
     pub(crate) state: State,
     pub(crate) applied: Index,
     pub(crate) storage: S,
-    pub(crate) signs: Signs,
+    pub(crate) heartbeats: HolderHeartbeats,
     pub(crate) reads: Reads<T>,
     pub(crate) leader_tasks: LeaderTasks,
     pub(crate) outputs: Vec<Output<T>>,
@@ -107,7 +107,7 @@
             state,
             applied: snapshot.index,
             storage,
-            signs: Signs::default(),
+            heartbeats: HolderHeartbeats::default(),
             reads: Reads::default(),
             leader_tasks: LeaderTasks::default(),
             outputs: Vec::new(),
@@ -228,7 +228,7 @@
         self.applied = self.snapshot.index;
         self.kept = Kept { hard: found.hard, marks: found.marks.clone(), ..Kept::default() };
         self.raft = Raft::new(at.now, self.raft.id(), self.settings.raft, found, seed);
-        self.signs = Signs::default();
+        self.heartbeats = HolderHeartbeats::default();
         self.leader_tasks = LeaderTasks::default();
         self.seed = seed;
         self.stopped = false;
@@ -285,7 +285,7 @@
             }
             Action::Lead(true) => {
                 emit!(Event::LeaderGained, term = self.raft.term());
-                self.signs.restart(at.now);
+                self.heartbeats.restart(at.now);
                 self.leader_tasks = LeaderTasks::default();
             }
             Action::Lead(false) => {
--- a/crates/control/src/machine/proposals.rs
+++ b/crates/control/src/machine/proposals.rs
@@ -49,7 +49,7 @@
         if let Command::Tally { holder, seq, .. } = c
             && self.raft.leads()
         {
-            self.signs.note_told(at.now, holder, seq);
+            self.heartbeats.record_bounds_report(at.now, holder, seq);
         }
         if let Command::Evacuate { data_centre, .. } = &c
             && !self.knows(data_centre)
--- a/crates/control/src/read.rs
+++ b/crates/control/src/read.rs
@@ -150,7 +150,7 @@
     fn answer(&mut self, at: Moment, q: Query, to: T) {
         let reply = match q {
             Query::Follow { holder, version, sites } => {
-                self.signs.note(at.now, holder, version);
+                self.heartbeats.record(at.now, holder, version);
                 let question = Question { holder, version, sites };
                 let until = at.now.after(FOLLOW_SPAN);
                 self.reads.standing.push(Standing { question, until, to });
@@ -202,7 +202,7 @@
         for s in standing {
             let news = self.news(at, &s.question, &fleet);
             if at.now >= s.until || is_news(&news, &s.question) {
-                self.signs.note(at.now, s.question.holder, s.question.version);
+                self.heartbeats.record(at.now, s.question.holder, s.question.version);
                 self.reply(s.to, Ok(body::pack(&Reply::News(news))));
             } else {
                 self.reads.standing.push(s);
@@ -222,7 +222,7 @@
     }
 
     fn site(&self, at: Moment, r: &Router) -> Site {
-        let heard = self.signs.silence(at.now, r.holder) < SUSPECT_AFTER;
+        let heard = self.heartbeats.since_last(at.now, r.holder) < SUSPECT_AFTER;
         Site {
             vm: r.vm.clone(),
             data_centre: r.data_centre.clone(),
@@ -293,8 +293,8 @@
         RouterStatus {
             site: self.site(at, r),
             holder: r.holder,
-            version: self.signs.get(r.holder).map(|s| s.version),
-            silent_ms: self.signs.silence(at.now, r.holder).0,
+            version: self.heartbeats.get(r.holder).map(|s| s.version),
+            silent_ms: self.heartbeats.since_last(at.now, r.holder).0,
             leaving: r.leaving,
         }
     }
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -10,7 +10,7 @@
 pub const SUSPECT_AFTER: Millis = Millis::seconds(3);
 
 /// Time without a heartbeat after which the outcome of a router's open claims is unknown.
-pub const LAPSE_AFTER: Millis = Millis::seconds(15);
+pub const CLAIM_HOLDER_TIMEOUT: Millis = Millis::seconds(15);
 
 /// Number of reports of bounds per holder whose time of arrival is kept.
 const MAX_REPORTS_KEPT: usize = 8;
@@ -98,7 +98,7 @@
 impl Reserves {
     /// Registers the reserve on `vm` and returns its holder id: `fresh`, or the earlier one if the
     /// reserve still has its disk and therefore the same `nonce`.
-    pub fn enlist(&mut self, vm: &str, nonce: u64, fresh: HolderId) -> HolderId {
+    pub fn register(&mut self, vm: &str, nonce: u64, fresh: HolderId) -> HolderId {
         match self.by_vm.get(vm) {
             Some((holder, n)) if *n == nonce => *holder,
             _ => {
@@ -116,7 +116,7 @@
 
 /// The last heartbeat of a router that the leader received; not replicated.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sign {
+pub struct HolderHeartbeat {
     /// Time of arrival.
     pub at: Time,
     /// Version of the router's configuration.
@@ -125,49 +125,49 @@
 
 /// The heartbeats and reports of bounds that a leader has received since it was elected.
 #[derive(Clone, Debug, Default)]
-pub struct Signs {
+pub struct HolderHeartbeats {
     since: Time,
-    last: BTreeMap<HolderId, Sign>,
+    last: BTreeMap<HolderId, HolderHeartbeat>,
     /// Number and time of arrival of the last reports of bounds, by holder.
-    told: BTreeMap<HolderId, VecDeque<(u64, Time)>>,
+    reports: BTreeMap<HolderId, VecDeque<(u64, Time)>>,
 }
 
-impl Signs {
+impl HolderHeartbeats {
     /// Resets to the state of a leader elected at `now`: every router counts as heard at `now`.
     pub fn restart(&mut self, now: Time) {
-        *self = Signs { since: now, ..Signs::default() };
+        *self = HolderHeartbeats { since: now, ..HolderHeartbeats::default() };
     }
 
     /// Records a heartbeat of `holder`.
-    pub fn note(&mut self, now: Time, holder: HolderId, version: Version) {
-        self.last.insert(holder, Sign { at: now, version });
+    pub fn record(&mut self, now: Time, holder: HolderId, version: Version) {
+        self.last.insert(holder, HolderHeartbeat { at: now, version });
     }
 
     /// Records the arrival of report `seq` of `holder`'s bounds; a duplicate is ignored.
-    pub fn note_told(&mut self, now: Time, holder: HolderId, seq: u64) {
-        let told = self.told.entry(holder).or_default();
-        if told.iter().all(|(n, _)| *n != seq) {
-            told.push_back((seq, now));
+    pub fn record_bounds_report(&mut self, now: Time, holder: HolderId, seq: u64) {
+        let reports = self.reports.entry(holder).or_default();
+        if reports.iter().all(|(n, _)| *n != seq) {
+            reports.push_back((seq, now));
         }
-        if told.len() > MAX_REPORTS_KEPT {
-            told.pop_front();
+        if reports.len() > MAX_REPORTS_KEPT {
+            reports.pop_front();
         }
     }
 
     /// Returns the time since report `seq` of `holder`'s bounds first arrived, if this leader
     /// received it and still keeps it.
-    pub fn since_told(&self, now: Time, holder: HolderId, seq: u64) -> Option<Millis> {
-        let told = self.told.get(&holder)?;
-        told.iter().find(|(n, _)| *n == seq).map(|(_, at)| now.since(*at))
+    pub fn since_bounds_report(&self, now: Time, holder: HolderId, seq: u64) -> Option<Millis> {
+        let reports = self.reports.get(&holder)?;
+        reports.iter().find(|(n, _)| *n == seq).map(|(_, at)| now.since(*at))
     }
 
     /// Returns the last heartbeat of `holder`.
-    pub fn get(&self, holder: HolderId) -> Option<Sign> {
+    pub fn get(&self, holder: HolderId) -> Option<HolderHeartbeat> {
         self.last.get(&holder).copied()
     }
 
     /// Returns the time since the last heartbeat of `holder`, or since the election if there is none.
-    pub fn silence(&self, now: Time, holder: HolderId) -> Millis {
+    pub fn since_last(&self, now: Time, holder: HolderId) -> Millis {
         now.since(self.last.get(&holder).map_or(self.since, |s| s.at))
     }
 }
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -106,7 +106,7 @@
             }
             Command::Enlist { vm, nonce } => {
                 let fresh = HolderId(pos.index);
-                Answer::Registered(self.reserves.enlist(vm, *nonce, fresh))
+                Answer::Registered(self.reserves.register(vm, *nonce, fresh))
             }
             Command::Leave(h) => {
                 self.routers.leave(*h);
