--- a/crates/control/src/read.rs
+++ b/crates/control/src/read.rs
@@ -8,7 +8,8 @@
 use cypressfork_core::fleet::rollout::Rollout;
 use cypressfork_core::member::{Router, SUSPECT_AFTER};
 use cypressfork_core::query::{
-    NO_SITES, News, NodeStatus, QuarantineStatus, Query, Reply, RouterStatus, Site, Status, digest,
+    NO_SITES, NodeStatus, QuarantineStatus, Query, Reply, RouterStatus, RouterUpdate, Site, Status,
+    sites_digest,
 };
 use cypressfork_core::unit::{HolderId, Index, Millis, Time, Version};
 use cypressfork_wire::body;
@@ -194,7 +195,7 @@
         let sites = self.reads.standing.iter().any(|s| s.question.sites != NO_SITES);
         let sites = if sites { self.sites(at) } else { Vec::new() };
         let fleet = FleetNow {
-            digest: digest(&sites),
+            digest: sites_digest(&sites),
             sites,
             registered: self.state.routers().iter().map(|r| r.holder).collect(),
         };
@@ -210,10 +211,10 @@
         }
     }
 
-    fn news(&self, at: Moment, q: &Question, fleet: &FleetNow) -> News {
+    fn news(&self, at: Moment, q: &Question, fleet: &FleetNow) -> RouterUpdate {
         let recalls = self.state.ledger().recalls(at.wall, q.holder);
         let known = q.sites == fleet.digest || q.sites == NO_SITES;
-        News {
+        RouterUpdate {
             difference: self.state.config().difference(q.version),
             recalls: recalls.map(str::to_owned).collect(),
             sites: (!known).then(|| fleet.sites.clone()),
@@ -300,7 +301,7 @@
     }
 }
 
-fn is_news(n: &News, q: &Question) -> bool {
+fn is_news(n: &RouterUpdate, q: &Question) -> bool {
     let changed = n.difference.version > q.version || n.sites.is_some();
     changed || !n.recalls.is_empty() || n.stranger
 }
--- a/crates/core/src/bill.rs
+++ b/crates/core/src/bill.rs
@@ -48,7 +48,7 @@
 
 /// Totals of the bills of one budget.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Total {
+pub struct BillTotals {
     /// Requests billed.
     pub requests: u64,
     /// Tokens billed.
@@ -59,7 +59,7 @@
 
 /// The stored bill of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Posted {
+pub struct PostedBill {
     /// The billed run.
     pub run: u64,
     /// Prompt tokens.
@@ -70,10 +70,10 @@
     pub whole: bool,
 }
 
-impl Posted {
-    fn from_bill(b: &Bill) -> Posted {
+impl PostedBill {
+    fn from_bill(b: &Bill) -> PostedBill {
         let saturate = |n: Tokens| u32::try_from(n).unwrap_or(u32::MAX);
-        Posted {
+        PostedBill {
             run: b.run,
             prompt: saturate(b.prompt),
             output: saturate(b.output),
@@ -85,9 +85,9 @@
 /// The bills of one control group.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Bills {
-    posted: HashMap<RequestId, Posted>,
+    posted: HashMap<RequestId, PostedBill>,
     order: VecDeque<(Time, RequestId)>,
-    totals: BTreeMap<String, Total>,
+    totals: BTreeMap<String, BillTotals>,
     /// Unbilled runs, to detect duplicates.
     extra: BTreeMap<RequestId, Vec<u64>>,
     /// Number of the last batch posted by each holder. Kept longer than the request ids, so that a
@@ -124,8 +124,8 @@
     }
 
     /// Bills the run with the complete answer in place of an incomplete one.
-    fn replace(&mut self, old: Posted, b: &Bill) -> Posting {
-        self.posted.insert(b.id, Posted::from_bill(b));
+    fn replace(&mut self, old: PostedBill, b: &Bill) -> Posting {
+        self.posted.insert(b.id, PostedBill::from_bill(b));
         self.extra.entry(b.id).or_default().push(old.run);
         let used = u64::from(old.prompt) + u64::from(old.output);
         let total = self.totals.entry(b.budget.clone()).or_default();
@@ -135,7 +135,7 @@
     }
 
     fn post_first(&mut self, now: Time, b: &Bill) -> Posting {
-        self.posted.insert(b.id, Posted::from_bill(b));
+        self.posted.insert(b.id, PostedBill::from_bill(b));
         self.order.push_back((now, b.id));
         let total = self.totals.entry(b.budget.clone()).or_default();
         total.requests += 1;
@@ -162,12 +162,12 @@
     }
 
     /// Returns the totals of a budget.
-    pub fn total(&self, budget: &str) -> Total {
+    pub fn total(&self, budget: &str) -> BillTotals {
         self.totals.get(budget).copied().unwrap_or_default()
     }
 
     /// Returns the bill of a request, for as long as it is kept.
-    pub fn get(&self, id: &RequestId) -> Option<&Posted> {
+    pub fn get(&self, id: &RequestId) -> Option<&PostedBill> {
         self.posted.get(id)
     }
 
--- a/crates/core/src/query.rs
+++ b/crates/core/src/query.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::bill::{Posted, Total};
+use crate::bill::{BillTotals, PostedBill};
 use crate::budget::Lease;
 use crate::config::{Application, Difference, Entry, Item, Template};
 use crate::fleet::fingerprint::Fingerprint;
@@ -22,7 +22,7 @@
         holder: HolderId,
         /// Version of the router's configuration.
         version: Version,
-        /// [`digest`] of the router's list of sites; [`NO_SITES`] if it does not want the list.
+        /// [`sites_digest`] of the router's list of sites; [`NO_SITES`] if it does not want the list.
         sites: u64,
     },
     /// The state of the group and of its routers.
@@ -70,7 +70,7 @@
 
 /// Returns the digest of a list of sites, by which a router names the list it has. Stable across
 /// releases.
-pub fn digest(sites: &[Site]) -> u64 {
+pub fn sites_digest(sites: &[Site]) -> u64 {
     let add = |h: Fnv, s: &Site| {
         let h = h.part(s.vm.as_bytes()).part(s.data_centre.as_bytes());
         h.part(s.address.as_bytes()).byte(u8::from(s.usable))
@@ -80,7 +80,7 @@
 
 /// Changes for a router since its last watch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct RouterUpdate {
     /// Changes of the configuration since the router's version.
     pub difference: Difference,
     /// Names of the budgets of which the router has to return idle tokens.
@@ -165,7 +165,7 @@
     /// Tokens neither spent nor held.
     pub free: Tokens,
     /// Totals of its bills.
-    pub total: Total,
+    pub total: BillTotals,
 }
 
 /// The state of a lease.
@@ -202,7 +202,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Reply {
     /// To [`Query::Follow`].
-    News(News),
+    News(RouterUpdate),
     /// To [`Query::Status`].
     Status(Status),
     /// To [`Query::Budgets`].
@@ -210,7 +210,7 @@
     /// To [`Query::Leases`].
     Leases(Vec<LeaseStatus>),
     /// To [`Query::Bill`].
-    Bill(Option<Posted>),
+    Bill(Option<PostedBill>),
     /// To [`Query::Config`].
     Config {
         /// The current version.
--- a/crates/router/src/follow.rs
+++ b/crates/router/src/follow.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use cypressfork_core::command::{Answer, Command};
-use cypressfork_core::query::{News, Query, Reply, digest};
+use cypressfork_core::query::{Query, Reply, RouterUpdate, sites_digest};
 use cypressfork_core::unit::{HolderId, Millis};
 use cypressfork_node::emit;
 use cypressfork_node::event::Event;
@@ -62,7 +62,7 @@
     let mut reached = true;
     loop {
         let version = app.view.borrow().version();
-        let sites = digest(&app.sites.borrow());
+        let sites = sites_digest(&app.sites.borrow());
         let q = Query::Follow { holder, version, sites };
         match app.group.query(&q, FOLLOW_WITHIN).await {
             Ok(Reply::News(news)) => {
@@ -94,7 +94,7 @@
     }
 }
 
-fn take(app: &App, news: News) {
+fn take(app: &App, news: RouterUpdate) {
     if let Some(sites) = news.sites {
         *app.sites.borrow_mut() = sites;
     }
