--- a/crates/control/src/native.rs
+++ b/crates/control/src/native.rs
@@ -172,7 +172,7 @@
     let status = StatusCode::from_u16(code.status()).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
     let mut r = respond(status, json!({ "error": error }));
     if status == StatusCode::SERVICE_UNAVAILABLE {
-        let after = HeaderValue::from(AGAIN_AFTER.retry_after());
+        let after = HeaderValue::from(AGAIN_AFTER.as_retry_after_secs());
         r.headers_mut().insert(RETRY_AFTER, after);
     }
     r
--- a/crates/core/src/fleet/limit/mod.rs
+++ b/crates/core/src/fleet/limit/mod.rs
@@ -14,7 +14,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::unit::thousandths;
+use crate::unit::parse_thousandths;
 
 /// A rate limit in thousandths of a request per second.
 #[derive(
@@ -28,7 +28,7 @@
 impl Rate {
     /// Parses a decimal number of requests per second, with the syntax of [`thousandths`].
     pub fn parse(text: &str) -> Option<Rate> {
-        thousandths(text).map(Rate)
+        parse_thousandths(text).map(Rate)
     }
 }
 
--- a/crates/core/src/route/rest.rs
+++ b/crates/core/src/route/rest.rs
@@ -4,7 +4,7 @@
 //! rejected at about the same time resume at the same time, so each one resumes with a single
 //! request and sends more only as the replica accepts them (slow start).
 
-use crate::unit::{Millis, Time, thousandths};
+use crate::unit::{Millis, Time, parse_thousandths};
 
 /// The backoff requested by a response, parsed from its `Retry-After` header.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -21,7 +21,7 @@
 impl RetryAfter {
     /// Parses a number of seconds.
     pub fn parse(text: &str) -> RetryAfter {
-        thousandths(text).map_or(RetryAfter::Invalid, |ms| RetryAfter::Delay(Millis(ms)))
+        parse_thousandths(text).map_or(RetryAfter::Invalid, |ms| RetryAfter::Delay(Millis(ms)))
     }
 
     /// Combines two headers of one response: the longer backoff wins, and a valid one wins over an
--- a/crates/core/src/unit.rs
+++ b/crates/core/src/unit.rs
@@ -60,7 +60,7 @@
     }
 
     /// Returns the value of a `Retry-After` header: whole seconds, rounded up, at least one.
-    pub fn retry_after(self) -> u64 {
+    pub fn as_retry_after_secs(self) -> u64 {
         self.0.div_ceil(1000).max(1)
     }
 }
@@ -73,7 +73,7 @@
 
 /// Parses a decimal number with an optional fraction, and returns it in thousandths. Returns
 /// `None` for any other text, such as one with a sign, exponent or unit.
-pub fn thousandths(text: &str) -> Option<u64> {
+pub fn parse_thousandths(text: &str) -> Option<u64> {
     let text = text.trim();
     let (whole, fraction) = text.split_once('.').unwrap_or((text, "0"));
     let is_number = |s: &str| !s.is_empty() && s.bytes().all(|b| b.is_ascii_digit());
--- a/crates/router/src/gateway/native.rs
+++ b/crates/router/src/gateway/native.rs
@@ -179,7 +179,7 @@
 
     fn refusal(r: &Refusal, h: &mut HeaderMap) -> u16 {
         if let Some(span) = r.after {
-            set_number(h, RETRY_AFTER, span.retry_after());
+            set_number(h, RETRY_AFTER, span.as_retry_after_secs());
         }
         match r.code.status() {
             0 => 503,
--- a/crates/router/src/reply.rs
+++ b/crates/router/src/reply.rs
@@ -73,7 +73,7 @@
         let h = r.headers_mut();
         h.insert(RAN, HeaderValue::from_static(self.ran.as_str()));
         if let Some(span) = self.after {
-            h.insert(header::RETRY_AFTER, HeaderValue::from(span.retry_after()));
+            h.insert(header::RETRY_AFTER, HeaderValue::from(span.as_retry_after_secs()));
         }
         r
     }
