--- a/crates/core/src/budget/allot.rs
+++ b/crates/core/src/budget/allot.rs
@@ -46,9 +46,9 @@
         &mut self,
         now: Time,
         id: LeaseId,
-        ask: &LeaseRequest,
+        request: &LeaseRequest,
     ) -> Option<Decision> {
-        self.ledger.request_lease(now, id, ask)
+        self.ledger.request_lease(now, id, request)
     }
 
     /// Decides a router's lease request from the free tokens only, without a recall. Returns `None`
@@ -57,9 +57,9 @@
         &mut self,
         now: Time,
         id: LeaseId,
-        ask: &LeaseRequest,
+        request: &LeaseRequest,
     ) -> Option<Decision> {
-        self.ledger.request_from_free(now, id, ask)
+        self.ledger.request_from_free(now, id, request)
     }
 
     /// Applies a router's report. Returns false if the lease is not open or belongs to another
--- a/crates/core/src/budget/ledger.rs
+++ b/crates/core/src/budget/ledger.rs
@@ -130,8 +130,8 @@
 }
 
 impl Recall {
-    fn is_for(&self, ask: &LeaseRequest) -> bool {
-        (self.holder, self.seq) == (ask.holder, ask.seq)
+    fn is_for(&self, request: &LeaseRequest) -> bool {
+        (self.holder, self.seq) == (request.holder, request.seq)
     }
 
     fn is_active(&self, now: Time) -> bool {
@@ -194,15 +194,15 @@
     }
 
     /// Returns the open lease that an earlier copy of the request was granted.
-    fn find_granted(&self, ask: &LeaseRequest) -> Option<(LeaseId, Lease)> {
-        let same = |l: &Lease| l.holder == ask.holder && l.seq == ask.seq;
+    fn find_granted(&self, request: &LeaseRequest) -> Option<(LeaseId, Lease)> {
+        let same = |l: &Lease| l.holder == request.holder && l.seq == request.seq;
         self.leases.iter().find(|(_, l)| same(l)).map(|(id, l)| (*id, *l))
     }
 
-    fn grant(&mut self, now: Time, id: LeaseId, ask: &LeaseRequest, amount: Tokens) -> Grant {
+    fn grant(&mut self, now: Time, id: LeaseId, request: &LeaseRequest, amount: Tokens) -> Grant {
         let span = self.policy.offline;
         let end = now.after(span.scale(LEASE_DRIFT.0, LEASE_DRIFT.1));
-        let (holder, seq) = (ask.holder, ask.seq);
+        let (holder, seq) = (request.holder, request.seq);
         let lease = Lease { holder, seq, keep: amount, used: 0, end, tight: false, heard: now };
         self.leases.insert(id, lease);
         self.held += amount;
@@ -211,22 +211,22 @@
     }
 
     /// Returns why a request cannot be granted, and starts or continues a recall for it.
-    fn shortage(&mut self, now: Time, ask: &LeaseRequest) -> Shortage {
-        if ask.need == 0 {
+    fn shortage(&mut self, now: Time, request: &LeaseRequest) -> Shortage {
+        if request.need == 0 {
             return Shortage::Busy(SETTLE_RETRY);
         }
-        if self.cannot_meet(now, ask.need) {
-            self.recall.take_if(|r| r.is_for(ask));
+        if self.cannot_meet(now, request.need) {
+            self.recall.take_if(|r| r.is_for(request));
             return Shortage::Spent;
         }
-        let recall = self.refresh_recall(now, ask);
+        let recall = self.refresh_recall(now, request);
         let live = || self.leases.values().filter(|l| l.end > now);
         let reachable = || live().filter(|l| !recall.is_unanswered(now, l));
         let free = self.free();
-        if free + reachable().map(Lease::open).sum::<Tokens>() < ask.need {
+        if free + reachable().map(Lease::open).sum::<Tokens>() < request.need {
             return Shortage::Away(UNREACHABLE_RETRY);
         }
-        let idle = reachable().any(|l| l.holder != ask.holder && !l.tight);
+        let idle = reachable().any(|l| l.holder != request.holder && !l.tight);
         Shortage::Busy(if idle { RECALL_RETRY } else { SETTLE_RETRY })
     }
 
@@ -236,31 +236,31 @@
         self.free() + live.map(Lease::open).sum::<Tokens>() < need
     }
 
-    fn refresh_recall(&mut self, now: Time, ask: &LeaseRequest) -> Recall {
+    fn refresh_recall(&mut self, now: Time, request: &LeaseRequest) -> Recall {
         let mut r = match self.recall.filter(|r| r.is_active(now)) {
             Some(r) => r,
-            None => self.start_recall(now, ask),
+            None => self.start_recall(now, request),
         };
-        if r.is_for(ask) {
+        if r.is_for(request) {
             r.asked = now;
         }
         self.recall = Some(r);
         r
     }
 
-    fn start_recall(&mut self, now: Time, ask: &LeaseRequest) -> Recall {
+    fn start_recall(&mut self, now: Time, request: &LeaseRequest) -> Recall {
         for l in self.leases.values_mut() {
             l.tight = false;
         }
-        Recall { holder: ask.holder, seq: ask.seq, since: now, asked: now }
+        Recall { holder: request.holder, seq: request.seq, since: now, asked: now }
     }
 
     /// Returns the answer to a resend of a granted request, or to a late duplicate of an older one.
-    fn previous_decision(&self, ask: &LeaseRequest) -> Option<Decision> {
-        if let Some((lease, l)) = self.find_granted(ask) {
+    fn previous_decision(&self, request: &LeaseRequest) -> Option<Decision> {
+        if let Some((lease, l)) = self.find_granted(request) {
             return Some(Ok(Grant { lease, amount: l.keep, span: self.policy.offline }));
         }
-        let late = self.granted.get(&ask.holder).is_some_and(|seq| ask.seq <= *seq);
+        let late = self.granted.get(&request.holder).is_some_and(|seq| request.seq <= *seq);
         late.then_some(Err(Shortage::Busy(SETTLE_RETRY)))
     }
 
@@ -268,39 +268,39 @@
         &mut self,
         now: Time,
         id: LeaseId,
-        ask: &LeaseRequest,
+        request: &LeaseRequest,
         want: Tokens,
     ) -> Option<Grant> {
         let holders = self.holder_count().max(1);
-        let amount = self.policy.grant_size(self.free(), holders, ask.need, want)?;
-        Some(self.grant(now, id, ask, amount))
+        let amount = self.policy.grant_size(self.free(), holders, request.need, want)?;
+        Some(self.grant(now, id, request, amount))
     }
 
-    fn request_lease(&mut self, now: Time, id: LeaseId, ask: &LeaseRequest) -> Decision {
-        if let Some(decision) = self.previous_decision(ask) {
+    fn request_lease(&mut self, now: Time, id: LeaseId, request: &LeaseRequest) -> Decision {
+        if let Some(decision) = self.previous_decision(request) {
             return decision;
         }
         let recall = self.recall.filter(|r| r.is_active(now));
-        let is_blocked = recall.is_some_and(|r| r.is_exclusive(now) && !r.is_for(ask));
+        let is_blocked = recall.is_some_and(|r| r.is_exclusive(now) && !r.is_for(request));
         // A request that cannot be met at all fails at once.
-        if is_blocked && !self.cannot_meet(now, ask.need) {
+        if is_blocked && !self.cannot_meet(now, request.need) {
             return Err(Shortage::Busy(RECALL_RETRY));
         }
-        let want = if recall.is_some() { ask.need } else { ask.want };
-        let Some(grant) = self.try_grant(now, id, ask, want) else {
-            return Err(self.shortage(now, ask));
+        let want = if recall.is_some() { request.need } else { request.want };
+        let Some(grant) = self.try_grant(now, id, request, want) else {
+            return Err(self.shortage(now, request));
         };
-        if recall.is_some_and(|r| r.is_for(ask)) {
+        if recall.is_some_and(|r| r.is_for(request)) {
             self.recall = None;
         }
         Ok(grant)
     }
 
-    fn request_from_free(&mut self, now: Time, id: LeaseId, ask: &LeaseRequest) -> Decision {
-        if let Some(decision) = self.previous_decision(ask) {
+    fn request_from_free(&mut self, now: Time, id: LeaseId, request: &LeaseRequest) -> Decision {
+        if let Some(decision) = self.previous_decision(request) {
             return decision;
         }
-        self.try_grant(now, id, ask, ask.want).ok_or(Shortage::Spent)
+        self.try_grant(now, id, request, request.want).ok_or(Shortage::Spent)
     }
 
     fn report(&mut self, now: Time, holder: HolderId, r: &Report) -> bool {
@@ -402,11 +402,11 @@
         &mut self,
         now: Time,
         id: LeaseId,
-        ask: &LeaseRequest,
+        request: &LeaseRequest,
     ) -> Option<Decision> {
-        let decision = self.funds.get_mut(&ask.budget)?.request_lease(now, id, ask);
-        self.update_recalling(&ask.budget);
-        Some(self.index_lease(id, ask, decision))
+        let decision = self.funds.get_mut(&request.budget)?.request_lease(now, id, request);
+        self.update_recalling(&request.budget);
+        Some(self.index_lease(id, request, decision))
     }
 
     /// Decides a lease request from the free tokens only, without a recall. Returns `None` if the
@@ -415,15 +415,15 @@
         &mut self,
         now: Time,
         id: LeaseId,
-        ask: &LeaseRequest,
+        request: &LeaseRequest,
     ) -> Option<Decision> {
-        let decision = self.funds.get_mut(&ask.budget)?.request_from_free(now, id, ask);
-        Some(self.index_lease(id, ask, decision))
+        let decision = self.funds.get_mut(&request.budget)?.request_from_free(now, id, request);
+        Some(self.index_lease(id, request, decision))
     }
 
-    fn index_lease(&mut self, id: LeaseId, ask: &LeaseRequest, decision: Decision) -> Decision {
+    fn index_lease(&mut self, id: LeaseId, request: &LeaseRequest, decision: Decision) -> Decision {
         if decision.is_ok_and(|g| g.lease == id) {
-            self.budget_of.insert(id, ask.budget.clone());
+            self.budget_of.insert(id, request.budget.clone());
         }
         decision
     }
--- a/crates/core/src/budget/reserve.rs
+++ b/crates/core/src/budget/reserve.rs
@@ -57,9 +57,9 @@
                 *self.granted.entry(budget.clone()).or_default() += 1;
                 ReserveAnswer::Nothing
             }
-            ReserveCommand::Ask(ask) => {
+            ReserveCommand::Ask(request) => {
                 // A recall waits for reports of other routers, which takes too long here.
-                let decision = self.region.request_from_free(now, id, ask);
+                let decision = self.region.request_from_free(now, id, request);
                 ReserveAnswer::Decided(decision.unwrap_or(Err(Shortage::Spent)))
             }
             ReserveCommand::Report(holder, reports) => {
--- a/crates/core/src/budget/slice_store.rs
+++ b/crates/core/src/budget/slice_store.rs
@@ -72,7 +72,7 @@
 /// The lease request that has no answer yet.
 #[derive(Debug)]
 struct Pending {
-    ask: LeaseRequest,
+    request: LeaseRequest,
     first_sent: Time,
 }
 
@@ -210,9 +210,9 @@
         let want = self.policy.request_size(&self.rate, need);
         if let Some(p) = &mut self.pending {
             // The grantor matches a resend by its number, so the sizes may grow.
-            p.ask.need = p.ask.need.max(need.saturating_sub(idle));
-            p.ask.want = p.ask.want.max(p.ask.need);
-            return Some(p.ask.clone());
+            p.request.need = p.request.need.max(need.saturating_sub(idle));
+            p.request.want = p.request.want.max(p.request.need);
+            return Some(p.request.clone());
         }
         if idle >= need.max(1) && !self.is_low(now) {
             return None;
@@ -220,10 +220,10 @@
         self.seq += 1;
         let missing = need.saturating_sub(idle);
         let want = want.saturating_sub(idle).max(missing);
-        let ask =
+        let request =
             LeaseRequest { holder, budget: budget.to_owned(), seq: self.seq, need: missing, want };
-        self.pending = Some(Pending { ask: ask.clone(), first_sent: now });
-        Some(ask)
+        self.pending = Some(Pending { request: request.clone(), first_sent: now });
+        Some(request)
     }
 
     /// Applies the answer to the request numbered `seq`; ignored if that is not pending.
@@ -231,7 +231,7 @@
     /// A late grant is accepted: its span counts from the first sending of the request, and an
     /// expired one is returned with the next report.
     pub fn apply_decision(&mut self, seq: u64, decision: &Decision) {
-        let Some(p) = self.pending.take_if(|p| p.ask.seq == seq) else { return };
+        let Some(p) = self.pending.take_if(|p| p.request.seq == seq) else { return };
         match decision {
             Ok(g) => self.insert(p.first_sent, g),
             // The next request reuses the number: if a late copy of this one is granted, the
