--- a/crates/core/src/budget/ledger.rs
+++ b/crates/core/src/budget/ledger.rs
@@ -74,7 +74,7 @@
     Spent,
 }
 
-/// The grantor's answer to an [`LeaseRequest`].
+/// The grantor's answer to a [`LeaseRequest`].
 pub type Decision = Result<Grant, Shortage>;
 
 /// A part of a budget that one holder may spend.
