--- a/crates/control/src/api.rs
+++ b/crates/control/src/api.rs
@@ -107,7 +107,7 @@
 async fn publish<D: Dialect>(api: &Api, source: String) -> Answer {
     let document = match D::document(&source) {
         Ok(d) => d,
-        Err(e) => return Answer::Refused(e.code, e.why),
+        Err(e) => return Answer::Refused(e.code, e.reason),
     };
     let budgets = document.budgets().collect();
     let services = document.services.iter().map(|s| s.name.clone()).collect();
--- a/crates/control/src/native.rs
+++ b/crates/control/src/native.rs
@@ -4,7 +4,7 @@
 use actix_http::{Method, Response, StatusCode};
 use bytes::Bytes;
 use cypressfork_core::code::Code;
-use cypressfork_core::fleet::document::{Document, Invalid};
+use cypressfork_core::fleet::document::{Document, InvalidDocument};
 use cypressfork_core::fleet::format::{self, Format};
 use cypressfork_core::fleet::registry::{Record, Registration, ReplicaStatus};
 use cypressfork_core::unit::Millis;
@@ -27,7 +27,7 @@
 pub struct Native;
 
 impl Format for Native {
-    fn document(source: &str) -> Result<Document, Invalid> {
+    fn document(source: &str) -> Result<Document, InvalidDocument> {
         format::json(source)
     }
 }
--- a/crates/core/src/fleet/document.rs
+++ b/crates/core/src/fleet/document.rs
@@ -149,17 +149,17 @@
 
 /// The reason a document was rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Invalid {
+pub struct InvalidDocument {
     /// Result code.
     pub code: Code,
     /// The invalid part and what is wrong with it.
-    pub why: String,
+    pub reason: String,
 }
 
-impl Invalid {
+impl InvalidDocument {
     /// Returns an error with code [`Code::DocumentBad`].
-    pub fn new(why: impl Into<String>) -> Invalid {
-        Invalid { code: Code::DocumentBad, why: why.into() }
+    pub fn new(reason: impl Into<String>) -> InvalidDocument {
+        InvalidDocument { code: Code::DocumentBad, reason: reason.into() }
     }
 }
 
@@ -168,26 +168,26 @@
     ///
     /// Returns an error if a route has an unknown service, only zero weights, a zero timeout, or the host
     /// and prefix of another route, or if two accounts share a key.
-    pub fn check(&self) -> Result<(), Invalid> {
+    pub fn check(&self) -> Result<(), InvalidDocument> {
         let services: BTreeSet<&str> = self.services.iter().map(|s| s.name.as_str()).collect();
         let mut matched = BTreeSet::new();
         for r in &self.routes {
             check_route(r, &services)?;
             if !matched.insert((r.host.as_str(), r.prefix.as_str())) {
-                let why = format!("two routes share host {} and prefix {}", r.host, r.prefix);
-                return Err(Invalid::new(why));
+                let reason = format!("two routes share host {} and prefix {}", r.host, r.prefix);
+                return Err(InvalidDocument::new(reason));
             }
         }
         self.check_keys()
     }
 
-    fn check_keys(&self) -> Result<(), Invalid> {
+    fn check_keys(&self) -> Result<(), InvalidDocument> {
         let mut keys = BTreeSet::new();
         for a in self.accounts.iter().flatten() {
             let own: BTreeSet<&str> = a.keys.iter().map(String::as_str).collect();
             if own.iter().any(|k| !keys.insert(*k)) {
-                let why = format!("a key of account {} is another's too", a.name);
-                return Err(Invalid::new(why));
+                let reason = format!("a key of account {} is another's too", a.name);
+                return Err(InvalidDocument::new(reason));
             }
         }
         Ok(())
@@ -200,18 +200,18 @@
     }
 }
 
-fn check_route(r: &Route, services: &BTreeSet<&str>) -> Result<(), Invalid> {
+fn check_route(r: &Route, services: &BTreeSet<&str>) -> Result<(), InvalidDocument> {
     if let Some(t) = r.targets.iter().find(|t| !services.contains(t.service.as_str())) {
-        return Err(Invalid::new(format!(
+        return Err(InvalidDocument::new(format!(
             "route {} names no known service: {}",
             r.name, t.service
         )));
     }
     if r.targets.iter().all(|t| t.weight == 0) {
-        return Err(Invalid::new(format!("the weights of route {} sum to 0", r.name)));
+        return Err(InvalidDocument::new(format!("the weights of route {} sum to 0", r.name)));
     }
     if r.timeout == Millis(0) {
-        return Err(Invalid::new(format!("the time limit of route {} is 0", r.name)));
+        return Err(InvalidDocument::new(format!("the time limit of route {} is 0", r.name)));
     }
     Ok(())
 }
--- a/crates/core/src/fleet/format.rs
+++ b/crates/core/src/fleet/format.rs
@@ -1,10 +1,11 @@
 //! Formats in which documents are submitted.
 
-use super::document::{Document, Invalid};
+use super::document::{Document, InvalidDocument};
 
 /// Parses and validates a document in the native format: JSON with the field names of [`Document`].
-pub fn json(source: &str) -> Result<Document, Invalid> {
-    let d: Document = serde_json::from_str(source).map_err(|e| Invalid::new(e.to_string()))?;
+pub fn json(source: &str) -> Result<Document, InvalidDocument> {
+    let d: Document =
+        serde_json::from_str(source).map_err(|e| InvalidDocument::new(e.to_string()))?;
     d.check()?;
     Ok(d)
 }
@@ -12,5 +13,5 @@
 /// A document format. Parsing is deterministic: every process gets the same document from a source.
 pub trait Format: 'static {
     /// Parses and validates a document.
-    fn document(source: &str) -> Result<Document, Invalid>;
+    fn document(source: &str) -> Result<Document, InvalidDocument>;
 }
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -78,7 +78,7 @@
         (Ok(()), None) => {}
         (Err(e), Some(text)) => {
             assert_eq!(e.code, Code::DocumentBad);
-            assert!(e.why.contains(text), "{}", e.why);
+            assert!(e.reason.contains(text), "{}", e.reason);
         }
         other => panic!("{other:?}"),
     }
--- a/crates/router/src/gateway/documents.rs
+++ b/crates/router/src/gateway/documents.rs
@@ -173,6 +173,6 @@
         }
         Ok(_) => {}
         // The control process has checked it: another release of this program reads it otherwise.
-        Err(e) => emit!(Event::ConfigRefused, code = e.code.number(), why = e.why),
+        Err(e) => emit!(Event::ConfigRefused, code = e.code.number(), why = e.reason),
     }
 }
--- a/crates/router/src/gateway/native.rs
+++ b/crates/router/src/gateway/native.rs
@@ -5,7 +5,7 @@
 };
 use actix_http::{RequestHead, ResponseHead, StatusCode};
 use cypressfork_core::code::Code;
-use cypressfork_core::fleet::document::{Document, Invalid};
+use cypressfork_core::fleet::document::{Document, InvalidDocument};
 use cypressfork_core::fleet::format::{self, Format};
 use cypressfork_core::fleet::limit::{Rate, Said};
 use cypressfork_core::route::{PromptPrefixes, rest};
@@ -45,7 +45,7 @@
 pub struct Native;
 
 impl Format for Native {
-    fn document(source: &str) -> Result<Document, Invalid> {
+    fn document(source: &str) -> Result<Document, InvalidDocument> {
         format::json(source)
     }
 }
