--- a/crates/core/src/fleet/document.rs
+++ b/crates/core/src/fleet/document.rs
@@ -114,7 +114,7 @@
 /// A client account with its keys and restrictions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Tenant {
+pub struct ClientAccount {
     /// Name of the account.
     pub name: String,
     /// API keys, sent as bearer tokens.
@@ -144,7 +144,7 @@
     pub limits: Limits,
     /// Client accounts; `None` if requests need no API key.
     #[serde(default)]
-    pub accounts: Option<Vec<Tenant>>,
+    pub accounts: Option<Vec<ClientAccount>>,
 }
 
 /// The reason a document was rejected.
--- a/crates/core/src/fleet/routes.rs
+++ b/crates/core/src/fleet/routes.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use super::document::{Backend, Document, Limits, Route, Tenant};
+use super::document::{Backend, ClientAccount, Document, Limits, Route};
 use crate::code::Code;
 use crate::hash::Fnv;
 use crate::unit::{Tokens, Version};
@@ -15,7 +15,7 @@
     by_host: HashMap<String, Vec<Route>>,
     /// Index into `accounts` by key. `None` if the document has no accounts.
     by_key: Option<HashMap<String, usize>>,
-    accounts: Vec<Tenant>,
+    accounts: Vec<ClientAccount>,
     services: HashMap<String, Backend>,
     limits: Limits,
 }
@@ -60,7 +60,11 @@
     /// Returns the client account of the key that a request on `route` carries, or `None` if the
     /// route is open or the document has no accounts. Fails with [`Code::KeyMissing`] or
     /// [`Code::KeyUnknown`].
-    pub fn account(&self, route: &Route, key: Option<&str>) -> Result<Option<&Tenant>, Code> {
+    pub fn account(
+        &self,
+        route: &Route,
+        key: Option<&str>,
+    ) -> Result<Option<&ClientAccount>, Code> {
         let Some(by_key) = self.by_key.as_ref().filter(|_| !route.open) else { return Ok(None) };
         let key = key.ok_or(Code::KeyMissing)?;
         let i = by_key.get(key).ok_or(Code::KeyUnknown)?;
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -7,7 +7,7 @@
 use cypressfork_core::fleet::admission;
 use cypressfork_core::fleet::clocks::Clocks;
 use cypressfork_core::fleet::document::{
-    Backend, Document, Kind, Limits, Route, Target, Tenant, budget_name,
+    Backend, ClientAccount, Document, Kind, Limits, Route, Target, budget_name,
 };
 use cypressfork_core::fleet::entry::Routers;
 use cypressfork_core::fleet::patience;
@@ -41,10 +41,10 @@
     }
 }
 
-fn tenant(name: &str, keys: &[&str]) -> Tenant {
+fn tenant(name: &str, keys: &[&str]) -> ClientAccount {
     let keys = keys.iter().map(|k| (*k).to_owned()).collect();
     let regions = BTreeSet::new();
-    Tenant { name: name.to_owned(), keys, priority: None, prepaid: Some(1_000), regions }
+    ClientAccount { name: name.to_owned(), keys, priority: None, prepaid: Some(1_000), regions }
 }
 
 fn backend(name: &str) -> Backend {
--- a/crates/router/src/gateway/request.rs
+++ b/crates/router/src/gateway/request.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use cypressfork_core::code::{Code, Ran};
 use cypressfork_core::fleet::admission;
-use cypressfork_core::fleet::document::{Kind, Route, Tenant};
+use cypressfork_core::fleet::document::{ClientAccount, Kind, Route};
 use cypressfork_core::fleet::fingerprint::Fingerprint;
 use cypressfork_core::fleet::patience;
 use cypressfork_core::fleet::routes::{Routes, request_hash};
@@ -251,7 +251,10 @@
 }
 
 /// The regions that a request may be served in: those of its route and of its account.
-fn allowed_regions(route: &Route, account: Option<&Tenant>) -> Result<BTreeSet<String>, Code> {
+fn allowed_regions(
+    route: &Route,
+    account: Option<&ClientAccount>,
+) -> Result<BTreeSet<String>, Code> {
     let of_route = &route.regions;
     let Some(of_account) = account.map(|a| &a.regions).filter(|r| !r.is_empty()) else {
         return Ok(of_route.clone());
