--- a/crates/control/src/api.rs
+++ b/crates/control/src/api.rs
@@ -105,7 +105,7 @@
 }
 
 async fn publish<D: Dialect>(api: &Api, source: String) -> Answer {
-    let document = match D::document(&source) {
+    let document = match D::parse(&source) {
         Ok(d) => d,
         Err(e) => return Answer::Refused(e.code, e.reason),
     };
--- a/crates/control/src/dialect.rs
+++ b/crates/control/src/dialect.rs
@@ -2,7 +2,7 @@
 
 use actix_http::{Method, Response};
 use cypressfork_core::code::Code;
-use cypressfork_core::fleet::format::Format;
+use cypressfork_core::fleet::format::DocumentFormat;
 use cypressfork_core::fleet::registry::Record;
 use cypressfork_core::fleet::rollout::Rollout;
 use cypressfork_core::unit::{Millis, Version};
@@ -61,7 +61,7 @@
 }
 
 /// A way to write calls and answers over HTTP.
-pub trait Dialect: Format {
+pub trait Dialect: DocumentFormat {
     /// Reads a request.
     fn call(r: &Incoming) -> Result<Call, Answer>;
     /// Writes an answer.
--- a/crates/control/src/native.rs
+++ b/crates/control/src/native.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use cypressfork_core::code::Code;
 use cypressfork_core::fleet::document::{Document, InvalidDocument};
-use cypressfork_core::fleet::format::{self, Format};
+use cypressfork_core::fleet::format::{self, DocumentFormat};
 use cypressfork_core::fleet::registry::{Record, Registration, ReplicaStatus};
 use cypressfork_core::unit::Millis;
 use cypressfork_http::Body;
@@ -26,9 +26,9 @@
 /// The project's own words.
 pub struct Native;
 
-impl Format for Native {
-    fn document(source: &str) -> Result<Document, InvalidDocument> {
-        format::json(source)
+impl DocumentFormat for Native {
+    fn parse(source: &str) -> Result<Document, InvalidDocument> {
+        format::parse_json(source)
     }
 }
 
--- a/crates/core/src/fleet/document.rs
+++ b/crates/core/src/fleet/document.rs
@@ -168,7 +168,7 @@
     ///
     /// Returns an error if a route has an unknown service, only zero weights, a zero timeout, or the host
     /// and prefix of another route, or if two accounts share a key.
-    pub fn check(&self) -> Result<(), InvalidDocument> {
+    pub fn validate(&self) -> Result<(), InvalidDocument> {
         let services: BTreeSet<&str> = self.services.iter().map(|s| s.name.as_str()).collect();
         let mut matched = BTreeSet::new();
         for r in &self.routes {
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -74,7 +74,7 @@
 fn documents_are_checked(#[case] change: fn(&mut Document), #[case] fault: Option<&str>) {
     let mut d = document();
     change(&mut d);
-    match (d.check(), fault) {
+    match (d.validate(), fault) {
         (Ok(()), None) => {}
         (Err(e), Some(text)) => {
             assert_eq!(e.code, Code::DocumentBad);
--- a/crates/router/src/gateway/dialect.rs
+++ b/crates/router/src/gateway/dialect.rs
@@ -3,7 +3,7 @@
 use actix_http::header::HeaderMap;
 use actix_http::{RequestHead, ResponseHead};
 use cypressfork_core::code::Code;
-use cypressfork_core::fleet::format::Format;
+use cypressfork_core::fleet::format::DocumentFormat;
 use cypressfork_core::fleet::limit::Said;
 use cypressfork_core::route::{PromptPrefixes, rest};
 use cypressfork_core::unit::{Millis, Tokens};
@@ -73,7 +73,7 @@
 }
 
 /// A way to write requests and answers on the wire.
-pub trait Dialect: Format {
+pub trait Dialect: DocumentFormat {
     /// Reads a caller's head.
     fn inbound(head: &RequestHead) -> Result<Inbound, Code>;
     /// Writes what a replica is told into the caller's headers, and takes out what it is not to
--- a/crates/router/src/gateway/documents.rs
+++ b/crates/router/src/gateway/documents.rs
@@ -7,7 +7,7 @@
 
 use cypressfork_core::code::Code;
 use cypressfork_core::fleet::fetch::{Fetch, GivenUp};
-use cypressfork_core::fleet::format::Format;
+use cypressfork_core::fleet::format::DocumentFormat;
 use cypressfork_core::fleet::routes::Routes;
 use cypressfork_core::fleet::transfer::{Assembly, Part, PartOutcome, PartRequest};
 use cypressfork_core::unit::{Millis, Time, Version};
@@ -84,7 +84,12 @@
 }
 
 /// Takes the word of a control process that it has the document of `version`, and a part of it.
-pub fn take<F: Format>(gw: &Rc<Gateway>, from: SocketAddr, version: Version, part: Option<Part>) {
+pub fn take<F: DocumentFormat>(
+    gw: &Rc<Gateway>,
+    from: SocketAddr,
+    version: Version,
+    part: Option<Part>,
+) {
     let docs = &gw.documents;
     docs.heard.set(gw.now());
     if let Some(part) = part {
@@ -137,7 +142,7 @@
     gw.documents.watched.set(false);
 }
 
-fn take_part<F: Format>(gw: &Gateway, from: SocketAddr, part: Part) {
+fn take_part<F: DocumentFormat>(gw: &Gateway, from: SocketAddr, part: Part) {
     let docs = &gw.documents;
     docs.fetch.borrow_mut().progress(gw.now(), from);
     let taken = docs.assembly.borrow_mut().take(docs.held(), part);
@@ -152,13 +157,13 @@
 }
 
 /// Puts a document in force if it is newer than the present one.
-fn put_in_force<F: Format>(gw: &Gateway, bytes: &[u8]) {
+fn put_in_force<F: DocumentFormat>(gw: &Gateway, bytes: &[u8]) {
     let held = gw.documents.held();
     let source = match packed::unpack(bytes) {
         Ok(source) => source,
         Err(e) => return emit!(Event::MessageBad, why = e),
     };
-    match F::document(&source) {
+    match F::parse(&source) {
         Ok(d) if d.version > held => {
             emit!(
                 Event::DocumentSeen,
--- a/crates/router/src/gateway/native.rs
+++ b/crates/router/src/gateway/native.rs
@@ -6,7 +6,7 @@
 use actix_http::{RequestHead, ResponseHead, StatusCode};
 use cypressfork_core::code::Code;
 use cypressfork_core::fleet::document::{Document, InvalidDocument};
-use cypressfork_core::fleet::format::{self, Format};
+use cypressfork_core::fleet::format::{self, DocumentFormat};
 use cypressfork_core::fleet::limit::{Rate, Said};
 use cypressfork_core::route::{PromptPrefixes, rest};
 use cypressfork_core::unit::Millis;
@@ -44,9 +44,9 @@
 /// The project's own words.
 pub struct Native;
 
-impl Format for Native {
-    fn document(source: &str) -> Result<Document, InvalidDocument> {
-        format::json(source)
+impl DocumentFormat for Native {
+    fn parse(source: &str) -> Result<Document, InvalidDocument> {
+        format::parse_json(source)
     }
 }
 
