--- a/crates/core/src/fleet/share.rs
+++ b/crates/core/src/fleet/share.rs
@@ -83,7 +83,7 @@
 
 /// The reason a home reserved fewer tokens than requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Short {
+pub enum Shortfall {
     /// The whole budget is too small, according to the control group.
     Spent,
     /// The tokens are leased elsewhere; more may be available after this time.
@@ -104,7 +104,7 @@
     /// The placement is recorded.
     Noted,
     /// Number of tokens reserved at a home, and the reason if not all of them are.
-    Held(Tokens, Option<Short>),
+    Held(Tokens, Option<Shortfall>),
     /// The response to [`Request::Permit`].
     Permitted(Grant),
     /// Remaining time at the reduced rate, the response to [`Request::Settles`]; `None` if the router is
--- a/crates/router/src/gateway/budget.rs
+++ b/crates/router/src/gateway/budget.rs
@@ -7,7 +7,7 @@
 use cypressfork_core::budget::{Policy, Reservation};
 use cypressfork_core::code::Code;
 use cypressfork_core::fleet::document::budget_name;
-use cypressfork_core::fleet::share::{Short, charges};
+use cypressfork_core::fleet::share::{Shortfall, charges};
 use cypressfork_core::unit::{Millis, Tokens};
 use tokio::time::Instant;
 
@@ -173,7 +173,7 @@
                 return Ok(parts);
             }
             reason = of_both(reason, short);
-            if reason == Some(Short::Spent) {
+            if reason == Some(Shortfall::Spent) {
                 break 'rounds;
             }
         }
@@ -190,14 +190,14 @@
     home: SocketAddr,
     tokens: Tokens,
     within: Duration,
-) -> (Option<Part>, Option<Short>) {
+) -> (Option<Part>, Option<Shortfall>) {
     if home != gw.settings.link {
         let (part, short) = gw.share.hold(gw, home, need.account, tokens, within).await;
         return (part.map(Part::Borrowed), short);
     }
     let until = Instant::now() + within;
     let Some(token_store) = gw.wait_for_token_store(until).await else {
-        return (None, Some(Short::Closed));
+        return (None, Some(Shortfall::Closed));
     };
     let Taken { part, short } = token_store.take(&need.budget, need.policy, tokens, until).await;
     let own = |(source, reservation)| {
@@ -208,22 +208,24 @@
 
 /// What callers are told of the reasons of two homes: that the budget is spent before when to come
 /// back, and the sooner of two times.
-fn of_both(a: Option<Short>, b: Option<Short>) -> Option<Short> {
-    let rank = |s: &Short| match s {
-        Short::Spent => (0, Millis(0)),
-        Short::Limited(after) => (1, *after),
-        Short::Busy(after) => (2, *after),
-        Short::Closed => (3, Millis(0)),
+fn of_both(a: Option<Shortfall>, b: Option<Shortfall>) -> Option<Shortfall> {
+    let rank = |s: &Shortfall| match s {
+        Shortfall::Spent => (0, Millis(0)),
+        Shortfall::Limited(after) => (1, *after),
+        Shortfall::Busy(after) => (2, *after),
+        Shortfall::Closed => (3, Millis(0)),
     };
     [a, b].into_iter().flatten().min_by_key(rank)
 }
 
-fn not_held(need: &Need<'_>, reason: Option<Short>, at_hand: Tokens) -> Refusal {
+fn not_held(need: &Need<'_>, reason: Option<Shortfall>, at_hand: Tokens) -> Refusal {
     let (account, most) = (need.account, need.most);
     let why = format!("account {account}, {most} wanted, {at_hand} at its homes, {reason:?}");
     let after = match reason {
-        Some(Short::Spent) => return Refusal::from(Code::BudgetTooSmall).detail(why),
-        Some(Short::Busy(after) | Short::Limited(after)) => after.clamp(BUSY_LEAST, BUSY_MOST),
+        Some(Shortfall::Spent) => return Refusal::from(Code::BudgetTooSmall).detail(why),
+        Some(Shortfall::Busy(after) | Shortfall::Limited(after)) => {
+            after.clamp(BUSY_LEAST, BUSY_MOST)
+        }
         _ => AGAIN_AFTER,
     };
     Refusal::from(Code::BudgetUnreachable).after(after).detail(why)
--- a/crates/router/src/gateway/share.rs
+++ b/crates/router/src/gateway/share.rs
@@ -10,7 +10,7 @@
 use cypressfork_core::code::Code;
 use cypressfork_core::fleet::document::budget_name;
 use cypressfork_core::fleet::limit::permits;
-use cypressfork_core::fleet::share::{Loans, Placement, Reply, Request, Short, lenders};
+use cypressfork_core::fleet::share::{Loans, Placement, Reply, Request, Shortfall, lenders};
 use cypressfork_core::fleet::telling::MessageRateLimit;
 use cypressfork_core::unit::{Millis, Time, Tokens};
 use cypressfork_node::emit;
@@ -155,7 +155,7 @@
         account: &str,
         tokens: Tokens,
         within: Duration,
-    ) -> (Option<Borrowed>, Option<Short>) {
+    ) -> (Option<Borrowed>, Option<Shortfall>) {
         let lender = self.client(&gw.me, home);
         let id = rand::random();
         let wait = Millis(within.as_millis() as u64);
@@ -164,7 +164,7 @@
         let loan = |tokens| Borrowed { lender, id, tokens, unsettled: self.unsettled.clone() };
         match answer.ok().and_then(|b| body::unpack::<Reply>(&b).ok()) {
             Some(Reply::Held(held, short)) => {
-                if short == Some(Short::Closed) {
+                if short == Some(Shortfall::Closed) {
                     self.homes.set_out(gw.now(), home);
                 }
                 ((held > 0).then(|| loan(held.min(tokens))), short)
@@ -174,7 +174,7 @@
                 loan(0).settle(0);
                 emit!(Event::HomeLost, address = home, account = account);
                 self.homes.set_out(gw.now(), home);
-                (None, Some(Short::Closed))
+                (None, Some(Shortfall::Closed))
             }
         }
     }
@@ -347,10 +347,10 @@
     ) -> Reply {
         let prepaid = gw.documents.in_force().and_then(|r| r.prepaid(account));
         let (Some(prepaid), Some(token_store)) = (prepaid, gw.token_store()) else {
-            return Reply::Held(0, Some(Short::Closed));
+            return Reply::Held(0, Some(Shortfall::Closed));
         };
         if gw.stopping.get() {
-            return Reply::Held(0, Some(Short::Closed));
+            return Reply::Held(0, Some(Shortfall::Closed));
         }
         let (budget, policy) = (budget_name(account), Policy::for_prepaid(prepaid));
         let within = Duration::from_millis(within.0.min(WAIT_MOST.0));
--- a/crates/router/src/taken.rs
+++ b/crates/router/src/taken.rs
@@ -3,7 +3,7 @@
 
 use cypressfork_core::budget::{Decision, Reservation, Shortage};
 use cypressfork_core::code::Code;
-use cypressfork_core::fleet::share::Short;
+use cypressfork_core::fleet::share::Shortfall;
 use cypressfork_core::unit::Millis;
 
 use crate::reply::Refusal;
@@ -28,7 +28,7 @@
     /// Set aside.
     pub part: Option<(Source, Reservation)>,
     /// Why not all.
-    pub short: Option<Short>,
+    pub short: Option<Shortfall>,
 }
 
 /// What an ask came to.
--- a/crates/router/src/token_store.rs
+++ b/crates/router/src/token_store.rs
@@ -12,7 +12,7 @@
 };
 use cypressfork_core::code::Code;
 use cypressfork_core::command::{Answer, Command};
-use cypressfork_core::fleet::share::Short;
+use cypressfork_core::fleet::share::Shortfall;
 use cypressfork_core::unit::{HolderId, Millis, Time, Tokens};
 use cypressfork_node::emit;
 use cypressfork_node::event::Event;
@@ -283,8 +283,10 @@
         };
         let at_hand = self.take_at_hand(budget, policy, n);
         let short = match (refusal.code, at_hand.short) {
-            (Code::BudgetSpent, _) => Some(Short::Spent),
-            (_, Some(Short::Busy(_))) => Some(Short::Busy(refusal.after.unwrap_or(BUSY_AFTER))),
+            (Code::BudgetSpent, _) => Some(Shortfall::Spent),
+            (_, Some(Shortfall::Busy(_))) => {
+                Some(Shortfall::Busy(refusal.after.unwrap_or(BUSY_AFTER)))
+            }
             (_, short) => short,
         };
         Taken { short, ..at_hand }
@@ -296,7 +298,7 @@
         let wait = p.slices.borrow().limit_wait(self.clock.now(), n);
         let part = self.reserve_part(budget, policy, n).map(|r| (Source::Group, r));
         let is_whole = part.as_ref().is_some_and(|(_, r)| r.amount() == n);
-        let short = wait.map_or(Short::Busy(BUSY_AFTER), Short::Limited);
+        let short = wait.map_or(Shortfall::Busy(BUSY_AFTER), Shortfall::Limited);
         Taken { part, short: (!is_whole).then_some(short) }
     }
 
