--- a/crates/core/src/fleet/share.rs
+++ b/crates/core/src/fleet/share.rs
@@ -38,7 +38,7 @@
 
 /// A message from one router to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Request {
+pub enum PeerRequest {
     /// Reserve as many of the tokens as the lender can spare.
     Reserve {
         /// Random id of the loan, chosen by the borrower.
@@ -94,9 +94,9 @@
     Closed,
 }
 
-/// The response to a [`Request`].
+/// The response to a [`PeerRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Reply {
+pub enum PeerReply {
     /// Number of tokens reserved; 0 if the lender can spare none.
     Reserved(Tokens),
     /// The loan is settled.
@@ -105,9 +105,9 @@
     Noted,
     /// Number of tokens reserved at a home, and the reason if not all of them are.
     Held(Tokens, Option<Shortfall>),
-    /// The response to [`Request::Permit`].
+    /// The response to [`PeerRequest::Permit`].
     Permitted(Grant),
-    /// Remaining time at the reduced rate, the response to [`Request::Settles`]; `None` if the router is
+    /// Remaining time at the reduced rate, for [`PeerRequest::Settles`]; `None` if the router is
     /// not the first issuer or issues at the full rate.
     Settles(Option<Millis>),
 }
--- a/crates/router/src/gateway/share.rs
+++ b/crates/router/src/gateway/share.rs
@@ -10,7 +10,9 @@
 use cypressfork_core::code::Code;
 use cypressfork_core::fleet::document::budget_name;
 use cypressfork_core::fleet::limit::permits;
-use cypressfork_core::fleet::share::{Loans, Placement, Reply, Request, Shortfall, lenders};
+use cypressfork_core::fleet::share::{
+    Loans, PeerReply, PeerRequest, Placement, Shortfall, lenders,
+};
 use cypressfork_core::fleet::telling::MessageRateLimit;
 use cypressfork_core::unit::{Millis, Time, Tokens};
 use cypressfork_node::emit;
@@ -108,7 +110,7 @@
 
     /// Tells the lender what was used.
     pub fn settle(self, used: Tokens) {
-        let ask = Ask::Share(body::pack(&Request::Settle { id: self.id, used }));
+        let ask = Ask::Share(body::pack(&PeerRequest::Settle { id: self.id, used }));
         self.unsettled.set(self.unsettled.get() + 1);
         actix_rt::spawn(async move {
             // Out of reach for that long, the lender counts all of it as used.
@@ -159,11 +161,11 @@
         let lender = self.client(&gw.me, home);
         let id = rand::random();
         let wait = Millis(within.as_millis() as u64);
-        let request = Request::Hold { id, account: account.to_owned(), tokens, within: wait };
+        let request = PeerRequest::Hold { id, account: account.to_owned(), tokens, within: wait };
         let answer = lender.call(Ask::Share(body::pack(&request)), within + LEND_WITHIN).await;
         let loan = |tokens| Borrowed { lender, id, tokens, unsettled: self.unsettled.clone() };
-        match answer.ok().and_then(|b| body::unpack::<Reply>(&b).ok()) {
-            Some(Reply::Held(held, short)) => {
+        match answer.ok().and_then(|b| body::unpack::<PeerReply>(&b).ok()) {
+            Some(PeerReply::Held(held, short)) => {
                 if short == Some(Shortfall::Closed) {
                     self.homes.set_out(gw.now(), home);
                 }
@@ -188,10 +190,10 @@
         within: Duration,
     ) -> Option<permits::Grant> {
         let home = self.client(&gw.me, home);
-        let request = Request::Permit(ask.clone());
+        let request = PeerRequest::Permit(ask.clone());
         let answer = home.call(Ask::Share(body::pack(&request)), within).await;
-        match body::unpack::<Reply>(&answer.ok()?).ok()? {
-            Reply::Permitted(grant) => Some(grant),
+        match body::unpack::<PeerReply>(&answer.ok()?).ok()? {
+            PeerReply::Permitted(grant) => Some(grant),
             _ => None,
         }
     }
@@ -207,10 +209,10 @@
     ) -> Option<Option<Millis>> {
         let home = self.client(&gw.me, home);
         let (replica, data_centre) = (replica.to_owned(), data_centre.to_owned());
-        let request = Request::Settles { replica, data_centre };
+        let request = PeerRequest::Settles { replica, data_centre };
         let answer = home.call(Ask::Share(body::pack(&request)), LEND_WITHIN).await;
-        match body::unpack::<Reply>(&answer.ok()?).ok()? {
-            Reply::Settles(settles) => Some(settles),
+        match body::unpack::<PeerReply>(&answer.ok()?).ok()? {
+            PeerReply::Settles(settles) => Some(settles),
             _ => None,
         }
     }
@@ -269,10 +271,10 @@
         let lender = self.client(&gw.me, address);
         let id = rand::random();
         let unsettled = self.unsettled.clone();
-        let request = Request::Reserve { id, account: account.to_owned(), tokens: most };
+        let request = PeerRequest::Reserve { id, account: account.to_owned(), tokens: most };
         let answer = lender.call(Ask::Share(body::pack(&request)), LEND_WITHIN).await;
-        match answer.ok().and_then(|b| body::unpack::<Reply>(&b).ok()) {
-            Some(Reply::Reserved(tokens)) => {
+        match answer.ok().and_then(|b| body::unpack::<PeerReply>(&b).ok()) {
+            Some(PeerReply::Reserved(tokens)) => {
                 if tokens < most {
                     let key = (address, account.to_owned());
                     self.spare.borrow_mut().insert(key, (0, gw.now()));
@@ -295,7 +297,7 @@
         if !self.telling.borrow_mut().try_take(now, peers.len() as u64) {
             return counter!(metric::UNTOLD).increment(1);
         }
-        let ask = Ask::Share(body::pack(&Request::Placed(p)));
+        let ask = Ask::Share(body::pack(&PeerRequest::Placed(p)));
         for address in peers.iter().copied() {
             let unheard = self.unheard.borrow().get(&address).copied();
             if unheard.is_some_and(|at| now.since(at) < TELL_PAUSE) {
@@ -313,26 +315,26 @@
         }
     }
 
-    fn serve(&self, gw: &Gateway, request: Request) -> Result<Reply, Code> {
+    fn serve(&self, gw: &Gateway, request: PeerRequest) -> Result<PeerReply, Code> {
         let now = gw.now();
         match request {
-            Request::Reserve { id, account, tokens } => self.lend(gw, id, &account, tokens),
-            Request::Settle { id, used } => {
+            PeerRequest::Reserve { id, account, tokens } => self.lend(gw, id, &account, tokens),
+            PeerRequest::Settle { id, used } => {
                 if let Some(lent) = self.loans.borrow_mut().settle(now, id) {
                     lent.settle(used);
                 }
-                Ok(Reply::Settled)
+                Ok(PeerReply::Settled)
             }
-            Request::Placed(p) => {
+            PeerRequest::Placed(p) => {
                 gw.placed(&p);
-                Ok(Reply::Noted)
+                Ok(PeerReply::Noted)
             }
-            Request::Permit(ask) => Ok(Reply::Permitted(gw.limits.serve(gw, &ask))),
-            Request::Settles { replica, data_centre } => {
-                Ok(Reply::Settles(gw.limits.settles(gw, &replica, &data_centre)))
+            PeerRequest::Permit(ask) => Ok(PeerReply::Permitted(gw.limits.serve(gw, &ask))),
+            PeerRequest::Settles { replica, data_centre } => {
+                Ok(PeerReply::Settles(gw.limits.settles(gw, &replica, &data_centre)))
             }
             // It may have to wait, and is served by [`Share::serve_home`].
-            Request::Hold { .. } => Err(Code::MessageBad),
+            PeerRequest::Hold { .. } => Err(Code::MessageBad),
         }
     }
 
@@ -344,13 +346,13 @@
         account: &str,
         tokens: Tokens,
         within: Millis,
-    ) -> Reply {
+    ) -> PeerReply {
         let prepaid = gw.documents.in_force().and_then(|r| r.prepaid(account));
         let (Some(prepaid), Some(token_store)) = (prepaid, gw.token_store()) else {
-            return Reply::Held(0, Some(Shortfall::Closed));
+            return PeerReply::Held(0, Some(Shortfall::Closed));
         };
         if gw.stopping.get() {
-            return Reply::Held(0, Some(Shortfall::Closed));
+            return PeerReply::Held(0, Some(Shortfall::Closed));
         }
         let (budget, policy) = (budget_name(account), Policy::for_prepaid(prepaid));
         let within = Duration::from_millis(within.0.min(WAIT_MOST.0));
@@ -358,35 +360,41 @@
             Duration::ZERO => token_store.take_at_hand(&budget, policy, tokens),
             within => token_store.take(&budget, policy, tokens, Instant::now() + within).await,
         };
-        let Some((source, reservation)) = part else { return Reply::Held(0, short) };
+        let Some((source, reservation)) = part else { return PeerReply::Held(0, short) };
         let mut loans = self.loans.borrow_mut();
         let lent = Lent { token_store, source, budget, reservation };
         // The borrower may have given up meanwhile, or asked twice.
         if let Err(lent) = loans.make_once(gw.now(), id, lent) {
             lent.settle(0);
         }
-        Reply::Held(loans.get(id).map_or(0, |lent| lent.reservation.amount()), short)
+        PeerReply::Held(loans.get(id).map_or(0, |lent| lent.reservation.amount()), short)
     }
 
-    fn lend(&self, gw: &Gateway, id: u64, account: &str, tokens: Tokens) -> Result<Reply, Code> {
+    fn lend(
+        &self,
+        gw: &Gateway,
+        id: u64,
+        account: &str,
+        tokens: Tokens,
+    ) -> Result<PeerReply, Code> {
         let mut loans = self.loans.borrow_mut();
         if let Some(lent) = loans.get(id) {
-            return Ok(Reply::Reserved(lent.reservation.amount()));
+            return Ok(PeerReply::Reserved(lent.reservation.amount()));
         }
         let prepaid = gw.documents.in_force().and_then(|r| r.prepaid(account));
         let (Some(prepaid), Some(token_store)) = (prepaid, gw.token_store()) else {
-            return Ok(Reply::Reserved(0));
+            return Ok(PeerReply::Reserved(0));
         };
         let (budget, policy) = (budget_name(account), Policy::for_prepaid(prepaid));
         let reservation = match loans.may_make(id) {
             true => token_store.reserve_part(&budget, policy, tokens),
             false => None,
         };
-        let Some(reservation) = reservation else { return Ok(Reply::Reserved(0)) };
+        let Some(reservation) = reservation else { return Ok(PeerReply::Reserved(0)) };
         let lent = reservation.amount();
         let source = Source::Group;
         loans.make(gw.now(), id, Lent { token_store, source, budget, reservation });
-        Ok(Reply::Reserved(lent))
+        Ok(PeerReply::Reserved(lent))
     }
 }
 
@@ -418,10 +426,10 @@
     });
     while let Ok(Frame::Call(c)) = reader.next().await {
         let request = match &c.ask {
-            Ask::Share(bytes) => body::unpack::<Request>(bytes).map_err(|_| Code::MessageBad),
+            Ask::Share(bytes) => body::unpack::<PeerRequest>(bytes).map_err(|_| Code::MessageBad),
             _ => Err(Code::MessageBad),
         };
-        if let Ok(Request::Hold { id, account, tokens, within }) = request {
+        if let Ok(PeerRequest::Hold { id, account, tokens, within }) = request {
             // Others on this link need not wait for it.
             let (gw, tx) = (gw.clone(), tx.clone());
             actix_rt::spawn(async move {
@@ -439,7 +447,7 @@
     writing.abort();
 }
 
-fn answer(id: i64, result: Result<Reply, Code>) -> Frame {
+fn answer(id: i64, result: Result<PeerReply, Code>) -> Frame {
     Frame::Answer(match result {
         Ok(reply) => Return::new(id, 0, Some(body::pack(&reply)), None),
         Err(code) => Return::new(id, i32::from(code.number()), None, None),
--- a/crates/wire/tests/fuzz.rs
+++ b/crates/wire/tests/fuzz.rs
@@ -9,7 +9,7 @@
 use cypressfork_core::command::{Answer, Command};
 use cypressfork_core::fleet::limit::Rate;
 use cypressfork_core::fleet::limit::known::Word;
-use cypressfork_core::fleet::share::{Reply as Lent, Request};
+use cypressfork_core::fleet::share::{PeerReply as Lent, PeerRequest};
 use cypressfork_core::fleet::transfer::{Part, PartRequest};
 use cypressfork_core::fleet::watch::{RouterStatus, Watch, WatchResponse};
 use cypressfork_core::query::{Query, Reply};
@@ -92,7 +92,7 @@
     one::<Answer>(bytes);
     one::<Query>(bytes);
     one::<Reply>(bytes);
-    one::<Request>(bytes);
+    one::<PeerRequest>(bytes);
     one::<Lent>(bytes);
     one::<Members>(bytes);
 }
