--- a/crates/core/src/fleet/share.rs
+++ b/crates/core/src/fleet/share.rs
@@ -114,7 +114,7 @@
 
 /// Returns at most `limit` lenders to ask, in descending order of the tokens they can probably spare.
 /// Ties are in random order, so that borrowers do not all ask the same lender.
-pub fn lenders<K>(
+pub fn choose_lenders<K>(
     peers: impl IntoIterator<Item = (K, Tokens)>,
     limit: usize,
     rng: &mut impl Rng,
@@ -128,7 +128,7 @@
 
 /// Splits `used` tokens over the parts of a reservation: fills them in order and returns the charge of
 /// each.
-pub fn charges(parts: &[Tokens], used: Tokens) -> Vec<Tokens> {
+pub fn split_charge(parts: &[Tokens], used: Tokens) -> Vec<Tokens> {
     let mut remaining = used;
     let mut charge = |part: &Tokens| {
         let charged = remaining.min(*part);
@@ -154,7 +154,7 @@
 impl<R> Loans<R> {
     /// Returns whether loan `id` may be made; false if it was already settled, because then its request
     /// arrived late.
-    pub fn may_make(&self, id: u64) -> bool {
+    pub fn can_open(&self, id: u64) -> bool {
         !self.settled.contains_key(&id)
     }
 
@@ -163,11 +163,11 @@
     /// # Errors
     ///
     /// Returns `held`, for the caller to release, if the loan was made or settled meanwhile.
-    pub fn make_once(&mut self, now: Time, id: u64, held: R) -> Result<(), R> {
-        if self.open.contains_key(&id) || !self.may_make(id) {
+    pub fn open_once(&mut self, now: Time, id: u64, held: R) -> Result<(), R> {
+        if self.open.contains_key(&id) || !self.can_open(id) {
             return Err(held);
         }
-        self.make(now, id, held);
+        self.open(now, id, held);
         Ok(())
     }
 
@@ -177,7 +177,7 @@
     }
 
     /// Records loan `id` with the reservation `held`.
-    pub fn make(&mut self, now: Time, id: u64, held: R) {
+    pub fn open(&mut self, now: Time, id: u64, held: R) {
         self.open.insert(id, (now, held));
     }
 
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -15,7 +15,7 @@
 use cypressfork_core::fleet::repair::{Candidates, Health, next_change};
 use cypressfork_core::fleet::retry::{RetryLimit, RetryWindow};
 use cypressfork_core::fleet::routes::Routes;
-use cypressfork_core::fleet::share::{Loans, charges, lenders};
+use cypressfork_core::fleet::share::{Loans, choose_lenders, split_charge};
 use cypressfork_core::fleet::watch::{Announce, RouterStatus};
 use cypressfork_core::raft::{MemberChange, Members};
 use cypressfork_core::unit::{Millis, NodeId, Time};
@@ -310,21 +310,21 @@
 #[test]
 fn a_loan_is_settled_once_and_never_made_after() {
     let mut l: Loans<&str> = Loans::default();
-    assert!(l.may_make(1));
-    l.make(Time(0), 1, "held");
+    assert!(l.can_open(1));
+    l.open(Time(0), 1, "held");
     assert!(l.get(1).is_some());
     assert_eq!(l.settle(Time(10), 1), Some("held"));
     assert_eq!(l.settle(Time(10), 1), None, "a resent word changes nothing");
-    assert!(!l.may_make(1), "a request that comes after its end");
+    assert!(!l.can_open(1), "a request that comes after its end");
     assert_eq!(l.settle(Time(10), 2), None);
-    assert!(!l.may_make(2), "settled before its request came");
+    assert!(!l.can_open(2), "settled before its request came");
 }
 
 #[test]
 fn a_silent_borrower_is_taken_to_have_used_all() {
     let mut l = Loans::default();
-    l.make(Time(0), 1, "first");
-    l.make(Time(30_000), 2, "second");
+    l.open(Time(0), 1, "first");
+    l.open(Time(30_000), 2, "second");
     assert_eq!(l.expire(Time(44_999)), Vec::<&str>::new());
     assert_eq!(l.expire(Time(45_000)), ["first"]);
     assert!(l.get(2).is_some());
@@ -339,7 +339,7 @@
     let hope = |n: u64| if n == 2 { 900 } else { 10 };
     let mut seconds = BTreeMap::new();
     for _ in 0..50 {
-        let asked = lenders((0..peers).map(|n| (n, hope(n))), 2, &mut rng);
+        let asked = choose_lenders((0..peers).map(|n| (n, hope(n))), 2, &mut rng);
         assert_eq!((asked.len(), asked[0]), (2, 2));
         *seconds.entry(asked[1]).or_insert(0) += 1;
     }
@@ -359,7 +359,7 @@
     #[case] used: u64,
     #[case] charged: &[u64],
 ) {
-    assert_eq!(charges(parts, used), charged);
+    assert_eq!(split_charge(parts, used), charged);
 }
 
 #[rstest]
--- a/crates/core/tests/loans.rs
+++ b/crates/core/tests/loans.rs
@@ -30,7 +30,7 @@
     fn hold(&mut self, now: Time, id: u64, wanted: Tokens) -> Tokens {
         let part = wanted.min(self.idle);
         self.idle -= part;
-        match self.loans.make_once(now, id, part) {
+        match self.loans.open_once(now, id, part) {
             Ok(()) => {
                 self.open.insert(id, part);
             }
--- a/crates/router/src/gateway/budget.rs
+++ b/crates/router/src/gateway/budget.rs
@@ -7,7 +7,7 @@
 use cypressfork_core::budget::{Policy, Reservation};
 use cypressfork_core::code::Code;
 use cypressfork_core::fleet::document::budget_name;
-use cypressfork_core::fleet::share::{Shortfall, charges};
+use cypressfork_core::fleet::share::{Shortfall, split_charge};
 use cypressfork_core::unit::{Millis, Tokens};
 use tokio::time::Instant;
 
@@ -280,7 +280,7 @@
         let made = events.saturating_mul(s.stride);
         let used = if s.ran { self.prompt.saturating_add(made) } else { 0 };
         let parts: Vec<Tokens> = self.parts.iter().map(Part::amount).collect();
-        for (part, charge) in self.parts.into_iter().zip(charges(&parts, used)) {
+        for (part, charge) in self.parts.into_iter().zip(split_charge(&parts, used)) {
             part.settle(charge);
         }
     }
--- a/crates/router/src/gateway/share.rs
+++ b/crates/router/src/gateway/share.rs
@@ -11,7 +11,7 @@
 use cypressfork_core::fleet::document::budget_name;
 use cypressfork_core::fleet::limit::permits;
 use cypressfork_core::fleet::share::{
-    Loans, PeerReply, PeerRequest, Placement, Shortfall, lenders,
+    Loans, PeerReply, PeerRequest, Placement, Shortfall, choose_lenders,
 };
 use cypressfork_core::fleet::telling::MessageRateLimit;
 use cypressfork_core::unit::{Millis, Time, Tokens};
@@ -228,7 +228,7 @@
         };
         let peers = self.peers.borrow();
         let all = peers.iter().map(|a| (*a, hope(a)));
-        lenders(all.filter(|(_, hope)| *hope > 0), LENDERS, &mut rand::rng())
+        choose_lenders(all.filter(|(_, hope)| *hope > 0), LENDERS, &mut rand::rng())
     }
 
     /// Borrows `tokens` of peers, a part from each; none if those that answer cannot spare enough.
@@ -364,7 +364,7 @@
         let mut loans = self.loans.borrow_mut();
         let lent = Lent { token_store, source, budget, reservation };
         // The borrower may have given up meanwhile, or asked twice.
-        if let Err(lent) = loans.make_once(gw.now(), id, lent) {
+        if let Err(lent) = loans.open_once(gw.now(), id, lent) {
             lent.settle(0);
         }
         PeerReply::Held(loans.get(id).map_or(0, |lent| lent.reservation.amount()), short)
@@ -386,14 +386,14 @@
             return Ok(PeerReply::Reserved(0));
         };
         let (budget, policy) = (budget_name(account), Policy::for_prepaid(prepaid));
-        let reservation = match loans.may_make(id) {
+        let reservation = match loans.can_open(id) {
             true => token_store.reserve_part(&budget, policy, tokens),
             false => None,
         };
         let Some(reservation) = reservation else { return Ok(PeerReply::Reserved(0)) };
         let lent = reservation.amount();
         let source = Source::Group;
-        loans.make(gw.now(), id, Lent { token_store, source, budget, reservation });
+        loans.open(gw.now(), id, Lent { token_store, source, budget, reservation });
         Ok(PeerReply::Reserved(lent))
     }
 }
