--- a/crates/core/src/fleet/ends.rs
+++ b/crates/core/src/fleet/ends.rs
@@ -9,7 +9,7 @@
 //! - another replica is at its address, or it has restarted under its id: it has ended;
 //! - its heartbeats stop: it has ended;
 //! - it is draining or has left: its end is planned and no request is suspected of causing it;
-//! - none of these for [`HEARD_WITHIN`]: it is alive.
+//! - none of these for [`CASE_TIMEOUT`]: it is alive.
 
 use std::net::SocketAddr;
 
@@ -17,7 +17,7 @@
 
 /// How long a case stays open. A replica is silent after four missed heartbeats, which are 3 s apart in
 /// large fleets, and the change takes up to a second to arrive.
-pub const HEARD_WITHIN: Millis = Millis::seconds(15);
+pub const CASE_TIMEOUT: Millis = Millis::seconds(15);
 
 /// Maximum number of open cases of one gateway; the oldest is dropped. A case takes some hundred bytes
 /// per lost request.
@@ -25,42 +25,42 @@
 
 /// Evidence that a replica has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Shown {
+pub enum EndEvidence {
     /// Its address refuses connections.
     Refused,
     /// Another replica is at its address.
-    Another,
+    AddressReused,
     /// It has restarted under the same id.
-    LaterLife,
+    Restarted,
     /// It has missed several heartbeats.
     Silent,
 }
 
-impl Shown {
+impl EndEvidence {
     /// Returns the text for logs.
-    pub fn text(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Shown::Refused => "its address refuses connections",
-            Shown::Another => "another replica is at its address",
-            Shown::LaterLife => "it has restarted under the same id",
-            Shown::Silent => "it has missed several heartbeats",
+            EndEvidence::Refused => "its address refuses connections",
+            EndEvidence::AddressReused => "another replica is at its address",
+            EndEvidence::Restarted => "it has restarted under the same id",
+            EndEvidence::Silent => "it has missed several heartbeats",
         }
     }
 }
 
 /// A change of a replica that may close open cases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sign<'a> {
+pub enum ReplicaEvent<'a> {
     /// A replica with a new id has registered at this address.
-    Arrived(SocketAddr, &'a str),
+    Registered(SocketAddr, &'a str),
     /// The process at its address has answered that it is not this replica.
     NotThere(&'a str),
     /// It has restarted under the same id.
-    LaterLife(&'a str),
+    Restarted(&'a str),
     /// It has missed several heartbeats.
     Silent(&'a str),
     /// It is draining or has left.
-    Leaves(&'a str),
+    Leaving(&'a str),
 }
 
 /// Lost connections to one replica; `V` describes a request that was active on one of them.
@@ -73,7 +73,7 @@
     /// When the first connection was lost.
     pub since: Time,
     /// Requests that were active on the connections.
-    pub lost: Vec<V>,
+    pub requests: Vec<V>,
 }
 
 struct Case<V> {
@@ -83,47 +83,47 @@
 }
 
 /// Losses whose cause is not decided yet.
-pub struct Ends<V> {
+pub struct ConnectionLosses<V> {
     cases: Vec<Case<V>>,
 }
 
-impl<V> Default for Ends<V> {
-    fn default() -> Ends<V> {
-        Ends { cases: Vec::new() }
+impl<V> Default for ConnectionLosses<V> {
+    fn default() -> ConnectionLosses<V> {
+        ConnectionLosses { cases: Vec::new() }
     }
 }
 
-impl<V> Ends<V> {
+impl<V> ConnectionLosses<V> {
     /// Records that a connection to `replica` with request `v` was lost at `now`.
     ///
     /// Returns whether the caller has to probe the address, because no probe for this replica is running.
-    pub fn lost(&mut self, now: Time, address: SocketAddr, replica: &str, v: V) -> bool {
+    pub fn record_loss(&mut self, now: Time, address: SocketAddr, replica: &str, v: V) -> bool {
         let matches = |c: &&mut Case<V>| c.probing && c.loss.is_of(address, replica);
         if let Some(c) = self.cases.iter_mut().find(matches) {
-            c.loss.lost.push(v);
+            c.loss.requests.push(v);
             return false;
         }
         if self.cases.len() >= MAX_CASES {
             self.cases.remove(0);
         }
-        let loss = Loss { address, replica: replica.to_owned(), since: now, lost: vec![v] };
+        let loss = Loss { address, replica: replica.to_owned(), since: now, requests: vec![v] };
         self.cases.push(Case { loss, probing: true });
         true
     }
 
     /// Closes and returns the losses of a replica whose address refuses connections: it has ended.
-    pub fn refused(&mut self, address: SocketAddr, replica: &str) -> Vec<Loss<V>> {
+    pub fn confirm_ended(&mut self, address: SocketAddr, replica: &str) -> Vec<Loss<V>> {
         self.close(|l| l.is_of(address, replica))
     }
 
     /// Closes and returns the losses of a replica that is alive: a connection from before them is open.
-    pub fn lives(&mut self, address: SocketAddr, replica: &str) -> Vec<Loss<V>> {
+    pub fn confirm_alive(&mut self, address: SocketAddr, replica: &str) -> Vec<Loss<V>> {
         self.close(|l| l.is_of(address, replica))
     }
 
     /// Ends the probe of a replica's address that keeps accepting connections. Its losses stay open until
     /// a change of the replica or the timeout closes them.
-    pub fn listens(&mut self, address: SocketAddr, replica: &str) {
+    pub fn end_probe(&mut self, address: SocketAddr, replica: &str) {
         let matches = |c: &&mut Case<V>| c.loss.is_of(address, replica);
         self.cases.iter_mut().filter(matches).for_each(|c| c.probing = false);
     }
@@ -135,27 +135,31 @@
 
     /// Closes the losses that a change of a replica decides. Returns them with the evidence that the
     /// replica has ended; `None` if there are none or the replica leaves as planned.
-    pub fn take(&mut self, sign: Sign<'_>) -> Option<(Shown, Vec<Loss<V>>)> {
-        let (shown, closed) = match sign {
-            Sign::Arrived(at, id) => {
-                (Shown::Another, self.close(|l| l.address == at && l.replica != id))
+    pub fn apply(&mut self, event: ReplicaEvent<'_>) -> Option<(EndEvidence, Vec<Loss<V>>)> {
+        let (evidence, closed) = match event {
+            ReplicaEvent::Registered(at, id) => {
+                (EndEvidence::AddressReused, self.close(|l| l.address == at && l.replica != id))
             }
-            Sign::NotThere(id) => (Shown::Another, self.close(|l| l.replica == id)),
-            Sign::LaterLife(id) => (Shown::LaterLife, self.close(|l| l.replica == id)),
-            Sign::Silent(id) => (Shown::Silent, self.close(|l| l.replica == id)),
-            Sign::Leaves(id) => {
+            ReplicaEvent::NotThere(id) => {
+                (EndEvidence::AddressReused, self.close(|l| l.replica == id))
+            }
+            ReplicaEvent::Restarted(id) => {
+                (EndEvidence::Restarted, self.close(|l| l.replica == id))
+            }
+            ReplicaEvent::Silent(id) => (EndEvidence::Silent, self.close(|l| l.replica == id)),
+            ReplicaEvent::Leaving(id) => {
                 self.close(|l| l.replica == id);
                 return None;
             }
         };
-        (!closed.is_empty()).then_some((shown, closed))
+        (!closed.is_empty()).then_some((evidence, closed))
     }
 
-    /// Closes the cases older than [`HEARD_WITHIN`], whose replicas count as alive. Returns the number of
+    /// Closes the cases older than [`CASE_TIMEOUT`], whose replicas count as alive. Returns the number of
     /// requests in them.
-    pub fn forget(&mut self, now: Time) -> usize {
-        let expired = self.close(|l| now.since(l.since) >= HEARD_WITHIN);
-        expired.iter().map(|l| l.lost.len()).sum()
+    pub fn expire(&mut self, now: Time) -> usize {
+        let expired = self.close(|l| now.since(l.since) >= CASE_TIMEOUT);
+        expired.iter().map(|l| l.requests.len()).sum()
     }
 
     fn close(&mut self, matches: impl Fn(&Loss<V>) -> bool) -> Vec<Loss<V>> {
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use cypressfork_core::budget::report_interval;
-use cypressfork_core::fleet::ends::Sign;
+use cypressfork_core::fleet::ends::ReplicaEvent;
 use cypressfork_core::fleet::evacuation::Evacuations;
 use cypressfork_core::fleet::pace::Pace;
 use cypressfork_core::fleet::registry::{Record, ReplicaStatus};
@@ -45,7 +45,7 @@
 use super::settings::Settings;
 use super::share::Share;
 use super::upstream::Connections;
-use super::witness::{Witness, take_sign};
+use super::witness::{Witness, take_replica_event};
 use crate::token_store::TokenStore;
 
 /// Prompts of which a replica has to read so many tokens are told to other gateways. Reading fewer
@@ -326,21 +326,23 @@
                 continue;
             };
             changes.iter().for_each(|c| self.change_pool(now, c));
-            self.take_signs(start, standing, &id, &address);
+            self.take_replica_events(start, standing, &id, &address);
             news.push(ReplicaNews { id, address, sequence, standing });
         }
         tell_replicas(&news);
     }
 
     /// Takes what news of a replica say of one whose connections were lost.
-    fn take_signs(&self, start: Start, standing: ReplicaStatus, id: &str, address: &str) {
+    fn take_replica_events(&self, start: Start, standing: ReplicaStatus, id: &str, address: &str) {
         match (start, standing) {
-            (Start::Restarted, _) => take_sign(self, Sign::LaterLife(id)),
-            (_, ReplicaStatus::Silent) => take_sign(self, Sign::Silent(id)),
-            (_, ReplicaStatus::Draining | ReplicaStatus::Left) => take_sign(self, Sign::Leaves(id)),
+            (Start::Restarted, _) => take_replica_event(self, ReplicaEvent::Restarted(id)),
+            (_, ReplicaStatus::Silent) => take_replica_event(self, ReplicaEvent::Silent(id)),
+            (_, ReplicaStatus::Draining | ReplicaStatus::Left) => {
+                take_replica_event(self, ReplicaEvent::Leaving(id))
+            }
             (Start::New, ReplicaStatus::Ready) => {
                 if let Ok(address) = address.parse() {
-                    take_sign(self, Sign::Arrived(address, id));
+                    take_replica_event(self, ReplicaEvent::Registered(address, id));
                 }
             }
             (Start::Known, ReplicaStatus::Ready) => {}
@@ -349,7 +351,7 @@
 
     /// Takes an answer that says that this replica is not at its address any more.
     pub fn replica_not_there(&self, id: &str) {
-        take_sign(self, Sign::NotThere(id));
+        take_replica_event(self, ReplicaEvent::NotThere(id));
         let change = self.replicas.borrow_mut().mark_replaced(id);
         if let Some(c) = &change {
             emit!(Event::ReplicaReplaced, replica = id, address = c.address);
--- a/crates/router/src/gateway/witness.rs
+++ b/crates/router/src/gateway/witness.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use cypressfork_core::fleet::ends::{Ends, Loss, Shown, Sign};
+use cypressfork_core::fleet::ends::{ConnectionLosses, EndEvidence, Loss, ReplicaEvent};
 use cypressfork_core::fleet::fingerprint::Fingerprint;
 use cypressfork_core::unit::Millis;
 use cypressfork_http::client::{Connection, Presence};
@@ -53,7 +53,7 @@
 /// The replicas whose connections ended, until it is known whether they have ended themselves.
 #[derive(Default)]
 pub struct Witness {
-    ends: RefCell<Ends<Victim>>,
+    ends: RefCell<ConnectionLosses<Victim>>,
 }
 
 /// Notes that a connection to `replica`, on which a request was sent at `sent`, has ended.
@@ -67,8 +67,8 @@
         age: Millis(sent.elapsed().as_millis() as u64),
     };
     let mut ends = gw.witness.ends.borrow_mut();
-    note_lives(ends.forget(gw.now()));
-    if ends.lost(gw.now(), address, replica, victim) {
+    note_lives(ends.expire(gw.now()));
+    if ends.record_loss(gw.now(), address, replica, victim) {
         actix_rt::spawn(look(gw.clone(), address, replica.to_owned()));
     }
 }
@@ -79,14 +79,14 @@
     let mut found = Connection::probe(address).await;
     sleep(GATHER).await;
     if gw.connections.any_open(Instant::now(), address) {
-        let lives = ends.borrow_mut().lives(address, &replica);
-        return note_lives(lives.iter().map(|l| l.lost.len()).sum());
+        let lives = ends.borrow_mut().confirm_alive(address, &replica);
+        return note_lives(lives.iter().map(|l| l.requests.len()).sum());
     }
     for n in 0..LOOKS {
         match found {
             Presence::Nobody => {
-                let closed = ends.borrow_mut().refused(address, &replica);
-                return note_ended(&gw, Shown::Refused, closed);
+                let closed = ends.borrow_mut().confirm_ended(address, &replica);
+                return note_ended(&gw, EndEvidence::Refused, closed);
             }
             Presence::There(mut c) => {
                 if timeout(WATCHED, c.ended_unused()).await.is_err() {
@@ -101,12 +101,12 @@
         }
         found = Connection::probe(address).await;
     }
-    ends.borrow_mut().listens(address, &replica);
+    ends.borrow_mut().end_probe(address, &replica);
 }
 
 /// Takes news of a replica: they may show that one whose connections were lost has ended.
-pub fn take_sign(gw: &Gateway, sign: Sign<'_>) {
-    let shown = gw.witness.ends.borrow_mut().take(sign);
+pub fn take_replica_event(gw: &Gateway, event: ReplicaEvent<'_>) {
+    let shown = gw.witness.ends.borrow_mut().apply(event);
     if let Some((shown, losses)) = shown {
         note_ended(gw, shown, losses);
     }
@@ -116,15 +116,15 @@
     counter!(metric::LOST_CONNECTIONS, "replica" => "lives").increment(requests as u64);
 }
 
-fn note_ended(gw: &Gateway, shown: Shown, losses: Vec<Loss<Victim>>) {
+fn note_ended(gw: &Gateway, shown: EndEvidence, losses: Vec<Loss<Victim>>) {
     for l in losses {
-        counter!(metric::LOST_CONNECTIONS, "replica" => "ended").increment(l.lost.len() as u64);
-        l.lost.iter().for_each(|v| tell(gw, shown, &l, v));
-        gw.quarantines.ended(gw, &l.replica, l.since, l.lost);
+        counter!(metric::LOST_CONNECTIONS, "replica" => "ended").increment(l.requests.len() as u64);
+        l.requests.iter().for_each(|v| tell(gw, shown, &l, v));
+        gw.quarantines.ended(gw, &l.replica, l.since, l.requests);
     }
 }
 
-fn tell(gw: &Gateway, shown: Shown, l: &Loss<Victim>, v: &Victim) {
+fn tell(gw: &Gateway, shown: EndEvidence, l: &Loss<Victim>, v: &Victim) {
     emit!(
         Event::ReplicaEnded,
         id = v.id,
@@ -135,6 +135,6 @@
         age_ms = v.age.0,
         ago_ms = gw.now().since(l.since).0,
         sound = gw.quarantines.is_sound(v.hash),
-        shown = shown.text(),
+        shown = shown.as_str(),
     );
 }
