--- a/crates/control/src/founding.rs
+++ b/crates/control/src/founding.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use cypressfork_core::fleet::contacts::Place;
+use cypressfork_core::fleet::contacts::GroupStatus;
 use cypressfork_core::fleet::watch::Announce;
 use cypressfork_core::query::{Identity, Query, Reply};
 use cypressfork_core::raft::Members;
@@ -37,7 +37,7 @@
     own: SocketAddr,
     group: Group,
     founders: Option<Vec<SocketAddr>>,
-    place: watch::Receiver<Place>,
+    place: watch::Receiver<GroupStatus>,
     confirmed: mpsc::Sender<Members>,
 ) {
     let started = Instant::now();
@@ -63,7 +63,7 @@
 
 /// Tells the leader that this process is there. One that waits to be welcomed back asks it for the
 /// members too: those in its own log may all have been replaced.
-async fn seek(group: &Group, own: SocketAddr, p: &Place, confirmed: &mpsc::Sender<Members>) {
+async fn seek(group: &Group, own: SocketAddr, p: &GroupStatus, confirmed: &mpsc::Sender<Members>) {
     let a = Announce { node: p.node, address: own.to_string() };
     if group.call(Ask::Announce(body::pack(&a)), ANNOUNCE_WITHIN).await.is_err() {
         return;
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -11,7 +11,7 @@
 use cypressfork_core::budget::{LeaseRequest, Shortage};
 use cypressfork_core::code::Code;
 use cypressfork_core::command::{Answer, Command};
-use cypressfork_core::fleet::contacts::{Lead, Place};
+use cypressfork_core::fleet::contacts::{GroupStatus, Lead};
 use cypressfork_core::member::HolderHeartbeats;
 use cypressfork_core::query::{Identity, Query};
 use cypressfork_core::raft::{
@@ -167,13 +167,13 @@
     }
 
     /// How this replica stands with its group.
-    pub fn place(&self) -> Place {
+    pub fn place(&self) -> GroupStatus {
         let raft = &self.raft;
-        Place {
+        GroupStatus {
             node: raft.id(),
             members: raft.members().clone(),
-            led: raft.leader().is_some(),
-            empty: raft.log().last_index() == 0,
+            has_leader: raft.leader().is_some(),
+            log_empty: raft.log().last_index() == 0,
             rejoining: !raft.joined(),
         }
     }
--- a/crates/control/src/run.rs
+++ b/crates/control/src/run.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use cypressfork_core::code::Code;
-use cypressfork_core::fleet::contacts::Place;
+use cypressfork_core::fleet::contacts::GroupStatus;
 use cypressfork_core::fleet::regions::Regions;
 use cypressfork_core::raft::Restored;
 use cypressfork_http::operators;
@@ -76,7 +76,7 @@
     group: Group,
 ) -> Result<Fleet, Failure> {
     let (local, calls) = mpsc::channel(CALLS);
-    let (place, places) = watch::channel(Place::default());
+    let (place, places) = watch::channel(GroupStatus::default());
     let (confirmed, confirmed_members) = mpsc::channel(1);
     let place_group = group.clone();
     let api = Rc::new(Api { group, local });
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -11,7 +11,7 @@
 use cypressfork_core::code::Code;
 use cypressfork_core::command::{Answer, Command};
 use cypressfork_core::fleet::clocks::Clocks;
-use cypressfork_core::fleet::contacts::{Contacts, Place};
+use cypressfork_core::fleet::contacts::{Contacts, GroupStatus};
 use cypressfork_core::fleet::regions::Regions;
 use cypressfork_core::fleet::watch::{FeedCursor, WatchResponse};
 use cypressfork_core::query::{Query, Reply};
@@ -94,7 +94,7 @@
     /// Calls that arrive over HTTP.
     pub calls: mpsc::Receiver<Local>,
     /// Where it tells how it stands with its group.
-    pub place: place::Sender<Place>,
+    pub place: place::Sender<GroupStatus>,
     /// The members that the group's leader names to a process that seeks its group.
     pub confirmed_members: mpsc::Receiver<Members>,
     /// Addresses of control processes that it was told of.
--- a/crates/core/src/fleet/contacts.rs
+++ b/crates/core/src/fleet/contacts.rs
@@ -80,30 +80,30 @@
 
 /// A control process's view of its own membership in the control group.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Place {
+pub struct GroupStatus {
     /// The node id stored in its data folder; 0 until it is read.
     pub node: NodeId,
     /// The members named in its log.
     pub members: Members,
     /// Whether it knows a leader.
-    pub led: bool,
+    pub has_leader: bool,
     /// Whether its log holds no entries beyond the founding members.
-    pub empty: bool,
+    pub log_empty: bool,
     /// Whether it still waits to rejoin the group after a restart.
     pub rejoining: bool,
 }
 
-impl Place {
+impl GroupStatus {
     /// Returns whether it is a founding member of a group that has not had a leader yet, as far as it
     /// knows.
     pub fn is_founding(&self) -> bool {
-        self.empty && !self.led && self.members.voters.contains(&self.node)
+        self.log_empty && !self.has_leader && self.members.voters.contains(&self.node)
     }
 
     /// Returns whether it has to announce itself to the leader because it is not a voter of a led
     /// group. `waited` is the time since its start: founding members wait for each other first.
     pub fn seeks_group(&self, waited: Millis) -> bool {
-        let is_led_voter = self.led && self.members.voters.contains(&self.node);
+        let is_led_voter = self.has_leader && self.members.voters.contains(&self.node);
         !is_led_voter && (!self.is_founding() || waited >= FOUNDING_TIMEOUT)
     }
 }
