--- a/crates/control/src/fleet_view.rs
+++ b/crates/control/src/fleet_view.rs
@@ -1,7 +1,7 @@
 //! What a control process knows of the fleet without its being durable: replicas that register,
 //! routers that ask, and processes that want to join the group.
 
-use cypressfork_core::fleet::contacts::Lead;
+use cypressfork_core::fleet::contacts::Leader;
 use cypressfork_core::fleet::entry::Routers;
 use cypressfork_core::fleet::evacuation::Evacuations;
 use cypressfork_core::fleet::limit::Named;
@@ -68,7 +68,7 @@
     /// The routers that have registered.
     pub registered: &'a Registered,
     /// Who leads the group, if that is known here.
-    pub lead: Option<Lead>,
+    pub lead: Option<Leader>,
     /// The data centre of this process.
     pub data_centre: &'a str,
     /// The data centres that get no new work.
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -11,7 +11,7 @@
 use cypressfork_core::budget::{LeaseRequest, Shortage};
 use cypressfork_core::code::Code;
 use cypressfork_core::command::{Answer, Command};
-use cypressfork_core::fleet::contacts::{GroupStatus, Lead};
+use cypressfork_core::fleet::contacts::{GroupStatus, Leader};
 use cypressfork_core::member::HolderHeartbeats;
 use cypressfork_core::query::{Identity, Query};
 use cypressfork_core::raft::{
@@ -179,9 +179,9 @@
     }
 
     /// Who leads, if this replica counts in the group and knows.
-    pub fn lead(&self) -> Option<Lead> {
+    pub fn lead(&self) -> Option<Leader> {
         let address = self.leader_address()?;
-        Some(Lead { term: self.raft.term(), address })
+        Some(Leader { term: self.raft.term(), address })
     }
 
     /// Takes the members that the group's leader names.
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -272,9 +272,9 @@
             }
             Input::Seen(from, seen) => {
                 self.clocks.note(at.now, from, Time(seen.wall));
-                seen.controls.iter().for_each(|a| self.contacts.hear(at.now, a));
+                seen.controls.iter().for_each(|a| self.contacts.record(at.now, a));
                 if let Some(lead) = &seen.lead {
-                    self.contacts.hear_lead(at.now, lead);
+                    self.contacts.record_leader(at.now, lead);
                 }
                 if let Some(f) = &mut self.fleet {
                     f.view.learn(at.now, seen.replicas, &seen.beats, &seen.limits);
@@ -395,7 +395,7 @@
     /// Where the group's leader is: a process that does not count in the group has been told of it
     /// by others, so that a caller who knows nobody else finds it.
     fn leader_address(&self) -> Option<String> {
-        let told = || self.contacts.lead(self.clock.now()).map(|l| l.address.clone());
+        let told = || self.contacts.leader(self.clock.now()).map(|l| l.address.clone());
         self.machine.leader_address().or_else(told)
     }
 
--- a/crates/control/src/server/fleet.rs
+++ b/crates/control/src/server/fleet.rs
@@ -40,7 +40,7 @@
         match (&mut self.fleet, question) {
             (Some(f), Ok(w)) => {
                 if let Some(address) = &w.control {
-                    self.contacts.hear(at.now, address);
+                    self.contacts.record(at.now, address);
                 }
                 f.view.watch(at.now, w, to);
             }
@@ -144,7 +144,7 @@
         let all = members.into_iter().chain(f.seeds.iter().copied()).chain(heard);
         let all: BTreeSet<_> = all.filter(|a| a.to_string() != self.address).collect();
         self.group.learn(all.iter().copied());
-        let lead = self.machine.lead().or_else(|| self.contacts.lead(at.now).cloned());
+        let lead = self.machine.lead().or_else(|| self.contacts.leader(at.now).cloned());
         if let Some(lead) = &lead
             && let Ok(leader) = lead.address.parse()
         {
--- a/crates/control/tests/support/places.rs
+++ b/crates/control/tests/support/places.rs
@@ -38,7 +38,7 @@
 
     /// Where a process has been told that the leader is.
     pub fn told_leader(&self, id: NodeId) -> Option<String> {
-        self.nodes[&id].contacts.lead(self.now).map(|l| l.address.clone())
+        self.nodes[&id].contacts.leader(self.now).map(|l| l.address.clone())
     }
 
     /// Power and disk are lost; another identity starts at the address. Returns it.
@@ -99,11 +99,11 @@
             let told = self.machine(to).members().addresses.clone();
             let lead = self.machine(to).lead();
             let own = self.nodes[&id].address.clone();
-            self.nodes.get_mut(&to).unwrap().contacts.hear(now, &own);
+            self.nodes.get_mut(&to).unwrap().contacts.record(now, &own);
             let contacts = &mut self.nodes.get_mut(&id).unwrap().contacts;
-            told.values().for_each(|a| contacts.hear(now, a));
+            told.values().for_each(|a| contacts.record(now, a));
             if let Some(lead) = lead {
-                contacts.hear_lead(now, &lead);
+                contacts.record_leader(now, &lead);
             }
         }
     }
@@ -118,7 +118,7 @@
         let all = self.known_to(id);
         let node = self.nodes.get_mut(&id).unwrap();
         node.announced += 1;
-        let lead = node.contacts.lead(self.now).map(|l| l.address.clone());
+        let lead = node.contacts.leader(self.now).map(|l| l.address.clone());
         let first = lead.unwrap_or_else(|| all[node.announced % all.len()].clone());
         let Some(first) = self.at(&first).filter(|to| self.reaches(id, *to)) else { return };
         let named = self.machine(first).leader_address().and_then(|a| self.at(&a));
--- a/crates/core/src/fleet/contacts.rs
+++ b/crates/core/src/fleet/contacts.rs
@@ -28,7 +28,7 @@
 
 /// The leader of a control group.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Lead {
+pub struct Leader {
     /// The Raft term in which it leads.
     pub term: Term,
     /// The address on which it listens for other control processes.
@@ -39,13 +39,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct Contacts {
     last_heard: BTreeMap<String, Time>,
-    leader: Option<(Lead, Time)>,
+    leader: Option<(Leader, Time)>,
 }
 
 impl Contacts {
     /// Records that a control process was reported at `address`. New addresses are dropped once the
     /// list is full.
-    pub fn hear(&mut self, now: Time, address: &str) {
+    pub fn record(&mut self, now: Time, address: &str) {
         if let Some(at) = self.last_heard.get_mut(address) {
             *at = now;
         } else if self.last_heard.len() < MAX_ADDRESSES {
@@ -54,17 +54,17 @@
     }
 
     /// Records a reported leader and its address, unless a leader of a higher term is known.
-    pub fn hear_lead(&mut self, now: Time, lead: &Lead) {
-        let is_newer = self.lead(now).is_none_or(|known| lead.term >= known.term);
+    pub fn record_leader(&mut self, now: Time, leader: &Leader) {
+        let is_newer = self.leader(now).is_none_or(|known| leader.term >= known.term);
         if is_newer {
-            self.hear(now, &lead.address);
-            self.leader = Some((lead.clone(), now));
+            self.record(now, &leader.address);
+            self.leader = Some((leader.clone(), now));
         }
     }
 
     /// Returns the leader, if one was reported recently.
-    pub fn lead(&self, now: Time) -> Option<&Lead> {
-        self.leader.as_ref().filter(|(_, at)| now.since(*at) < LEADER_TTL).map(|(lead, _)| lead)
+    pub fn leader(&self, now: Time) -> Option<&Leader> {
+        self.leader.as_ref().filter(|(_, at)| now.since(*at) < LEADER_TTL).map(|(leader, _)| leader)
     }
 
     /// Returns the known addresses in ascending order.
--- a/crates/core/src/fleet/watch.rs
+++ b/crates/core/src/fleet/watch.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteBuf;
 
-use super::contacts::Lead;
+use super::contacts::Leader;
 use super::evacuation::Evacuations;
 use super::limit::known::Word;
 use super::neighbours::Area;
@@ -125,7 +125,7 @@
     pub areas: Option<Vec<Area>>,
     /// The group's leader, if this process knows one.
     #[serde(default)]
-    pub lead: Option<Lead>,
+    pub lead: Option<Leader>,
     /// Data centre of this process, or empty if the watcher has followed it since its start.
     #[serde(default)]
     pub data_centre: String,
