--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -271,7 +271,7 @@
                 self.reply(to, result);
             }
             Input::Seen(from, seen) => {
-                self.clocks.note(at.now, from, Time(seen.wall));
+                self.clocks.record(at.now, from, Time(seen.wall));
                 seen.controls.iter().for_each(|a| self.contacts.record(at.now, a));
                 if let Some(lead) = &seen.lead {
                     self.contacts.record_leader(at.now, lead);
--- a/crates/core/src/fleet/clocks.rs
+++ b/crates/core/src/fleet/clocks.rs
@@ -30,7 +30,7 @@
 
 impl Clocks {
     /// Records that the wall clock of the process at `from` showed `wall` at `now`.
-    pub fn note(&mut self, now: Time, from: SocketAddr, wall: Time) {
+    pub fn record(&mut self, now: Time, from: SocketAddr, wall: Time) {
         self.others.insert(from, (offset(now, wall), now));
     }
 
@@ -54,7 +54,7 @@
     /// to `own`, which accounts for late readings, plus a minimum; it is capped. Each millisecond of it
     /// counts as time in which a dead lease holder kept spending at its rate.
     pub fn margin(&self, now: Time, own: Time, quorum: usize) -> Option<Millis> {
-        if !self.is_sure(now, quorum) {
+        if !self.has_quorum(now, quorum) {
             return None;
         }
         let mut all: Vec<i64> = self.fresh_offsets(now).chain([offset(now, own)]).collect();
@@ -68,7 +68,7 @@
     }
 
     /// Returns whether at least `quorum` clocks are fresh, including this process's own.
-    pub fn is_sure(&self, now: Time, quorum: usize) -> bool {
+    pub fn has_quorum(&self, now: Time, quorum: usize) -> bool {
         self.fresh_offsets(now).count() + 1 >= quorum
     }
 
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -268,7 +268,7 @@
     let mut w = Clocks::default();
     for (n, lead) in leads.iter().enumerate() {
         let from = format!("10.0.0.{n}:1").parse().unwrap();
-        w.note(HEARD, from, Time((WALL + lead) as u64));
+        w.record(HEARD, from, Time((WALL + lead) as u64));
     }
     (w, Time((WALL + step) as u64))
 }
@@ -284,8 +284,8 @@
 fn most_clocks_decide(#[case] others: &[i64], #[case] step: i64, #[case] agreed: i64) {
     let (w, own) = heard(others, step);
     assert_eq!(w.agreed(HEARD, own), Time((WALL + agreed) as u64));
-    assert_eq!(w.is_sure(HEARD, 3), others.len() >= 2);
-    assert!(!w.is_sure(Time(60_000), 3), "clocks that fell silent do not count");
+    assert_eq!(w.has_quorum(HEARD, 3), others.len() >= 2);
+    assert!(!w.has_quorum(Time(60_000), 3), "clocks that fell silent do not count");
 }
 
 /// Other clocks' lead over this one's, this one's own step, and the margin of what is agreed, where
