--- a/crates/core/src/fleet/pace.rs
+++ b/crates/core/src/fleet/pace.rs
@@ -13,7 +13,7 @@
 /// Maximum pass time at which new requests are accepted. Stream events wait for one pass and have to be
 /// forwarded within 200 ms; opening a link to a control process takes three passes and times out after
 /// 600 ms.
-pub const LONGEST: Millis = Millis(200);
+pub const MAX_PASS: Millis = Millis(200);
 
 /// How long a pass affects admission: requests that arrive meanwhile wait in the same queue.
 const PASS_WINDOW: Millis = Millis(300);
@@ -48,7 +48,7 @@
 
 /// Recent pass times, link utilisation and rejected requests of one process.
 #[derive(Clone, Debug, Default)]
-pub struct Pace {
+pub struct LoadMonitor {
     /// End and duration of recent passes. Those followed by an equal or longer one are dropped, so the
     /// front is the longest.
     passes: VecDeque<(Time, Millis)>,
@@ -64,15 +64,15 @@
     link_percent: u64,
 }
 
-impl Pace {
+impl LoadMonitor {
     /// Records a pass that ended at `now` and took `took_us` microseconds.
-    pub fn note(&mut self, now: Time, took_us: u64) {
+    pub fn record_pass(&mut self, now: Time, took_us: u64) {
         let took = Millis(took_us / 1_000);
         while self.passes.back().is_some_and(|(_, t)| *t <= took) {
             self.passes.pop_back();
         }
         self.passes.push_back((now, took));
-        if took > LONGEST {
+        if took > MAX_PASS {
             self.overloaded_at = Some(now);
         }
         self.mean_us =
@@ -81,16 +81,16 @@
     }
 
     /// Returns whether a recent pass was too long for new requests to be accepted.
-    pub fn is_behind(&mut self, now: Time) -> bool {
+    pub fn is_overloaded(&mut self, now: Time) -> bool {
         while self.passes.front().is_some_and(|(at, _)| now.since(*at) > PASS_WINDOW) {
             self.passes.pop_front();
         }
-        self.passes.front().is_some_and(|(_, took)| *took > LONGEST)
+        self.passes.front().is_some_and(|(_, took)| *took > MAX_PASS)
     }
 
     /// Counts a request if it was rejected (`rejected`). Returns the number of requests rejected since the
     /// last log line if another one is due.
-    pub fn told(&mut self, now: Time, rejected: bool) -> Option<u64> {
+    pub fn record_admission(&mut self, now: Time, rejected: bool) -> Option<u64> {
         self.rejected += u64::from(rejected);
         if self.rejected == 0 || now.since(self.logged_at) < LOG_INTERVAL {
             return None;
@@ -100,19 +100,19 @@
     }
 
     /// Returns whether a pass was too long within the last few seconds.
-    pub fn was_behind(&self, now: Time) -> bool {
+    pub fn was_overloaded(&self, now: Time) -> bool {
         self.overloaded_at.is_some_and(|at| now.since(at) < OVERLOAD_TTL)
     }
 
     /// Returns the moving average of the pass time in microseconds; 0 if no pass was recorded recently.
-    pub fn mean_us(&self, now: Time) -> u64 {
+    pub fn mean_pass_us(&self, now: Time) -> u64 {
         if now.since(self.last_pass) < MEAN_TTL { self.mean_us } else { 0 }
     }
 
     /// Updates the link utilisation once per window. `bytes` is the total sent to and received from
     /// clients since the start, `capacity` the link's bytes per second, 0 if unknown. Each byte crosses
     /// the link once in each direction.
-    pub fn note_served(&mut self, now: Time, bytes: u64, capacity: u64) {
+    pub fn record_bytes(&mut self, now: Time, bytes: u64, capacity: u64) {
         let (since, before) = self.served;
         let elapsed = now.since(since);
         if elapsed < LINK_WINDOW {
@@ -124,17 +124,17 @@
     }
 
     /// Returns the link utilisation in the previous window, in percent.
-    pub fn link(&self) -> u64 {
+    pub fn link_utilisation(&self) -> u64 {
         self.link_percent
     }
 
     /// Returns whether the link is too full for new connections.
-    pub fn is_full(&self) -> bool {
+    pub fn is_link_full(&self) -> bool {
         self.link_percent >= FULL_LINK_PERCENT
     }
 
     /// Returns whether clients should prefer other gateways.
     pub fn is_busy(&self, now: Time) -> bool {
-        self.mean_us(now) >= BUSY_PASS_US || self.link_percent >= BUSY_LINK_PERCENT
+        self.mean_pass_us(now) >= BUSY_PASS_US || self.link_percent >= BUSY_LINK_PERCENT
     }
 }
--- a/crates/core/tests/overload.rs
+++ b/crates/core/tests/overload.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 
 use cypressfork_core::fleet::entry::Routers;
-use cypressfork_core::fleet::pace::{LONGEST, Pace};
+use cypressfork_core::fleet::pace::{LoadMonitor, MAX_PASS};
 use cypressfork_core::fleet::regions::Regions;
 use cypressfork_core::fleet::watch::RouterStatus;
 use cypressfork_core::unit::Time;
@@ -21,11 +21,11 @@
 #[case::a_long_one_before_short_ones(&[(9_800, 900), (9_990, 1)], true)]
 #[case::long_ago(&[(9_699, 900)], false)]
 fn a_process_behind_its_own_work_refuses(#[case] passes: &[(u64, u64)], #[case] refuses: bool) {
-    let mut pace = Pace::default();
+    let mut monitor = LoadMonitor::default();
     for (at, took) in passes {
-        pace.note(Time(*at), took * 1_000);
+        monitor.record_pass(Time(*at), took * 1_000);
     }
-    assert_eq!(pace.is_behind(Time(10_000)), refuses);
+    assert_eq!(monitor.is_overloaded(Time(10_000)), refuses);
 }
 
 /// For some seconds after that it may not have heard what is in force.
@@ -34,9 +34,9 @@
 #[case::seconds_after(12_999, true)]
 #[case::long_after(13_000, false)]
 fn it_was_behind(#[case] now: u64, #[case] was: bool) {
-    let mut pace = Pace::default();
-    pace.note(Time(10_000), (LONGEST.0 + 1) * 1_000);
-    assert_eq!(pace.was_behind(Time(now)), was);
+    let mut monitor = LoadMonitor::default();
+    monitor.record_pass(Time(10_000), (MAX_PASS.0 + 1) * 1_000);
+    assert_eq!(monitor.was_overloaded(Time(now)), was);
 }
 
 fn sign(data_centre: &str, n: usize, pass: u64) -> RouterStatus {
@@ -82,16 +82,16 @@
 #[case::more_than_half(&[500_000, 700_000], true)]
 #[case::full_before(&[1_250_000, 100_000], false)]
 fn a_full_link_makes_a_gateway_busy(#[case] served: &[u64], #[case] busy: bool) {
-    let mut pace = Pace::default();
+    let mut monitor = LoadMonitor::default();
     let mut sum = 0;
     for (n, bytes) in served.iter().enumerate() {
         sum += bytes;
-        pace.note_served(Time((n as u64 + 1) * 1_000), sum, 1_250_000);
+        monitor.record_bytes(Time((n as u64 + 1) * 1_000), sum, 1_250_000);
     }
-    assert_eq!(pace.is_busy(Time(2_000)), busy);
-    assert!(!pace.is_full());
-    pace.note_served(Time(3_000), sum + 1_000_000, 1_250_000);
-    assert!(pace.is_full());
+    assert_eq!(monitor.is_busy(Time(2_000)), busy);
+    assert!(!monitor.is_link_full());
+    monitor.record_bytes(Time(3_000), sum + 1_000_000, 1_250_000);
+    assert!(monitor.is_link_full());
 }
 
 /// Callers that stay with one gateway as long as they are told of it, and otherwise go to any: 300
--- a/crates/router/src/gateway/server.rs
+++ b/crates/router/src/gateway/server.rs
@@ -69,7 +69,11 @@
         }
         drop(listener);
         counter!(metric::DOOR_CLOSED).increment(1);
-        emit!(Event::LinkFull, used = gw.pace.borrow().link(), active = gw.active.get());
+        emit!(
+            Event::LinkFull,
+            used = gw.load_monitor.borrow().link_utilisation(),
+            active = gw.active.get()
+        );
         let reopened = tokio::select! {
             reopened = reopen(gw.settings.listen) => reopened,
             _ = closed.wait_for(|c| *c) => return,
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -9,7 +9,7 @@
 use cypressfork_core::budget::report_interval;
 use cypressfork_core::fleet::ends::ReplicaEvent;
 use cypressfork_core::fleet::evacuation::Evacuations;
-use cypressfork_core::fleet::pace::Pace;
+use cypressfork_core::fleet::pace::LoadMonitor;
 use cypressfork_core::fleet::registry::{Record, ReplicaStatus};
 use cypressfork_core::fleet::replicas::{AddressChange, ReplicaTable, Start};
 use cypressfork_core::fleet::retry::RetryWindow;
@@ -111,7 +111,7 @@
     /// Routers of the fleet, as far as is known.
     pub routers: Cell<u32>,
     /// How far it is behind with its own work.
-    pub pace: RefCell<Pace>,
+    pub load_monitor: RefCell<LoadMonitor>,
     /// Bytes from and to callers since the start.
     pub served: Rc<Cell<u64>>,
     /// A planned stop is under way.
@@ -152,7 +152,7 @@
             share: Share::default(),
             following: RefCell::default(),
             routers: Cell::new(0),
-            pace: RefCell::default(),
+            load_monitor: RefCell::default(),
             served: Rc::default(),
             stopping: Cell::new(false),
             active: Cell::new(0),
@@ -191,16 +191,17 @@
         let took = begun.elapsed();
         histogram!(metric::PASS).record(took);
         let now = self.now();
-        let mut pace = self.pace.borrow_mut();
-        pace.note(now, took.as_micros() as u64);
+        let mut load_monitor = self.load_monitor.borrow_mut();
+        load_monitor.record_pass(now, took.as_micros() as u64);
         let cut_off = self.documents.is_cut_off(now);
-        let overloaded = pace.is_behind(now) || (pace.was_behind(now) && cut_off);
-        if let Some(refused) = pace.told(now, overloaded) {
+        let overloaded =
+            load_monitor.is_overloaded(now) || (load_monitor.was_overloaded(now) && cut_off);
+        if let Some(refused) = load_monitor.record_admission(now, overloaded) {
             emit!(
                 Event::GatewayBehind,
                 pass_ms = took.as_millis(),
-                mean_us = pace.mean_us(now),
-                link = pace.link(),
+                mean_us = load_monitor.mean_pass_us(now),
+                link = load_monitor.link_utilisation(),
                 active = self.active.get(),
                 hears_of_nobody = cut_off,
                 refused = refused,
@@ -212,19 +213,19 @@
     /// Whether callers are better off elsewhere.
     pub fn is_busy(&self) -> bool {
         self.look_at_link();
-        self.pace.borrow().is_busy(self.now())
+        self.load_monitor.borrow().is_busy(self.now())
     }
 
     /// Whether there is no room for what further callers would send.
     pub fn is_full(&self) -> bool {
         self.look_at_link();
-        self.pace.borrow().is_full()
+        self.load_monitor.borrow().is_link_full()
     }
 
     fn look_at_link(&self) {
-        let mut pace = self.pace.borrow_mut();
-        pace.note_served(self.now(), self.served.get(), self.settings.link_capacity);
-        gauge!(metric::LINK_USED).set(pace.link() as f64 / 100.0);
+        let mut load_monitor = self.load_monitor.borrow_mut();
+        load_monitor.record_bytes(self.now(), self.served.get(), self.settings.link_capacity);
+        gauge!(metric::LINK_USED).set(load_monitor.link_utilisation() as f64 / 100.0);
     }
 
     /// The tokens in hand under the present registration.
