--- a/crates/core/src/fleet/admission.rs
+++ b/crates/core/src/fleet/admission.rs
@@ -16,13 +16,13 @@
 
 /// Returns how many requests may be active at once in a process that may use `memory` bytes; at
 /// least 1.
-pub fn places(memory: u64) -> u64 {
+pub fn max_active_requests(memory: u64) -> u64 {
     (memory / MEMORY_DIVISOR / REQUEST_BYTES).max(1)
 }
 
 /// Returns whether a request of `priority` (0 is the most urgent) is admitted. `active` counts the
-/// active requests including this one, `places` is the capacity of the process.
-pub fn may_begin(active: u64, places: u64, priority: u8) -> bool {
+/// active requests including this one, `max_active` is the limit of the process.
+pub fn admits(active: u64, max_active: u64, priority: u8) -> bool {
     let rank = usize::from(priority).min(EIGHTHS.len() - 1);
-    active <= (places * EIGHTHS[rank]).div_ceil(8)
+    active <= (max_active * EIGHTHS[rank]).div_ceil(8)
 }
--- a/crates/core/src/fleet/patience.rs
+++ b/crates/core/src/fleet/patience.rs
@@ -21,14 +21,14 @@
 
 /// Returns how long a request that the current document rejects waits for a newer one that is being
 /// fetched. `within` is the time the client allows for the request.
-pub fn for_newer_document(within: Option<Millis>) -> Millis {
+pub fn newer_document_wait(within: Option<Millis>) -> Millis {
     let limit = within.map_or(u64::MAX, |w| w.0 / DEADLINE_DIVISOR);
     Millis(MAX_NEWER_WAIT.0.min(limit))
 }
 
 /// Returns how long a request that arrives at `now`, counted from the start of the process, waits for the
 /// first document. `within` is the time the client allows for the request.
-pub fn for_first_document(now: Time, within: Option<Millis>) -> Millis {
+pub fn first_document_wait(now: Time, within: Option<Millis>) -> Millis {
     let left = STARTUP_WINDOW.0.saturating_sub(now.0);
     let limit = within.map_or(u64::MAX, |w| w.0 / DEADLINE_DIVISOR);
     Millis(left.min(MAX_FIRST_WAIT.0).min(limit))
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -374,7 +374,7 @@
     #[case] within: Option<u64>,
     #[case] waits: u64,
 ) {
-    let wait = patience::for_first_document(Time(now), within.map(Millis));
+    let wait = patience::first_document_wait(Time(now), within.map(Millis));
     assert_eq!(wait, Millis(waits));
 }
 
@@ -393,15 +393,15 @@
     #[case] priority: u8,
     #[case] taken: bool,
 ) {
-    let places = admission::places(88 * 1024 * 1024);
+    let places = admission::max_active_requests(88 * 1024 * 1024);
     assert_eq!(places, 352);
-    assert_eq!(admission::may_begin(active, places, priority), taken);
+    assert_eq!(admission::admits(active, places, priority), taken);
 }
 
 #[test]
 fn a_gateway_with_hardly_any_memory_takes_one_request() {
-    assert!(admission::may_begin(1, admission::places(0), 9));
-    assert!(!admission::may_begin(2, admission::places(0), 0));
+    assert!(admission::admits(1, admission::max_active_requests(0), 9));
+    assert!(!admission::admits(2, admission::max_active_requests(0), 0));
 }
 
 /// Guards against more retries than the fleet allows while routers are killed: one that starts again has
--- a/crates/router/src/gateway/request.rs
+++ b/crates/router/src/gateway/request.rs
@@ -138,7 +138,7 @@
     if gw.is_overloaded().await {
         return Outcome::Refused(Refusal::from(Code::Overloaded).after(OVERLOADED_AFTER));
     }
-    let wait = patience::for_first_document(gw.now(), inbound.deadline);
+    let wait = patience::first_document_wait(gw.now(), inbound.deadline);
     let until = Instant::now() + Duration::from_millis(wait.0);
     let Some(routes) = gw.wait_for_routes(until).await else {
         return Outcome::Refused(Refusal::from(Code::NotReady).after(NOT_READY_AFTER));
@@ -161,7 +161,7 @@
         return Outcome::Refused(quarantined(f));
     }
     gw.count_request(&job.service);
-    if !admission::may_begin(gw.active.get() as u64, gw.settings.places, job.priority) {
+    if !admission::admits(gw.active.get() as u64, gw.settings.places, job.priority) {
         return Outcome::Refused(Refusal::from(Code::Overloaded).after(OVERLOADED_AFTER));
     }
     let begun = Instant::now();
@@ -192,7 +192,7 @@
     if gw.documents.is_cut_off(gw.now()) {
         return None;
     }
-    let wait = patience::for_newer_document(inbound.deadline);
+    let wait = patience::newer_document_wait(inbound.deadline);
     gw.wait_for_newest_routes(Instant::now() + Duration::from_millis(wait.0)).await
 }
 
--- a/crates/router/src/gateway/settings.rs
+++ b/crates/router/src/gateway/settings.rs
@@ -149,7 +149,7 @@
             ready_path: self.ready_path,
             report: Duration::from_millis(range("report_ms", self.report_ms, 10, 60_000)?),
             retry,
-            places: admission::places((memory * MEBIBYTE).floor() as u64),
+            places: admission::max_active_requests((memory * MEBIBYTE).floor() as u64),
             link_capacity: (link * BYTES_OF_MEGABIT).floor() as u64,
             stop_within: millis(stop),
             stop_serve: millis(serve.min(stop)),
