--- a/crates/core/src/fleet/homes.rs
+++ b/crates/core/src/fleet/homes.rs
@@ -13,16 +13,16 @@
 
 /// Minimum number of routers in a data centre for budgets to have homes there. With fewer, each router
 /// holds its own slices.
-pub const MANY: usize = 12;
+pub const MIN_ROUTERS_FOR_HOMES: usize = 12;
 
 /// Number of homes of a budget in one data centre. The second serves if the first does not answer.
-pub const HOMES: usize = 2;
+pub const HOMES_PER_BUDGET: usize = 2;
 
 /// Maximum number of home candidates, including the fallbacks for homes that do not answer.
 const MAX_CANDIDATES: usize = 4;
 
 /// Returns the candidates for homes of a budget, best rank first, by rendezvous hashing of its name.
-pub fn ranked(budget: &str, routers: &[SocketAddr]) -> Vec<SocketAddr> {
+pub fn home_candidates(budget: &str, routers: &[SocketAddr]) -> Vec<SocketAddr> {
     let key = Fnv::new().part(budget.as_bytes()).value();
     let mut all: Vec<_> = routers.iter().map(|a| (Reverse(rendezvous(key, *a)), *a)).collect();
     all.sort_unstable();
@@ -31,28 +31,28 @@
 
 /// Returns the homes to ask for tokens, in order.
 ///
-/// Takes the first candidates of `ranked` that are not `is_out`, or all candidates if every one is. The
+/// Takes the first `candidates` that are not `is_out`, or all candidates if every one is. The
 /// order starts with `own` if it is a home, else at a position given by a hash of `own`, which spreads
 /// the routers over the homes.
-pub fn order(
-    ranked: &[SocketAddr],
+pub fn ask_order(
+    candidates: &[SocketAddr],
     own: SocketAddr,
     is_out: impl Fn(&SocketAddr) -> bool,
 ) -> Vec<SocketAddr> {
-    let available = ranked.iter().copied().filter(|a| !is_out(a));
-    let mut homes: Vec<_> = available.take(HOMES).collect();
+    let available = candidates.iter().copied().filter(|a| !is_out(a));
+    let mut homes: Vec<_> = available.take(HOMES_PER_BUDGET).collect();
     if homes.is_empty() {
-        homes = ranked.to_vec();
+        homes = candidates.to_vec();
     }
     let start = homes.iter().position(|a| *a == own);
-    let start = start.unwrap_or_else(|| turn(own, homes.len()));
+    let start = start.unwrap_or_else(|| start_index(own, homes.len()));
     homes.rotate_left(start);
     homes
 }
 
 /// Returns the index among `n` items at which router `own` starts, a hash of its address that spreads
 /// routers evenly; 0 if `n` is 0.
-pub fn turn(own: SocketAddr, n: usize) -> usize {
+pub fn start_index(own: SocketAddr, n: usize) -> usize {
     let hash = rendezvous(0, own) as usize;
     hash.checked_rem(n).unwrap_or(0)
 }
--- a/crates/core/src/fleet/limit/homes.rs
+++ b/crates/core/src/fleet/limit/homes.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
-use crate::fleet::homes::ranked;
+use crate::fleet::homes::home_candidates;
 use crate::unit::{Millis, Time};
 
 /// Routers that a data centre needs to issue the permits of its own replicas.
@@ -160,7 +160,7 @@
                 Some(local) => local.clone(),
                 None => by_data_centre.values().flatten().copied().collect(),
             };
-            let mut routers = ranked(replica, &all);
+            let mut routers = home_candidates(replica, &all);
             routers.truncate(ASKED);
             let is_primary = routers.first() == Some(&own);
             let since = previous.get(replica).copied().unwrap_or(updated);
--- a/crates/core/src/fleet/neighbours.rs
+++ b/crates/core/src/fleet/neighbours.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::entry::Routers as Heartbeats;
-use super::homes::MANY;
+use super::homes::MIN_ROUTERS_FOR_HOMES;
 use crate::hash::Fnv;
 use crate::member::Router;
 use crate::unit::{Millis, Time};
@@ -63,7 +63,7 @@
             all.entry(&r.data_centre).or_default().push(r);
         }
         let (many, few): (Vec<_>, Vec<_>) =
-            all.into_iter().partition(|(_, routers)| routers.len() >= MANY);
+            all.into_iter().partition(|(_, routers)| routers.len() >= MIN_ROUTERS_FOR_HOMES);
         let area = |(dc, routers): (&str, Vec<&Router>)| Area {
             data_centre: dc.to_owned(),
             links: links(now, &routers, heartbeats),
--- a/crates/core/tests/homes.rs
+++ b/crates/core/tests/homes.rs
@@ -4,7 +4,9 @@
 use std::net::SocketAddr;
 
 use cypressfork_core::fleet::entry::Routers as Heard;
-use cypressfork_core::fleet::homes::{HOMES, MANY, order, ranked};
+use cypressfork_core::fleet::homes::{
+    HOMES_PER_BUDGET, MIN_ROUTERS_FOR_HOMES, ask_order, home_candidates,
+};
 use cypressfork_core::fleet::neighbours::{Area, Directory, digest};
 use cypressfork_core::fleet::watch::RouterStatus;
 use cypressfork_core::member::Router;
@@ -33,7 +35,7 @@
     let mut turned = all.clone();
     turned.reverse();
     for n in 0..40 {
-        assert_eq!(ranked(&budget(n), &all), ranked(&budget(n), &turned));
+        assert_eq!(home_candidates(&budget(n), &all), home_candidates(&budget(n), &turned));
     }
 }
 
@@ -42,11 +44,11 @@
     let all = routers(58);
     let mut kept: BTreeMap<SocketAddr, usize> = BTreeMap::new();
     for n in 0..1_000 {
-        for home in ranked(&budget(n), &all).into_iter().take(HOMES) {
+        for home in home_candidates(&budget(n), &all).into_iter().take(HOMES_PER_BUDGET) {
             *kept.entry(home).or_default() += 1;
         }
     }
-    let mean = 1_000 * HOMES / 58;
+    let mean = 1_000 * HOMES_PER_BUDGET / 58;
     assert_eq!(kept.len(), 58);
     assert!(kept.values().all(|n| (mean / 2..mean * 2).contains(n)), "{kept:?}");
 }
@@ -57,26 +59,31 @@
     let left: Vec<_> = all.iter().copied().filter(|a| *a != address(7)).collect();
     let mut moved = 0;
     for n in 0..400 {
-        let before: Vec<_> = ranked(&budget(n), &all).into_iter().take(HOMES).collect();
-        let after: Vec<_> = ranked(&budget(n), &left).into_iter().take(HOMES).collect();
+        let before: Vec<_> =
+            home_candidates(&budget(n), &all).into_iter().take(HOMES_PER_BUDGET).collect();
+        let after: Vec<_> =
+            home_candidates(&budget(n), &left).into_iter().take(HOMES_PER_BUDGET).collect();
         let kept = before.iter().filter(|a| after.contains(a)).count();
-        assert_eq!(kept, if before.contains(&address(7)) { HOMES - 1 } else { HOMES });
-        moved += HOMES - kept;
+        assert_eq!(
+            kept,
+            if before.contains(&address(7)) { HOMES_PER_BUDGET - 1 } else { HOMES_PER_BUDGET }
+        );
+        moved += HOMES_PER_BUDGET - kept;
     }
-    assert!(moved < 400 * HOMES / 20, "{moved}");
+    assert!(moved < 400 * HOMES_PER_BUDGET / 20, "{moved}");
 }
 
 #[test]
 fn the_asking_routers_of_a_budget_are_spread_over_its_homes() {
     let all = routers(58);
-    let ranked = ranked(&budget(1), &all);
+    let ranked = home_candidates(&budget(1), &all);
     let mut first: BTreeMap<SocketAddr, usize> = BTreeMap::new();
     for own in &all {
-        *first.entry(order(&ranked, *own, nobody)[0]).or_default() += 1;
+        *first.entry(ask_order(&ranked, *own, nobody)[0]).or_default() += 1;
     }
     assert_eq!(
         first.keys().copied().collect::<BTreeSet<_>>(),
-        ranked[..HOMES].iter().copied().collect()
+        ranked[..HOMES_PER_BUDGET].iter().copied().collect()
     );
     assert!(first.values().all(|n| *n > 58 / 4), "{first:?}");
 }
@@ -95,17 +102,17 @@
     #[case] own: Option<usize>,
     #[case] asked: &[usize],
 ) {
-    let ranked = ranked(&budget(1), &routers(30));
+    let ranked = home_candidates(&budget(1), &routers(30));
     let own = own.map_or(address(99), |n| ranked[n]);
     let is_out = |a: &SocketAddr| out.iter().any(|n| ranked[*n] == *a);
-    let homes = order(&ranked, own, is_out);
+    let homes = ask_order(&ranked, own, is_out);
     let expected: Vec<_> = asked.iter().map(|n| ranked[*n]).collect();
     assert_eq!(homes, expected);
 }
 
 #[test]
 fn a_data_centre_without_routers_has_no_homes() {
-    assert_eq!(order(&ranked(&budget(1), &[]), address(1), nobody), []);
+    assert_eq!(ask_order(&home_candidates(&budget(1), &[]), address(1), nobody), []);
 }
 
 fn router(n: usize, leaving: bool) -> Router {
@@ -157,35 +164,46 @@
 
 #[test]
 fn a_control_process_that_has_just_started_lists_who_is_registered() {
-    assert_eq!(listed(10, MANY, &[], &[]), links(1..=MANY));
+    assert_eq!(listed(10, MIN_ROUTERS_FOR_HOMES, &[], &[]), links(1..=MIN_ROUTERS_FOR_HOMES));
 }
 
 #[test]
 fn few_routers_have_no_homes() {
-    assert_eq!(listed(10, MANY - 1, &[], &[]), links([]));
+    assert_eq!(listed(10, MIN_ROUTERS_FOR_HOMES - 1, &[], &[]), links([]));
 }
 
 #[test]
 fn those_that_leave_or_fall_silent_are_not_listed_and_the_others_keep_their_homes() {
-    let heard: Vec<_> = (1..=MANY).map(|n| (n, if n == 2 { 5_000 } else { 9_000 })).collect();
-    assert_eq!(listed(9_500, MANY, &heard, &[1]), links(3..=MANY));
+    let heard: Vec<_> =
+        (1..=MIN_ROUTERS_FOR_HOMES).map(|n| (n, if n == 2 { 5_000 } else { 9_000 })).collect();
+    assert_eq!(
+        listed(9_500, MIN_ROUTERS_FOR_HOMES, &heard, &[1]),
+        links(3..=MIN_ROUTERS_FOR_HOMES)
+    );
 }
 
 #[test]
 fn while_most_are_silent_all_are_listed() {
-    let heard: Vec<_> = (1..=MANY).map(|n| (n, if n < 8 { 5_000 } else { 9_000 })).collect();
-    assert_eq!(listed(9_500, MANY, &heard, &[1]), links(2..=MANY));
+    let heard: Vec<_> =
+        (1..=MIN_ROUTERS_FOR_HOMES).map(|n| (n, if n < 8 { 5_000 } else { 9_000 })).collect();
+    assert_eq!(
+        listed(9_500, MIN_ROUTERS_FOR_HOMES, &heard, &[1]),
+        links(2..=MIN_ROUTERS_FOR_HOMES)
+    );
 }
 
 #[test]
 fn each_data_centre_has_a_list_of_its_own_made_anew_now_and_then() {
-    let all: Vec<_> = (1..=MANY).chain(101..=100 + MANY).map(|n| router(n, false)).collect();
+    let all: Vec<_> = (1..=MIN_ROUTERS_FOR_HOMES)
+        .chain(101..=100 + MIN_ROUTERS_FOR_HOMES)
+        .map(|n| router(n, false))
+        .collect();
     let mut directory = Directory::default();
     directory.refresh(Time(0), all.iter(), &Heard::default());
-    assert_eq!(of(&directory, "tamar-b"), links(101..=100 + MANY));
+    assert_eq!(of(&directory, "tamar-b"), links(101..=100 + MIN_ROUTERS_FOR_HOMES));
     assert_eq!(of(&directory, "esk-c"), links([]));
     directory.refresh(Time(100), all[1..].iter(), &Heard::default());
-    assert_eq!(of(&directory, "tamar-a"), links(1..=MANY), "it is too early");
-    directory.refresh(Time(250), all[..MANY - 1].iter(), &Heard::default());
+    assert_eq!(of(&directory, "tamar-a"), links(1..=MIN_ROUTERS_FOR_HOMES), "it is too early");
+    directory.refresh(Time(250), all[..MIN_ROUTERS_FOR_HOMES - 1].iter(), &Heard::default());
     assert_eq!(directory.areas(), Vec::<Area>::new());
 }
--- a/crates/router/src/gateway/homes.rs
+++ b/crates/router/src/gateway/homes.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use cypressfork_core::fleet::demand::Demand;
-use cypressfork_core::fleet::homes::{order, ranked, turn};
+use cypressfork_core::fleet::homes::{ask_order, home_candidates, start_index};
 use cypressfork_core::fleet::neighbours::{Area, NOT_WANTED, digest};
 use cypressfork_core::fleet::regions::Regions;
 use cypressfork_core::unit::{Millis, Time};
@@ -85,7 +85,7 @@
         if self.near.borrow().is_empty() {
             return Vec::new();
         }
-        let mut homes = order(&self.ranked(budget).near, own, |a| self.is_out(now, a));
+        let mut homes = ask_order(&self.ranked(budget).near, own, |a| self.is_out(now, a));
         if self.is_heavy(now, budget) && homes.first() != Some(&own) {
             homes.insert(0, own);
         }
@@ -110,11 +110,11 @@
     pub fn elsewhere(&self, now: Time, own: SocketAddr, budget: &str) -> Vec<SocketAddr> {
         let ranked = self.ranked(budget);
         let home = |(abroad, area): &(bool, Vec<SocketAddr>)| {
-            let first = order(area, own, |a| self.is_out(now, a)).first().copied();
+            let first = ask_order(area, own, |a| self.is_out(now, a)).first().copied();
             first.map(|a| (*abroad, a))
         };
         let mut homes: Vec<_> = ranked.far.iter().filter_map(home).collect();
-        let turn = turn(own, homes.len());
+        let turn = start_index(own, homes.len());
         homes.rotate_left(turn);
         homes.sort_by_key(|(abroad, _)| *abroad);
         homes.into_iter().map(|(_, a)| a).collect()
@@ -125,9 +125,13 @@
         if let Some(known) = all.get(budget) {
             return known.clone();
         }
-        let far =
-            self.far.borrow().iter().map(|(far, area)| (*far, ranked(budget, area))).collect();
-        let fresh = Rc::new(Ranked { near: ranked(budget, &self.near.borrow()), far });
+        let far = self
+            .far
+            .borrow()
+            .iter()
+            .map(|(far, area)| (*far, home_candidates(budget, area)))
+            .collect();
+        let fresh = Rc::new(Ranked { near: home_candidates(budget, &self.near.borrow()), far });
         all.insert(budget.to_owned(), fresh.clone());
         fresh
     }
