--- a/crates/control/src/fleet_view.rs
+++ b/crates/control/src/fleet_view.rs
@@ -6,7 +6,7 @@
 use cypressfork_core::fleet::evacuation::Evacuations;
 use cypressfork_core::fleet::limit::Named;
 use cypressfork_core::fleet::limit::known::{Limits, Word};
-use cypressfork_core::fleet::neighbours::{Directory, NOT_WANTED};
+use cypressfork_core::fleet::neighbours::{NOT_WANTED, RouterDirectory};
 use cypressfork_core::fleet::quarantine::{Quarantine, Told};
 use cypressfork_core::fleet::registry::{Heartbeat, Record, RecordSource, Registry};
 use cypressfork_core::fleet::repair::Candidates;
@@ -92,7 +92,7 @@
     /// The limits that replicas name, by what routers have heard.
     pub limits: Limits,
     next_trim: Time,
-    directory: Directory,
+    directory: RouterDirectory,
     /// When standing questions are looked at next.
     next_look: Time,
     boot: u64,
@@ -155,7 +155,7 @@
             reports: Reports::default(),
             limits: Limits::default(),
             next_trim: Time(0),
-            directory: Directory::default(),
+            directory: RouterDirectory::default(),
             next_look: Time(0),
             boot,
             heartbeat,
@@ -308,8 +308,9 @@
         let peers = s.watch.router.as_ref().is_some_and(|r| !has_homes(r));
         let controls = controls_digest(&f.controls);
         let same = s.watch.feed.boot == self.boot && s.watch.feed.controls == controls;
-        let known = s.watch.areas == NOT_WANTED || s.watch.areas == self.directory.digest();
-        let few = s.watch.few == NOT_WANTED || s.watch.few == self.directory.few_digest();
+        let known =
+            s.watch.areas == NOT_WANTED || s.watch.areas == self.directory.with_homes_digest();
+        let few = s.watch.few == NOT_WANTED || s.watch.few == self.directory.without_homes_digest();
         let (limits, upto) = match s.watch.without_replicas {
             true => (Vec::new(), s.limits),
             false => self.limits.changes(now, s.limits, WORDS),
@@ -331,7 +332,7 @@
             routers: self.routers.count(now),
             peers: if peers { self.routers.links(now, PEERS) } else { Vec::new() },
             wall: f.wall.0,
-            areas: (!known).then(|| self.directory.areas().to_vec()),
+            areas: (!known).then(|| self.directory.with_homes().to_vec()),
             lead: f.lead.clone(),
             data_centre: match s.watch.feed.boot == self.boot {
                 true => String::new(),
@@ -342,7 +343,7 @@
             rollouts: (f.rollouts.revision > s.watch.rollouts).then(|| f.rollouts.clone()),
             quarantine: s.is_told_of(f.quarantine).then(|| self.told(f.quarantine)),
             limits,
-            few: (!few).then(|| self.directory.few().to_vec()),
+            few: (!few).then(|| self.directory.without_homes().to_vec()),
         }
     }
 }
--- a/crates/core/src/fleet/neighbours.rs
+++ b/crates/core/src/fleet/neighbours.rs
@@ -18,7 +18,7 @@
 
 /// The routers of one data centre.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Area {
+pub struct DataCentreRouters {
     /// Name of the data centre.
     pub data_centre: String,
     /// Addresses on which its routers accept connections from other routers.
@@ -27,23 +27,23 @@
 
 /// Returns a digest of the router addresses, by which a router names the list that it has. It is stable
 /// across processes and releases.
-pub fn digest(areas: &[Area]) -> u64 {
+pub fn digest(areas: &[DataCentreRouters]) -> u64 {
     let links = areas.iter().flat_map(|a| &a.links);
     links.fold(Fnv::new(), |h, l| h.part(l.as_bytes())).value()
 }
 
 /// The routers of all data centres, as known to one control process.
 #[derive(Clone, Debug, Default)]
-pub struct Directory {
-    areas: Vec<Area>,
-    digest: u64,
+pub struct RouterDirectory {
+    with_homes: Vec<DataCentreRouters>,
+    with_homes_digest: u64,
     /// Data centres with too few routers for homes.
-    few: Vec<Area>,
-    few_digest: u64,
+    without_homes: Vec<DataCentreRouters>,
+    without_homes_digest: u64,
     refreshed: Option<Time>,
 }
 
-impl Directory {
+impl RouterDirectory {
     /// Rebuilds the lists if they are older than the refresh interval.
     ///
     /// The lists start from the registered routers, because registrations survive a restart of the control
@@ -64,39 +64,39 @@
         }
         let (many, few): (Vec<_>, Vec<_>) =
             all.into_iter().partition(|(_, routers)| routers.len() >= MIN_ROUTERS_FOR_HOMES);
-        let area = |(dc, routers): (&str, Vec<&Router>)| Area {
+        let area = |(dc, routers): (&str, Vec<&Router>)| DataCentreRouters {
             data_centre: dc.to_owned(),
             links: links(now, &routers, heartbeats),
         };
-        self.areas = many.into_iter().map(area).collect();
-        self.digest = digest(&self.areas);
-        self.few = few.into_iter().map(area).collect();
-        self.few_digest = digest(&self.few);
+        self.with_homes = many.into_iter().map(area).collect();
+        self.with_homes_digest = digest(&self.with_homes);
+        self.without_homes = few.into_iter().map(area).collect();
+        self.without_homes_digest = digest(&self.without_homes);
     }
 
     /// Returns the data centres with too few routers for homes.
-    pub fn few(&self) -> &[Area] {
-        &self.few
+    pub fn without_homes(&self) -> &[DataCentreRouters] {
+        &self.without_homes
     }
 
-    /// Returns the digest of [`Directory::few`].
-    pub fn few_digest(&self) -> u64 {
-        self.few_digest
+    /// Returns the digest of [`RouterDirectory::without_homes`].
+    pub fn without_homes_digest(&self) -> u64 {
+        self.without_homes_digest
     }
 
     /// Returns the data centres with enough routers for homes.
-    pub fn areas(&self) -> &[Area] {
-        &self.areas
+    pub fn with_homes(&self) -> &[DataCentreRouters] {
+        &self.with_homes
     }
 
-    /// Returns the digest of [`Directory::areas`].
-    pub fn digest(&self) -> u64 {
-        self.digest
+    /// Returns the digest of [`RouterDirectory::with_homes`].
+    pub fn with_homes_digest(&self) -> u64 {
+        self.with_homes_digest
     }
 
     /// Returns whether budgets have homes in a data centre.
     pub fn has_homes(&self, data_centre: &str) -> bool {
-        self.areas.iter().any(|a| a.data_centre == data_centre)
+        self.with_homes.iter().any(|a| a.data_centre == data_centre)
     }
 }
 
--- a/crates/core/src/fleet/watch.rs
+++ b/crates/core/src/fleet/watch.rs
@@ -7,7 +7,7 @@
 use super::contacts::Leader;
 use super::evacuation::Evacuations;
 use super::limit::known::Word;
-use super::neighbours::Area;
+use super::neighbours::DataCentreRouters;
 use super::quarantine::Told;
 use super::registry::{Heartbeat, Leaving, Record};
 use super::rollout::Rollouts;
@@ -122,7 +122,7 @@
     pub wall: u64,
     /// Routers by data centre, if the watcher's list differs.
     #[serde(default)]
-    pub areas: Option<Vec<Area>>,
+    pub areas: Option<Vec<DataCentreRouters>>,
     /// The group's leader, if this process knows one.
     #[serde(default)]
     pub lead: Option<Leader>,
@@ -149,7 +149,7 @@
     pub limits: Vec<Word>,
     /// Routers of data centres with few routers, if the watcher's list differs.
     #[serde(default)]
-    pub few: Option<Vec<Area>>,
+    pub few: Option<Vec<DataCentreRouters>>,
 }
 
 /// Announcement of a control process that belongs to no group.
--- a/crates/core/tests/homes.rs
+++ b/crates/core/tests/homes.rs
@@ -7,7 +7,7 @@
 use cypressfork_core::fleet::homes::{
     HOMES_PER_BUDGET, MIN_ROUTERS_FOR_HOMES, ask_order, home_candidates,
 };
-use cypressfork_core::fleet::neighbours::{Area, Directory, digest};
+use cypressfork_core::fleet::neighbours::{DataCentreRouters, RouterDirectory, digest};
 use cypressfork_core::fleet::watch::RouterStatus;
 use cypressfork_core::member::Router;
 use cypressfork_core::unit::{HolderId, Time};
@@ -145,15 +145,15 @@
         known.note(Time(*at), &sign(*n));
     }
     let all: Vec<_> = (1..=n).map(|n| router(n, leaving.contains(&n))).collect();
-    let mut directory = Directory::default();
+    let mut directory = RouterDirectory::default();
     directory.refresh(Time(now), all.iter(), &known);
-    assert_eq!(directory.digest(), digest(directory.areas()));
+    assert_eq!(directory.with_homes_digest(), digest(directory.with_homes()));
     of(&directory, "tamar-a")
 }
 
 /// The list of one data centre; empty if budgets have no homes there.
-fn of(directory: &Directory, data_centre: &str) -> Vec<String> {
-    let area = directory.areas().iter().find(|a| a.data_centre == data_centre);
+fn of(directory: &RouterDirectory, data_centre: &str) -> Vec<String> {
+    let area = directory.with_homes().iter().find(|a| a.data_centre == data_centre);
     assert_eq!(area.is_some(), directory.has_homes(data_centre));
     area.map(|a| a.links.clone()).unwrap_or_default()
 }
@@ -198,12 +198,12 @@
         .chain(101..=100 + MIN_ROUTERS_FOR_HOMES)
         .map(|n| router(n, false))
         .collect();
-    let mut directory = Directory::default();
+    let mut directory = RouterDirectory::default();
     directory.refresh(Time(0), all.iter(), &Heard::default());
     assert_eq!(of(&directory, "tamar-b"), links(101..=100 + MIN_ROUTERS_FOR_HOMES));
     assert_eq!(of(&directory, "esk-c"), links([]));
     directory.refresh(Time(100), all[1..].iter(), &Heard::default());
     assert_eq!(of(&directory, "tamar-a"), links(1..=MIN_ROUTERS_FOR_HOMES), "it is too early");
     directory.refresh(Time(250), all[..MIN_ROUTERS_FOR_HOMES - 1].iter(), &Heard::default());
-    assert_eq!(directory.areas(), Vec::<Area>::new());
+    assert_eq!(directory.with_homes(), Vec::<DataCentreRouters>::new());
 }
--- a/crates/router/src/gateway/follow.rs
+++ b/crates/router/src/gateway/follow.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use cypressfork_core::command::{Answer, Command};
-use cypressfork_core::fleet::neighbours::Area;
+use cypressfork_core::fleet::neighbours::DataCentreRouters;
 use cypressfork_core::fleet::registry::Record;
 use cypressfork_core::fleet::sources::Nearness;
 use cypressfork_core::fleet::watch::{RouterStatus, Watch, WatchResponse};
@@ -172,7 +172,7 @@
 
 /// Takes the gateways of all data centres into use, and gives back the tokens of budgets whose home
 /// this gateway is no longer.
-fn take_areas(gw: &Gateway, from: SocketAddr, areas: &[Area]) {
+fn take_areas(gw: &Gateway, from: SocketAddr, areas: &[DataCentreRouters]) {
     let homes = &gw.share.homes;
     let base = &gw.settings.base;
     homes.set(from, &base.data_centre, &base.regions, areas);
--- a/crates/router/src/gateway/homes.rs
+++ b/crates/router/src/gateway/homes.rs
@@ -7,7 +7,7 @@
 
 use cypressfork_core::fleet::demand::Demand;
 use cypressfork_core::fleet::homes::{ask_order, home_candidates, start_index};
-use cypressfork_core::fleet::neighbours::{Area, NOT_WANTED, digest};
+use cypressfork_core::fleet::neighbours::{DataCentreRouters, NOT_WANTED, digest};
 use cypressfork_core::fleet::regions::Regions;
 use cypressfork_core::unit::{Millis, Time};
 use cypressfork_node::emit;
@@ -50,12 +50,13 @@
     }
 
     /// Takes a control process's areas into use; `own` is the data centre of this gateway.
-    pub fn set(&self, from: SocketAddr, own: &str, regions: &Regions, areas: &[Area]) {
+    pub fn set(&self, from: SocketAddr, own: &str, regions: &Regions, areas: &[DataCentreRouters]) {
         self.source.set(Some(from));
         self.digest.set(digest(areas));
-        let (near, far): (Vec<&Area>, Vec<_>) = areas.iter().partition(|a| a.data_centre == own);
+        let (near, far): (Vec<&DataCentreRouters>, Vec<_>) =
+            areas.iter().partition(|a| a.data_centre == own);
         *self.near.borrow_mut() = near.into_iter().flat_map(addresses).collect();
-        let abroad = |a: &Area| !regions.are_near(own, &a.data_centre);
+        let abroad = |a: &DataCentreRouters| !regions.are_near(own, &a.data_centre);
         *self.far.borrow_mut() = far.into_iter().map(|a| (abroad(a), addresses(a))).collect();
         self.ranked.borrow_mut().clear();
         let routers = self.near.borrow().len();
@@ -146,6 +147,6 @@
     }
 }
 
-fn addresses(a: &Area) -> Vec<SocketAddr> {
+fn addresses(a: &DataCentreRouters) -> Vec<SocketAddr> {
     a.links.iter().filter_map(|l| l.parse().ok()).collect()
 }
--- a/crates/router/src/gateway/limits.rs
+++ b/crates/router/src/gateway/limits.rs
@@ -10,7 +10,7 @@
 use cypressfork_core::fleet::limit::known::{self, Change, Word};
 use cypressfork_core::fleet::limit::permits::{Ask, GOOD_FOR, Grant, Permits};
 use cypressfork_core::fleet::limit::{Named, Rate, Said};
-use cypressfork_core::fleet::neighbours::{Area, NOT_WANTED, digest};
+use cypressfork_core::fleet::neighbours::{DataCentreRouters, NOT_WANTED, digest};
 use cypressfork_core::route::turns::{RetrySchedule, RetrySpacing};
 use cypressfork_core::unit::{Millis, Time};
 use cypressfork_node::event::Event;
@@ -90,8 +90,8 @@
     permits: RefCell<Permits>,
     homes: RefCell<Homes>,
     /// The gateways of data centres with many and with few of them.
-    areas: RefCell<Vec<Area>>,
-    few: RefCell<Vec<Area>>,
+    areas: RefCell<Vec<DataCentreRouters>>,
+    few: RefCell<Vec<DataCentreRouters>>,
     stock: RefCell<HashMap<String, Stock>>,
     /// When gateways last did not answer an ask.
     out: RefCell<BTreeMap<SocketAddr, Time>>,
@@ -213,20 +213,20 @@
     }
 
     /// Takes the gateways of data centres with many of them into use.
-    pub fn set_areas(&self, now: Time, areas: &[Area]) {
+    pub fn set_areas(&self, now: Time, areas: &[DataCentreRouters]) {
         *self.areas.borrow_mut() = areas.to_vec();
         self.set_homes(now);
     }
 
     /// Takes the gateways of data centres with few of them into use.
-    pub fn set_few(&self, now: Time, few: Vec<Area>) {
+    pub fn set_few(&self, now: Time, few: Vec<DataCentreRouters>) {
         *self.few.borrow_mut() = few;
         self.set_homes(now);
     }
 
     fn set_homes(&self, now: Time) {
         let (areas, few) = (self.areas.borrow(), self.few.borrow());
-        let links = |a: &Area| a.links.iter().filter_map(|l| l.parse().ok()).collect();
+        let links = |a: &DataCentreRouters| a.links.iter().filter_map(|l| l.parse().ok()).collect();
         let all = areas.iter().chain(few.iter()).map(|a| (a.data_centre.clone(), links(a)));
         self.homes.borrow_mut().set(now, all.collect());
     }
