--- a/crates/control/src/fleet_view.rs
+++ b/crates/control/src/fleet_view.rs
@@ -2,7 +2,7 @@
 //! routers that ask, and processes that want to join the group.
 
 use cypressfork_core::fleet::contacts::Leader;
-use cypressfork_core::fleet::entry::Routers;
+use cypressfork_core::fleet::entry::RouterHeartbeats;
 use cypressfork_core::fleet::evacuation::Evacuations;
 use cypressfork_core::fleet::limit::Named;
 use cypressfork_core::fleet::limit::known::{Limits, Word};
@@ -84,7 +84,7 @@
     /// The replicas.
     pub registry: Registry,
     /// The routers.
-    pub routers: Routers,
+    pub routers: RouterHeartbeats,
     /// Processes that say that they belong to no group.
     pub candidates: Candidates,
     /// What routers have seen of roll-outs under way.
@@ -150,7 +150,7 @@
     pub fn new(boot: u64, heartbeat: Millis) -> FleetView<T> {
         FleetView {
             registry: Registry::default(),
-            routers: Routers::default(),
+            routers: RouterHeartbeats::default(),
             candidates: Candidates::default(),
             reports: Reports::default(),
             limits: Limits::default(),
@@ -170,7 +170,7 @@
     pub fn watch(&mut self, now: Time, mut watch: Watch, to: T) {
         let reports = std::mem::take(&mut watch.reports);
         if let Some(r) = &watch.router {
-            self.routers.note(now, r);
+            self.routers.record(now, r);
             reports.into_iter().for_each(|report| self.reports.take(now, &r.vm, report));
         }
         let heard = std::mem::take(&mut watch.heard);
--- a/crates/control/src/leader_tasks.rs
+++ b/crates/control/src/leader_tasks.rs
@@ -125,7 +125,7 @@
         let known = &mut self.leader_tasks.rollouts;
         known.retain(|order, _| orders.contains(order));
         let since = Time(at.now.0.saturating_sub(IN_TOUCH.0));
-        let gateways = view.routers.heard_since(since);
+        let gateways = view.routers.count_since(since);
         let mut steps = Vec::new();
         for (service, r) in under_way {
             // A leader that did not see the order takes the span until now from the time of day.
--- a/crates/core/src/fleet/entry.rs
+++ b/crates/core/src/fleet/entry.rs
@@ -22,7 +22,7 @@
 
 /// The latest heartbeat of each router, as received by one control process.
 #[derive(Clone, Debug, Default)]
-pub struct Routers {
+pub struct RouterHeartbeats {
     heartbeats: BTreeMap<String, (RouterStatus, Time)>,
     spill: LoadShedding,
     /// Number of address lists returned so far.
@@ -31,10 +31,10 @@
     next_other: usize,
 }
 
-impl Routers {
+impl RouterHeartbeats {
     /// Records a router's heartbeat. Returns whether the router is new or has changed in anything but
     /// `busy`.
-    pub fn note(&mut self, now: Time, r: &RouterStatus) -> bool {
+    pub fn record(&mut self, now: Time, r: &RouterStatus) -> bool {
         let old = self.heartbeats.insert(r.vm.clone(), (r.clone(), now));
         old.is_none_or(|(o, _)| RouterStatus { busy: r.busy, ..o } != *r)
     }
@@ -45,7 +45,7 @@
     }
 
     /// Returns the number of routers that sent a heartbeat at or after `since`.
-    pub fn heard_since(&self, since: Time) -> usize {
+    pub fn count_since(&self, since: Time) -> usize {
         self.heartbeats.values().filter(|(_, at)| *at >= since).count()
     }
 
--- a/crates/core/src/fleet/neighbours.rs
+++ b/crates/core/src/fleet/neighbours.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::entry::Routers as Heartbeats;
+use super::entry::RouterHeartbeats;
 use super::homes::MIN_ROUTERS_FOR_HOMES;
 use crate::hash::Fnv;
 use crate::member::Router;
@@ -52,7 +52,7 @@
         &mut self,
         now: Time,
         registered: impl Iterator<Item = &'a Router>,
-        heartbeats: &Heartbeats,
+        heartbeats: &RouterHeartbeats,
     ) {
         if self.refreshed.is_some_and(|at| now.since(at) < REFRESH_INTERVAL) {
             return;
@@ -100,7 +100,7 @@
     }
 }
 
-fn links(now: Time, routers: &[&Router], heartbeats: &Heartbeats) -> Vec<String> {
+fn links(now: Time, routers: &[&Router], heartbeats: &RouterHeartbeats) -> Vec<String> {
     let staying = routers.iter().filter(|r| !r.leaving);
     let live: Vec<_> = staying.clone().filter(|r| !heartbeats.is_silent(now, &r.vm)).collect();
     // If at least half are silent, this process is assumed to be cut off from them.
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -9,7 +9,7 @@
 use cypressfork_core::fleet::document::{
     Backend, ClientAccount, Document, Kind, Limits, Route, Target, budget_name,
 };
-use cypressfork_core::fleet::entry::Routers;
+use cypressfork_core::fleet::entry::RouterHeartbeats;
 use cypressfork_core::fleet::patience;
 use cypressfork_core::fleet::regions::Regions;
 use cypressfork_core::fleet::repair::{Candidates, Health, next_change};
@@ -252,9 +252,9 @@
     #[case] routers: &[(&str, &str, bool, u64)],
     #[case] addresses: &[&str],
 ) {
-    let mut r = Routers::default();
+    let mut r = RouterHeartbeats::default();
     for (vm, data_centre, open, at) in routers {
-        r.note(Time(*at), &sign(vm, data_centre, *open));
+        r.record(Time(*at), &sign(vm, data_centre, *open));
     }
     assert_eq!(r.addresses(Time(10_000), "tamar-a", &Regions::default(), 64), addresses);
 }
--- a/crates/core/tests/homes.rs
+++ b/crates/core/tests/homes.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use cypressfork_core::fleet::entry::Routers as Heard;
+use cypressfork_core::fleet::entry::RouterHeartbeats;
 use cypressfork_core::fleet::homes::{
     HOMES_PER_BUDGET, MIN_ROUTERS_FOR_HOMES, ask_order, home_candidates,
 };
@@ -140,9 +140,9 @@
 
 /// A directory of routers 1 to `n`, heard of at their times, at `now`.
 fn listed(now: u64, n: usize, heard: &[(usize, u64)], leaving: &[usize]) -> Vec<String> {
-    let mut known = Heard::default();
+    let mut known = RouterHeartbeats::default();
     for (n, at) in heard {
-        known.note(Time(*at), &sign(*n));
+        known.record(Time(*at), &sign(*n));
     }
     let all: Vec<_> = (1..=n).map(|n| router(n, leaving.contains(&n))).collect();
     let mut directory = RouterDirectory::default();
@@ -199,11 +199,15 @@
         .map(|n| router(n, false))
         .collect();
     let mut directory = RouterDirectory::default();
-    directory.refresh(Time(0), all.iter(), &Heard::default());
+    directory.refresh(Time(0), all.iter(), &RouterHeartbeats::default());
     assert_eq!(of(&directory, "tamar-b"), links(101..=100 + MIN_ROUTERS_FOR_HOMES));
     assert_eq!(of(&directory, "esk-c"), links([]));
-    directory.refresh(Time(100), all[1..].iter(), &Heard::default());
+    directory.refresh(Time(100), all[1..].iter(), &RouterHeartbeats::default());
     assert_eq!(of(&directory, "tamar-a"), links(1..=MIN_ROUTERS_FOR_HOMES), "it is too early");
-    directory.refresh(Time(250), all[..MIN_ROUTERS_FOR_HOMES - 1].iter(), &Heard::default());
+    directory.refresh(
+        Time(250),
+        all[..MIN_ROUTERS_FOR_HOMES - 1].iter(),
+        &RouterHeartbeats::default(),
+    );
     assert_eq!(directory.with_homes(), Vec::<DataCentreRouters>::new());
 }
--- a/crates/core/tests/overload.rs
+++ b/crates/core/tests/overload.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeSet;
 
-use cypressfork_core::fleet::entry::Routers;
+use cypressfork_core::fleet::entry::RouterHeartbeats;
 use cypressfork_core::fleet::pace::{LoadMonitor, MAX_PASS};
 use cypressfork_core::fleet::regions::Regions;
 use cypressfork_core::fleet::watch::RouterStatus;
@@ -57,7 +57,7 @@
 /// A caller's answers in data centre `a` over some seconds, in which its gateways' work waits as long
 /// as `pass` tells from the part of their callers that is left to them, in hundredths.
 fn play(seconds: u64, pass: impl Fn(u64) -> u64) -> Vec<Vec<String>> {
-    let mut routers = Routers::default();
+    let mut routers = RouterHeartbeats::default();
     let mut left = 100;
     let mut all = Vec::new();
     for second in 1..=seconds {
@@ -65,7 +65,7 @@
         for dc in CENTRES {
             for n in 0..EACH {
                 let pass = if dc == "a" { pass(left) } else { 2 };
-                routers.note(now, &sign(dc, n, pass));
+                routers.record(now, &sign(dc, n, pass));
             }
         }
         let answer = routers.addresses(now, "a", &Regions::default(), 64);
@@ -98,7 +98,7 @@
 /// requests a second of 6 kB, of a hundred callers that ask anew every two seconds.
 #[test]
 fn a_crowd_that_stays_with_one_gateway_is_thinned_out_and_not_passed_on() {
-    let mut routers = Routers::default();
+    let mut routers = RouterHeartbeats::default();
     let mut at = vec![0usize; 100];
     let mut last = Vec::new();
     for second in 1..=40u64 {
@@ -106,7 +106,7 @@
         let crowd = |n: usize| at.iter().filter(|a| **a == n).count();
         let busy: Vec<_> = (0..EACH).map(|n| crowd(n) * 3 * 6_000 >= 625_000).collect();
         for (n, busy) in busy.iter().enumerate() {
-            routers.note(now, &sign("a", n, if *busy { 100 } else { 0 }));
+            routers.record(now, &sign("a", n, if *busy { 100 } else { 0 }));
         }
         for (n, place) in at.iter_mut().enumerate().filter(|(n, _)| *n as u64 % 2 == second % 2) {
             let answer = routers.addresses(now, "a", &Regions::default(), 64);
--- a/crates/core/tests/regions.rs
+++ b/crates/core/tests/regions.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use cypressfork_core::config::{Upstream, Vm};
-use cypressfork_core::fleet::entry::Routers;
+use cypressfork_core::fleet::entry::RouterHeartbeats;
 use cypressfork_core::fleet::regions::Regions;
 use cypressfork_core::fleet::watch::RouterStatus;
 use cypressfork_core::route::lateness::LatencyObjective;
@@ -43,7 +43,7 @@
 #[case::none_in_its_region(&["s1", "s2"], &["s1", "s2"])]
 #[case::one_in_its_region(&["n2", "s1"], &["n2", "s1"])]
 fn callers_stay_in_their_region(#[case] routers: &[&str], #[case] named: &[&str]) {
-    let mut all = Routers::default();
+    let mut all = RouterHeartbeats::default();
     for (n, dc) in routers.iter().enumerate() {
         let sign = RouterStatus {
             vm: format!("vm-{n}"),
@@ -53,7 +53,7 @@
             open: true,
             busy: false,
         };
-        all.note(Time(9_900), &sign);
+        all.record(Time(9_900), &sign);
     }
     assert_eq!(all.addresses(Time(10_000), "n1", &regions(), 64), named);
 }
