--- a/crates/core/src/fleet/fetch.rs
+++ b/crates/core/src/fleet/fetch.rs
@@ -20,7 +20,7 @@
 
 /// A control process that the fetch gave up, because it was unreachable or a part timed out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct GivenUp {
+pub struct AbandonedSource {
     /// Address of the control process.
     pub from: SocketAddr,
     /// Time since its last progress.
@@ -37,17 +37,17 @@
 
 impl Fetch {
     /// Returns the highest announced version; 0 if there is none.
-    pub fn known(&self) -> Version {
+    pub fn latest_version(&self) -> Version {
         self.latest
     }
 
     /// Returns the version last announced by the control process at `address`; 0 if there is none.
-    pub fn told_by(&self, address: SocketAddr) -> Version {
+    pub fn version_at(&self, address: SocketAddr) -> Version {
         self.announced.get(&address).copied().unwrap_or(0)
     }
 
     /// Returns whether the document is being fetched from `address`.
-    pub fn is_from(&self, address: SocketAddr) -> bool {
+    pub fn is_source(&self, address: SocketAddr) -> bool {
         self.source.is_some_and(|s| s.address == address)
     }
 
@@ -58,7 +58,7 @@
 
     /// Records that the control process at `from` has `version`. Returns whether it is the highest
     /// version announced so far.
-    pub fn told(&mut self, from: SocketAddr, version: Version) -> bool {
+    pub fn record_version(&mut self, from: SocketAddr, version: Version) -> bool {
         self.announced.insert(from, version);
         let is_highest = version > self.latest;
         self.latest = self.latest.max(version);
@@ -66,35 +66,35 @@
     }
 
     /// Records that a part from `from` has arrived, which restarts the timeout.
-    pub fn progress(&mut self, now: Time, from: SocketAddr) {
+    pub fn record_progress(&mut self, now: Time, from: SocketAddr) {
         if let Some(s) = self.source.as_mut().filter(|s| s.address == from) {
             s.since = now;
         }
     }
 
     /// Ends the fetch because the document is complete.
-    pub fn done(&mut self) {
+    pub fn finish(&mut self) {
         self.source = None;
     }
 
     /// Removes an unreachable control process. If it was being fetched from, ends the fetch and returns
     /// it.
-    pub fn lost(&mut self, now: Time, from: SocketAddr) -> Option<GivenUp> {
+    pub fn drop_source(&mut self, now: Time, from: SocketAddr) -> Option<AbandonedSource> {
         self.announced.remove(&from);
         let s = self.source.take_if(|s| s.address == from)?;
-        Some(GivenUp { from, after: now.since(s.since) })
+        Some(AbandonedSource { from, after: now.since(s.since) })
     }
 
     /// Ends the fetch if the current part has timed out. Returns the control process in that case.
-    pub fn overdue(&mut self, now: Time) -> Option<GivenUp> {
+    pub fn take_overdue(&mut self, now: Time) -> Option<AbandonedSource> {
         let s = self.source.take_if(|s| now.since(s.since) >= PART_TIMEOUT)?;
-        Some(GivenUp { from: s.address, after: now.since(s.since) })
+        Some(AbandonedSource { from: s.address, after: now.since(s.since) })
     }
 
     /// Starts a fetch and returns the address to fetch from, if no fetch is in progress and a version
     /// above `held` was announced. It is the process with the highest version or, if `after` was just
     /// given up, the next one by address.
-    pub fn choose(
+    pub fn choose_source(
         &mut self,
         now: Time,
         held: Version,
--- a/crates/core/tests/transfer.rs
+++ b/crates/core/tests/transfer.rs
@@ -5,7 +5,7 @@
 
 use std::net::SocketAddr;
 
-use cypressfork_core::fleet::fetch::{Fetch, GivenUp};
+use cypressfork_core::fleet::fetch::{AbandonedSource, Fetch};
 use cypressfork_core::fleet::registry::{
     Record, RecordSource, Registration, Registry, ReplicaStatus,
 };
@@ -165,37 +165,37 @@
 #[test]
 fn one_process_is_asked_at_a_time_and_the_next_after_it_has_fallen_silent() {
     let mut f = Fetch::default();
-    assert_eq!(f.choose(Time(0), 0, None), None, "nobody has told of anything");
-    assert!(f.told(address(2), 5));
-    assert!(!f.told(address(1), 5));
-    assert_eq!(f.choose(Time(0), 4, None), Some(address(1)));
-    assert_eq!(f.choose(Time(0), 4, None), None, "one is asked");
-    assert!(f.is_from(address(1)) && !f.is_from(address(2)));
-    assert_eq!(f.overdue(Time(500)), None);
-    f.progress(Time(500), address(1));
-    assert_eq!(f.overdue(Time(1_000)), None, "a part has come meanwhile");
-    f.progress(Time(900), address(2));
-    let given_up = GivenUp { from: address(1), after: Millis(600) };
-    assert_eq!(f.overdue(Time(1_100)), Some(given_up));
-    assert_eq!(f.choose(Time(1_100), 4, Some(address(1))), Some(address(2)));
-    assert_eq!(f.overdue(Time(1_700)).map(|g| g.from), Some(address(2)));
-    assert_eq!(f.choose(Time(1_700), 4, Some(address(2))), Some(address(1)), "in turn");
+    assert_eq!(f.choose_source(Time(0), 0, None), None, "nobody has told of anything");
+    assert!(f.record_version(address(2), 5));
+    assert!(!f.record_version(address(1), 5));
+    assert_eq!(f.choose_source(Time(0), 4, None), Some(address(1)));
+    assert_eq!(f.choose_source(Time(0), 4, None), None, "one is asked");
+    assert!(f.is_source(address(1)) && !f.is_source(address(2)));
+    assert_eq!(f.take_overdue(Time(500)), None);
+    f.record_progress(Time(500), address(1));
+    assert_eq!(f.take_overdue(Time(1_000)), None, "a part has come meanwhile");
+    f.record_progress(Time(900), address(2));
+    let given_up = AbandonedSource { from: address(1), after: Millis(600) };
+    assert_eq!(f.take_overdue(Time(1_100)), Some(given_up));
+    assert_eq!(f.choose_source(Time(1_100), 4, Some(address(1))), Some(address(2)));
+    assert_eq!(f.take_overdue(Time(1_700)).map(|g| g.from), Some(address(2)));
+    assert_eq!(f.choose_source(Time(1_700), 4, Some(address(2))), Some(address(1)), "in turn");
 }
 
 #[test]
 fn a_process_out_of_reach_is_not_asked_and_what_is_held_is_not_fetched() {
     let mut f = Fetch::default();
-    f.told(address(1), 5);
-    f.told(address(2), 4);
-    assert_eq!(f.choose(Time(0), 3, None), Some(address(1)), "it has told of most");
-    assert_eq!(f.lost(Time(100), address(2)), None);
-    assert_eq!(f.lost(Time(100), address(1)).map(|g| g.after), Some(Millis(100)));
-    assert_eq!(f.choose(Time(100), 3, Some(address(1))), None, "nobody is left");
-    assert_eq!((f.known(), f.told_by(address(1))), (5, 0));
-    f.told(address(2), 4);
-    assert_eq!(f.choose(Time(200), 4, None), None);
-    assert_eq!(f.choose(Time(200), 3, None), Some(address(2)));
-    f.done();
+    f.record_version(address(1), 5);
+    f.record_version(address(2), 4);
+    assert_eq!(f.choose_source(Time(0), 3, None), Some(address(1)), "it has told of most");
+    assert_eq!(f.drop_source(Time(100), address(2)), None);
+    assert_eq!(f.drop_source(Time(100), address(1)).map(|g| g.after), Some(Millis(100)));
+    assert_eq!(f.choose_source(Time(100), 3, Some(address(1))), None, "nobody is left");
+    assert_eq!((f.latest_version(), f.version_at(address(1))), (5, 0));
+    f.record_version(address(2), 4);
+    assert_eq!(f.choose_source(Time(200), 4, None), None);
+    assert_eq!(f.choose_source(Time(200), 3, None), Some(address(2)));
+    f.finish();
     assert!(!f.is_active());
 }
 
--- a/crates/router/src/gateway/documents.rs
+++ b/crates/router/src/gateway/documents.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use cypressfork_core::code::Code;
-use cypressfork_core::fleet::fetch::{Fetch, GivenUp};
+use cypressfork_core::fleet::fetch::{AbandonedSource, Fetch};
 use cypressfork_core::fleet::format::DocumentFormat;
 use cypressfork_core::fleet::routes::Routes;
 use cypressfork_core::fleet::transfer::{Assembly, Part, PartOutcome, PartRequest};
@@ -51,18 +51,18 @@
     /// Version of the document that the control process at `address` is known to have, or that is
     /// in force here.
     pub fn version_at(&self, address: SocketAddr) -> Version {
-        self.held().max(self.fetch.borrow().told_by(address))
+        self.held().max(self.fetch.borrow().version_at(address))
     }
 
     /// What to ask of the control process at `address`, if the newer document is fetched there.
     pub fn want(&self, address: SocketAddr) -> Option<PartRequest> {
-        let fetched = self.fetch.borrow().is_from(address);
+        let fetched = self.fetch.borrow().is_source(address);
         fetched.then(|| self.assembly.borrow().want(self.held()))
     }
 
     /// Whether somebody has told of a newer document than the one in force here.
     pub fn is_behind(&self) -> bool {
-        self.fetch.borrow().known() > self.held()
+        self.fetch.borrow().latest_version() > self.held()
     }
 
     /// Whether a newer document may be in force elsewhere that this gateway has not heard of: no
@@ -95,7 +95,7 @@
     if let Some(part) = part {
         take_part::<F>(gw, from, part);
     }
-    let first = docs.fetch.borrow_mut().told(from, version);
+    let first = docs.fetch.borrow_mut().record_version(from, version);
     if first && version > docs.held() {
         emit!(Event::DocumentKnown, version = version, from = from, held = docs.held());
     }
@@ -104,13 +104,13 @@
 
 /// Notes that a control process is out of reach.
 pub fn lost(gw: &Rc<Gateway>, from: SocketAddr) {
-    let given_up = gw.documents.fetch.borrow_mut().lost(gw.now(), from);
+    let given_up = gw.documents.fetch.borrow_mut().drop_source(gw.now(), from);
     if let Some(g) = given_up {
         give_up(gw, g, "the link failed");
     }
 }
 
-fn give_up(gw: &Rc<Gateway>, g: GivenUp, why: &str) {
+fn give_up(gw: &Rc<Gateway>, g: AbandonedSource, why: &str) {
     let has = gw.documents.assembly.borrow().want(0).offset;
     emit!(Event::DocumentGivenUp, from = g.from, after_ms = g.after.0, has = has, why = why);
     ask_next(gw, Some(g.from));
@@ -120,9 +120,11 @@
 fn ask_next(gw: &Rc<Gateway>, after: Option<SocketAddr>) {
     let docs = &gw.documents;
     let held = docs.held();
-    let Some(address) = docs.fetch.borrow_mut().choose(gw.now(), held, after) else { return };
+    let Some(address) = docs.fetch.borrow_mut().choose_source(gw.now(), held, after) else {
+        return;
+    };
     let has = docs.assembly.borrow().want(held).offset;
-    let version = docs.fetch.borrow().told_by(address);
+    let version = docs.fetch.borrow().version_at(address);
     emit!(Event::DocumentAsked, version = version, from = address, held = held, has = has);
     gw.urge(address);
     if !docs.watched.replace(true) {
@@ -134,7 +136,7 @@
 async fn look_after_fetch(gw: Rc<Gateway>) {
     while gw.documents.fetch.borrow().is_active() {
         sleep(LOOK_EVERY).await;
-        let given_up = gw.documents.fetch.borrow_mut().overdue(gw.now());
+        let given_up = gw.documents.fetch.borrow_mut().take_overdue(gw.now());
         if let Some(g) = given_up {
             give_up(&gw, g, "it took too long");
         }
@@ -144,11 +146,11 @@
 
 fn take_part<F: DocumentFormat>(gw: &Gateway, from: SocketAddr, part: Part) {
     let docs = &gw.documents;
-    docs.fetch.borrow_mut().progress(gw.now(), from);
+    docs.fetch.borrow_mut().record_progress(gw.now(), from);
     let taken = docs.assembly.borrow_mut().take(docs.held(), part);
     match taken {
         PartOutcome::Complete(bytes) => {
-            docs.fetch.borrow_mut().done();
+            docs.fetch.borrow_mut().finish();
             put_in_force::<F>(gw, &bytes);
         }
         PartOutcome::Corrupt => emit!(Event::MessageBad, peer = from, why = "a document's digest"),
