--- a/crates/core/src/fleet/limit/mod.rs
+++ b/crates/core/src/fleet/limit/mod.rs
@@ -52,12 +52,12 @@
 
 /// The parsed rate limit header of a response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Said {
+pub enum LimitHeader {
     /// The response has no such header.
     #[default]
-    Nothing,
+    Absent,
     /// The replica's limit.
     Limit(Rate),
     /// The header is malformed, or there are several.
-    Unreadable,
+    Invalid,
 }
--- a/crates/router/src/gateway/dialect.rs
+++ b/crates/router/src/gateway/dialect.rs
@@ -4,7 +4,7 @@
 use actix_http::{RequestHead, ResponseHead};
 use cypressfork_core::code::Code;
 use cypressfork_core::fleet::format::DocumentFormat;
-use cypressfork_core::fleet::limit::Said;
+use cypressfork_core::fleet::limit::LimitHeader;
 use cypressfork_core::route::{PromptPrefixes, rest};
 use cypressfork_core::unit::{Millis, Tokens};
 
@@ -65,7 +65,7 @@
     /// The answer is in the form that was asked for.
     pub sound: bool,
     /// What it says of the replica's limit.
-    pub limit: Said,
+    pub limit: LimitHeader,
     /// What it says of a rest.
     pub rest: rest::RetryAfter,
     /// The replica says that it leaves.
--- a/crates/router/src/gateway/limits.rs
+++ b/crates/router/src/gateway/limits.rs
@@ -9,7 +9,7 @@
 use cypressfork_core::fleet::limit::homes::Homes;
 use cypressfork_core::fleet::limit::known::{self, Change, Word};
 use cypressfork_core::fleet::limit::permits::{Ask, GOOD_FOR, Grant, Permits};
-use cypressfork_core::fleet::limit::{Named, Rate, Said};
+use cypressfork_core::fleet::limit::{LimitHeader, Named, Rate};
 use cypressfork_core::fleet::neighbours::{DataCentreRouters, NOT_WANTED, digest};
 use cypressfork_core::route::turns::{RetrySchedule, RetrySpacing};
 use cypressfork_core::unit::{Millis, Time};
@@ -117,12 +117,12 @@
     }
 
     /// Takes what an answer to the request `id`, sent at `sent`, says of its replica's limit.
-    pub fn heard(&self, gw: &Gateway, replica: &str, id: &str, sent: Instant, said: Said) {
+    pub fn heard(&self, gw: &Gateway, replica: &str, id: &str, sent: Instant, said: LimitHeader) {
         let rate = match said {
-            Said::Nothing if self.named.get() == 0 => return,
-            Said::Nothing => None,
-            Said::Limit(rate) => Some(rate),
-            Said::Unreadable => return self.tell_unreadable(replica, id),
+            LimitHeader::Absent if self.named.get() == 0 => return,
+            LimitHeader::Absent => None,
+            LimitHeader::Limit(rate) => Some(rate),
+            LimitHeader::Invalid => return self.tell_unreadable(replica, id),
         };
         let now = gw.now();
         let sent = now.before(Millis(sent.elapsed().as_millis() as u64));
--- a/crates/router/src/gateway/native.rs
+++ b/crates/router/src/gateway/native.rs
@@ -7,7 +7,7 @@
 use cypressfork_core::code::Code;
 use cypressfork_core::fleet::document::{Document, InvalidDocument};
 use cypressfork_core::fleet::format::{self, DocumentFormat};
-use cypressfork_core::fleet::limit::{Rate, Said};
+use cypressfork_core::fleet::limit::{LimitHeader, Rate};
 use cypressfork_core::route::{PromptPrefixes, rest};
 use cypressfork_core::unit::Millis;
 
@@ -63,13 +63,13 @@
 }
 
 /// What the header `name` of an answer says of its replica's limit.
-pub fn limit(h: &HeaderMap, name: HeaderName) -> Said {
+pub fn limit(h: &HeaderMap, name: HeaderName) -> LimitHeader {
     let mut all = h.get_all(name);
-    let Some(value) = all.next() else { return Said::Nothing };
+    let Some(value) = all.next() else { return LimitHeader::Absent };
     let rate = value.to_str().ok().and_then(Rate::parse);
     match (rate, all.next()) {
-        (Some(rate), None) => Said::Limit(rate),
-        _ => Said::Unreadable,
+        (Some(rate), None) => LimitHeader::Limit(rate),
+        _ => LimitHeader::Invalid,
     }
 }
 
--- a/crates/router/src/gateway/notices.rs
+++ b/crates/router/src/gateway/notices.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use cypressfork_core::fleet::limit::Said;
+use cypressfork_core::fleet::limit::LimitHeader;
 use cypressfork_core::fleet::registry::{Leaving, ReplicaStatus};
 use cypressfork_core::route::rest;
 use cypressfork_node::event::Event;
@@ -85,7 +85,7 @@
         self.hear_rest(job, to, said);
         // One that does not name its request may be older than it looks: it names a limit, and its
         // silence ends none.
-        if said.id.is_some() || said.limit != Said::Nothing {
+        if said.id.is_some() || said.limit != LimitHeader::Absent {
             gw.limits.heard(gw, to.replica, &job.inbound.id, to.sent, said.limit);
         }
         if said.leaving {
