--- a/crates/cli/src/cmd/limits.rs
+++ b/crates/cli/src/cmd/limits.rs
@@ -1,6 +1,6 @@
 //! `cypressfork limits`: the limits that replicas name.
 
-use cypressfork_core::fleet::limit::Named;
+use cypressfork_core::fleet::limit::DisplayLimit;
 use cypressfork_core::fleet::limit::known::Word;
 use cypressfork_core::query::{Query, Reply};
 use serde_json::json;
@@ -31,5 +31,5 @@
 }
 
 fn row(w: &Word) -> [String; 3] {
-    [w.replica.clone(), Named(w.rate).to_string(), format!("{} ms ago", w.age.0)]
+    [w.replica.clone(), DisplayLimit(w.rate).to_string(), format!("{} ms ago", w.age.0)]
 }
--- a/crates/control/src/fleet_view.rs
+++ b/crates/control/src/fleet_view.rs
@@ -4,7 +4,7 @@
 use cypressfork_core::fleet::contacts::Leader;
 use cypressfork_core::fleet::entry::RouterHeartbeats;
 use cypressfork_core::fleet::evacuation::Evacuations;
-use cypressfork_core::fleet::limit::Named;
+use cypressfork_core::fleet::limit::DisplayLimit;
 use cypressfork_core::fleet::limit::known::{Limits, Word};
 use cypressfork_core::fleet::neighbours::{NOT_WANTED, RouterDirectory};
 use cypressfork_core::fleet::quarantine::{Quarantine, Told};
@@ -203,8 +203,8 @@
                 emit!(
                     Event::LimitChanged,
                     replica = w.replica,
-                    from = Named(change.from),
-                    to = Named(change.to),
+                    from = DisplayLimit(change.from),
+                    to = DisplayLimit(change.to),
                     age_ms = w.age.0,
                 );
                 gauge!(metric::LIMITED).set(self.limits.named().count() as f64);
--- a/crates/core/src/fleet/limit/mod.rs
+++ b/crates/core/src/fleet/limit/mod.rs
@@ -39,9 +39,9 @@
 }
 
 /// Formats an optional limit for logs: the rate, or `none`.
-pub struct Named(pub Option<Rate>);
+pub struct DisplayLimit(pub Option<Rate>);
 
-impl fmt::Display for Named {
+impl fmt::Display for DisplayLimit {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0 {
             Some(rate) => rate.fmt(f),
--- a/crates/router/src/gateway/limits.rs
+++ b/crates/router/src/gateway/limits.rs
@@ -9,7 +9,7 @@
 use cypressfork_core::fleet::limit::homes::Homes;
 use cypressfork_core::fleet::limit::known::{self, Change, Word};
 use cypressfork_core::fleet::limit::permits::{Ask, GOOD_FOR, Grant, Permits};
-use cypressfork_core::fleet::limit::{LimitHeader, Named, Rate};
+use cypressfork_core::fleet::limit::{DisplayLimit, LimitHeader, Rate};
 use cypressfork_core::fleet::neighbours::{DataCentreRouters, NOT_WANTED, digest};
 use cypressfork_core::route::turns::{RetrySchedule, RetrySpacing};
 use cypressfork_core::unit::{Millis, Time};
@@ -112,7 +112,7 @@
     /// What holds of a replica, for a refusal: its limit and since when it names one.
     pub fn describe(&self, now: Time, replica: &str) -> String {
         let known = self.known.borrow();
-        let (rate, age) = (Named(known.rate(replica)), known.age(now, replica));
+        let (rate, age) = (DisplayLimit(known.rate(replica)), known.age(now, replica));
         format!("replica {replica} takes {rate} a second, named {} ms ago", age.0)
     }
 
@@ -150,8 +150,8 @@
         emit!(
             Event::LimitChanged,
             replica = replica,
-            from = Named(change.from),
-            to = Named(change.to),
+            from = DisplayLimit(change.from),
+            to = DisplayLimit(change.to),
             by = by,
             id = id,
         );
