--- a/crates/cli/src/cmd/limits.rs
+++ b/crates/cli/src/cmd/limits.rs
@@ -1,7 +1,7 @@
 //! `cypressfork limits`: the limits that replicas name.
 
 use cypressfork_core::fleet::limit::DisplayLimit;
-use cypressfork_core::fleet::limit::known::Word;
+use cypressfork_core::fleet::limit::known::LimitReport;
 use cypressfork_core::query::{Query, Reply};
 use serde_json::json;
 
@@ -25,11 +25,11 @@
     Ok(cx.show(&shown, || table(["REPLICA", "REQUESTS A SECOND", "HEARD"], &rows)))
 }
 
-fn as_json(w: &Word) -> serde_json::Value {
+fn as_json(w: &LimitReport) -> serde_json::Value {
     let per_second = w.rate.map(|r| r.0 as f64 / 1_000.0);
     json!({ "replica": w.replica, "per_second": per_second, "heard_ms": w.age.0 })
 }
 
-fn row(w: &Word) -> [String; 3] {
+fn row(w: &LimitReport) -> [String; 3] {
     [w.replica.clone(), DisplayLimit(w.rate).to_string(), format!("{} ms ago", w.age.0)]
 }
--- a/crates/control/src/fleet_view.rs
+++ b/crates/control/src/fleet_view.rs
@@ -5,7 +5,7 @@
 use cypressfork_core::fleet::entry::RouterHeartbeats;
 use cypressfork_core::fleet::evacuation::Evacuations;
 use cypressfork_core::fleet::limit::DisplayLimit;
-use cypressfork_core::fleet::limit::known::{Limits, Word};
+use cypressfork_core::fleet::limit::known::{LimitReport, Limits};
 use cypressfork_core::fleet::neighbours::{NOT_WANTED, RouterDirectory};
 use cypressfork_core::fleet::quarantine::{Quarantine, Told};
 use cypressfork_core::fleet::registry::{Heartbeat, Record, RecordSource, Registry};
@@ -197,7 +197,7 @@
     }
 
     /// Takes words on limits; those of former lives of replicas say nothing any more.
-    fn hear_limits(&mut self, now: Time, words: &[Word]) {
+    fn hear_limits(&mut self, now: Time, words: &[LimitReport]) {
         for w in words.iter().filter(|w| is_running(&self.registry, &w.replica, w.born)) {
             if let Some(change) = self.limits.take(now, w) {
                 emit!(
@@ -218,7 +218,7 @@
         now: Time,
         replicas: Vec<Record>,
         beats: &[Heartbeat],
-        limits: &[Word],
+        limits: &[LimitReport],
     ) {
         for r in replicas {
             self.registry.apply(now, r, RecordSource::Peer);
--- a/crates/core/src/fleet/limit/known.rs
+++ b/crates/core/src/fleet/limit/known.rs
@@ -26,7 +26,7 @@
 
 /// One process's report on a replica's limit, sent to other processes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Word {
+pub struct LimitReport {
     /// The replica's id.
     pub replica: String,
     /// The replica's incarnation, from its registration; 0 if unknown.
@@ -121,32 +121,32 @@
     }
 
     /// Applies another process's report. Returns the change, if any.
-    pub fn take(&mut self, now: Time, w: &Word) -> Option<Change> {
-        let observed = now.before(w.age);
-        let known = self.by_replica.get_mut(&w.replica);
-        let Some(l) = known.filter(|l| l.born <= w.born || w.born == 0) else {
-            let is_new = !self.by_replica.contains_key(&w.replica);
-            if is_new && w.rate.is_some() {
-                self.put(now, &w.replica, w.born, w.rate, observed, false);
-                return Some(Change { from: None, to: w.rate });
+    pub fn take(&mut self, now: Time, r: &LimitReport) -> Option<Change> {
+        let observed = now.before(r.age);
+        let known = self.by_replica.get_mut(&r.replica);
+        let Some(l) = known.filter(|l| l.born <= r.born || r.born == 0) else {
+            let is_new = !self.by_replica.contains_key(&r.replica);
+            if is_new && r.rate.is_some() {
+                self.put(now, &r.replica, r.born, r.rate, observed, false);
+                return Some(Change { from: None, to: r.rate });
             }
             return None;
         };
-        let restarted = w.born > l.born && l.born != 0;
-        if l.rate == w.rate && !restarted {
+        let restarted = r.born > l.born && l.born != 0;
+        if l.rate == r.rate && !restarted {
             l.observed = l.observed.max(observed);
             return None;
         }
         let from = l.rate;
         let is_later = observed > l.observed.after(ORDER_UNCERTAINTY);
         let may_be_later = observed.after(ORDER_UNCERTAINTY) >= l.observed;
-        let applies = restarted || is_later || (may_be_later && is_lower(w.rate, from));
+        let applies = restarted || is_later || (may_be_later && is_lower(r.rate, from));
         if !applies {
             return None;
         }
-        let born = w.born.max(l.born);
-        self.put(now, &w.replica, born, w.rate, observed, false);
-        Some(Change { from, to: w.rate })
+        let born = r.born.max(l.born);
+        self.put(now, &r.replica, born, r.rate, observed, false);
+        Some(Change { from, to: r.rate })
     }
 
     fn put(
@@ -197,14 +197,14 @@
     }
 
     /// Returns a report on each replica with a limit.
-    pub fn words(&self, now: Time) -> Vec<Word> {
+    pub fn words(&self, now: Time) -> Vec<LimitReport> {
         self.named().filter_map(|(replica, _)| self.report(now, replica)).collect()
     }
 
-    fn report(&self, now: Time, replica: &str) -> Option<Word> {
+    fn report(&self, now: Time, replica: &str) -> Option<LimitReport> {
         let l = self.by_replica.get(replica)?;
         let age = now.since(l.observed);
-        Some(Word { replica: replica.to_owned(), born: l.born, rate: l.rate, age })
+        Some(LimitReport { replica: replica.to_owned(), born: l.born, rate: l.rate, age })
     }
 
     /// Returns the position of the newest change.
@@ -219,7 +219,7 @@
 
     /// Returns at most `most` changes after position `since`, oldest first, and the position from which
     /// to continue.
-    pub fn changes(&self, now: Time, since: u64, most: usize) -> (Vec<Word>, u64) {
+    pub fn changes(&self, now: Time, since: u64, most: usize) -> (Vec<LimitReport>, u64) {
         let mut newer = self.by_position.range((Bound::Excluded(since), Bound::Unbounded));
         let batch: Vec<_> = newer.by_ref().take(most).collect();
         let last = batch.last().map_or(since, |(at, _)| **at);
@@ -230,7 +230,7 @@
 
     /// Returns at most `most` due reports on this process's own observations, and marks them as
     /// reported. A change is due at once, and an unchanged limit every `again` while it is observed.
-    pub fn reports(&mut self, now: Time, again: Millis, most: usize) -> Vec<Word> {
+    pub fn reports(&mut self, now: Time, again: Millis, most: usize) -> Vec<LimitReport> {
         let is_due = |l: &Limit| match (l.observed_here, l.reported) {
             (None, _) => false,
             (Some(_), None) => true,
@@ -240,7 +240,7 @@
         let report = |(replica, l): (&String, &mut Limit)| {
             l.reported = Some(now);
             let age = now.since(l.observed);
-            Word { replica: replica.clone(), born: l.born, rate: l.rate, age }
+            LimitReport { replica: replica.clone(), born: l.born, rate: l.rate, age }
         };
         due.map(report).collect()
     }
--- a/crates/core/src/fleet/watch.rs
+++ b/crates/core/src/fleet/watch.rs
@@ -6,7 +6,7 @@
 
 use super::contacts::Leader;
 use super::evacuation::Evacuations;
-use super::limit::known::Word;
+use super::limit::known::LimitReport;
 use super::neighbours::DataCentreRouters;
 use super::quarantine::Told;
 use super::registry::{Heartbeat, Leaving, Record};
@@ -92,7 +92,7 @@
     pub reports: Vec<Report>,
     /// Replicas' rate limits that the router has received.
     #[serde(default)]
-    pub heard: Vec<Word>,
+    pub heard: Vec<LimitReport>,
     /// Digest of the router lists of data centres with few routers (`few`) that the watcher has.
     #[serde(default)]
     pub few: u64,
@@ -146,7 +146,7 @@
     pub packed: Option<ByteBuf>,
     /// Changed rate limits of replicas.
     #[serde(default)]
-    pub limits: Vec<Word>,
+    pub limits: Vec<LimitReport>,
     /// Routers of data centres with few routers, if the watcher's list differs.
     #[serde(default)]
     pub few: Option<Vec<DataCentreRouters>>,
--- a/crates/core/src/query.rs
+++ b/crates/core/src/query.rs
@@ -6,7 +6,7 @@
 use crate::budget::Lease;
 use crate::config::{Application, Difference, Entry, Item, Template};
 use crate::fleet::fingerprint::Fingerprint;
-use crate::fleet::limit::known::Word;
+use crate::fleet::limit::known::LimitReport;
 use crate::fleet::rollout::Rollout;
 use crate::hash::Fnv;
 use crate::raft::Members;
@@ -234,7 +234,7 @@
     /// To [`Query::Rollouts`], by service.
     Rollouts(Vec<(String, Rollout)>),
     /// To [`Query::Limits`].
-    Limits(Vec<Word>),
+    Limits(Vec<LimitReport>),
 }
 
 /// A control process's own view of its id and group, not confirmed by a quorum.
--- a/crates/core/tests/limits.rs
+++ b/crates/core/tests/limits.rs
@@ -3,7 +3,7 @@
 #![allow(missing_docs)]
 
 use cypressfork_core::fleet::limit::Rate;
-use cypressfork_core::fleet::limit::known::{Limits, Word};
+use cypressfork_core::fleet::limit::known::{LimitReport, Limits};
 use cypressfork_core::unit::{Millis, Time};
 use rstest::rstest;
 
@@ -67,8 +67,8 @@
     assert_eq!(limits.rate(REPLICA), None);
 }
 
-fn word(born: u64, named: u64, age: u64) -> Word {
-    Word { replica: REPLICA.to_owned(), born, rate: rate(named), age: Millis(age) }
+fn word(born: u64, named: u64, age: u64) -> LimitReport {
+    LimitReport { replica: REPLICA.to_owned(), born, rate: rate(named), age: Millis(age) }
 }
 
 /// Words of others, each with when it comes; behind them, the limit that holds.
@@ -81,7 +81,7 @@
 #[case::of_an_earlier_life(&[(1_000, word(2, 1, 0)), (2_000, word(1, 5, 0))], 1)]
 #[case::of_a_later_life(&[(1_000, word(1, 1, 0)), (1_010, word(2, 5, 0))], 5)]
 #[case::the_end_of_what_was_never_known(&[(1_000, word(1, 0, 0))], 0)]
-fn words_of_others(#[case] words: &[(u64, Word)], #[case] holds: u64) {
+fn words_of_others(#[case] words: &[(u64, LimitReport)], #[case] holds: u64) {
     let mut limits = Limits::default();
     for (at, word) in words {
         limits.take(Time(*at), word);
@@ -122,7 +122,7 @@
     limits.answered(Time(5_500), REPLICA, 1, Time(5_400), rate(2));
     assert_eq!(limits.reports(Time(5_900), again, 9), []);
     assert_eq!(limits.reports(Time(6_000), again, 9), [word(1, 2, 500)]);
-    limits.take(Time(7_000), &Word { replica: "b-2".to_owned(), ..word(1, 1, 0) });
+    limits.take(Time(7_000), &LimitReport { replica: "b-2".to_owned(), ..word(1, 1, 0) });
     assert_eq!(limits.reports(Time(19_000), again, 9), [], "others tell what they heard");
 }
 
--- a/crates/router/src/gateway/limits.rs
+++ b/crates/router/src/gateway/limits.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use cypressfork_core::fleet::limit::homes::Homes;
-use cypressfork_core::fleet::limit::known::{self, Change, Word};
+use cypressfork_core::fleet::limit::known::{self, Change, LimitReport};
 use cypressfork_core::fleet::limit::permits::{Ask, GOOD_FOR, Grant, Permits};
 use cypressfork_core::fleet::limit::{DisplayLimit, LimitHeader, Rate};
 use cypressfork_core::fleet::neighbours::{DataCentreRouters, NOT_WANTED, digest};
@@ -135,7 +135,7 @@
     }
 
     /// Takes what a control process tells of limits.
-    pub fn told(&self, gw: &Gateway, words: &[Word]) {
+    pub fn told(&self, gw: &Gateway, words: &[LimitReport]) {
         for w in words.iter().filter(|w| gw.is_running(&w.replica, w.born)) {
             let change = self.known.borrow_mut().take(gw.now(), w);
             if let Some(change) = change {
@@ -174,7 +174,7 @@
     }
 
     /// What control processes are to be told: what this gateway heard itself.
-    pub fn reports(&self, now: Time) -> Vec<Word> {
+    pub fn reports(&self, now: Time) -> Vec<LimitReport> {
         if self.named.get() == 0 && self.known.borrow().position() == 0 {
             return Vec::new();
         }
--- a/crates/wire/tests/fuzz.rs
+++ b/crates/wire/tests/fuzz.rs
@@ -8,7 +8,7 @@
 
 use cypressfork_core::command::{Answer, Command};
 use cypressfork_core::fleet::limit::Rate;
-use cypressfork_core::fleet::limit::known::Word;
+use cypressfork_core::fleet::limit::known::LimitReport;
 use cypressfork_core::fleet::share::{PeerReply as Lent, PeerRequest};
 use cypressfork_core::fleet::transfer::{Part, PartRequest};
 use cypressfork_core::fleet::watch::{RouterStatus, Watch, WatchResponse};
@@ -63,7 +63,12 @@
         quarantine: 0,
         rollouts: 0,
         reports: vec![Default::default()],
-        heard: vec![Word { replica: text("b-1"), born: 8, rate: Some(Rate(9)), age: Millis(10) }],
+        heard: vec![LimitReport {
+            replica: text("b-1"),
+            born: 8,
+            rate: Some(Rate(9)),
+            age: Millis(10),
+        }],
         few: 11,
         leaving: Vec::new(),
         without_replicas: false,
