--- a/crates/control/src/fleet_view.rs
+++ b/crates/control/src/fleet_view.rs
@@ -199,7 +199,7 @@
     /// Takes words on limits; those of former lives of replicas say nothing any more.
     fn hear_limits(&mut self, now: Time, words: &[LimitReport]) {
         for w in words.iter().filter(|w| is_running(&self.registry, &w.replica, w.born)) {
-            if let Some(change) = self.limits.take(now, w) {
+            if let Some(change) = self.limits.apply(now, w) {
                 emit!(
                     Event::LimitChanged,
                     replica = w.replica,
@@ -207,7 +207,7 @@
                     to = DisplayLimit(change.to),
                     age_ms = w.age.0,
                 );
-                gauge!(metric::LIMITED).set(self.limits.named().count() as f64);
+                gauge!(metric::LIMITED).set(self.limits.limited().count() as f64);
             }
         }
     }
@@ -236,8 +236,8 @@
         if now >= self.next_trim {
             self.next_trim = now.after(TRIM_EVERY);
             let registry = &self.registry;
-            self.limits.trim(now, |replica, born| is_running(registry, replica, born));
-            gauge!(metric::LIMITED).set(self.limits.named().count() as f64);
+            self.limits.expire(now, |replica, born| is_running(registry, replica, born));
+            gauge!(metric::LIMITED).set(self.limits.limited().count() as f64);
         }
     }
 
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -262,7 +262,7 @@
                 }
             }
             Input::Call(Ask::Query(bytes), to) if self.asks_for_limits(&bytes) => {
-                let words = self.fleet.as_ref().map(|f| f.view.limits.words(at.now));
+                let words = self.fleet.as_ref().map(|f| f.view.limits.active_reports(at.now));
                 self.reply(to, Ok(body::pack(&Reply::Limits(words.unwrap_or_default()))));
             }
             Input::Call(Ask::Watch(bytes), to) => self.take_watch(at, &bytes, to),
--- a/crates/core/src/fleet/limit/known.rs
+++ b/crates/core/src/fleet/limit/known.rs
@@ -39,7 +39,7 @@
 
 /// A change of a replica's limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Change {
+pub struct LimitChange {
     /// The limit before.
     pub from: Option<Rate>,
     /// The limit now.
@@ -86,25 +86,25 @@
     }
 
     /// Iterates over the replicas with a limit.
-    pub fn named(&self) -> impl Iterator<Item = (&str, Rate)> {
+    pub fn limited(&self) -> impl Iterator<Item = (&str, Rate)> {
         self.by_replica.iter().filter_map(|(replica, l)| Some((replica.as_str(), l.rate?)))
     }
 
     /// Records the limit announced by a response to a request sent at `sent`, or `None` if it announced
     /// none. Returns the change, if any.
-    pub fn answered(
+    pub fn record_response(
         &mut self,
         now: Time,
         replica: &str,
         born: u64,
         sent: Time,
         rate: Option<Rate>,
-    ) -> Option<Change> {
+    ) -> Option<LimitChange> {
         let known = self.by_replica.get_mut(replica).filter(|l| l.born == born);
         let Some(l) = known else {
             rate?;
             self.put(now, replica, born, rate, now, true);
-            return Some(Change { from: None, to: rate });
+            return Some(LimitChange { from: None, to: rate });
         };
         if l.rate == rate {
             l.observed = now;
@@ -117,18 +117,18 @@
             return None;
         }
         self.put(now, replica, born, rate, now, true);
-        Some(Change { from, to: rate })
+        Some(LimitChange { from, to: rate })
     }
 
     /// Applies another process's report. Returns the change, if any.
-    pub fn take(&mut self, now: Time, r: &LimitReport) -> Option<Change> {
+    pub fn apply(&mut self, now: Time, r: &LimitReport) -> Option<LimitChange> {
         let observed = now.before(r.age);
         let known = self.by_replica.get_mut(&r.replica);
         let Some(l) = known.filter(|l| l.born <= r.born || r.born == 0) else {
             let is_new = !self.by_replica.contains_key(&r.replica);
             if is_new && r.rate.is_some() {
                 self.put(now, &r.replica, r.born, r.rate, observed, false);
-                return Some(Change { from: None, to: r.rate });
+                return Some(LimitChange { from: None, to: r.rate });
             }
             return None;
         };
@@ -146,7 +146,7 @@
         }
         let born = r.born.max(l.born);
         self.put(now, &r.replica, born, r.rate, observed, false);
-        Some(Change { from, to: r.rate })
+        Some(LimitChange { from, to: r.rate })
     }
 
     fn put(
@@ -176,7 +176,7 @@
     }
 
     /// Removes a replica that has left or restarted. Returns its limit.
-    pub fn forget(&mut self, replica: &str) -> Option<Rate> {
+    pub fn remove(&mut self, replica: &str) -> Option<Rate> {
         let l = self.by_replica.remove(replica)?;
         self.by_position.remove(&l.position);
         l.rate
@@ -185,20 +185,20 @@
     /// Removes limits that have not been observed for long, and those of replicas for which `is_there`,
     /// called with the id and incarnation, returns false. Returns the removed replicas that had a
     /// limit.
-    pub fn trim(&mut self, now: Time, is_there: impl Fn(&str, u64) -> bool) -> Vec<String> {
+    pub fn expire(&mut self, now: Time, is_there: impl Fn(&str, u64) -> bool) -> Vec<String> {
         let is_old = |replica: &str, l: &Limit| {
             let retention = if l.rate.is_some() { LIMIT_RETENTION } else { LIFTED_RETENTION };
             now.since(l.observed) >= retention || !is_there(replica, l.born)
         };
         let old = self.by_replica.iter().filter(|(replica, l)| is_old(replica, l));
         let mut old: Vec<_> = old.map(|(replica, _)| replica.clone()).collect();
-        old.retain(|replica| self.forget(replica).is_some());
+        old.retain(|replica| self.remove(replica).is_some());
         old
     }
 
     /// Returns a report on each replica with a limit.
-    pub fn words(&self, now: Time) -> Vec<LimitReport> {
-        self.named().filter_map(|(replica, _)| self.report(now, replica)).collect()
+    pub fn active_reports(&self, now: Time) -> Vec<LimitReport> {
+        self.limited().filter_map(|(replica, _)| self.report(now, replica)).collect()
     }
 
     fn report(&self, now: Time, replica: &str) -> Option<LimitReport> {
@@ -230,7 +230,7 @@
 
     /// Returns at most `most` due reports on this process's own observations, and marks them as
     /// reported. A change is due at once, and an unchanged limit every `again` while it is observed.
-    pub fn reports(&mut self, now: Time, again: Millis, most: usize) -> Vec<LimitReport> {
+    pub fn take_due_reports(&mut self, now: Time, again: Millis, most: usize) -> Vec<LimitReport> {
         let is_due = |l: &Limit| match (l.observed_here, l.reported) {
             (None, _) => false,
             (Some(_), None) => true,
--- a/crates/core/tests/limits.rs
+++ b/crates/core/tests/limits.rs
@@ -53,7 +53,7 @@
 fn answers_that_overtake_each_other(#[case] answers: &[(u64, u64, u64)], #[case] holds: u64) {
     let mut limits = Limits::default();
     for (sent, came, named) in answers {
-        limits.answered(Time(*came), REPLICA, 1, Time(*sent), rate(*named));
+        limits.record_response(Time(*came), REPLICA, 1, Time(*sent), rate(*named));
     }
     assert_eq!(limits.rate(REPLICA), rate(holds));
 }
@@ -61,9 +61,9 @@
 #[test]
 fn a_later_life_begins_without_a_limit() {
     let mut limits = Limits::default();
-    limits.answered(Time(10), REPLICA, 1, Time(0), rate(2));
-    assert_eq!(limits.forget(REPLICA), rate(2));
-    assert_eq!(limits.answered(Time(20), REPLICA, 2, Time(15), None), None);
+    limits.record_response(Time(10), REPLICA, 1, Time(0), rate(2));
+    assert_eq!(limits.remove(REPLICA), rate(2));
+    assert_eq!(limits.record_response(Time(20), REPLICA, 2, Time(15), None), None);
     assert_eq!(limits.rate(REPLICA), None);
 }
 
@@ -84,7 +84,7 @@
 fn words_of_others(#[case] words: &[(u64, LimitReport)], #[case] holds: u64) {
     let mut limits = Limits::default();
     for (at, word) in words {
-        limits.take(Time(*at), word);
+        limits.apply(Time(*at), word);
     }
     assert_eq!(limits.rate(REPLICA), rate(holds));
 }
@@ -93,18 +93,18 @@
 fn two_processes_that_tell_each_other_come_to_agree() {
     for apart in (0..1_000).step_by(50) {
         let mut all = [Limits::default(), Limits::default()];
-        all[0].take(Time(10_000), &word(1, 2, 0));
-        all[1].take(Time(10_000), &word(1, 2, 0));
+        all[0].apply(Time(10_000), &word(1, 2, 0));
+        all[1].apply(Time(10_000), &word(1, 2, 0));
         // One hears that it is over, the other that it is lower, some time apart.
-        all[0].take(Time(11_000), &word(1, 0, 0));
-        all[1].take(Time(11_000 + apart), &word(1, 1, 0));
+        all[0].apply(Time(11_000), &word(1, 0, 0));
+        all[1].apply(Time(11_000 + apart), &word(1, 1, 0));
         let mut told = [0, 0];
         for at in (12_000..14_000).step_by(20) {
             for n in [0, 1] {
                 let (words, upto) = all[n].changes(Time(at), told[n], 10);
                 told[n] = upto;
                 for w in words {
-                    all[1 - n].take(Time(at + 10), &w);
+                    all[1 - n].apply(Time(at + 10), &w);
                 }
             }
         }
@@ -116,23 +116,23 @@
 fn a_change_is_told_once_and_what_goes_on_now_and_then() {
     let again = Millis(5_000);
     let mut limits = Limits::default();
-    limits.answered(Time(1_000), REPLICA, 1, Time(900), rate(2));
-    assert_eq!(limits.reports(Time(1_000), again, 9), [word(1, 2, 0)]);
-    assert_eq!(limits.reports(Time(1_100), again, 9), []);
-    limits.answered(Time(5_500), REPLICA, 1, Time(5_400), rate(2));
-    assert_eq!(limits.reports(Time(5_900), again, 9), []);
-    assert_eq!(limits.reports(Time(6_000), again, 9), [word(1, 2, 500)]);
-    limits.take(Time(7_000), &LimitReport { replica: "b-2".to_owned(), ..word(1, 1, 0) });
-    assert_eq!(limits.reports(Time(19_000), again, 9), [], "others tell what they heard");
+    limits.record_response(Time(1_000), REPLICA, 1, Time(900), rate(2));
+    assert_eq!(limits.take_due_reports(Time(1_000), again, 9), [word(1, 2, 0)]);
+    assert_eq!(limits.take_due_reports(Time(1_100), again, 9), []);
+    limits.record_response(Time(5_500), REPLICA, 1, Time(5_400), rate(2));
+    assert_eq!(limits.take_due_reports(Time(5_900), again, 9), []);
+    assert_eq!(limits.take_due_reports(Time(6_000), again, 9), [word(1, 2, 500)]);
+    limits.apply(Time(7_000), &LimitReport { replica: "b-2".to_owned(), ..word(1, 1, 0) });
+    assert_eq!(limits.take_due_reports(Time(19_000), again, 9), [], "others tell what they heard");
 }
 
 #[test]
 fn what_nobody_hears_any_more_is_forgotten() {
     let mut limits = Limits::default();
-    limits.answered(Time(1_000), REPLICA, 1, Time(900), rate(2));
-    limits.trim(Time(100_000), |_, _| true);
+    limits.record_response(Time(1_000), REPLICA, 1, Time(900), rate(2));
+    limits.expire(Time(100_000), |_, _| true);
     assert_eq!(limits.rate(REPLICA), rate(2));
-    limits.trim(Time(121_000), |_, _| true);
+    limits.expire(Time(121_000), |_, _| true);
     assert_eq!(limits.rate(REPLICA), None);
     assert!(!limits.has_changes(0));
 }
--- a/crates/router/src/gateway/limits.rs
+++ b/crates/router/src/gateway/limits.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use cypressfork_core::fleet::limit::homes::Homes;
-use cypressfork_core::fleet::limit::known::{self, Change, LimitReport};
+use cypressfork_core::fleet::limit::known::{self, LimitChange, LimitReport};
 use cypressfork_core::fleet::limit::permits::{Ask, GOOD_FOR, Grant, Permits};
 use cypressfork_core::fleet::limit::{DisplayLimit, LimitHeader, Rate};
 use cypressfork_core::fleet::neighbours::{DataCentreRouters, NOT_WANTED, digest};
@@ -127,7 +127,7 @@
         let now = gw.now();
         let sent = now.before(Millis(sent.elapsed().as_millis() as u64));
         let born = gw.born(replica);
-        let change = self.known.borrow_mut().answered(now, replica, born, sent, rate);
+        let change = self.known.borrow_mut().record_response(now, replica, born, sent, rate);
         if let Some(change) = change {
             self.apply(gw, replica, change, "answer", id);
             gw.urge_sources();
@@ -137,14 +137,14 @@
     /// Takes what a control process tells of limits.
     pub fn told(&self, gw: &Gateway, words: &[LimitReport]) {
         for w in words.iter().filter(|w| gw.is_running(&w.replica, w.born)) {
-            let change = self.known.borrow_mut().take(gw.now(), w);
+            let change = self.known.borrow_mut().apply(gw.now(), w);
             if let Some(change) = change {
                 self.apply(gw, &w.replica, change, "control", "");
             }
         }
     }
 
-    fn apply(&self, gw: &Gateway, replica: &str, change: Change, by: &str, id: &str) {
+    fn apply(&self, gw: &Gateway, replica: &str, change: LimitChange, by: &str, id: &str) {
         self.count();
         gw.set_limited(replica, change.to.is_some());
         emit!(
@@ -158,7 +158,7 @@
     }
 
     fn count(&self) {
-        let named = self.known.borrow().named().count();
+        let named = self.known.borrow().limited().count();
         self.named.set(named);
         gauge!(metric::LIMITED).set(named as f64);
     }
@@ -178,7 +178,7 @@
         if self.named.get() == 0 && self.known.borrow().position() == 0 {
             return Vec::new();
         }
-        self.known.borrow_mut().reports(now, TELL_AGAIN, WORDS)
+        self.known.borrow_mut().take_due_reports(now, TELL_AGAIN, WORDS)
     }
 
     /// Forgets a replica that has left or started again.
@@ -186,7 +186,7 @@
         self.stock.borrow_mut().remove(replica);
         self.permits.borrow_mut().forget(replica);
         self.homes.borrow_mut().forget(replica);
-        if self.known.borrow_mut().forget(replica).is_some() {
+        if self.known.borrow_mut().remove(replica).is_some() {
             self.count();
         }
     }
@@ -194,7 +194,8 @@
     /// Forgets what is old.
     pub fn trim(&self, gw: &Gateway) {
         let now = gw.now();
-        let gone = self.known.borrow_mut().trim(now, |replica, born| gw.is_running(replica, born));
+        let gone =
+            self.known.borrow_mut().expire(now, |replica, born| gw.is_running(replica, born));
         for replica in gone {
             self.forget(&replica);
             gw.set_limited(&replica, false);
