--- a/crates/core/examples/limits.rs
+++ b/crates/core/examples/limits.rs
@@ -13,7 +13,7 @@
 
 use cypressfork_core::fleet::limit::Rate;
 use cypressfork_core::fleet::limit::homes::Homes;
-use cypressfork_core::fleet::limit::permits::{Ask, Permits};
+use cypressfork_core::fleet::limit::permits::{PermitBuckets, PermitRequest};
 use cypressfork_core::unit::Time;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -99,7 +99,7 @@
 struct Asked {
     routers: Vec<SocketAddr>,
     homes: Vec<Homes>,
-    permits: Vec<Permits>,
+    permits: Vec<PermitBuckets>,
     barred: BTreeMap<(usize, usize), u64>,
     out: BTreeMap<(usize, usize), u64>,
     messages: u64,
@@ -113,7 +113,7 @@
         let area = BTreeMap::from([("a".to_owned(), routers.clone())]);
         let mut homes = vec![Homes::default(); routers.len()];
         homes.iter_mut().for_each(|h| h.set(Time(0), area.clone()));
-        let permits = vec![Permits::default(); routers.len()];
+        let permits = vec![PermitBuckets::default(); routers.len()];
         Asked {
             routers,
             homes,
@@ -146,8 +146,13 @@
         let address = self.routers[home];
         // Who is the first was settled long before.
         let rank = self.homes[home].rank(Time(now + 60_000), address, &name, "a");
-        let ask =
-            Ask { replica: name, data_centre: "a".into(), rate: RATE, priority: 0, wanted: 1 };
+        let ask = PermitRequest {
+            replica: name,
+            data_centre: "a".into(),
+            rate: RATE,
+            priority: 0,
+            wanted: 1,
+        };
         let Some(rank) = rank else { return false };
         let grant = self.permits[home].grant(Time(now), &ask, rank);
         if grant.permits == 0 {
--- a/crates/core/src/fleet/limit/permits.rs
+++ b/crates/core/src/fleet/limit/permits.rs
@@ -16,7 +16,7 @@
 use crate::unit::{Millis, Time};
 
 /// How long a permit is valid, counted from the request for it.
-pub const GOOD_FOR: Millis = Millis(250);
+pub const PERMIT_TTL: Millis = Millis(250);
 
 /// Maximum number of permits in one response.
 const MAX_BATCH: u32 = 16;
@@ -43,7 +43,7 @@
 
 /// A router's request for permits.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct PermitRequest {
     /// The replica's id.
     pub replica: String,
     /// The replica's data centre.
@@ -64,8 +64,8 @@
     /// When to retry if there are none.
     pub after: Millis,
     /// The responding router is a new primary at the reduced rate: the secondary may have permits.
-    #[serde(default)]
-    pub stands_back: bool,
+    #[serde(default, rename = "stands_back")]
+    pub reduced: bool,
 }
 
 /// The token bucket of one replica.
@@ -81,38 +81,38 @@
 
 /// The permits that one router issues, by replica.
 #[derive(Clone, Debug, Default)]
-pub struct Permits {
+pub struct PermitBuckets {
     buckets: BTreeMap<String, Bucket>,
 }
 
-impl Permits {
-    /// Issues permits for `ask`, or returns when to retry. A new bucket starts empty, because requests
+impl PermitBuckets {
+    /// Issues permits for `req`, or returns when to retry. A new bucket starts empty, because requests
     /// sent before it existed count towards the limit.
-    pub fn grant(&mut self, now: Time, ask: &Ask, rank: Rank) -> Grant {
-        let full = ask.rate.max(MIN_RATE).0;
+    pub fn grant(&mut self, now: Time, req: &PermitRequest, rank: Rank) -> Grant {
+        let full = req.rate.max(MIN_RATE).0;
         let rate = match rank {
             Rank::First => full,
             Rank::Second => full.div_ceil(REDUCED_DIVISOR),
         };
         let empty =
             || Bucket { level: 0, at: now, last_retry: now, pressure: PriorityGate::default() };
-        let b = self.buckets.entry(ask.replica.clone()).or_insert_with(empty);
+        let b = self.buckets.entry(req.replica.clone()).or_insert_with(empty);
         b.fill(now, rate);
-        let permits = b.take(now, ask);
+        let permits = b.take(now, req);
         match permits {
-            0 => Grant { after: b.refuse(now, ask.priority, rate), ..Grant::default() },
+            0 => Grant { after: b.refuse(now, req.priority, rate), ..Grant::default() },
             permits => Grant { permits, ..Grant::default() },
         }
     }
 
     /// Removes a replica's bucket.
-    pub fn forget(&mut self, replica: &str) {
+    pub fn remove(&mut self, replica: &str) {
         self.buckets.remove(replica);
     }
 
     /// Removes the buckets that have not been used for `after`. Recreated, they start empty instead of
     /// full.
-    pub fn trim(&mut self, now: Time, after: Millis) {
+    pub fn expire(&mut self, now: Time, after: Millis) {
         self.buckets.retain(|_, b| now.since(b.at) < after);
     }
 }
@@ -125,12 +125,12 @@
         self.at = self.at.max(now);
     }
 
-    fn take(&mut self, now: Time, ask: &Ask) -> u32 {
-        if !self.pressure.admits(now, ask.priority) {
+    fn take(&mut self, now: Time, req: &PermitRequest) -> u32 {
+        if !self.pressure.admits(now, req.priority) {
             return 0;
         }
         let available = (self.level / MILLIONTHS).min(u64::from(MAX_BATCH)) as u32;
-        let permits = available.min(ask.wanted.max(1));
+        let permits = available.min(req.wanted.max(1));
         self.level -= u64::from(permits) * MILLIONTHS;
         if permits > 0 {
             self.pressure.record_admitted();
--- a/crates/core/src/fleet/share.rs
+++ b/crates/core/src/fleet/share.rs
@@ -12,7 +12,7 @@
 use rand::Rng;
 use serde::{Deserialize, Serialize};
 
-use super::limit::permits::{Ask, Grant};
+use super::limit::permits::{Grant, PermitRequest};
 use crate::route::PromptPrefixes;
 use crate::unit::{Millis, Time, Tokens};
 
@@ -70,7 +70,7 @@
         within: Millis,
     },
     /// Request permits for a replica with a rate limit.
-    Permit(Ask),
+    Permit(PermitRequest),
     /// Ask how much longer the receiver issues a replica's permits at a reduced rate, as the first of
     /// its permit issuers.
     Settles {
--- a/crates/core/tests/limits.rs
+++ b/crates/core/tests/limits.rs
@@ -143,7 +143,7 @@
 
     use cypressfork_core::fleet::limit::Rate;
     use cypressfork_core::fleet::limit::homes::{ASKED, Homes, LOOK_HOLDS, Rank, SETTLED};
-    use cypressfork_core::fleet::limit::permits::{Ask, GOOD_FOR, Permits};
+    use cypressfork_core::fleet::limit::permits::{PERMIT_TTL, PermitBuckets, PermitRequest};
     use cypressfork_core::unit::Time;
     use rand::rngs::SmallRng;
     use rand::{Rng, SeedableRng};
@@ -160,8 +160,8 @@
         thousandths * SPAN * 3 / 2 / 1_000_000 + SLACK
     }
 
-    fn ask(thousandths: u64, priority: u8, wanted: u32) -> Ask {
-        Ask {
+    fn ask(thousandths: u64, priority: u8, wanted: u32) -> PermitRequest {
+        PermitRequest {
             replica: REPLICA.to_owned(),
             data_centre: "a".to_owned(),
             rate: Rate(thousandths),
@@ -189,7 +189,8 @@
     /// worst moment that is drawn.
     fn play(thousandths: u64, routers: &[Rank], wanted: u32, seed: u64) -> (u64, u64) {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut all: Vec<_> = routers.iter().map(|rank| (Permits::default(), *rank)).collect();
+        let mut all: Vec<_> =
+            routers.iter().map(|rank| (PermitBuckets::default(), *rank)).collect();
         let mut sends = Vec::new();
         for now in 0..60_000 {
             for (permits, rank) in &mut all {
@@ -197,7 +198,7 @@
                     continue;
                 }
                 let grant = permits.grant(Time(now), &ask(thousandths, 3, wanted), *rank);
-                let used = (0..grant.permits).map(|_| now + rng.random_range(0..GOOD_FOR.0));
+                let used = (0..grant.permits).map(|_| now + rng.random_range(0..PERMIT_TTL.0));
                 sends.extend(used);
             }
         }
@@ -234,7 +235,7 @@
 
     #[test]
     fn the_more_urgent_come_first_and_the_others_are_not_shut_out() {
-        let mut permits = Permits::default();
+        let mut permits = PermitBuckets::default();
         let mut got = BTreeMap::<u8, u32>::new();
         for now in (0..120_000).step_by(50) {
             for priority in [4, 0] {
@@ -248,7 +249,7 @@
 
     #[test]
     fn those_that_get_none_are_told_to_ask_one_after_the_other() {
-        let mut permits = Permits::default();
+        let mut permits = PermitBuckets::default();
         let mut grant = || permits.grant(Time(5), &ask(2_000, 0, 1), Rank::First);
         let after: Vec<_> = (0..10).map(|_| grant().after.0).collect();
         assert_eq!(after, [500, 1_000, 1_500, 2_000, 2_500, 3_000, 3_500, 4_000, 4_000, 4_000]);
@@ -325,7 +326,7 @@
             left
         };
         let mut known = [(first, Homes::default()), (second, Homes::default())];
-        let mut permits = [Permits::default(), Permits::default()];
+        let mut permits = [PermitBuckets::default(), PermitBuckets::default()];
         let mut sent = 0;
         for now in 0..24_000 {
             let away = now / 2_000 % 2 == 1;
@@ -343,7 +344,7 @@
     /// One router's process: it knows nothing when it starts.
     struct Process {
         homes: Homes,
-        permits: Permits,
+        permits: PermitBuckets,
         /// Since when it is down, or up.
         down: bool,
         turned: u64,
@@ -353,7 +354,7 @@
         fn new(now: u64, all: &BTreeMap<String, Vec<SocketAddr>>) -> Process {
             let mut homes = Homes::default();
             homes.set(Time(now), all.clone());
-            Process { homes, permits: Permits::default(), down: false, turned: now }
+            Process { homes, permits: PermitBuckets::default(), down: false, turned: now }
         }
     }
 
--- a/crates/router/src/gateway/limits.rs
+++ b/crates/router/src/gateway/limits.rs
@@ -8,7 +8,7 @@
 
 use cypressfork_core::fleet::limit::homes::Homes;
 use cypressfork_core::fleet::limit::known::{self, LimitChange, LimitReport};
-use cypressfork_core::fleet::limit::permits::{Ask, GOOD_FOR, Grant, Permits};
+use cypressfork_core::fleet::limit::permits::{Grant, PERMIT_TTL, PermitBuckets, PermitRequest};
 use cypressfork_core::fleet::limit::{DisplayLimit, LimitHeader, Rate};
 use cypressfork_core::fleet::neighbours::{DataCentreRouters, NOT_WANTED, digest};
 use cypressfork_core::route::turns::{RetrySchedule, RetrySpacing};
@@ -87,7 +87,7 @@
     known: RefCell<known::Limits>,
     /// The same number as there are in `known`, for a first look at each request.
     named: Cell<usize>,
-    permits: RefCell<Permits>,
+    permits: RefCell<PermitBuckets>,
     homes: RefCell<Homes>,
     /// The gateways of data centres with many and with few of them.
     areas: RefCell<Vec<DataCentreRouters>>,
@@ -184,7 +184,7 @@
     /// Forgets a replica that has left or started again.
     pub fn forget(&self, replica: &str) {
         self.stock.borrow_mut().remove(replica);
-        self.permits.borrow_mut().forget(replica);
+        self.permits.borrow_mut().remove(replica);
         self.homes.borrow_mut().forget(replica);
         if self.known.borrow_mut().remove(replica).is_some() {
             self.count();
@@ -201,7 +201,7 @@
             gw.set_limited(&replica, false);
         }
         self.count();
-        self.permits.borrow_mut().trim(now, PERMITS_KEPT);
+        self.permits.borrow_mut().expire(now, PERMITS_KEPT);
         self.stock.borrow_mut().retain(|_, s| now.since(s.until) < PERMITS_KEPT);
         self.turns.borrow_mut().retain(|_, turns| !turns.is_idle(now));
         self.out.borrow_mut().retain(|_, at| now.since(*at) < OUT_SPAN);
@@ -255,7 +255,7 @@
             }
             s.next(asked)
         };
-        let ask = Ask {
+        let ask = PermitRequest {
             replica: replica.to_owned(),
             data_centre: data_centre.to_owned(),
             rate,
@@ -269,7 +269,7 @@
     fn take(
         &self,
         gw: &Gateway,
-        ask: &Ask,
+        ask: &PermitRequest,
         asked: Time,
         grant: Option<Grant>,
     ) -> Result<(), Denied> {
@@ -282,7 +282,7 @@
         match grant {
             Some(g) if g.permits > 0 => {
                 let left = g.permits - 1;
-                let s = Stock { left, until: asked.after(GOOD_FOR), wanted: ask.wanted };
+                let s = Stock { left, until: asked.after(PERMIT_TTL), wanted: ask.wanted };
                 self.stock.borrow_mut().insert(ask.replica.clone(), s);
                 Ok(())
             }
@@ -301,7 +301,7 @@
 
     /// Asks the first gateway that hands out a replica's permits, and the second where that is out or stands
     /// back and has none.
-    async fn ask(&self, gw: &Gateway, ask: &Ask) -> Option<Grant> {
+    async fn ask(&self, gw: &Gateway, ask: &PermitRequest) -> Option<Grant> {
         let own = gw.settings.link;
         let mut denied = None;
         for to in self.homes_in_reach(gw, ask) {
@@ -310,7 +310,7 @@
                 false => gw.share.permits(gw, to, ask, ASK_WITHIN).await,
             };
             match grant {
-                Some(g) if g.permits == 0 && g.stands_back => denied = Some(g),
+                Some(g) if g.permits == 0 && g.reduced => denied = Some(g),
                 Some(g) => return Some(g),
                 None => {
                     self.out.borrow_mut().insert(to, gw.now());
@@ -320,7 +320,7 @@
         denied
     }
 
-    fn homes_in_reach(&self, gw: &Gateway, ask: &Ask) -> Vec<SocketAddr> {
+    fn homes_in_reach(&self, gw: &Gateway, ask: &PermitRequest) -> Vec<SocketAddr> {
         let now = gw.now();
         let mut homes = self.homes.borrow_mut();
         let all = homes.of(gw.settings.link, &ask.replica, &ask.data_centre).iter().copied();
@@ -332,7 +332,7 @@
     }
 
     /// Answers an ask for permits: another gateway's, or the own.
-    pub fn serve(&self, gw: &Gateway, ask: &Ask) -> Grant {
+    pub fn serve(&self, gw: &Gateway, ask: &PermitRequest) -> Grant {
         let (now, own) = (gw.now(), gw.settings.link);
         let rank = self.homes.borrow_mut().rank(now, own, &ask.replica, &ask.data_centre);
         // Whoever asks has another list than this one.
@@ -342,11 +342,11 @@
         self.look_after_first(gw, ask);
         // Of two that heard different limits the lower holds until both know.
         let known = self.known.borrow().rate(&ask.replica).unwrap_or(ask.rate);
-        let ask = Ask { rate: ask.rate.min(known), ..ask.clone() };
+        let ask = PermitRequest { rate: ask.rate.min(known), ..ask.clone() };
         let grant = self.permits.borrow_mut().grant(now, &ask, rank);
         counter!(metric::PERMITS_GIVEN).increment(u64::from(grant.permits));
         let settles = self.homes.borrow_mut().settles(now, own, &ask.replica, &ask.data_centre);
-        Grant { stands_back: settles.is_some(), ..grant }
+        Grant { reduced: settles.is_some(), ..grant }
     }
 
     /// How much longer this gateway stands back as the first of a replica.
@@ -358,7 +358,7 @@
 
     /// Has the first of a replica looked at, if this gateway is the second and does not know that it stands
     /// back.
-    fn look_after_first(&self, gw: &Gateway, ask: &Ask) {
+    fn look_after_first(&self, gw: &Gateway, ask: &PermitRequest) {
         let (now, own) = (gw.now(), gw.settings.link);
         let mut homes = self.homes.borrow_mut();
         if let Some(first) = homes.first_to_look_at(now, own, &ask.replica, &ask.data_centre) {
--- a/crates/router/src/gateway/share.rs
+++ b/crates/router/src/gateway/share.rs
@@ -186,7 +186,7 @@
         &self,
         gw: &Gateway,
         home: SocketAddr,
-        ask: &permits::Ask,
+        ask: &permits::PermitRequest,
         within: Duration,
     ) -> Option<permits::Grant> {
         let home = self.client(&gw.me, home);
