--- a/crates/core/examples/limits.rs
+++ b/crates/core/examples/limits.rs
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 
 use cypressfork_core::fleet::limit::Rate;
-use cypressfork_core::fleet::limit::homes::Homes;
+use cypressfork_core::fleet::limit::homes::PermitIssuers;
 use cypressfork_core::fleet::limit::permits::{PermitBuckets, PermitRequest};
 use cypressfork_core::unit::Time;
 use rand::rngs::SmallRng;
@@ -98,7 +98,7 @@
 /// One router hands out permits, and a second one stands in.
 struct Asked {
     routers: Vec<SocketAddr>,
-    homes: Vec<Homes>,
+    homes: Vec<PermitIssuers>,
     permits: Vec<PermitBuckets>,
     barred: BTreeMap<(usize, usize), u64>,
     out: BTreeMap<(usize, usize), u64>,
@@ -111,8 +111,8 @@
         let address = |n: usize| SocketAddr::from(([10, 0, (n / 250) as u8, (n % 250) as u8], 80));
         let routers: Vec<_> = (0..routers).map(address).collect();
         let area = BTreeMap::from([("a".to_owned(), routers.clone())]);
-        let mut homes = vec![Homes::default(); routers.len()];
-        homes.iter_mut().for_each(|h| h.set(Time(0), area.clone()));
+        let mut homes = vec![PermitIssuers::default(); routers.len()];
+        homes.iter_mut().for_each(|h| h.set_routers(Time(0), area.clone()));
         let permits = vec![PermitBuckets::default(); routers.len()];
         Asked {
             routers,
@@ -132,7 +132,7 @@
             return false;
         }
         let (name, own) = (format!("r-{replica}"), self.routers[router]);
-        let found = self.homes[router].of(own, &name, "a").to_vec();
+        let found = self.homes[router].issuers(own, &name, "a").to_vec();
         let at = |a: &SocketAddr| self.routers.iter().position(|r| r == a).unwrap_or_default();
         let found: Vec<usize> = found.iter().map(at).collect();
         let is_out = |home: usize| self.out.get(&(router, home)).is_some_and(|at| now < at + OUT);
@@ -145,7 +145,7 @@
         }
         let address = self.routers[home];
         // Who is the first was settled long before.
-        let rank = self.homes[home].rank(Time(now + 60_000), address, &name, "a");
+        let rank = self.homes[home].issue_rate(Time(now + 60_000), address, &name, "a");
         let ask = PermitRequest {
             replica: name,
             data_centre: "a".into(),
--- a/crates/core/src/fleet/limit/homes.rs
+++ b/crates/core/src/fleet/limit/homes.rs
@@ -17,23 +17,23 @@
 const MIN_LOCAL_ROUTERS: usize = 3;
 
 /// Routers that may issue permits for one replica: the primary and the secondary.
-pub const ASKED: usize = 2;
+pub const ISSUERS_PER_REPLICA: usize = 2;
 
 /// How long a new primary issues at the reduced rate. By then every reachable router has the current
 /// list, and none asks the previous primary.
-pub const SETTLED: Millis = Millis::seconds(4);
+pub const HANDOVER_PERIOD: Millis = Millis::seconds(4);
 
 /// How long a probe that found the primary dead or at the reduced rate remains valid. Shorter than
-/// [`SETTLED`], so that a primary that starts after the probe is still at the reduced rate.
-pub const LOOK_HOLDS: Millis = Millis::seconds(1);
+/// [`HANDOVER_PERIOD`], so that a primary that starts after the probe is still at the reduced rate.
+pub const PROBE_VALIDITY: Millis = Millis::seconds(1);
 
 /// The part of a replica's limit that a router issues.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rank {
+pub enum IssueRate {
     /// The whole limit: an established primary, or a secondary that replaces the primary.
-    First,
+    Full,
     /// A fraction of the limit: a secondary, or a new primary.
-    Second,
+    Reduced,
 }
 
 /// The routers that issue permits for one replica.
@@ -56,7 +56,7 @@
 
 /// One router's view of which routers issue permits.
 #[derive(Clone, Debug, Default)]
-pub struct Homes {
+pub struct PermitIssuers {
     routers: BTreeMap<String, Vec<SocketAddr>>,
     updated: Time,
     issuers: HashMap<String, Issuers>,
@@ -64,9 +64,9 @@
     previously_primary: HashMap<String, Time>,
 }
 
-impl Homes {
+impl PermitIssuers {
     /// Replaces the lists of routers by data centre.
-    pub fn set(&mut self, now: Time, routers: BTreeMap<String, Vec<SocketAddr>>) {
+    pub fn set_routers(&mut self, now: Time, routers: BTreeMap<String, Vec<SocketAddr>>) {
         if routers == self.routers {
             return;
         }
@@ -74,7 +74,7 @@
         self.updated = now;
         let issuers = std::mem::take(&mut self.issuers);
         let since = |h: &Issuers| match h.primary_since {
-            None if h.replaces_primary(now) => Some(now.before(SETTLED)),
+            None if h.replaces_primary(now) => Some(now.before(HANDOVER_PERIOD)),
             since => since,
         };
         self.previously_primary =
@@ -82,17 +82,17 @@
     }
 
     /// Records that the primary of `replica` issues no more than the reduced rate until `until`,
-    /// according to a probe of `first` that started at `now`.
-    pub fn stands_back(&mut self, now: Time, replica: &str, first: SocketAddr, until: Time) {
-        let issuers = self.issuers.get_mut(replica).filter(|h| h.routers.first() == Some(&first));
+    /// according to a probe of `primary` that started at `now`.
+    pub fn record_reduced(&mut self, now: Time, replica: &str, primary: SocketAddr, until: Time) {
+        let issuers = self.issuers.get_mut(replica).filter(|h| h.routers.first() == Some(&primary));
         if let Some(h) = issuers {
-            h.primary_reduced_until = until.min(now.after(LOOK_HOLDS));
+            h.primary_reduced_until = until.min(now.after(PROBE_VALIDITY));
         }
     }
 
     /// Returns the primary if this router is the secondary and its last probe result is missing or
     /// about to become invalid.
-    pub fn first_to_look_at(
+    pub fn primary_to_probe(
         &mut self,
         now: Time,
         own: SocketAddr,
@@ -100,13 +100,13 @@
         data_centre: &str,
     ) -> Option<SocketAddr> {
         let h = self.issuers_of(own, replica, data_centre);
-        let known = h.replaces_primary(now.after(Millis(LOOK_HOLDS.0 / 2)));
+        let known = h.replaces_primary(now.after(Millis(PROBE_VALIDITY.0 / 2)));
         h.routers.first().copied().filter(|_| h.is_secondary && !known)
     }
 
     /// Returns when this router, as a new primary, switches to the full rate, or `None` if it already
     /// has or is not the primary.
-    pub fn settles(
+    pub fn reduced_until(
         &mut self,
         now: Time,
         own: SocketAddr,
@@ -114,39 +114,40 @@
         data_centre: &str,
     ) -> Option<Time> {
         let since = self.issuers_of(own, replica, data_centre).primary_since?;
-        Some(since.after(SETTLED)).filter(|until| now < *until)
+        Some(since.after(HANDOVER_PERIOD)).filter(|until| now < *until)
     }
 
     /// Returns the number of routers in all data centres.
-    pub fn routers(&self) -> usize {
+    pub fn router_count(&self) -> usize {
         self.routers.values().map(Vec::len).sum()
     }
 
     /// Returns the routers to ask for permits of a replica in `data_centre`, in order.
-    pub fn of(&mut self, own: SocketAddr, replica: &str, data_centre: &str) -> &[SocketAddr] {
+    pub fn issuers(&mut self, own: SocketAddr, replica: &str, data_centre: &str) -> &[SocketAddr] {
         &self.issuers_of(own, replica, data_centre).routers
     }
 
     /// Returns the rate at which this router issues permits of a replica, or `None` if it is not one
     /// of its issuers.
-    pub fn rank(
+    pub fn issue_rate(
         &mut self,
         now: Time,
         own: SocketAddr,
         replica: &str,
         data_centre: &str,
-    ) -> Option<Rank> {
+    ) -> Option<IssueRate> {
         let issuers = self.issuers_of(own, replica, data_centre);
         if issuers.primary_since.is_none() && !issuers.is_secondary {
             return None;
         }
-        let established = issuers.primary_since.is_some_and(|since| now.since(since) >= SETTLED);
+        let established =
+            issuers.primary_since.is_some_and(|since| now.since(since) >= HANDOVER_PERIOD);
         let full = established || issuers.replaces_primary(now);
-        Some(if full { Rank::First } else { Rank::Second })
+        Some(if full { IssueRate::Full } else { IssueRate::Reduced })
     }
 
     /// Removes all state of a replica.
-    pub fn forget(&mut self, replica: &str) {
+    pub fn remove(&mut self, replica: &str) {
         self.issuers.remove(replica);
         self.previously_primary.remove(replica);
     }
@@ -161,7 +162,7 @@
                 None => by_data_centre.values().flatten().copied().collect(),
             };
             let mut routers = home_candidates(replica, &all);
-            routers.truncate(ASKED);
+            routers.truncate(ISSUERS_PER_REPLICA);
             let is_primary = routers.first() == Some(&own);
             let since = previous.get(replica).copied().unwrap_or(updated);
             let is_secondary = routers.get(1) == Some(&own);
--- a/crates/core/src/fleet/limit/permits.rs
+++ b/crates/core/src/fleet/limit/permits.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::Rate;
-use super::homes::Rank;
+use super::homes::IssueRate;
 use crate::route::pressure::PriorityGate;
 use crate::unit::{Millis, Time};
 
@@ -88,11 +88,11 @@
 impl PermitBuckets {
     /// Issues permits for `req`, or returns when to retry. A new bucket starts empty, because requests
     /// sent before it existed count towards the limit.
-    pub fn grant(&mut self, now: Time, req: &PermitRequest, rank: Rank) -> Grant {
+    pub fn grant(&mut self, now: Time, req: &PermitRequest, issue_rate: IssueRate) -> Grant {
         let full = req.rate.max(MIN_RATE).0;
-        let rate = match rank {
-            Rank::First => full,
-            Rank::Second => full.div_ceil(REDUCED_DIVISOR),
+        let rate = match issue_rate {
+            IssueRate::Full => full,
+            IssueRate::Reduced => full.div_ceil(REDUCED_DIVISOR),
         };
         let empty =
             || Bucket { level: 0, at: now, last_retry: now, pressure: PriorityGate::default() };
--- a/crates/core/tests/limits.rs
+++ b/crates/core/tests/limits.rs
@@ -142,7 +142,9 @@
     use std::net::SocketAddr;
 
     use cypressfork_core::fleet::limit::Rate;
-    use cypressfork_core::fleet::limit::homes::{ASKED, Homes, LOOK_HOLDS, Rank, SETTLED};
+    use cypressfork_core::fleet::limit::homes::{
+        HANDOVER_PERIOD, ISSUERS_PER_REPLICA, IssueRate, PROBE_VALIDITY, PermitIssuers,
+    };
     use cypressfork_core::fleet::limit::permits::{PERMIT_TTL, PermitBuckets, PermitRequest};
     use cypressfork_core::unit::Time;
     use rand::rngs::SmallRng;
@@ -187,7 +189,7 @@
 
     /// Several routers hand out permits, each asked again and again; whatever is granted is used at the
     /// worst moment that is drawn.
-    fn play(thousandths: u64, routers: &[Rank], wanted: u32, seed: u64) -> (u64, u64) {
+    fn play(thousandths: u64, routers: &[IssueRate], wanted: u32, seed: u64) -> (u64, u64) {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut all: Vec<_> =
             routers.iter().map(|rank| (PermitBuckets::default(), *rank)).collect();
@@ -209,7 +211,8 @@
     fn a_limit_is_kept_by_one_router_and_by_two(
         #[values(0, 100, 500, 1_000, 2_000, 10_000, 100_000, 1_000_000)] thousandths: u64,
         #[values(1, 16)] wanted: u32,
-        #[values(&[Rank::First], &[Rank::Second], &[Rank::First, Rank::Second])] routers: &[Rank],
+        #[values(&[IssueRate::Full], &[IssueRate::Reduced], &[IssueRate::Full, IssueRate::Reduced])]
+        routers: &[IssueRate],
     ) {
         for seed in 0..4 {
             let (most, _) = play(thousandths, routers, wanted, seed);
@@ -221,7 +224,7 @@
     fn one_router_hands_out_what_the_limit_allows(
         #[values(500, 1_000, 2_000, 10_000, 100_000)] thousandths: u64,
     ) {
-        let (_, sent) = play(thousandths, &[Rank::First], 16, 1);
+        let (_, sent) = play(thousandths, &[IssueRate::Full], 16, 1);
         let possible = thousandths * 60 / 1_000;
         assert!(sent * 100 >= possible * 95, "{sent} of {possible}");
     }
@@ -229,7 +232,7 @@
     /// One that takes nothing is asked now and then all the same: somebody has to hear that it is over.
     #[test]
     fn a_limit_of_nothing_lets_one_request_through_in_ten_seconds() {
-        let (_, sent) = play(0, &[Rank::First], 1, 1);
+        let (_, sent) = play(0, &[IssueRate::Full], 1, 1);
         assert_eq!(sent, 5);
     }
 
@@ -239,7 +242,7 @@
         let mut got = BTreeMap::<u8, u32>::new();
         for now in (0..120_000).step_by(50) {
             for priority in [4, 0] {
-                let grant = permits.grant(Time(now), &ask(2_000, priority, 1), Rank::First);
+                let grant = permits.grant(Time(now), &ask(2_000, priority, 1), IssueRate::Full);
                 *got.entry(priority).or_default() += grant.permits;
             }
         }
@@ -250,7 +253,7 @@
     #[test]
     fn those_that_get_none_are_told_to_ask_one_after_the_other() {
         let mut permits = PermitBuckets::default();
-        let mut grant = || permits.grant(Time(5), &ask(2_000, 0, 1), Rank::First);
+        let mut grant = || permits.grant(Time(5), &ask(2_000, 0, 1), IssueRate::Full);
         let after: Vec<_> = (0..10).map(|_| grant().after.0).collect();
         assert_eq!(after, [500, 1_000, 1_500, 2_000, 2_500, 3_000, 3_500, 4_000, 4_000, 4_000]);
     }
@@ -264,18 +267,18 @@
     #[test]
     fn all_routers_find_the_same_two_near_the_replica() {
         let all = routers(5);
-        let mut homes = Homes::default();
-        homes.set(Time(0), all.clone());
-        let found = homes.of(all["b"][0], REPLICA, "a").to_vec();
-        assert_eq!(found.len(), ASKED);
+        let mut homes = PermitIssuers::default();
+        homes.set_routers(Time(0), all.clone());
+        let found = homes.issuers(all["b"][0], REPLICA, "a").to_vec();
+        assert_eq!(found.len(), ISSUERS_PER_REPLICA);
         assert!(found.iter().all(|r| all["a"].contains(r)), "{found:?}");
         for own in all.values().flatten() {
-            let mut homes = Homes::default();
-            homes.set(Time(0), all.clone());
-            assert_eq!(homes.of(*own, REPLICA, "a"), found);
+            let mut homes = PermitIssuers::default();
+            homes.set_routers(Time(0), all.clone());
+            assert_eq!(homes.issuers(*own, REPLICA, "a"), found);
             let at = found.iter().position(|r| r == own);
-            let expected = [Some(Rank::First), Some(Rank::Second)];
-            let rank = homes.rank(Time(SETTLED.0), *own, REPLICA, "a");
+            let expected = [Some(IssueRate::Full), Some(IssueRate::Reduced)];
+            let rank = homes.issue_rate(Time(HANDOVER_PERIOD.0), *own, REPLICA, "a");
             assert_eq!(rank, at.and_then(|at| expected[at]));
         }
     }
@@ -284,34 +287,37 @@
     fn where_a_data_centre_has_too_few_all_come_into_question() {
         let mut all = routers(5);
         all.get_mut("a").unwrap().truncate(1);
-        let mut homes = Homes::default();
-        homes.set(Time(0), all.clone());
+        let mut homes = PermitIssuers::default();
+        homes.set_routers(Time(0), all.clone());
         let found: Vec<Vec<_>> =
-            (0..20).map(|n| homes.of(all["a"][0], &format!("b-{n}"), "a").to_vec()).collect();
+            (0..20).map(|n| homes.issuers(all["a"][0], &format!("b-{n}"), "a").to_vec()).collect();
         assert!(found.iter().flatten().any(|r| all["b"].contains(r)));
-        assert_eq!(Homes::default().of(all["a"][0], REPLICA, "a"), []);
+        assert_eq!(PermitIssuers::default().issuers(all["a"][0], REPLICA, "a"), []);
     }
 
     #[test]
     fn one_that_has_just_come_to_be_the_first_stands_back_for_a_while() {
         let mut all = routers(5);
-        let mut homes = Homes::default();
-        homes.set(Time(0), all.clone());
-        let [first, second] = homes.of(all["b"][0], REPLICA, "a")[..] else {
+        let mut homes = PermitIssuers::default();
+        homes.set_routers(Time(0), all.clone());
+        let [first, second] = homes.issuers(all["b"][0], REPLICA, "a")[..] else {
             panic!("two are named")
         };
-        let mut of_second = Homes::default();
-        of_second.set(Time(0), all.clone());
-        assert_eq!(of_second.rank(Time(9_000), second, REPLICA, "a"), Some(Rank::Second));
+        let mut of_second = PermitIssuers::default();
+        of_second.set_routers(Time(0), all.clone());
+        assert_eq!(
+            of_second.issue_rate(Time(9_000), second, REPLICA, "a"),
+            Some(IssueRate::Reduced)
+        );
         all.get_mut("a").unwrap().retain(|r| *r != first);
-        of_second.set(Time(10_000), all.clone());
-        let rank = |homes: &mut Homes, at| homes.rank(Time(at), second, REPLICA, "a");
-        assert_eq!(rank(&mut of_second, 13_900), Some(Rank::Second));
-        assert_eq!(rank(&mut of_second, 14_000), Some(Rank::First));
+        of_second.set_routers(Time(10_000), all.clone());
+        let rank = |homes: &mut PermitIssuers, at| homes.issue_rate(Time(at), second, REPLICA, "a");
+        assert_eq!(rank(&mut of_second, 13_900), Some(IssueRate::Reduced));
+        assert_eq!(rank(&mut of_second, 14_000), Some(IssueRate::Full));
         // Others come and go: it stays what it is.
         all.get_mut("b").unwrap().pop();
-        of_second.set(Time(15_000), all.clone());
-        assert_eq!(rank(&mut of_second, 15_000), Some(Rank::First));
+        of_second.set_routers(Time(15_000), all.clone());
+        assert_eq!(rank(&mut of_second, 15_000), Some(IssueRate::Full));
     }
 
     /// Who has just come to be the first hands out a quarter, and both have what they saved up: while the first
@@ -325,17 +331,17 @@
             left.get_mut("a").unwrap().retain(|r| *r != gone);
             left
         };
-        let mut known = [(first, Homes::default()), (second, Homes::default())];
+        let mut known = [(first, PermitIssuers::default()), (second, PermitIssuers::default())];
         let mut permits = [PermitBuckets::default(), PermitBuckets::default()];
         let mut sent = 0;
         for now in 0..24_000 {
             let away = now / 2_000 % 2 == 1;
             for (_, homes) in &mut known {
-                homes.set(Time(now), if away { without(first) } else { all.clone() });
+                homes.set_routers(Time(now), if away { without(first) } else { all.clone() });
             }
             let asked = usize::from(away);
             let (own, homes) = &mut known[asked];
-            let Some(rank) = homes.rank(Time(now), *own, REPLICA, "a") else { continue };
+            let Some(rank) = homes.issue_rate(Time(now), *own, REPLICA, "a") else { continue };
             sent += permits[asked].grant(Time(now), &ask(1_000, 0, 1), rank).permits;
         }
         assert!(sent * 3 >= 24, "{sent} of 24");
@@ -343,7 +349,7 @@
 
     /// One router's process: it knows nothing when it starts.
     struct Process {
-        homes: Homes,
+        homes: PermitIssuers,
         permits: PermitBuckets,
         /// Since when it is down, or up.
         down: bool,
@@ -352,8 +358,8 @@
 
     impl Process {
         fn new(now: u64, all: &BTreeMap<String, Vec<SocketAddr>>) -> Process {
-            let mut homes = Homes::default();
-            homes.set(Time(now), all.clone());
+            let mut homes = PermitIssuers::default();
+            homes.set_routers(Time(now), all.clone());
             Process { homes, permits: PermitBuckets::default(), down: false, turned: now }
         }
     }
@@ -381,11 +387,11 @@
             // The second looks after the first now and then.
             if now % 250 == 0 {
                 let until = match known[0].down {
-                    true => Some(Time(now).after(LOOK_HOLDS)),
-                    false => known[0].homes.settles(Time(now), first, REPLICA, "a"),
+                    true => Some(Time(now).after(PROBE_VALIDITY)),
+                    false => known[0].homes.reduced_until(Time(now), first, REPLICA, "a"),
                 };
                 if let Some(until) = until {
-                    known[1].homes.stands_back(Time(now), REPLICA, first, until);
+                    known[1].homes.record_reduced(Time(now), REPLICA, first, until);
                 }
             }
             if now % 20 != 0 {
@@ -397,10 +403,10 @@
                     out_until = if p.down { now + OUT } else { out_until };
                     continue;
                 }
-                let rank = p.homes.rank(Time(now), own, REPLICA, "a").unwrap();
+                let rank = p.homes.issue_rate(Time(now), own, REPLICA, "a").unwrap();
                 let grant = p.permits.grant(Time(now), &ask(thousandths, 0, 1), rank);
                 sends.extend((0..grant.permits).map(|_| now));
-                let unsettled = p.homes.settles(Time(now), own, REPLICA, "a").is_some();
+                let unsettled = p.homes.reduced_until(Time(now), own, REPLICA, "a").is_some();
                 if grant.permits > 0 || !unsettled {
                     break;
                 }
@@ -419,20 +425,25 @@
         let [first, second] = homes_of(&all);
         let mut of_first = Process::new(10_000, &all).homes;
         let mut of_second = Process::new(0, &all).homes;
-        let rank = |homes: &mut Homes, at, own| homes.rank(Time(at), own, REPLICA, "a");
-        assert_eq!(rank(&mut of_second, 10_100, second), Some(Rank::Second));
-        let until = of_first.settles(Time(10_100), first, REPLICA, "a").unwrap();
+        let rank =
+            |homes: &mut PermitIssuers, at, own| homes.issue_rate(Time(at), own, REPLICA, "a");
+        assert_eq!(rank(&mut of_second, 10_100, second), Some(IssueRate::Reduced));
+        let until = of_first.reduced_until(Time(10_100), first, REPLICA, "a").unwrap();
         assert_eq!(until, Time(14_000));
-        of_second.stands_back(Time(10_100), REPLICA, first, until);
-        assert_eq!(rank(&mut of_second, 10_100, second), Some(Rank::First));
-        assert_eq!(rank(&mut of_second, 11_099, second), Some(Rank::First));
-        assert_eq!(rank(&mut of_second, 11_100, second), Some(Rank::Second), "it looks again");
-        of_second.stands_back(Time(13_900), REPLICA, first, until);
-        assert_eq!(rank(&mut of_second, 13_999, second), Some(Rank::First));
-        assert_eq!(rank(&mut of_second, 14_000, second), Some(Rank::Second));
-        assert_eq!(rank(&mut of_first, 14_000, first), Some(Rank::First));
-        assert!(of_first.settles(Time(14_000), first, REPLICA, "a").is_none());
-        assert!(of_second.settles(Time(14_000), second, REPLICA, "a").is_none());
+        of_second.record_reduced(Time(10_100), REPLICA, first, until);
+        assert_eq!(rank(&mut of_second, 10_100, second), Some(IssueRate::Full));
+        assert_eq!(rank(&mut of_second, 11_099, second), Some(IssueRate::Full));
+        assert_eq!(
+            rank(&mut of_second, 11_100, second),
+            Some(IssueRate::Reduced),
+            "it looks again"
+        );
+        of_second.record_reduced(Time(13_900), REPLICA, first, until);
+        assert_eq!(rank(&mut of_second, 13_999, second), Some(IssueRate::Full));
+        assert_eq!(rank(&mut of_second, 14_000, second), Some(IssueRate::Reduced));
+        assert_eq!(rank(&mut of_first, 14_000, first), Some(IssueRate::Full));
+        assert!(of_first.reduced_until(Time(14_000), first, REPLICA, "a").is_none());
+        assert!(of_second.reduced_until(Time(14_000), second, REPLICA, "a").is_none());
     }
 
     /// Guards against a pause of 4 s when a list no longer names a first router that was seen to be gone.
@@ -441,17 +452,17 @@
         let mut all = routers(5);
         let [first, second] = homes_of(&all);
         let mut homes = Process::new(0, &all).homes;
-        homes.rank(Time(9_900), second, REPLICA, "a");
-        homes.stands_back(Time(9_900), REPLICA, first, Time(10_900));
+        homes.issue_rate(Time(9_900), second, REPLICA, "a");
+        homes.record_reduced(Time(9_900), REPLICA, first, Time(10_900));
         all.get_mut("a").unwrap().retain(|r| *r != first);
-        homes.set(Time(10_000), all);
-        assert_eq!(homes.rank(Time(10_000), second, REPLICA, "a"), Some(Rank::First));
+        homes.set_routers(Time(10_000), all);
+        assert_eq!(homes.issue_rate(Time(10_000), second, REPLICA, "a"), Some(IssueRate::Full));
     }
 
     fn homes_of(all: &BTreeMap<String, Vec<SocketAddr>>) -> [SocketAddr; 2] {
-        let mut homes = Homes::default();
-        homes.set(Time(0), all.clone());
-        let found = homes.of(all["b"][0], REPLICA, "a");
+        let mut homes = PermitIssuers::default();
+        homes.set_routers(Time(0), all.clone());
+        let found = homes.issuers(all["b"][0], REPLICA, "a");
         [found[0], found[1]]
     }
 }
--- a/crates/router/src/gateway/limits.rs
+++ b/crates/router/src/gateway/limits.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use cypressfork_core::fleet::limit::homes::Homes;
+use cypressfork_core::fleet::limit::homes::PermitIssuers;
 use cypressfork_core::fleet::limit::known::{self, LimitChange, LimitReport};
 use cypressfork_core::fleet::limit::permits::{Grant, PERMIT_TTL, PermitBuckets, PermitRequest};
 use cypressfork_core::fleet::limit::{DisplayLimit, LimitHeader, Rate};
@@ -88,7 +88,7 @@
     /// The same number as there are in `known`, for a first look at each request.
     named: Cell<usize>,
     permits: RefCell<PermitBuckets>,
-    homes: RefCell<Homes>,
+    homes: RefCell<PermitIssuers>,
     /// The gateways of data centres with many and with few of them.
     areas: RefCell<Vec<DataCentreRouters>>,
     few: RefCell<Vec<DataCentreRouters>>,
@@ -185,7 +185,7 @@
     pub fn forget(&self, replica: &str) {
         self.stock.borrow_mut().remove(replica);
         self.permits.borrow_mut().remove(replica);
-        self.homes.borrow_mut().forget(replica);
+        self.homes.borrow_mut().remove(replica);
         if self.known.borrow_mut().remove(replica).is_some() {
             self.count();
         }
@@ -229,7 +229,7 @@
         let (areas, few) = (self.areas.borrow(), self.few.borrow());
         let links = |a: &DataCentreRouters| a.links.iter().filter_map(|l| l.parse().ok()).collect();
         let all = areas.iter().chain(few.iter()).map(|a| (a.data_centre.clone(), links(a)));
-        self.homes.borrow_mut().set(now, all.collect());
+        self.homes.borrow_mut().set_routers(now, all.collect());
     }
 
     /// Has a request of this priority let through to a replica, if that names a limit. Every send needs
@@ -291,7 +291,7 @@
                 emit!(
                     Event::PermitUnanswered,
                     replica = ask.replica,
-                    routers = self.homes.borrow().routers(),
+                    routers = self.homes.borrow().router_count(),
                     ago_ms = gw.now().since(asked).0,
                 );
                 Err(Denied { after: spread(NOBODY_AFTER), unanswered: true })
@@ -323,7 +323,7 @@
     fn homes_in_reach(&self, gw: &Gateway, ask: &PermitRequest) -> Vec<SocketAddr> {
         let now = gw.now();
         let mut homes = self.homes.borrow_mut();
-        let all = homes.of(gw.settings.link, &ask.replica, &ask.data_centre).iter().copied();
+        let all = homes.issuers(gw.settings.link, &ask.replica, &ask.data_centre).iter().copied();
         all.filter(|a| !self.is_out(now, a)).collect()
     }
 
@@ -334,25 +334,27 @@
     /// Answers an ask for permits: another gateway's, or the own.
     pub fn serve(&self, gw: &Gateway, ask: &PermitRequest) -> Grant {
         let (now, own) = (gw.now(), gw.settings.link);
-        let rank = self.homes.borrow_mut().rank(now, own, &ask.replica, &ask.data_centre);
+        let issue_rate =
+            self.homes.borrow_mut().issue_rate(now, own, &ask.replica, &ask.data_centre);
         // Whoever asks has another list than this one.
-        let Some(rank) = rank else {
+        let Some(issue_rate) = issue_rate else {
             return Grant { after: NOBODY_AFTER, ..Grant::default() };
         };
         self.look_after_first(gw, ask);
         // Of two that heard different limits the lower holds until both know.
         let known = self.known.borrow().rate(&ask.replica).unwrap_or(ask.rate);
         let ask = PermitRequest { rate: ask.rate.min(known), ..ask.clone() };
-        let grant = self.permits.borrow_mut().grant(now, &ask, rank);
+        let grant = self.permits.borrow_mut().grant(now, &ask, issue_rate);
         counter!(metric::PERMITS_GIVEN).increment(u64::from(grant.permits));
-        let settles = self.homes.borrow_mut().settles(now, own, &ask.replica, &ask.data_centre);
+        let settles =
+            self.homes.borrow_mut().reduced_until(now, own, &ask.replica, &ask.data_centre);
         Grant { reduced: settles.is_some(), ..grant }
     }
 
     /// How much longer this gateway stands back as the first of a replica.
     pub fn settles(&self, gw: &Gateway, replica: &str, data_centre: &str) -> Option<Millis> {
         let (now, own) = (gw.now(), gw.settings.link);
-        let until = self.homes.borrow_mut().settles(now, own, replica, data_centre)?;
+        let until = self.homes.borrow_mut().reduced_until(now, own, replica, data_centre)?;
         Some(until.since(now))
     }
 
@@ -361,14 +363,14 @@
     fn look_after_first(&self, gw: &Gateway, ask: &PermitRequest) {
         let (now, own) = (gw.now(), gw.settings.link);
         let mut homes = self.homes.borrow_mut();
-        if let Some(first) = homes.first_to_look_at(now, own, &ask.replica, &ask.data_centre) {
+        if let Some(first) = homes.primary_to_probe(now, own, &ask.replica, &ask.data_centre) {
             self.looks.wish(first, &ask.replica, &ask.data_centre);
         }
     }
 
     /// Takes what a look at the first of a replica has shown: it stands back until `until`.
     pub fn stands_back(&self, now: Time, replica: &str, first: SocketAddr, until: Time) {
-        self.homes.borrow_mut().stands_back(now, replica, first, until);
+        self.homes.borrow_mut().record_reduced(now, replica, first, until);
     }
 
     /// When a caller is to come back that no replica of `service` takes before `first`. Callers come back
@@ -376,7 +378,7 @@
     pub fn come_back(&self, gw: &Gateway, service: &str, first: Millis) -> Millis {
         let now = gw.now();
         let allowed: u64 = gw.limited_of(service).iter().map(|r| self.rate(r).0).sum();
-        let routers = self.homes.borrow().routers().max(1) as u64;
+        let routers = self.homes.borrow().router_count().max(1) as u64;
         let each = Millis(1_000_000 * routers / allowed.max(1));
         let mut turns = self.turns.borrow_mut();
         let turns = turns.entry(service.to_owned()).or_default();
--- a/crates/router/src/gateway/stand_in.rs
+++ b/crates/router/src/gateway/stand_in.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use cypressfork_core::fleet::limit::homes::LOOK_HOLDS;
+use cypressfork_core::fleet::limit::homes::PROBE_VALIDITY;
 use cypressfork_http::client::{Connection, Presence};
 use cypressfork_node::emit;
 use cypressfork_node::event::Event;
@@ -62,7 +62,7 @@
     let begun = gw.now();
     let until = match gw.share.settles(gw, *gateway, replica, data_centre).await {
         Some(settles) => settles.map(|span| begun.after(span)),
-        None => is_dead(*gateway).await.then(|| begun.after(LOOK_HOLDS)),
+        None => is_dead(*gateway).await.then(|| begun.after(PROBE_VALIDITY)),
     };
     if let Some(until) = until {
         gw.limits.stands_back(begun, replica, *gateway, until);
