--- a/crates/control/src/fleet_view.rs
+++ b/crates/control/src/fleet_view.rs
@@ -7,7 +7,7 @@
 use cypressfork_core::fleet::limit::DisplayLimit;
 use cypressfork_core::fleet::limit::known::{LimitReport, Limits};
 use cypressfork_core::fleet::neighbours::{NOT_WANTED, RouterDirectory};
-use cypressfork_core::fleet::quarantine::{Quarantine, Told};
+use cypressfork_core::fleet::quarantine::{Quarantine, QuarantineList};
 use cypressfork_core::fleet::registry::{Heartbeat, Record, RecordSource, Registry};
 use cypressfork_core::fleet::repair::Candidates;
 use cypressfork_core::fleet::rollout::Rollouts;
@@ -100,7 +100,7 @@
     standing: Vec<Standing<T>>,
     packs: PackedDocuments,
     feed_cache: FeedCache,
-    told: Option<Told>,
+    told: Option<QuarantineList>,
 }
 
 struct Standing<T> {
@@ -263,10 +263,10 @@
     }
 
     /// What routers are told of quarantined requests: sorted out once for all that lack the same.
-    fn told(&mut self, q: &Quarantine) -> Told {
+    fn told(&mut self, q: &Quarantine) -> QuarantineList {
         match &self.told {
             Some(told) if told.revision == q.revision() => told.clone(),
-            _ => self.told.insert(q.told()).clone(),
+            _ => self.told.insert(q.list()).clone(),
         }
     }
 
--- a/crates/core/src/fleet/quarantine/message.rs
+++ b/crates/core/src/fleet/quarantine/message.rs
@@ -29,7 +29,7 @@
 
 /// The requests that gateways have to refuse or to observe.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct QuarantineList {
     /// Log position of the last change.
     pub revision: Index,
     /// Quarantined requests, which gateways send to no replica.
@@ -41,12 +41,12 @@
     pub struck: Vec<Fingerprint>,
 }
 
-impl Told {
-    /// Replaces this list by `told` if that is newer. Returns whether it is.
-    pub fn take(&mut self, told: Told) -> bool {
-        let newer = told.revision > self.revision;
+impl QuarantineList {
+    /// Replaces this list by `other` if that is newer. Returns whether it is.
+    pub fn replace_if_newer(&mut self, other: QuarantineList) -> bool {
+        let newer = other.revision > self.revision;
         if newer {
-            *self = told;
+            *self = other;
         }
         newer
     }
--- a/crates/core/src/fleet/quarantine/mod.rs
+++ b/crates/core/src/fleet/quarantine/mod.rs
@@ -25,7 +25,7 @@
 use serde::{Deserialize, Serialize};
 
 use judgement::find_causes;
-pub use message::{Change, EndedReplica, Told, UnderWay};
+pub use message::{Change, EndedReplica, QuarantineList, UnderWay};
 pub use suspect::{STRIKES, STRIKES_IF_AMBIGUOUS};
 use suspect::{Suspect, Termination};
 
@@ -352,7 +352,7 @@
 
     /// Returns the list for gateways. Of the suspects it has those with the most terminations, then the
     /// newest.
-    pub fn told(&self) -> Told {
+    pub fn list(&self) -> QuarantineList {
         let mut all: Vec<_> = self.suspects.iter().filter(|(f, _)| !self.holds(f)).collect();
         all.sort_by_key(|(f, s)| std::cmp::Reverse((s.ends.len(), s.last(), **f)));
         all.truncate(MAX_LISTED_SUSPECTS);
@@ -360,7 +360,7 @@
             all.into_iter().partition(|(_, s)| s.ends.len() > 1);
         let fingerprints =
             |all: Vec<(&Fingerprint, &Suspect)>| all.into_iter().map(|(f, _)| *f).collect();
-        Told {
+        QuarantineList {
             revision: self.revision,
             quarantined: self.quarantined.keys().copied().collect(),
             suspects: fingerprints(suspects),
--- a/crates/core/src/fleet/watch.rs
+++ b/crates/core/src/fleet/watch.rs
@@ -8,7 +8,7 @@
 use super::evacuation::Evacuations;
 use super::limit::known::LimitReport;
 use super::neighbours::DataCentreRouters;
-use super::quarantine::Told;
+use super::quarantine::QuarantineList;
 use super::registry::{Heartbeat, Leaving, Record};
 use super::rollout::Rollouts;
 use super::rollout::evidence::Report;
@@ -134,7 +134,7 @@
     pub evacuations: Option<Evacuations>,
     /// The quarantined requests, if the watcher has an older revision.
     #[serde(default)]
-    pub quarantine: Option<Told>,
+    pub quarantine: Option<QuarantineList>,
     /// The rollouts, if the watcher has an older revision.
     #[serde(default)]
     pub rollouts: Option<Rollouts>,
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -159,7 +159,7 @@
     let over = 3_000 + HOUR;
     assert!(q.is_due(Time(over)));
     assert_eq!(q.end_terms(Time(over), 9), [(k, Change::Over)]);
-    assert!(!q.holds(&k) && q.told().quarantined.is_empty());
+    assert!(!q.holds(&k) && q.list().quarantined.is_empty());
     let again = q.note(Time(over + 500), 10, &[ended("r9", 0, &[("k", 50), ("a", 20)])]);
     assert_eq!(again, [(k, Change::Begun)]);
     assert!(!q.is_due(Time(over + 500 + 2 * HOUR - 1)) && q.is_due(Time(over + 500 + 2 * HOUR)));
@@ -198,13 +198,13 @@
 #[test]
 fn what_gateways_are_told() {
     let mut q = after("1000 r1 k:50 a:700");
-    assert_eq!((q.revision(), q.urgent(), q.told().struck.len()), (1, 0, 2));
+    assert_eq!((q.revision(), q.urgent(), q.list().struck.len()), (1, 0, 2));
     q.note(Time(2_000), 2, &[ended("r2", 0, &[("k", 50), ("b", 100)])]);
     assert_eq!((q.revision(), q.urgent()), (2, 0));
-    assert_eq!((q.told().suspects, q.told().struck.len()), (vec![named("k")], 2));
+    assert_eq!((q.list().suspects, q.list().struck.len()), (vec![named("k")], 2));
     q.note(Time(3_000), 3, &[ended("r3", 0, &[("k", 50)])]);
     assert_eq!((q.revision(), q.urgent()), (3, 3));
-    assert_eq!((q.told().quarantined, q.told().suspects), (vec![named("k")], Vec::new()));
+    assert_eq!((q.list().quarantined, q.list().suspects), (vec![named("k")], Vec::new()));
 }
 
 #[rstest]
--- a/crates/core/tests/quarantine_storm.rs
+++ b/crates/core/tests/quarantine_storm.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use cypressfork_core::fleet::fingerprint::Fingerprint;
-use cypressfork_core::fleet::quarantine::{EndedReplica, Quarantine, Told, UnderWay};
+use cypressfork_core::fleet::quarantine::{EndedReplica, Quarantine, QuarantineList, UnderWay};
 use cypressfork_core::unit::{Millis, Time};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -56,7 +56,7 @@
     plain: BTreeMap<u64, BTreeSet<u64>>,
     /// Reports and verdicts on their way, by when they arrive.
     reports: Vec<(u64, u64, EndedReplica)>,
-    told: Vec<(u64, Told)>,
+    told: Vec<(u64, QuarantineList)>,
     quarantined: BTreeSet<u64>,
     suspects: BTreeSet<u64>,
     /// Suspects of one strike, and how often each was answered whole since.
@@ -221,7 +221,7 @@
     }
 
     fn tell(&mut self, now: u64) {
-        let mut told = self.group.told();
+        let mut told = self.group.list();
         if self.policy == Policy::Plain {
             let plain = self.plain.iter().filter(|(_, ends)| ends.len() >= 3);
             told.quarantined = plain.map(|(r, _)| name(*r)).collect();
--- a/crates/router/src/gateway/quarantine.rs
+++ b/crates/router/src/gateway/quarantine.rs
@@ -12,7 +12,7 @@
 
 use cypressfork_core::command::Command;
 use cypressfork_core::fleet::fingerprint::Fingerprint;
-use cypressfork_core::fleet::quarantine::{EndedReplica, Quarantine, Told, UnderWay};
+use cypressfork_core::fleet::quarantine::{EndedReplica, Quarantine, QuarantineList, UnderWay};
 use cypressfork_core::fleet::sound::CompletedRequests;
 use cypressfork_core::unit::{Index, Time};
 use cypressfork_node::digest::fingerprint;
@@ -50,7 +50,7 @@
 /// What a gateway knows of quarantined requests.
 #[derive(Default)]
 pub struct Quarantines {
-    told: RefCell<Told>,
+    told: RefCell<QuarantineList>,
     /// Requests that this gateway answered whole lately.
     sound: RefCell<CompletedRequests>,
     hasher: RandomState,
@@ -75,8 +75,8 @@
     }
 
     /// Takes what a control process tells.
-    pub fn take(&self, told: &Told) {
-        if !self.told.borrow_mut().take(told.clone()) {
+    pub fn take(&self, told: &QuarantineList) {
+        if !self.told.borrow_mut().replace_if_newer(told.clone()) {
             return;
         }
         let all = told.quarantined.iter().chain(&told.suspects).chain(&told.struck);
