--- a/crates/core/src/command.rs
+++ b/crates/core/src/command.rs
@@ -8,7 +8,7 @@
 use crate::code::Code;
 use crate::config::{Change, Refusal};
 use crate::fleet::fingerprint::Fingerprint;
-use crate::fleet::quarantine::EndedReplica;
+use crate::fleet::quarantine::TerminationReport;
 use crate::fleet::rollout::Step;
 use crate::unit::{HolderId, LeaseId, Millis, RequestId, Tokens, Version};
 
@@ -142,7 +142,7 @@
     /// Advances a rollout by one step.
     StepRollout(Step),
     /// Records replicas that ended while requests were running on them.
-    Ended(Vec<EndedReplica>),
+    Ended(Vec<TerminationReport>),
     /// Records suspect requests that were answered completely.
     Survived(Vec<Fingerprint>),
     /// Lifts the quarantine of a request, by order of an operator.
--- a/crates/core/src/fleet/quarantine/message.rs
+++ b/crates/core/src/fleet/quarantine/message.rs
@@ -7,7 +7,7 @@
 
 /// A request that was in flight at a replica when it terminated.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UnderWay {
+pub struct InFlightRequest {
     /// The request's fingerprint.
     pub fingerprint: Fingerprint,
     /// The client account; empty if there is none.
@@ -18,13 +18,13 @@
 
 /// A gateway's report on a replica that terminated.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndedReplica {
+pub struct TerminationReport {
     /// The replica's id.
     pub replica: String,
     /// Time since the termination.
     pub ago: Millis,
     /// The requests from this gateway that were in flight.
-    pub under_way: Vec<UnderWay>,
+    pub under_way: Vec<InFlightRequest>,
 }
 
 /// The requests that gateways have to refuse or to observe.
--- a/crates/core/src/fleet/quarantine/mod.rs
+++ b/crates/core/src/fleet/quarantine/mod.rs
@@ -25,7 +25,7 @@
 use serde::{Deserialize, Serialize};
 
 use judgement::find_causes;
-pub use message::{Change, EndedReplica, QuarantineList, UnderWay};
+pub use message::{Change, InFlightRequest, QuarantineList, TerminationReport};
 pub use suspect::{STRIKES, STRIKES_IF_AMBIGUOUS};
 use suspect::{Suspect, Termination};
 
@@ -153,14 +153,14 @@
         &mut self,
         now: Time,
         pos: Index,
-        ended: &[EndedReplica],
+        reports: &[TerminationReport],
     ) -> Vec<(Fingerprint, Change)> {
         self.expire(now);
         let mut may_change = false;
-        for e in ended {
-            let at = Time(now.0.saturating_sub(e.ago.0));
-            let number = self.termination_number(now, &e.replica, at);
-            for u in &e.under_way {
+        for r in reports {
+            let at = Time(now.0.saturating_sub(r.ago.0));
+            let number = self.termination_number(now, &r.replica, at);
+            for u in &r.under_way {
                 may_change |= self.record_in_flight(number, at, u, pos);
             }
         }
@@ -181,7 +181,7 @@
 
     /// Records the termination of a replica that had a request in flight. Returns whether the request may
     /// have enough strikes for a quarantine.
-    fn record_in_flight(&mut self, number: u64, at: Time, u: &UnderWay, pos: Index) -> bool {
+    fn record_in_flight(&mut self, number: u64, at: Time, u: &InFlightRequest, pos: Index) -> bool {
         if self.sound.contains_key(&u.fingerprint) {
             return false;
         }
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -2,7 +2,7 @@
 //! tables of events and in storms.
 
 use cypressfork_core::fleet::fingerprint::{Fingerprint, Identity};
-use cypressfork_core::fleet::quarantine::{Change, EndedReplica, Quarantine, UnderWay};
+use cypressfork_core::fleet::quarantine::{Change, InFlightRequest, Quarantine, TerminationReport};
 use cypressfork_core::fleet::sound::CompletedRequests;
 use cypressfork_core::unit::{Millis, Time};
 use rstest::rstest;
@@ -15,14 +15,14 @@
     Fingerprint { brief: identity.brief(), digest: 7 }
 }
 
-fn ended(replica: &str, ago: u64, under_way: &[(&str, u64)]) -> EndedReplica {
-    let request = |(name, age): &(&str, u64)| UnderWay {
+fn ended(replica: &str, ago: u64, under_way: &[(&str, u64)]) -> TerminationReport {
+    let request = |(name, age): &(&str, u64)| InFlightRequest {
         fingerprint: named(name),
         account: "club".to_owned(),
         age: Millis(*age),
     };
     let under_way = under_way.iter().map(request).collect();
-    EndedReplica { replica: replica.to_owned(), ago: Millis(ago), under_way }
+    TerminationReport { replica: replica.to_owned(), ago: Millis(ago), under_way }
 }
 
 /// What is known after ends of replicas, divided by slashes: when, which replica, and the requests
--- a/crates/core/tests/quarantine_cost.rs
+++ b/crates/core/tests/quarantine_cost.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use cypressfork_core::fleet::fingerprint::{Fingerprint, Identity};
-use cypressfork_core::fleet::quarantine::{EndedReplica, Quarantine, UnderWay};
+use cypressfork_core::fleet::quarantine::{InFlightRequest, Quarantine, TerminationReport};
 use cypressfork_core::unit::{Millis, Time};
 use nix::time::{ClockId, clock_gettime};
 
@@ -29,12 +29,12 @@
 /// it.
 const MOST: Duration = Duration::from_millis(15);
 
-fn request(n: u64) -> UnderWay {
+fn request(n: u64) -> InFlightRequest {
     let path = format!("/{n}");
     let identity =
         Identity { account: Some("club"), method: "GET", host: "h", path: &path, body: b"" };
     let fingerprint = Fingerprint { brief: identity.brief(), digest: n };
-    UnderWay { fingerprint, account: "club".to_owned(), age: Millis(50) }
+    InFlightRequest { fingerprint, account: "club".to_owned(), age: Millis(50) }
 }
 
 /// A cheap draw that is the same in every run.
@@ -57,7 +57,7 @@
         for n in 0..ENDS {
             let replica = format!("r-{}", n % REPLICAS);
             let under_way = (0..UNDER_WAY).map(|_| request(draw(&mut seed, COMMON))).collect();
-            let ended = EndedReplica { replica, ago: Millis(0), under_way };
+            let ended = TerminationReport { replica, ago: Millis(0), under_way };
             let begun = processor_time();
             q.note(Time(10_000 + 400 * n), n + 1, &[ended]);
             longest = longest.max(processor_time() - begun);
--- a/crates/core/tests/quarantine_storm.rs
+++ b/crates/core/tests/quarantine_storm.rs
@@ -10,7 +10,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use cypressfork_core::fleet::fingerprint::Fingerprint;
-use cypressfork_core::fleet::quarantine::{EndedReplica, Quarantine, QuarantineList, UnderWay};
+use cypressfork_core::fleet::quarantine::{
+    InFlightRequest, Quarantine, QuarantineList, TerminationReport,
+};
 use cypressfork_core::unit::{Millis, Time};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -55,7 +57,7 @@
     group: Quarantine,
     plain: BTreeMap<u64, BTreeSet<u64>>,
     /// Reports and verdicts on their way, by when they arrive.
-    reports: Vec<(u64, u64, EndedReplica)>,
+    reports: Vec<(u64, u64, TerminationReport)>,
     told: Vec<(u64, QuarantineList)>,
     quarantined: BTreeSet<u64>,
     suspects: BTreeSet<u64>,
@@ -170,13 +172,13 @@
         self.ends += 1;
         let victims = std::mem::take(&mut self.replicas[n].running);
         self.replicas[n].down_until = now + self.rng.random_range(2_000..5_000);
-        let under_way = victims.iter().map(|r| UnderWay {
+        let under_way = victims.iter().map(|r| InFlightRequest {
             fingerprint: name(r.request),
             account: String::new(),
             age: Millis(now - r.sent),
         });
         let replica = format!("r{n}-{}", self.ends);
-        let report = EndedReplica { replica, ago: Millis(0), under_way: under_way.collect() };
+        let report = TerminationReport { replica, ago: Millis(0), under_way: under_way.collect() };
         let arrives = now + self.rng.random_range(30..60);
         self.reports.push((arrives, self.ends, report));
         for r in victims.into_iter().filter(|r| !r.retried) {
--- a/crates/router/src/gateway/quarantine.rs
+++ b/crates/router/src/gateway/quarantine.rs
@@ -12,7 +12,9 @@
 
 use cypressfork_core::command::Command;
 use cypressfork_core::fleet::fingerprint::Fingerprint;
-use cypressfork_core::fleet::quarantine::{EndedReplica, Quarantine, QuarantineList, UnderWay};
+use cypressfork_core::fleet::quarantine::{
+    InFlightRequest, Quarantine, QuarantineList, TerminationReport,
+};
 use cypressfork_core::fleet::sound::CompletedRequests;
 use cypressfork_core::unit::{Index, Time};
 use cypressfork_node::digest::fingerprint;
@@ -44,7 +46,7 @@
 struct Waiting {
     replica: String,
     since: Time,
-    under_way: Vec<UnderWay>,
+    under_way: Vec<InFlightRequest>,
 }
 
 /// What a gateway knows of quarantined requests.
@@ -144,7 +146,7 @@
 
     /// Notes that a replica has ended at `since` with these requests under way.
     pub fn ended(&self, gw: &Gateway, replica: &str, since: Time, victims: Vec<Victim>) {
-        let under_way = |v: Victim| UnderWay {
+        let under_way = |v: Victim| InFlightRequest {
             fingerprint: v.fingerprint,
             account: v.account.unwrap_or_default(),
             age: v.age,
@@ -154,7 +156,7 @@
         if under_way.is_empty() {
             return;
         }
-        let own = EndedReplica {
+        let own = TerminationReport {
             replica: replica.to_owned(),
             ago: gw.now().since(since),
             under_way: under_way.clone(),
@@ -172,7 +174,7 @@
 }
 
 fn report(now: Time, all: &[Waiting]) -> Command {
-    let ended = |w: &Waiting| EndedReplica {
+    let ended = |w: &Waiting| TerminationReport {
         replica: w.replica.clone(),
         ago: now.since(w.since),
         under_way: w.under_way.clone(),
