--- a/crates/control/src/fleet_view.rs
+++ b/crates/control/src/fleet_view.rs
@@ -134,7 +134,8 @@
     /// There is something new of quarantined requests for it. Suspects, who come and go, are told by
     /// those alone that tell of replicas.
     fn is_told_of(&self, q: &Quarantine) -> bool {
-        let newest = if self.watch.without_replicas { q.urgent() } else { q.revision() };
+        let newest =
+            if self.watch.without_replicas { q.quarantined_revision() } else { q.revision() };
         newest > self.watch.quarantine
     }
 
@@ -277,7 +278,7 @@
         newer
             || s.is_behind(f.version)
             || f.evacuations.revision > s.watch.evacuations
-            || f.quarantine.urgent() > s.watch.quarantine
+            || f.quarantine.quarantined_revision() > s.watch.quarantine
             || f.rollouts.revision > s.watch.rollouts
             || waited >= WATCH_SPAN
             || (waited >= GATHER_CHANGES && s.is_told_of(f.quarantine))
--- a/crates/control/src/leader_tasks.rs
+++ b/crates/control/src/leader_tasks.rs
@@ -52,7 +52,7 @@
         }
         self.leader_tasks.next = at.now.after(EVERY);
         self.lapse_silent_routers(at);
-        if self.state.quarantine().is_due(at.wall) {
+        if self.state.quarantine().has_expired(at.wall) {
             self.propose_own(at, &Command::EndQuarantines);
         }
     }
--- a/crates/core/src/fleet/quarantine/mod.rs
+++ b/crates/core/src/fleet/quarantine/mod.rs
@@ -133,12 +133,12 @@
     }
 
     /// Returns the log position of the last change of the quarantined requests; 0 if there was none.
-    pub fn urgent(&self) -> Index {
+    pub fn quarantined_revision(&self) -> Index {
         self.urgent
     }
 
     /// Returns whether a request is quarantined.
-    pub fn holds(&self, f: &Fingerprint) -> bool {
+    pub fn contains(&self, f: &Fingerprint) -> bool {
         self.quarantined.contains_key(f)
     }
 
@@ -149,7 +149,7 @@
 
     /// Records reports on terminated replicas at log position `pos`. Returns the requests that are
     /// quarantined or released as a result.
-    pub fn note(
+    pub fn record_terminations(
         &mut self,
         now: Time,
         pos: Index,
@@ -263,7 +263,7 @@
 
     /// Records at log position `pos` that requests were answered completely. Returns those that are
     /// released from quarantine.
-    pub fn answered(
+    pub fn record_completions(
         &mut self,
         now: Time,
         pos: Index,
@@ -305,13 +305,13 @@
     }
 
     /// Returns whether a quarantine has expired.
-    pub fn is_due(&self, now: Time) -> bool {
+    pub fn has_expired(&self, now: Time) -> bool {
         self.quarantined.values().any(|q| q.until <= now)
     }
 
     /// Releases the requests whose quarantine has expired, at log position `pos`. One further strike
     /// quarantines such a request again.
-    pub fn end_terms(&mut self, now: Time, pos: Index) -> Vec<(Fingerprint, Change)> {
+    pub fn expire_terms(&mut self, now: Time, pos: Index) -> Vec<(Fingerprint, Change)> {
         let expired = self.quarantined.iter().filter(|(_, q)| q.until <= now);
         let expired: Vec<_> = expired.map(|(f, q)| (*f, q.clone())).collect();
         for (f, q) in &expired {
@@ -353,7 +353,7 @@
     /// Returns the list for gateways. Of the suspects it has those with the most terminations, then the
     /// newest.
     pub fn list(&self) -> QuarantineList {
-        let mut all: Vec<_> = self.suspects.iter().filter(|(f, _)| !self.holds(f)).collect();
+        let mut all: Vec<_> = self.suspects.iter().filter(|(f, _)| !self.contains(f)).collect();
         all.sort_by_key(|(f, s)| std::cmp::Reverse((s.ends.len(), s.last(), **f)));
         all.truncate(MAX_LISTED_SUSPECTS);
         let (suspects, struck): (Vec<_>, Vec<_>) =
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -168,11 +168,12 @@
                 Answer::Done
             }
             Command::Ended(ended) => {
-                self.quarantine_changes = self.quarantine.note(now, pos.index, ended);
+                self.quarantine_changes =
+                    self.quarantine.record_terminations(now, pos.index, ended);
                 Answer::Done
             }
             Command::Survived(all) => {
-                self.quarantine_changes = self.quarantine.answered(now, pos.index, all);
+                self.quarantine_changes = self.quarantine.record_completions(now, pos.index, all);
                 Answer::Done
             }
             Command::LiftQuarantine(f) => {
@@ -180,7 +181,7 @@
                 Answer::Done
             }
             Command::EndQuarantines => {
-                self.quarantine_changes = self.quarantine.end_terms(now, pos.index);
+                self.quarantine_changes = self.quarantine.expire_terms(now, pos.index);
                 Answer::Done
             }
             Command::Publish { version, source, budgets, services } => {
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -36,14 +36,18 @@
             .map(|w| w.split_once(':').unwrap())
             .map(|(name, age)| (name, age.parse().unwrap()))
             .collect();
-        q.note(Time(at.parse().unwrap()), n as u64 + 1, &[ended(replica, 0, &under_way)]);
+        q.record_terminations(
+            Time(at.parse().unwrap()),
+            n as u64 + 1,
+            &[ended(replica, 0, &under_way)],
+        );
     }
     q
 }
 
 /// The names of `all` that are quarantined.
 fn held<'a>(q: &Quarantine, all: &[&'a str]) -> Vec<&'a str> {
-    all.iter().copied().filter(|n| q.holds(&named(n))).collect()
+    all.iter().copied().filter(|n| q.contains(&named(n))).collect()
 }
 
 #[rstest]
@@ -134,9 +138,9 @@
     let mut q = Quarantine::default();
     let all = [("r1", 9_000), ("r2", 8_000), ("r3", 7_000)];
     let all: Vec<_> = all.into_iter().map(|(r, ago)| ended(r, ago, &[("k", 50)])).collect();
-    assert_eq!(q.note(Time(10_000), 1, &all), [(named("k"), Change::Begun)]);
+    assert_eq!(q.record_terminations(Time(10_000), 1, &all), [(named("k"), Change::Begun)]);
     // Sent again, as its answer was lost, it changes nothing.
-    assert_eq!(q.note(Time(10_050), 2, &all), []);
+    assert_eq!(q.record_terminations(Time(10_050), 2, &all), []);
     assert_eq!(q.iter().next().unwrap().1.strikes, 3);
 }
 
@@ -144,25 +148,33 @@
 fn one_that_is_answered_whole_is_free_and_gets_no_strikes_for_a_while() {
     let mut q = after(THREE);
     let k = named("k");
-    assert_eq!(q.answered(Time(4_000), 4, &[k]), [(k, Change::Answered)]);
+    assert_eq!(q.record_completions(Time(4_000), 4, &[k]), [(k, Change::Answered)]);
     for n in 0..9 {
-        q.note(Time(5_000 + n * 1_000), 5 + n, &[ended(&format!("s{n}"), 0, &[("k", 50)])]);
+        q.record_terminations(
+            Time(5_000 + n * 1_000),
+            5 + n,
+            &[ended(&format!("s{n}"), 0, &[("k", 50)])],
+        );
     }
-    assert!(!q.holds(&k));
+    assert!(!q.contains(&k));
 }
 
 #[test]
 fn a_term_ends_and_one_more_end_begins_a_longer_one() {
     let mut q = after(THREE);
     let k = named("k");
-    assert!(!q.is_due(Time(HOUR)));
+    assert!(!q.has_expired(Time(HOUR)));
     let over = 3_000 + HOUR;
-    assert!(q.is_due(Time(over)));
-    assert_eq!(q.end_terms(Time(over), 9), [(k, Change::Over)]);
-    assert!(!q.holds(&k) && q.list().quarantined.is_empty());
-    let again = q.note(Time(over + 500), 10, &[ended("r9", 0, &[("k", 50), ("a", 20)])]);
+    assert!(q.has_expired(Time(over)));
+    assert_eq!(q.expire_terms(Time(over), 9), [(k, Change::Over)]);
+    assert!(!q.contains(&k) && q.list().quarantined.is_empty());
+    let again =
+        q.record_terminations(Time(over + 500), 10, &[ended("r9", 0, &[("k", 50), ("a", 20)])]);
     assert_eq!(again, [(k, Change::Begun)]);
-    assert!(!q.is_due(Time(over + 500 + 2 * HOUR - 1)) && q.is_due(Time(over + 500 + 2 * HOUR)));
+    assert!(
+        !q.has_expired(Time(over + 500 + 2 * HOUR - 1))
+            && q.has_expired(Time(over + 500 + 2 * HOUR))
+    );
 }
 
 #[test]
@@ -170,11 +182,11 @@
     let mut q = after(THREE);
     let k = named("k");
     assert_eq!(q.lift(Time(4_000), 4, k), [(k, Change::Lifted)]);
-    q.note(Time(5_000), 5, &[ended("r5", 0, &[("k", 50)])]);
-    q.note(Time(6_000), 6, &[ended("r6", 0, &[("k", 50)])]);
-    assert!(!q.holds(&k));
-    q.note(Time(7_000), 7, &[ended("r7", 0, &[("k", 50)])]);
-    assert!(q.holds(&k));
+    q.record_terminations(Time(5_000), 5, &[ended("r5", 0, &[("k", 50)])]);
+    q.record_terminations(Time(6_000), 6, &[ended("r6", 0, &[("k", 50)])]);
+    assert!(!q.contains(&k));
+    q.record_terminations(Time(7_000), 7, &[ended("r7", 0, &[("k", 50)])]);
+    assert!(q.contains(&k));
 }
 
 /// An account cannot fill the list for others: its own oldest go.
@@ -186,24 +198,24 @@
         for round in 0..3 {
             let at = Time(1_000 * n + 200 * round + 1_000);
             let e = ended(&format!("r{n}-{round}"), 0, &[(&format!("k{n}"), 50)]);
-            let changes = q.note(at, n * 3 + round + 1, &[e]);
+            let changes = q.record_terminations(at, n * 3 + round + 1, &[e]);
             dropped += changes.iter().filter(|(_, c)| *c == Change::Dropped).count();
         }
     }
     assert_eq!((q.iter().count(), dropped), (32, 8));
-    assert!(q.holds(&named("k39")) && !q.holds(&named("k0")));
+    assert!(q.contains(&named("k39")) && !q.contains(&named("k0")));
 }
 
 /// Gateways hear of all, and at once of those that are quarantined.
 #[test]
 fn what_gateways_are_told() {
     let mut q = after("1000 r1 k:50 a:700");
-    assert_eq!((q.revision(), q.urgent(), q.list().struck.len()), (1, 0, 2));
-    q.note(Time(2_000), 2, &[ended("r2", 0, &[("k", 50), ("b", 100)])]);
-    assert_eq!((q.revision(), q.urgent()), (2, 0));
+    assert_eq!((q.revision(), q.quarantined_revision(), q.list().struck.len()), (1, 0, 2));
+    q.record_terminations(Time(2_000), 2, &[ended("r2", 0, &[("k", 50), ("b", 100)])]);
+    assert_eq!((q.revision(), q.quarantined_revision()), (2, 0));
     assert_eq!((q.list().suspects, q.list().struck.len()), (vec![named("k")], 2));
-    q.note(Time(3_000), 3, &[ended("r3", 0, &[("k", 50)])]);
-    assert_eq!((q.revision(), q.urgent()), (3, 3));
+    q.record_terminations(Time(3_000), 3, &[ended("r3", 0, &[("k", 50)])]);
+    assert_eq!((q.revision(), q.quarantined_revision()), (3, 3));
     assert_eq!((q.list().quarantined, q.list().suspects), (vec![named("k")], Vec::new()));
 }
 
--- a/crates/core/tests/quarantine_cost.rs
+++ b/crates/core/tests/quarantine_cost.rs
@@ -59,7 +59,7 @@
             let under_way = (0..UNDER_WAY).map(|_| request(draw(&mut seed, COMMON))).collect();
             let ended = TerminationReport { replica, ago: Millis(0), under_way };
             let begun = processor_time();
-            q.note(Time(10_000 + 400 * n), n + 1, &[ended]);
+            q.record_terminations(Time(10_000 + 400 * n), n + 1, &[ended]);
             longest = longest.max(processor_time() - begun);
             if longest > MOST * 10 {
                 // It gets no better.
--- a/crates/core/tests/quarantine_storm.rs
+++ b/crates/core/tests/quarantine_storm.rs
@@ -195,7 +195,7 @@
         let told = self.suspects.contains(&request) || self.quarantined.contains(&request);
         if self.policy == Policy::Explained && (told || again) {
             self.position += 1;
-            self.group.answered(Time(now), self.position, &[name(request)]);
+            self.group.record_completions(Time(now), self.position, &[name(request)]);
             self.tell(now);
         }
     }
@@ -208,7 +208,7 @@
             for u in &report.under_way {
                 self.plain.entry(u.fingerprint.brief).or_default().insert(number);
             }
-            self.group.note(Time(now), self.position, &[report]);
+            self.group.record_terminations(Time(now), self.position, &[report]);
             self.tell(now);
         }
         let (due, rest): (Vec<_>, Vec<_>) = self.told.drain(..).partition(|(at, ..)| *at <= now);
--- a/crates/router/src/gateway/quarantine.rs
+++ b/crates/router/src/gateway/quarantine.rs
@@ -107,7 +107,7 @@
         }
         let f = fingerprint(&identity);
         let told = self.told.borrow().quarantined.contains(&f);
-        (told || (alone && self.own.borrow().holds(&f))).then_some(f)
+        (told || (alone && self.own.borrow().contains(&f))).then_some(f)
     }
 
     /// Whether the group has not heard of the ends that this gateway saw.
@@ -161,7 +161,7 @@
             ago: gw.now().since(since),
             under_way: under_way.clone(),
         };
-        self.own.borrow_mut().note(gw.now(), self.own_position.get(), &[own]);
+        self.own.borrow_mut().record_terminations(gw.now(), self.own_position.get(), &[own]);
         self.own_position.set(self.own_position.get() + 1);
         let mut waiting = self.waiting.borrow_mut();
         if waiting.len() >= REPORTS_MOST {
