--- a/crates/core/src/fleet/quarantine/message.rs
+++ b/crates/core/src/fleet/quarantine/message.rs
@@ -54,31 +54,31 @@
 
 /// The start of a request's quarantine, or why it ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Change {
+pub enum QuarantineChange {
     /// The request is quarantined.
-    Begun,
+    Quarantined,
     /// Released: another request explains the terminations.
     Explained,
     /// Released: a replica completed the request.
-    Answered,
+    Completed,
     /// Released: the quarantine expired.
-    Over,
+    Expired,
     /// Released by an operator.
     Lifted,
     /// Released: too many requests are quarantined.
-    Dropped,
+    Evicted,
 }
 
-impl Change {
+impl QuarantineChange {
     /// Returns the text for log lines.
     pub fn name(self) -> &'static str {
         match self {
-            Change::Begun => "quarantined",
-            Change::Explained => "released: explained by another request",
-            Change::Answered => "released: request completed",
-            Change::Over => "released: quarantine expired",
-            Change::Lifted => "lifted by an operator",
-            Change::Dropped => "released: too many requests are quarantined",
+            QuarantineChange::Quarantined => "quarantined",
+            QuarantineChange::Explained => "released: explained by another request",
+            QuarantineChange::Completed => "released: request completed",
+            QuarantineChange::Expired => "released: quarantine expired",
+            QuarantineChange::Lifted => "lifted by an operator",
+            QuarantineChange::Evicted => "released: too many requests are quarantined",
         }
     }
 }
--- a/crates/core/src/fleet/quarantine/mod.rs
+++ b/crates/core/src/fleet/quarantine/mod.rs
@@ -25,7 +25,7 @@
 use serde::{Deserialize, Serialize};
 
 use judgement::find_causes;
-pub use message::{Change, InFlightRequest, QuarantineList, TerminationReport};
+pub use message::{InFlightRequest, QuarantineChange, QuarantineList, TerminationReport};
 pub use suspect::{STRIKES, STRIKES_IF_AMBIGUOUS};
 use suspect::{Suspect, Termination};
 
@@ -154,7 +154,7 @@
         now: Time,
         pos: Index,
         reports: &[TerminationReport],
-    ) -> Vec<(Fingerprint, Change)> {
+    ) -> Vec<(Fingerprint, QuarantineChange)> {
         self.expire(now);
         let mut may_change = false;
         for r in reports {
@@ -199,7 +199,7 @@
 
     /// Quarantines the requests that explain the terminations of replicas, and releases those that no
     /// longer do.
-    fn attribute(&mut self, now: Time, pos: Index) -> Vec<(Fingerprint, Change)> {
+    fn attribute(&mut self, now: Time, pos: Index) -> Vec<(Fingerprint, QuarantineChange)> {
         let causes = find_causes(&self.suspects);
         self.quarantine(now, pos, &causes)
     }
@@ -209,7 +209,7 @@
         now: Time,
         pos: Index,
         causes: &[(Fingerprint, usize)],
-    ) -> Vec<(Fingerprint, Change)> {
+    ) -> Vec<(Fingerprint, QuarantineChange)> {
         let mut changes = Vec::new();
         // A request whose terminations have been dropped stays quarantined until its term expires.
         let explained = |f: &Fingerprint| {
@@ -218,7 +218,7 @@
         let released: Vec<_> = self.quarantined.keys().copied().filter(explained).collect();
         for f in released {
             self.quarantined.remove(&f);
-            changes.push((f, Change::Explained));
+            changes.push((f, QuarantineChange::Explained));
         }
         for (f, strikes) in causes {
             let Some(s) = self.suspects.get_mut(f) else { continue };
@@ -231,7 +231,7 @@
             let q =
                 Quarantined { account, since: now, until, terms: s.terms + 1, strikes: *strikes };
             self.quarantined.insert(*f, q);
-            changes.push((*f, Change::Begun));
+            changes.push((*f, QuarantineChange::Quarantined));
         }
         changes.extend(self.evict_surplus());
         if !changes.is_empty() {
@@ -241,7 +241,7 @@
     }
 
     /// Releases the oldest quarantined requests beyond the limits per account and in total.
-    fn evict_surplus(&mut self) -> Vec<(Fingerprint, Change)> {
+    fn evict_surplus(&mut self) -> Vec<(Fingerprint, QuarantineChange)> {
         let mut by_account: BTreeMap<&str, usize> = BTreeMap::new();
         let mut by_age: Vec<_> = self.quarantined.iter().collect();
         by_age.sort_by_key(|(f, q)| (std::cmp::Reverse(q.since), **f));
@@ -256,7 +256,7 @@
         let evict = |f: Fingerprint| {
             self.quarantined.remove(&f);
             self.suspects.remove(&f);
-            (f, Change::Dropped)
+            (f, QuarantineChange::Evicted)
         };
         surplus.into_iter().map(evict).collect()
     }
@@ -268,14 +268,19 @@
         now: Time,
         pos: Index,
         all: &[Fingerprint],
-    ) -> Vec<(Fingerprint, Change)> {
-        self.release(now, pos, all, Change::Answered)
+    ) -> Vec<(Fingerprint, QuarantineChange)> {
+        self.release(now, pos, all, QuarantineChange::Completed)
     }
 
     /// Releases a request on an operator's command and removes its history. Returns the change, if it
     /// was quarantined.
-    pub fn lift(&mut self, now: Time, pos: Index, f: Fingerprint) -> Vec<(Fingerprint, Change)> {
-        let changes = self.release(now, pos, &[f], Change::Lifted);
+    pub fn lift(
+        &mut self,
+        now: Time,
+        pos: Index,
+        f: Fingerprint,
+    ) -> Vec<(Fingerprint, QuarantineChange)> {
+        let changes = self.release(now, pos, &[f], QuarantineChange::Lifted);
         // Later strikes count as for a new request.
         self.sound.remove(&f);
         self.former.remove(&f);
@@ -287,8 +292,8 @@
         now: Time,
         pos: Index,
         all: &[Fingerprint],
-        reason: Change,
-    ) -> Vec<(Fingerprint, Change)> {
+        reason: QuarantineChange,
+    ) -> Vec<(Fingerprint, QuarantineChange)> {
         self.expire(now);
         let mut changes = Vec::new();
         for f in all {
@@ -311,7 +316,7 @@
 
     /// Releases the requests whose quarantine has expired, at log position `pos`. One further strike
     /// quarantines such a request again.
-    pub fn expire_terms(&mut self, now: Time, pos: Index) -> Vec<(Fingerprint, Change)> {
+    pub fn expire_terms(&mut self, now: Time, pos: Index) -> Vec<(Fingerprint, QuarantineChange)> {
         let expired = self.quarantined.iter().filter(|(_, q)| q.until <= now);
         let expired: Vec<_> = expired.map(|(f, q)| (*f, q.clone())).collect();
         for (f, q) in &expired {
@@ -320,7 +325,7 @@
             self.former.insert(*f, PastQuarantine { terms: q.terms, over: now });
             (self.revision, self.urgent) = (pos, pos);
         }
-        expired.into_iter().map(|(f, _)| (f, Change::Over)).collect()
+        expired.into_iter().map(|(f, _)| (f, QuarantineChange::Expired)).collect()
     }
 
     /// Removes expired entries, and the oldest ones beyond each limit.
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -13,7 +13,7 @@
 use crate::config::{Change, Config, Object, ObjectName};
 use crate::fleet::evacuation::Evacuations;
 use crate::fleet::fingerprint::Fingerprint;
-use crate::fleet::quarantine::{self, Quarantine};
+use crate::fleet::quarantine::{Quarantine, QuarantineChange};
 use crate::fleet::rollout::Rollouts;
 use crate::member::{Reserves, Router, Routers};
 use crate::query::{BudgetStatus, LeaseStatus};
@@ -48,7 +48,7 @@
     quarantine: Quarantine,
     /// What the last command changed in it, for logs.
     #[serde(skip)]
-    quarantine_changes: Vec<(Fingerprint, quarantine::Change)>,
+    quarantine_changes: Vec<(Fingerprint, QuarantineChange)>,
 }
 
 /// The document in force, and the budgets that it names.
@@ -342,7 +342,7 @@
     }
 
     /// Takes what commands have changed in it since it was asked for last.
-    pub fn take_quarantine_changes(&mut self) -> Vec<(Fingerprint, quarantine::Change)> {
+    pub fn take_quarantine_changes(&mut self) -> Vec<(Fingerprint, QuarantineChange)> {
         std::mem::take(&mut self.quarantine_changes)
     }
 
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -2,7 +2,9 @@
 //! tables of events and in storms.
 
 use cypressfork_core::fleet::fingerprint::{Fingerprint, Identity};
-use cypressfork_core::fleet::quarantine::{Change, InFlightRequest, Quarantine, TerminationReport};
+use cypressfork_core::fleet::quarantine::{
+    InFlightRequest, Quarantine, QuarantineChange, TerminationReport,
+};
 use cypressfork_core::fleet::sound::CompletedRequests;
 use cypressfork_core::unit::{Millis, Time};
 use rstest::rstest;
@@ -138,7 +140,10 @@
     let mut q = Quarantine::default();
     let all = [("r1", 9_000), ("r2", 8_000), ("r3", 7_000)];
     let all: Vec<_> = all.into_iter().map(|(r, ago)| ended(r, ago, &[("k", 50)])).collect();
-    assert_eq!(q.record_terminations(Time(10_000), 1, &all), [(named("k"), Change::Begun)]);
+    assert_eq!(
+        q.record_terminations(Time(10_000), 1, &all),
+        [(named("k"), QuarantineChange::Quarantined)]
+    );
     // Sent again, as its answer was lost, it changes nothing.
     assert_eq!(q.record_terminations(Time(10_050), 2, &all), []);
     assert_eq!(q.iter().next().unwrap().1.strikes, 3);
@@ -148,7 +153,7 @@
 fn one_that_is_answered_whole_is_free_and_gets_no_strikes_for_a_while() {
     let mut q = after(THREE);
     let k = named("k");
-    assert_eq!(q.record_completions(Time(4_000), 4, &[k]), [(k, Change::Answered)]);
+    assert_eq!(q.record_completions(Time(4_000), 4, &[k]), [(k, QuarantineChange::Completed)]);
     for n in 0..9 {
         q.record_terminations(
             Time(5_000 + n * 1_000),
@@ -166,11 +171,11 @@
     assert!(!q.has_expired(Time(HOUR)));
     let over = 3_000 + HOUR;
     assert!(q.has_expired(Time(over)));
-    assert_eq!(q.expire_terms(Time(over), 9), [(k, Change::Over)]);
+    assert_eq!(q.expire_terms(Time(over), 9), [(k, QuarantineChange::Expired)]);
     assert!(!q.contains(&k) && q.list().quarantined.is_empty());
     let again =
         q.record_terminations(Time(over + 500), 10, &[ended("r9", 0, &[("k", 50), ("a", 20)])]);
-    assert_eq!(again, [(k, Change::Begun)]);
+    assert_eq!(again, [(k, QuarantineChange::Quarantined)]);
     assert!(
         !q.has_expired(Time(over + 500 + 2 * HOUR - 1))
             && q.has_expired(Time(over + 500 + 2 * HOUR))
@@ -181,7 +186,7 @@
 fn an_operator_lifts_it_and_strikes_count_anew() {
     let mut q = after(THREE);
     let k = named("k");
-    assert_eq!(q.lift(Time(4_000), 4, k), [(k, Change::Lifted)]);
+    assert_eq!(q.lift(Time(4_000), 4, k), [(k, QuarantineChange::Lifted)]);
     q.record_terminations(Time(5_000), 5, &[ended("r5", 0, &[("k", 50)])]);
     q.record_terminations(Time(6_000), 6, &[ended("r6", 0, &[("k", 50)])]);
     assert!(!q.contains(&k));
@@ -199,7 +204,7 @@
             let at = Time(1_000 * n + 200 * round + 1_000);
             let e = ended(&format!("r{n}-{round}"), 0, &[(&format!("k{n}"), 50)]);
             let changes = q.record_terminations(at, n * 3 + round + 1, &[e]);
-            dropped += changes.iter().filter(|(_, c)| *c == Change::Dropped).count();
+            dropped += changes.iter().filter(|(_, c)| *c == QuarantineChange::Evicted).count();
         }
     }
     assert_eq!((q.iter().count(), dropped), (32, 8));
