--- a/crates/core/examples/rollouts.rs
+++ b/crates/core/examples/rollouts.rs
@@ -12,7 +12,7 @@
 
 use cypressfork_core::fleet::rollout::evidence::{Report, Reports};
 use cypressfork_core::fleet::rollout::plan::plan;
-use cypressfork_core::fleet::rollout::split::{Local, Way, way};
+use cypressfork_core::fleet::rollout::split::{Local, VersionPreference, version_preference};
 use cypressfork_core::fleet::rollout::step::{View, next};
 use cypressfork_core::fleet::rollout::verdict::judge;
 use cypressfork_core::fleet::rollout::{Rollout, Rollouts, Stage, Step};
@@ -237,7 +237,10 @@
             r.trial = share_of(rule, &r, at, fleet.within.0);
             let in_touch = at - self.heard < 2_000 || rule != Rule::Compare;
             let local = Local { in_touch, stopped: self.stopped };
-            matches!(way(&r, drawn, local), Way::Trial | Way::New)
+            matches!(
+                version_preference(&r, drawn, local),
+                VersionPreference::Trial | VersionPreference::New
+            )
         });
         let late = |from: f64| at as f64 >= from * fleet.within.0 as f64;
         let more = match kind {
--- a/crates/core/src/fleet/rollout/split.rs
+++ b/crates/core/src/fleet/rollout/split.rs
@@ -17,14 +17,14 @@
     /// The version that requests move to.
     New,
     /// The version that requests move to, but other replicas of it take part in the trial.
-    Spare,
+    Standby,
     /// A version that gets no requests.
-    Barred,
+    Excluded,
 }
 
 /// The versions to which a request may be sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Way {
+pub enum VersionPreference {
     /// Any replica that is not excluded.
     #[default]
     Any,
@@ -36,24 +36,26 @@
     New,
 }
 
-impl Way {
+impl VersionPreference {
     /// Returns whether a replica on this side may get the request.
     pub fn allows(self, side: Side) -> bool {
         match self {
-            Way::Any => side != Side::Barred,
-            Way::Old => matches!(side, Side::Any | Side::Old),
-            Way::Trial => side == Side::New,
-            Way::New => matches!(side, Side::New | Side::Spare | Side::Any),
+            VersionPreference::Any => side != Side::Excluded,
+            VersionPreference::Old => matches!(side, Side::Any | Side::Old),
+            VersionPreference::Trial => side == Side::New,
+            VersionPreference::New => matches!(side, Side::New | Side::Standby | Side::Any),
         }
     }
 
     /// Returns the preferences to try in order. Each applies if no replica is left for those before it.
-    pub fn fallbacks(self) -> &'static [Way] {
+    pub fn fallbacks(self) -> &'static [VersionPreference] {
         match self {
-            Way::Any => &[Way::Any],
-            Way::Old => &[Way::Old],
-            Way::Trial => &[Way::Trial, Way::New, Way::Old],
-            Way::New => &[Way::New, Way::Any],
+            VersionPreference::Any => &[VersionPreference::Any],
+            VersionPreference::Old => &[VersionPreference::Old],
+            VersionPreference::Trial => {
+                &[VersionPreference::Trial, VersionPreference::New, VersionPreference::Old]
+            }
+            VersionPreference::New => &[VersionPreference::New, VersionPreference::Any],
         }
     }
 }
@@ -74,16 +76,16 @@
 pub fn side(r: &Rollout, id: &str, version: &str) -> Side {
     let is_new = version == r.version;
     match r.stage {
-        Stage::Waiting if is_new => Side::Barred,
+        Stage::Waiting if is_new => Side::Excluded,
         Stage::Waiting => Side::Any,
-        Stage::Trial if is_new && !is_on_trial(id, r.trial) => Side::Spare,
+        Stage::Trial if is_new && !is_on_trial(id, r.trial) => Side::Standby,
         Stage::Trial | Stage::Moving if is_new => Side::New,
         Stage::Trial | Stage::Moving => Side::Old,
         // Old replicas may stop at any time, and a version that starts later is not one of theirs.
         Stage::Completed if r.from.contains(version) => Side::Old,
         Stage::Completed if is_new => Side::New,
         Stage::Completed => Side::Any,
-        Stage::RolledBack if is_new => Side::Barred,
+        Stage::RolledBack if is_new => Side::Excluded,
         Stage::RolledBack => Side::Any,
     }
 }
@@ -98,12 +100,12 @@
 }
 
 /// Returns the preference of a request whose id hashes to `drawn`.
-pub fn way(r: &Rollout, drawn: u64, l: Local) -> Way {
+pub fn version_preference(r: &Rollout, drawn: u64, l: Local) -> VersionPreference {
     match r.stage {
-        Stage::Waiting | Stage::RolledBack => Way::Any,
-        Stage::Trial if l.in_touch && !l.stopped && drawn < r.trial => Way::Trial,
-        Stage::Moving if l.in_touch && !l.stopped => Way::New,
-        Stage::Trial | Stage::Moving => Way::Old,
-        Stage::Completed => Way::New,
+        Stage::Waiting | Stage::RolledBack => VersionPreference::Any,
+        Stage::Trial if l.in_touch && !l.stopped && drawn < r.trial => VersionPreference::Trial,
+        Stage::Moving if l.in_touch && !l.stopped => VersionPreference::New,
+        Stage::Trial | Stage::Moving => VersionPreference::Old,
+        Stage::Completed => VersionPreference::New,
     }
 }
--- a/crates/core/src/route/pool.rs
+++ b/crates/core/src/route/pool.rs
@@ -18,7 +18,7 @@
 use crate::config::Upstream;
 use crate::fleet::regions::Regions;
 use crate::fleet::rollout::Rollout;
-use crate::fleet::rollout::split::{self, Side, Way};
+use crate::fleet::rollout::split::{self, Side, VersionPreference};
 use crate::unit::{Millis, Time};
 
 /// Candidates in a sample. Sampling prevents many routers with the same view from choosing the same
@@ -52,7 +52,7 @@
     /// Its latency objective; none: minimise the time until the first event.
     pub objective: Option<LatencyObjective>,
     /// Which version it may be sent to during a rollout.
-    pub way: Way,
+    pub version_preference: VersionPreference,
     /// Regions that may serve it; empty: any.
     pub regions: BTreeSet<String>,
     /// Its priority; 0 is the highest.
@@ -419,7 +419,7 @@
     /// Returns whether a replica may serve this request, regardless of load, backoff and rate limit.
     fn may_serve(&self, r: &Replica, profile: &RequestProfile) -> bool {
         r.accepts_work()
-            && profile.way.allows(r.side)
+            && profile.version_preference.allows(r.side)
             && self.location.1.allow(&profile.regions, &r.upstream.vm.data_centre)
     }
 
--- a/crates/core/tests/rollout.rs
+++ b/crates/core/tests/rollout.rs
@@ -5,7 +5,9 @@
 use cypressfork_core::code::Code;
 use cypressfork_core::fleet::rollout::evidence::{Evidence, Report, Reports, Standing};
 use cypressfork_core::fleet::rollout::plan::{Plan, plan};
-use cypressfork_core::fleet::rollout::split::{Local, Side, Way, side, way};
+use cypressfork_core::fleet::rollout::split::{
+    Local, Side, VersionPreference, side, version_preference,
+};
 use cypressfork_core::fleet::rollout::step::{View, next};
 use cypressfork_core::fleet::rollout::verdict::{Fault, judge};
 use cypressfork_core::fleet::rollout::{Rollout, Rollouts, Stage, Step};
@@ -230,10 +232,10 @@
 }
 
 #[rstest]
-#[case::before_its_trial(Stage::Waiting, Side::Any, Side::Barred, Side::Any)]
+#[case::before_its_trial(Stage::Waiting, Side::Any, Side::Excluded, Side::Any)]
 #[case::while_all_moves(Stage::Moving, Side::Old, Side::New, Side::Old)]
 #[case::completed(Stage::Completed, Side::Old, Side::New, Side::Any)]
-#[case::rolled_back(Stage::RolledBack, Side::Any, Side::Barred, Side::Any)]
+#[case::rolled_back(Stage::RolledBack, Side::Any, Side::Excluded, Side::Any)]
 fn sides(#[case] stage: Stage, #[case] old: Side, #[case] new: Side, #[case] later: Side) {
     let r = at(stage);
     assert_eq!(["v1", "v2", "v3"].map(|v| side(&r, "i-1", v)), [old, new, later]);
@@ -244,21 +246,21 @@
 const STOPPED: Local = Local { in_touch: true, stopped: true };
 
 #[rstest]
-#[case::on_trial(Stage::Trial, 39, IN_TOUCH, Way::Trial)]
-#[case::beside_the_trial(Stage::Trial, 40, IN_TOUCH, Way::Old)]
-#[case::cut_off(Stage::Trial, 0, CUT_OFF, Way::Old)]
-#[case::by_what_it_saw(Stage::Trial, 0, STOPPED, Way::Old)]
-#[case::all_move(Stage::Moving, 999, IN_TOUCH, Way::New)]
-#[case::cut_off_as_all_move(Stage::Moving, 0, CUT_OFF, Way::Old)]
-#[case::completed_and_cut_off(Stage::Completed, 0, CUT_OFF, Way::New)]
-#[case::rolled_back(Stage::RolledBack, 0, IN_TOUCH, Way::Any)]
+#[case::on_trial(Stage::Trial, 39, IN_TOUCH, VersionPreference::Trial)]
+#[case::beside_the_trial(Stage::Trial, 40, IN_TOUCH, VersionPreference::Old)]
+#[case::cut_off(Stage::Trial, 0, CUT_OFF, VersionPreference::Old)]
+#[case::by_what_it_saw(Stage::Trial, 0, STOPPED, VersionPreference::Old)]
+#[case::all_move(Stage::Moving, 999, IN_TOUCH, VersionPreference::New)]
+#[case::cut_off_as_all_move(Stage::Moving, 0, CUT_OFF, VersionPreference::Old)]
+#[case::completed_and_cut_off(Stage::Completed, 0, CUT_OFF, VersionPreference::New)]
+#[case::rolled_back(Stage::RolledBack, 0, IN_TOUCH, VersionPreference::Any)]
 fn where_a_request_goes(
     #[case] stage: Stage,
     #[case] drawn: u64,
     #[case] local: Local,
-    #[case] want: Way,
+    #[case] want: VersionPreference,
 ) {
-    assert_eq!(way(&at(stage), drawn, local), want);
+    assert_eq!(version_preference(&at(stage), drawn, local), want);
 }
 
 fn report(life: u64, revision: u64, ended: u64, at_old: u64) -> Report {
--- a/crates/router/src/gateway/request.rs
+++ b/crates/router/src/gateway/request.rs
@@ -356,8 +356,13 @@
     async fn choose(&mut self) -> Option<Chosen> {
         let job = self.job;
         let gw = &job.gw;
-        let way = gw.trials.way(gw.now(), &job.service, &job.inbound.id, !self.tried.is_empty());
-        let mut work = RequestProfile { way, ..job.work() };
+        let version_preference = gw.trials.version_preference(
+            gw.now(),
+            &job.service,
+            &job.inbound.id,
+            !self.tried.is_empty(),
+        );
+        let mut work = RequestProfile { version_preference, ..job.work() };
         let mut denials = 0;
         loop {
             let picked = gw.pick(&job.service, job.cold_bound, &mut work, &self.tried);
@@ -371,7 +376,7 @@
                 return Some(chosen);
             };
             gw.bar(&job.service, &chosen, denied.after, job.priority);
-            work.way = way;
+            work.version_preference = version_preference;
             denials += 1;
             work.avoid_rate_limited = denied.unanswered || denials >= DENIALS;
         }
--- a/crates/router/src/gateway/rollouts.rs
+++ b/crates/router/src/gateway/rollouts.rs
@@ -7,7 +7,9 @@
 use std::time::Duration;
 
 use cypressfork_core::fleet::rollout::evidence::{Evidence, Report};
-use cypressfork_core::fleet::rollout::split::{Local, Side, Way, draw, way};
+use cypressfork_core::fleet::rollout::split::{
+    Local, Side, VersionPreference, draw, version_preference,
+};
 use cypressfork_core::fleet::rollout::verdict::judge;
 use cypressfork_core::fleet::rollout::{Rollout, Rollouts};
 use cypressfork_core::unit::{Index, Millis, Time};
@@ -102,14 +104,20 @@
     }
 
     /// Where a request for a service goes; one that was tried before, not on trial again.
-    pub fn way(&self, now: Time, service: &str, id: &str, tried: bool) -> Way {
+    pub fn version_preference(
+        &self,
+        now: Time,
+        service: &str,
+        id: &str,
+        tried: bool,
+    ) -> VersionPreference {
         let told = self.told.borrow();
-        let Some(r) = told.get(service) else { return Way::Any };
+        let Some(r) = told.get(service) else { return VersionPreference::Any };
         let in_touch = now.since(self.heard.get()) < HEARD_WITHIN;
         let stopped = self.under_way.borrow().get(service).is_some_and(|t| t.stopped);
-        match way(r, draw(id), Local { in_touch, stopped }) {
-            Way::Trial if tried => Way::Old,
-            way => way,
+        match version_preference(r, draw(id), Local { in_touch, stopped }) {
+            VersionPreference::Trial if tried => VersionPreference::Old,
+            other => other,
         }
     }
 
@@ -143,7 +151,7 @@
     /// Notes that a request goes to a replica on this side.
     pub fn begin(gw: &Rc<Gateway>, service: &str, side: Side) -> Observation {
         // Before a roll-out is heard of, all there is belongs to the old version.
-        if side != Side::New && side != Side::Spare {
+        if side != Side::New && side != Side::Standby {
             let mut under_way = gw.trials.under_way.borrow_mut();
             if let Some(t) = under_way.get_mut(service) {
                 t.at_old += 1;
@@ -158,8 +166,8 @@
     pub fn end(self, route: &str, ended: &Ended, first: Option<Duration>, expected_us: u64) {
         let is_new = match self.side {
             Side::Old => false,
-            Side::New | Side::Spare => true,
-            Side::Any | Side::Barred => return,
+            Side::New | Side::Standby => true,
+            Side::Any | Side::Excluded => return,
         };
         let gw = &self.gw;
         let told = gw.trials.told.borrow();
@@ -206,7 +214,7 @@
 
 impl Drop for Observation {
     fn drop(&mut self) {
-        if matches!(self.side, Side::New | Side::Spare) {
+        if matches!(self.side, Side::New | Side::Standby) {
             return;
         }
         if let Ok(mut under_way) = self.gw.trials.under_way.try_borrow_mut()
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -14,7 +14,7 @@
 use cypressfork_core::fleet::replicas::{AddressChange, ReplicaTable, Start};
 use cypressfork_core::fleet::retry::RetryWindow;
 use cypressfork_core::fleet::rollout::Rollouts;
-use cypressfork_core::fleet::rollout::split::{Side, Way};
+use cypressfork_core::fleet::rollout::split::{Side, VersionPreference};
 use cypressfork_core::fleet::routes::Routes;
 use cypressfork_core::fleet::share::Placement;
 use cypressfork_core::fleet::sources::ReplicaSources;
@@ -431,13 +431,13 @@
         let dc = &self.settings.base.data_centre;
         let mut rng = self.rng.borrow_mut();
         pool.set_peer_count(u64::from(self.routers.get().saturating_sub(1)));
-        let mut ways = work.way.fallbacks();
-        if work.way == Way::Old && !pool.has_old_replicas() {
+        let mut ways = work.version_preference.fallbacks();
+        if work.version_preference == VersionPreference::Old && !pool.has_old_replicas() {
             // It has moved without this gateway's hearing of it.
-            ways = Way::Any.fallbacks();
+            ways = VersionPreference::Any.fallbacks();
         }
         let choice = ways.iter().find_map(|way| {
-            work.way = *way;
+            work.version_preference = *way;
             pool.pick(self.now(), dc, work, tried, &mut *rng)
         })?;
         let r = pool.get(choice.address)?;
