--- a/crates/core/src/fleet/evacuation.rs
+++ b/crates/core/src/fleet/evacuation.rs
@@ -25,7 +25,7 @@
 impl Evacuations {
     /// Applies the order at log index `at`, which begins (`evacuate`) or ends the evacuation of a data
     /// centre. Returns whether the set has changed.
-    pub fn order(&mut self, at: Index, data_centre: &str, evacuate: bool) -> bool {
+    pub fn apply(&mut self, at: Index, data_centre: &str, evacuate: bool) -> bool {
         let changed = match evacuate {
             true => self.data_centres.insert(data_centre.to_owned()),
             false => self.data_centres.remove(data_centre),
@@ -37,7 +37,7 @@
     }
 
     /// Replaces this set by one received from another process if that is newer. Returns whether it is.
-    pub fn take(&mut self, received: &Evacuations) -> bool {
+    pub fn merge(&mut self, received: &Evacuations) -> bool {
         let is_newer = received.revision > self.revision;
         if is_newer {
             *self = received.clone();
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -156,7 +156,7 @@
                 Answer::Done
             }
             Command::Evacuate { data_centre, evacuate } => {
-                self.evacuations.order(pos.index, data_centre, *evacuate);
+                self.evacuations.apply(pos.index, data_centre, *evacuate);
                 Answer::Done
             }
             Command::StartRollout { service, version, within } => {
--- a/crates/core/tests/evacuation.rs
+++ b/crates/core/tests/evacuation.rs
@@ -46,8 +46,8 @@
     let old = Evacuations { revision: 4, data_centres: names(&["a"]) };
     let new = Evacuations { revision: 9, data_centres: names(&[]) };
     let mut held = Evacuations::default();
-    assert!(held.take(&old) && held.take(&new));
-    assert!(!held.take(&old) && !held.take(&new));
+    assert!(held.merge(&old) && held.merge(&new));
+    assert!(!held.merge(&old) && !held.merge(&new));
     assert_eq!(held, new);
 }
 
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -393,7 +393,7 @@
 
     /// Takes what is said of evacuated data centres, unless it knows as new a word.
     pub fn take_evacuations(&self, told: &Evacuations) {
-        if !self.evacuations.borrow_mut().take(told) {
+        if !self.evacuations.borrow_mut().merge(told) {
             return;
         }
         let now = self.now();
