--- a/crates/core/src/fleet/entry.rs
+++ b/crates/core/src/fleet/entry.rs
@@ -87,7 +87,7 @@
         let live: Vec<_> = known.iter().copied().filter(|(_, at)| is_live(*at)).collect();
         let usable = if live.len() * 2 > known.len() { live } else { known };
         let is_own = |r: &RouterStatus| r.data_centre == data_centre;
-        let is_near = |r: &RouterStatus| regions.are_near(&r.data_centre, data_centre);
+        let is_near = |r: &RouterStatus| regions.same_region(&r.data_centre, data_centre);
         let is_left_out = |r: &RouterStatus| self.spill.omits(&r.vm, self.lists);
         let remaining: Vec<_> = usable.iter().copied().filter(|(r, _)| !is_left_out(r)).collect();
         let usable = if remaining.is_empty() { usable } else { remaining };
--- a/crates/core/src/fleet/regions.rs
+++ b/crates/core/src/fleet/regions.rs
@@ -21,13 +21,13 @@
     }
 
     /// Returns the region of a data centre, if known.
-    pub fn of(&self, data_centre: &str) -> Option<&str> {
+    pub fn region_of(&self, data_centre: &str) -> Option<&str> {
         self.of_data_centre.get(data_centre).map(String::as_str)
     }
 
     /// Returns whether two data centres are in the same region; true if either region is unknown.
-    pub fn are_near(&self, one: &str, other: &str) -> bool {
-        match (self.of(one), self.of(other)) {
+    pub fn same_region(&self, one: &str, other: &str) -> bool {
+        match (self.region_of(one), self.region_of(other)) {
             (Some(a), Some(b)) => a == b,
             _ => true,
         }
@@ -35,7 +35,7 @@
 
     /// Returns whether a data centre may serve a request that is restricted to the regions `allowed`;
     /// an empty set allows any. A data centre of unknown region serves no restricted requests.
-    pub fn allow(&self, allowed: &BTreeSet<String>, data_centre: &str) -> bool {
-        allowed.is_empty() || self.of(data_centre).is_some_and(|r| allowed.contains(r))
+    pub fn allows(&self, allowed: &BTreeSet<String>, data_centre: &str) -> bool {
+        allowed.is_empty() || self.region_of(data_centre).is_some_and(|r| allowed.contains(r))
     }
 }
--- a/crates/core/src/route/pool.rs
+++ b/crates/core/src/route/pool.rs
@@ -160,7 +160,7 @@
         r.side = rollout_side(self.rollout.as_ref(), r);
         r.leaving = info.leaving;
         r.evacuated = self.evacuated.contains(&u.vm.data_centre);
-        r.other_region = !self.location.1.are_near(&self.location.0, &u.vm.data_centre);
+        r.other_region = !self.location.1.same_region(&self.location.0, &u.vm.data_centre);
         r.cold_until = now.after(info.cold_for);
         if info.cold_for > Millis(0) {
             self.cold.insert(u.address);
@@ -420,7 +420,7 @@
     fn may_serve(&self, r: &Replica, profile: &RequestProfile) -> bool {
         r.accepts_work()
             && profile.version_preference.allows(r.side)
-            && self.location.1.allow(&profile.regions, &r.upstream.vm.data_centre)
+            && self.location.1.allows(&profile.regions, &r.upstream.vm.data_centre)
     }
 
     /// Returns the probability that a cold replica stays in a sample, as numerator and denominator.
--- a/crates/core/tests/regions.rs
+++ b/crates/core/tests/regions.rs
@@ -33,7 +33,7 @@
 #[case::one_of_two(&["north", "south"], "s1", true)]
 #[case::nobody_knows_where(&["north"], "elsewhere", false)]
 fn what_is_bound_to_regions(#[case] allowed: &[&str], #[case] dc: &str, #[case] may: bool) {
-    assert_eq!(regions().allow(&names(allowed), dc), may);
+    assert_eq!(regions().allows(&names(allowed), dc), may);
 }
 
 /// Routers by their data centres, for a caller in `n1`.
@@ -154,7 +154,7 @@
                 continue;
             };
             let dc = at[&choice.address];
-            prop_assert!(regions().allow(&allowed, dc) && !closed.contains(&dc));
+            prop_assert!(regions().allows(&allowed, dc) && !closed.contains(&dc));
             if n % 3 == 0 {
                 tried.push(choice.address);
             }
--- a/crates/router/src/gateway/follow.rs
+++ b/crates/router/src/gateway/follow.rs
@@ -155,7 +155,7 @@
 
 fn nearness(gw: &Gateway, data_centre: &str) -> Nearness {
     let base = &gw.settings.base;
-    match base.regions.are_near(&base.data_centre, data_centre) {
+    match base.regions.same_region(&base.data_centre, data_centre) {
         _ if base.data_centre == data_centre => Nearness::DataCentre,
         true => Nearness::Region,
         false => Nearness::Far,
--- a/crates/router/src/gateway/homes.rs
+++ b/crates/router/src/gateway/homes.rs
@@ -56,7 +56,7 @@
         let (near, far): (Vec<&DataCentreRouters>, Vec<_>) =
             areas.iter().partition(|a| a.data_centre == own);
         *self.near.borrow_mut() = near.into_iter().flat_map(addresses).collect();
-        let abroad = |a: &DataCentreRouters| !regions.are_near(own, &a.data_centre);
+        let abroad = |a: &DataCentreRouters| !regions.same_region(own, &a.data_centre);
         *self.far.borrow_mut() = far.into_iter().map(|a| (abroad(a), addresses(a))).collect();
         self.ranked.borrow_mut().clear();
         let routers = self.near.borrow().len();
