--- a/crates/core/src/fleet/demand.rs
+++ b/crates/core/src/fleet/demand.rs
@@ -25,7 +25,7 @@
 
 impl Demand {
     /// Counts a request at `now`.
-    pub fn note(&mut self, now: Time) {
+    pub fn record(&mut self, now: Time) {
         if now.since(self.window_start) >= WINDOW {
             self.window_start = now;
             self.count = 0;
--- a/crates/core/tests/demand.rs
+++ b/crates/core/tests/demand.rs
@@ -17,16 +17,16 @@
 ) {
     let mut d = Demand::default();
     let at = |n: u64| Time(10_000 + n * 1_000 / a_second);
-    (0..a_second * 10).for_each(|n| d.note(at(n)));
+    (0..a_second * 10).for_each(|n| d.record(at(n)));
     assert_eq!(d.is_heavy(at(a_second * 10)), heavy);
 }
 
 #[test]
 fn it_stays_so_for_a_while_and_no_longer() {
     let mut d = Demand::default();
-    (0..30).for_each(|n| d.note(Time(1_000 + n)));
+    (0..30).for_each(|n| d.record(Time(1_000 + n)));
     // A few requests more do not end it, and do not prolong it.
-    (0..6).for_each(|n| d.note(Time(2_100 + n * 600)));
+    (0..6).for_each(|n| d.record(Time(2_100 + n * 600)));
     assert!(d.is_heavy(Time(5_900)));
     assert!(!d.is_heavy(Time(6_100)));
 }
--- a/crates/router/src/gateway/homes.rs
+++ b/crates/router/src/gateway/homes.rs
@@ -97,8 +97,8 @@
     pub fn note_request(&self, now: Time, budget: &str) {
         let mut all = self.demand.borrow_mut();
         match all.get_mut(budget) {
-            Some(d) => d.note(now),
-            None => all.entry(budget.to_owned()).or_default().note(now),
+            Some(d) => d.record(now),
+            None => all.entry(budget.to_owned()).or_default().record(now),
         }
     }
 
