--- a/crates/core/examples/rollouts.rs
+++ b/crates/core/examples/rollouts.rs
@@ -12,7 +12,7 @@
 
 use cypressfork_core::fleet::rollout::evidence::{Report, Reports};
 use cypressfork_core::fleet::rollout::plan::plan;
-use cypressfork_core::fleet::rollout::split::{Local, VersionPreference, version_preference};
+use cypressfork_core::fleet::rollout::split::{GatewayView, VersionPreference, version_preference};
 use cypressfork_core::fleet::rollout::step::{View, next};
 use cypressfork_core::fleet::rollout::verdict::judge;
 use cypressfork_core::fleet::rollout::{Rollout, Rollouts, Stage, Step};
@@ -235,8 +235,8 @@
         let drawn = rng.random_range(0..1_000);
         let to_new = self.known.clone().is_some_and(|mut r| {
             r.trial = share_of(rule, &r, at, fleet.within.0);
-            let in_touch = at - self.heard < 2_000 || rule != Rule::Compare;
-            let local = Local { in_touch, stopped: self.stopped };
+            let connected = at - self.heard < 2_000 || rule != Rule::Compare;
+            let local = GatewayView { connected, stopped: self.stopped };
             matches!(
                 version_preference(&r, drawn, local),
                 VersionPreference::Trial | VersionPreference::New
--- a/crates/core/src/fleet/rollout/split.rs
+++ b/crates/core/src/fleet/rollout/split.rs
@@ -64,11 +64,11 @@
 /// equals the share of the requests, so that each has about the load of an old one. If no id is
 /// selected, the fallbacks lead to all replicas of the version.
 fn is_on_trial(id: &str, trial: u64) -> bool {
-    draw(id) < trial
+    request_permille(id) < trial
 }
 
 /// Returns the hash of an id, reduced to a number below 1,000.
-pub fn draw(id: &str) -> u64 {
+pub fn request_permille(id: &str) -> u64 {
     Fnv::new().part(id.as_bytes()).value() % PERMILLE
 }
 
@@ -92,19 +92,19 @@
 
 /// The state of a gateway that affects the split.
 #[derive(Clone, Copy, Debug)]
-pub struct Local {
+pub struct GatewayView {
     /// A control process answered recently, so the rollout's stage is current.
-    pub in_touch: bool,
+    pub connected: bool,
     /// This gateway's own evidence shows a fault of the new version.
     pub stopped: bool,
 }
 
 /// Returns the preference of a request whose id hashes to `drawn`.
-pub fn version_preference(r: &Rollout, drawn: u64, l: Local) -> VersionPreference {
+pub fn version_preference(r: &Rollout, drawn: u64, l: GatewayView) -> VersionPreference {
     match r.stage {
         Stage::Waiting | Stage::RolledBack => VersionPreference::Any,
-        Stage::Trial if l.in_touch && !l.stopped && drawn < r.trial => VersionPreference::Trial,
-        Stage::Moving if l.in_touch && !l.stopped => VersionPreference::New,
+        Stage::Trial if l.connected && !l.stopped && drawn < r.trial => VersionPreference::Trial,
+        Stage::Moving if l.connected && !l.stopped => VersionPreference::New,
         Stage::Trial | Stage::Moving => VersionPreference::Old,
         Stage::Completed => VersionPreference::New,
     }
--- a/crates/core/tests/rollout.rs
+++ b/crates/core/tests/rollout.rs
@@ -6,7 +6,7 @@
 use cypressfork_core::fleet::rollout::evidence::{Evidence, Report, Reports, Standing};
 use cypressfork_core::fleet::rollout::plan::{Plan, plan};
 use cypressfork_core::fleet::rollout::split::{
-    Local, Side, VersionPreference, side, version_preference,
+    GatewayView, Side, VersionPreference, side, version_preference,
 };
 use cypressfork_core::fleet::rollout::step::{View, next};
 use cypressfork_core::fleet::rollout::verdict::{Fault, judge};
@@ -241,9 +241,9 @@
     assert_eq!(["v1", "v2", "v3"].map(|v| side(&r, "i-1", v)), [old, new, later]);
 }
 
-const IN_TOUCH: Local = Local { in_touch: true, stopped: false };
-const CUT_OFF: Local = Local { in_touch: false, stopped: false };
-const STOPPED: Local = Local { in_touch: true, stopped: true };
+const IN_TOUCH: GatewayView = GatewayView { connected: true, stopped: false };
+const CUT_OFF: GatewayView = GatewayView { connected: false, stopped: false };
+const STOPPED: GatewayView = GatewayView { connected: true, stopped: true };
 
 #[rstest]
 #[case::on_trial(Stage::Trial, 39, IN_TOUCH, VersionPreference::Trial)]
@@ -257,7 +257,7 @@
 fn where_a_request_goes(
     #[case] stage: Stage,
     #[case] drawn: u64,
-    #[case] local: Local,
+    #[case] local: GatewayView,
     #[case] want: VersionPreference,
 ) {
     assert_eq!(version_preference(&at(stage), drawn, local), want);
--- a/crates/router/src/gateway/rollouts.rs
+++ b/crates/router/src/gateway/rollouts.rs
@@ -8,7 +8,7 @@
 
 use cypressfork_core::fleet::rollout::evidence::{Evidence, Report};
 use cypressfork_core::fleet::rollout::split::{
-    Local, Side, VersionPreference, draw, version_preference,
+    GatewayView, Side, VersionPreference, request_permille, version_preference,
 };
 use cypressfork_core::fleet::rollout::verdict::judge;
 use cypressfork_core::fleet::rollout::{Rollout, Rollouts};
@@ -113,9 +113,9 @@
     ) -> VersionPreference {
         let told = self.told.borrow();
         let Some(r) = told.get(service) else { return VersionPreference::Any };
-        let in_touch = now.since(self.heard.get()) < HEARD_WITHIN;
+        let connected = now.since(self.heard.get()) < HEARD_WITHIN;
         let stopped = self.under_way.borrow().get(service).is_some_and(|t| t.stopped);
-        match version_preference(r, draw(id), Local { in_touch, stopped }) {
+        match version_preference(r, request_permille(id), GatewayView { connected, stopped }) {
             VersionPreference::Trial if tried => VersionPreference::Old,
             other => other,
         }
