--- a/crates/core/examples/rollouts.rs
+++ b/crates/core/examples/rollouts.rs
@@ -14,7 +14,7 @@
 use cypressfork_core::fleet::rollout::plan::plan;
 use cypressfork_core::fleet::rollout::split::{GatewayView, VersionPreference, version_preference};
 use cypressfork_core::fleet::rollout::step::{View, next};
-use cypressfork_core::fleet::rollout::verdict::judge;
+use cypressfork_core::fleet::rollout::verdict::find_fault;
 use cypressfork_core::fleet::rollout::{Rollout, Rollouts, Stage, Step};
 use cypressfork_core::unit::{Millis, Time};
 use rand::rngs::SmallRng;
@@ -253,11 +253,11 @@
         let fails = rng.random_bool(share.min(1.0));
         let spread = 0.5 * 4.0f64.powf(rng.random::<f64>());
         let factor = if let (Kind::Slow(x), true) = (kind, to_new) { x } else { 1.0 };
-        let sides = self.report.evidence.of(route);
+        let sides = self.report.evidence.route_mut(route);
         let outcomes = if to_new { &mut sides.new } else { &mut sides.old };
         match fails {
-            true => outcomes.failed(),
-            false => outcomes.answered((80_000.0 * spread * factor) as u64, 60_000),
+            true => outcomes.record_failure(),
+            false => outcomes.record_response((80_000.0 * spread * factor) as u64, 60_000),
         }
         if !to_new {
             return;
@@ -269,7 +269,7 @@
                 out.fiftieth = Some(at);
             }
             self.next_report = self.next_report.min(at + 50);
-            if rule == Rule::Compare && judge(&self.report.evidence).is_some() {
+            if rule == Rule::Compare && find_fault(&self.report.evidence).is_some() {
                 self.stopped = true;
             }
         }
--- a/crates/core/src/fleet/rollout/evidence.rs
+++ b/crates/core/src/fleet/rollout/evidence.rs
@@ -44,14 +44,14 @@
 
 impl Outcomes {
     /// Records a failed attempt.
-    pub fn failed(&mut self) {
+    pub fn record_failure(&mut self) {
         self.ended += 1;
         self.bad += 1;
     }
 
     /// Records a successful attempt with the actual and the expected time to its first byte, in
     /// microseconds.
-    pub fn answered(&mut self, first_us: u64, expected_us: u64) {
+    pub fn record_response(&mut self, first_us: u64, expected_us: u64) {
         self.ended += 1;
         self.slow[latency_class(first_us, expected_us)] += 1;
     }
@@ -95,7 +95,7 @@
 
 impl Evidence {
     /// Returns the outcomes of a route for update.
-    pub fn of(&mut self, route: &str) -> &mut Sides {
+    pub fn route_mut(&mut self, route: &str) -> &mut Sides {
         let known = self.routes.contains_key(route) || self.routes.len() < MAX_ROUTES;
         let name = if known { route } else { OTHER_ROUTES };
         if !self.routes.contains_key(name) {
@@ -107,7 +107,7 @@
     /// Adds the outcomes of another gateway.
     pub fn add(&mut self, e: &Evidence) {
         for (route, sides) in &e.routes {
-            let own = self.of(route);
+            let own = self.route_mut(route);
             own.old.add(&sides.old);
             own.new.add(&sides.new);
         }
--- a/crates/core/src/fleet/rollout/step.rs
+++ b/crates/core/src/fleet/rollout/step.rs
@@ -4,7 +4,7 @@
 
 use super::evidence::{Evidence, Standing};
 use super::plan::Plan;
-use super::verdict::{Fault, judge};
+use super::verdict::{Fault, find_fault};
 use super::{Rollout, Stage, Step};
 use crate::unit::Millis;
 
@@ -38,7 +38,7 @@
         why,
     };
     if matches!(r.stage, Stage::Trial | Stage::Moving)
-        && let Some((route, fault)) = judge(v.evidence)
+        && let Some((route, fault)) = find_fault(v.evidence)
     {
         return Some(step(Stage::RolledBack, describe(&route, &fault)));
     }
--- a/crates/core/src/fleet/rollout/verdict.rs
+++ b/crates/core/src/fleet/rollout/verdict.rs
@@ -57,7 +57,7 @@
 const CHANCE_SCORE: f64 = 0.5;
 
 /// Returns the first fault of the new version and its route, which is empty for all routes together.
-pub fn judge(e: &Evidence) -> Option<(String, Fault)> {
+pub fn find_fault(e: &Evidence) -> Option<(String, Fault)> {
     let of_route = e.routes.iter().find_map(|(route, s)| Some((route.clone(), route_fault(s)?)));
     of_route.or_else(|| Some((String::new(), total_fault(e)?)))
 }
--- a/crates/core/tests/rollout.rs
+++ b/crates/core/tests/rollout.rs
@@ -9,7 +9,7 @@
     GatewayView, Side, VersionPreference, side, version_preference,
 };
 use cypressfork_core::fleet::rollout::step::{View, next};
-use cypressfork_core::fleet::rollout::verdict::{Fault, judge};
+use cypressfork_core::fleet::rollout::verdict::{Fault, find_fault};
 use cypressfork_core::fleet::rollout::{Rollout, Rollouts, Stage, Step};
 use cypressfork_core::unit::{Millis, Time};
 use rstest::rstest;
@@ -101,7 +101,7 @@
 /// Counts of answers: ended and bad of the old version, ended and bad of the new one.
 fn counted(old: (u64, u64), new: (u64, u64)) -> Evidence {
     let mut e = Evidence::default();
-    let sides = e.of("play");
+    let sides = e.route_mut("play");
     (sides.old.ended, sides.old.bad) = old;
     (sides.new.ended, sides.new.bad) = new;
     e
@@ -123,19 +123,19 @@
     #[case] new: (u64, u64),
     #[case] bad: bool,
 ) {
-    let found = judge(&counted(old, new));
+    let found = find_fault(&counted(old, new));
     assert_eq!(found.is_some(), bad, "{found:?}");
 }
 
 /// Answers of both versions, the new one's so many hundredths of the old one's times.
 fn timed(n: u64, factor: u64) -> Evidence {
     let mut e = Evidence::default();
-    let sides = e.of("talk");
+    let sides = e.route_mut("talk");
     for i in 0..n {
         // From 40 to 240 ms, where 60 ms were expected.
         let us = 40_000 + i * 7_919 % 200_000;
-        sides.old.answered(us, 60_000);
-        sides.new.answered(us * factor / 100, 60_000);
+        sides.old.record_response(us, 60_000);
+        sides.new.record_response(us * factor / 100, 60_000);
     }
     e
 }
@@ -148,7 +148,7 @@
 #[case::twice(400, 200, true)]
 #[case::eight_times(40, 800, true)]
 fn times_speak_against_a_version(#[case] n: u64, #[case] factor: u64, #[case] bad: bool) {
-    let found = judge(&timed(n, factor));
+    let found = find_fault(&timed(n, factor));
     assert_eq!(matches!(found, Some((_, Fault::Slow { .. }))), bad, "{found:?}");
 }
 
@@ -157,10 +157,10 @@
 fn a_version_may_be_bad_on_one_route_only() {
     let mut e = counted((1_000, 0), (40, 12));
     for n in 0..10 {
-        let sides = e.of(&format!("other-{n}"));
+        let sides = e.route_mut(&format!("other-{n}"));
         (sides.old.ended, sides.new.ended) = (10_000, 400);
     }
-    assert_eq!(judge(&e).unwrap().0, "play");
+    assert_eq!(find_fault(&e).unwrap().0, "play");
 }
 
 #[rstest]
@@ -289,13 +289,13 @@
 fn a_version_that_fails_a_little_on_every_route_is_found() {
     let mut e = Evidence::default();
     for (route, old, new) in [("a", 0, 3), ("b", 3, 3), ("c", 4, 3), ("d", 110, 8)] {
-        let sides = e.of(route);
+        let sides = e.route_mut(route);
         (sides.old.ended, sides.old.bad) = (800, old);
         (sides.new.ended, sides.new.bad) = (28, new);
         let mut alone = Evidence::default();
-        *alone.of(route) = sides.clone();
-        assert_eq!(judge(&alone), None, "route {route}");
+        *alone.route_mut(route) = sides.clone();
+        assert_eq!(find_fault(&alone), None, "route {route}");
     }
-    let found = judge(&e);
+    let found = find_fault(&e);
     assert!(matches!(&found, Some((route, Fault::Fails { .. })) if route.is_empty()), "{found:?}");
 }
--- a/crates/router/src/gateway/rollouts.rs
+++ b/crates/router/src/gateway/rollouts.rs
@@ -10,7 +10,7 @@
 use cypressfork_core::fleet::rollout::split::{
     GatewayView, Side, VersionPreference, request_permille, version_preference,
 };
-use cypressfork_core::fleet::rollout::verdict::judge;
+use cypressfork_core::fleet::rollout::verdict::find_fault;
 use cypressfork_core::fleet::rollout::{Rollout, Rollouts};
 use cypressfork_core::unit::{Index, Millis, Time};
 use cypressfork_node::event::Event;
@@ -174,14 +174,16 @@
         let Some(r) = told.get(&self.service).filter(|r| !r.stage.is_over()) else { return };
         let mut under_way = gw.trials.under_way.borrow_mut();
         let Some(t) = under_way.get_mut(&self.service) else { return };
-        let sides = t.evidence.of(route);
+        let sides = t.evidence.route_mut(route);
         let outcomes = if is_new { &mut sides.new } else { &mut sides.old };
         match ended {
             Ended::Answered => {
                 let first = first.map_or(0, |d| d.as_micros() as u64);
-                outcomes.answered(first, expected_us);
+                outcomes.record_response(first, expected_us);
+            }
+            Ended::Failed(_) | Ended::Lost(_) | Ended::Broken(_) | Ended::Late => {
+                outcomes.record_failure()
             }
-            Ended::Failed(_) | Ended::Lost(_) | Ended::Broken(_) | Ended::Late => outcomes.failed(),
             // They say nothing of how the version answers.
             Ended::Left | Ended::NotSent(_) | Ended::Withheld | Ended::NotRun => return,
         }
@@ -193,7 +195,7 @@
         }
         counter!(metric::ROLLOUT_BAD, "service" => self.service.clone()).increment(1);
         if !t.stopped
-            && let Some((route, fault)) = judge(&t.evidence)
+            && let Some((route, fault)) = find_fault(&t.evidence)
         {
             t.stopped = true;
             emit!(
