--- a/crates/control/src/fleet_view.rs
+++ b/crates/control/src/fleet_view.rs
@@ -172,7 +172,7 @@
         let reports = std::mem::take(&mut watch.reports);
         if let Some(r) = &watch.router {
             self.routers.record(now, r);
-            reports.into_iter().for_each(|report| self.reports.take(now, &r.vm, report));
+            reports.into_iter().for_each(|report| self.reports.record(now, &r.vm, report));
         }
         let heard = std::mem::take(&mut watch.heard);
         self.hear_limits(now, &heard);
--- a/crates/control/src/leader_tasks.rs
+++ b/crates/control/src/leader_tasks.rs
@@ -5,7 +5,7 @@
 use cypressfork_core::budget::{BoundsReport, Elapsed, WriteOff};
 use cypressfork_core::command::Command;
 use cypressfork_core::fleet::repair::{Candidates, Health, next_change};
-use cypressfork_core::fleet::rollout::evidence::Standing;
+use cypressfork_core::fleet::rollout::evidence::StepProgress;
 use cypressfork_core::fleet::rollout::plan::plan;
 use cypressfork_core::fleet::rollout::step::{self, View};
 use cypressfork_core::member::CLAIM_HOLDER_TIMEOUT;
@@ -121,7 +121,7 @@
         let under_way: Vec<_> =
             self.state.rollouts().iter().filter(|(_, r)| !r.stage.is_over()).collect();
         let orders: Vec<_> = under_way.iter().map(|(_, r)| r.order).collect();
-        view.reports.keep(&orders);
+        view.reports.retain_orders(&orders);
         let known = &mut self.leader_tasks.rollouts;
         known.retain(|order, _| orders.contains(order));
         let since = Time(at.now.0.saturating_sub(IN_TOUCH.0));
@@ -131,12 +131,12 @@
             // A leader that did not see the order takes the span until now from the time of day.
             let so_far = at.wall.since(r.ordered);
             let ordered = *known.entry(r.order).or_insert(Time(at.now.0.saturating_sub(so_far.0)));
-            let standing: Standing = view.reports.standing(r.order, r.revision, since);
+            let progress: StepProgress = view.reports.progress(r.order, r.revision, since);
             let evidence = view.reports.evidence(r.order);
-            let places = view.registry.ready_slots(service);
+            let slots = view.registry.ready_slots(service);
             let elapsed = at.now.since(ordered);
-            let v = View { elapsed, places: &places, evidence: &evidence, standing, gateways };
-            steps.extend(step::next(service, r, &plan(r.within, allowed), &v));
+            let v = View { elapsed, slots: &slots, evidence: &evidence, progress, gateways };
+            steps.extend(step::next_step(service, r, &plan(r.within, allowed), &v));
         }
         for s in steps {
             self.propose_own(at, &Command::StepRollout(s));
--- a/crates/core/examples/rollouts.rs
+++ b/crates/core/examples/rollouts.rs
@@ -13,7 +13,7 @@
 use cypressfork_core::fleet::rollout::evidence::{Report, Reports};
 use cypressfork_core::fleet::rollout::plan::plan;
 use cypressfork_core::fleet::rollout::split::{GatewayView, VersionPreference, version_preference};
-use cypressfork_core::fleet::rollout::step::{View, next};
+use cypressfork_core::fleet::rollout::step::{View, next_step};
 use cypressfork_core::fleet::rollout::verdict::find_fault;
 use cypressfork_core::fleet::rollout::{Rollout, Rollouts, Stage, Step};
 use cypressfork_core::unit::{Millis, Time};
@@ -112,7 +112,7 @@
     match r.stage {
         Stage::Waiting => Some(step(Stage::Trial)),
         Stage::Trial if v.elapsed.0 >= move_at => Some(step(Stage::Moving)),
-        Stage::Moving if v.standing.moved >= v.gateways => Some(step(Stage::Completed)),
+        Stage::Moving if v.progress.moved >= v.gateways => Some(step(Stage::Completed)),
         _ => None,
     }
 }
@@ -122,7 +122,7 @@
     let mut rollouts = Rollouts::default();
     rollouts.start(Time(0), 1, SERVICE, "v2", fleet.within).expect("the order is sound");
     let plan = plan(fleet.within, ALLOWED);
-    let places: BTreeMap<_, _> = [("v1".to_owned(), 600), ("v2".to_owned(), 600)].into();
+    let slots: BTreeMap<_, _> = [("v1".to_owned(), 600), ("v2".to_owned(), 600)].into();
     let mut gateways: Vec<_> = (0..fleet.gateways).map(|n| gateway(n, fleet, &mut rng)).collect();
     let mut reports = Reports::default();
     let mut arriving: Vec<(u64, String, Report)> = Vec::new();
@@ -149,7 +149,7 @@
             }
         }
         for (_, vm, r) in arriving.extract_if(.., |(due, ..)| *due <= at) {
-            reports.take(Time(at), &vm, r);
+            reports.record(Time(at), &vm, r);
         }
         if at % 100 != 0 {
             continue;
@@ -160,17 +160,17 @@
             continue;
         }
         let evidence = reports.evidence(1);
-        let standing = reports.standing(1, r.revision, Time(at.saturating_sub(2_000)));
+        let progress = reports.progress(1, r.revision, Time(at.saturating_sub(2_000)));
         let gateways_in_touch = gateways.iter().filter(|g| !g.is_cut(at, fleet)).count();
         let v = View {
             elapsed: Millis(at),
-            places: &places,
+            slots: &slots,
             evidence: &evidence,
-            standing,
-            gateways: gateways_in_touch.min(standing.heard.max(1)),
+            progress,
+            gateways: gateways_in_touch.min(progress.reporting.max(1)),
         };
         let step = match rule {
-            Rule::Compare => next(SERVICE, &r, &plan, &v),
+            Rule::Compare => next_step(SERVICE, &r, &plan, &v),
             _ => simple_step(rule, &r, &v),
         };
         if let Some(step) = step {
--- a/crates/core/src/fleet/rollout/evidence.rs
+++ b/crates/core/src/fleet/rollout/evidence.rs
@@ -160,7 +160,7 @@
 
 impl Reports {
     /// Records a report of the gateway on `vm`, unless it is older than the last one.
-    pub fn take(&mut self, now: Time, vm: &str, r: Report) {
+    pub fn record(&mut self, now: Time, vm: &str, r: Report) {
         let reports = self.by_order.entry(r.order).or_default();
         let key = (vm.to_owned(), r.life);
         let is_older = |h: &ReceivedReport| {
@@ -173,7 +173,7 @@
     }
 
     /// Removes the reports on all orders but these.
-    pub fn keep(&mut self, orders: &[Index]) {
+    pub fn retain_orders(&mut self, orders: &[Index]) {
         self.by_order.retain(|order, _| orders.contains(order));
     }
 
@@ -187,10 +187,10 @@
     }
 
     /// Returns the progress with the step at `revision` of the gateways that have reported since `since`.
-    pub fn standing(&self, order: Index, revision: Index, since: Time) -> Standing {
-        let mut s = Standing::default();
+    pub fn progress(&self, order: Index, revision: Index, since: Time) -> StepProgress {
+        let mut s = StepProgress::default();
         for h in self.reports_on(order).filter(|h| h.at >= since) {
-            s.heard += 1;
+            s.reporting += 1;
             s.moved += usize::from(h.report.revision >= revision);
             s.at_old += h.report.at_old;
         }
@@ -204,9 +204,9 @@
 
 /// Progress of the gateways with a step.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Standing {
+pub struct StepProgress {
     /// Number of gateways that reported recently.
-    pub heard: usize,
+    pub reporting: usize,
     /// Number of these that have applied the step.
     pub moved: usize,
     /// Number of their requests in flight at the old version.
--- a/crates/core/src/fleet/rollout/mod.rs
+++ b/crates/core/src/fleet/rollout/mod.rs
@@ -2,7 +2,7 @@
 //! faulty.
 //!
 //! An operator's order is committed to the replicated log before it is acknowledged, and so is each
-//! step. The leader decides on the steps ([`step::next`]) from the reports of gateways. A rollout waits
+//! step. The leader decides on the steps ([`step::next_step`]) from the reports of gateways. A rollout waits
 //! for replicas of the new version, sends them a small share of the requests on trial, moves all
 //! requests shortly before the order's duration ends, and completes once no request runs at an old
 //! replica.
--- a/crates/core/src/fleet/rollout/step.rs
+++ b/crates/core/src/fleet/rollout/step.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::evidence::{Evidence, Standing};
+use super::evidence::{Evidence, StepProgress};
 use super::plan::Plan;
 use super::verdict::{Fault, find_fault};
 use super::{Rollout, Stage, Step};
@@ -18,17 +18,17 @@
     /// Time since the order, by the leader's monotonic clock.
     pub elapsed: Millis,
     /// Slots of ready replicas, by version.
-    pub places: &'a BTreeMap<String, u64>,
+    pub slots: &'a BTreeMap<String, u64>,
     /// Outcomes reported by all gateways.
     pub evidence: &'a Evidence,
     /// Progress of the connected gateways with the last step.
-    pub standing: Standing,
+    pub progress: StepProgress,
     /// Number of connected gateways.
     pub gateways: usize,
 }
 
 /// Returns the next step of the rollout, if one is due.
-pub fn next(service: &str, r: &Rollout, plan: &Plan, v: &View<'_>) -> Option<Step> {
+pub fn next_step(service: &str, r: &Rollout, plan: &Plan, v: &View<'_>) -> Option<Step> {
     let step = |stage: Stage, why: String| Step {
         service: service.to_owned(),
         order: r.order,
@@ -42,8 +42,8 @@
     {
         return Some(step(Stage::RolledBack, describe(&route, &fault)));
     }
-    let new = v.places.get(&r.version).copied().unwrap_or(0);
-    let old: u64 = v.places.iter().filter(|(n, _)| **n != r.version).map(|(_, n)| *n).sum();
+    let new = v.slots.get(&r.version).copied().unwrap_or(0);
+    let old: u64 = v.slots.iter().filter(|(n, _)| **n != r.version).map(|(_, n)| *n).sum();
     let expired = v.elapsed >= r.within;
     match r.stage {
         Stage::Waiting if new > 0 => {
@@ -62,7 +62,7 @@
             Some(step(Stage::Moving, format!("{bad} of {n} bad on trial")))
         }
         Stage::Moving if is_moved(v) => {
-            let n = v.standing.moved;
+            let n = v.progress.moved;
             Some(step(
                 Stage::Completed,
                 format!("{n} gateways have moved, nothing runs at the old"),
@@ -75,13 +75,13 @@
 /// Returns whether every connected gateway sends to the new version only and has no request in flight at
 /// an old replica.
 fn is_moved(v: &View<'_>) -> bool {
-    let s = v.standing;
-    s.at_old == 0 && s.moved == s.heard && s.heard >= v.gateways
+    let s = v.progress;
+    s.at_old == 0 && s.moved == s.reporting && s.reporting >= v.gateways
 }
 
 /// Returns the versions that requests move away from.
 fn replaced_versions(r: &Rollout, v: &View<'_>) -> BTreeSet<String> {
-    let others = v.places.keys().filter(|n| **n != r.version).cloned();
+    let others = v.slots.keys().filter(|n| **n != r.version).cloned();
     r.from.iter().cloned().chain(others).collect()
 }
 
--- a/crates/core/tests/rollout.rs
+++ b/crates/core/tests/rollout.rs
@@ -3,12 +3,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use cypressfork_core::code::Code;
-use cypressfork_core::fleet::rollout::evidence::{Evidence, Report, Reports, Standing};
+use cypressfork_core::fleet::rollout::evidence::{Evidence, Report, Reports, StepProgress};
 use cypressfork_core::fleet::rollout::plan::{Plan, plan};
 use cypressfork_core::fleet::rollout::split::{
     GatewayView, Side, VersionPreference, side, version_preference,
 };
-use cypressfork_core::fleet::rollout::step::{View, next};
+use cypressfork_core::fleet::rollout::step::{View, next_step};
 use cypressfork_core::fleet::rollout::verdict::{Fault, find_fault};
 use cypressfork_core::fleet::rollout::{Rollout, Rollouts, Stage, Step};
 use cypressfork_core::unit::{Millis, Time};
@@ -177,12 +177,12 @@
     assert!(had * 1_000 <= within * allowed, "{had} ms of {within} ms");
 }
 
-fn view<'a>(elapsed: u64, places: &'a BTreeMap<String, u64>, e: &'a Evidence) -> View<'a> {
-    let standing = Standing { heard: 3, moved: 3, at_old: 0 };
-    View { elapsed: Millis(elapsed), places, evidence: e, standing, gateways: 3 }
+fn view<'a>(elapsed: u64, slots: &'a BTreeMap<String, u64>, e: &'a Evidence) -> View<'a> {
+    let progress = StepProgress { reporting: 3, moved: 3, at_old: 0 };
+    View { elapsed: Millis(elapsed), slots, evidence: e, progress, gateways: 3 }
 }
 
-fn places(old: u64, new: u64) -> BTreeMap<String, u64> {
+fn slots(old: u64, new: u64) -> BTreeMap<String, u64> {
     let both = [("v1".to_owned(), old), ("v2".to_owned(), new)];
     both.into_iter().filter(|(_, n)| *n > 0).collect()
 }
@@ -204,29 +204,29 @@
     #[case] (old, new): (u64, u64),
     #[case] want: Option<Stage>,
 ) {
-    let (places, e) = (places(old, new), Evidence::default());
-    let found = next("talk", &at(stage), &plan(WITHIN, 100), &view(elapsed, &places, &e));
+    let (slots, e) = (slots(old, new), Evidence::default());
+    let found = next_step("talk", &at(stage), &plan(WITHIN, 100), &view(elapsed, &slots, &e));
     assert_eq!(found.map(|s| s.stage), want);
 }
 
 /// It is not completed while a gateway in touch sends to the old version or has something there:
 /// the old replicas stop at once.
 #[rstest]
-#[case::one_has_not_heard(Standing { heard: 3, moved: 2, at_old: 0 })]
-#[case::one_says_nothing(Standing { heard: 2, moved: 2, at_old: 0 })]
-#[case::a_stream_runs(Standing { heard: 3, moved: 3, at_old: 1 })]
-fn what_it_is_not_completed_before(#[case] standing: Standing) {
-    let (places, e) = (places(18, 18), Evidence::default());
-    let v = View { standing, ..view(20_000, &places, &e) };
-    assert_eq!(next("talk", &at(Stage::Moving), &plan(WITHIN, 100), &v), None);
+#[case::one_has_not_heard(StepProgress { reporting: 3, moved: 2, at_old: 0 })]
+#[case::one_says_nothing(StepProgress { reporting: 2, moved: 2, at_old: 0 })]
+#[case::a_stream_runs(StepProgress { reporting: 3, moved: 3, at_old: 1 })]
+fn what_it_is_not_completed_before(#[case] progress: StepProgress) {
+    let (slots, e) = (slots(18, 18), Evidence::default());
+    let v = View { progress, ..view(20_000, &slots, &e) };
+    assert_eq!(next_step("talk", &at(Stage::Moving), &plan(WITHIN, 100), &v), None);
 }
 
 #[rstest]
 #[case::on_trial(Stage::Trial)]
 #[case::while_all_moves(Stage::Moving)]
 fn a_bad_version_is_taken_back_at_once(#[case] stage: Stage) {
-    let (places, e) = (places(18, 18), counted((200, 0), (10, 6)));
-    let found = next("talk", &at(stage), &plan(WITHIN, 100), &view(500, &places, &e)).unwrap();
+    let (slots, e) = (slots(18, 18), counted((200, 0), (10, 6)));
+    let found = next_step("talk", &at(stage), &plan(WITHIN, 100), &view(500, &slots, &e)).unwrap();
     assert_eq!(found.stage, Stage::RolledBack);
     assert_eq!(found.why, "on play 6 of 10 answers were bad, 0 of 200 of the old version");
 }
@@ -273,14 +273,14 @@
 fn reports_count_once() {
     let mut all = Reports::default();
     for r in [report(1, 7, 10, 2), report(1, 7, 30, 1), report(1, 7, 20, 9), report(1, 7, 30, 1)] {
-        all.take(Time(1_000), "vm-1", r);
+        all.record(Time(1_000), "vm-1", r);
     }
-    all.take(Time(4_000), "vm-1", report(2, 8, 5, 0));
-    all.take(Time(4_000), "vm-2", report(3, 7, 7, 3));
+    all.record(Time(4_000), "vm-1", report(2, 8, 5, 0));
+    all.record(Time(4_000), "vm-2", report(3, 7, 7, 3));
     assert_eq!(all.evidence(7).total().old.ended, 30 + 5 + 7);
-    let standing = all.standing(7, 8, Time(3_000));
-    assert_eq!(standing, Standing { heard: 2, moved: 1, at_old: 3 });
-    all.keep(&[9]);
+    let progress = all.progress(7, 8, Time(3_000));
+    assert_eq!(progress, StepProgress { reporting: 2, moved: 1, at_old: 3 });
+    all.retain_orders(&[9]);
     assert_eq!(all.evidence(7).total().old.ended, 0);
 }
 
