--- a/crates/cli/src/cmd/rollout.rs
+++ b/crates/cli/src/cmd/rollout.rs
@@ -73,7 +73,7 @@
     [
         service.clone(),
         r.version.clone(),
-        r.stage.text().to_owned(),
+        r.stage.as_str().to_owned(),
         format!("{}.{} %", r.trial / 10, r.trial % 10),
         format!("{} s", r.within.0 / 1_000),
         r.why.clone(),
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -399,7 +399,7 @@
             version = r.version,
             order = r.order,
             revision = r.revision,
-            stage = r.stage.text(),
+            stage = r.stage.as_str(),
             trial = r.trial,
             why = r.why,
             answer = format_args!("{answer:?}"),
--- a/crates/core/src/fleet/rollout/mod.rs
+++ b/crates/core/src/fleet/rollout/mod.rs
@@ -56,7 +56,7 @@
     }
 
     /// Returns the text for responses and logs.
-    pub fn text(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Stage::Waiting => "waiting",
             Stage::Trial => "trial",
@@ -205,11 +205,11 @@
         true
     }
 
-    /// Replaces this state by `told` if that is newer. Returns whether it is.
-    pub fn take(&mut self, told: &Rollouts) -> bool {
-        let newer = told.revision > self.revision;
+    /// Replaces this state by `other` if that is newer. Returns whether it is.
+    pub fn replace_if_newer(&mut self, other: &Rollouts) -> bool {
+        let newer = other.revision > self.revision;
         if newer {
-            *self = told.clone();
+            *self = other.clone();
         }
         newer
     }
--- a/crates/router/src/gateway/rollouts.rs
+++ b/crates/router/src/gateway/rollouts.rs
@@ -79,7 +79,7 @@
     /// Takes what a control process tells. Returns the roll-outs that have changed.
     pub fn take(&self, told: &Rollouts) -> Vec<(String, Rollout)> {
         let before = self.told.borrow().clone();
-        if !self.told.borrow_mut().take(told) {
+        if !self.told.borrow_mut().replace_if_newer(told) {
             return Vec::new();
         }
         let is_new = |(s, r): &(&str, &Rollout)| before.get(s) != Some(*r);
@@ -92,7 +92,7 @@
                 service = service,
                 version = r.version,
                 revision = r.revision,
-                stage = r.stage.text(),
+                stage = r.stage.as_str(),
             );
             let known = under_way.entry(service.clone()).or_default();
             if known.order != r.order {
