--- a/crates/core/src/raft/election.rs
+++ b/crates/core/src/raft/election.rs
@@ -1,44 +1,45 @@
-//! Terms, votes, and who leads.
+//! Leader election: terms, pre-votes, votes and leadership.
 
 use std::collections::BTreeMap;
 
 use rand::Rng;
 
-use super::{Action, Body, Leading, Message, Payload, Position, Progress, Raft, Reads, Role};
+use super::{Action, Body, LeaderState, Message, Payload, Position, Progress, Raft, Reads, Role};
 use crate::unit::{Millis, NodeId, Term, Time};
 
-/// How long a replica that has just restarted waits for a leader's word, in tenths of a heartbeat:
-/// the least and the most. The spread keeps two from standing at the same time, as a vote takes
-/// some 10 ms with its sync.
-const FIRST_WAIT: (u64, u64) = (2, 20);
+/// Shortest and longest election timeout of a member that has just rejoined, in tenths of a
+/// heartbeat. The range is wide compared with the time of a vote, which includes a sync, to avoid
+/// split votes.
+const RESTART_TIMEOUT_TENTHS: (u64, u64) = (2, 20);
 
 impl Raft {
+    /// Sets a random election timeout between one and two times the configured minimum.
     pub(super) fn draw_timeout(&mut self) {
-        let least = self.settings.election.0;
-        self.timeout = Millis(self.rng.random_range(least..least * 2));
+        let min = self.settings.election.0;
+        self.election_timeout = Millis(self.rng.random_range(min..min * 2));
     }
 
-    /// Draws a short wait for a leader's word, for a replica that has just restarted: if there is a
-    /// leader, those that hear it refuse a pre-vote, and without one nobody does.
-    pub(super) fn draw_first_timeout(&mut self) {
-        let tenths = self.rng.random_range(FIRST_WAIT.0..=FIRST_WAIT.1);
-        self.timeout = self.settings.heartbeat.scale(tenths, 10).min(self.settings.election);
+    /// Sets a short random election timeout for a member that has just rejoined. It cannot disturb a
+    /// working leader, whose followers reject a pre-vote.
+    pub(super) fn draw_restart_timeout(&mut self) {
+        let tenths = self.rng.random_range(RESTART_TIMEOUT_TENTHS.0..=RESTART_TIMEOUT_TENTHS.1);
+        self.election_timeout =
+            self.settings.heartbeat.scale(tenths, 10).min(self.settings.election);
     }
 
-    /// Takes the time for which this process did not listen, but for a heartbeat of it, out of what others
-    /// have been silent for. A process that was busy or suspended finds what came meanwhile still waiting, and
-    /// its clock says that nobody has spoken. All replicas apply the same entries: if one of those takes long,
-    /// they would all give up their leader at once, and elect without end.
+    /// Extends all timeouts by the time since the last call, less one heartbeat interval.
     ///
-    /// A process that is held up all the time still counts a heartbeat of silence at each tick.
-    pub(super) fn forgive_own_pause(&mut self, now: Time) {
-        let Millis(passed) = now.since(self.ticked);
-        self.ticked = self.ticked.max(now);
+    /// While this process is busy or suspended, messages queue up unread and the other members only
+    /// seem silent. An entry that is slow to apply would otherwise make all members time out their
+    /// leader together. A process that is always slow still counts one heartbeat interval per call.
+    pub(super) fn discount_own_pause(&mut self, now: Time) {
+        let Millis(passed) = now.since(self.last_run);
+        self.last_run = self.last_run.max(now);
         let pause = Millis(passed.saturating_sub(self.settings.heartbeat.0));
         if pause == Millis(0) {
             return;
         }
-        self.heard = self.heard.after(pause).min(now);
+        self.last_contact = self.last_contact.after(pause).min(now);
         if let Role::Leader(l) = &mut self.role {
             for p in l.followers.values_mut() {
                 p.heard = p.heard.after(pause).min(now);
@@ -46,11 +47,12 @@
         }
     }
 
+    /// Starts a pre-vote if the election timeout has passed without contact from a leader.
     pub(super) fn tick_follower(&mut self, now: Time) {
-        if now.since(self.heard) < self.timeout {
+        if now.since(self.last_contact) < self.election_timeout {
             return;
         }
-        self.heard = now;
+        self.last_contact = now;
         self.leader = None;
         self.draw_timeout();
         if self.is_voter() {
@@ -58,6 +60,7 @@
         }
     }
 
+    /// Asks the other members whether they would vote for this one, without starting a term.
     fn pre_campaign(&mut self, now: Time) {
         self.role = Role::PreCandidate(BTreeMap::from([(self.id, true)]));
         let last = self.last();
@@ -69,19 +72,25 @@
         self.count_pre_votes(now);
     }
 
+    /// Returns the position of the last log entry.
     fn last(&self) -> Position {
         Position { index: self.log.last_index(), term: self.log.last_term() }
     }
 
+    /// Answers a pre-vote request. It is rejected while a leader is in contact or the candidate's log
+    /// is behind.
     pub(super) fn on_pre_vote(&mut self, now: Time, from: NodeId, term: Term, last: Position) {
-        let quiet = !self.leads() && now.since(self.heard) >= self.settings.election;
-        let granted =
-            term > self.hard.term && (quiet || self.leader.is_none()) && self.log.covered_by(last);
+        let leader_timed_out =
+            !self.leads() && now.since(self.last_contact) >= self.settings.election;
+        let granted = term > self.hard.term
+            && (leader_timed_out || self.leader.is_none())
+            && self.log.is_covered_by(last);
         let term = if granted { term } else { self.hard.term };
         let body = Body::PreVoteReply(granted);
         self.actions.push(Action::Send(Message { from: self.id, to: from, term, body }));
     }
 
+    /// Counts the answer to a pre-vote request, or steps down if it carries a newer term.
     pub(super) fn on_pre_vote_reply(&mut self, now: Time, from: NodeId, term: Term, granted: bool) {
         if !granted && term > self.hard.term {
             return self.become_follower(now, term, None);
@@ -102,6 +111,7 @@
         }
     }
 
+    /// Starts a new term as its candidate, unless this member is no voter or already leads.
     pub(super) fn campaign(&mut self, now: Time) {
         if !self.is_voter() || self.leads() {
             return;
@@ -110,7 +120,7 @@
         self.hard.vote = Some(self.id);
         self.save();
         self.leader = None;
-        self.heard = now;
+        self.last_contact = now;
         self.draw_timeout();
         self.role = Role::Candidate(BTreeMap::from([(self.id, true)]));
         let last = self.last();
@@ -120,17 +130,19 @@
         self.count_votes(now);
     }
 
+    /// Grants the vote of this term to one candidate whose log is up to date, or refuses it.
     pub(super) fn on_vote(&mut self, now: Time, from: NodeId, last: Position) {
-        let free = self.hard.vote.is_none_or(|v| v == from);
-        let granted = free && self.leader.is_none() && self.log.covered_by(last);
+        let may_vote = self.hard.vote.is_none_or(|v| v == from);
+        let granted = may_vote && self.leader.is_none() && self.log.is_covered_by(last);
         if granted && self.hard.vote.is_none() {
             self.hard.vote = Some(from);
             self.save();
-            self.heard = now;
+            self.last_contact = now;
         }
         self.send(from, Body::VoteReply(granted));
     }
 
+    /// Counts a vote.
     pub(super) fn on_vote_reply(&mut self, now: Time, from: NodeId, granted: bool) {
         if let Role::Candidate(votes) = &mut self.role {
             votes.insert(from, granted);
@@ -141,21 +153,24 @@
     fn count_votes(&mut self, now: Time) {
         let Role::Candidate(votes) = &self.role else { return };
         if self.members().agree(|n| votes.get(&n) == Some(&true)) {
-            self.lead(now);
+            self.become_leader(now);
         }
     }
 
-    fn lead(&mut self, now: Time) {
+    /// Becomes leader and appends an empty entry, which commits the entries of earlier terms.
+    fn become_leader(&mut self, now: Time) {
         let next = self.log.last_index() + 1;
         let followers = self.others().into_iter().map(|n| (n, Progress::new(now, next))).collect();
         let reads = Reads::default();
-        self.role = Role::Leader(Leading { followers, reads, next_heartbeat: now, first: next });
+        self.role =
+            Role::Leader(LeaderState { followers, reads, next_heartbeat: now, first_index: next });
         self.leader = Some(self.id);
         self.actions.push(Action::Lead(true));
-        self.append_own(now, Payload::Nothing);
+        self.append_entry(now, Payload::Nothing);
     }
 
-    /// Deals with the message's term; false if the message must be ignored.
+    /// Compares the message's term with this member's and becomes a follower if it is newer. Returns
+    /// whether to process the message; one of an older term is dropped, and its leader informed.
     pub(super) fn adopt_term(&mut self, now: Time, m: &Message) -> bool {
         if m.term > self.hard.term {
             let leader = match m.body {
@@ -175,6 +190,7 @@
         true
     }
 
+    /// Becomes a follower in `term`, of `leader` if it is known.
     pub(super) fn become_follower(&mut self, now: Time, term: Term, leader: Option<NodeId>) {
         self.stop_leading();
         if term > self.hard.term {
@@ -184,13 +200,13 @@
         }
         self.role = Role::Follower;
         self.leader = leader;
-        self.heard = now;
+        self.last_contact = now;
         self.draw_timeout();
     }
 
-    /// Notes that `leader` leads this term.
+    /// Records contact from `leader`, the leader of this term, and follows it.
     pub(super) fn follow(&mut self, now: Time, leader: NodeId) {
-        self.heard = now;
+        self.last_contact = now;
         self.leader = Some(leader);
         if !matches!(self.role, Role::Follower) {
             self.stop_leading();
@@ -198,6 +214,7 @@
         }
     }
 
+    /// Fails the pending reads and reports the loss of leadership, if this member leads.
     fn stop_leading(&mut self) {
         if let Role::Leader(l) = &mut self.role {
             for token in l.reads.drain() {
@@ -207,33 +224,34 @@
         }
     }
 
-    /// Steps down when no quorum has answered for an election timeout.
+    /// Steps down if no quorum has responded within 1.5 election timeouts. Returns whether this
+    /// member still leads.
     pub(super) fn check_quorum(&mut self, now: Time) -> bool {
         let Role::Leader(l) = &self.role else { return false };
-        let span = self.settings.election.scale(3, 2);
-        let heard = |n: NodeId| {
-            n == self.id || l.followers.get(&n).is_some_and(|p| now.since(p.heard) < span)
+        let limit = self.settings.election.scale(3, 2);
+        let responsive = |n: NodeId| {
+            n == self.id || l.followers.get(&n).is_some_and(|p| now.since(p.heard) < limit)
         };
-        if self.members().agree(heard) {
+        if self.members().agree(responsive) {
             return true;
         }
         self.become_follower(now, self.hard.term, None);
         false
     }
 
-    /// Takes no part any more: what it says could not be stored.
+    /// Stops taking part for good, after a failure to store its state.
     pub fn halt(&mut self) {
         self.stop_leading();
         self.role = Role::Outdated;
         self.leader = None;
     }
 
-    /// Hands the lead to the follower that is furthest, for a planned stop.
+    /// Asks the most up-to-date voter to start an election, so that a planned stop is short.
     pub fn hand_over(&mut self) {
         let Role::Leader(l) = &self.role else { return };
         let voters = &self.members().voters;
-        let ready = l.followers.iter().filter(|(n, _)| voters.contains(n));
-        if let Some(to) = ready.max_by_key(|(_, p)| p.matched).map(|(n, _)| *n) {
+        let voting = l.followers.iter().filter(|(n, _)| voters.contains(n));
+        if let Some(to) = voting.max_by_key(|(_, p)| p.matched).map(|(n, _)| *n) {
             self.send(to, Body::TakeOver);
         }
     }
--- a/crates/core/src/raft/log.rs
+++ b/crates/core/src/raft/log.rs
@@ -1,4 +1,4 @@
-//! The log in memory: the entries after the last snapshot.
+//! The in-memory log: the entries after the last snapshot.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -6,19 +6,19 @@
 use super::{Members, Position};
 use crate::unit::{Index, Term};
 
-/// What an entry carries.
+/// The content of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Payload {
-    /// Nothing; a new leader's first entry.
+    /// No content: the first entry of a new leader.
     Nothing,
-    /// A command of the state machine, opaque here.
+    /// An encoded command for the state machine.
     Command(Arc<[u8]>),
-    /// The members from this entry on.
+    /// The members in force from this entry on.
     Members(Members),
 }
 
 impl Payload {
-    /// Its rough size, in bytes.
+    /// Returns the approximate size in bytes.
     pub fn size(&self) -> usize {
         match self {
             Payload::Nothing => 1,
@@ -28,62 +28,63 @@
     }
 }
 
-/// One entry.
+/// A log entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Term of the leader that made it.
+    /// Term of the leader that appended it.
     pub term: Term,
-    /// Its position.
+    /// Its index in the log.
     pub index: Index,
-    /// What it carries.
+    /// Its content.
     pub payload: Payload,
 }
 
-/// The last entry that a snapshot covers, and the members then.
+/// The last entry that a snapshot covers, and the members in force at it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SnapshotMeta {
-    /// Position of the entry.
+    /// Index of the entry.
     pub index: Index,
-    /// Its term.
+    /// Term of the entry.
     pub term: Term,
-    /// The members as of it.
+    /// The members in force at the entry.
     pub members: Members,
 }
 
-/// The entries after a snapshot.
+/// The log entries after a snapshot.
 #[derive(Clone, Debug, Default)]
 pub struct Log {
     base: SnapshotMeta,
     entries: VecDeque<Entry>,
-    /// Positions of the entries that change the members. The members are asked for with each message,
-    /// and a log holds thousands of entries.
-    changes: VecDeque<Index>,
+    /// Indices of the entries that change the members, since each message needs the members and a
+    /// scan of the log is slow.
+    member_changes: VecDeque<Index>,
 }
 
 impl Log {
-    /// A log that continues a snapshot; the entries must follow it without a gap.
+    /// Creates a log from a snapshot and the entries that follow it without a gap.
     pub fn new(base: SnapshotMeta, entries: Vec<Entry>) -> Log {
         let entries: VecDeque<_> = entries.into();
-        let changes = entries.iter().filter(|e| changes_members(e)).map(|e| e.index).collect();
-        Log { base, entries, changes }
+        let member_changes =
+            entries.iter().filter(|e| changes_members(e)).map(|e| e.index).collect();
+        Log { base, entries, member_changes }
     }
 
-    /// The snapshot that it continues.
+    /// Returns what the snapshot before the first entry covers.
     pub fn base(&self) -> &SnapshotMeta {
         &self.base
     }
 
-    /// Position of the last entry.
+    /// Returns the index of the last entry, or that of the snapshot if there are none.
     pub fn last_index(&self) -> Index {
         self.base.index + self.entries.len() as Index
     }
 
-    /// Term of the last entry.
+    /// Returns the term of the last entry, or that of the snapshot if there are none.
     pub fn last_term(&self) -> Term {
         self.entries.back().map_or(self.base.term, |e| e.term)
     }
 
-    /// Term of the entry at `i`, if it is known here.
+    /// Returns the term of the entry at `i`, if it is held or the last one of the snapshot.
     pub fn term(&self, i: Index) -> Option<Term> {
         if i == self.base.index {
             return Some(self.base.term);
@@ -91,13 +92,13 @@
         self.get(i).map(|e| e.term)
     }
 
-    /// The entry at `i`.
+    /// Returns the entry at `i`, if it is held.
     pub fn get(&self, i: Index) -> Option<&Entry> {
         let at = i.checked_sub(self.base.index + 1)?;
         self.entries.get(usize::try_from(at).ok()?)
     }
 
-    /// Entries from `from` on, up to `bytes` of payload but at least one if there is any.
+    /// Returns the entries from `from` on, up to `bytes` of payload but at least one if there is any.
     pub fn slice(&self, from: Index, bytes: usize) -> Vec<Entry> {
         let mut size = 0;
         let mut out = Vec::new();
@@ -113,25 +114,25 @@
         out
     }
 
-    /// Adds an entry at the end.
+    /// Appends an entry; its index must be the next one.
     pub fn push(&mut self, e: Entry) {
         debug_assert_eq!(e.index, self.last_index() + 1);
         if changes_members(&e) {
-            self.changes.push_back(e.index);
+            self.member_changes.push_back(e.index);
         }
         self.entries.push_back(e);
     }
 
-    /// Drops the entries from `from` on.
+    /// Removes the entries from `from` on.
     pub fn truncate(&mut self, from: Index) {
         let keep = from.saturating_sub(self.base.index + 1);
         self.entries.truncate(usize::try_from(keep).unwrap_or(usize::MAX));
-        while self.changes.back().is_some_and(|i| *i >= from) {
-            self.changes.pop_back();
+        while self.member_changes.back().is_some_and(|i| *i >= from) {
+            self.member_changes.pop_back();
         }
     }
 
-    /// Drops the entries up to and including `i`, which a snapshot now covers.
+    /// Removes the entries up to and including `i`, which a snapshot now covers.
     pub fn compact(&mut self, i: Index) {
         let Some(term) = self.term(i) else { return };
         if i <= self.base.index {
@@ -139,22 +140,22 @@
         }
         let members = self.members_at(i).clone();
         self.entries.drain(..(i - self.base.index) as usize);
-        while self.changes.front().is_some_and(|c| *c <= i) {
-            self.changes.pop_front();
+        while self.member_changes.front().is_some_and(|c| *c <= i) {
+            self.member_changes.pop_front();
         }
         self.base = SnapshotMeta { index: i, term, members };
     }
 
-    /// Puts a snapshot in place of everything.
+    /// Replaces the whole log by a snapshot.
     pub fn reset(&mut self, base: SnapshotMeta) {
         self.base = base;
         self.entries.clear();
-        self.changes.clear();
+        self.member_changes.clear();
     }
 
-    /// The members as of entry `i`.
+    /// Returns the members in force at entry `i`.
     pub fn members_at(&self, i: Index) -> &Members {
-        let change = self.changes.iter().rev().find(|c| **c <= i);
+        let change = self.member_changes.iter().rev().find(|c| **c <= i);
         let entry = change.and_then(|c| self.get(*c));
         match entry.map(|e| &e.payload) {
             Some(Payload::Members(m)) => m,
@@ -162,22 +163,23 @@
         }
     }
 
-    /// Position of the last entry that changes the members, 0 if none after the snapshot.
-    pub fn last_change(&self) -> Index {
-        self.changes.back().copied().unwrap_or(0)
+    /// Returns the index of the last entry that changes the members, 0 if the snapshot covers it.
+    pub fn last_member_change(&self) -> Index {
+        self.member_changes.back().copied().unwrap_or(0)
     }
 
-    /// Whether a log that ends at `last` has all that this one may have committed.
-    pub fn covered_by(&self, last: Position) -> bool {
+    /// Returns whether a log that ends at `last` is at least as up to date as this one: the later
+    /// term wins, then the higher index.
+    pub fn is_covered_by(&self, last: Position) -> bool {
         (last.term, last.index) >= (self.last_term(), self.last_index())
     }
 
-    /// How many entries are held.
+    /// Returns the number of entries held.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no entry is held.
+    /// Returns whether no entries are held.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/crates/core/src/raft/members.rs
+++ b/crates/core/src/raft/members.rs
@@ -1,4 +1,4 @@
-//! Who belongs to a group.
+//! The members of a group and changes of them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,64 +6,65 @@
 
 use crate::unit::{Index, NodeId};
 
-/// The replicas of a group.
+/// The members of a group.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Members {
-    /// Those whose votes and acknowledgements count.
+    /// Members that count towards a quorum.
     pub voters: BTreeSet<NodeId>,
-    /// Those that are catching up.
+    /// Members that receive the log but do not count towards a quorum.
     pub learners: BTreeSet<NodeId>,
-    /// Where each of them listens for the others.
+    /// Address of each member for the others.
     pub addresses: BTreeMap<NodeId, String>,
 }
 
-/// A change of one member.
+/// A change of a single member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberChange {
-    /// Adds a replica that does not count yet, and tells where it listens.
+    /// Adds a learner with this address.
     AddLearner(NodeId, String),
-    /// Makes a learner that has caught up count.
+    /// Makes a learner that has caught up a voter.
     Promote(NodeId),
-    /// Removes a replica for good: its identity is never taken back.
+    /// Removes a member for good: its id is never reused.
     Remove(NodeId),
 }
 
 impl Members {
-    /// A group of voters alone, with their addresses.
+    /// Creates a group of voters with these addresses, without learners.
     pub fn of(voters: impl IntoIterator<Item = (NodeId, String)>) -> Members {
         let addresses: BTreeMap<_, _> = voters.into_iter().collect();
         let voters = addresses.keys().copied().collect();
         Members { voters, learners: BTreeSet::new(), addresses }
     }
 
-    /// How many voters make a quorum.
+    /// Returns the number of voters in a quorum.
     pub fn quorum(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Whether `yes` holds for a quorum of the voters.
+    /// Returns whether `yes` holds for a quorum of the voters; false if there are no voters.
     pub fn agree(&self, yes: impl Fn(NodeId) -> bool) -> bool {
         !self.voters.is_empty() && self.voters.iter().filter(|n| yes(**n)).count() >= self.quorum()
     }
 
-    /// The highest value that a quorum of the voters has reached.
-    pub fn reached(&self, at: impl Fn(NodeId) -> Index) -> Index {
-        let mut all: Vec<_> = self.voters.iter().map(|n| at(*n)).collect();
+    /// Returns the highest index that a quorum of the voters has reached, given the index of each.
+    pub fn reached(&self, index_of: impl Fn(NodeId) -> Index) -> Index {
+        let mut all: Vec<_> = self.voters.iter().map(|n| index_of(*n)).collect();
         all.sort_unstable_by(|a, b| b.cmp(a));
         all.get(self.quorum() - 1).copied().unwrap_or(0)
     }
 
-    /// Voters and learners.
+    /// Iterates over the voters and then the learners.
     pub fn all(&self) -> impl Iterator<Item = NodeId> {
         self.voters.iter().chain(&self.learners).copied()
     }
 
-    /// Whether `n` belongs to the group.
+    /// Returns whether `n` is a voter or learner.
     pub fn contains(&self, n: NodeId) -> bool {
         self.voters.contains(&n) || self.learners.contains(&n)
     }
 
-    /// The members after a change, if it makes sense.
+    /// Returns the members after a change, or `None` if it does not apply to the current members or
+    /// would leave no voters.
     pub fn with(&self, change: &MemberChange) -> Option<Members> {
         let mut m = self.clone();
         let changed = match change {
--- a/crates/core/src/raft/message.rs
+++ b/crates/core/src/raft/message.rs
@@ -1,110 +1,111 @@
-//! What replicas say to each other, and what a replica asks of its surroundings.
+//! Messages between members, and the actions that a member requests from its caller.
 
 use std::sync::Arc;
 
 use super::{Entry, SnapshotMeta};
 use crate::unit::{Index, NodeId, Term};
 
-/// What a replica says of itself when it starts, and what others remember of it.
+/// State of a member that it presents when it rejoins and that its peers store, to detect an old
+/// copy of its data folder.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Mark {
-    /// How often its data folder was opened.
+    /// Number of times that its data folder was opened.
     pub incarnation: u64,
-    /// Drawn at this start, so that a resend can be told from another start.
+    /// Random number drawn when the process started, to tell a resend from a restart.
     pub boot: u64,
     /// Its term.
     pub term: Term,
-    /// The last log position that it has acknowledged as synced in that term.
+    /// The last log index that it acknowledged as synced in that term.
     pub last: Index,
 }
 
-/// A part of a snapshot.
+/// A chunk of a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Part {
     /// What the snapshot covers.
     pub meta: SnapshotMeta,
-    /// Where this part starts, in bytes.
+    /// Offset of the chunk in the snapshot, in bytes.
     pub offset: u64,
-    /// Its bytes.
+    /// Content of the chunk.
     pub bytes: Arc<[u8]>,
-    /// It is the last part.
+    /// Whether it is the last chunk.
     pub last: bool,
 }
 
-/// The last entry of a log, or any other position in one.
+/// A position in a log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Position {
-    /// Its index.
+    /// Index of the entry.
     pub index: Index,
-    /// Its term.
+    /// Term of the entry.
     pub term: Term,
 }
 
-/// Entries for a follower, none for a heartbeat.
+/// Entries for a follower; a heartbeat has none.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Append {
-    /// The entry before them.
+    /// Position of the entry before the first one.
     pub prev: Position,
-    /// The entries.
+    /// The entries, without gaps.
     pub entries: Vec<Entry>,
-    /// The leader's last committed position.
+    /// The leader's commit index.
     pub commit: Index,
-    /// Number of the confirmation round that the answer counts for.
+    /// Read round that the response confirms.
     pub round: u64,
 }
 
 /// The content of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Body {
-    /// Asks whether a vote would be given, without a new term.
+    /// Asks whether the receiver would vote for a candidate whose log ends here.
     PreVote(Position),
-    /// Answers it; the message's term is the one asked for.
+    /// Response to `PreVote`; if granted, the message has the term that was asked for.
     PreVoteReply(bool),
-    /// Asks for a vote.
+    /// Requests a vote for a candidate whose log ends here.
     Vote(Position),
-    /// Answers it.
+    /// Response to `Vote`: whether the vote is granted.
     VoteReply(bool),
     /// Entries or a heartbeat.
     Append(Append),
-    /// The entries are synced.
+    /// Response to `Append`: the entries match and are synced.
     Appended {
-        /// Up to here.
+        /// Index up to which the log matches.
         matched: Index,
-        /// The round answered.
+        /// Read round of the request.
         round: u64,
     },
-    /// The entry before them is missing or differs.
+    /// Response to `Append`: the entry before the first one is missing or differs.
     Rejected {
-        /// The last that can match.
+        /// Highest index that may match.
         hint: Index,
-        /// The round answered.
+        /// Read round of the request.
         round: u64,
     },
-    /// A part of a snapshot, for a replica that is too far behind.
+    /// A chunk of a snapshot, for a member whose next entry the leader no longer holds.
     Snapshot(Part),
-    /// Parts of a snapshot have come.
+    /// Response to `Snapshot`.
     SnapshotReply {
-        /// What the snapshot covers.
+        /// Index of the last entry that the snapshot covers.
         index: Index,
-        /// Bytes of it that are here.
+        /// Number of bytes received so far.
         offset: u64,
-        /// It is installed.
+        /// Whether the snapshot is installed.
         done: bool,
     },
-    /// Asks the receiver to stand for election at once: the leader is stopping.
+    /// Asks the receiver to start an election at once, because the leader is stopping.
     TakeOver,
-    /// A replica that has started says what its folder holds.
+    /// Asks to take part again after a start, with the state found in the data folder.
     Rejoin(Mark),
-    /// Whether that agrees with what is remembered of it.
+    /// Response to `Rejoin`.
     RejoinReply {
-        /// The start that is answered.
+        /// The `boot` of the request.
         boot: u64,
-        /// It agrees.
+        /// Whether the state is not older than the one that the sender stores.
         welcome: bool,
     },
 }
 
-/// A message between replicas.
+/// A message between members.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
     /// The sender.
@@ -117,44 +118,44 @@
     pub body: Body,
 }
 
-/// What must be durable about terms and votes.
+/// The term and vote, which must be durable.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HardState {
-    /// The term.
+    /// The current term.
     pub term: Term,
-    /// Who got this replica's vote in it.
+    /// The member that was voted for in this term.
     pub vote: Option<NodeId>,
 }
 
-/// What a replica asks of its surroundings.
+/// An action that a member requests from its caller.
 ///
-/// Everything to be stored ([`Action::Save`], [`Action::Remember`], [`Action::Truncate`],
-/// [`Action::Append`], [`Action::Install`]) is stored in order and synced before any message of
-/// the same batch is sent; then [`super::Raft::synced`] is called.
+/// The caller stores [`Action::Save`], [`Action::Remember`], [`Action::Truncate`],
+/// [`Action::Append`] and [`Action::Install`] in order and syncs them before it sends any message of
+/// the same batch; then it calls [`super::Raft::synced`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Store the term and vote.
     Save(HardState),
-    /// Store what is remembered of another replica.
+    /// Store the state of another member.
     Remember(NodeId, Mark),
-    /// Drop the stored entries from this position on.
+    /// Delete the stored entries from this index on.
     Truncate(Index),
     /// Store entries.
     Append(Vec<Entry>),
-    /// Store a snapshot in place of the whole log and restore the state machine from it.
+    /// Replace the stored log by this snapshot and restore the state machine from it.
     Install(SnapshotMeta, Vec<u8>),
     /// Send a message; it may be lost.
     Send(Message),
-    /// The entries up to here are committed: apply them.
+    /// Apply the entries up to this index, which are committed.
     Commit(Index),
-    /// The read numbered so may be answered once this position is applied.
+    /// Answer the read with this token once the entry at this index is applied.
     ReadReady(u64, Index),
-    /// The read numbered so could not be confirmed.
+    /// Fail the read with this token: it could not be confirmed.
     ReadFailed(u64),
-    /// Load the stored snapshot: a follower needs it.
+    /// Load the stored snapshot for this follower and pass it to [`super::Raft::snapshot_loaded`].
     LoadSnapshot(NodeId),
-    /// This replica began or ceased to lead.
+    /// This member became leader (true) or lost the leadership (false).
     Lead(bool),
-    /// The data folder is an old copy: this replica must stop taking part.
+    /// Stop taking part: this member reports that the data folder is an old copy.
     Outdated(NodeId),
 }
--- a/crates/core/src/raft/mod.rs
+++ b/crates/core/src/raft/mod.rs
@@ -1,9 +1,9 @@
-//! A replicated log.
+//! The Raft consensus algorithm.
 //!
-//! Raft with pre-vote, a leader that steps down without a quorum's acknowledgements, reads
-//! confirmed by a quorum, learners, one change of members at a time and snapshots in parts. A
-//! replica that starts takes no part until a quorum of the others finds that its data folder is
-//! not older than what they remember of it.
+//! It has pre-votes, a leader that steps down without responses from a quorum, reads confirmed by a
+//! quorum, learners, single-member changes and snapshots sent in chunks. A member that restarts takes
+//! part only after a quorum has confirmed that its data folder is not older than the state of it that
+//! they store.
 
 mod election;
 mod log;
@@ -29,18 +29,18 @@
 use read::Reads;
 use rejoin::Rejoin;
 
-/// Timing and sizes.
+/// Timing and size limits.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// How often a leader speaks to each follower.
+    /// Interval between heartbeats of a leader.
     pub heartbeat: Millis,
-    /// The least silence after which a follower stands for election; the most is twice that.
+    /// Minimum election timeout; the maximum is twice that.
     pub election: Millis,
-    /// Bytes of entries in one message.
+    /// Maximum bytes of entries in one message, unless a single entry is larger.
     pub batch: usize,
-    /// Bytes of a snapshot in one message.
+    /// Maximum bytes of a snapshot in one message.
     pub part: usize,
-    /// Entries in the log that are not committed yet, beyond which proposals are refused.
+    /// Number of uncommitted entries at which proposals are rejected.
     pub backlog: u64,
 }
 
@@ -56,45 +56,46 @@
     }
 }
 
-/// What a replica finds in its data folder.
+/// The stored state that a member starts from.
 #[derive(Clone, Debug, Default)]
 pub struct Restored {
-    /// How often the folder was opened, this time included.
+    /// Number of times that the data folder was opened, including this time.
     pub incarnation: u64,
-    /// Term and vote.
+    /// The term and vote.
     pub hard: HardState,
-    /// What the last snapshot covers.
+    /// What the latest snapshot covers.
     pub snapshot: SnapshotMeta,
-    /// The entries after it.
+    /// The log entries after the snapshot.
     pub entries: Vec<Entry>,
-    /// What is remembered of other replicas.
+    /// The state of the other members.
     pub marks: BTreeMap<NodeId, Mark>,
 }
 
-/// What a replica is doing.
+/// The role of a member.
 #[derive(Clone, Debug)]
 enum Role {
-    /// Waiting to be welcomed back.
+    /// Waits until a quorum confirms its state.
     Rejoining(Rejoin),
     Follower,
+    /// Collects pre-votes, by member.
     PreCandidate(BTreeMap<NodeId, bool>),
     Candidate(BTreeMap<NodeId, bool>),
-    Leader(Leading),
-    /// Its data folder is an old copy, or its disk has failed: it says and does nothing more.
+    Leader(LeaderState),
+    /// Its data folder is an old copy, or its disk has failed: it ignores all messages.
     Outdated,
 }
 
-/// A leader's view.
+/// The state of a leader.
 #[derive(Clone, Debug)]
-struct Leading {
+struct LeaderState {
     followers: BTreeMap<NodeId, Progress>,
     reads: Reads,
     next_heartbeat: Time,
-    /// Position of the first entry of its term; nothing is read before it is committed.
-    first: Index,
+    /// Index of the first entry of its term; reads wait until it is committed.
+    first_index: Index,
 }
 
-/// One replica.
+/// One member of a group.
 #[derive(Clone, Debug)]
 pub struct Raft {
     id: NodeId,
@@ -103,21 +104,25 @@
     boot: u64,
     hard: HardState,
     log: Log,
+    /// Last log index that is synced to disk.
     synced: Index,
     commit: Index,
     role: Role,
     leader: Option<NodeId>,
-    heard: Time,
-    ticked: Time,
-    timeout: Millis,
+    /// When the election timeout was last reset, by a leader's message or a vote.
+    last_contact: Time,
+    /// Time of the last call of `tick` or `step`.
+    last_run: Time,
+    election_timeout: Millis,
     marks: BTreeMap<NodeId, Mark>,
+    /// The snapshot being received.
     incoming: Option<(SnapshotMeta, Vec<u8>)>,
     rng: SmallRng,
     actions: Vec<Action>,
 }
 
 impl Raft {
-    /// A replica that starts from what its data folder holds.
+    /// Creates a member from its stored state. It has to rejoin its group unless it is alone in it.
     pub fn new(now: Time, id: NodeId, settings: Settings, found: Restored, seed: u64) -> Raft {
         let commit = found.snapshot.index;
         let log = Log::new(found.snapshot, found.entries);
@@ -132,9 +137,9 @@
             log,
             role: Role::Follower,
             leader: None,
-            heard: now,
-            ticked: now,
-            timeout: settings.election,
+            last_contact: now,
+            last_run: now,
+            election_timeout: settings.election,
             marks: found.marks,
             incoming: None,
             rng: SmallRng::seed_from_u64(seed ^ id),
@@ -146,22 +151,22 @@
         r
     }
 
-    /// This replica's identity.
+    /// Returns the id of this member.
     pub fn id(&self) -> NodeId {
         self.id
     }
 
-    /// Its term.
+    /// Returns the current term.
     pub fn term(&self) -> Term {
         self.hard.term
     }
 
-    /// The leader that it knows of.
+    /// Returns the leader of this term, if it is known.
     pub fn leader(&self) -> Option<NodeId> {
         self.leader
     }
 
-    /// What a replica would find that started from all that this one has in memory.
+    /// Returns the state that a restart would begin with if everything in memory were stored.
     pub fn restored(&self) -> Restored {
         Restored {
             incarnation: self.incarnation,
@@ -172,37 +177,37 @@
         }
     }
 
-    /// Whether it leads.
+    /// Returns whether this member is the leader.
     pub fn leads(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
-    /// Whether it has been welcomed back after its start.
+    /// Returns whether this member takes part: it has rejoined, and is neither halted nor outdated.
     pub fn joined(&self) -> bool {
         !matches!(self.role, Role::Rejoining(_) | Role::Outdated)
     }
 
-    /// The last committed position.
+    /// Returns the index of the last committed entry.
     pub fn committed(&self) -> Index {
         self.commit
     }
 
-    /// Its log.
+    /// Returns the log.
     pub fn log(&self) -> &Log {
         &self.log
     }
 
-    /// The members in force: those of the newest entry in the log.
+    /// Returns the members in force: those as of the last log entry, committed or not.
     pub fn members(&self) -> &Members {
         self.log.members_at(self.log.last_index())
     }
 
-    /// The members as of what is committed.
+    /// Returns the members as of the last committed entry.
     pub fn committed_members(&self) -> &Members {
         self.log.members_at(self.commit)
     }
 
-    /// How far each follower is, at a leader.
+    /// Iterates over the followers and their progress; empty unless this member leads.
     pub fn followers(&self) -> impl Iterator<Item = (NodeId, &Progress)> {
         let leading = match &self.role {
             Role::Leader(l) => Some(l),
@@ -211,14 +216,14 @@
         leading.into_iter().flat_map(|l| l.followers.iter().map(|(n, p)| (*n, p)))
     }
 
-    /// Takes what has to be done since the last call.
+    /// Returns the actions requested since the last call.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Lets time pass.
+    /// Handles timeouts that are due at `now`.
     pub fn tick(&mut self, now: Time) {
-        self.forgive_own_pause(now);
+        self.discount_own_pause(now);
         match &self.role {
             Role::Outdated => {}
             Role::Rejoining(_) => self.tick_rejoin(now),
@@ -227,12 +232,12 @@
         }
     }
 
-    /// Takes a message.
+    /// Processes a message from another member.
     pub fn step(&mut self, now: Time, m: Message) {
         if matches!(self.role, Role::Outdated) || m.to != self.id {
             return;
         }
-        self.forgive_own_pause(now);
+        self.discount_own_pause(now);
         match m.body {
             Body::Rejoin(mark) => return self.on_rejoin(m.from, mark),
             Body::RejoinReply { boot, welcome } => {
@@ -243,7 +248,7 @@
         if !self.joined() {
             return;
         }
-        self.note_mark(&m);
+        self.record_peer_state(&m);
         match m.body {
             Body::PreVote(last) => return self.on_pre_vote(now, m.from, m.term, last),
             Body::PreVoteReply(granted) => {
@@ -256,6 +261,7 @@
         }
     }
 
+    /// Processes a message of the current term.
     fn step_in_term(&mut self, now: Time, from: NodeId, body: Body) {
         match body {
             Body::Vote(last) => self.on_vote(now, from, last),
@@ -278,7 +284,9 @@
         }
     }
 
-    /// Adds a command to the log. Returns its position; it is in force once committed.
+    /// Appends an entry to the log and returns its index. It takes effect once committed.
+    ///
+    /// Fails with `NotLeader`, or with `QueueFull` if too many entries are uncommitted.
     pub fn propose(&mut self, now: Time, payload: Payload) -> Result<Index, Code> {
         if !self.leads() {
             return Err(Code::NotLeader);
@@ -286,13 +294,17 @@
         if self.log.last_index() - self.commit >= self.settings.backlog {
             return Err(Code::QueueFull);
         }
-        Ok(self.append_own(now, payload))
+        Ok(self.append_entry(now, payload))
     }
 
-    /// Changes one member. A learner is promoted only once it has caught up.
+    /// Appends an entry that changes one member, and returns its index.
+    ///
+    /// Fails with `NotLeader`, with `MemberChangeBusy` while an earlier change is uncommitted, or
+    /// with `MemberBad` if the change does not apply or would promote a learner that has not caught
+    /// up.
     pub fn change(&mut self, now: Time, change: &MemberChange) -> Result<Index, Code> {
         let Role::Leader(l) = &self.role else { return Err(Code::NotLeader) };
-        if self.log.last_change() > self.commit || l.first > self.commit {
+        if self.log.last_member_change() > self.commit || l.first_index > self.commit {
             return Err(Code::MemberChangeBusy);
         }
         if let MemberChange::Promote(n) = change {
@@ -302,10 +314,10 @@
             }
         }
         let next = self.members().with(change).ok_or(Code::MemberBad)?;
-        Ok(self.append_own(now, Payload::Members(next)))
+        Ok(self.append_entry(now, Payload::Members(next)))
     }
 
-    /// Says that everything asked for by earlier actions is on disk.
+    /// Records that the log up to index `upto`, and everything that earlier actions store, is synced.
     pub fn synced(&mut self, now: Time, upto: Index) {
         self.synced = upto.min(self.log.last_index());
         if self.leads() {
@@ -313,7 +325,7 @@
         }
     }
 
-    /// Drops the entries that a stored snapshot covers, up to `upto`.
+    /// Removes the log entries up to index `upto`, which a stored snapshot covers.
     pub fn compact(&mut self, upto: Index) {
         self.log.compact(upto.min(self.commit));
     }
--- a/crates/core/src/raft/progress.rs
+++ b/crates/core/src/raft/progress.rs
@@ -1,31 +1,33 @@
-//! How far one follower is, as its leader knows.
+//! Replication progress of a follower.
 
 use std::sync::Arc;
 
 use super::SnapshotMeta;
 use crate::unit::{Index, Time};
 
-/// How far one follower is.
+/// Replication progress of one follower, as tracked by the leader.
 #[derive(Clone, Debug, Default)]
 pub struct Progress {
-    /// The last position that it has synced.
+    /// Last index known to match the log of the leader and to be synced.
     pub matched: Index,
-    /// The next position to send.
+    /// Index of the next entry to send.
     pub next: Index,
-    /// When it last answered.
+    /// Time of its last response.
     pub heard: Time,
-    /// The last confirmation round that it answered.
+    /// Last read round that it confirmed.
     pub round: u64,
-    /// It is not known where its log and the leader's part: bare heartbeats find out.
+    /// Whether the last matching entry is still unknown; only empty messages are sent until it is
+    /// found.
     pub(super) probing: bool,
-    pub(super) sending: Option<Sending>,
+    pub(super) transfer: Option<SnapshotTransfer>,
 }
 
-/// A snapshot on its way to a follower.
+/// A snapshot being sent to a follower.
 #[derive(Clone, Debug)]
-pub(super) struct Sending {
+pub(super) struct SnapshotTransfer {
     pub(super) meta: SnapshotMeta,
     pub(super) data: Arc<[u8]>,
+    /// Number of bytes that the follower has acknowledged.
     pub(super) offset: u64,
 }
 
--- a/crates/core/src/raft/rejoin.rs
+++ b/crates/core/src/raft/rejoin.rs
@@ -1,37 +1,39 @@
-//! The barrier that a restarted replica passes before it takes part.
+//! Checks that a restarted member passes before it takes part.
 //!
-//! Others remember the incarnation, term and synced position that they last saw of each replica.
-//! A folder that holds less is an old copy: its replica might vote twice in a term, or forget
-//! entries that it acknowledged, so it stops for good.
+//! Each member stores the last known incarnation, term and synced index of the others. A data folder
+//! that is behind them is an old copy: its member could vote twice in a term or lose entries that it
+//! acknowledged, so it stops for good.
 
 use std::collections::BTreeSet;
 
 use super::{Action, Body, Mark, Members, Message, Raft, Role};
 use crate::unit::{Index, Millis, NodeId, Time};
 
-/// How often a waiting replica asks again.
-const ASK_AGAIN: Millis = Millis(100);
+/// Interval between requests of a member that waits to rejoin.
+const REQUEST_INTERVAL: Millis = Millis(100);
 
-/// How long a quorum's welcome waits for the word of the rest.
-const GRACE: Millis = Millis(600);
+/// Time for which a rejoin waits for the remaining members, once a quorum has accepted it.
+const FULL_RESPONSE_TIMEOUT: Millis = Millis(600);
 
-/// The welcomes so far.
+/// Progress of a rejoin.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Rejoin {
-    /// Newer members than the log names, if the group's leader has told of them.
+    /// Newer members than those of the log, if the leader has sent them.
     members: Option<Members>,
-    welcomes: BTreeSet<NodeId>,
+    /// Members that have accepted the rejoin.
+    accepted_by: BTreeSet<NodeId>,
     since: Time,
-    next_ask: Time,
+    next_request: Time,
 }
 
 impl Raft {
-    fn own_mark(&self) -> Mark {
+    /// Returns the state that this member presents to the others.
+    fn own_state(&self) -> Mark {
         let (incarnation, boot) = (self.incarnation, self.boot);
         Mark { incarnation, boot, term: self.hard.term, last: self.synced }
     }
 
-    /// Starts the barrier; a replica alone in its group, or in none yet, has nobody to ask.
+    /// Starts to rejoin, unless this member is alone in its group or in none yet.
     pub(super) fn begin_rejoin(&mut self, now: Time) {
         if self.others().is_empty() || self.members().voters.is_empty() {
             return;
@@ -40,64 +42,70 @@
         self.tick_rejoin(now);
     }
 
+    /// Ends the rejoin if possible, or else repeats the request to the members that have not accepted
+    /// it.
     pub(super) fn tick_rejoin(&mut self, now: Time) {
-        self.end_rejoin(now);
+        self.try_end_rejoin(now);
         let Role::Rejoining(r) = &mut self.role else { return };
-        if now < r.next_ask {
+        if now < r.next_request {
             return;
         }
-        r.next_ask = now.after(ASK_AGAIN);
-        let welcomes = r.welcomes.clone();
-        let mark = self.own_mark();
-        let silent = |n: &NodeId| *n != self.id && !welcomes.contains(n);
-        let asked: Vec<_> = self.welcomers().all().filter(silent).collect();
-        for n in asked {
+        r.next_request = now.after(REQUEST_INTERVAL);
+        let accepted_by = r.accepted_by.clone();
+        let mark = self.own_state();
+        let unanswered = |n: &NodeId| *n != self.id && !accepted_by.contains(n);
+        let targets: Vec<_> = self.rejoin_members().all().filter(unanswered).collect();
+        for n in targets {
             self.send(n, Body::Rejoin(mark));
         }
     }
 
-    /// The members whose welcome this replica waits for.
-    fn welcomers(&self) -> &Members {
-        let told = match &self.role {
+    /// Returns the members that have to accept the rejoin: those sent by the leader, or those of the
+    /// log.
+    fn rejoin_members(&self) -> &Members {
+        let newer = match &self.role {
             Role::Rejoining(r) => r.members.as_ref(),
             _ => None,
         };
-        told.unwrap_or(self.members())
+        newer.unwrap_or(self.members())
     }
 
-    /// Takes the members that the group's leader names, confirmed by a quorum: a replica that was
-    /// away may know only members that have been replaced since, which never answer. Whoever counts
-    /// now has all that was committed while this replica counted, so a quorum of them can tell an
-    /// old copy as well as those before.
+    /// Sets the members that have to accept the rejoin, as sent by the leader with a quorum's
+    /// confirmation. All members in the local log may have been replaced and never respond.
+    ///
+    /// The current voters hold everything that was committed while this member was a voter, so a
+    /// quorum of them detects an old copy just as well.
     pub fn take_members(&mut self, now: Time, members: Members) {
         let Role::Rejoining(r) = &mut self.role else { return };
         if members.voters.is_empty() {
             return;
         }
         r.members = Some(members);
-        r.next_ask = now;
+        r.next_request = now;
         self.tick_rejoin(now);
     }
 
-    /// Where a replica listens, as far as this one knows.
+    /// Returns the address of a member, if it is known.
     pub fn address(&self, n: NodeId) -> Option<&str> {
-        let known = self.members().addresses.get(&n);
-        known.or_else(|| self.welcomers().addresses.get(&n)).map(String::as_str)
+        let in_log = self.members().addresses.get(&n);
+        in_log.or_else(|| self.rejoin_members().addresses.get(&n)).map(String::as_str)
     }
 
+    /// Accepts a rejoin unless the stored state of the member is newer than the one that it presents.
     pub(super) fn on_rejoin(&mut self, from: NodeId, mark: Mark) {
-        let known = self.marks.get(&from).copied().unwrap_or_default();
-        let again = mark.boot == known.boot;
-        let newer = mark.incarnation > known.incarnation;
-        let whole = (mark.term, mark.last) >= (known.term, known.last);
-        let welcome = again || (newer && whole);
-        if welcome && !again {
+        let stored = self.marks.get(&from).copied().unwrap_or_default();
+        let is_resend = mark.boot == stored.boot;
+        let newer = mark.incarnation > stored.incarnation;
+        let complete = (mark.term, mark.last) >= (stored.term, stored.last);
+        let welcome = is_resend || (newer && complete);
+        if welcome && !is_resend {
             self.marks.insert(from, mark);
             self.actions.push(Action::Remember(from, mark));
         }
         self.send(from, Body::RejoinReply { boot: mark.boot, welcome });
     }
 
+    /// Counts an acceptance, or stops this member for good if its state is rejected.
     pub(super) fn on_rejoin_reply(&mut self, now: Time, from: NodeId, boot: u64, welcome: bool) {
         if boot != self.boot {
             return;
@@ -108,22 +116,22 @@
             return;
         }
         if let Role::Rejoining(r) = &mut self.role {
-            r.welcomes.insert(from);
-            self.end_rejoin(now);
+            r.accepted_by.insert(from);
+            self.try_end_rejoin(now);
         }
     }
 
-    /// Ends the barrier once all others have welcomed this replica, or a quorum has and the rest
-    /// keep silent.
-    fn end_rejoin(&mut self, now: Time) {
+    /// Becomes a follower once all members have accepted the rejoin, or once a quorum has and the
+    /// time for the remaining responses has passed.
+    fn try_end_rejoin(&mut self, now: Time) {
         let Role::Rejoining(r) = &self.role else { return };
-        let welcomed = |n: NodeId| n == self.id || r.welcomes.contains(&n);
-        let all = self.welcomers().all().all(welcomed);
-        let quorum = self.welcomers().agree(welcomed);
-        if all || (quorum && now.since(r.since) >= GRACE) {
+        let accepted = |n: NodeId| n == self.id || r.accepted_by.contains(&n);
+        let all = self.rejoin_members().all().all(accepted);
+        let quorum = self.rejoin_members().agree(accepted);
+        if all || (quorum && now.since(r.since) >= FULL_RESPONSE_TIMEOUT) {
             self.role = Role::Follower;
-            self.heard = now;
-            self.draw_first_timeout();
+            self.last_contact = now;
+            self.draw_restart_timeout();
         }
     }
 
@@ -131,9 +139,9 @@
         self.members().voters.contains(&self.id)
     }
 
-    /// Remembers the newest term and synced position seen of another replica. It is stored with
-    /// the next welcome; until then it lives as long as this process.
-    pub(super) fn note_mark(&mut self, m: &Message) {
+    /// Records the term and synced index of another member as shown by its message. They are only
+    /// kept in memory until the member rejoins.
+    pub(super) fn record_peer_state(&mut self, m: &Message) {
         let last = match &m.body {
             Body::Appended { matched, .. } => *matched,
             // A leader sends only what it has synced.
@@ -141,12 +149,12 @@
             Body::Vote(_) | Body::VoteReply(true) => 0,
             _ => return,
         };
-        let k = self.marks.entry(m.from).or_default();
-        if m.term > k.term {
-            k.term = m.term;
-            k.last = last;
-        } else if m.term == k.term {
-            k.last = k.last.max(last);
+        let stored = self.marks.entry(m.from).or_default();
+        if m.term > stored.term {
+            stored.term = m.term;
+            stored.last = last;
+        } else if m.term == stored.term {
+            stored.last = stored.last.max(last);
         }
     }
 }
