--- a/crates/core/src/config/history.rs
+++ b/crates/core/src/config/history.rs
@@ -1,4 +1,4 @@
-//! Changes, and the record of those accepted.
+//! Changes to the configuration, and the history of the accepted ones.
 
 use std::collections::VecDeque;
 
@@ -7,10 +7,10 @@
 use super::{Application, Template};
 use crate::unit::{Time, Version};
 
-/// How many accepted changes are kept. An older one that is sent again is refused as stale.
-pub const KEPT: usize = 2_000;
+/// Number of accepted changes kept. A resend of an older one is rejected as stale.
+pub const MAX_ENTRIES: usize = 2_000;
 
-/// One part of a change.
+/// One item of a change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Item {
     /// Adds or replaces a template.
@@ -26,25 +26,26 @@
 /// A change that an operator submits.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// The operation's id, drawn once and kept for resends.
+    /// Random id of the operation; a resend has the same one.
     pub op: String,
-    /// The version that it was made from.
+    /// The version that it is based on; any other version in force rejects it.
     pub base: Version,
-    /// Who made it.
+    /// Name of the operator.
     pub by: String,
-    /// Its parts; all of them are applied or none.
+    /// Its items; either all of them are applied or none.
     pub items: Vec<Item>,
 }
 
 /// An accepted change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The version that it made.
+    /// The version that it created.
     pub version: Version,
     /// When it was accepted.
     pub at: Time,
     /// The change.
     pub change: Change,
+    /// Items that restore the previous version if applied in reverse order.
     undo: Vec<Item>,
 }
 
@@ -55,17 +56,20 @@
 }
 
 impl History {
+    /// Appends an accepted change, and drops the oldest one beyond `MAX_ENTRIES`.
     pub(super) fn push(&mut self, at: Time, version: Version, change: Change, undo: Vec<Item>) {
-        if self.entries.len() == KEPT {
+        if self.entries.len() == MAX_ENTRIES {
             self.entries.pop_front();
         }
         self.entries.push_back(Entry { version, at, change, undo });
     }
 
+    /// Returns the accepted change of operation `op`, if it is still kept.
     pub(super) fn find(&self, op: &str) -> Option<&Entry> {
         self.entries.iter().rev().find(|e| e.change.op == op)
     }
 
+    /// Returns the items that restore `version`, or `None` if the history does not reach back to it.
     pub(super) fn back_to(&self, version: Version) -> Option<Vec<Item>> {
         let oldest = self.entries.front().map_or(Version::MAX, |e| e.version);
         if version + 1 < oldest {
@@ -75,7 +79,7 @@
         Some(later.flat_map(|e| e.undo.iter().rev().cloned()).collect())
     }
 
-    /// The entries, oldest first.
+    /// Iterates over the entries, oldest first.
     pub fn iter(&self) -> impl DoubleEndedIterator<Item = &Entry> {
         self.entries.iter()
     }
--- a/crates/core/src/config/mod.rs
+++ b/crates/core/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! Configuration: templates, what is rendered from them, and its numbered versions.
+//! The versioned configuration: templates, their applications and the rendered objects.
 
 mod history;
 mod object;
@@ -18,40 +18,40 @@
 use crate::code::Code;
 use crate::unit::{Time, Tokens, Version};
 
-/// Why a change was not accepted; nothing of it is in force.
+/// The rejection of a change, none of which was applied.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// What kind of fault.
+    /// The kind of error.
     pub code: Code,
-    /// Where it is: a template, application, parameter or object.
+    /// The template, application, parameter or object with the error.
     pub place: String,
-    /// What is wrong and what would do.
+    /// What is wrong and what is allowed.
     pub why: String,
     /// The version in force.
     pub version: Version,
 }
 
-/// A rendered object with the version that last changed it; `None` once it is removed.
+/// A rendered object and the version that last changed it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Stamped {
-    /// The version.
+    /// The version that last changed or removed the object.
     pub version: Version,
-    /// The object.
+    /// The object; `None` once it is removed.
     pub object: Option<Object>,
-    /// The application that it is rendered from.
+    /// The application that renders it.
     pub owner: String,
 }
 
-/// The objects that changed after some version.
+/// The changes of objects between two versions.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Difference {
-    /// The version that they lead to.
+    /// The later version.
     pub version: Version,
-    /// The changed objects; `None` for a removed one.
+    /// The objects as of the later version; `None` for a removed one.
     pub objects: Vec<(ObjectName, Option<Object>)>,
 }
 
-/// The configuration of one group; part of its replicated state.
+/// The configuration of a control group; part of its replicated state.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Config {
     version: Version,
@@ -62,47 +62,47 @@
 }
 
 impl Config {
-    /// The version in force.
+    /// Returns the version in force.
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// The accepted changes, oldest first, as far as they are kept.
+    /// Returns the latest accepted changes.
     pub fn history(&self) -> &History {
         &self.history
     }
 
-    /// The templates by name.
+    /// Returns the templates by name.
     pub fn templates(&self) -> &BTreeMap<String, Template> {
         &self.templates
     }
 
-    /// The applications by name.
+    /// Returns the applications by name.
     pub fn applications(&self) -> &BTreeMap<String, Application> {
         &self.applications
     }
 
-    /// One object.
+    /// Returns the object with this name, unless it does not exist or was removed.
     pub fn object(&self, name: &ObjectName) -> Option<&Object> {
         self.objects.get(name)?.object.as_ref()
     }
 
-    /// All objects.
+    /// Iterates over the objects and their names.
     pub fn objects(&self) -> impl Iterator<Item = (&ObjectName, &Object)> {
         self.objects.iter().filter_map(|(n, s)| Some((n, s.object.as_ref()?)))
     }
 
-    /// What changed after `since`.
+    /// Returns the objects that were changed or removed after version `since`.
     pub fn difference(&self, since: Version) -> Difference {
         let newer = self.objects.iter().filter(|(_, s)| s.version > since);
         let objects = newer.map(|(n, s)| (n.clone(), s.object.clone())).collect();
         Difference { version: self.version, objects }
     }
 
-    /// Accepts a change whole, as the next version, or refuses it whole.
+    /// Applies a change as the next version and returns that version, or rejects it as a whole.
     ///
-    /// A resend of an accepted change gets the version that it made. `spent` tells what is spent
-    /// of a budget.
+    /// A resend of an accepted change returns the version that the change created. `spent` returns
+    /// the tokens spent of a budget, below which the change must not reduce it.
     pub fn apply(
         &mut self,
         now: Time,
@@ -110,7 +110,7 @@
         spent: impl Fn(&str) -> Tokens,
     ) -> Result<Version, Refusal> {
         if let Some(first) = self.history.find(&change.op) {
-            return self.repeated(first, change);
+            return self.resend_result(first, change);
         }
         if change.base != self.version {
             let why = format!("made from version {}, in force is {}", change.base, self.version);
@@ -121,13 +121,14 @@
             Ok(d)
         });
         let draft = draft.map_err(|f| self.refusal(f))?;
-        let undo = change.items.iter().map(|i| self.undo(i)).collect();
+        let undo = change.items.iter().map(|i| self.inverse(i)).collect();
         *self = draft;
         self.history.push(now, self.version, change.clone(), undo);
         Ok(self.version)
     }
 
-    fn repeated(&self, first: &Entry, change: &Change) -> Result<Version, Refusal> {
+    /// Answers a change whose operation id was used before.
+    fn resend_result(&self, first: &Entry, change: &Change) -> Result<Version, Refusal> {
         if first.change == *change {
             return Ok(first.version);
         }
@@ -139,20 +140,21 @@
         Refusal { code: f.code, place: f.place, why: f.why, version: self.version }
     }
 
-    /// This configuration with the items applied, not yet checked.
+    /// Returns the next version with the items applied and rendered, but without the checks across
+    /// objects.
     fn draft(&self, items: &[Item]) -> Result<Config, Fault> {
         let mut next = self.clone();
         next.version += 1;
         for item in items {
-            next.put(item)?;
+            next.apply_item(item)?;
         }
-        for name in next.touched(items) {
+        for name in next.affected_applications(items) {
             next.render(&name)?;
         }
         Ok(next)
     }
 
-    fn put(&mut self, item: &Item) -> Result<(), Fault> {
+    fn apply_item(&mut self, item: &Item) -> Result<(), Fault> {
         match item {
             Item::Template(t) => {
                 t.check()?;
@@ -171,8 +173,8 @@
         Ok(())
     }
 
-    /// The applications that have to be rendered again.
-    fn touched(&self, items: &[Item]) -> Vec<String> {
+    /// Returns the names of the applications that have to be rendered again, sorted.
+    fn affected_applications(&self, items: &[Item]) -> Vec<String> {
         let mut names = Vec::new();
         for item in items {
             match item {
@@ -189,12 +191,13 @@
         names
     }
 
+    /// Replaces the objects of an application by those that it renders now.
     fn render(&mut self, application: &str) -> Result<(), Fault> {
         let rendered = match self.applications.get(application) {
             Some(a) => self.template_of(a)?.render(a)?,
             None => BTreeMap::new(),
         };
-        self.drop_missing(application, &rendered);
+        self.remove_missing(application, &rendered);
         for (name, object) in rendered {
             self.insert(application, name, object)?;
         }
@@ -207,15 +210,17 @@
         })
     }
 
-    fn drop_missing(&mut self, owner: &str, keep: &BTreeMap<ObjectName, Object>) {
-        let gone =
+    /// Removes the objects of application `owner` that are not in `keep`.
+    fn remove_missing(&mut self, owner: &str, keep: &BTreeMap<ObjectName, Object>) {
+        let removed =
             self.objects.iter_mut().filter(|(n, s)| s.owner == owner && !keep.contains_key(n));
-        for (_, s) in gone.filter(|(_, s)| s.object.is_some()) {
+        for (_, s) in removed.filter(|(_, s)| s.object.is_some()) {
             s.object = None;
             s.version = self.version;
         }
     }
 
+    /// Sets an object, unless it is unchanged. Fails if it belongs to another application.
     fn insert(&mut self, owner: &str, name: ObjectName, object: Object) -> Result<(), Fault> {
         if let Some(s) = self.objects.get(&name) {
             if s.object.is_some() && s.owner != owner {
@@ -232,7 +237,7 @@
         Ok(())
     }
 
-    /// Checks every object against the others and against what is spent.
+    /// Checks the references between objects, and the changed budgets against the tokens spent.
     fn check(&self, spent: &impl Fn(&str) -> Tokens) -> Result<(), Fault> {
         let exists = |n: &ObjectName| self.object(n).is_some();
         let changed =
@@ -250,8 +255,8 @@
         Ok(())
     }
 
-    /// The item that takes `item` back.
-    fn undo(&self, item: &Item) -> Item {
+    /// Returns the item that reverts `item`.
+    fn inverse(&self, item: &Item) -> Item {
         match item {
             Item::Template(Template { name, .. }) | Item::RemoveTemplate(name) => {
                 match self.templates.get(name) {
@@ -268,7 +273,8 @@
         }
     }
 
-    /// The items that lead back to what was in force at `version`, if the history reaches there.
+    /// Returns the items of a change that restores `version`, or `None` if the history does not reach
+    /// back to it.
     pub fn back_to(&self, version: Version) -> Option<Vec<Item>> {
         self.history.back_to(version)
     }
--- a/crates/core/src/config/object.rs
+++ b/crates/core/src/config/object.rs
@@ -1,25 +1,25 @@
-//! The kinds of object that a configuration consists of.
+//! The objects of a configuration: client accounts, budgets and services.
 
 use std::fmt;
 use std::net::SocketAddr;
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
-use serde_json::Value as Tree;
+use serde_json::Value as Json;
 
 use super::template::is_name;
 use crate::budget::Policy;
 use crate::code::Code;
 use crate::unit::{Millis, Tokens};
 
-/// A fault in a change.
+/// An error in a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// What kind.
+    /// The kind of error.
     pub code: Code,
-    /// Where.
+    /// The template, application, parameter or object with the error.
     pub place: String,
-    /// What is wrong and what would do.
+    /// What is wrong and what is allowed.
     pub why: String,
 }
 
@@ -29,10 +29,10 @@
     }
 }
 
-/// The kind of an object.
+/// The kind of a configuration object.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum Sort {
+enum ObjectKind {
     Account,
     Budget,
     Service,
@@ -41,18 +41,18 @@
 /// The kind and name of an object.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ObjectName {
-    sort: Sort,
+    sort: ObjectKind,
     /// The name within its kind.
     pub name: String,
 }
 
 impl ObjectName {
-    /// Reads a kind as written in a template, and a name.
+    /// Parses a kind as written in a template. Fails if the kind is unknown or the name invalid.
     pub fn new(kind: &str, name: &str) -> Result<ObjectName, Fault> {
         let sort = match kind {
-            "client_accounts" => Sort::Account,
-            "budgets" => Sort::Budget,
-            "services" => Sort::Service,
+            "client_accounts" => ObjectKind::Account,
+            "budgets" => ObjectKind::Budget,
+            "services" => ObjectKind::Service,
             _ => {
                 let why = "a template's objects are client_accounts, budgets and services";
                 return Err(Fault::new(Code::ObjectBad, kind, why));
@@ -65,28 +65,28 @@
         Ok(ObjectName { sort, name: name.to_owned() })
     }
 
-    /// The client account `name`.
+    /// Returns the object name of client account `name`.
     pub fn account(name: &str) -> ObjectName {
-        ObjectName { sort: Sort::Account, name: name.to_owned() }
+        ObjectName { sort: ObjectKind::Account, name: name.to_owned() }
     }
 
-    /// The budget `name`.
+    /// Returns the object name of budget `name`.
     pub fn budget(name: &str) -> ObjectName {
-        ObjectName { sort: Sort::Budget, name: name.to_owned() }
+        ObjectName { sort: ObjectKind::Budget, name: name.to_owned() }
     }
 
-    /// The service `name`.
+    /// Returns the object name of service `name`.
     pub fn service(name: &str) -> ObjectName {
-        ObjectName { sort: Sort::Service, name: name.to_owned() }
+        ObjectName { sort: ObjectKind::Service, name: name.to_owned() }
     }
 }
 
 impl fmt::Display for ObjectName {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let kind = match self.sort {
-            Sort::Account => "client_accounts",
-            Sort::Budget => "budgets",
-            Sort::Service => "services",
+            ObjectKind::Account => "client_accounts",
+            ObjectKind::Budget => "budgets",
+            ObjectKind::Service => "services",
         };
         write!(f, "{kind}/{}", self.name)
     }
@@ -100,10 +100,10 @@
     pub keys: Vec<String>,
     /// The services it may use.
     pub services: Vec<String>,
-    /// It may start nothing more.
+    /// Whether new requests and leases are rejected.
     #[serde(default)]
     pub closed: bool,
-    /// How many of its requests a router runs at once.
+    /// Maximum number of concurrent requests of the account at one router.
     #[serde(default = "concurrency_default")]
     pub concurrency: u32,
 }
@@ -120,21 +120,22 @@
     pub client_account: String,
     /// The services that it pays for.
     pub services: Vec<String>,
-    /// Tokens prepaid by the template; top-ups come on top.
+    /// Prepaid tokens, without top-ups.
     pub tokens: Tokens,
-    /// Seconds of its own spending that a router keeps in hand.
+    /// Time that a slice should last at the current rate of spending, in seconds.
     #[serde(default = "horizon_default")]
     pub horizon_s: u64,
-    /// The smallest slice that a router asks for, in tokens.
+    /// Minimum slice that a router requests, in tokens.
     #[serde(default = "floor_default")]
     pub floor: Tokens,
-    /// A grant takes at most `free / (share * holders)` beyond what a request needs.
+    /// Divisor that limits a grant to `free / (share * holders)` beyond the tokens that are needed.
     #[serde(default = "share_default")]
     pub share: u64,
-    /// Hundredths of the free tokens that each data centre keeps in reserve for a cut.
+    /// Percentage of the free tokens that each data centre holds in reserve for a partition, at most
+    /// 30.
     #[serde(default = "reserve_default")]
     pub reserve_percent: u64,
-    /// Seconds that a router out of reach of the control group goes on spending its slices.
+    /// Time for which a router spends its slices without contact to the control group, in seconds.
     #[serde(default = "offline_default")]
     pub offline_s: u64,
 }
@@ -160,7 +161,7 @@
 }
 
 impl Budget {
-    /// Its slice policy.
+    /// Returns its slice policy.
     pub fn policy(&self) -> Policy {
         Policy {
             horizon: Millis::seconds(self.horizon_s),
@@ -173,30 +174,30 @@
     }
 }
 
-/// The machine that an upstream runs on, and its place.
+/// The `Vm` that an upstream runs on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Vm {
-    /// Its name on the platform's list.
+    /// Its name in the platform's list.
     pub name: String,
     /// Its data centre.
     pub data_centre: String,
 }
 
-/// One replica of a service.
+/// A replica of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Upstream {
-    /// The machine.
+    /// The `Vm` that it runs on.
     pub vm: Vm,
     /// Its IP address and port.
     pub address: SocketAddr,
-    /// It refuses orders from a leader whose fence is old.
+    /// Whether it rejects orders with the fencing token of a former leader.
     #[serde(default)]
     pub checks_orders: bool,
 }
 
-/// Which requests go first under load; the first goes first.
+/// Priority of a request under load, the most urgent first.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -214,11 +215,11 @@
 }
 
 impl Priority {
-    /// All of them, the most urgent first.
+    /// All priorities, the most urgent first.
     pub const ALL: [Priority; 4] =
         [Priority::Live, Priority::Prompt, Priority::Normal, Priority::Bulk];
 
-    /// The word of the header and of templates.
+    /// Parses the value of the priority header or of a template.
     pub fn parse(s: &str) -> Option<Priority> {
         match s {
             "live" => Some(Priority::Live),
@@ -230,23 +231,23 @@
     }
 }
 
-/// A service of model engines.
+/// A service of language-model engines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelService {
-    /// The names that callers use for its models.
+    /// Names of its models in requests.
     pub models: Vec<String>,
-    /// The most tokens that one request may generate.
+    /// Maximum number of tokens that one request may generate.
     pub max_output: Tokens,
     /// Its engines.
     pub upstreams: Vec<Upstream>,
-    /// The class of a request that names none.
+    /// Priority of a request that has none.
     #[serde(default)]
     pub priority: Priority,
-    /// Requests that one engine runs at once.
+    /// Maximum number of concurrent requests at one engine.
     #[serde(default = "slots_default")]
     pub slots: u32,
-    /// Requests that wait at one router, all classes together.
+    /// Maximum number of requests queued at one router, all priorities together.
     #[serde(default = "queue_default")]
     pub queue: u32,
 }
@@ -259,15 +260,15 @@
     64
 }
 
-/// A service without a model, reached by path.
+/// An HTTP service without a model, selected by path.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlainService {
-    /// The paths that it serves start with this.
+    /// Prefix of the paths that it serves; starts with `/` and is not under `/v1/`.
     pub prefix: String,
     /// Its replicas.
     pub upstreams: Vec<Upstream>,
-    /// Every call that is not GET or HEAD is not repeatable, whatever its headers say.
+    /// Whether requests other than GET and HEAD are never repeated, whatever their headers declare.
     #[serde(default)]
     pub writes_once: bool,
 }
@@ -276,14 +277,14 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Service {
-    /// Model engines.
+    /// A service of language-model engines.
     Model(ModelService),
-    /// A plain service.
+    /// An HTTP service without a model.
     Plain(PlainService),
 }
 
 impl Service {
-    /// Its replicas.
+    /// Returns its replicas.
     pub fn upstreams(&self) -> &[Upstream] {
         match self {
             Service::Model(s) => &s.upstreams,
@@ -292,7 +293,7 @@
     }
 }
 
-/// One rendered object.
+/// A rendered object.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Object {
     /// A client account.
@@ -303,33 +304,33 @@
     Service(Service),
 }
 
-fn typed<T: DeserializeOwned>(name: &ObjectName, tree: Tree) -> Result<T, Fault> {
-    serde_json::from_value(tree)
+fn parse_content<T: DeserializeOwned>(name: &ObjectName, content: Json) -> Result<T, Fault> {
+    serde_json::from_value(content)
         .map_err(|e| Fault::new(Code::ObjectBad, &name.to_string(), e.to_string()))
 }
 
 impl Object {
-    /// Reads an object's content.
-    pub(super) fn read(name: &ObjectName, tree: Tree) -> Result<Object, Fault> {
+    /// Parses the content of an object of the kind that `name` has.
+    pub(super) fn parse(name: &ObjectName, content: Json) -> Result<Object, Fault> {
         match name.sort {
-            Sort::Account => typed(name, tree).map(Object::Account),
-            Sort::Budget => typed(name, tree).map(Object::Budget),
-            Sort::Service => typed(name, tree).map(Object::Service),
+            ObjectKind::Account => parse_content(name, content).map(Object::Account),
+            ObjectKind::Budget => parse_content(name, content).map(Object::Budget),
+            ObjectKind::Service => parse_content(name, content).map(Object::Service),
         }
     }
 
-    /// Checks it by itself and against the objects that exist.
+    /// Checks the fields, and with `exists` the references to other objects.
     pub(super) fn check(
         &self,
         name: &ObjectName,
         exists: &impl Fn(&ObjectName) -> bool,
     ) -> Result<(), Fault> {
         let bad = |why: String| Err(Fault::new(Code::ObjectBad, &name.to_string(), why));
-        let lacks =
+        let first_missing =
             |names: &[String]| names.iter().find(|s| !exists(&ObjectName::service(s))).cloned();
         match self {
             Object::Account(a) => {
-                if let Some(s) = lacks(&a.services) {
+                if let Some(s) = first_missing(&a.services) {
                     return bad(format!("there is no service {s}"));
                 }
                 if let Some(k) = a.keys.iter().find(|k| !is_digest(k)) {
@@ -340,7 +341,7 @@
                 if !exists(&ObjectName::account(&b.client_account)) {
                     return bad(format!("there is no client account {}", b.client_account));
                 }
-                if let Some(s) = lacks(&b.services) {
+                if let Some(s) = first_missing(&b.services) {
                     return bad(format!("there is no service {s}"));
                 }
                 if b.reserve_percent > 30 {
@@ -363,9 +364,7 @@
         return bad("a service needs at least one upstream");
     }
     match s {
-        Service::Model(m) if m.models.is_empty() => {
-            bad("no engine serves a model: name one in models")
-        }
+        Service::Model(m) if m.models.is_empty() => bad("models must name at least one model"),
         Service::Model(m) if m.max_output == 0 => bad("max_output must be at least 1"),
         Service::Plain(p) if !p.prefix.starts_with('/') || p.prefix.starts_with("/v1/") => {
             bad("prefix must start with '/' and must not lie under /v1/")
--- a/crates/core/src/config/template.rs
+++ b/crates/core/src/config/template.rs
@@ -1,25 +1,25 @@
-//! Templates with parameters, and their filling in.
+//! Templates with parameters, and the rendering of applications.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
-use serde_json::Value as Tree;
+use serde_json::Value as Json;
 
 use super::object::{Fault, Object, ObjectName};
 use crate::code::Code;
 
-/// A parameter's value.
-pub type Value = Tree;
+/// The value of a parameter.
+pub type Value = Json;
 
-/// What a parameter's values may be.
+/// The type of a parameter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// Letters, digits, `-`, `_` and `.`, at most 64.
+    /// A name: at most 64 letters, digits, `-`, `_` and `.`.
     Name,
-    /// Any text.
+    /// A string.
     Text,
-    /// A whole number.
+    /// A non-negative integer.
     Number,
     /// A list.
     List,
@@ -31,20 +31,20 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Parameter {
-    /// What its values may be.
+    /// Type of its values.
     pub kind: Kind,
-    /// The value where an application gives none.
+    /// Value for applications without one; without a default the parameter is required.
     #[serde(default)]
     pub default: Option<Value>,
-    /// The least number allowed.
+    /// Minimum, for a number.
     #[serde(default)]
     pub min: Option<u64>,
-    /// The greatest number allowed.
+    /// Maximum, for a number.
     #[serde(default)]
     pub max: Option<u64>,
 }
 
-/// A template: parameters, and objects with `${parameter}` in their names and values.
+/// A template of objects, with `${parameter}` placeholders in their names and values.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Template {
@@ -53,27 +53,27 @@
     /// Its parameters by name.
     #[serde(default)]
     pub parameters: BTreeMap<String, Parameter>,
-    /// Its objects: kind, then name, then content.
-    pub objects: BTreeMap<String, BTreeMap<String, Tree>>,
+    /// Content of its objects, by kind and then by name.
+    pub objects: BTreeMap<String, BTreeMap<String, Json>>,
 }
 
-/// A template filled in for one client account, or for one set of services.
+/// The application of a template: values for its parameters.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Application {
     /// Its name.
     pub name: String,
-    /// The template's name.
+    /// Name of the template.
     pub template: String,
     /// Values of the template's parameters.
     #[serde(default)]
     pub values: BTreeMap<String, Value>,
 }
 
-/// Whether `s` can name an object.
+/// Returns whether `s` is a valid object name.
 pub(super) fn is_name(s: &str) -> bool {
-    let fits = |b: u8| b.is_ascii_alphanumeric() || b"-_.".contains(&b);
-    !s.is_empty() && s.len() <= 64 && s.bytes().all(fits)
+    let allowed = |b: u8| b.is_ascii_alphanumeric() || b"-_.".contains(&b);
+    !s.is_empty() && s.len() <= 64 && s.bytes().all(allowed)
 }
 
 impl Parameter {
@@ -81,17 +81,17 @@
         let bad =
             |want: &str| Err(Fault::new(Code::ParameterBad, place, format!("{v} is not {want}")));
         match (self.kind, v) {
-            (Kind::Name, Tree::String(s)) if is_name(s) => Ok(()),
+            (Kind::Name, Json::String(s)) if is_name(s) => Ok(()),
             (Kind::Name, _) => bad("a name of letters, digits, '-', '_' and '.'"),
-            (Kind::Text, Tree::String(_)) => Ok(()),
+            (Kind::Text, Json::String(_)) => Ok(()),
             (Kind::Text, _) => bad("a text"),
             (Kind::Number, _) => match v.as_u64() {
                 Some(n) => self.check_range(place, n),
                 None => bad("a whole number"),
             },
-            (Kind::List, Tree::Array(_)) => Ok(()),
+            (Kind::List, Json::Array(_)) => Ok(()),
             (Kind::List, _) => bad("a list"),
-            (Kind::Flag, Tree::Bool(_)) => Ok(()),
+            (Kind::Flag, Json::Bool(_)) => Ok(()),
             (Kind::Flag, _) => bad("true or false"),
         }
     }
@@ -106,7 +106,7 @@
 }
 
 impl Template {
-    /// Checks what can be checked before it is filled in.
+    /// Checks the name, the defaults and the kinds of the objects.
     pub(super) fn check(&self) -> Result<(), Fault> {
         if !is_name(&self.name) {
             return Err(Fault::new(Code::ObjectBad, &self.name, "a template needs a name"));
@@ -122,15 +122,15 @@
         Ok(())
     }
 
-    /// The objects for one application.
+    /// Returns the objects that it renders for an application.
     pub(super) fn render(&self, a: &Application) -> Result<BTreeMap<ObjectName, Object>, Fault> {
         let values = self.values(a)?;
         let mut out = BTreeMap::new();
         for (kind, objects) in &self.objects {
-            for (name, tree) in objects {
-                let name = fill_text(&a.name, name, &values)?;
+            for (name, content) in objects {
+                let name = substitute_text(&a.name, name, &values)?;
                 let name = ObjectName::new(kind, &name)?;
-                let object = Object::read(&name, fill(&a.name, tree, &values)?)?;
+                let object = Object::parse(&name, substitute(&a.name, content, &values)?)?;
                 if out.insert(name.clone(), object).is_some() {
                     let why = "rendered twice by this application";
                     return Err(Fault::new(Code::ObjectClash, &name.to_string(), why));
@@ -140,6 +140,7 @@
         Ok(out)
     }
 
+    /// Returns the value of each parameter: that of the application, or else the default.
     fn values<'a>(&'a self, a: &'a Application) -> Result<BTreeMap<&'a str, &'a Value>, Fault> {
         if let Some(name) = a.values.keys().find(|n| !self.parameters.contains_key(*n)) {
             let known: Vec<_> = self.parameters.keys().map(String::as_str).collect();
@@ -160,22 +161,24 @@
     }
 }
 
-fn fill(place: &str, tree: &Tree, values: &BTreeMap<&str, &Value>) -> Result<Tree, Fault> {
-    match tree {
-        Tree::String(s) => match whole_placeholder(s) {
+/// Replaces the placeholders in all strings and keys of `content`. A string that is a single
+/// placeholder becomes the value with its own type.
+fn substitute(place: &str, content: &Json, values: &BTreeMap<&str, &Value>) -> Result<Json, Fault> {
+    match content {
+        Json::String(s) => match whole_placeholder(s) {
             Some(p) => lookup(place, p, values).cloned(),
-            None => fill_text(place, s, values).map(Tree::String),
+            None => substitute_text(place, s, values).map(Json::String),
         },
-        Tree::Array(items) => items.iter().map(|t| fill(place, t, values)).collect(),
-        Tree::Object(map) => map
+        Json::Array(items) => items.iter().map(|t| substitute(place, t, values)).collect(),
+        Json::Object(map) => map
             .iter()
-            .map(|(k, v)| Ok((fill_text(place, k, values)?, fill(place, v, values)?)))
+            .map(|(k, v)| Ok((substitute_text(place, k, values)?, substitute(place, v, values)?)))
             .collect(),
         other => Ok(other.clone()),
     }
 }
 
-/// The parameter, if the text is nothing but one placeholder.
+/// Returns the parameter name, if the string is a single placeholder.
 fn whole_placeholder(s: &str) -> Option<&str> {
     let p = s.strip_prefix("${")?.strip_suffix('}')?;
     (!p.contains('}')).then_some(p)
@@ -195,7 +198,8 @@
     })
 }
 
-fn fill_text(place: &str, s: &str, values: &BTreeMap<&str, &Value>) -> Result<String, Fault> {
+/// Replaces the placeholders in a string by strings, numbers or flags.
+fn substitute_text(place: &str, s: &str, values: &BTreeMap<&str, &Value>) -> Result<String, Fault> {
     let mut out = String::new();
     let mut rest = s;
     while let Some((before, after)) = rest.split_once("${") {
@@ -203,15 +207,15 @@
             return Err(Fault::new(
                 Code::ObjectBad,
                 place,
-                format!("'{s}' has an open placeholder"),
+                format!("'{s}' has an unclosed placeholder"),
             ));
         };
         out.push_str(before);
         match lookup(place, p, values)? {
-            Tree::String(v) => out.push_str(v),
-            v @ (Tree::Number(_) | Tree::Bool(_)) => out.push_str(&v.to_string()),
+            Json::String(v) => out.push_str(v),
+            v @ (Json::Number(_) | Json::Bool(_)) => out.push_str(&v.to_string()),
             v => {
-                let why = format!("{v} cannot stand inside the text '{s}'");
+                let why = format!("{v} cannot be inserted into the text '{s}'");
                 return Err(Fault::new(Code::ParameterBad, place, why));
             }
         }
--- a/crates/core/src/raft/election.rs
+++ b/crates/core/src/raft/election.rs
@@ -27,7 +27,8 @@
             self.settings.heartbeat.scale(tenths, 10).min(self.settings.election);
     }
 
-    /// Extends all timeouts by the time since the last call, less one heartbeat interval.
+    /// Extends the election and quorum timeouts by the time since the last call, less one heartbeat
+    /// interval.
     ///
     /// While this process is busy or suspended, messages queue up unread and the other members only
     /// seem silent. An entry that is slow to apply would otherwise make all members time out their
@@ -130,7 +131,8 @@
         self.count_votes(now);
     }
 
-    /// Grants the vote of this term to one candidate whose log is up to date, or refuses it.
+    /// Grants the vote of this term to one candidate with an up-to-date log, unless a leader is
+    /// known.
     pub(super) fn on_vote(&mut self, now: Time, from: NodeId, last: Position) {
         let may_vote = self.hard.vote.is_none_or(|v| v == from);
         let granted = may_vote && self.leader.is_none() && self.log.is_covered_by(last);
