--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -1,4 +1,5 @@
-//! A control group's state machine: the same commands in the same order give the same state.
+//! The replicated state machine of a control group: the same commands in the same order result in
+//! the same state.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -19,15 +20,16 @@
 use crate::query::{BudgetStatus, LeaseStatus};
 use crate::unit::{HolderId, Index, LeaseId, Millis, Time, Tokens, Version};
 
-/// How many operations on budgets are remembered for resends.
-const OPERATIONS_KEPT: usize = 10_000;
+/// Number of operations on budgets whose answers are kept for resends.
+const MAX_OPERATIONS: usize = 10_000;
 
-/// The state of one group.
+/// The replicated state of a control group.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct State {
     clock: Time,
     config: Config,
     ledger: Ledger,
+    /// Tokens added to each configured budget by top-ups.
     topped_up: BTreeMap<String, Tokens>,
     bills: Bills,
     claims: Claims,
@@ -36,8 +38,8 @@
     operations: Operations,
     #[serde(default)]
     published: Published,
-    /// Holders whose successors have registered, until it is decided what they can have spent, and
-    /// how long the successor had been running by then.
+    /// Replaced holders whose leases are not written off yet, and how long the successor had been
+    /// running when it registered.
     #[serde(default)]
     dead: BTreeMap<HolderId, Millis>,
     #[serde(default)]
@@ -46,12 +48,12 @@
     rollouts: Rollouts,
     #[serde(default)]
     quarantine: Quarantine,
-    /// What the last command changed in it, for logs.
+    /// Changes by the last quarantine command, for logs.
     #[serde(skip)]
     quarantine_changes: Vec<(Fingerprint, QuarantineChange)>,
 }
 
-/// The document in force, and the budgets that it names.
+/// The document in force, and the budgets and services that it declares.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 struct Published {
     version: Version,
@@ -61,7 +63,7 @@
     services: BTreeSet<String>,
 }
 
-/// The answers to the latest operations on budgets.
+/// The latest operations on budgets and their answers, by operation id.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 struct Operations {
     answers: BTreeMap<String, (Command, Answer)>,
@@ -69,14 +71,16 @@
 }
 
 impl Operations {
-    /// The first answer to this operation, or a refusal if its id was used for another.
+    /// Returns the answer to this operation if it was executed before, or a rejection if its id was
+    /// used for another one.
     fn find(&self, op: &str, c: &Command) -> Option<Answer> {
         let (first, answer) = self.answers.get(op)?;
         Some(if first == c { answer.clone() } else { Answer::Refused(Code::OperationReused) })
     }
 
-    fn note(&mut self, op: &str, c: &Command, a: &Answer) {
-        if self.order.len() == OPERATIONS_KEPT
+    /// Records an answer and drops the oldest one beyond `MAX_OPERATIONS`.
+    fn record(&mut self, op: &str, c: &Command, a: &Answer) {
+        if self.order.len() == MAX_OPERATIONS
             && let Some(old) = self.order.pop_front()
         {
             self.answers.remove(&old);
@@ -86,13 +90,14 @@
     }
 }
 
-fn done(result: Result<(), Code>) -> Answer {
+fn done_or_refused(result: Result<(), Code>) -> Answer {
     result.map_or_else(Answer::Refused, |()| Answer::Done)
 }
 
 impl State {
-    /// Applies the command at log position `pos`, stamped with `at` by its leader. Time never
-    /// goes back, whatever the stamps say.
+    /// Applies the command at log position `pos`, which the leader proposed at time `at`, and returns
+    /// its answer. An `at` earlier than that of a previous command counts as the latter, so that time
+    /// never goes back.
     pub fn apply(&mut self, at: Time, pos: LeaseId, c: &Command) -> Answer {
         self.clock = self.clock.max(at);
         let now = self.clock;
@@ -122,9 +127,9 @@
                 self.claims.abandon(now, *h);
                 Answer::Done
             }
-            Command::Ask(ask) => self.ask(now, pos, ask),
+            Command::Ask(ask) => self.request_lease(now, pos, ask),
             Command::Tally { holder, reports, batch, bills, seq, after, bounds } => {
-                let known = self.report(now, *holder, reports);
+                let known = self.record_reports(now, *holder, reports);
                 if *seq > 0 {
                     self.ledger.record_bounds(*holder, at, *seq, *after, bounds);
                 }
@@ -144,11 +149,11 @@
                 self.claims.record_end(now, *holder, *seq, *id, end.clone());
                 Answer::Done
             }
-            Command::Apply(change) => self.change(now, change),
+            Command::Apply(change) => self.apply_change(now, change),
             Command::TopUp { op, budget, tokens } => {
-                self.once(op, c, |s| s.top_up(budget, *tokens))
+                self.run_once(op, c, |s| s.top_up(budget, *tokens))
             }
-            Command::Release { op, lease } => self.once(op, c, |s| s.release(*lease)),
+            Command::Release { op, lease } => self.run_once(op, c, |s| s.release(*lease)),
             Command::WriteOff { holder, elapsed } => {
                 if self.dead.remove(holder).is_some() {
                     self.ledger.write_off(*holder, elapsed);
@@ -162,7 +167,9 @@
             Command::StartRollout { service, version, within } => {
                 self.start_rollout(now, pos.index, service, version, *within)
             }
-            Command::AbortRollout(service) => done(self.rollouts.abort(pos.index, service)),
+            Command::AbortRollout(service) => {
+                done_or_refused(self.rollouts.abort(pos.index, service))
+            }
             Command::StepRollout(step) => {
                 self.rollouts.advance(pos.index, step);
                 Answer::Done
@@ -205,18 +212,25 @@
         if !self.names_service(service) {
             return Answer::Refused(Code::RolloutBad);
         }
-        done(self.rollouts.start(now, pos, service, version, within))
+        done_or_refused(self.rollouts.start(now, pos, service, version, within))
     }
 
-    fn once(&mut self, op: &str, c: &Command, run: impl FnOnce(&mut State) -> Answer) -> Answer {
+    /// Runs an operation, or returns its first answer if it is a resend.
+    fn run_once(
+        &mut self,
+        op: &str,
+        c: &Command,
+        run: impl FnOnce(&mut State) -> Answer,
+    ) -> Answer {
         if let Some(first) = self.operations.find(op, c) {
             return first;
         }
         let answer = run(self);
-        self.operations.note(op, c, &answer);
+        self.operations.record(op, c, &answer);
         answer
     }
 
+    /// Registers a router. One that it replaces on the same `Vm` loses its leases and claims.
     fn register(&mut self, now: Time, r: Router, age: Millis) -> Answer {
         let (holder, replaced) = self.routers.register(r);
         if let Some(old) = replaced {
@@ -227,7 +241,7 @@
         Answer::Registered(holder)
     }
 
-    fn ask(&mut self, now: Time, pos: LeaseId, ask: &LeaseRequest) -> Answer {
+    fn request_lease(&mut self, now: Time, pos: LeaseId, ask: &LeaseRequest) -> Answer {
         if self.holder_name(ask.holder).is_none() {
             return Answer::Refused(Code::HolderStale);
         }
@@ -240,13 +254,13 @@
         }
     }
 
-    /// The name of a holder that is registered now.
+    /// Returns the display name of a holder, if it is registered.
     fn holder_name(&self, holder: HolderId) -> Option<String> {
         let router = self.routers.get(holder).map(|r| r.vm.clone());
         router.or_else(|| self.reserves.vm(holder).map(|vm| format!("reserve on {vm}")))
     }
 
-    /// Whether the budget is still configured and its client account open.
+    /// Returns whether the budget exists and its client account is not closed.
     fn may_grant(&self, budget: &str) -> bool {
         if self.published.budgets.contains_key(budget) {
             return true;
@@ -258,23 +272,26 @@
         matches!(account, Some(Object::Account(a)) if !a.closed)
     }
 
-    fn report(&mut self, now: Time, holder: HolderId, reports: &[Report]) -> Vec<bool> {
+    /// Applies reports of a holder. Returns for each whether its lease is known.
+    fn record_reports(&mut self, now: Time, holder: HolderId, reports: &[Report]) -> Vec<bool> {
         reports.iter().map(|r| self.ledger.report(now, holder, r)).collect()
     }
 
-    fn change(&mut self, now: Time, change: &Change) -> Answer {
+    /// Applies a configuration change and updates the ledger.
+    fn apply_change(&mut self, now: Time, change: &Change) -> Answer {
         let before = self.config.version();
         let spent = |b: &str| self.ledger.get(b).map_or(0, |f| f.spent());
         let topped_up = |b: &str| self.topped_up.get(b).copied().unwrap_or(0);
-        let beyond = |b: &str| spent(b).saturating_sub(topped_up(b));
-        let result = self.config.apply(now, change, beyond);
+        let spent_of_prepaid = |b: &str| spent(b).saturating_sub(topped_up(b));
+        let result = self.config.apply(now, change, spent_of_prepaid);
         if result.is_ok() {
-            self.fund_changed(before);
+            self.fund_changed_budgets(before);
         }
         Answer::Applied(result)
     }
 
-    fn fund_changed(&mut self, before: Version) {
+    /// Updates the ledger with the budgets that were changed or removed after version `before`.
+    fn fund_changed_budgets(&mut self, before: Version) {
         for (name, object) in self.config.difference(before).objects {
             if ObjectName::budget(&name.name) != name {
                 continue;
@@ -289,6 +306,7 @@
         }
     }
 
+    /// Adds tokens to a budget and returns its new total.
     fn top_up(&mut self, budget: &str, tokens: Tokens) -> Answer {
         let Some(f) = self.ledger.get(budget) else {
             return Answer::Refused(Code::BudgetUnknown);
@@ -302,7 +320,8 @@
         Answer::Funded(funded)
     }
 
-    /// Puts a document in force. Budgets that it no longer names hold nothing more; what they spent stays on record.
+    /// Puts a document in force. Budgets that it no longer declares are set to 0 tokens but stay in
+    /// the ledger.
     fn publish(&mut self, version: Version, source: &str, budgets: &[(String, Tokens)]) {
         let budgets: BTreeMap<String, Tokens> = budgets.iter().cloned().collect();
         let old = std::mem::take(&mut self.published.budgets);
@@ -316,36 +335,38 @@
         self.published = Published { version, source: Arc::from(source), budgets, services };
     }
 
-    /// The version of the document in force, 0 if there is none, and the document as submitted.
+    /// Returns the version of the document in force, 0 if there is none, and its source text.
     pub fn published(&self) -> (Version, &Arc<str>) {
         (self.published.version, &self.published.source)
     }
 
-    /// Whether the document in force names a service, or none is in force.
+    /// Returns whether the document in force declares a service; true if no document is in force or
+    /// it declares no services.
     pub fn names_service(&self, service: &str) -> bool {
         self.published.services.is_empty() || self.published.services.contains(service)
     }
 
-    /// The data centres that get no new work.
+    /// Returns the evacuated data centres.
     pub fn evacuations(&self) -> &Evacuations {
         &self.evacuations
     }
 
-    /// The roll-outs of all services.
+    /// Returns the rollouts of all services.
     pub fn rollouts(&self) -> &Rollouts {
         &self.rollouts
     }
 
-    /// The requests that are sent to no replica, and those that may come to that.
+    /// Returns the quarantined and suspect requests.
     pub fn quarantine(&self) -> &Quarantine {
         &self.quarantine
     }
 
-    /// Takes what commands have changed in it since it was asked for last.
+    /// Removes and returns the changes of the quarantine by the last command that affected it.
     pub fn take_quarantine_changes(&mut self) -> Vec<(Fingerprint, QuarantineChange)> {
         std::mem::take(&mut self.quarantine_changes)
     }
 
+    /// Closes a lease and returns the number of unreported tokens that it frees.
     fn release(&mut self, lease: LeaseId) -> Answer {
         match self.ledger.release(lease) {
             Some(tokens) => Answer::Released(tokens),
@@ -353,49 +374,53 @@
         }
     }
 
-    /// Holders that are known to be dead and not written off yet, and for how long at least their
-    /// successors had been running as they registered.
+    /// Iterates over the replaced holders whose leases are not written off yet. The time is how long
+    /// the successor had been running when it registered, at least.
     pub fn dead(&self) -> impl Iterator<Item = (HolderId, Millis)> {
         self.dead.iter().map(|(holder, age)| (*holder, *age))
     }
 
-    /// The newest stamp of an applied command.
+    /// Returns the latest time of an applied command.
     pub fn clock(&self) -> Time {
         self.clock
     }
 
-    /// The configuration.
+    /// Returns the configuration.
     pub fn config(&self) -> &Config {
         &self.config
     }
 
-    /// The budgets' ledger.
+    /// Returns the ledger of the budgets.
     pub fn ledger(&self) -> &Ledger {
         &self.ledger
     }
 
-    /// The bills.
+    /// Returns the bills.
     pub fn bills(&self) -> &Bills {
         &self.bills
     }
 
-    /// The claims.
+    /// Returns the claims.
     pub fn claims(&self) -> &Claims {
         &self.claims
     }
 
-    /// The registered routers.
+    /// Returns the registered routers.
     pub fn routers(&self) -> &Routers {
         &self.routers
     }
 
-    /// All budgets, or the one named.
+    /// Returns the status of all budgets, or of budget `only`.
     pub fn budgets(&self, now: Time, only: Option<&str>) -> Vec<BudgetStatus> {
         let named = |n: &str| only.is_none_or(|o| o == n);
-        self.ledger.iter().filter(|(n, _)| named(n)).map(|(n, _)| self.budget(now, n)).collect()
+        self.ledger
+            .iter()
+            .filter(|(n, _)| named(n))
+            .map(|(n, _)| self.budget_status(now, n))
+            .collect()
     }
 
-    fn budget(&self, now: Time, name: &str) -> BudgetStatus {
+    fn budget_status(&self, now: Time, name: &str) -> BudgetStatus {
         let f = self.ledger.get(name).cloned().unwrap_or_default();
         let client_account = match self.config.object(&ObjectName::budget(name)) {
             Some(Object::Budget(b)) => b.client_account.clone(),
@@ -413,7 +438,7 @@
         }
     }
 
-    /// The open leases of a budget.
+    /// Returns the open leases of a budget, none if the budget is unknown.
     pub fn leases(&self, now: Time, budget: &str) -> Vec<LeaseStatus> {
         let Some(f) = self.ledger.get(budget) else { return Vec::new() };
         f.leases()
