--- a/crates/control/src/disk.rs
+++ b/crates/control/src/disk.rs
@@ -6,7 +6,9 @@
 use std::time::Instant;
 
 use cypressfork_core::code::Code;
-use cypressfork_core::raft::{Entry, HardState, Mark, Members, Payload, Restored, SnapshotMeta};
+use cypressfork_core::raft::{
+    Entry, HardState, Members, Payload, PeerState, Restored, SnapshotMeta,
+};
 use cypressfork_core::unit::{Index, NodeId, Term};
 use cypressfork_node::metric;
 use cypressfork_node::process::Failure;
@@ -45,7 +47,7 @@
     /// Adds the term and vote to the next sync.
     fn hard(&mut self, h: HardState);
     /// Adds what is remembered of another replica to the next sync.
-    fn mark(&mut self, node: NodeId, m: Mark);
+    fn mark(&mut self, node: NodeId, m: PeerState);
     /// Adds entries to the next sync.
     fn entries(&mut self, entries: &[Entry]);
     /// Drops the entries from `from` on, with the next sync.
@@ -70,7 +72,7 @@
     /// Term and vote.
     pub hard: HardState,
     /// What is remembered of other replicas.
-    pub marks: BTreeMap<NodeId, Mark>,
+    pub marks: BTreeMap<NodeId, PeerState>,
     /// The entries after the snapshot.
     pub entries: Vec<Entry>,
 }
@@ -120,8 +122,8 @@
     record(kind::HARD, &HardRecord { term: h.term, vote: h.vote })
 }
 
-fn mark_record(node: NodeId, m: &Mark) -> Record {
-    let Mark { incarnation, boot, term, last } = *m;
+fn mark_record(node: NodeId, m: &PeerState) -> Record {
+    let PeerState { incarnation, boot, term, last } = *m;
     record(kind::MARK, &MarkRecord { node, incarnation, boot, term, last })
 }
 
@@ -164,7 +166,7 @@
         kind::TRUNCATE => read(r).map(|from: Index| found.entries.retain(|e| e.index < from)),
         kind::MARK => read(r).map(|m: MarkRecord| {
             let MarkRecord { node, incarnation, boot, term, last } = m;
-            found.marks.insert(node, Mark { incarnation, boot, term, last });
+            found.peers.insert(node, PeerState { incarnation, boot, term, last });
         }),
         kind::BASE => read(r).map(|b: BaseRecord| {
             found.snapshot = SnapshotMeta { index: b.index, term: b.term, members: b.members };
@@ -210,7 +212,7 @@
         self.add(&hard_record(h));
     }
 
-    fn mark(&mut self, node: NodeId, m: Mark) {
+    fn mark(&mut self, node: NodeId, m: PeerState) {
         self.add(&mark_record(node, &m));
     }
 
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -98,7 +98,7 @@
     ) -> Result<Machine<S, T>, Error> {
         let snapshot = found.snapshot.clone();
         let state = restore(&storage, &snapshot)?;
-        let kept = Kept { hard: found.hard, marks: found.marks.clone(), ..Kept::default() };
+        let kept = Kept { hard: found.hard, marks: found.peers.clone(), ..Kept::default() };
         let raft = Raft::new(at.now, node, settings.raft, found, seed);
         Ok(Machine {
             region: region.to_owned(),
@@ -226,7 +226,7 @@
         self.snapshot = found.snapshot.clone();
         self.state = restore(&self.storage, &self.snapshot)?;
         self.applied = self.snapshot.index;
-        self.kept = Kept { hard: found.hard, marks: found.marks.clone(), ..Kept::default() };
+        self.kept = Kept { hard: found.hard, marks: found.peers.clone(), ..Kept::default() };
         self.raft = Raft::new(at.now, self.raft.id(), self.settings.raft, found, seed);
         self.heartbeats = HolderHeartbeats::default();
         self.leader_tasks = LeaderTasks::default();
@@ -261,7 +261,7 @@
                 self.kept.hard = *h;
                 self.storage.hard(*h);
             }
-            Action::Remember(n, m) => {
+            Action::SavePeer(n, m) => {
                 self.kept.marks.insert(*n, *m);
                 self.storage.mark(*n, *m);
             }
@@ -320,7 +320,7 @@
         self.kept = Kept {
             meta: meta.clone(),
             hard: found.hard,
-            marks: found.marks.clone(),
+            marks: found.peers.clone(),
             entries: found.entries.clone(),
         };
         let bytes = body::pack(&State::default());
--- a/crates/control/tests/support/memory.rs
+++ b/crates/control/tests/support/memory.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use cypressfork_control::disk::{Kept, Storage};
-use cypressfork_core::raft::{Entry, HardState, Mark, Restored};
+use cypressfork_core::raft::{Entry, HardState, PeerState, Restored};
 use cypressfork_core::unit::{Index, NodeId};
 use cypressfork_store::Error;
 
@@ -25,7 +25,7 @@
 #[derive(Clone)]
 enum Write {
     Hard(HardState),
-    Mark(NodeId, Mark),
+    Mark(NodeId, PeerState),
     Entries(Vec<Entry>),
     Truncate(Index),
 }
@@ -69,7 +69,7 @@
             match w {
                 Write::Hard(h) => f.hard = h,
                 Write::Mark(n, m) => {
-                    f.marks.insert(n, m);
+                    f.peers.insert(n, m);
                 }
                 Write::Entries(e) => f.entries.extend(e),
                 Write::Truncate(from) => f.entries.retain(|e| e.index < from),
@@ -87,7 +87,7 @@
         self.pending.push(Write::Hard(h));
     }
 
-    fn mark(&mut self, node: NodeId, m: Mark) {
+    fn mark(&mut self, node: NodeId, m: PeerState) {
         self.pending.push(Write::Mark(node, m));
     }
 
@@ -123,7 +123,7 @@
             image.snapshots.insert(kept.meta.index, bytes.to_vec());
             image.found.snapshot = kept.meta.clone();
             image.found.hard = kept.hard;
-            image.found.marks = kept.marks.clone();
+            image.found.peers = kept.marks.clone();
             image.found.entries = kept.entries.clone();
         }
         if fails.is_some() { Memory::failed() } else { Ok(()) }
--- a/crates/core/src/raft/message.rs
+++ b/crates/core/src/raft/message.rs
@@ -8,7 +8,7 @@
 /// State of a member that it presents when it rejoins and that its peers store, to detect an old
 /// copy of its data folder.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Mark {
+pub struct PeerState {
     /// Number of times that its data folder was opened.
     pub incarnation: u64,
     /// Random number drawn when the process started, to tell a resend from a restart.
@@ -95,7 +95,7 @@
     /// Asks the receiver to start an election at once, because the leader is stopping.
     TakeOver,
     /// Asks to take part again after a start, with the state found in the data folder.
-    Rejoin(Mark),
+    Rejoin(PeerState),
     /// Response to `Rejoin`.
     RejoinReply {
         /// The `boot` of the request.
@@ -129,7 +129,7 @@
 
 /// An action that a member requests from its caller.
 ///
-/// The caller stores [`Action::Save`], [`Action::Remember`], [`Action::Truncate`],
+/// The caller stores [`Action::Save`], [`Action::SavePeer`], [`Action::Truncate`],
 /// [`Action::Append`] and [`Action::Install`] in order and syncs them before it sends any message of
 /// the same batch; then it calls [`super::Raft::synced`].
 #[derive(Clone, Debug, PartialEq)]
@@ -137,7 +137,7 @@
     /// Store the term and vote.
     Save(HardState),
     /// Store the state of another member.
-    Remember(NodeId, Mark),
+    SavePeer(NodeId, PeerState),
     /// Delete the stored entries from this index on.
     Truncate(Index),
     /// Store entries.
--- a/crates/core/src/raft/mod.rs
+++ b/crates/core/src/raft/mod.rs
@@ -21,7 +21,7 @@
 
 pub use log::{Entry, Log, Payload, SnapshotMeta};
 pub use members::{MemberChange, Members};
-pub use message::{Action, Append, Body, HardState, Mark, Message, Part, Position};
+pub use message::{Action, Append, Body, HardState, Message, Part, PeerState, Position};
 pub use progress::Progress;
 
 use crate::code::Code;
@@ -68,7 +68,7 @@
     /// The log entries after the snapshot.
     pub entries: Vec<Entry>,
     /// The state of the other members.
-    pub marks: BTreeMap<NodeId, Mark>,
+    pub peers: BTreeMap<NodeId, PeerState>,
 }
 
 /// The role of a member.
@@ -114,7 +114,7 @@
     /// Time of the last call of `tick` or `step`.
     last_run: Time,
     election_timeout: Millis,
-    marks: BTreeMap<NodeId, Mark>,
+    peers: BTreeMap<NodeId, PeerState>,
     /// The snapshot being received.
     incoming: Option<(SnapshotMeta, Vec<u8>)>,
     rng: SmallRng,
@@ -140,7 +140,7 @@
             last_contact: now,
             last_run: now,
             election_timeout: settings.election,
-            marks: found.marks,
+            peers: found.peers,
             incoming: None,
             rng: SmallRng::seed_from_u64(seed ^ id),
             actions: Vec::new(),
@@ -173,7 +173,7 @@
             hard: self.hard,
             snapshot: self.log.base().clone(),
             entries: self.log.slice(self.log.base().index + 1, usize::MAX),
-            marks: self.marks.clone(),
+            peers: self.peers.clone(),
         }
     }
 
@@ -239,7 +239,7 @@
         }
         self.discount_own_pause(now);
         match m.body {
-            Body::Rejoin(mark) => return self.on_rejoin(m.from, mark),
+            Body::Rejoin(state) => return self.on_rejoin(m.from, state),
             Body::RejoinReply { boot, welcome } => {
                 return self.on_rejoin_reply(now, m.from, boot, welcome);
             }
--- a/crates/core/src/raft/rejoin.rs
+++ b/crates/core/src/raft/rejoin.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeSet;
 
-use super::{Action, Body, Mark, Members, Message, Raft, Role};
+use super::{Action, Body, Members, Message, PeerState, Raft, Role};
 use crate::unit::{Index, Millis, NodeId, Time};
 
 /// Interval between requests of a member that waits to rejoin.
@@ -28,9 +28,9 @@
 
 impl Raft {
     /// Returns the state that this member presents to the others.
-    fn own_state(&self) -> Mark {
+    fn own_state(&self) -> PeerState {
         let (incarnation, boot) = (self.incarnation, self.boot);
-        Mark { incarnation, boot, term: self.hard.term, last: self.synced }
+        PeerState { incarnation, boot, term: self.hard.term, last: self.synced }
     }
 
     /// Starts to rejoin, unless this member is alone in its group or in none yet.
@@ -52,11 +52,11 @@
         }
         r.next_request = now.after(REQUEST_INTERVAL);
         let accepted_by = r.accepted_by.clone();
-        let mark = self.own_state();
+        let state = self.own_state();
         let unanswered = |n: &NodeId| *n != self.id && !accepted_by.contains(n);
         let targets: Vec<_> = self.rejoin_members().all().filter(unanswered).collect();
         for n in targets {
-            self.send(n, Body::Rejoin(mark));
+            self.send(n, Body::Rejoin(state));
         }
     }
 
@@ -92,17 +92,17 @@
     }
 
     /// Accepts a rejoin unless the stored state of the member is newer than the one that it presents.
-    pub(super) fn on_rejoin(&mut self, from: NodeId, mark: Mark) {
-        let stored = self.marks.get(&from).copied().unwrap_or_default();
-        let is_resend = mark.boot == stored.boot;
-        let newer = mark.incarnation > stored.incarnation;
-        let complete = (mark.term, mark.last) >= (stored.term, stored.last);
+    pub(super) fn on_rejoin(&mut self, from: NodeId, state: PeerState) {
+        let stored = self.peers.get(&from).copied().unwrap_or_default();
+        let is_resend = state.boot == stored.boot;
+        let newer = state.incarnation > stored.incarnation;
+        let complete = (state.term, state.last) >= (stored.term, stored.last);
         let welcome = is_resend || (newer && complete);
         if welcome && !is_resend {
-            self.marks.insert(from, mark);
-            self.actions.push(Action::Remember(from, mark));
+            self.peers.insert(from, state);
+            self.actions.push(Action::SavePeer(from, state));
         }
-        self.send(from, Body::RejoinReply { boot: mark.boot, welcome });
+        self.send(from, Body::RejoinReply { boot: state.boot, welcome });
     }
 
     /// Counts an acceptance, or stops this member for good if its state is rejected.
@@ -149,7 +149,7 @@
             Body::Vote(_) | Body::VoteReply(true) => 0,
             _ => return,
         };
-        let stored = self.marks.entry(m.from).or_default();
+        let stored = self.peers.entry(m.from).or_default();
         if m.term > stored.term {
             stored.term = m.term;
             stored.last = last;
--- a/crates/core/tests/raft.rs
+++ b/crates/core/tests/raft.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use cypressfork_core::raft::{
-    Action, Append, Body, Entry, HardState, Mark, Members, Message, Payload, Position, Raft,
+    Action, Append, Body, Entry, HardState, Members, Message, Payload, PeerState, Position, Raft,
     Restored, Settings, SnapshotMeta,
 };
 use cypressfork_core::unit::{NodeId, Term, Time};
@@ -30,7 +30,7 @@
     let found = Restored { incarnation: 1, hard, snapshot, entries, ..Restored::default() };
     let mut r = Raft::new(Time(0), 1, Settings::default(), found, 1);
     let boot = r.take_actions().iter().find_map(|a| match a {
-        Action::Send(Message { body: Body::Rejoin(Mark { boot, .. }), .. }) => Some(*boot),
+        Action::Send(Message { body: Body::Rejoin(PeerState { boot, .. }), .. }) => Some(*boot),
         _ => None,
     });
     for n in 2..=3 {
--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use cypressfork_core::raft::{
-    Append, Body, Entry, Mark, MemberChange, Members, Message, Part, Payload, Position,
+    Append, Body, Entry, MemberChange, Members, Message, Part, Payload, PeerState, Position,
     SnapshotMeta,
 };
 
@@ -90,7 +90,7 @@
             Body::SnapshotReply { index: r.index as u64, offset: r.offset as u64, done: r.done }
         }
         t::RaftBody::TakeOver(_) => Body::TakeOver,
-        t::RaftBody::Rejoin(m) => Body::Rejoin(Mark {
+        t::RaftBody::Rejoin(m) => Body::Rejoin(PeerState {
             incarnation: m.incarnation as u64,
             boot: m.boot as u64,
             term: m.term as u64,
--- a/crates/wire/tests/wire.rs
+++ b/crates/wire/tests/wire.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use cypressfork_core::raft::{
-    Append, Body, Entry, Mark, Members, Message, Part, Payload, Position, SnapshotMeta,
+    Append, Body, Entry, Members, Message, Part, Payload, PeerState, Position, SnapshotMeta,
 };
 use cypressfork_wire::auth::{Handshake, Key, NONCE, Opener, Sealer, Side};
 use cypressfork_wire::frame::{CAP, CAP_STRANGER, length, prefixed};
@@ -45,7 +45,7 @@
 #[case(Body::Snapshot(part()))]
 #[case(Body::SnapshotReply { index: 9, offset: 4, done: false })]
 #[case(Body::TakeOver)]
-#[case(Body::Rejoin(Mark { incarnation: 4, boot: u64::MAX, term: 3, last: 9 }))]
+#[case(Body::Rejoin(PeerState { incarnation: 4, boot: u64::MAX, term: 3, last: 9 }))]
 #[case(Body::RejoinReply { boot: 7, welcome: false })]
 fn a_raft_message_comes_back_as_it_was(#[case] body: Body) {
     let m = Message { from: 1, to: u64::MAX, term: 3, body };
