--- a/crates/core/src/raft/message.rs
+++ b/crates/core/src/raft/message.rs
@@ -21,7 +21,7 @@
 
 /// A chunk of a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Part {
+pub struct SnapshotChunk {
     /// What the snapshot covers.
     pub meta: SnapshotMeta,
     /// Offset of the chunk in the snapshot, in bytes.
@@ -82,7 +82,7 @@
         round: u64,
     },
     /// A chunk of a snapshot, for a member whose next entry the leader no longer holds.
-    Snapshot(Part),
+    Snapshot(SnapshotChunk),
     /// Response to `Snapshot`.
     SnapshotReply {
         /// Index of the last entry that the snapshot covers.
--- a/crates/core/src/raft/mod.rs
+++ b/crates/core/src/raft/mod.rs
@@ -21,7 +21,7 @@
 
 pub use log::{Entry, Log, Payload, SnapshotMeta};
 pub use members::{MemberChange, Members};
-pub use message::{Action, Append, Body, HardState, Message, Part, PeerState, Position};
+pub use message::{Action, Append, Body, HardState, Message, PeerState, Position, SnapshotChunk};
 pub use progress::Progress;
 
 use crate::code::Code;
@@ -272,9 +272,9 @@
             }
             Body::Appended { matched, round } => self.on_appended(now, from, matched, round),
             Body::Rejected { hint, round } => self.on_rejected(now, from, hint, round),
-            Body::Snapshot(part) => {
+            Body::Snapshot(chunk) => {
                 self.follow(now, from);
-                self.on_snapshot(from, part);
+                self.on_snapshot(from, chunk);
             }
             Body::SnapshotReply { index, offset, done } => {
                 self.on_snapshot_reply(now, from, index, offset, done);
--- a/crates/core/src/raft/replicate.rs
+++ b/crates/core/src/raft/replicate.rs
@@ -4,7 +4,8 @@
 
 use super::progress::SnapshotTransfer;
 use super::{
-    Action, Append, Body, Entry, Part, Payload, Position, Progress, Raft, Role, SnapshotMeta,
+    Action, Append, Body, Entry, Payload, Position, Progress, Raft, Role, SnapshotChunk,
+    SnapshotMeta,
 };
 use crate::unit::{Index, NodeId, Time};
 
@@ -223,28 +224,28 @@
         let end = (start + self.settings.part).min(s.data.len());
         let bytes = Arc::from(&s.data[start..end]);
         let last = end == s.data.len();
-        let part = Part { meta: s.meta.clone(), offset: s.offset, bytes, last };
-        self.send(to, Body::Snapshot(part));
+        let chunk = SnapshotChunk { meta: s.meta.clone(), offset: s.offset, bytes, last };
+        self.send(to, Body::Snapshot(chunk));
     }
 
     /// Stores a chunk of a snapshot and installs the snapshot once it is complete.
-    pub(super) fn on_snapshot(&mut self, from: NodeId, part: Part) {
-        let index = part.meta.index;
+    pub(super) fn on_snapshot(&mut self, from: NodeId, chunk: SnapshotChunk) {
+        let index = chunk.meta.index;
         if index <= self.commit {
             let done = Body::SnapshotReply { index, offset: 0, done: true };
             return self.send(from, done);
         }
-        let continues = matches!(&self.incoming, Some((m, b)) if *m == part.meta && b.len() as u64 == part.offset);
-        if part.offset == 0 {
-            self.incoming = Some((part.meta.clone(), part.bytes.to_vec()));
+        let continues = matches!(&self.incoming, Some((m, b)) if *m == chunk.meta && b.len() as u64 == chunk.offset);
+        if chunk.offset == 0 {
+            self.incoming = Some((chunk.meta.clone(), chunk.bytes.to_vec()));
         } else if let (true, Some((_, b))) = (continues, &mut self.incoming) {
-            b.extend_from_slice(&part.bytes);
+            b.extend_from_slice(&chunk.bytes);
         }
         let received = match &self.incoming {
-            Some((m, b)) if *m == part.meta => b.len() as u64,
+            Some((m, b)) if *m == chunk.meta => b.len() as u64,
             _ => 0,
         };
-        let complete = part.last && received == part.offset + part.bytes.len() as u64;
+        let complete = chunk.last && received == chunk.offset + chunk.bytes.len() as u64;
         if complete {
             self.install();
         }
--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 
 use cypressfork_core::raft::{
-    Append, Body, Entry, MemberChange, Members, Message, Part, Payload, PeerState, Position,
-    SnapshotMeta,
+    Append, Body, Entry, MemberChange, Members, Message, Payload, PeerState, Position,
+    SnapshotChunk, SnapshotMeta,
 };
 
 use crate::Error;
@@ -80,7 +80,7 @@
             Body::Appended { matched: a.matched as u64, round: a.round as u64 }
         }
         t::RaftBody::Rejected(r) => Body::Rejected { hint: r.hint as u64, round: r.round as u64 },
-        t::RaftBody::Snapshot(p) => Body::Snapshot(Part {
+        t::RaftBody::Snapshot(p) => Body::Snapshot(SnapshotChunk {
             meta: into_meta(p.meta),
             offset: p.offset as u64,
             bytes: Arc::from(p.bytes),
--- a/crates/wire/tests/wire.rs
+++ b/crates/wire/tests/wire.rs
@@ -3,7 +3,8 @@
 use std::sync::Arc;
 
 use cypressfork_core::raft::{
-    Append, Body, Entry, Members, Message, Part, Payload, PeerState, Position, SnapshotMeta,
+    Append, Body, Entry, Members, Message, Payload, PeerState, Position, SnapshotChunk,
+    SnapshotMeta,
 };
 use cypressfork_wire::auth::{Handshake, Key, NONCE, Opener, Sealer, Side};
 use cypressfork_wire::frame::{CAP, CAP_STRANGER, length, prefixed};
@@ -20,9 +21,9 @@
     Entry { term: 3, index, payload }
 }
 
-fn part() -> Part {
+fn part() -> SnapshotChunk {
     let meta = SnapshotMeta { index: 9, term: 2, members: members() };
-    Part { meta, offset: 4, bytes: Arc::from(&b"state"[..]), last: true }
+    SnapshotChunk { meta, offset: 4, bytes: Arc::from(&b"state"[..]), last: true }
 }
 
 #[rstest]
