--- a/crates/control/tests/support/world.rs
+++ b/crates/control/tests/support/world.rs
@@ -102,7 +102,7 @@
     /// The same, where the order that founds the group reaches the replicas `late` once it has a leader
     /// that has asked for their votes and sent them entries.
     pub fn founding(n: u64, away: &[NodeId], late: &[NodeId], seed: u64) -> World {
-        let raft = RaftSettings { part: 512, ..RaftSettings::default() };
+        let raft = RaftSettings { chunk_bytes: 512, ..RaftSettings::default() };
         let mut w = World {
             now: Time(10_000),
             nodes: BTreeMap::new(),
--- a/crates/core/src/raft/mod.rs
+++ b/crates/core/src/raft/mod.rs
@@ -37,11 +37,11 @@
     /// Minimum election timeout; the maximum is twice that.
     pub election: Millis,
     /// Maximum bytes of entries in one message, unless a single entry is larger.
-    pub batch: usize,
+    pub batch_bytes: usize,
     /// Maximum bytes of a snapshot in one message.
-    pub part: usize,
+    pub chunk_bytes: usize,
     /// Number of uncommitted entries at which proposals are rejected.
-    pub backlog: u64,
+    pub max_uncommitted: u64,
 }
 
 impl Default for Settings {
@@ -49,9 +49,9 @@
         Settings {
             heartbeat: Millis(100),
             election: Millis(500),
-            batch: 256 * 1024,
-            part: 256 * 1024,
-            backlog: 8_192,
+            batch_bytes: 256 * 1024,
+            chunk_bytes: 256 * 1024,
+            max_uncommitted: 8_192,
         }
     }
 }
@@ -291,7 +291,7 @@
         if !self.leads() {
             return Err(Code::NotLeader);
         }
-        if self.log.last_index() - self.commit >= self.settings.backlog {
+        if self.log.last_index() - self.commit >= self.settings.max_uncommitted {
             return Err(Code::QueueFull);
         }
         Ok(self.append_entry(now, payload))
--- a/crates/core/src/raft/replicate.rs
+++ b/crates/core/src/raft/replicate.rs
@@ -85,7 +85,7 @@
         // Each rejection still in flight would otherwise cause the same entries to be sent again.
         let entries = match p.probing {
             true => Vec::new(),
-            false => self.log.slice(p.next, self.settings.batch),
+            false => self.log.slice(p.next, self.settings.batch_bytes),
         };
         if entries.is_empty() && !heartbeat {
             return;
@@ -221,7 +221,7 @@
         let Role::Leader(l) = &self.role else { return };
         let Some(s) = l.followers.get(&to).and_then(|p| p.transfer.as_ref()) else { return };
         let start = s.offset as usize;
-        let end = (start + self.settings.part).min(s.data.len());
+        let end = (start + self.settings.chunk_bytes).min(s.data.len());
         let bytes = Arc::from(&s.data[start..end]);
         let last = end == s.data.len();
         let chunk = SnapshotChunk { meta: s.meta.clone(), offset: s.offset, bytes, last };
