--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -482,7 +482,7 @@
 
     /// Hands the lead to another replica, for a planned stop.
     pub fn hand_over(&mut self) {
-        self.raft.hand_over();
+        self.raft.transfer_leadership();
     }
 }
 
--- a/crates/core/src/raft/election.rs
+++ b/crates/core/src/raft/election.rs
@@ -249,12 +249,12 @@
     }
 
     /// Asks the most up-to-date voter to start an election, so that a planned stop is short.
-    pub fn hand_over(&mut self) {
+    pub fn transfer_leadership(&mut self) {
         let Role::Leader(l) = &self.role else { return };
         let voters = &self.members().voters;
         let voting = l.followers.iter().filter(|(n, _)| voters.contains(n));
         if let Some(to) = voting.max_by_key(|(_, p)| p.matched).map(|(n, _)| *n) {
-            self.send(to, Body::TakeOver);
+            self.send(to, Body::TimeoutNow);
         }
     }
 }
--- a/crates/core/src/raft/message.rs
+++ b/crates/core/src/raft/message.rs
@@ -93,7 +93,7 @@
         done: bool,
     },
     /// Asks the receiver to start an election at once, because the leader is stopping.
-    TakeOver,
+    TimeoutNow,
     /// Asks to take part again after a start, with the state found in the data folder.
     Rejoin(PeerState),
     /// Response to `Rejoin`.
--- a/crates/core/src/raft/mod.rs
+++ b/crates/core/src/raft/mod.rs
@@ -279,7 +279,7 @@
             Body::SnapshotReply { index, offset, done } => {
                 self.on_snapshot_reply(now, from, index, offset, done);
             }
-            Body::TakeOver => self.campaign(now),
+            Body::TimeoutNow => self.campaign(now),
             _ => {}
         }
     }
--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -51,7 +51,7 @@
         Body::SnapshotReply { index, offset, done } => {
             t::RaftBody::SnapshotReply(t::SnapshotReply::new(*index as i64, *offset as i64, *done))
         }
-        Body::TakeOver => t::RaftBody::TakeOver(true),
+        Body::TimeoutNow => t::RaftBody::TakeOver(true),
         Body::Rejoin(m) => t::RaftBody::Rejoin(t::Mark::new(
             m.incarnation as i64,
             m.boot as i64,
@@ -89,7 +89,7 @@
         t::RaftBody::SnapshotReply(r) => {
             Body::SnapshotReply { index: r.index as u64, offset: r.offset as u64, done: r.done }
         }
-        t::RaftBody::TakeOver(_) => Body::TakeOver,
+        t::RaftBody::TakeOver(_) => Body::TimeoutNow,
         t::RaftBody::Rejoin(m) => Body::Rejoin(PeerState {
             incarnation: m.incarnation as u64,
             boot: m.boot as u64,
--- a/crates/wire/tests/wire.rs
+++ b/crates/wire/tests/wire.rs
@@ -45,7 +45,7 @@
 #[case(Body::Rejected { hint: 3, round: 5 })]
 #[case(Body::Snapshot(part()))]
 #[case(Body::SnapshotReply { index: 9, offset: 4, done: false })]
-#[case(Body::TakeOver)]
+#[case(Body::TimeoutNow)]
 #[case(Body::Rejoin(PeerState { incarnation: 4, boot: u64::MAX, term: 3, last: 9 }))]
 #[case(Body::RejoinReply { boot: 7, welcome: false })]
 fn a_raft_message_comes_back_as_it_was(#[case] body: Body) {
