--- a/crates/control/src/leader_tasks.rs
+++ b/crates/control/src/leader_tasks.rs
@@ -47,7 +47,7 @@
 
 impl<S: Storage, T> Machine<S, T> {
     pub(crate) fn tick_leader_tasks(&mut self, at: Moment) {
-        if !self.raft.leads() || at.now < self.leader_tasks.next {
+        if !self.raft.is_leader() || at.now < self.leader_tasks.next {
             return;
         }
         self.leader_tasks.next = at.now.after(EVERY);
@@ -59,7 +59,7 @@
 
     /// As leader, makes the next change that mends the group.
     pub fn repair(&mut self, at: Moment, candidates: &Candidates, want: usize) {
-        if !self.raft.leads() || at.now < self.leader_tasks.next_repair {
+        if !self.raft.is_leader() || at.now < self.leader_tasks.next_repair {
             return;
         }
         self.leader_tasks.next_repair = at.now.after(REPAIR_EVERY);
@@ -83,7 +83,7 @@
     /// that this leader did not see begin is taken from the time of day; `margin` is what that may be
     /// off by, none while too few clocks are heard.
     pub fn write_off_dead(&mut self, at: Moment, margin: Option<Millis>) {
-        if !self.raft.leads() || at.now < self.leader_tasks.next_write_off {
+        if !self.raft.is_leader() || at.now < self.leader_tasks.next_write_off {
             return;
         }
         self.leader_tasks.next_write_off = at.now.after(WRITE_OFF_EVERY);
@@ -114,7 +114,7 @@
     /// As leader, takes the next steps of roll-outs; a version that turns out bad may have had
     /// `allowed` thousandths of its service's requests.
     pub fn step_rollouts<W>(&mut self, at: Moment, view: &mut FleetView<W>, allowed: u64) {
-        if !self.raft.leads() || at.now < self.leader_tasks.next_rollouts {
+        if !self.raft.is_leader() || at.now < self.leader_tasks.next_rollouts {
             return;
         }
         self.leader_tasks.next_rollouts = at.now.after(ROLLOUTS_EVERY);
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -174,7 +174,7 @@
             members: raft.members().clone(),
             has_leader: raft.leader().is_some(),
             log_empty: raft.log().last_index() == 0,
-            rejoining: !raft.joined(),
+            rejoining: !raft.is_active(),
         }
     }
 
@@ -283,12 +283,12 @@
                 let bytes = self.storage.load(self.snapshot.index)?;
                 self.raft.snapshot_loaded(n, self.snapshot.clone(), Arc::from(bytes));
             }
-            Action::Lead(true) => {
+            Action::LeaderChanged(true) => {
                 emit!(Event::LeaderGained, term = self.raft.term());
                 self.heartbeats.restart(at.now);
                 self.leader_tasks = LeaderTasks::default();
             }
-            Action::Lead(false) => {
+            Action::LeaderChanged(false) => {
                 emit!(Event::LeaderLost, term = self.raft.term());
                 self.give_up_calls();
             }
@@ -424,7 +424,7 @@
     /// Logs, as leader, why an ask is refused for good.
     fn tell_short(&self, ask: &LeaseRequest) {
         let Some(f) = self.state.ledger().get(&ask.budget) else { return };
-        if self.raft.leads() {
+        if self.raft.is_leader() {
             emit!(
                 Event::BudgetShort,
                 budget = ask.budget,
--- a/crates/control/src/machine/proposals.rs
+++ b/crates/control/src/machine/proposals.rs
@@ -47,7 +47,7 @@
             return self.reply(from, Err(Code::MessageBad));
         };
         if let Command::Tally { holder, seq, .. } = c
-            && self.raft.leads()
+            && self.raft.is_leader()
         {
             self.heartbeats.record_bounds_report(at.now, holder, seq);
         }
@@ -57,7 +57,7 @@
             return self.reply(from, Err(Code::DataCentreUnknown));
         }
         let is_report = matches!(c, Command::Tally { .. });
-        if is_report && self.raft.leads() && self.state.routers().len() >= MANY {
+        if is_report && self.raft.is_leader() && self.state.routers().len() >= MANY {
             self.reports.push(Gathered { at, command, to: from });
             return;
         }
--- a/crates/control/src/read.rs
+++ b/crates/control/src/read.rs
@@ -82,7 +82,7 @@
 
 impl<S: Storage, T> Machine<S, T> {
     pub(crate) fn ask(&mut self, q: Query, from: T) {
-        if matches!(q, Query::Follow { .. }) && self.raft.leads() {
+        if matches!(q, Query::Follow { .. }) && self.raft.is_leader() {
             self.reads.gathered.push((q, from));
             return;
         }
--- a/crates/control/src/server/fleet.rs
+++ b/crates/control/src/server/fleet.rs
@@ -51,7 +51,7 @@
     pub(super) fn take_announce(&mut self, at: Moment, bytes: &[u8]) -> Result<Vec<u8>, Code> {
         let a = body::unpack::<Announce>(bytes).map_err(|_| Code::MessageBad)?;
         let f = self.fleet.as_mut().ok_or(Code::MessageBad)?;
-        if !self.machine.raft().leads() {
+        if !self.machine.raft().is_leader() {
             return Err(Code::NotLeader);
         }
         f.view.announce(at.now, a);
--- a/crates/control/tests/group.rs
+++ b/crates/control/tests/group.rs
@@ -61,7 +61,7 @@
         w.cut.insert(if outgoing { (old, o) } else { (o, old) });
     }
     w.run(4_000);
-    assert!(!w.machine(old).raft().leads(), "it has no quorum");
+    assert!(!w.machine(old).raft().is_leader(), "it has no quorum");
     w.until(4_000, |w| w.leader().is_some_and(|l| l != old));
     w.top_up();
     w.heal_and_check();
@@ -150,12 +150,12 @@
         w.run(40);
     }
     assert_eq!(w.nodes[&victim].stopped, Some(Code::DiskFailed));
-    assert!(!w.machine(victim).raft().leads() && w.machine(victim).raft().leader().is_none());
+    assert!(!w.machine(victim).raft().is_leader() && w.machine(victim).raft().leader().is_none());
     assert!(w.leader().is_some_and(|l| l != victim), "the others go on");
     assert!(!w.restart_in_place(victim), "it is still full");
     w.nodes[&victim].disk.borrow_mut().full = false;
     assert!(w.restart_in_place(victim));
-    w.until(10_000, |w| w.machine(victim).raft().joined());
+    w.until(10_000, |w| w.machine(victim).raft().is_active());
     w.until(10_000, |w| {
         let l = w.leader().unwrap();
         w.machine(victim).raft().committed() == w.machine(l).raft().committed()
@@ -196,7 +196,7 @@
         w.run(20);
     }
     w.start(away);
-    w.until(10_000, |w| w.machine(away).raft().joined());
+    w.until(10_000, |w| w.machine(away).raft().is_active());
     w.until(10_000, |w| {
         let l = w.leader().unwrap();
         w.machine(away).raft().committed() == w.machine(l).raft().committed()
@@ -244,7 +244,7 @@
     let fresh = w.add_fresh();
     w.run(5_000);
     assert!(w.machine(fresh).members().voters.is_empty());
-    assert!(!w.machine(fresh).raft().leads());
+    assert!(!w.machine(fresh).raft().is_leader());
     w.heal_and_check();
 }
 
--- a/crates/control/tests/support/places.rs
+++ b/crates/control/tests/support/places.rs
@@ -123,7 +123,7 @@
         let Some(first) = self.at(&first).filter(|to| self.reaches(id, *to)) else { return };
         let named = self.machine(first).leader_address().and_then(|a| self.at(&a));
         for to in [Some(first), named].into_iter().flatten() {
-            if self.machine(to).raft().leads() && self.reaches(id, to) {
+            if self.machine(to).raft().is_leader() && self.reaches(id, to) {
                 self.take_announce(id, to);
             }
         }
--- a/crates/control/tests/support/world.rs
+++ b/crates/control/tests/support/world.rs
@@ -251,7 +251,7 @@
 
     /// The live replica that leads the newest term.
     pub fn leader(&self) -> Option<NodeId> {
-        let leads = |i: &NodeId| self.machine(*i).raft().leads() && !self.nodes[i].frozen;
+        let leads = |i: &NodeId| self.machine(*i).raft().is_leader() && !self.nodes[i].frozen;
         let newest = |i: &NodeId| self.machine(*i).raft().term();
         self.live().into_iter().filter(leads).max_by_key(newest)
     }
@@ -473,7 +473,7 @@
     fn check(&mut self) {
         for id in self.live() {
             let raft = self.nodes[&id].machine.as_ref().unwrap().raft();
-            if raft.leads() {
+            if raft.is_leader() {
                 let first = *self.leaders.entry(raft.term()).or_insert(id);
                 assert_eq!(first, id, "two leaders in term {}", raft.term());
             }
--- a/crates/core/src/raft/election.rs
+++ b/crates/core/src/raft/election.rs
@@ -82,7 +82,7 @@
     /// is behind.
     pub(super) fn on_pre_vote(&mut self, now: Time, from: NodeId, term: Term, last: Position) {
         let leader_timed_out =
-            !self.leads() && now.since(self.last_contact) >= self.settings.election;
+            !self.is_leader() && now.since(self.last_contact) >= self.settings.election;
         let granted = term > self.hard.term
             && (leader_timed_out || self.leader.is_none())
             && self.log.is_covered_by(last);
@@ -114,7 +114,7 @@
 
     /// Starts a new term as its candidate, unless this member is no voter or already leads.
     pub(super) fn campaign(&mut self, now: Time) {
-        if !self.is_voter() || self.leads() {
+        if !self.is_voter() || self.is_leader() {
             return;
         }
         self.hard.term += 1;
@@ -167,7 +167,7 @@
         self.role =
             Role::Leader(LeaderState { followers, reads, next_heartbeat: now, first_index: next });
         self.leader = Some(self.id);
-        self.actions.push(Action::Lead(true));
+        self.actions.push(Action::LeaderChanged(true));
         self.append_entry(now, Payload::Nothing);
     }
 
@@ -222,7 +222,7 @@
             for token in l.reads.drain() {
                 self.actions.push(Action::ReadFailed(token));
             }
-            self.actions.push(Action::Lead(false));
+            self.actions.push(Action::LeaderChanged(false));
         }
     }
 
--- a/crates/core/src/raft/message.rs
+++ b/crates/core/src/raft/message.rs
@@ -155,7 +155,7 @@
     /// Load the stored snapshot for this follower and pass it to [`super::Raft::snapshot_loaded`].
     LoadSnapshot(NodeId),
     /// This member became leader (true) or lost the leadership (false).
-    Lead(bool),
+    LeaderChanged(bool),
     /// Stop taking part: this member reports that the data folder is an old copy.
     Outdated(NodeId),
 }
--- a/crates/core/src/raft/mod.rs
+++ b/crates/core/src/raft/mod.rs
@@ -178,12 +178,12 @@
     }
 
     /// Returns whether this member is the leader.
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
     /// Returns whether this member takes part: it has rejoined, and is neither halted nor outdated.
-    pub fn joined(&self) -> bool {
+    pub fn is_active(&self) -> bool {
         !matches!(self.role, Role::Rejoining(_) | Role::Outdated)
     }
 
@@ -245,7 +245,7 @@
             }
             _ => {}
         }
-        if !self.joined() {
+        if !self.is_active() {
             return;
         }
         self.record_peer_state(&m);
@@ -288,7 +288,7 @@
     ///
     /// Fails with `NotLeader`, or with `QueueFull` if too many entries are uncommitted.
     pub fn propose(&mut self, now: Time, payload: Payload) -> Result<Index, Code> {
-        if !self.leads() {
+        if !self.is_leader() {
             return Err(Code::NotLeader);
         }
         if self.log.last_index() - self.commit >= self.settings.max_uncommitted {
@@ -320,7 +320,7 @@
     /// Records that the log up to index `upto`, and everything that earlier actions store, is synced.
     pub fn synced(&mut self, now: Time, upto: Index) {
         self.synced = upto.min(self.log.last_index());
-        if self.leads() {
+        if self.is_leader() {
             self.advance_commit(now);
         }
     }
--- a/crates/core/tests/raft.rs
+++ b/crates/core/tests/raft.rs
@@ -37,7 +37,7 @@
         let body = Body::RejoinReply { boot: boot.unwrap(), welcome: true };
         r.step(Time(0), message(n, 0, body));
     }
-    assert!(r.joined());
+    assert!(r.is_active());
     r.take_actions();
     r
 }
@@ -48,7 +48,7 @@
     r.tick(Time(5_000));
     r.step(Time(5_000), message(2, term + 1, Body::PreVoteReply(true)));
     r.step(Time(5_000), message(2, term + 1, Body::VoteReply(true)));
-    assert!(r.leads());
+    assert!(r.is_leader());
     r
 }
 
@@ -170,7 +170,9 @@
     let body = Body::Append(Append { prev, entries: Vec::new(), commit: 0, round: 0 });
     r.step(Time(5_001), message(2, 9, body));
     let actions = r.take_actions();
-    assert!(actions.contains(&Action::ReadFailed(7)) && actions.contains(&Action::Lead(false)));
+    assert!(
+        actions.contains(&Action::ReadFailed(7)) && actions.contains(&Action::LeaderChanged(false))
+    );
     assert!(r.read(8).is_err());
 }
 
