--- a/crates/core/src/raft/message.rs
+++ b/crates/core/src/raft/message.rs
@@ -101,7 +101,7 @@
         /// The `boot` of the request.
         boot: u64,
         /// Whether the state is not older than the one that the sender stores.
-        welcome: bool,
+        accepted: bool,
     },
 }
 
--- a/crates/core/src/raft/mod.rs
+++ b/crates/core/src/raft/mod.rs
@@ -240,8 +240,8 @@
         self.discount_own_pause(now);
         match m.body {
             Body::Rejoin(state) => return self.on_rejoin(m.from, state),
-            Body::RejoinReply { boot, welcome } => {
-                return self.on_rejoin_reply(now, m.from, boot, welcome);
+            Body::RejoinReply { boot, accepted } => {
+                return self.on_rejoin_reply(now, m.from, boot, accepted);
             }
             _ => {}
         }
--- a/crates/core/src/raft/rejoin.rs
+++ b/crates/core/src/raft/rejoin.rs
@@ -97,20 +97,20 @@
         let is_resend = state.boot == stored.boot;
         let newer = state.incarnation > stored.incarnation;
         let complete = (state.term, state.last) >= (stored.term, stored.last);
-        let welcome = is_resend || (newer && complete);
-        if welcome && !is_resend {
+        let accepted = is_resend || (newer && complete);
+        if accepted && !is_resend {
             self.peers.insert(from, state);
             self.actions.push(Action::SavePeer(from, state));
         }
-        self.send(from, Body::RejoinReply { boot: state.boot, welcome });
+        self.send(from, Body::RejoinReply { boot: state.boot, accepted });
     }
 
     /// Counts an acceptance, or stops this member for good if its state is rejected.
-    pub(super) fn on_rejoin_reply(&mut self, now: Time, from: NodeId, boot: u64, welcome: bool) {
+    pub(super) fn on_rejoin_reply(&mut self, now: Time, from: NodeId, boot: u64, accepted: bool) {
         if boot != self.boot {
             return;
         }
-        if !welcome {
+        if !accepted {
             self.role = Role::Outdated;
             self.actions.push(Action::Outdated(from));
             return;
--- a/crates/core/tests/raft.rs
+++ b/crates/core/tests/raft.rs
@@ -34,7 +34,7 @@
         _ => None,
     });
     for n in 2..=3 {
-        let body = Body::RejoinReply { boot: boot.unwrap(), welcome: true };
+        let body = Body::RejoinReply { boot: boot.unwrap(), accepted: true };
         r.step(Time(0), message(n, 0, body));
     }
     assert!(r.is_active());
--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -58,8 +58,8 @@
             m.term as i64,
             m.last as i64,
         )),
-        Body::RejoinReply { boot, welcome } => {
-            t::RaftBody::RejoinReply(t::RejoinReply::new(*boot as i64, *welcome))
+        Body::RejoinReply { boot, accepted } => {
+            t::RaftBody::RejoinReply(t::RejoinReply::new(*boot as i64, *accepted))
         }
     }
 }
@@ -97,7 +97,7 @@
             last: m.last as u64,
         }),
         t::RaftBody::RejoinReply(r) => {
-            Body::RejoinReply { boot: r.boot as u64, welcome: r.welcome }
+            Body::RejoinReply { boot: r.boot as u64, accepted: r.welcome }
         }
     }
 }
--- a/crates/wire/tests/wire.rs
+++ b/crates/wire/tests/wire.rs
@@ -47,7 +47,7 @@
 #[case(Body::SnapshotReply { index: 9, offset: 4, done: false })]
 #[case(Body::TimeoutNow)]
 #[case(Body::Rejoin(PeerState { incarnation: 4, boot: u64::MAX, term: 3, last: 9 }))]
-#[case(Body::RejoinReply { boot: 7, welcome: false })]
+#[case(Body::RejoinReply { boot: 7, accepted: false })]
 fn a_raft_message_comes_back_as_it_was(#[case] body: Body) {
     let m = Message { from: 1, to: u64::MAX, term: 3, body };
     let bytes = encode(&Frame::Raft(from_raft(&m, "10.0.0.1:1")));
