--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -186,7 +186,7 @@
 
     /// Takes the members that the group's leader names.
     pub fn take_members(&mut self, at: Moment, members: Members) {
-        self.raft.take_members(at.now, members);
+        self.raft.set_rejoin_members(at.now, members);
     }
 
     /// The replicated log.
--- a/crates/core/src/raft/rejoin.rs
+++ b/crates/core/src/raft/rejoin.rs
@@ -75,7 +75,7 @@
     ///
     /// The current voters hold everything that was committed while this member was a voter, so a
     /// quorum of them detects an old copy just as well.
-    pub fn take_members(&mut self, now: Time, members: Members) {
+    pub fn set_rejoin_members(&mut self, now: Time, members: Members) {
         let Role::Rejoining(r) = &mut self.role else { return };
         if members.voters.is_empty() {
             return;
