--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -305,7 +305,8 @@
     /// founders may have asked for its vote and sent it entries before the order came: it forgets
     /// neither.
     fn found(&mut self, at: Moment, f: &Founders) -> Result<Vec<u8>, Code> {
-        let members = Members::of(f.peers.iter().map(|p| (p.node as u64, p.address.clone())));
+        let members =
+            Members::from_voters(f.peers.iter().map(|p| (p.node as u64, p.address.clone())));
         let me = self.raft.id();
         if self.raft.log().base().index == 0 && self.raft.log().base().members == members {
             return Ok(Vec::new());
--- a/crates/core/examples/embed.rs
+++ b/crates/core/examples/embed.rs
@@ -45,7 +45,7 @@
 
 /// A log of one replica: what is proposed is committed once it is stored.
 fn log() {
-    let members = Members::of([(1, "127.0.0.1:7001".to_owned())]);
+    let members = Members::from_voters([(1, "127.0.0.1:7001".to_owned())]);
     let snapshot = SnapshotMeta { members, ..SnapshotMeta::default() };
     let found = Restored { snapshot, ..Restored::default() };
     let mut raft = Raft::new(Time(0), 1, Settings::default(), found, 1);
--- a/crates/core/src/fleet/repair.rs
+++ b/crates/core/src/fleet/repair.rs
@@ -55,7 +55,7 @@
     let answers = |n: NodeId| n == me || health(n).silent < SILENT_AFTER;
     let safe = |c: MemberChange| {
         let after = members.with(&c)?;
-        after.agree(answers).then_some(c)
+        after.has_quorum(answers).then_some(c)
     };
     disk_lost_member(members, candidates)
         .and_then(|n| safe(MemberChange::Remove(n)))
--- a/crates/core/src/raft/election.rs
+++ b/crates/core/src/raft/election.rs
@@ -107,7 +107,7 @@
 
     fn count_pre_votes(&mut self, now: Time) {
         let Role::PreCandidate(votes) = &self.role else { return };
-        if self.members().agree(|n| votes.get(&n) == Some(&true)) {
+        if self.members().has_quorum(|n| votes.get(&n) == Some(&true)) {
             self.campaign(now);
         }
     }
@@ -154,7 +154,7 @@
 
     fn count_votes(&mut self, now: Time) {
         let Role::Candidate(votes) = &self.role else { return };
-        if self.members().agree(|n| votes.get(&n) == Some(&true)) {
+        if self.members().has_quorum(|n| votes.get(&n) == Some(&true)) {
             self.become_leader(now);
         }
     }
@@ -234,7 +234,7 @@
         let responsive = |n: NodeId| {
             n == self.id || l.followers.get(&n).is_some_and(|p| now.since(p.heard) < limit)
         };
-        if self.members().agree(responsive) {
+        if self.members().has_quorum(responsive) {
             return true;
         }
         self.become_follower(now, self.hard.term, None);
--- a/crates/core/src/raft/members.rs
+++ b/crates/core/src/raft/members.rs
@@ -30,7 +30,7 @@
 
 impl Members {
     /// Creates a group of voters with these addresses, without learners.
-    pub fn of(voters: impl IntoIterator<Item = (NodeId, String)>) -> Members {
+    pub fn from_voters(voters: impl IntoIterator<Item = (NodeId, String)>) -> Members {
         let addresses: BTreeMap<_, _> = voters.into_iter().collect();
         let voters = addresses.keys().copied().collect();
         Members { voters, learners: BTreeSet::new(), addresses }
@@ -42,12 +42,12 @@
     }
 
     /// Returns whether `yes` holds for a quorum of the voters; false if there are no voters.
-    pub fn agree(&self, yes: impl Fn(NodeId) -> bool) -> bool {
+    pub fn has_quorum(&self, yes: impl Fn(NodeId) -> bool) -> bool {
         !self.voters.is_empty() && self.voters.iter().filter(|n| yes(**n)).count() >= self.quorum()
     }
 
     /// Returns the highest index that a quorum of the voters has reached, given the index of each.
-    pub fn reached(&self, index_of: impl Fn(NodeId) -> Index) -> Index {
+    pub fn quorum_index(&self, index_of: impl Fn(NodeId) -> Index) -> Index {
         let mut all: Vec<_> = self.voters.iter().map(|n| index_of(*n)).collect();
         all.sort_unstable_by(|a, b| b.cmp(a));
         all.get(self.quorum() - 1).copied().unwrap_or(0)
--- a/crates/core/src/raft/read.rs
+++ b/crates/core/src/raft/read.rs
@@ -89,7 +89,7 @@
             |n: NodeId| n == self.id || l.followers.get(&n).is_some_and(|p| p.round >= round);
         if round > l.reads.last_round
             || self.commit < l.first_index
-            || !self.members().agree(confirmed)
+            || !self.members().has_quorum(confirmed)
         {
             return None;
         }
--- a/crates/core/src/raft/rejoin.rs
+++ b/crates/core/src/raft/rejoin.rs
@@ -127,7 +127,7 @@
         let Role::Rejoining(r) = &self.role else { return };
         let accepted = |n: NodeId| n == self.id || r.accepted_by.contains(&n);
         let all = self.rejoin_members().all().all(accepted);
-        let quorum = self.rejoin_members().agree(accepted);
+        let quorum = self.rejoin_members().has_quorum(accepted);
         if all || (quorum && now.since(r.since) >= FULL_RESPONSE_TIMEOUT) {
             self.role = Role::Follower;
             self.last_contact = now;
--- a/crates/core/src/raft/replicate.rs
+++ b/crates/core/src/raft/replicate.rs
@@ -182,7 +182,7 @@
             None if n == self.id => self.synced,
             None => 0,
         };
-        let reached = self.members().reached(synced);
+        let reached = self.members().quorum_index(synced);
         if reached > self.commit && self.log.term(reached) == Some(self.hard.term) {
             self.commit_upto(reached);
             self.step_down_if_removed(now);
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -151,7 +151,7 @@
     candidates: &[(NodeId, &str)],
 ) -> Option<MemberChange> {
     let address = |n: NodeId| ADDRESSES[n as usize - 1].to_owned();
-    let mut members = Members::of(voters.iter().map(|n| (*n, address(*n))));
+    let mut members = Members::from_voters(voters.iter().map(|n| (*n, address(*n))));
     for n in learners {
         members = members.with(&MemberChange::AddLearner(*n, address(*n))).unwrap();
     }
@@ -193,7 +193,7 @@
     let mut c = Candidates::default();
     c.record(Time(0), Announce { node: 4, address: "d:1".into() });
     c.tick(Time(3_000));
-    let members = Members::of([(1, "a:1".to_owned())]);
+    let members = Members::from_voters([(1, "a:1".to_owned())]);
     let health = |_| Health { silent: Millis(0), caught_up: true };
     assert_eq!(next_change(&members, 1, health, &c, 5), None);
 }
--- a/crates/core/tests/raft.rs
+++ b/crates/core/tests/raft.rs
@@ -10,7 +10,7 @@
 use rstest::rstest;
 
 fn members() -> Members {
-    Members::of((1..=3).map(|n| (n, format!("10.0.0.{n}:1"))))
+    Members::from_voters((1..=3).map(|n| (n, format!("10.0.0.{n}:1"))))
 }
 
 fn entry(term: Term, index: u64) -> Entry {
--- a/crates/wire/tests/wire.rs
+++ b/crates/wire/tests/wire.rs
@@ -14,7 +14,7 @@
 use rstest::rstest;
 
 fn members() -> Members {
-    Members::of([(1, "10.0.0.1:1".to_owned()), (u64::MAX, "10.0.0.2:1".to_owned())])
+    Members::from_voters([(1, "10.0.0.1:1".to_owned()), (u64::MAX, "10.0.0.2:1".to_owned())])
 }
 
 fn entry(index: u64, payload: Payload) -> Entry {
