--- a/crates/control/src/disk.rs
+++ b/crates/control/src/disk.rs
@@ -129,7 +129,7 @@
 
 fn entry_record(e: &Entry) -> Record {
     let (command, members) = match &e.payload {
-        Payload::Nothing => (None, None),
+        Payload::Noop => (None, None),
         Payload::Command(c) => (Some(c.to_vec()), None),
         Payload::Members(m) => (None, Some(m.clone())),
     };
@@ -145,7 +145,7 @@
     let payload = match (r.command, r.members) {
         (Some(c), _) => Payload::Command(Arc::from(c)),
         (None, Some(m)) => Payload::Members(m),
-        (None, None) => Payload::Nothing,
+        (None, None) => Payload::Noop,
     };
     Entry { term: r.term, index: r.index, payload }
 }
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -346,7 +346,7 @@
 
     fn apply(&mut self, e: &Entry) -> Answer {
         match &e.payload {
-            Payload::Nothing => Answer::Done,
+            Payload::Noop => Answer::Done,
             Payload::Members(m) => {
                 emit!(Event::MembersChanged, voters = m.voters.len(), learners = m.learners.len());
                 Answer::Done
--- a/crates/core/src/raft/election.rs
+++ b/crates/core/src/raft/election.rs
@@ -168,7 +168,7 @@
             Role::Leader(LeaderState { followers, reads, next_heartbeat: now, first_index: next });
         self.leader = Some(self.id);
         self.actions.push(Action::LeaderChanged(true));
-        self.append_entry(now, Payload::Nothing);
+        self.append_entry(now, Payload::Noop);
     }
 
     /// Compares the message's term with this member's and becomes a follower if it is newer. Returns
--- a/crates/core/src/raft/log.rs
+++ b/crates/core/src/raft/log.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Payload {
     /// No content: the first entry of a new leader.
-    Nothing,
+    Noop,
     /// An encoded command for the state machine.
     Command(Arc<[u8]>),
     /// The members in force from this entry on.
@@ -21,7 +21,7 @@
     /// Returns the approximate size in bytes.
     pub fn size(&self) -> usize {
         match self {
-            Payload::Nothing => 1,
+            Payload::Noop => 1,
             Payload::Command(b) => b.len(),
             Payload::Members(m) => 8 * (m.voters.len() + m.learners.len()),
         }
--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -112,7 +112,7 @@
 
 fn from_entry(e: &Entry) -> t::LogEntry {
     let (command, members) = match &e.payload {
-        Payload::Nothing => (None, None),
+        Payload::Noop => (None, None),
         Payload::Command(c) => (Some(c.to_vec()), None),
         Payload::Members(m) => (None, Some(from_members(m))),
     };
@@ -123,7 +123,7 @@
     let payload = match (e.command, e.members) {
         (Some(c), _) => Payload::Command(Arc::from(c)),
         (None, Some(m)) => Payload::Members(into_members(m)),
-        (None, None) => Payload::Nothing,
+        (None, None) => Payload::Noop,
     };
     Entry { term: e.term as u64, index: e.index as u64, payload }
 }
--- a/crates/wire/tests/wire.rs
+++ b/crates/wire/tests/wire.rs
@@ -34,7 +34,7 @@
 #[case(Body::Append(Append {
     prev: Position { index: 7, term: 2 },
     entries: vec![
-        entry(8, Payload::Nothing),
+        entry(8, Payload::Noop),
         entry(9, Payload::Command(Arc::from(&b"command"[..]))),
         entry(10, Payload::Members(members())),
     ],
