--- a/crates/control/src/read.rs
+++ b/crates/control/src/read.rs
@@ -283,7 +283,7 @@
                 address: members.addresses.get(&id).cloned().unwrap_or_default(),
                 voter: members.voters.contains(&id),
                 leader: id == me,
-                heard: id == me || p.is_some_and(|p| at.now.since(p.heard) < HEARD_WITHIN),
+                heard: id == me || p.is_some_and(|p| at.now.since(p.last_response) < HEARD_WITHIN),
                 behind: if id == me { 0 } else { last - p.map_or(0, |p| p.matched) },
             }
         };
--- a/crates/core/src/raft/election.rs
+++ b/crates/core/src/raft/election.rs
@@ -43,7 +43,7 @@
         self.last_contact = self.last_contact.after(pause).min(now);
         if let Role::Leader(l) = &mut self.role {
             for p in l.followers.values_mut() {
-                p.heard = p.heard.after(pause).min(now);
+                p.last_response = p.last_response.after(pause).min(now);
             }
         }
     }
@@ -232,7 +232,7 @@
         let Role::Leader(l) = &self.role else { return false };
         let limit = self.settings.election.scale(3, 2);
         let responsive = |n: NodeId| {
-            n == self.id || l.followers.get(&n).is_some_and(|p| now.since(p.heard) < limit)
+            n == self.id || l.followers.get(&n).is_some_and(|p| now.since(p.last_response) < limit)
         };
         if self.members().has_quorum(responsive) {
             return true;
--- a/crates/core/src/raft/progress.rs
+++ b/crates/core/src/raft/progress.rs
@@ -13,7 +13,7 @@
     /// Index of the next entry to send.
     pub next: Index,
     /// Time of its last response.
-    pub heard: Time,
+    pub last_response: Time,
     /// Last read round that it confirmed.
     pub round: u64,
     /// Whether the last matching entry is still unknown; only empty messages are sent until it is
@@ -33,6 +33,6 @@
 
 impl Progress {
     pub(super) fn new(now: Time, next: Index) -> Progress {
-        Progress { next, heard: now, ..Progress::default() }
+        Progress { next, last_response: now, ..Progress::default() }
     }
 }
--- a/crates/core/src/raft/replicate.rs
+++ b/crates/core/src/raft/replicate.rs
@@ -138,7 +138,7 @@
     pub(super) fn on_appended(&mut self, now: Time, from: NodeId, matched: Index, round: u64) {
         let Role::Leader(l) = &mut self.role else { return };
         let Some(p) = l.followers.get_mut(&from) else { return };
-        p.heard = now;
+        p.last_response = now;
         p.round = p.round.max(round);
         p.matched = p.matched.max(matched);
         p.next = p.next.max(p.matched + 1);
@@ -160,7 +160,7 @@
     pub(super) fn on_rejected(&mut self, now: Time, from: NodeId, hint: Index, round: u64) {
         let Role::Leader(l) = &mut self.role else { return };
         let Some(p) = l.followers.get_mut(&from) else { return };
-        p.heard = now;
+        p.last_response = now;
         p.round = p.round.max(round);
         let next = (hint + 1).max(p.matched + 1);
         self.confirm_reads();
@@ -272,7 +272,7 @@
     ) {
         let Role::Leader(l) = &mut self.role else { return };
         let Some(p) = l.followers.get_mut(&from) else { return };
-        p.heard = now;
+        p.last_response = now;
         if p.transfer.as_ref().is_none_or(|s| s.meta.index != index) {
             return;
         }
