--- a/crates/core/src/config/mod.rs
+++ b/crates/core/src/config/mod.rs
@@ -10,8 +10,8 @@
 
 pub use history::{Change, Entry, History, Item};
 pub use object::{
-    Account, Budget, Fault, ModelService, Object, ObjectName, PlainService, Priority, Service,
-    Upstream, Vm,
+    Account, Budget, ConfigError, ModelService, Object, ObjectName, PlainService, Priority,
+    Service, Upstream, Vm,
 };
 pub use template::{Application, Kind, Parameter, Template, Value};
 
@@ -114,7 +114,7 @@
         }
         if change.base != self.version {
             let why = format!("made from version {}, in force is {}", change.base, self.version);
-            return Err(self.refusal(Fault::new(Code::VersionStale, "base", why)));
+            return Err(self.refusal(ConfigError::new(Code::VersionStale, "base", why)));
         }
         let draft = self.draft(&change.items).and_then(|d| {
             d.check(&spent)?;
@@ -133,16 +133,16 @@
             return Ok(first.version);
         }
         let why = format!("{} made version {} with other content", change.op, first.version);
-        Err(self.refusal(Fault::new(Code::OperationReused, "op", why)))
+        Err(self.refusal(ConfigError::new(Code::OperationReused, "op", why)))
     }
 
-    fn refusal(&self, f: Fault) -> Refusal {
+    fn refusal(&self, f: ConfigError) -> Refusal {
         Refusal { code: f.code, place: f.place, why: f.why, version: self.version }
     }
 
     /// Returns the next version with the items applied and rendered, but without the checks across
     /// objects.
-    fn draft(&self, items: &[Item]) -> Result<Config, Fault> {
+    fn draft(&self, items: &[Item]) -> Result<Config, ConfigError> {
         let mut next = self.clone();
         next.version += 1;
         for item in items {
@@ -154,7 +154,7 @@
         Ok(next)
     }
 
-    fn apply_item(&mut self, item: &Item) -> Result<(), Fault> {
+    fn apply_item(&mut self, item: &Item) -> Result<(), ConfigError> {
         match item {
             Item::Template(t) => {
                 t.check()?;
@@ -192,7 +192,7 @@
     }
 
     /// Replaces the objects of an application by those that it renders now.
-    fn render(&mut self, application: &str) -> Result<(), Fault> {
+    fn render(&mut self, application: &str) -> Result<(), ConfigError> {
         let rendered = match self.applications.get(application) {
             Some(a) => self.template_of(a)?.render(a)?,
             None => BTreeMap::new(),
@@ -204,9 +204,9 @@
         Ok(())
     }
 
-    fn template_of(&self, a: &Application) -> Result<&Template, Fault> {
+    fn template_of(&self, a: &Application) -> Result<&Template, ConfigError> {
         self.templates.get(&a.template).ok_or_else(|| {
-            Fault::new(Code::TemplateUnknown, &a.name, format!("no template {}", a.template))
+            ConfigError::new(Code::TemplateUnknown, &a.name, format!("no template {}", a.template))
         })
     }
 
@@ -221,11 +221,11 @@
     }
 
     /// Sets an object, unless it is unchanged. Fails if it belongs to another application.
-    fn insert(&mut self, owner: &str, name: ObjectName, object: Object) -> Result<(), Fault> {
+    fn insert(&mut self, owner: &str, name: ObjectName, object: Object) -> Result<(), ConfigError> {
         if let Some(s) = self.objects.get(&name) {
             if s.object.is_some() && s.owner != owner {
                 let why = format!("already rendered by application {}", s.owner);
-                return Err(Fault::new(Code::ObjectClash, &name.to_string(), why));
+                return Err(ConfigError::new(Code::ObjectClash, &name.to_string(), why));
             }
             if s.object.as_ref() == Some(&object) {
                 return Ok(());
@@ -238,7 +238,7 @@
     }
 
     /// Checks the references between objects, and the changed budgets against the tokens spent.
-    fn check(&self, spent: &impl Fn(&str) -> Tokens) -> Result<(), Fault> {
+    fn check(&self, spent: &impl Fn(&str) -> Tokens) -> Result<(), ConfigError> {
         let exists = |n: &ObjectName| self.object(n).is_some();
         let changed =
             |n: &ObjectName| self.objects.get(n).is_some_and(|s| s.version == self.version);
@@ -248,7 +248,7 @@
                 let s = spent(&name.name);
                 if b.tokens < s {
                     let why = format!("{} tokens are spent, {} would be prepaid", s, b.tokens);
-                    return Err(Fault::new(Code::BudgetBelowSpent, &name.to_string(), why));
+                    return Err(ConfigError::new(Code::BudgetBelowSpent, &name.to_string(), why));
                 }
             }
         }
--- a/crates/core/src/config/object.rs
+++ b/crates/core/src/config/object.rs
@@ -14,7 +14,7 @@
 
 /// An error in a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct ConfigError {
     /// The kind of error.
     pub code: Code,
     /// The template, application, parameter or object with the error.
@@ -23,9 +23,9 @@
     pub why: String,
 }
 
-impl Fault {
-    pub(super) fn new(code: Code, place: &str, why: impl Into<String>) -> Fault {
-        Fault { code, place: place.to_owned(), why: why.into() }
+impl ConfigError {
+    pub(super) fn new(code: Code, place: &str, why: impl Into<String>) -> ConfigError {
+        ConfigError { code, place: place.to_owned(), why: why.into() }
     }
 }
 
@@ -48,19 +48,19 @@
 
 impl ObjectName {
     /// Parses a kind as written in a template. Fails if the kind is unknown or the name invalid.
-    pub fn new(kind: &str, name: &str) -> Result<ObjectName, Fault> {
+    pub fn new(kind: &str, name: &str) -> Result<ObjectName, ConfigError> {
         let sort = match kind {
             "client_accounts" => ObjectKind::Account,
             "budgets" => ObjectKind::Budget,
             "services" => ObjectKind::Service,
             _ => {
                 let why = "a template's objects are client_accounts, budgets and services";
-                return Err(Fault::new(Code::ObjectBad, kind, why));
+                return Err(ConfigError::new(Code::ObjectBad, kind, why));
             }
         };
         if !is_name(name) {
             let why = format!("'{name}' is not a name of letters, digits, '-', '_' and '.'");
-            return Err(Fault::new(Code::ObjectBad, kind, why));
+            return Err(ConfigError::new(Code::ObjectBad, kind, why));
         }
         Ok(ObjectName { sort, name: name.to_owned() })
     }
@@ -304,14 +304,14 @@
     Service(Service),
 }
 
-fn parse_content<T: DeserializeOwned>(name: &ObjectName, content: Json) -> Result<T, Fault> {
+fn parse_content<T: DeserializeOwned>(name: &ObjectName, content: Json) -> Result<T, ConfigError> {
     serde_json::from_value(content)
-        .map_err(|e| Fault::new(Code::ObjectBad, &name.to_string(), e.to_string()))
+        .map_err(|e| ConfigError::new(Code::ObjectBad, &name.to_string(), e.to_string()))
 }
 
 impl Object {
     /// Parses the content of an object of the kind that `name` has.
-    pub(super) fn parse(name: &ObjectName, content: Json) -> Result<Object, Fault> {
+    pub(super) fn parse(name: &ObjectName, content: Json) -> Result<Object, ConfigError> {
         match name.sort {
             ObjectKind::Account => parse_content(name, content).map(Object::Account),
             ObjectKind::Budget => parse_content(name, content).map(Object::Budget),
@@ -324,8 +324,8 @@
         &self,
         name: &ObjectName,
         exists: &impl Fn(&ObjectName) -> bool,
-    ) -> Result<(), Fault> {
-        let bad = |why: String| Err(Fault::new(Code::ObjectBad, &name.to_string(), why));
+    ) -> Result<(), ConfigError> {
+        let bad = |why: String| Err(ConfigError::new(Code::ObjectBad, &name.to_string(), why));
         let first_missing =
             |names: &[String]| names.iter().find(|s| !exists(&ObjectName::service(s))).cloned();
         match self {
@@ -358,8 +358,8 @@
     s.len() == 64 && s.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'))
 }
 
-fn check_service(name: &ObjectName, s: &Service) -> Result<(), Fault> {
-    let bad = |why: &str| Err(Fault::new(Code::ObjectBad, &name.to_string(), why));
+fn check_service(name: &ObjectName, s: &Service) -> Result<(), ConfigError> {
+    let bad = |why: &str| Err(ConfigError::new(Code::ObjectBad, &name.to_string(), why));
     if s.upstreams().is_empty() {
         return bad("a service needs at least one upstream");
     }
--- a/crates/core/src/config/template.rs
+++ b/crates/core/src/config/template.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value as Json;
 
-use super::object::{Fault, Object, ObjectName};
+use super::object::{ConfigError, Object, ObjectName};
 use crate::code::Code;
 
 /// The value of a parameter.
@@ -77,9 +77,10 @@
 }
 
 impl Parameter {
-    fn check(&self, place: &str, v: &Value) -> Result<(), Fault> {
-        let bad =
-            |want: &str| Err(Fault::new(Code::ParameterBad, place, format!("{v} is not {want}")));
+    fn check(&self, place: &str, v: &Value) -> Result<(), ConfigError> {
+        let bad = |want: &str| {
+            Err(ConfigError::new(Code::ParameterBad, place, format!("{v} is not {want}")))
+        };
         match (self.kind, v) {
             (Kind::Name, Json::String(s)) if is_name(s) => Ok(()),
             (Kind::Name, _) => bad("a name of letters, digits, '-', '_' and '.'"),
@@ -96,20 +97,20 @@
         }
     }
 
-    fn check_range(&self, place: &str, n: u64) -> Result<(), Fault> {
+    fn check_range(&self, place: &str, n: u64) -> Result<(), ConfigError> {
         let (min, max) = (self.min.unwrap_or(0), self.max.unwrap_or(u64::MAX));
         if (min..=max).contains(&n) {
             return Ok(());
         }
-        Err(Fault::new(Code::ParameterBad, place, format!("{n} is not from {min} to {max}")))
+        Err(ConfigError::new(Code::ParameterBad, place, format!("{n} is not from {min} to {max}")))
     }
 }
 
 impl Template {
     /// Checks the name, the defaults and the kinds of the objects.
-    pub(super) fn check(&self) -> Result<(), Fault> {
+    pub(super) fn check(&self) -> Result<(), ConfigError> {
         if !is_name(&self.name) {
-            return Err(Fault::new(Code::ObjectBad, &self.name, "a template needs a name"));
+            return Err(ConfigError::new(Code::ObjectBad, &self.name, "a template needs a name"));
         }
         for (name, p) in &self.parameters {
             if let Some(v) = &p.default {
@@ -123,7 +124,10 @@
     }
 
     /// Returns the objects that it renders for an application.
-    pub(super) fn render(&self, a: &Application) -> Result<BTreeMap<ObjectName, Object>, Fault> {
+    pub(super) fn render(
+        &self,
+        a: &Application,
+    ) -> Result<BTreeMap<ObjectName, Object>, ConfigError> {
         let values = self.values(a)?;
         let mut out = BTreeMap::new();
         for (kind, objects) in &self.objects {
@@ -133,7 +137,7 @@
                 let object = Object::parse(&name, substitute(&a.name, content, &values)?)?;
                 if out.insert(name.clone(), object).is_some() {
                     let why = "rendered twice by this application";
-                    return Err(Fault::new(Code::ObjectClash, &name.to_string(), why));
+                    return Err(ConfigError::new(Code::ObjectClash, &name.to_string(), why));
                 }
             }
         }
@@ -141,18 +145,25 @@
     }
 
     /// Returns the value of each parameter: that of the application, or else the default.
-    fn values<'a>(&'a self, a: &'a Application) -> Result<BTreeMap<&'a str, &'a Value>, Fault> {
+    fn values<'a>(
+        &'a self,
+        a: &'a Application,
+    ) -> Result<BTreeMap<&'a str, &'a Value>, ConfigError> {
         if let Some(name) = a.values.keys().find(|n| !self.parameters.contains_key(*n)) {
             let known: Vec<_> = self.parameters.keys().map(String::as_str).collect();
             let why = format!("template {} has: {}", self.name, known.join(", "));
-            return Err(Fault::new(Code::ParameterUnknown, &format!("{}.{name}", a.name), why));
+            return Err(ConfigError::new(
+                Code::ParameterUnknown,
+                &format!("{}.{name}", a.name),
+                why,
+            ));
         }
         let mut out = BTreeMap::new();
         for (name, p) in &self.parameters {
             let place = format!("{}.{name}", a.name);
             let Some(v) = a.values.get(name).or(p.default.as_ref()) else {
                 let why = format!("template {} has no default for it", self.name);
-                return Err(Fault::new(Code::ParameterMissing, &place, why));
+                return Err(ConfigError::new(Code::ParameterMissing, &place, why));
             };
             p.check(&place, v)?;
             out.insert(name.as_str(), v);
@@ -163,7 +174,11 @@
 
 /// Replaces the placeholders in all strings and keys of `content`. A string that is a single
 /// placeholder becomes the value with its own type.
-fn substitute(place: &str, content: &Json, values: &BTreeMap<&str, &Value>) -> Result<Json, Fault> {
+fn substitute(
+    place: &str,
+    content: &Json,
+    values: &BTreeMap<&str, &Value>,
+) -> Result<Json, ConfigError> {
     match content {
         Json::String(s) => match whole_placeholder(s) {
             Some(p) => lookup(place, p, values).cloned(),
@@ -188,9 +203,9 @@
     place: &str,
     p: &str,
     values: &BTreeMap<&str, &'a Value>,
-) -> Result<&'a Value, Fault> {
+) -> Result<&'a Value, ConfigError> {
     values.get(p).copied().ok_or_else(|| {
-        Fault::new(
+        ConfigError::new(
             Code::ParameterUnknown,
             place,
             format!("the template uses ${{{p}}}, which it does not declare"),
@@ -199,12 +214,16 @@
 }
 
 /// Replaces the placeholders in a string by strings, numbers or flags.
-fn substitute_text(place: &str, s: &str, values: &BTreeMap<&str, &Value>) -> Result<String, Fault> {
+fn substitute_text(
+    place: &str,
+    s: &str,
+    values: &BTreeMap<&str, &Value>,
+) -> Result<String, ConfigError> {
     let mut out = String::new();
     let mut rest = s;
     while let Some((before, after)) = rest.split_once("${") {
         let Some((p, tail)) = after.split_once('}') else {
-            return Err(Fault::new(
+            return Err(ConfigError::new(
                 Code::ObjectBad,
                 place,
                 format!("'{s}' has an unclosed placeholder"),
@@ -216,7 +235,7 @@
             v @ (Json::Number(_) | Json::Bool(_)) => out.push_str(&v.to_string()),
             v => {
                 let why = format!("{v} cannot be inserted into the text '{s}'");
-                return Err(Fault::new(Code::ParameterBad, place, why));
+                return Err(ConfigError::new(Code::ParameterBad, place, why));
             }
         }
         rest = tail;
