--- a/crates/core/src/config/mod.rs
+++ b/crates/core/src/config/mod.rs
@@ -33,7 +33,7 @@
 
 /// A rendered object and the version that last changed it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Stamped {
+pub struct VersionedObject {
     /// The version that last changed or removed the object.
     pub version: Version,
     /// The object; `None` once it is removed.
@@ -57,7 +57,7 @@
     version: Version,
     templates: BTreeMap<String, Template>,
     applications: BTreeMap<String, Application>,
-    objects: BTreeMap<ObjectName, Stamped>,
+    objects: BTreeMap<ObjectName, VersionedObject>,
     history: History,
 }
 
@@ -232,8 +232,10 @@
             }
         }
         let version = self.version;
-        self.objects
-            .insert(name, Stamped { version, object: Some(object), owner: owner.to_owned() });
+        self.objects.insert(
+            name,
+            VersionedObject { version, object: Some(object), owner: owner.to_owned() },
+        );
         Ok(())
     }
 
