--- a/crates/control/src/read.rs
+++ b/crates/control/src/read.rs
@@ -178,9 +178,10 @@
             // A process that serves a fleet answers this one out of what it has heard.
             Query::Limits => Reply::Limits(Vec::new()),
             Query::Rollouts(service) => Reply::Rollouts(self.rollouts(service.as_deref())),
-            Query::BackTo(version) => {
-                Reply::Items(self.state.config().version(), self.state.config().back_to(version))
-            }
+            Query::BackTo(version) => Reply::Items(
+                self.state.config().version(),
+                self.state.config().rollback_items(version),
+            ),
         };
         self.reply(to, Ok(body::pack(&reply)));
     }
--- a/crates/core/src/config/history.rs
+++ b/crates/core/src/config/history.rs
@@ -70,7 +70,7 @@
     }
 
     /// Returns the items that restore `version`, or `None` if the history does not reach back to it.
-    pub(super) fn back_to(&self, version: Version) -> Option<Vec<Item>> {
+    pub(super) fn rollback_items(&self, version: Version) -> Option<Vec<Item>> {
         let oldest = self.entries.front().map_or(Version::MAX, |e| e.version);
         if version + 1 < oldest {
             return None;
--- a/crates/core/src/config/mod.rs
+++ b/crates/core/src/config/mod.rs
@@ -277,7 +277,7 @@
 
     /// Returns the items of a change that restores `version`, or `None` if the history does not reach
     /// back to it.
-    pub fn back_to(&self, version: Version) -> Option<Vec<Item>> {
-        self.history.back_to(version)
+    pub fn rollback_items(&self, version: Version) -> Option<Vec<Item>> {
+        self.history.rollback_items(version)
     }
 }
--- a/crates/core/tests/sessions.rs
+++ b/crates/core/tests/sessions.rs
@@ -169,7 +169,7 @@
     g.send(set("bad-3", 3, json!({ "account": "club", "tokens": 5, "colour": "red" })));
     g.send(change("bad-4", 3, vec![Item::RemoveTemplate("club".into())]));
     g.budget();
-    let back = g.state.config().back_to(2);
+    let back = g.state.config().rollback_items(2);
     g.session.note("back to version 2", back);
     g.session.check("racing_operators.txt");
 }
