--- a/crates/control/src/leader_tasks.rs
+++ b/crates/control/src/leader_tasks.rs
@@ -87,7 +87,7 @@
             return;
         }
         self.leader_tasks.next_write_off = at.now.after(WRITE_OFF_EVERY);
-        let dead: Vec<_> = self.state.dead().collect();
+        let dead: Vec<_> = self.state.unsettled_holders().collect();
         for (holder, age) in dead {
             let reports = self.state.ledger().last_reports(holder);
             // It was dead before its successor started.
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -376,7 +376,7 @@
 
     /// Iterates over the replaced holders whose leases are not written off yet. The time is how long
     /// the successor had been running when it registered, at least.
-    pub fn dead(&self) -> impl Iterator<Item = (HolderId, Millis)> {
+    pub fn unsettled_holders(&self) -> impl Iterator<Item = (HolderId, Millis)> {
         self.dead.iter().map(|(holder, age)| (*holder, *age))
     }
 
