--- a/crates/router/src/gateway/documents.rs
+++ b/crates/router/src/gateway/documents.rs
@@ -1,4 +1,4 @@
-//! The document in force at a gateway, and the newer one that is on its way.
+//! The configuration document in force at a gateway, and the fetch of a newer one.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -18,106 +18,118 @@
 
 use super::state::Gateway;
 
-/// How often it is looked whether a control process lets a fetch wait.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
+/// Interval of the check for a fetch that has timed out.
+const OVERDUE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long after the last word of any control process a gateway may be behind. One that is in
-/// reach answers within a second.
-const SURE_FOR: Millis = Millis(2_000);
+/// Time without a response from any control process after which the gateway counts as cut off. A
+/// reachable control process answers within a second.
+const CUT_OFF_AFTER: Millis = Millis(2_000);
 
-/// What a gateway knows of documents.
+/// The document in force and the state of the fetch of a newer one.
 #[derive(Default)]
 pub struct Documents {
     in_force: RefCell<Option<Rc<Routes>>>,
-    since: Cell<Time>,
-    heard: Cell<Time>,
+    /// When that document came into force here.
+    in_force_since: Cell<Time>,
+    /// When a control process last answered.
+    last_response: Cell<Time>,
     fetch: RefCell<Fetch>,
     assembly: RefCell<Assembly>,
-    /// A task looks after the fetch under way.
-    watched: Cell<bool>,
+    /// Whether the task that checks the fetch for timeouts is running.
+    is_checked: Cell<bool>,
 }
 
 impl Documents {
-    /// The document in force; none since the start.
+    /// Returns the routes of the document in force; `None` until the first document arrives.
     pub fn in_force(&self) -> Option<Rc<Routes>> {
         self.in_force.borrow().clone()
     }
 
-    /// Its version; 0 for none.
+    /// Returns the version of the document in force; 0 if there is none.
     pub fn held(&self) -> Version {
         self.in_force.borrow().as_ref().map_or(0, |r| r.version())
     }
 
-    /// Version of the document that the control process at `address` is known to have, or that is
-    /// in force here.
+    /// Returns the higher of the version that the control process at `address` is known to have and the
+    /// version in force here.
     pub fn version_at(&self, address: SocketAddr) -> Version {
         self.held().max(self.fetch.borrow().version_at(address))
     }
 
-    /// What to ask of the control process at `address`, if the newer document is fetched there.
-    pub fn want(&self, address: SocketAddr) -> Option<PartRequest> {
-        let fetched = self.fetch.borrow().is_source(address);
-        fetched.then(|| self.assembly.borrow().want(self.held()))
+    /// Returns the request for the next part of the newer document, if it is fetched from the control
+    /// process at `address`.
+    pub fn part_request(&self, address: SocketAddr) -> Option<PartRequest> {
+        let is_source = self.fetch.borrow().is_source(address);
+        is_source.then(|| self.assembly.borrow().want(self.held()))
     }
 
-    /// Whether somebody has told of a newer document than the one in force here.
+    /// Returns whether a control process has announced a newer document than the one in force here.
     pub fn is_behind(&self) -> bool {
         self.fetch.borrow().latest_version() > self.held()
     }
 
-    /// Whether a newer document may be in force elsewhere that this gateway has not heard of: no
-    /// control process has said anything for a while.
+    /// Returns whether no control process has answered recently. A newer document may then be in force
+    /// elsewhere.
     pub fn is_cut_off(&self, now: Time) -> bool {
-        now.since(self.heard.get()) > SURE_FOR
+        now.since(self.last_response.get()) > CUT_OFF_AFTER
     }
 
-    /// By which document a request was judged, for logs.
+    /// Returns the version of the document in force and its time in force, as text for error messages.
     pub fn describe(&self, now: Time) -> String {
-        let span = now.since(self.since.get()).0;
+        let span = now.since(self.in_force_since.get()).0;
         format!("by document {}, in force for {span} ms", self.held())
     }
 }
 
-/// Whether a newer document could lead to another answer than this one.
+/// Returns whether a request refused with this code could succeed under a newer document.
 pub fn depends_on_document(code: Code) -> bool {
     matches!(code, Code::RouteUnknown | Code::KeyMissing | Code::KeyUnknown)
 }
 
-/// Takes the word of a control process that it has the document of `version`, and a part of it.
-pub fn take<F: DocumentFormat>(
+/// Records a response of the control process at `from`, which has the document of `version`. Adds the part
+/// of a document in it, if there is one, and starts a fetch if a newer document is available.
+pub fn record_response<F: DocumentFormat>(
     gw: &Rc<Gateway>,
     from: SocketAddr,
     version: Version,
     part: Option<Part>,
 ) {
     let docs = &gw.documents;
-    docs.heard.set(gw.now());
+    docs.last_response.set(gw.now());
     if let Some(part) = part {
-        take_part::<F>(gw, from, part);
+        add_part::<F>(gw, from, part);
     }
-    let first = docs.fetch.borrow_mut().record_version(from, version);
-    if first && version > docs.held() {
+    let is_highest = docs.fetch.borrow_mut().record_version(from, version);
+    if is_highest && version > docs.held() {
         emit!(Event::DocumentKnown, version = version, from = from, held = docs.held());
     }
-    ask_next(gw, None);
+    start_fetch(gw, None);
 }
 
-/// Notes that a control process is out of reach.
-pub fn lost(gw: &Rc<Gateway>, from: SocketAddr) {
-    let given_up = gw.documents.fetch.borrow_mut().drop_source(gw.now(), from);
-    if let Some(g) = given_up {
-        give_up(gw, g, "the link failed");
+/// Records that the control process at `from` is unreachable. A fetch from it continues at another one.
+pub fn record_failure(gw: &Rc<Gateway>, from: SocketAddr) {
+    let abandoned = gw.documents.fetch.borrow_mut().drop_source(gw.now(), from);
+    if let Some(source) = abandoned {
+        replace_source(gw, source, "the link failed");
     }
 }
 
-fn give_up(gw: &Rc<Gateway>, g: AbandonedSource, why: &str) {
+/// Logs that the fetch from a control process was abandoned, and fetches from another one.
+fn replace_source(gw: &Rc<Gateway>, abandoned: AbandonedSource, why: &str) {
     let has = gw.documents.assembly.borrow().want(0).offset;
-    emit!(Event::DocumentGivenUp, from = g.from, after_ms = g.after.0, has = has, why = why);
-    ask_next(gw, Some(g.from));
+    emit!(
+        Event::DocumentGivenUp,
+        from = abandoned.from,
+        after_ms = abandoned.after.0,
+        has = has,
+        why = why,
+    );
+    start_fetch(gw, Some(abandoned.from));
 }
 
-/// Asks a control process for a newer document, if there is one that nobody is asked for.
-fn ask_next(gw: &Rc<Gateway>, after: Option<SocketAddr>) {
+/// Starts to fetch a newer document, if one is known and no fetch is in progress. `after` is the source
+/// just abandoned.
+fn start_fetch(gw: &Rc<Gateway>, after: Option<SocketAddr>) {
     let docs = &gw.documents;
     let held = docs.held();
     let Some(address) = docs.fetch.borrow_mut().choose_source(gw.now(), held, after) else {
@@ -126,39 +138,42 @@
     let has = docs.assembly.borrow().want(held).offset;
     let version = docs.fetch.borrow().version_at(address);
     emit!(Event::DocumentAsked, version = version, from = address, held = held, has = has);
-    gw.urge(address);
-    if !docs.watched.replace(true) {
-        actix_rt::spawn(look_after_fetch(gw.clone()));
+    gw.poll_now(address);
+    if !docs.is_checked.replace(true) {
+        actix_rt::spawn(check_fetch(gw.clone()));
     }
 }
 
-/// Asks elsewhere whenever a part does not come in time, until nothing is fetched any more.
-async fn look_after_fetch(gw: Rc<Gateway>) {
+/// Moves the fetch to another control process whenever a part times out, until the fetch ends.
+async fn check_fetch(gw: Rc<Gateway>) {
     while gw.documents.fetch.borrow().is_active() {
-        sleep(LOOK_EVERY).await;
-        let given_up = gw.documents.fetch.borrow_mut().take_overdue(gw.now());
-        if let Some(g) = given_up {
-            give_up(&gw, g, "it took too long");
+        sleep(OVERDUE_CHECK_INTERVAL).await;
+        let abandoned = gw.documents.fetch.borrow_mut().take_overdue(gw.now());
+        if let Some(source) = abandoned {
+            replace_source(&gw, source, "the request timed out");
         }
     }
-    gw.documents.watched.set(false);
+    gw.documents.is_checked.set(false);
 }
 
-fn take_part<F: DocumentFormat>(gw: &Gateway, from: SocketAddr, part: Part) {
+/// Adds a part to the document being assembled, and puts the document in force once it is complete.
+fn add_part<F: DocumentFormat>(gw: &Gateway, from: SocketAddr, part: Part) {
     let docs = &gw.documents;
     docs.fetch.borrow_mut().record_progress(gw.now(), from);
-    let taken = docs.assembly.borrow_mut().take(docs.held(), part);
-    match taken {
+    let outcome = docs.assembly.borrow_mut().take(docs.held(), part);
+    match outcome {
         PartOutcome::Complete(bytes) => {
             docs.fetch.borrow_mut().finish();
             put_in_force::<F>(gw, &bytes);
         }
-        PartOutcome::Corrupt => emit!(Event::MessageBad, peer = from, why = "a document's digest"),
+        PartOutcome::Corrupt => {
+            emit!(Event::MessageBad, peer = from, why = "the digest of a document does not match")
+        }
         PartOutcome::Incomplete | PartOutcome::Ignored => {}
     }
 }
 
-/// Puts a document in force if it is newer than the present one.
+/// Puts a packed document in force if it is newer than the current one.
 fn put_in_force<F: DocumentFormat>(gw: &Gateway, bytes: &[u8]) {
     let held = gw.documents.held();
     let source = match packed::unpack(bytes) {
@@ -174,12 +189,12 @@
                 bytes = source.len(),
                 packed = bytes.len(),
             );
-            gw.documents.since.set(gw.now());
+            gw.documents.in_force_since.set(gw.now());
             *gw.documents.in_force.borrow_mut() = Some(Rc::new(Routes::new(d)));
             gw.notify();
         }
         Ok(_) => {}
-        // The control process has checked it: another release of this program reads it otherwise.
+        // The control process has checked the document, so its release reads it differently from this one.
         Err(e) => emit!(Event::ConfigRefused, code = e.code.number(), why = e.reason),
     }
 }
--- a/crates/router/src/gateway/follow.rs
+++ b/crates/router/src/gateway/follow.rs
@@ -1,5 +1,7 @@
-//! What a gateway hears from the control processes: from each of them replicas, the document in
-//! force and the other control processes; from the leader its registration and recalled tokens.
+//! The watches on the control processes, and the registration for tokens.
+//!
+//! Every control process sends replica records, the document in force and the addresses of the other
+//! control processes. The registration and the recalls of leased tokens come from the leader.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -26,39 +28,43 @@
 use super::state::Gateway;
 use crate::token_store::TokenStore;
 
-/// How long a registration may take before it is tried anew.
-const REGISTER_WITHIN: Duration = Duration::from_secs(1);
+/// Timeout of one attempt to register.
+const REGISTER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long a standing question may go without an answer.
-const FOLLOW_WITHIN: Duration = Duration::from_millis(2_500);
+/// Timeout of the long poll for recalls.
+const RECALLS_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// How long to wait after a failed try.
-const PAUSE: Duration = Duration::from_millis(200);
+/// Delay after a failed attempt.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Follows the control processes at `addresses`, and those that they tell of.
+/// Watches the control processes at `addresses` and all others that they list, each in its own task.
+/// Those already watched are skipped.
 pub fn follow_all<D: Dialect>(gw: &Rc<Gateway>, addresses: impl IntoIterator<Item = SocketAddr>) {
     for address in addresses {
-        if gw.following.borrow().contains_key(&address) {
+        if gw.watches.borrow().contains_key(&address) {
             continue;
         }
-        let urge = Rc::new(Urge::default());
+        let poll_trigger = Rc::new(Urge::default());
         gw.sources.borrow_mut().add(gw.now(), address);
-        gw.following.borrow_mut().insert(address, urge.clone());
-        let follower = Follower::<D> { gw: gw.clone(), urge, dialect: std::marker::PhantomData };
-        actix_rt::spawn(watch(address, gw.me.clone(), follower));
+        gw.watches.borrow_mut().insert(address, poll_trigger.clone());
+        let watcher =
+            ControlWatcher::<D> { gw: gw.clone(), poll_trigger, dialect: std::marker::PhantomData };
+        actix_rt::spawn(watch(address, gw.me.clone(), watcher));
     }
 }
 
-struct Follower<D> {
+/// Sends the watch requests of the gateway to one control process and applies its responses.
+struct ControlWatcher<D> {
     gw: Rc<Gateway>,
-    urge: Rc<Urge>,
+    /// Triggers the next watch request before the current response arrives.
+    poll_trigger: Rc<Urge>,
     dialect: std::marker::PhantomData<D>,
 }
 
-impl<D: Dialect> Watcher for Follower<D> {
+impl<D: Dialect> Watcher for ControlWatcher<D> {
     fn question(&self, to: SocketAddr) -> Option<Watch> {
         let gw = &self.gw;
-        self.urge.clear();
+        self.poll_trigger.clear();
         let router = RouterStatus {
             vm: gw.settings.base.vm.clone(),
             data_centre: gw.settings.base.data_centre.clone(),
@@ -70,7 +76,7 @@
         counter!(metric::QUESTIONS).increment(1);
         let feed = gw.feeds.borrow().get(&to).copied().unwrap_or_default();
         let version = gw.documents.version_at(to);
-        let fetch = gw.documents.want(to);
+        let fetch = gw.documents.part_request(to);
         let areas = gw.share.homes.digest_for(to);
         let evacuations = gw.evacuations.borrow().revision;
         let quarantine = gw.quarantines.revision();
@@ -93,47 +99,51 @@
         })
     }
 
-    fn seen(&self, from: SocketAddr, seen: WatchResponse) {
+    fn seen(&self, from: SocketAddr, response: WatchResponse) {
         let gw = &self.gw;
-        gw.sources.borrow_mut().record_response(gw.now(), from, seen.lead.is_some());
-        if !seen.data_centre.is_empty() {
-            gw.sources.borrow_mut().set_nearness(gw.now(), from, nearness(gw, &seen.data_centre));
+        gw.sources.borrow_mut().record_response(gw.now(), from, response.lead.is_some());
+        if !response.data_centre.is_empty() {
+            gw.sources.borrow_mut().set_nearness(
+                gw.now(),
+                from,
+                nearness(gw, &response.data_centre),
+            );
         }
-        gw.feeds.borrow_mut().insert(from, seen.feed);
-        gw.routers.set(gw.routers.get().max(seen.routers));
-        if seen.part.is_some() {
-            // A document is committed: there was a leader to register with.
+        gw.feeds.borrow_mut().insert(from, response.feed);
+        gw.routers.set(gw.routers.get().max(response.routers));
+        if response.part.is_some() {
+            // A document has been committed, so there is a leader to register with.
             gw.group.wake();
         }
-        // Before a first document lets callers in.
-        if let Some(told) = &seen.evacuations {
-            gw.take_evacuations(told);
+        // These precede the document, because the first document opens the gateway to callers.
+        if let Some(evacuations) = &response.evacuations {
+            gw.apply_evacuations(evacuations);
         }
-        if let Some(told) = &seen.quarantine {
-            gw.quarantines.take(told);
+        if let Some(quarantine) = &response.quarantine {
+            gw.quarantines.take(quarantine);
         }
-        if seen.lead.is_some() {
+        if response.lead.is_some() {
             gw.trials.note_heard(gw.now());
         }
-        if let Some(told) = &seen.rollouts {
-            gw.take_rollouts(told);
+        if let Some(rollouts) = &response.rollouts {
+            gw.apply_rollouts(rollouts);
         }
-        documents::take::<D>(gw, from, seen.version, seen.part);
-        gw.share.meet(gw.settings.link, &seen.peers);
-        if let Some(areas) = &seen.areas {
-            take_areas(gw, from, areas);
+        documents::record_response::<D>(gw, from, response.version, response.part);
+        gw.share.add(gw.settings.link, &response.peers);
+        if let Some(areas) = &response.areas {
+            apply_areas(gw, from, areas);
         }
-        if let Some(few) = seen.few {
+        if let Some(few) = response.few {
             gw.limits.set_few(gw.now(), few);
         }
-        gw.take_replicas(seen.replicas);
-        if let Some(packed) = &seen.packed {
-            take_packed(gw, from, packed);
+        gw.apply_control_records(response.replicas);
+        if let Some(packed) = &response.packed {
+            apply_packed_records(gw, from, packed);
         }
-        gw.limits.told(gw, &seen.limits);
-        let controls = || seen.controls.iter().filter_map(|a| a.parse().ok());
+        gw.limits.told(gw, &response.limits);
+        let controls = || response.controls.iter().filter_map(|a| a.parse().ok());
         gw.group.learn(controls());
-        if let Some(lead) = &seen.lead
+        if let Some(lead) = &response.lead
             && let Ok(leader) = lead.address.parse()
         {
             gw.group.point_to(lead.term, leader);
@@ -143,16 +153,17 @@
 
     fn lost(&self, from: SocketAddr) {
         self.gw.sources.borrow_mut().record_failure(self.gw.now(), from);
-        documents::lost(&self.gw, from);
-        self.gw.share.homes.lost(from);
+        documents::record_failure(&self.gw, from);
+        self.gw.share.homes.record_failure(from);
         emit!(Event::LinkFailed, address = from);
     }
 
     async fn urged(&self) {
-        self.urge.wished().await;
+        self.poll_trigger.wished().await;
     }
 }
 
+/// Returns how near a control process in `data_centre` is to this gateway.
 fn nearness(gw: &Gateway, data_centre: &str) -> Nearness {
     let base = &gw.settings.base;
     match base.regions.same_region(&base.data_centre, data_centre) {
@@ -162,21 +173,21 @@
     }
 }
 
-/// Takes a compressed list of replicas.
-fn take_packed(gw: &Gateway, from: SocketAddr, packed: &[u8]) {
+/// Applies a compressed list of replica records.
+fn apply_packed_records(gw: &Gateway, from: SocketAddr, packed: &[u8]) {
     match packed::unpack_value::<Vec<Record>>(packed) {
-        Ok(records) => gw.take_replicas(records),
+        Ok(records) => gw.apply_control_records(records),
         Err(e) => emit!(Event::MessageBad, peer = from, why = e),
     }
 }
 
-/// Takes the gateways of all data centres into use, and gives back the tokens of budgets whose home
-/// this gateway is no longer.
-fn take_areas(gw: &Gateway, from: SocketAddr, areas: &[DataCentreRouters]) {
+/// Applies the lists of gateways by data centre, and returns the tokens of budgets for which this gateway
+/// is no longer a home.
+fn apply_areas(gw: &Gateway, from: SocketAddr, areas: &[DataCentreRouters]) {
     let homes = &gw.share.homes;
     let base = &gw.settings.base;
-    homes.set(from, &base.data_centre, &base.regions, areas);
-    gw.share.meet_near(gw.settings.link);
+    homes.update(from, &base.data_centre, &base.regions, areas);
+    gw.share.update_from_homes(gw.settings.link);
     gw.limits.set_areas(gw.now(), areas);
     let own = gw.settings.link;
     let is_elsewhere = |budget: &str| {
@@ -188,72 +199,75 @@
     }
 }
 
-/// Registers for tokens, and follows what is called back, for as long as the process runs.
+/// Registers for tokens and processes their recalls, and registers anew whenever the registration is no
+/// longer known. Never returns.
 pub async fn register_forever(gw: Rc<Gateway>) {
-    // The first registration follows a process that had ended before this one started. A later one
-    // follows this process's own, whose tokens are given up before it is asked for.
-    let mut begun = gw.now();
+    // The previous holder at this address spends no tokens from this time on. At the first registration it
+    // is a process that ended before this one started; later it is this process's previous registration,
+    // whose token store is retired before the new request.
+    let mut predecessor_ended = gw.now();
     loop {
         if let Some(old) = gw.take_token_store() {
             old.retire();
-            begun = gw.now();
+            predecessor_ended = gw.now();
         }
-        let holder = register(&gw, begun).await;
+        let holder = register(&gw, predecessor_ended).await;
         let token_store = Rc::new(TokenStore::new(holder, gw.group.clone(), None, gw.clock));
-        let every = {
+        let report_interval = {
             let gw = gw.clone();
             move || gw.report_every()
         };
-        actix_rt::spawn(token_store.clone().tally_forever(every));
+        actix_rt::spawn(token_store.clone().tally_forever(report_interval));
         gw.set_token_store(token_store);
-        follow_as(&gw, holder).await;
+        process_recalls(&gw, holder).await;
     }
 }
 
-async fn register(gw: &Gateway, begun: Time) -> HolderId {
+/// Registers for tokens, retrying until it succeeds. Returns the holder id of the registration.
+async fn register(gw: &Gateway, predecessor_ended: Time) -> HolderId {
     let base = &gw.settings.base;
     let nonce = rand::random();
-    // Its predecessor was dead for as long as this process has been running when it is registered.
+    // `age` is the time since the predecessor's end, which grows with each attempt.
     let register = || Command::Register {
         vm: base.vm.clone(),
         data_centre: base.data_centre.clone(),
         address: gw.settings.listen.to_string(),
         nonce,
-        age: gw.now().since(begun),
+        age: gw.now().since(predecessor_ended),
         link: gw.settings.link.to_string(),
     };
     loop {
         if let Ok(Answer::Registered(holder)) =
-            gw.group.command_anew(register, REGISTER_WITHIN).await
+            gw.group.command_anew(register, REGISTER_TIMEOUT).await
         {
             emit!(Event::RouterRegistered, holder = holder);
             return holder;
         }
         emit!(Event::ControlLost);
-        sleep(PAUSE).await;
+        sleep(RETRY_DELAY).await;
     }
 }
 
-/// Follows until the registration is no longer known.
-async fn follow_as(gw: &Gateway, holder: HolderId) {
-    let mut reached = true;
+/// Receives and applies recalls until the registration is no longer known.
+async fn process_recalls(gw: &Gateway, holder: HolderId) {
+    let mut is_reachable = true;
     loop {
-        // Only what is called back is asked for here; the rest comes from every control process.
+        // The highest version and no sites limit the answer to recalls. The rest comes with the watches.
         let q = Query::Follow { holder, version: Version::MAX, sites: NO_SITES };
-        let answer = gw.group.query(&q, FOLLOW_WITHIN).await;
-        let now_reached = matches!(answer, Ok(Reply::News(_)));
-        if now_reached != reached {
-            emit!(if now_reached { Event::ControlFound } else { Event::ControlLost });
+        let answer = gw.group.query(&q, RECALLS_TIMEOUT).await;
+        let answered = matches!(answer, Ok(Reply::News(_)));
+        if answered != is_reachable {
+            emit!(if answered { Event::ControlFound } else { Event::ControlLost });
         }
-        reached = now_reached;
+        is_reachable = answered;
         let Some(token_store) = gw.token_store() else { return };
-        token_store.set_away(!reached);
+        token_store.set_away(!is_reachable);
         match answer {
             Ok(Reply::News(news)) if news.stranger => return,
             Ok(Reply::News(news)) => {
                 news.recalls.iter().for_each(|b| token_store.recall(b));
             }
-            _ => sleep(PAUSE).await,
+            _ => sleep(RETRY_DELAY).await,
         }
     }
 }
--- a/crates/router/src/gateway/homes.rs
+++ b/crates/router/src/gateway/homes.rs
@@ -1,4 +1,5 @@
-//! The gateways of all data centres, and which of them keep the tokens of a budget.
+//! The gateways of all data centres, and which of them are the homes of a budget, where its tokens are
+//! held.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -13,35 +14,39 @@
 use cypressfork_node::emit;
 use cypressfork_node::event::Event;
 
-/// How long a home that did not answer is not asked again.
-const OUT_SPAN: Millis = Millis(1_500);
+/// Time for which a home that did not answer is left out.
+const UNAVAILABLE_FOR: Millis = Millis(1_500);
 
-/// What this gateway knows of the others. Control processes hear from them at different times, so one
-/// of them is followed, and another once that is out of reach.
+/// The gateways by data centre, and the demand for each budget here. Control processes learn of
+/// gateways at different times, so the lists come from one of them until it becomes unreachable.
 #[derive(Default)]
 pub struct Homes {
-    near: RefCell<Vec<SocketAddr>>,
-    /// The gateways of the other data centres, and whether those lie in another region.
-    far: RefCell<Vec<(bool, Vec<SocketAddr>)>>,
+    /// The gateways of the own data centre, if budgets have homes there.
+    local: RefCell<Vec<SocketAddr>>,
+    /// The gateways of each other data centre, and whether it is in another region.
+    remote: RefCell<Vec<(bool, Vec<SocketAddr>)>>,
     digest: Cell<u64>,
+    /// The control process that the lists come from.
     source: Cell<Option<SocketAddr>>,
-    ranked: RefCell<HashMap<String, Rc<Ranked>>>,
-    /// When homes last did not answer.
-    out: RefCell<BTreeMap<SocketAddr, Time>>,
-    /// The requests of each budget that come to this gateway.
+    /// Home candidates by budget, computed on first use.
+    candidates: RefCell<HashMap<String, Rc<Candidates>>>,
+    /// When each home last failed to answer or refused loans.
+    unavailable_since: RefCell<BTreeMap<SocketAddr, Time>>,
+    /// Rate of requests to this gateway, by budget.
     demand: RefCell<HashMap<String, Demand>>,
 }
 
-/// The gateways that come into question as homes of one budget.
-struct Ranked {
-    /// In the own data centre.
-    near: Vec<SocketAddr>,
-    /// In each other one, and whether it lies in another region.
-    far: Vec<(bool, Vec<SocketAddr>)>,
+/// The gateways that are candidates for homes of one budget.
+struct Candidates {
+    /// Those in the own data centre.
+    local: Vec<SocketAddr>,
+    /// Those in each other data centre, and whether it is in another region.
+    remote: Vec<(bool, Vec<SocketAddr>)>,
 }
 
 impl Homes {
-    /// The digest of the areas that are known, to tell a control process.
+    /// Returns the digest of the known lists for a watch request to `control`, or [`NOT_WANTED`] if the
+    /// lists come from another control process.
     pub fn digest_for(&self, control: SocketAddr) -> u64 {
         match self.source.get() {
             Some(source) if source != control => NOT_WANTED,
@@ -49,51 +54,63 @@
         }
     }
 
-    /// Takes a control process's areas into use; `own` is the data centre of this gateway.
-    pub fn set(&self, from: SocketAddr, own: &str, regions: &Regions, areas: &[DataCentreRouters]) {
+    /// Replaces the lists with those of the control process at `from`. `own` is the data centre of this
+    /// gateway.
+    pub fn update(
+        &self,
+        from: SocketAddr,
+        own: &str,
+        regions: &Regions,
+        areas: &[DataCentreRouters],
+    ) {
         self.source.set(Some(from));
         self.digest.set(digest(areas));
-        let (near, far): (Vec<&DataCentreRouters>, Vec<_>) =
+        let (local, remote): (Vec<&DataCentreRouters>, Vec<_>) =
             areas.iter().partition(|a| a.data_centre == own);
-        *self.near.borrow_mut() = near.into_iter().flat_map(addresses).collect();
-        let abroad = |a: &DataCentreRouters| !regions.same_region(own, &a.data_centre);
-        *self.far.borrow_mut() = far.into_iter().map(|a| (abroad(a), addresses(a))).collect();
-        self.ranked.borrow_mut().clear();
-        let routers = self.near.borrow().len();
+        *self.local.borrow_mut() = local.into_iter().flat_map(addresses).collect();
+        let in_other_region = |a: &DataCentreRouters| !regions.same_region(own, &a.data_centre);
+        *self.remote.borrow_mut() =
+            remote.into_iter().map(|a| (in_other_region(a), addresses(a))).collect();
+        self.candidates.borrow_mut().clear();
+        let routers = self.local.borrow().len();
         emit!(Event::NeighboursSeen, from = from, routers = routers, areas = areas.len());
     }
 
-    /// Notes that a control process is out of reach.
-    pub fn lost(&self, control: SocketAddr) {
+    /// Records that a control process is unreachable. If the lists come from it, the next ones may come
+    /// from any other.
+    pub fn record_failure(&self, control: SocketAddr) {
         if self.source.get() == Some(control) {
             self.source.set(None);
         }
     }
 
-    /// The gateways of the own data centre, if budgets have homes there.
-    pub fn near(&self) -> Vec<SocketAddr> {
-        self.near.borrow().clone()
+    /// Returns the gateways of the own data centre; none if budgets have no homes there.
+    pub fn local(&self) -> Vec<SocketAddr> {
+        self.local.borrow().clone()
     }
 
-    /// Whether a gateway may still be asked for tokens.
+    /// Returns whether a gateway is listed in any data centre.
     pub fn is_known(&self, gateway: &SocketAddr) -> bool {
-        let far = self.far.borrow();
-        self.near.borrow().contains(gateway) || far.iter().any(|(_, area)| area.contains(gateway))
+        let remote = self.remote.borrow();
+        self.local.borrow().contains(gateway)
+            || remote.iter().any(|(_, area)| area.contains(gateway))
     }
 
-    /// The homes of a budget to ask, in order; none where each gateway holds its own slices.
+    /// Returns the homes of a budget to ask for tokens, in order; none if each gateway holds its own
+    /// slices. A gateway with heavy demand for the budget (`own`) comes first.
     pub fn of(&self, now: Time, own: SocketAddr, budget: &str) -> Vec<SocketAddr> {
-        if self.near.borrow().is_empty() {
+        if self.local.borrow().is_empty() {
             return Vec::new();
         }
-        let mut homes = ask_order(&self.ranked(budget).near, own, |a| self.is_out(now, a));
+        let mut homes =
+            ask_order(&self.candidates(budget).local, own, |a| self.is_unavailable(now, a));
         if self.is_heavy(now, budget) && homes.first() != Some(&own) {
             homes.insert(0, own);
         }
         homes
     }
 
-    /// Counts a request of a budget.
+    /// Records a request that spends from a budget.
     pub fn note_request(&self, now: Time, budget: &str) {
         let mut all = self.demand.borrow_mut();
         match all.get_mut(budget) {
@@ -106,44 +123,45 @@
         self.demand.borrow().get(budget).is_some_and(|d| d.is_heavy(now))
     }
 
-    /// A home of the budget in each other data centre, for what those of the own one lack: those of the
-    /// own region first.
+    /// Returns one home of the budget in each other data centre, to ask when those of the own one have too
+    /// few tokens. Homes in the own region come first.
     pub fn elsewhere(&self, now: Time, own: SocketAddr, budget: &str) -> Vec<SocketAddr> {
-        let ranked = self.ranked(budget);
-        let home = |(abroad, area): &(bool, Vec<SocketAddr>)| {
-            let first = ask_order(area, own, |a| self.is_out(now, a)).first().copied();
-            first.map(|a| (*abroad, a))
+        let candidates = self.candidates(budget);
+        let first_home = |(in_other_region, area): &(bool, Vec<SocketAddr>)| {
+            let first = ask_order(area, own, |a| self.is_unavailable(now, a)).first().copied();
+            first.map(|a| (*in_other_region, a))
         };
-        let mut homes: Vec<_> = ranked.far.iter().filter_map(home).collect();
-        let turn = start_index(own, homes.len());
-        homes.rotate_left(turn);
-        homes.sort_by_key(|(abroad, _)| *abroad);
+        let mut homes: Vec<_> = candidates.remote.iter().filter_map(first_home).collect();
+        let start = start_index(own, homes.len());
+        homes.rotate_left(start);
+        homes.sort_by_key(|(in_other_region, _)| *in_other_region);
         homes.into_iter().map(|(_, a)| a).collect()
     }
 
-    fn ranked(&self, budget: &str) -> Rc<Ranked> {
-        let mut all = self.ranked.borrow_mut();
+    fn candidates(&self, budget: &str) -> Rc<Candidates> {
+        let mut all = self.candidates.borrow_mut();
         if let Some(known) = all.get(budget) {
             return known.clone();
         }
-        let far = self
-            .far
+        let remote = self
+            .remote
             .borrow()
             .iter()
-            .map(|(far, area)| (*far, home_candidates(budget, area)))
+            .map(|(in_other_region, area)| (*in_other_region, home_candidates(budget, area)))
             .collect();
-        let fresh = Rc::new(Ranked { near: home_candidates(budget, &self.near.borrow()), far });
-        all.insert(budget.to_owned(), fresh.clone());
-        fresh
+        let local = home_candidates(budget, &self.local.borrow());
+        let new = Rc::new(Candidates { local, remote });
+        all.insert(budget.to_owned(), new.clone());
+        new
     }
 
-    /// Notes that a home did not answer, or takes on no more.
-    pub fn set_out(&self, now: Time, home: SocketAddr) {
-        self.out.borrow_mut().insert(home, now);
+    /// Records that a home did not answer or accepts no loans, and leaves it out for some time.
+    pub fn mark_unavailable(&self, now: Time, home: SocketAddr) {
+        self.unavailable_since.borrow_mut().insert(home, now);
     }
 
-    fn is_out(&self, now: Time, home: &SocketAddr) -> bool {
-        self.out.borrow().get(home).is_some_and(|at| now.since(*at) < OUT_SPAN)
+    fn is_unavailable(&self, now: Time, home: &SocketAddr) -> bool {
+        self.unavailable_since.borrow().get(home).is_some_and(|at| now.since(*at) < UNAVAILABLE_FOR)
     }
 }
 
--- a/crates/router/src/gateway/mod.rs
+++ b/crates/router/src/gateway/mod.rs
@@ -1,9 +1,9 @@
-//! Forwarding of requests by host and path, to replicas that register themselves.
+//! The gateway: forwards requests by host and path to registered replicas.
 //!
-//! The way of a request: [`server`] reads it, [`request`] finds its route and account and sets its
-//! tokens aside, [`attempt`] sends it to a replica, [`stream`] passes events on and goes on at
-//! another replica when one breaks off. Whoever embeds it chooses the words on the wire with a
-//! [`dialect::Dialect`].
+//! [`server`] reads a request, [`request`] finds its route and account and reserves its tokens,
+//! [`attempt`] sends it to a replica, and [`stream`] forwards the response events and resumes at another
+//! replica if the connection breaks off. A [`dialect::Dialect`] defines headers, error bodies and the
+//! format of configuration documents.
 
 mod answer;
 mod attempt;
--- a/crates/router/src/gateway/share.rs
+++ b/crates/router/src/gateway/share.rs
@@ -1,4 +1,4 @@
-//! Lending tokens to other gateways, borrowing from them, and telling them of long prompts.
+//! Requests between gateways: loans of tokens, permits, and announcements of long prompts.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -31,70 +31,72 @@
 use crate::taken::{Source, Taken};
 use crate::token_store::TokenStore;
 
-/// How long a lender may take to answer.
-const LEND_WITHIN: Duration = Duration::from_millis(150);
+/// Timeout of a lender's response.
+const LEND_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Lenders that are asked for one request.
-const LENDERS: usize = 6;
+/// Maximum number of lenders asked for one request.
+const MAX_LENDERS: usize = 6;
 
-/// How long it counts what a peer said that it can spare.
-const SPARE_KEPT: Millis = Millis(1_000);
+/// Time for which the known amount that a peer can spare remains valid.
+const SPARE_TTL: Millis = Millis(1_000);
 
-/// How long a word on what was used is sent again.
-const SETTLE_WITHIN: Duration = Duration::from_secs(20);
+/// Time for which the settlement of a loan is retried.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How long a peer may take to hear of a prompt: later, the replica has read it.
-const TELL_WITHIN: Duration = Duration::from_millis(200);
+/// Timeout of an announced prompt. The replica has processed it by then.
+const ANNOUNCE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// How long a peer that did not answer is told nothing.
-const TELL_PAUSE: Millis = Millis(1_000);
+/// Time for which a peer that did not respond receives no announcements.
+const UNRESPONSIVE_FOR: Millis = Millis(1_000);
 
-/// How often loans whose borrowers keep silent are looked for.
-const EXPIRE_EVERY: Duration = Duration::from_secs(5);
+/// Interval at which loans that were not settled in time are expired.
+const EXPIRE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The longest that a home waits for more tokens, whatever a borrower asks for.
-const WAIT_MOST: Millis = Millis(1_000);
+/// Maximum time that a home waits for more tokens for a borrower.
+const MAX_HOME_WAIT: Millis = Millis(1_000);
 
-/// How long to wait when no connection can be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed `accept`.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Answers that may wait for a link to a peer.
-const QUEUE: usize = 256;
+/// Capacity of the queue of responses on a link to a peer.
+const RESPONSE_QUEUE: usize = 256;
 
-/// What a lender holds for one loan.
-struct Lent {
+/// A loan made by this gateway, with its reservation.
+struct Loan {
     token_store: Rc<TokenStore>,
     source: Source,
     budget: String,
     reservation: Reservation,
 }
 
-impl Lent {
+impl Loan {
+    /// Settles the reservation with `used` tokens; the rest returns to the token store.
     fn settle(self, used: Tokens) {
         self.token_store.settle(self.source, &self.budget, self.reservation, used);
     }
 }
 
-/// Other gateways, and the loans between them and this one.
+/// The other gateways, and the loans between them and this one.
 #[derive(Default)]
-pub struct Share {
-    /// Clients of other gateways.
+pub struct Peers {
+    /// Clients for requests to other gateways, by address.
     clients: RefCell<BTreeMap<SocketAddr, Group>>,
-    /// Those that are told of prompts, and asked for tokens where budgets have no homes.
-    peers: RefCell<BTreeSet<SocketAddr>>,
-    /// What each peer could last spare of an account, and when it said so.
+    /// The gateways that receive announcements of prompts, and that lend tokens where budgets have no
+    /// homes.
+    addresses: RefCell<BTreeSet<SocketAddr>>,
+    /// The amount that each peer could last spare of an account, and when it was reported.
     spare: RefCell<BTreeMap<(SocketAddr, String), (Tokens, Time)>>,
-    loans: RefCell<Loans<Lent>>,
-    /// When each peer last did not answer when it was told of a prompt.
-    unheard: Rc<RefCell<BTreeMap<SocketAddr, Time>>>,
-    telling: RefCell<MessageRateLimit>,
-    /// Lenders that have yet to hear what was used.
+    loans: RefCell<Loans<Loan>>,
+    /// When each peer last failed to respond to an announcement.
+    unresponsive_since: Rc<RefCell<BTreeMap<SocketAddr, Time>>>,
+    announcement_limit: RefCell<MessageRateLimit>,
+    /// Number of loans to this gateway whose settlement has not been delivered yet.
     unsettled: Rc<Cell<usize>>,
-    /// Where the tokens of budgets are kept.
+    /// The gateways that hold the tokens of budgets.
     pub homes: Homes,
 }
 
-/// Tokens that another gateway has set aside for a request of this one.
+/// Tokens that another gateway has reserved for a request of this one.
 pub struct Borrowed {
     lender: Group,
     id: u64,
@@ -103,53 +105,55 @@
 }
 
 impl Borrowed {
-    /// How many.
+    /// Returns the number of tokens.
     pub fn amount(&self) -> Tokens {
         self.tokens
     }
 
-    /// Tells the lender what was used.
+    /// Settles the loan: reports the number of used tokens to the lender in a separate task, with retries.
     pub fn settle(self, used: Tokens) {
         let ask = Ask::Share(body::pack(&PeerRequest::Settle { id: self.id, used }));
         self.unsettled.set(self.unsettled.get() + 1);
         actix_rt::spawn(async move {
-            // Out of reach for that long, the lender counts all of it as used.
-            let _ = self.lender.call(ask, SETTLE_WITHIN).await;
+            // A lender that is not reached in time counts the whole loan as used.
+            let _ = self.lender.call(ask, SETTLE_TIMEOUT).await;
             self.unsettled.set(self.unsettled.get() - 1);
         });
     }
 }
 
-impl Share {
-    /// Takes addresses of other gateways into use.
-    pub fn meet(&self, own: SocketAddr, addresses: &[String]) {
+impl Peers {
+    /// Adds the addresses of other gateways; `own` and invalid ones are ignored.
+    pub fn add(&self, own: SocketAddr, addresses: &[String]) {
         let parsed = addresses.iter().filter_map(|a| a.parse::<SocketAddr>().ok());
-        self.peers.borrow_mut().extend(parsed.filter(|a| *a != own));
+        self.addresses.borrow_mut().extend(parsed.filter(|a| *a != own));
     }
 
-    fn client(&self, me: &Credentials, address: SocketAddr) -> Group {
+    /// Returns the client for the gateway at `address`, and creates it on first use.
+    fn client(&self, credentials: &Credentials, address: SocketAddr) -> Group {
         let mut all = self.clients.borrow_mut();
-        let fresh = || Group::new(me.clone(), vec![address]);
-        all.entry(address).or_insert_with(fresh).clone()
+        let create = || Group::new(credentials.clone(), vec![address]);
+        all.entry(address).or_insert_with(create).clone()
     }
 
-    /// Takes the gateways of the own data centre into use as the only peers, and forgets those
-    /// that are no longer listed.
-    pub fn meet_near(&self, own: SocketAddr) {
-        let near = self.homes.near();
-        if near.is_empty() {
+    /// Replaces the peers with the gateways of the own data centre, if budgets have homes there. Drops the
+    /// clients of gateways that are no longer listed.
+    pub fn update_from_homes(&self, own: SocketAddr) {
+        let local = self.homes.local();
+        if local.is_empty() {
             return;
         }
-        *self.peers.borrow_mut() = near.into_iter().filter(|a| *a != own).collect();
+        *self.addresses.borrow_mut() = local.into_iter().filter(|a| *a != own).collect();
         self.clients.borrow_mut().retain(|a, _| self.homes.is_known(a));
     }
 
-    /// Whether every lender has heard what was used of its loans.
+    /// Returns whether the settlements of all loans to this gateway have been delivered or given up.
     pub fn is_settled(&self) -> bool {
         self.unsettled.get() == 0
     }
 
-    /// Has a home set tokens aside, waiting there for `within` at most if it has too few.
+    /// Borrows tokens from a home, which waits for more for up to `within` if it has too few. Returns the
+    /// loan, if any tokens were reserved, and the reason if fewer than `tokens` were.
     pub async fn hold(
         &self,
         gw: &Gateway,
@@ -162,26 +166,26 @@
         let id = rand::random();
         let wait = Millis(within.as_millis() as u64);
         let request = PeerRequest::Hold { id, account: account.to_owned(), tokens, within: wait };
-        let answer = lender.call(Ask::Share(body::pack(&request)), within + LEND_WITHIN).await;
+        let answer = lender.call(Ask::Share(body::pack(&request)), within + LEND_TIMEOUT).await;
         let loan = |tokens| Borrowed { lender, id, tokens, unsettled: self.unsettled.clone() };
         match answer.ok().and_then(|b| body::unpack::<PeerReply>(&b).ok()) {
             Some(PeerReply::Held(held, short)) => {
                 if short == Some(Shortfall::Closed) {
-                    self.homes.set_out(gw.now(), home);
+                    self.homes.mark_unavailable(gw.now(), home);
                 }
                 ((held > 0).then(|| loan(held.min(tokens))), short)
             }
             _ => {
-                // It may have set some aside all the same.
+                // The home may have reserved tokens although no response arrived.
                 loan(0).settle(0);
                 emit!(Event::HomeLost, address = home, account = account);
-                self.homes.set_out(gw.now(), home);
+                self.homes.mark_unavailable(gw.now(), home);
                 (None, Some(Shortfall::Closed))
             }
         }
     }
 
-    /// Asks another gateway for permits; none if it does not answer in time.
+    /// Requests permits from another gateway. Returns `None` if it does not respond within `within`.
     pub async fn permits(
         &self,
         gw: &Gateway,
@@ -198,8 +202,9 @@
         }
     }
 
-    /// Asks another gateway how much longer it stands back as the first of a replica; none if it does not
-    /// answer in time.
+    /// Asks another gateway how much longer it issues a replica's permits at a reduced rate, as the first
+    /// of its permit issuers. The inner value is `None` if it does not; the outer one is `None` if the
+    /// gateway does not respond in time.
     pub async fn settles(
         &self,
         gw: &Gateway,
@@ -210,28 +215,29 @@
         let home = self.client(&gw.me, home);
         let (replica, data_centre) = (replica.to_owned(), data_centre.to_owned());
         let request = PeerRequest::Settles { replica, data_centre };
-        let answer = home.call(Ask::Share(body::pack(&request)), LEND_WITHIN).await;
+        let answer = home.call(Ask::Share(body::pack(&request)), LEND_TIMEOUT).await;
         match body::unpack::<PeerReply>(&answer.ok()?).ok()? {
             PeerReply::Settles(settles) => Some(settles),
             _ => None,
         }
     }
 
-    /// The peers to ask for tokens of an account: those that can likely spare most first.
+    /// Returns the peers to ask for tokens of an account, those expected to spare the most first.
     fn lenders(&self, now: Time, account: &str) -> Vec<SocketAddr> {
         let spare = self.spare.borrow();
-        let hope = |a: &SocketAddr| {
+        let expected_spare = |a: &SocketAddr| {
             let known = spare.get(&(*a, account.to_owned()));
-            // What was said long ago tells nothing.
-            let fresh = known.filter(|(_, at)| now.since(*at) < SPARE_KEPT);
-            fresh.map_or(Tokens::MAX, |(tokens, _)| *tokens)
+            // An unknown or outdated amount counts as unlimited.
+            let recent = known.filter(|(_, at)| now.since(*at) < SPARE_TTL);
+            recent.map_or(Tokens::MAX, |(tokens, _)| *tokens)
         };
-        let peers = self.peers.borrow();
-        let all = peers.iter().map(|a| (*a, hope(a)));
-        choose_lenders(all.filter(|(_, hope)| *hope > 0), LENDERS, &mut rand::rng())
+        let addresses = self.addresses.borrow();
+        let all = addresses.iter().map(|a| (*a, expected_spare(a)));
+        choose_lenders(all.filter(|(_, spare)| *spare > 0), MAX_LENDERS, &mut rand::rng())
     }
 
-    /// Borrows `tokens` of peers, a part from each; none if those that answer cannot spare enough.
+    /// Borrows `tokens` from several peers, a part from each. Returns `None` and settles all parts as
+    /// unused if the peers cannot spare enough.
     pub async fn borrow(
         &self,
         gw: &Gateway,
@@ -241,7 +247,7 @@
         let mut parts = Vec::new();
         let mut missing = tokens;
         for address in self.lenders(gw.now(), account) {
-            if let Some(part) = self.borrow_of(gw, address, account, missing).await {
+            if let Some(part) = self.borrow_from(gw, address, account, missing).await {
                 missing -= part.amount();
                 parts.push(part);
             }
@@ -260,86 +266,88 @@
         None
     }
 
-    /// Borrows what one peer can spare of `most` tokens.
-    async fn borrow_of(
+    /// Borrows up to `max` tokens from one peer. Returns `None` if it spares none or does not respond.
+    async fn borrow_from(
         &self,
         gw: &Gateway,
         address: SocketAddr,
         account: &str,
-        most: Tokens,
+        max: Tokens,
     ) -> Option<Borrowed> {
         let lender = self.client(&gw.me, address);
         let id = rand::random();
         let unsettled = self.unsettled.clone();
-        let request = PeerRequest::Reserve { id, account: account.to_owned(), tokens: most };
-        let answer = lender.call(Ask::Share(body::pack(&request)), LEND_WITHIN).await;
+        let request = PeerRequest::Reserve { id, account: account.to_owned(), tokens: max };
+        let answer = lender.call(Ask::Share(body::pack(&request)), LEND_TIMEOUT).await;
         match answer.ok().and_then(|b| body::unpack::<PeerReply>(&b).ok()) {
             Some(PeerReply::Reserved(tokens)) => {
-                if tokens < most {
+                if tokens < max {
                     let key = (address, account.to_owned());
                     self.spare.borrow_mut().insert(key, (0, gw.now()));
                 }
-                let loan = Borrowed { lender, id, tokens: tokens.min(most), unsettled };
+                let loan = Borrowed { lender, id, tokens: tokens.min(max), unsettled };
                 (tokens > 0).then_some(loan)
             }
             _ => {
-                // It may have set some aside all the same.
+                // The peer may have reserved tokens although no response arrived.
                 Borrowed { lender, id, tokens: 0, unsettled }.settle(0);
                 None
             }
         }
     }
 
-    /// Tells peers of a prompt that was sent to a replica, without waiting for them.
-    pub fn tell(&self, gw: &Gateway, p: Placement) {
+    /// Announces a prompt sent to a replica to all peers, without waiting for their responses. Does
+    /// nothing but count if the rate limit of announcements is reached.
+    pub fn announce_placement(&self, gw: &Gateway, p: Placement) {
         let (now, clock) = (gw.now(), gw.clock);
-        let peers = self.peers.borrow();
-        if !self.telling.borrow_mut().try_take(now, peers.len() as u64) {
+        let addresses = self.addresses.borrow();
+        if !self.announcement_limit.borrow_mut().try_take(now, addresses.len() as u64) {
             return counter!(metric::UNTOLD).increment(1);
         }
         let ask = Ask::Share(body::pack(&PeerRequest::Placed(p)));
-        for address in peers.iter().copied() {
-            let unheard = self.unheard.borrow().get(&address).copied();
-            if unheard.is_some_and(|at| now.since(at) < TELL_PAUSE) {
+        for address in addresses.iter().copied() {
+            let failed_at = self.unresponsive_since.borrow().get(&address).copied();
+            if failed_at.is_some_and(|at| now.since(at) < UNRESPONSIVE_FOR) {
                 continue;
             }
             let (peer, ask) = (self.client(&gw.me, address), ask.clone());
-            let unheard = self.unheard.clone();
+            let unresponsive_since = self.unresponsive_since.clone();
             actix_rt::spawn(async move {
-                // It reckons without this prompt, no worse than before it could be told.
-                if let Err(code) = peer.call(ask, TELL_WITHIN).await {
+                // Not retried: the peer only lacks this prompt in its choice of replicas.
+                if let Err(code) = peer.call(ask, ANNOUNCE_TIMEOUT).await {
                     emit!(Event::LinkFailed, address = address, why = code);
-                    unheard.borrow_mut().insert(address, clock.now());
+                    unresponsive_since.borrow_mut().insert(address, clock.now());
                 }
             });
         }
     }
 
+    /// Serves a request of another gateway, except [`PeerRequest::Hold`].
     fn serve(&self, gw: &Gateway, request: PeerRequest) -> Result<PeerReply, Code> {
         let now = gw.now();
         match request {
             PeerRequest::Reserve { id, account, tokens } => self.lend(gw, id, &account, tokens),
             PeerRequest::Settle { id, used } => {
-                if let Some(lent) = self.loans.borrow_mut().settle(now, id) {
-                    lent.settle(used);
+                if let Some(loan) = self.loans.borrow_mut().settle(now, id) {
+                    loan.settle(used);
                 }
                 Ok(PeerReply::Settled)
             }
             PeerRequest::Placed(p) => {
-                gw.placed(&p);
+                gw.record_peer_placement(&p);
                 Ok(PeerReply::Noted)
             }
             PeerRequest::Permit(ask) => Ok(PeerReply::Permitted(gw.limits.serve(gw, &ask))),
             PeerRequest::Settles { replica, data_centre } => {
                 Ok(PeerReply::Settles(gw.limits.settles(gw, &replica, &data_centre)))
             }
-            // It may have to wait, and is served by [`Share::serve_home`].
+            // Served by [`Peers::serve_hold`], because it may wait.
             PeerRequest::Hold { .. } => Err(Code::MessageBad),
         }
     }
 
-    /// Sets tokens aside for a request of another gateway, waiting for more if there are too few.
-    async fn serve_home(
+    /// Reserves tokens for a request of another gateway, waiting for more if there are too few.
+    async fn serve_hold(
         &self,
         gw: &Gateway,
         id: u64,
@@ -355,21 +363,23 @@
             return PeerReply::Held(0, Some(Shortfall::Closed));
         }
         let (budget, policy) = (budget_name(account), Policy::for_prepaid(prepaid));
-        let within = Duration::from_millis(within.0.min(WAIT_MOST.0));
+        let within = Duration::from_millis(within.0.min(MAX_HOME_WAIT.0));
         let Taken { part, short } = match within {
             Duration::ZERO => token_store.take_at_hand(&budget, policy, tokens),
             within => token_store.take(&budget, policy, tokens, Instant::now() + within).await,
         };
         let Some((source, reservation)) = part else { return PeerReply::Held(0, short) };
         let mut loans = self.loans.borrow_mut();
-        let lent = Lent { token_store, source, budget, reservation };
-        // The borrower may have given up meanwhile, or asked twice.
-        if let Err(lent) = loans.open_once(gw.now(), id, lent) {
-            lent.settle(0);
+        let loan = Loan { token_store, source, budget, reservation };
+        // The borrower may have settled the loan meanwhile, or sent the request twice.
+        if let Err(loan) = loans.open_once(gw.now(), id, loan) {
+            loan.settle(0);
         }
-        PeerReply::Held(loans.get(id).map_or(0, |lent| lent.reservation.amount()), short)
+        PeerReply::Held(loans.get(id).map_or(0, |loan| loan.reservation.amount()), short)
     }
 
+    /// Reserves as many of the tokens as this gateway can spare for another gateway. A repeated request
+    /// gets the same response.
     fn lend(
         &self,
         gw: &Gateway,
@@ -378,8 +388,8 @@
         tokens: Tokens,
     ) -> Result<PeerReply, Code> {
         let mut loans = self.loans.borrow_mut();
-        if let Some(lent) = loans.get(id) {
-            return Ok(PeerReply::Reserved(lent.reservation.amount()));
+        if let Some(loan) = loans.get(id) {
+            return Ok(PeerReply::Reserved(loan.reservation.amount()));
         }
         let prepaid = gw.documents.in_force().and_then(|r| r.prepaid(account));
         let (Some(prepaid), Some(token_store)) = (prepaid, gw.token_store()) else {
@@ -391,32 +401,33 @@
             false => None,
         };
         let Some(reservation) = reservation else { return Ok(PeerReply::Reserved(0)) };
-        let lent = reservation.amount();
+        let amount = reservation.amount();
         let source = Source::Group;
-        loans.open(gw.now(), id, Lent { token_store, source, budget, reservation });
-        Ok(PeerReply::Reserved(lent))
+        loans.open(gw.now(), id, Loan { token_store, source, budget, reservation });
+        Ok(PeerReply::Reserved(amount))
     }
 }
 
-/// Serves other gateways.
+/// Accepts links from other gateways and serves each in its own task. Never returns.
 pub async fn serve_peers(gw: Rc<Gateway>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, from)) => {
                 actix_rt::spawn(serve_peer(gw.clone(), stream, from));
             }
-            // Out of descriptors, most likely: those in use come free again.
-            Err(_) => sleep(ACCEPT_PAUSE).await,
+            // Most likely the process is out of file descriptors, which are released later.
+            Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
 
+/// Serves the requests of another gateway on one link, until the link ends.
 async fn serve_peer(gw: Rc<Gateway>, stream: TcpStream, from: SocketAddr) {
     let Link { mut reader, mut writer, .. } = match link::accept(stream, &gw.me).await {
         Ok(link) => link,
         Err(e) => return emit!(Event::LinkRefused, address = from, why = e),
     };
-    let (tx, mut rx) = mpsc::channel(QUEUE);
+    let (tx, mut rx) = mpsc::channel(RESPONSE_QUEUE);
     let writing = actix_rt::spawn(async move {
         while let Some(f) = rx.recv().await {
             if writer.send(&f).await.is_err() {
@@ -430,11 +441,11 @@
             _ => Err(Code::MessageBad),
         };
         if let Ok(PeerRequest::Hold { id, account, tokens, within }) = request {
-            // Others on this link need not wait for it.
+            // Served in its own task, so that it does not block other requests on this link.
             let (gw, tx) = (gw.clone(), tx.clone());
             actix_rt::spawn(async move {
-                let reply = gw.share.serve_home(&gw, id, &account, tokens, within).await;
-                // A borrower that has gone settles on another link.
+                let reply = gw.share.serve_hold(&gw, id, &account, tokens, within).await;
+                // If the link has ended, the borrower settles the loan on another one.
                 let _ = tx.send(answer(c.id, Ok(reply))).await;
             });
             continue;
@@ -454,12 +465,12 @@
     })
 }
 
-/// Ends loans whose borrowers keep silent, for as long as the process runs.
+/// Expires loans that were not settled in time and counts them as used. Never returns.
 pub async fn expire_forever(gw: Rc<Gateway>) {
     loop {
-        sleep(EXPIRE_EVERY).await;
-        for lent in gw.share.loans.borrow_mut().expire(gw.now()) {
-            lent.settle(Tokens::MAX);
+        sleep(EXPIRE_INTERVAL).await;
+        for loan in gw.share.loans.borrow_mut().expire(gw.now()) {
+            loan.settle(Tokens::MAX);
         }
     }
 }
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -1,4 +1,4 @@
-//! What all requests of a gateway share.
+//! The state shared by all requests of a gateway.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -43,96 +43,95 @@
 use super::quarantine::Quarantines;
 use super::rollouts::Trials;
 use super::settings::Settings;
-use super::share::Share;
+use super::share::Peers;
 use super::upstream::Connections;
-use super::witness::{Witness, take_replica_event};
+use super::witness::{LostConnections, record_replica_event};
 use crate::token_store::TokenStore;
 
-/// Prompts of which a replica has to read so many tokens are told to other gateways. Reading fewer
-/// takes some 20 ms of the engines met so far, which is over when a peer could reckon with it.
-const TELL_TOKENS: u64 = 1_000;
+/// Minimum number of uncached tokens of a prompt that is announced to other gateways. A shorter one
+/// is processed before a peer could take it into account.
+const MIN_ANNOUNCED_TOKENS: u64 = 1_000;
 
-/// The longest after which a caller is told that a replica takes requests again, however long it rests:
-/// others may have come until then.
-const FIRST_MOST: Millis = Millis::seconds(10);
+/// Maximum of the earliest time after which a refused caller is asked to retry, even if all replicas
+/// back off for longer: further replicas may register in the meantime.
+const MAX_EARLIEST_RETRY: Millis = Millis::seconds(10);
 
-/// Callers that were refused come back spread over so long at most.
-const SPREAD_MOST: Millis = Millis::seconds(3);
+/// Maximum time over which the retries of refused callers are spread.
+const MAX_RETRY_SPREAD: Millis = Millis::seconds(3);
 
-/// Replicas whose news are logged one by one; more that come together share a line.
-const TOLD_EACH: usize = 8;
+/// Maximum number of replica changes that are logged one by one; a larger batch is logged as a summary.
+const MAX_LOGGED_REPLICAS: usize = 8;
 
-/// A replica that was picked for a request.
+/// A replica picked for a request.
 pub struct Chosen {
-    /// The choice.
+    /// The pool's choice.
     pub choice: Choice,
     /// The replica's id.
     pub replica: String,
     /// Its data centre.
     pub data_centre: String,
-    /// The side of its service's roll-out that it is on.
+    /// Whether it runs the old or the new version of its service's rollout.
     pub side: Side,
 }
 
-/// What all requests share.
+/// The state of one gateway process.
 pub struct Gateway {
     /// The settings.
     pub settings: Settings,
     /// The process's clock.
     pub clock: Clock,
-    /// Who this process is on its links.
+    /// The credentials of this process on its links.
     pub me: Credentials,
-    /// The control group.
+    /// Client of the control group.
     pub group: Group,
-    /// The document in force, and the one that is on its way.
+    /// The document in force and the fetch of a newer one.
     pub documents: Documents,
     /// Connections to replicas.
     pub connections: Connections,
-    /// The replicas whose connections have ended.
-    pub witness: Witness,
-    /// Requests that are sent to no replica.
+    /// Connections to replicas that were lost with a request in flight.
+    pub lost_connections: LostConnections,
+    /// Quarantined requests, which are sent to no replica.
     pub quarantines: Quarantines,
-    /// The limits that replicas name.
+    /// Rate limits of replicas.
     pub limits: Limits,
-    /// What replicas said in their answers.
+    /// Notices in replicas' response headers: draining and unreadable values.
     pub notices: Notices,
-    /// Services that move to another version.
+    /// Rollouts in progress.
     pub trials: Trials,
-    /// How far each control process is followed.
+    /// Position in each control process's feed of replica records.
     pub feeds: RefCell<BTreeMap<SocketAddr, FeedCursor>>,
-    /// The data centres whose replicas get no new work.
+    /// Evacuated data centres, whose replicas receive no new requests.
     pub evacuations: RefCell<Evacuations>,
-    /// The control processes that tell of replicas.
+    /// The control processes selected as sources of replica records.
     pub sources: RefCell<ReplicaSources>,
-    /// Other gateways that lend tokens.
-    pub share: Share,
-    /// The control processes that are followed, and the wish to ask one of them at once.
-    pub following: RefCell<BTreeMap<SocketAddr, Rc<Urge>>>,
-    /// Routers of the fleet, as far as is known.
+    /// Other gateways, and the loans of tokens between them and this one.
+    pub share: Peers,
+    /// The watched control processes, each with the trigger that repeats its watch request at once.
+    pub watches: RefCell<BTreeMap<SocketAddr, Rc<Urge>>>,
+    /// Highest number of routers in the fleet that a control process has reported.
     pub routers: Cell<u32>,
-    /// How far it is behind with its own work.
+    /// Queue delay of this process and utilisation of its link.
     pub load_monitor: RefCell<LoadMonitor>,
-    /// Bytes from and to callers since the start.
+    /// Bytes received from and sent to callers since the start.
     pub served: Rc<Cell<u64>>,
-    /// A planned stop is under way.
+    /// Whether a planned stop is in progress.
     pub stopping: Cell<bool>,
-    /// Connections with a request under way.
+    /// Number of connections with an active request.
     pub active: Cell<usize>,
     replicas: RefCell<ReplicaTable>,
     pools: RefCell<HashMap<String, Pool>>,
-    /// When the process started.
     started: Time,
     retries: RefCell<HashMap<String, RetryWindow>>,
-    /// When the next caller of each service is told to come back that was refused for rests.
-    turns: RefCell<HashMap<String, RetrySchedule>>,
+    /// Staggers the `Retry-After` values of callers refused because of backoffs, by service.
+    retry_schedules: RefCell<HashMap<String, RetrySchedule>>,
     token_store: RefCell<Option<Rc<TokenStore>>>,
-    /// Notified when a document or a registration has come.
-    learned: Notify,
+    /// Notified when a document or a registration arrives.
+    changed: Notify,
     rng: RefCell<SmallRng>,
 }
 
 impl Gateway {
-    /// A gateway that knows nothing yet.
+    /// Returns a gateway without a document, replicas or a registration.
     pub fn new(settings: Settings, clock: Clock, me: Credentials, group: Group) -> Gateway {
         Gateway {
             settings,
@@ -141,7 +140,7 @@
             group,
             documents: Documents::default(),
             connections: Connections::default(),
-            witness: Witness::default(),
+            lost_connections: LostConnections::default(),
             quarantines: Quarantines::default(),
             limits: Limits::default(),
             notices: Notices::default(),
@@ -149,8 +148,8 @@
             feeds: RefCell::default(),
             evacuations: RefCell::default(),
             sources: RefCell::new(ReplicaSources::new(rand::random())),
-            share: Share::default(),
-            following: RefCell::default(),
+            share: Peers::default(),
+            watches: RefCell::default(),
             routers: Cell::new(0),
             load_monitor: RefCell::default(),
             served: Rc::default(),
@@ -160,35 +159,36 @@
             pools: RefCell::default(),
             started: clock.now(),
             retries: RefCell::default(),
-            turns: RefCell::default(),
+            retry_schedules: RefCell::default(),
             token_store: RefCell::default(),
-            learned: Notify::new(),
+            changed: Notify::new(),
             rng: RefCell::new(SmallRng::from_os_rng()),
         }
     }
 
-    /// The present time.
+    /// Returns the current time of the process's clock.
     pub fn now(&self) -> Time {
         self.clock.now()
     }
 
-    /// The time between two reports of what was spent.
+    /// Returns the interval between two reports of spent tokens, which depends on the number of routers.
     pub fn report_every(&self) -> Duration {
-        let most = Millis(self.settings.report.as_millis() as u64);
-        Duration::from_millis(report_interval(u64::from(self.routers.get()), most).0)
+        let max = Millis(self.settings.report.as_millis() as u64);
+        Duration::from_millis(report_interval(u64::from(self.routers.get()), max).0)
     }
 
-    /// Whether callers are taken.
+    /// Returns whether the gateway accepts callers: it has a document and is not stopping.
     pub fn is_open(&self) -> bool {
         !self.stopping.get() && self.documents.held() > 0
     }
 
-    /// Measures a pass of the process's queue. Whether it is too far behind to take a request: also
-    /// where it hears of nobody because of that, and may not know what is in force.
+    /// Measures one pass of the process's task queue. Returns whether the process is too slow to accept
+    /// a request. After a recent overload this also holds while it is cut off from the control processes,
+    /// because its document may then be outdated.
     pub async fn is_overloaded(&self) -> bool {
-        let begun = Instant::now();
+        let start = Instant::now();
         yield_now().await;
-        let took = begun.elapsed();
+        let took = start.elapsed();
         histogram!(metric::PASS).record(took);
         let now = self.now();
         let mut load_monitor = self.load_monitor.borrow_mut();
@@ -196,7 +196,7 @@
         let cut_off = self.documents.is_cut_off(now);
         let overloaded =
             load_monitor.is_overloaded(now) || (load_monitor.was_overloaded(now) && cut_off);
-        if let Some(refused) = load_monitor.record_admission(now, overloaded) {
+        if let Some(rejected) = load_monitor.record_admission(now, overloaded) {
             emit!(
                 Event::GatewayBehind,
                 pass_ms = took.as_millis(),
@@ -204,77 +204,80 @@
                 link = load_monitor.link_utilisation(),
                 active = self.active.get(),
                 hears_of_nobody = cut_off,
-                refused = refused,
+                refused = rejected,
             );
         }
         overloaded
     }
 
-    /// Whether callers are better off elsewhere.
+    /// Returns whether callers should prefer other gateways.
     pub fn is_busy(&self) -> bool {
-        self.look_at_link();
+        self.update_link_utilisation();
         self.load_monitor.borrow().is_busy(self.now())
     }
 
-    /// Whether there is no room for what further callers would send.
+    /// Returns whether the link is too full for further connections.
     pub fn is_full(&self) -> bool {
-        self.look_at_link();
+        self.update_link_utilisation();
         self.load_monitor.borrow().is_link_full()
     }
 
-    fn look_at_link(&self) {
+    fn update_link_utilisation(&self) {
         let mut load_monitor = self.load_monitor.borrow_mut();
         load_monitor.record_bytes(self.now(), self.served.get(), self.settings.link_capacity);
         gauge!(metric::LINK_USED).set(load_monitor.link_utilisation() as f64 / 100.0);
     }
 
-    /// The tokens in hand under the present registration.
+    /// Returns the tokens held under the current registration; `None` without a registration.
     pub fn token_store(&self) -> Option<Rc<TokenStore>> {
         self.token_store.borrow().clone()
     }
 
-    /// Takes the tokens of a new registration into use.
+    /// Sets the token store of a new registration and wakes the requests that wait for one.
     pub fn set_token_store(&self, t: Rc<TokenStore>) {
         *self.token_store.borrow_mut() = Some(t);
-        self.learned.notify_waiters();
+        self.changed.notify_waiters();
     }
 
     /// Wakes the requests that wait for a document or a registration.
     pub fn notify(&self) {
-        self.learned.notify_waiters();
+        self.changed.notify_waiters();
     }
 
-    /// Has the control process at `address` asked at once.
-    pub fn urge(&self, address: SocketAddr) {
-        if let Some(u) = self.following.borrow().get(&address) {
+    /// Repeats the watch request to the control process at `address` at once.
+    pub fn poll_now(&self, address: SocketAddr) {
+        if let Some(u) = self.watches.borrow().get(&address) {
             u.wish();
         }
     }
 
-    /// Has the control processes asked at once that tell of replicas.
+    /// Repeats the watch requests to the sources of replica records at once.
     pub fn urge_sources(&self) {
         let sources = self.sources.borrow();
-        let all = self.following.borrow();
+        let all = self.watches.borrow();
         all.iter().filter(|(a, _)| sources.is_selected(**a)).for_each(|(_, u)| u.wish());
     }
 
-    /// Has all control processes asked at once.
+    /// Repeats the watch requests to all control processes at once.
     pub fn urge_all(&self) {
-        self.following.borrow().values().for_each(|u| u.wish());
+        self.watches.borrow().values().for_each(|u| u.wish());
     }
 
-    /// The document in force, waiting for the first one until `until` at most.
+    /// Returns the routes in force, waiting for the first document until `until`. Returns `None` if
+    /// none arrives.
     pub async fn wait_for_routes(&self, until: Instant) -> Option<Rc<Routes>> {
         self.wait_for(until, || self.documents.in_force()).await
     }
 
-    /// The document in force once nobody tells of a newer one, waiting until `until` at most.
+    /// Returns the routes in force once no control process is known to have newer ones, waiting until
+    /// `until`. Returns `None` if they do not arrive.
     pub async fn wait_for_newest_routes(&self, until: Instant) -> Option<Rc<Routes>> {
         let newest = || self.documents.in_force().filter(|_| !self.documents.is_behind());
         self.wait_for(until, newest).await
     }
 
-    /// The tokens in hand, waiting for a registration until `until` at most.
+    /// Returns the token store, waiting for a registration until `until`. Returns `None` if there is
+    /// none by then.
     pub async fn wait_for_token_store(&self, until: Instant) -> Option<Rc<TokenStore>> {
         self.wait_for(until, || self.token_store()).await
     }
@@ -284,20 +287,22 @@
             if let Some(found) = get() {
                 return Some(found);
             }
-            timeout_at(until, self.learned.notified()).await.ok()?;
+            timeout_at(until, self.changed.notified()).await.ok()?;
         }
     }
 
-    /// Gives up the tokens of the present registration: no request gets any of them any more.
+    /// Removes and returns the token store of the current registration, so that no request uses it.
     pub fn take_token_store(&self) -> Option<Rc<TokenStore>> {
         self.token_store.borrow_mut().take()
     }
 
-    /// Takes what a control process says of replicas. It is told if it takes one for ready that leaves.
-    pub fn take_replicas(&self, said: Vec<Record>) {
-        let words: Vec<_> = said.iter().map(|r| (r.registration.id.clone(), r.standing)).collect();
-        self.apply_replicas(said);
-        for (id, standing) in words {
+    /// Applies replica records from a control process. Passes those of draining replicas to
+    /// [`Gateway::notices`], which reports a replica back if the control process has it as ready.
+    pub fn apply_control_records(&self, records: Vec<Record>) {
+        let reported: Vec<_> =
+            records.iter().map(|r| (r.registration.id.clone(), r.standing)).collect();
+        self.apply_records(records);
+        for (id, standing) in reported {
             let known = self.replicas.borrow().standing(&id);
             if known == Some(ReplicaStatus::Draining) {
                 self.notices.told(&id, self.born(&id), standing);
@@ -305,18 +310,20 @@
         }
     }
 
-    /// Takes a replica's own word that it leaves. Returns whether that was not known.
+    /// Marks a replica as draining because one of its responses says so. Returns whether it was not
+    /// known to be draining.
     pub fn replica_leaves(&self, id: &str) -> bool {
         let record = self.replicas.borrow().draining_record(id);
-        let is_news = record.is_some();
-        self.apply_replicas(record.into_iter().collect());
-        is_news
+        let is_new = record.is_some();
+        self.apply_records(record.into_iter().collect());
+        is_new
     }
 
-    fn apply_replicas(&self, said: Vec<Record>) {
+    /// Applies replica records to the table and the pools, and logs the changes.
+    fn apply_records(&self, records: Vec<Record>) {
         let now = self.now();
-        let mut news = Vec::new();
-        for r in said {
+        let mut logged = Vec::new();
+        for r in records {
             let g = &r.registration;
             let (id, address, sequence) = (g.id.clone(), g.address.clone(), g.sequence);
             let start = self.replicas.borrow().classify_start(&r);
@@ -327,32 +334,39 @@
                 continue;
             };
             changes.iter().for_each(|c| self.change_pool(now, c));
-            self.take_replica_events(start, standing, &id, &address);
-            news.push(ReplicaNews { id, address, sequence, standing });
+            self.record_replica_events(start, standing, &id, &address);
+            logged.push(ReplicaChange { id, address, sequence, standing });
         }
-        tell_replicas(&news);
+        log_replica_changes(&logged);
     }
 
-    /// Takes what news of a replica say of one whose connections were lost.
-    fn take_replica_events(&self, start: Start, standing: ReplicaStatus, id: &str, address: &str) {
+    /// Passes a change of a replica to the lost connections: it may show that a replica has ended.
+    fn record_replica_events(
+        &self,
+        start: Start,
+        standing: ReplicaStatus,
+        id: &str,
+        address: &str,
+    ) {
         match (start, standing) {
-            (Start::Restarted, _) => take_replica_event(self, ReplicaEvent::Restarted(id)),
-            (_, ReplicaStatus::Silent) => take_replica_event(self, ReplicaEvent::Silent(id)),
+            (Start::Restarted, _) => record_replica_event(self, ReplicaEvent::Restarted(id)),
+            (_, ReplicaStatus::Silent) => record_replica_event(self, ReplicaEvent::Silent(id)),
             (_, ReplicaStatus::Draining | ReplicaStatus::Left) => {
-                take_replica_event(self, ReplicaEvent::Leaving(id))
+                record_replica_event(self, ReplicaEvent::Leaving(id))
             }
             (Start::New, ReplicaStatus::Ready) => {
                 if let Ok(address) = address.parse() {
-                    take_replica_event(self, ReplicaEvent::Registered(address, id));
+                    record_replica_event(self, ReplicaEvent::Registered(address, id));
                 }
             }
             (Start::Known, ReplicaStatus::Ready) => {}
         }
     }
 
-    /// Takes an answer that says that this replica is not at its address any more.
+    /// Records a response that says that this replica is no longer at its address. The pool stops using
+    /// the address for it.
     pub fn replica_not_there(&self, id: &str) {
-        take_replica_event(self, ReplicaEvent::NotThere(id));
+        record_replica_event(self, ReplicaEvent::NotThere(id));
         let change = self.replicas.borrow_mut().mark_replaced(id);
         if let Some(c) = &change {
             emit!(Event::ReplicaReplaced, replica = id, address = c.address);
@@ -360,11 +374,12 @@
         }
     }
 
-    /// When the present life of a replica began; 0 if that is not known.
+    /// Returns the start time of a replica's current incarnation, or 0 if it is unknown.
     pub fn born(&self, replica: &str) -> u64 {
         self.replicas.borrow().born(replica)
     }
 
+    /// Applies a change of a replica's address to the pool of its service.
     fn change_pool(&self, now: Time, c: &AddressChange) {
         let mut pools = self.pools.borrow_mut();
         let closed = || self.evacuations.borrow().data_centres.clone();
@@ -391,54 +406,55 @@
         }
     }
 
-    /// Takes what is said of evacuated data centres, unless it knows as new a word.
-    pub fn take_evacuations(&self, told: &Evacuations) {
-        if !self.evacuations.borrow_mut().merge(told) {
+    /// Replaces the evacuated data centres if `received` is newer than the known list.
+    pub fn apply_evacuations(&self, received: &Evacuations) {
+        if !self.evacuations.borrow_mut().merge(received) {
             return;
         }
         let now = self.now();
         for pool in self.pools.borrow_mut().values_mut() {
-            pool.set_closed_data_centres(now, &told.data_centres);
+            pool.set_closed_data_centres(now, &received.data_centres);
         }
-        gauge!(metric::EVACUATED).set(told.data_centres.len() as f64);
+        gauge!(metric::EVACUATED).set(received.data_centres.len() as f64);
         emit!(
             Event::EvacuationsSeen,
-            revision = told.revision,
-            data_centres = format_args!("{:?}", told.data_centres),
+            revision = received.revision,
+            data_centres = format_args!("{:?}", received.data_centres),
         );
     }
 
-    /// Takes what is said of roll-outs, unless it knows as new a word.
-    pub fn take_rollouts(&self, told: &Rollouts) {
-        for (service, r) in self.trials.take(told) {
+    /// Replaces the rollouts if `received` is newer than the known list, and applies them to the pools.
+    pub fn apply_rollouts(&self, received: &Rollouts) {
+        for (service, r) in self.trials.take(received) {
             if let Some(pool) = self.pools.borrow_mut().get_mut(&service) {
                 pool.set_rollout(&r);
             }
         }
     }
 
-    /// Picks a replica for a request; it is sent with [`Gateway::commit`], if at all.
+    /// Picks a replica for a request, except those in `tried`. Returns `None` if none is available. The
+    /// caller must call [`Gateway::commit`] if it sends the request there.
     pub fn pick(
         &self,
         service: &str,
-        cold_bound: Option<u32>,
-        work: &mut RequestProfile,
+        cold_rate_limit: Option<u32>,
+        profile: &mut RequestProfile,
         tried: &[SocketAddr],
     ) -> Option<Chosen> {
         let mut pools = self.pools.borrow_mut();
         let pool = pools.get_mut(service)?;
-        pool.set_cold_rate_limit(self.now(), cold_bound);
+        pool.set_cold_rate_limit(self.now(), cold_rate_limit);
         let dc = &self.settings.base.data_centre;
         let mut rng = self.rng.borrow_mut();
         pool.set_peer_count(u64::from(self.routers.get().saturating_sub(1)));
-        let mut ways = work.version_preference.fallbacks();
-        if work.version_preference == VersionPreference::Old && !pool.has_old_replicas() {
-            // It has moved without this gateway's hearing of it.
-            ways = VersionPreference::Any.fallbacks();
+        let mut preferences = profile.version_preference.fallbacks();
+        if profile.version_preference == VersionPreference::Old && !pool.has_old_replicas() {
+            // The rollout has finished, but this gateway has not received that yet.
+            preferences = VersionPreference::Any.fallbacks();
         }
-        let choice = ways.iter().find_map(|way| {
-            work.version_preference = *way;
-            pool.pick(self.now(), dc, work, tried, &mut *rng)
+        let choice = preferences.iter().find_map(|preference| {
+            profile.version_preference = *preference;
+            pool.pick(self.now(), dc, profile, tried, &mut *rng)
         })?;
         let r = pool.get(choice.address)?;
         let vm = &r.upstream.vm;
@@ -446,48 +462,51 @@
         Some(Chosen { choice, replica, data_centre, side: r.side })
     }
 
-    /// Counts a request that goes to a replica, and tells other gateways of a long prompt;
+    /// Records a request that is being sent to a replica, and announces a long prompt to other gateways.
     /// [`Gateway::done`] must follow.
-    pub fn commit(&self, service: &str, work: &RequestProfile, c: &mut Chosen) {
+    pub fn commit(&self, service: &str, profile: &RequestProfile, c: &mut Chosen) {
         if let Some(pool) = self.pools.borrow_mut().get_mut(service) {
-            pool.commit(self.now(), work, &mut c.choice);
+            pool.commit(self.now(), profile, &mut c.choice);
         }
-        if c.choice.uncached >= TELL_TOKENS {
-            let (service, trail) = (service.to_owned(), work.prefixes.clone());
+        if c.choice.uncached >= MIN_ANNOUNCED_TOKENS {
+            let (service, trail) = (service.to_owned(), profile.prefixes.clone());
             let (replica, fresh) = (c.choice.address, c.choice.uncached);
-            self.share.tell(self, Placement { service, replica, fresh, trail });
+            self.share.announce_placement(self, Placement { service, replica, fresh, trail });
         }
     }
 
-    /// Keeps requests that are no more urgent than this from a replica for `span`: its limit is reached.
+    /// Blocks requests of this priority or a lower one from a replica for `span`, because its rate limit
+    /// is reached.
     pub fn bar(&self, service: &str, c: &Chosen, span: Millis, priority: u8) {
         if let Some(pool) = self.pools.borrow_mut().get_mut(service) {
             pool.block(self.now(), c.choice.address, span, priority);
         }
     }
 
-    /// What keeps this work away from the replicas of a service that could do it.
-    pub fn held_back(&self, service: &str, work: &RequestProfile) -> Option<Blocked> {
-        self.pools.borrow_mut().get_mut(service)?.blocked(self.now(), work)
+    /// Returns why the replicas of a service that could serve this request are blocked, if they are.
+    pub fn held_back(&self, service: &str, profile: &RequestProfile) -> Option<Blocked> {
+        self.pools.borrow_mut().get_mut(service)?.blocked(self.now(), profile)
     }
 
-    /// When a caller is to come back that replicas of `service` want no request of before `first`. Callers
-    /// come back one after the other, as fast as replicas let requests in before.
+    /// Returns the `Retry-After` time for a refused caller of `service` whose replicas accept no request
+    /// before `first`. Successive callers are spaced at the rate at which the replicas accepted requests
+    /// before.
     pub fn come_back(&self, service: &str, first: Millis) -> Millis {
-        let let_in = self.pools.borrow().get(service).map_or(0, Pool::accepted_per_second);
-        let first = first.min(FIRST_MOST);
-        let each = Millis(1_000 / let_in.max(1));
-        let most = Millis(first.0 + SPREAD_MOST.0);
-        let mut turns = self.turns.borrow_mut();
-        let turns = turns.entry(service.to_owned()).or_default();
-        turns.next_delay(
+        let accepted_per_second =
+            self.pools.borrow().get(service).map_or(0, Pool::accepted_per_second);
+        let first = first.min(MAX_EARLIEST_RETRY);
+        let interval = Millis(1_000 / accepted_per_second.max(1));
+        let max = Millis(first.0 + MAX_RETRY_SPREAD.0);
+        let mut schedules = self.retry_schedules.borrow_mut();
+        let schedule = schedules.entry(service.to_owned()).or_default();
+        schedule.next_delay(
             self.now(),
-            &RetrySpacing { earliest: first, interval: each, max: most },
+            &RetrySpacing { earliest: first, interval, max },
             &mut *self.rng.borrow_mut(),
         )
     }
 
-    /// Notes whether a replica names a limit.
+    /// Records whether a replica has a rate limit.
     pub fn set_limited(&self, replica: &str, limited: bool) {
         let Some((service, address)) = self.replicas.borrow().location(replica) else { return };
         let mut pools = self.pools.borrow_mut();
@@ -497,72 +516,73 @@
         }
     }
 
-    /// Takes a replica's word that it wants nothing from this gateway for `span`. Returns how many of its
-    /// requests the replica has then.
+    /// Starts a backoff of `span` that a replica has requested. Returns the number of this gateway's
+    /// requests outstanding at the replica.
     pub fn rest(&self, service: &str, address: SocketAddr, span: Millis) -> u32 {
         let mut pools = self.pools.borrow_mut();
         pools.get_mut(service).map_or(0, |p| p.back_off(self.now(), address, span))
     }
 
-    /// Notes that a replica has let a request in.
+    /// Records that a replica has accepted a request.
     pub fn let_in(&self, service: &str, c: &Choice) {
         if let Some(pool) = self.pools.borrow_mut().get_mut(service) {
             pool.record_accepted(self.now(), c);
         }
     }
 
-    /// Keeps a connection to a replica for its next request, if it gets any.
+    /// Returns an idle connection to the connection pool, if the replica is still at its address.
     pub fn keep(&self, service: &str, address: SocketAddr, replica: &str, c: Connection) {
         let pools = self.pools.borrow();
-        let there = pools.get(service).and_then(|p| p.get(address));
-        if there.is_some_and(|r| r.upstream.vm.name == replica) {
+        let current = pools.get(service).and_then(|p| p.get(address));
+        if current.is_some_and(|r| r.upstream.vm.name == replica) {
             self.connections.put(Instant::now(), address, c);
         }
     }
 
-    /// Whether what was chosen for this replica may still be sent there: it has neither gone nor asked for
-    /// rest since.
+    /// Returns whether a request for which this replica was picked may still be sent to it: since then it
+    /// has neither gone nor requested a backoff.
     pub fn may_send(&self, service: &str, address: SocketAddr, replica: &str) -> bool {
         let pools = self.pools.borrow();
         pools.get(service).is_some_and(|p| p.may_send(self.now(), address, replica))
     }
 
-    /// Replicas that want nothing from this gateway now, and for how much longer.
+    /// Returns the replicas whose backoff is in effect, with the remaining time.
     pub fn resting(&self) -> Vec<(String, Millis)> {
         let pools = self.pools.borrow();
         let all = pools.values().flat_map(|p| p.backing_off(self.now()));
         all.map(|(replica, left)| (replica.to_owned(), left)).collect()
     }
 
-    /// Whether half of the replicas of a service or more want nothing from this gateway now.
+    /// Returns whether at least half of a service's replicas have a backoff in effect.
     pub fn is_mostly_resting(&self, service: &str) -> bool {
         self.pools.borrow().get(service).is_some_and(|p| p.is_mostly_backing_off(self.now()))
     }
 
-    /// Whether a replica wants nothing from this gateway now.
+    /// Returns whether the backoff of the replica at `address` is in effect.
     pub fn is_resting(&self, service: &str, address: SocketAddr) -> bool {
         self.pools.borrow().get(service).is_some_and(|p| p.is_backing_off(self.now(), address))
     }
 
-    /// The replicas of a service that name a limit.
+    /// Returns the ids of the replicas of a service that have a rate limit.
     pub fn limited_of(&self, service: &str) -> Vec<String> {
         let pools = self.pools.borrow();
         pools.get(service).map(|p| p.rate_limited().collect()).unwrap_or_default()
     }
 
-    /// Whether a replica is there, in this life of it or one that is not told apart.
+    /// Returns whether a replica has not left and has not restarted since its incarnation with the start
+    /// time `born`.
     pub fn is_running(&self, replica: &str, born: u64) -> bool {
         self.replicas.borrow().is_running(replica, born)
     }
 
-    /// Takes another gateway's word that it has sent a prompt to a replica.
-    pub fn placed(&self, p: &Placement) {
+    /// Records that another gateway has sent a prompt to a replica.
+    pub fn record_peer_placement(&self, p: &Placement) {
         if let Some(pool) = self.pools.borrow_mut().get_mut(&p.service) {
             pool.record_peer_placement(self.now(), p.replica, p.fresh, &p.trail);
         }
     }
 
-    /// Learns from the time to the first event.
+    /// Records the time from sending a request to the first event of its response, in microseconds.
     pub fn learn(&self, service: &str, c: &Choice, first_us: u64) {
         if let Some(pool) = self.pools.borrow_mut().get_mut(service) {
             pool.record_first_event(self.now(), c, first_us);
@@ -571,7 +591,7 @@
         }
     }
 
-    /// Notes the end of an attempt.
+    /// Records the end of an attempt. A failure may eject the replica.
     pub fn done(&self, service: &str, c: &Choice, failed: bool) {
         let mut pools = self.pools.borrow_mut();
         let Some(pool) = pools.get_mut(service) else { return };
@@ -580,7 +600,7 @@
         }
     }
 
-    /// Counts a request for a service.
+    /// Counts a request for a service, by which the budget of retries grows.
     pub fn count_request(&self, service: &str) {
         let mut all = self.retries.borrow_mut();
         let window =
@@ -588,17 +608,18 @@
         window.record_request(self.now(), &self.settings.retry);
     }
 
-    /// Takes a retry out of this router's part of the fleet's budget.
+    /// Takes a retry out of this router's part of the fleet's retry budget for a service. Returns whether
+    /// the budget allows it.
     pub fn take_retry(&self, service: &str) -> bool {
         let routers = u64::from(self.routers.get());
-        let mut bound = self.settings.retry;
+        let mut budget = self.settings.retry;
         if routers == 0 {
-            bound.extra = 0;
+            budget.extra = 0;
         }
         let mut all = self.retries.borrow_mut();
         let window =
             all.entry(service.to_owned()).or_insert_with(|| RetryWindow::new(self.started));
-        let taken = window.try_take(self.now(), &bound, routers + 1);
+        let taken = window.try_take(self.now(), &budget, routers + 1);
         if !taken {
             counter!(metric::RETRIES_REFUSED, "service" => service.to_owned()).increment(1);
         }
@@ -606,30 +627,36 @@
     }
 }
 
-/// News of one replica, for the log.
-struct ReplicaNews {
+/// A change of one replica, for the log.
+struct ReplicaChange {
     id: String,
     address: String,
     sequence: u64,
     standing: ReplicaStatus,
 }
 
-/// Logs news of replicas: each of a few, and how many there are of more, as when a fleet starts.
-fn tell_replicas(news: &[ReplicaNews]) {
-    if news.len() <= TOLD_EACH {
-        for n in news {
+/// Logs changes of replicas: a few of them one by one, a larger batch as one summary.
+fn log_replica_changes(changes: &[ReplicaChange]) {
+    if changes.len() <= MAX_LOGGED_REPLICAS {
+        for c in changes {
             emit!(
                 Event::ReplicaChanged,
-                replica = n.id,
-                address = n.address,
-                standing = format_args!("{:?}", n.standing),
-                sequence = n.sequence,
+                replica = c.id,
+                address = c.address,
+                standing = format_args!("{:?}", c.standing),
+                sequence = c.sequence,
             );
         }
         return;
     }
-    let ready = news.iter().filter(|n| n.standing == ReplicaStatus::Ready).count();
-    let first = news.first().map_or("", |n| &n.id);
-    let last = news.last().map_or("", |n| &n.id);
-    emit!(Event::ReplicasChanged, changed = news.len(), ready = ready, first = first, last = last);
+    let ready = changes.iter().filter(|c| c.standing == ReplicaStatus::Ready).count();
+    let first = changes.first().map_or("", |c| &c.id);
+    let last = changes.last().map_or("", |c| &c.id);
+    emit!(
+        Event::ReplicasChanged,
+        changed = changes.len(),
+        ready = ready,
+        first = first,
+        last = last
+    );
 }
--- a/crates/router/src/gateway/witness.rs
+++ b/crates/router/src/gateway/witness.rs
@@ -1,8 +1,8 @@
-//! Which requests were under way at replicas that have ended.
+//! Detects which requests were in flight at a replica when its process ended.
 //!
-//! A connection that ends tells little: it may have been reset on its way, or the replica may have
-//! closed it without an answer. `core::fleet::ends` decides what it was, by looks at the replica's
-//! address and by what is heard of the replica.
+//! A lost connection alone is no evidence: the network may have reset it, or the replica may have closed
+//! it without a response. `core::fleet::ends` decides from probes of the replica's address and from
+//! changes of its registration whether the replica has ended.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -22,109 +22,114 @@
 use super::job::Job;
 use super::state::Gateway;
 
-/// How long the connections of a replica that has ended take to be noticed, all of them: they end in
-/// one instant, and the tasks that wait on them run one after the other.
-const GATHER: Duration = Duration::from_millis(20);
+/// Delay until all lost connections of an ended replica have been recorded. They end at the same time, but
+/// their tasks run one after the other.
+const GATHER_DELAY: Duration = Duration::from_millis(20);
 
-/// How long a connection that was accepted after a loss is watched. A process that exits closes its
-/// listening socket some tens of milliseconds after its connections, on a busy machine some hundred.
-const WATCHED: Duration = Duration::from_millis(500);
+/// Time for which a new connection must stay open to show that the replica is alive. An exiting process
+/// closes its listening socket up to some hundred milliseconds after its connections.
+const PROBE_OPEN_FOR: Duration = Duration::from_millis(500);
 
-/// Looks at one address, at most: a replica with too many connections accepts and ends each new one.
-const LOOKS: u32 = 5;
+/// Maximum number of repeated probes of one address: a replica with too many connections accepts and
+/// closes each new one.
+const MAX_PROBES: u32 = 5;
 
-/// Pause before the second look, doubled before each further one.
-const LOOK_PAUSE: Duration = Duration::from_millis(20);
+/// Delay before the second probe, doubled before each further one.
+const PROBE_DELAY: Duration = Duration::from_millis(20);
 
-/// A request whose connection to a replica ended.
+/// A request whose connection to a replica was lost.
 pub struct Victim {
-    /// Its id.
+    /// The request id.
     pub id: String,
-    /// What its copies have in common with it.
+    /// Fingerprint that the request shares with its copies.
     pub fingerprint: Fingerprint,
-    /// What this process knows it by among those that it answered whole.
+    /// Hash that identifies it among the requests that this process has completed.
     pub hash: u64,
     /// The client account.
     pub account: Option<String>,
-    /// How long before that it had been sent.
+    /// Time from sending the request to the loss of the connection.
     pub age: Millis,
 }
 
-/// The replicas whose connections ended, until it is known whether they have ended themselves.
+/// Lost connections to replicas, until it is known whether the replicas have ended.
 #[derive(Default)]
-pub struct Witness {
-    ends: RefCell<ConnectionLosses<Victim>>,
+pub struct LostConnections {
+    losses: RefCell<ConnectionLosses<Victim>>,
 }
 
-/// Notes that a connection to `replica`, on which a request was sent at `sent`, has ended.
+/// Records that the connection to `replica` on which a request was sent at `sent` was lost. Starts a probe
+/// of its address unless one is running.
 pub fn note_lost(job: &Job, address: SocketAddr, replica: &str, sent: Instant) {
     let gw = &job.gw;
-    let victim = Victim {
+    let lost = Victim {
         id: job.inbound.id.clone(),
         fingerprint: fingerprint(&job.identity()),
         hash: gw.quarantines.hash(job),
         account: job.account.clone(),
         age: Millis(sent.elapsed().as_millis() as u64),
     };
-    let mut ends = gw.witness.ends.borrow_mut();
-    note_lives(ends.expire(gw.now()));
-    if ends.record_loss(gw.now(), address, replica, victim) {
-        actix_rt::spawn(look(gw.clone(), address, replica.to_owned()));
+    let mut losses = gw.lost_connections.losses.borrow_mut();
+    count_alive(losses.expire(gw.now()));
+    if losses.record_loss(gw.now(), address, replica, lost) {
+        actix_rt::spawn(probe(gw.clone(), address, replica.to_owned()));
     }
 }
 
-/// Looks whether a replica has ended.
-async fn look(gw: Rc<Gateway>, address: SocketAddr, replica: String) {
-    let ends = &gw.witness.ends;
-    let mut found = Connection::probe(address).await;
-    sleep(GATHER).await;
+/// Probes a replica's address to find out whether the replica has ended.
+async fn probe(gw: Rc<Gateway>, address: SocketAddr, replica: String) {
+    let losses = &gw.lost_connections.losses;
+    let mut presence = Connection::probe(address).await;
+    sleep(GATHER_DELAY).await;
     if gw.connections.any_open(Instant::now(), address) {
-        let lives = ends.borrow_mut().confirm_alive(address, &replica);
-        return note_lives(lives.iter().map(|l| l.requests.len()).sum());
+        let closed = losses.borrow_mut().confirm_alive(address, &replica);
+        return count_alive(closed.iter().map(|l| l.requests.len()).sum());
     }
-    for n in 0..LOOKS {
-        match found {
+    for n in 0..MAX_PROBES {
+        match presence {
             Presence::Nobody => {
-                let closed = ends.borrow_mut().confirm_ended(address, &replica);
-                return note_ended(&gw, EndEvidence::Refused, closed);
+                let closed = losses.borrow_mut().confirm_ended(address, &replica);
+                return record_ended(&gw, EndEvidence::Refused, closed);
             }
             Presence::There(mut c) => {
-                if timeout(WATCHED, c.ended_unused()).await.is_err() {
+                if timeout(PROBE_OPEN_FOR, c.ended_unused()).await.is_err() {
                     break;
                 }
             }
             Presence::Unknown(_) => {}
         }
-        sleep(LOOK_PAUSE * 2u32.pow(n)).await;
-        if !ends.borrow().is_open(address, &replica) {
+        sleep(PROBE_DELAY * 2u32.pow(n)).await;
+        if !losses.borrow().is_open(address, &replica) {
             return;
         }
-        found = Connection::probe(address).await;
+        presence = Connection::probe(address).await;
     }
-    ends.borrow_mut().end_probe(address, &replica);
+    losses.borrow_mut().end_probe(address, &replica);
 }
 
-/// Takes news of a replica: they may show that one whose connections were lost has ended.
-pub fn take_replica_event(gw: &Gateway, event: ReplicaEvent<'_>) {
-    let shown = gw.witness.ends.borrow_mut().apply(event);
-    if let Some((shown, losses)) = shown {
-        note_ended(gw, shown, losses);
+/// Records a change of a replica, which may show that one whose connections were lost has ended.
+pub fn record_replica_event(gw: &Gateway, event: ReplicaEvent<'_>) {
+    let ended = gw.lost_connections.losses.borrow_mut().apply(event);
+    if let Some((evidence, losses)) = ended {
+        record_ended(gw, evidence, losses);
     }
 }
 
-fn note_lives(requests: usize) {
+/// Counts lost connections of replicas that are alive.
+fn count_alive(requests: usize) {
     counter!(metric::LOST_CONNECTIONS, "replica" => "lives").increment(requests as u64);
 }
 
-fn note_ended(gw: &Gateway, shown: EndEvidence, losses: Vec<Loss<Victim>>) {
+/// Counts and logs the requests that were in flight at an ended replica, and reports them to the
+/// quarantine.
+fn record_ended(gw: &Gateway, evidence: EndEvidence, losses: Vec<Loss<Victim>>) {
     for l in losses {
         counter!(metric::LOST_CONNECTIONS, "replica" => "ended").increment(l.requests.len() as u64);
-        l.requests.iter().for_each(|v| tell(gw, shown, &l, v));
+        l.requests.iter().for_each(|v| log_ended(gw, evidence, &l, v));
         gw.quarantines.ended(gw, &l.replica, l.since, l.requests);
     }
 }
 
-fn tell(gw: &Gateway, shown: EndEvidence, l: &Loss<Victim>, v: &Victim) {
+fn log_ended(gw: &Gateway, evidence: EndEvidence, l: &Loss<Victim>, v: &Victim) {
     emit!(
         Event::ReplicaEnded,
         id = v.id,
@@ -135,6 +140,6 @@
         age_ms = v.age.0,
         ago_ms = gw.now().since(l.since).0,
         sound = gw.quarantines.is_sound(v.hash),
-        shown = shown.as_str(),
+        shown = evidence.as_str(),
     );
 }
