--- a/crates/control/src/founding.rs
+++ b/crates/control/src/founding.rs
@@ -1,9 +1,9 @@
-//! A group that founds itself, and a process that looks for its group.
+//! Founding of a group, and announcement of a process that does not belong to its group yet.
 //!
-//! The seed with the lowest address founds the group of all seeds, once each of them has said
-//! that it belongs to none. A founder sends the order again until the group has a leader, so that
-//! a founding that was broken off goes on. A process that belongs to no group says so to the
-//! seeds until the leader takes it in.
+//! The seed with the lowest address founds a group of all seeds, once each of them has answered that it
+//! belongs to none. Every founding member repeats the founding request until the group has a leader, so
+//! that an interrupted founding continues. A process outside the group announces itself to the seeds
+//! until the leader adds it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,88 +21,94 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep};
 
-/// How often a process looks whether it has a group.
-const LOOK: Duration = Duration::from_millis(250);
+/// Interval between checks of this process's membership.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How long a seed may take to say who it is.
-const IDENTIFY_WITHIN: Duration = Duration::from_millis(600);
+/// Timeout of a request to a single seed.
+const SEED_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// How long a word to the group may take.
-const ANNOUNCE_WITHIN: Duration = Duration::from_millis(1_200);
+/// Timeout of a request to the group.
+const GROUP_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// Looks after this process's place in a group for as long as it runs. The founder is handed the
-/// addresses of all `founders`.
-pub async fn keep_place(
+/// Founds a group or announces this process to one whenever needed; never returns. `founders` are the
+/// addresses of all founding members, passed only to the process that founds the group.
+pub async fn maintain_membership(
     me: Credentials,
-    own: SocketAddr,
+    own_address: SocketAddr,
     group: Group,
     founders: Option<Vec<SocketAddr>>,
-    place: watch::Receiver<GroupStatus>,
-    confirmed: mpsc::Sender<Members>,
+    group_status: watch::Receiver<GroupStatus>,
+    rejoin_members: mpsc::Sender<Members>,
 ) {
     let started = Instant::now();
     loop {
-        let p = place.borrow().clone();
+        let status = group_status.borrow().clone();
         let waited = Millis(started.elapsed().as_millis() as u64);
-        if p.node == 0 {
-            // Nothing is known yet.
-            sleep(LOOK).await;
+        if status.node == 0 {
+            // The server has not published the status yet.
+            sleep(CHECK_INTERVAL).await;
             continue;
         }
-        if let Some(founders) = founders.as_ref().filter(|_| p.members.voters.is_empty()) {
-            found(&me, founders).await;
-        } else if p.is_founding() {
-            refound(&me, &p.members).await;
+        if let Some(founders) = founders.as_ref().filter(|_| status.members.voters.is_empty()) {
+            found_group(&me, founders).await;
+        } else if status.is_founding() {
+            resend_founding(&me, &status.members).await;
         }
-        if p.seeks_group(waited) {
-            seek(&group, own, &p, &confirmed).await;
+        if status.seeks_group(waited) {
+            announce(&group, own_address, &status, &rejoin_members).await;
         }
-        sleep(LOOK).await;
+        sleep(CHECK_INTERVAL).await;
     }
 }
 
-/// Tells the leader that this process is there. One that waits to be welcomed back asks it for the
-/// members too: those in its own log may all have been replaced.
-async fn seek(group: &Group, own: SocketAddr, p: &GroupStatus, confirmed: &mpsc::Sender<Members>) {
-    let a = Announce { node: p.node, address: own.to_string() };
-    if group.call(Ask::Announce(body::pack(&a)), ANNOUNCE_WITHIN).await.is_err() {
+/// Announces this process to the leader. A process that is rejoining also asks for the current members,
+/// because those in its own log may all have been replaced.
+async fn announce(
+    group: &Group,
+    own_address: SocketAddr,
+    status: &GroupStatus,
+    rejoin_members: &mpsc::Sender<Members>,
+) {
+    let a = Announce { node: status.node, address: own_address.to_string() };
+    if group.call(Ask::Announce(body::pack(&a)), GROUP_TIMEOUT).await.is_err() {
         return;
     }
-    emit!(Event::GroupSought, node = format_args!("{:016x}", p.node));
-    if p.rejoining
-        && let Ok(Reply::Members(members)) = group.query(&Query::Members, ANNOUNCE_WITHIN).await
+    emit!(Event::GroupSought, node = format_args!("{:016x}", status.node));
+    if status.rejoining
+        && let Ok(Reply::Members(members)) = group.query(&Query::Members, GROUP_TIMEOUT).await
     {
-        // A server that has stopped needs no members.
-        let _ = confirmed.send(members).await;
+        // The send fails only if the server has stopped.
+        let _ = rejoin_members.send(members).await;
     }
 }
 
-/// Founds the group of all seeds, if none of them belongs to one.
-async fn found(me: &Credentials, seeds: &[SocketAddr]) {
+/// Founds a group of all seeds, if each of them answers that it belongs to none.
+async fn found_group(me: &Credentials, seeds: &[SocketAddr]) {
     let mut peers = Vec::new();
     for seed in seeds {
         let group = Group::new(me.clone(), vec![*seed]);
-        let Ok(bytes) = group.call(Ask::Identify(true), IDENTIFY_WITHIN).await else { return };
+        let Ok(bytes) = group.call(Ask::Identify(true), SEED_TIMEOUT).await else { return };
         let Ok(i) = body::unpack::<Identity>(&bytes) else { return };
         if !i.members.voters.is_empty() {
             return;
         }
         peers.push(Peer::new(i.node as i64, seed.to_string()));
     }
-    order(me, peers).await;
+    send_founding(me, peers).await;
 }
 
-/// Sends the founders named in this process's own folder the order that founded it.
-async fn refound(me: &Credentials, members: &Members) {
+/// Repeats the founding request to the founding members stored in this process's data folder.
+async fn resend_founding(me: &Credentials, members: &Members) {
     let peers = members.addresses.iter().map(|(n, a)| Peer::new(*n as i64, a.clone()));
-    order(me, peers.collect()).await;
+    send_founding(me, peers.collect()).await;
 }
 
-async fn order(me: &Credentials, peers: Vec<Peer>) {
+/// Sends the founding request to all founding members.
+async fn send_founding(me: &Credentials, peers: Vec<Peer>) {
     let founders = Founders::new(peers.clone());
     for address in peers.iter().filter_map(|p| p.address.parse().ok()) {
         let group = Group::new(me.clone(), vec![address]);
-        // One that is out of reach is told again.
-        let _ = group.call(Ask::Founders(founders.clone()), IDENTIFY_WITHIN).await;
+        // An unreachable member gets the request again at the next check.
+        let _ = group.call(Ask::Founders(founders.clone()), SEED_TIMEOUT).await;
     }
 }
--- a/crates/control/src/leader_tasks.rs
+++ b/crates/control/src/leader_tasks.rs
@@ -1,4 +1,4 @@
-//! What a leader does unasked.
+//! Periodic tasks of the leader.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,52 +17,54 @@
 use crate::fleet_view::FleetView;
 use crate::machine::{Machine, Moment};
 
-/// How often a leader looks after its tasks.
-const EVERY: Millis = Millis(500);
+/// Interval between checks for silent routers and expired quarantines.
+const CHECK_INTERVAL: Millis = Millis(500);
 
-/// How often a leader looks whether the group needs mending.
-const REPAIR_EVERY: Millis = Millis(200);
+/// Interval between membership changes that repair the group.
+const REPAIR_INTERVAL: Millis = Millis(200);
 
-/// How often a leader looks for dead holders.
-const WRITE_OFF_EVERY: Millis = Millis(100);
+/// Interval between checks for dead lease holders.
+const WRITE_OFF_INTERVAL: Millis = Millis(100);
 
-/// How often a leader looks after roll-outs. Reports come about once a second, and at once where
-/// answers are bad.
-const ROLLOUTS_EVERY: Millis = Millis(100);
+/// Interval between checks of rollouts. Gateways report about once a second, and at once on bad
+/// outcomes.
+const ROLLOUT_INTERVAL: Millis = Millis(100);
 
-/// Since when a gateway must have been heard to be in touch: twice the span of a standing question.
-const IN_TOUCH: Millis = Millis::seconds(2);
+/// A gateway without a heartbeat for this long is not connected: twice the span of a watch request.
+const CONNECTED_WITHIN: Millis = Millis::seconds(2);
 
-/// What a leader has done since it began to lead.
+/// State of the leader's tasks, reset when it gains the leadership.
 #[derive(Default)]
 pub struct LeaderTasks {
-    next: Time,
+    next_check: Time,
     next_repair: Time,
     next_write_off: Time,
     next_rollouts: Time,
-    /// When each roll-out under way was ordered, on this process's steady clock.
-    rollouts: BTreeMap<Index, Time>,
+    /// When each running rollout was ordered, on this process's monotonic clock.
+    rollouts_ordered: BTreeMap<Index, Time>,
+    /// Silent holders whose lapse was proposed.
     lapsed: BTreeSet<HolderId>,
 }
 
 impl<S: Storage, T> Machine<S, T> {
     pub(crate) fn tick_leader_tasks(&mut self, at: Moment) {
-        if !self.raft.is_leader() || at.now < self.leader_tasks.next {
+        if !self.raft.is_leader() || at.now < self.leader_tasks.next_check {
             return;
         }
-        self.leader_tasks.next = at.now.after(EVERY);
+        self.leader_tasks.next_check = at.now.after(CHECK_INTERVAL);
         self.lapse_silent_routers(at);
         if self.state.quarantine().has_expired(at.wall) {
-            self.propose_own(at, &Command::EndQuarantines);
+            self.propose_internal(at, &Command::EndQuarantines);
         }
     }
 
-    /// As leader, makes the next change that mends the group.
+    /// Starts the next membership change that repairs the group, if this member leads and a change is
+    /// needed. `want` is the target number of voters.
     pub fn repair(&mut self, at: Moment, candidates: &Candidates, want: usize) {
         if !self.raft.is_leader() || at.now < self.leader_tasks.next_repair {
             return;
         }
-        self.leader_tasks.next_repair = at.now.after(REPAIR_EVERY);
+        self.leader_tasks.next_repair = at.now.after(REPAIR_INTERVAL);
         let committed = self.raft.committed();
         let followers: BTreeMap<_, _> = self.raft.followers().collect();
         let health = |n: NodeId| {
@@ -73,26 +75,28 @@
         let me = self.raft.id();
         let change = next_change(self.raft.members(), me, health, candidates, want);
         let Some(change) = change else { return };
-        // While another change is under way, this one comes up again.
+        // The change is refused while another one is in progress, and tried again later.
         if self.raft.change(at.now, &change).is_ok() {
             emit!(Event::RepairBegun, change = format_args!("{change:?}"));
         }
     }
 
-    /// As leader, decides what holders whose successors have registered can have spent. A span
-    /// that this leader did not see begin is taken from the time of day; `margin` is what that may be
-    /// off by, none while too few clocks are heard.
-    pub fn write_off_dead(&mut self, at: Moment, margin: Option<Millis>) {
+    /// Proposes a write-off for each lease holder whose successor has registered, if this member leads:
+    /// the tokens that the holder cannot have spent become free.
+    ///
+    /// Times that began before this member led are measured by the wall clock. `margin` is its maximum
+    /// error; holders that need it have to wait while it is `None`.
+    pub fn write_off_dead_holders(&mut self, at: Moment, margin: Option<Millis>) {
         if !self.raft.is_leader() || at.now < self.leader_tasks.next_write_off {
             return;
         }
-        self.leader_tasks.next_write_off = at.now.after(WRITE_OFF_EVERY);
+        self.leader_tasks.next_write_off = at.now.after(WRITE_OFF_INTERVAL);
         let dead: Vec<_> = self.state.unsettled_holders().collect();
         for (holder, age) in dead {
             let reports = self.state.ledger().last_reports(holder);
-            // It was dead before its successor started.
-            let span = |t: BoundsReport| {
-                self.since_told(at, holder, t, margin).map(|s| Millis(s.0.saturating_sub(age.0)))
+            // The holder has spent nothing since its successor started, which is at least `age` ago.
+            let span = |r: BoundsReport| {
+                self.since_report(at, holder, r, margin).map(|s| Millis(s.0.saturating_sub(age.0)))
             };
             if let (Some(last), Some(before)) = (span(reports.last), span(reports.before)) {
                 let elapsed = Elapsed { last: Some(last), before: Some(before) };
@@ -106,31 +110,32 @@
                     counted = counted,
                     freed = freed,
                 );
-                self.propose_own(at, &Command::WriteOff { holder, elapsed });
+                self.propose_internal(at, &Command::WriteOff { holder, elapsed });
             }
         }
     }
 
-    /// As leader, takes the next steps of roll-outs; a version that turns out bad may have had
-    /// `allowed` thousandths of its service's requests.
+    /// Proposes the due steps of all running rollouts, if this member leads. A bad version may get at
+    /// most `allowed` permille of its service's requests.
     pub fn step_rollouts<W>(&mut self, at: Moment, view: &mut FleetView<W>, allowed: u64) {
         if !self.raft.is_leader() || at.now < self.leader_tasks.next_rollouts {
             return;
         }
-        self.leader_tasks.next_rollouts = at.now.after(ROLLOUTS_EVERY);
+        self.leader_tasks.next_rollouts = at.now.after(ROLLOUT_INTERVAL);
         let under_way: Vec<_> =
             self.state.rollouts().iter().filter(|(_, r)| !r.stage.is_over()).collect();
         let orders: Vec<_> = under_way.iter().map(|(_, r)| r.order).collect();
         view.reports.retain_orders(&orders);
-        let known = &mut self.leader_tasks.rollouts;
-        known.retain(|order, _| orders.contains(order));
-        let since = Time(at.now.0.saturating_sub(IN_TOUCH.0));
+        let ordered_at = &mut self.leader_tasks.rollouts_ordered;
+        ordered_at.retain(|order, _| orders.contains(order));
+        let since = Time(at.now.0.saturating_sub(CONNECTED_WITHIN.0));
         let gateways = view.routers.count_since(since);
         let mut steps = Vec::new();
         for (service, r) in under_way {
-            // A leader that did not see the order takes the span until now from the time of day.
-            let so_far = at.wall.since(r.ordered);
-            let ordered = *known.entry(r.order).or_insert(Time(at.now.0.saturating_sub(so_far.0)));
+            // A leader elected after the order measures the time since by the wall clock.
+            let since_order = at.wall.since(r.ordered);
+            let ordered =
+                *ordered_at.entry(r.order).or_insert(Time(at.now.0.saturating_sub(since_order.0)));
             let progress: StepProgress = view.reports.progress(r.order, r.revision, since);
             let evidence = view.reports.evidence(r.order);
             let slots = view.registry.ready_slots(service);
@@ -139,37 +144,38 @@
             steps.extend(step::next_step(service, r, &plan(r.within, allowed), &v));
         }
         for s in steps {
-            self.propose_own(at, &Command::StepRollout(s));
+            self.propose_internal(at, &Command::StepRollout(s));
         }
     }
 
-    /// How long ago a report of bounds was taken at the earliest; none if that is not sure yet.
-    fn since_told(
+    /// Returns the maximum time since a bounds report was recorded, or `None` while it is not known.
+    fn since_report(
         &self,
         at: Moment,
         holder: HolderId,
-        t: BoundsReport,
+        report: BoundsReport,
         margin: Option<Millis>,
     ) -> Option<Millis> {
-        if t.seq == 0 {
+        if report.seq == 0 {
             return Some(Millis(0));
         }
-        let seen = self.heartbeats.since_bounds_report(at.now, holder, t.seq);
-        let by_clock = || margin.map(|m| Millis(at.wall.since(t.at).0 + m.0));
-        seen.or_else(by_clock)
+        let by_heartbeat = self.heartbeats.since_bounds_report(at.now, holder, report.seq);
+        let by_clock = || margin.map(|m| Millis(at.wall.since(report.at).0 + m.0));
+        by_heartbeat.or_else(by_clock)
     }
 
+    /// Proposes to lapse the routers that have become silent: their open claims get an unknown outcome.
     fn lapse_silent_routers(&mut self, at: Moment) {
-        let silent = |h: HolderId| self.heartbeats.since_last(at.now, h) >= CLAIM_HOLDER_TIMEOUT;
+        let is_silent = |h: HolderId| self.heartbeats.since_last(at.now, h) >= CLAIM_HOLDER_TIMEOUT;
         let all: Vec<_> = self.state.routers().iter().map(|r| r.holder).collect();
-        let (gone, heard): (Vec<_>, Vec<_>) = all.into_iter().partition(|h| silent(*h));
-        for h in heard {
+        let (silent, live): (Vec<_>, Vec<_>) = all.into_iter().partition(|h| is_silent(*h));
+        for h in live {
             self.leader_tasks.lapsed.remove(&h);
         }
-        for h in gone {
+        for h in silent {
             if self.leader_tasks.lapsed.insert(h) {
                 emit!(Event::RouterLapsed, holder = h);
-                self.propose_own(at, &Command::Lapse(h));
+                self.propose_internal(at, &Command::Lapse(h));
             }
         }
     }
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -1,7 +1,8 @@
-//! One replica: the replicated log, the state machine and the storage, without sockets or clocks.
+//! One member of the control group: the replicated log, the state machine and the storage, without
+//! sockets or clocks.
 //!
-//! Inputs are handled one after the other; [`Machine::finish`] then stores, syncs, sends and
-//! applies what they brought, so that everything that came together shares one sync.
+//! Inputs are handled one at a time. [`Machine::finish`] then stores, syncs, sends and applies their
+//! effects, so that all inputs since its last call share one sync.
 
 mod proposals;
 
@@ -27,42 +28,42 @@
 
 use crate::disk::{Kept, Storage};
 use crate::leader_tasks::LeaderTasks;
-use crate::machine::proposals::{Gathered, Proposed};
+use crate::machine::proposals::{PendingEntry, QueuedReport};
 use crate::read::Reads;
 
-/// Bytes of the time stamp before a command in the log.
-const STAMP: usize = 8;
+/// Length of the time stamp that precedes each command in the log.
+const STAMP_BYTES: usize = 8;
 
-/// The present time, by two clocks.
+/// The current time on two clocks.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Moment {
-    /// Since the start of the process; never goes back.
+    /// Monotonic time since the start of the process.
     pub now: Time,
-    /// Since 1970.
+    /// Wall clock time since 1970.
     pub wall: Time,
 }
 
-/// What a machine wants done.
+/// An effect that the caller of [`Machine::finish`] has to carry out.
 #[derive(Debug)]
 pub enum Output<T> {
-    /// Answer a caller.
+    /// Send an answer to a caller.
     Reply(T, Result<Vec<u8>, Code>),
-    /// Send a message to another replica.
+    /// Send a message to another member.
     Send(Message),
-    /// End the process: it cannot take part any more.
+    /// The member has stopped taking part in the group, for this reason.
     Stop(Code, String),
 }
 
-/// Sizes and timing.
+/// Sizes and timing of a member.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// Of the replicated log.
+    /// Settings of the replicated log.
     pub raft: RaftSettings,
-    /// Entries after which a snapshot is taken.
+    /// Number of applied entries after which a snapshot is taken.
     pub snapshot_every: u64,
 }
 
-/// One replica; `T` tells where an answer goes.
+/// One member of the control group; `T` identifies the caller that an answer goes to.
 pub struct Machine<S, T> {
     pub(crate) region: String,
     pub(crate) settings: Settings,
@@ -74,11 +75,11 @@
     pub(crate) reads: Reads<T>,
     pub(crate) leader_tasks: LeaderTasks,
     pub(crate) outputs: Vec<Output<T>>,
-    /// The entries that a caller waits for.
-    proposed: BTreeMap<Index, Proposed<T>>,
-    /// Reports of spending that share the next commit.
-    reports: Vec<Gathered<T>>,
-    /// The data centres that orders may be about; none: any.
+    /// Proposed entries whose callers wait for an answer.
+    pending: BTreeMap<Index, PendingEntry<T>>,
+    /// Spending reports that wait to share a commit.
+    queued_reports: Vec<QueuedReport<T>>,
+    /// Data centres that orders may name; empty if any name is accepted.
     data_centres: BTreeSet<String>,
     seed: u64,
     snapshot: SnapshotMeta,
@@ -87,19 +88,20 @@
 }
 
 impl<S: Storage, T> Machine<S, T> {
-    /// A replica that starts from what its storage holds.
+    /// Creates the member `node` from what its storage holds. Returns an error if the stored snapshot
+    /// cannot be loaded.
     pub fn start(
         at: Moment,
         region: &str,
         settings: Settings,
         storage: S,
-        (node, found): (u64, Restored),
+        (node, restored): (u64, Restored),
         seed: u64,
     ) -> Result<Machine<S, T>, Error> {
-        let snapshot = found.snapshot.clone();
-        let state = restore(&storage, &snapshot)?;
-        let kept = Kept { hard: found.hard, marks: found.peers.clone(), ..Kept::default() };
-        let raft = Raft::new(at.now, node, settings.raft, found, seed);
+        let snapshot = restored.snapshot.clone();
+        let state = load_state(&storage, &snapshot)?;
+        let kept = Kept { hard: restored.hard, marks: restored.marks.clone(), ..Kept::default() };
+        let raft = Raft::new(at.now, node, settings.raft, restored, seed);
         Ok(Machine {
             region: region.to_owned(),
             settings,
@@ -111,8 +113,8 @@
             reads: Reads::default(),
             leader_tasks: LeaderTasks::default(),
             outputs: Vec::new(),
-            proposed: BTreeMap::new(),
-            reports: Vec::new(),
+            pending: BTreeMap::new(),
+            queued_reports: Vec::new(),
             data_centres: BTreeSet::new(),
             seed,
             snapshot,
@@ -121,7 +123,8 @@
         })
     }
 
-    /// Takes a caller's question or command.
+    /// Handles a request of a caller. Its answer is returned by this or a later
+    /// [`Machine::finish`].
     pub fn call(&mut self, at: Moment, ask: Ask, from: T) {
         match ask {
             Ask::Command(bytes) => self.propose(at, bytes, from),
@@ -135,23 +138,23 @@
                 self.reply(from, Ok(body::pack(&me)));
             }
             Ask::Founders(f) => {
-                let result = self.found(at, &f);
+                let result = self.found_group(at, &f);
                 self.reply(from, result);
             }
-            // The server takes these itself, or hands them to the reserve if it keeps one; the
-            // last one is for routers.
+            // The server handles the first three itself; the last is for routers.
             Ask::Reserve(_) | Ask::Watch(_) | Ask::Announce(_) | Ask::Share(_) => {
                 self.reply(from, Err(Code::MessageBad))
             }
         }
     }
 
-    /// Takes a message of another replica.
+    /// Handles a message of another member.
     pub fn step(&mut self, at: Moment, m: Message) {
         self.raft.step(at.now, m);
     }
 
-    /// Lets time pass.
+    /// Runs what is due: Raft timers, queued reads and reports, leader tasks and answers to routers'
+    /// long polls.
     pub fn tick(&mut self, at: Moment) {
         self.raft.tick(at.now);
         self.tick_reads(at);
@@ -160,13 +163,13 @@
         self.answer_followers(at);
     }
 
-    /// The address of the leader that is known, for a caller that came to the wrong replica.
+    /// Returns the address of the known leader, for callers that have to be redirected.
     pub fn leader_address(&self) -> Option<String> {
         let leader = self.raft.leader()?;
         self.raft.members().addresses.get(&leader).cloned()
     }
 
-    /// How this replica stands with its group.
+    /// Returns this process's view of its membership in the group.
     pub fn place(&self) -> GroupStatus {
         let raft = &self.raft;
         GroupStatus {
@@ -178,33 +181,34 @@
         }
     }
 
-    /// Who leads, if this replica counts in the group and knows.
+    /// Returns the leader and its term, if known.
     pub fn lead(&self) -> Option<Leader> {
         let address = self.leader_address()?;
         Some(Leader { term: self.raft.term(), address })
     }
 
-    /// Takes the members that the group's leader names.
+    /// Sets the members whose acceptance a rejoin needs, as received from the group's leader.
     pub fn take_members(&mut self, at: Moment, members: Members) {
         self.raft.set_rejoin_members(at.now, members);
     }
 
-    /// The replicated log.
+    /// Returns the replicated log.
     pub fn raft(&self) -> &Raft {
         &self.raft
     }
 
-    /// The state machine, as far as it is applied here.
+    /// Returns the state machine, up to the last entry applied on this member.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// The members in force.
+    /// Returns the current members of the group.
     pub fn members(&self) -> &Members {
         self.raft.members()
     }
 
-    /// Stores, syncs, sends and applies what has come up; returns what is left to do outside.
+    /// Stores, syncs and applies the effects of the inputs handled so far. Returns the effects that the
+    /// caller has to carry out.
     pub fn finish(&mut self, at: Moment) -> Vec<Output<T>> {
         while !self.stopped {
             self.raft.flush();
@@ -212,7 +216,7 @@
             if actions.is_empty() {
                 break;
             }
-            if let Err(e) = self.carry_out(at, actions) {
+            if let Err(e) = self.process_actions(at, actions) {
                 self.stop(Event::DiskFailed, Code::DiskFailed, e.to_string());
             }
         }
@@ -220,14 +224,14 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// Begins anew after its disk has failed, with what is stored.
+    /// Restarts from the stored state after a disk failure. Returns an error if the disk still fails.
     pub fn restart(&mut self, at: Moment, seed: u64) -> Result<(), Error> {
-        let found = self.storage.reopen()?;
-        self.snapshot = found.snapshot.clone();
-        self.state = restore(&self.storage, &self.snapshot)?;
+        let restored = self.storage.reopen()?;
+        self.snapshot = restored.snapshot.clone();
+        self.state = load_state(&self.storage, &self.snapshot)?;
         self.applied = self.snapshot.index;
-        self.kept = Kept { hard: found.hard, marks: found.peers.clone(), ..Kept::default() };
-        self.raft = Raft::new(at.now, self.raft.id(), self.settings.raft, found, seed);
+        self.kept = Kept { hard: restored.hard, marks: restored.marks.clone(), ..Kept::default() };
+        self.raft = Raft::new(at.now, self.raft.id(), self.settings.raft, restored, seed);
         self.heartbeats = HolderHeartbeats::default();
         self.leader_tasks = LeaderTasks::default();
         self.seed = seed;
@@ -239,23 +243,23 @@
         emit!(event, why = why);
         self.stopped = true;
         self.raft.halt();
-        self.give_up_calls();
+        self.fail_pending_calls();
         self.outputs.push(Output::Stop(code, why));
     }
 
-    fn carry_out(&mut self, at: Moment, actions: Vec<Action>) -> Result<(), Error> {
+    fn process_actions(&mut self, at: Moment, actions: Vec<Action>) -> Result<(), Error> {
         for a in &actions {
-            self.store(a)?;
+            self.store_action(a)?;
         }
         self.storage.sync()?;
         self.raft.synced(at.now, self.raft.log().last_index());
         for a in actions {
-            self.act(at, a)?;
+            self.perform_action(at, a)?;
         }
         Ok(())
     }
 
-    fn store(&mut self, a: &Action) -> Result<(), Error> {
+    fn store_action(&mut self, a: &Action) -> Result<(), Error> {
         match a {
             Action::Save(h) => {
                 self.kept.hard = *h;
@@ -267,16 +271,16 @@
             }
             Action::Truncate(from) => self.storage.truncate(*from),
             Action::Append(entries) => self.storage.entries(entries),
-            Action::Install(meta, bytes) => self.install(meta, bytes)?,
+            Action::Install(meta, bytes) => self.install_snapshot(meta, bytes)?,
             _ => {}
         }
         Ok(())
     }
 
-    fn act(&mut self, at: Moment, a: Action) -> Result<(), Error> {
+    fn perform_action(&mut self, at: Moment, a: Action) -> Result<(), Error> {
         match a {
             Action::Send(m) => self.outputs.push(Output::Send(m)),
-            Action::Commit(upto) => self.apply_upto(at, upto),
+            Action::Commit(up_to) => self.apply_up_to(at, up_to),
             Action::ReadReady(token, index) => self.read_ready(at, token, index),
             Action::ReadFailed(token) => self.read_failed(token),
             Action::LoadSnapshot(n) => {
@@ -290,10 +294,11 @@
             }
             Action::LeaderChanged(false) => {
                 emit!(Event::LeaderLost, term = self.raft.term());
-                self.give_up_calls();
+                self.fail_pending_calls();
             }
             Action::Outdated(by) => {
-                let why = format!("replica {by:016x} remembers a newer state of this folder");
+                let why =
+                    format!("member {by:016x} has recorded a newer state of this data folder");
                 self.stop(Event::FolderOutdated, Code::FolderForeign, why);
             }
             _ => {}
@@ -301,10 +306,11 @@
         Ok(())
     }
 
-    /// Makes this replica one of a group's founders. The same order again changes nothing. The other
-    /// founders may have asked for its vote and sent it entries before the order came: it forgets
-    /// neither.
-    fn found(&mut self, at: Moment, f: &Founders) -> Result<Vec<u8>, Code> {
+    /// Makes this process a founding member of a group. Repeating the request has no effect.
+    ///
+    /// Its vote and the entries that it received from other founding members before the request are
+    /// kept.
+    fn found_group(&mut self, at: Moment, f: &Founders) -> Result<Vec<u8>, Code> {
         let members =
             Members::from_voters(f.peers.iter().map(|p| (p.node as u64, p.address.clone())));
         let me = self.raft.id();
@@ -312,29 +318,29 @@
             return Ok(Vec::new());
         }
         let base = self.raft.log().base();
-        let unfounded = base.index == 0 && base.members.voters.is_empty();
-        if !unfounded || !members.voters.contains(&me) {
+        let has_no_group = base.index == 0 && base.members.voters.is_empty();
+        if !has_no_group || !members.voters.contains(&me) {
             return Err(Code::MemberBad);
         }
         let meta = SnapshotMeta { index: 0, term: 0, members };
-        let found = Restored { snapshot: meta.clone(), ..self.raft.restored() };
+        let restored = Restored { snapshot: meta.clone(), ..self.raft.restored() };
         self.kept = Kept {
             meta: meta.clone(),
-            hard: found.hard,
-            marks: found.peers.clone(),
-            entries: found.entries.clone(),
+            hard: restored.hard,
+            marks: restored.marks.clone(),
+            entries: restored.entries.clone(),
         };
         let bytes = body::pack(&State::default());
         self.storage.snapshot(&self.kept, &bytes).map_err(|_| Code::DiskFailed)?;
         self.kept.entries.clear();
         self.snapshot = meta;
-        self.raft = Raft::new(at.now, me, self.settings.raft, found, self.seed);
+        self.raft = Raft::new(at.now, me, self.settings.raft, restored, self.seed);
         emit!(Event::GroupFounded, members = self.raft.members().voters.len());
         Ok(Vec::new())
     }
 
-    fn apply_upto(&mut self, at: Moment, upto: Index) {
-        while self.applied < upto {
+    fn apply_up_to(&mut self, at: Moment, up_to: Index) {
+        while self.applied < up_to {
             let Some(e) = self.raft.log().get(self.applied + 1).cloned() else { break };
             self.applied = e.index;
             let answer = self.apply(&e);
@@ -356,7 +362,7 @@
     }
 
     fn apply_command(&mut self, e: &Entry, bytes: &[u8]) -> Answer {
-        let stamped = bytes.split_first_chunk::<STAMP>();
+        let stamped = bytes.split_first_chunk::<STAMP_BYTES>();
         let Some((stamp, command)) = stamped else { return Answer::Refused(Code::MessageBad) };
         let Ok(c) = body::unpack::<Command>(command) else {
             return Answer::Refused(Code::MessageBad);
@@ -375,19 +381,19 @@
                 revision = revision,
             );
         }
-        self.tell_rollout(&c, &answer);
-        self.tell_quarantine();
+        self.log_rollout(&c, &answer);
+        self.log_quarantine_changes();
         if let Answer::Applied(Err(r)) = &answer {
             emit!(Event::ConfigRefused, code = r.code.number(), place = r.place, why = r.why);
         }
-        if let (Answer::Decided(Err(Shortage::Spent)), Command::Ask(ask)) = (&answer, &c) {
-            self.tell_short(ask);
+        if let (Answer::Decided(Err(Shortage::Spent)), Command::Ask(request)) = (&answer, &c) {
+            self.log_shortage(request);
         }
         answer
     }
 
-    /// Logs an order or a step of a roll-out.
-    fn tell_rollout(&self, c: &Command, answer: &Answer) {
+    /// Logs an order or a step of a rollout.
+    fn log_rollout(&self, c: &Command, answer: &Answer) {
         let service = match c {
             Command::StartRollout { service, .. } | Command::AbortRollout(service) => service,
             Command::StepRollout(step) => &step.service,
@@ -407,8 +413,8 @@
         );
     }
 
-    /// Logs which requests are quarantined from now on, and which are not any more.
-    fn tell_quarantine(&mut self) {
+    /// Logs the quarantine changes made by the last command.
+    fn log_quarantine_changes(&mut self) {
         for (f, change) in self.state.take_quarantine_changes() {
             let q = self.state.quarantine().iter().find(|(known, _)| **known == f);
             let (account, strikes) = q.map_or(("", 0), |(_, q)| (q.account.as_str(), q.strikes));
@@ -422,15 +428,15 @@
         }
     }
 
-    /// Logs, as leader, why an ask is refused for good.
-    fn tell_short(&self, ask: &LeaseRequest) {
-        let Some(f) = self.state.ledger().get(&ask.budget) else { return };
+    /// Logs, on the leader, a lease request that was refused because the budget is spent.
+    fn log_shortage(&self, request: &LeaseRequest) {
+        let Some(f) = self.state.ledger().get(&request.budget) else { return };
         if self.raft.is_leader() {
             emit!(
                 Event::BudgetShort,
-                budget = ask.budget,
-                holder = ask.holder,
-                need = ask.need,
+                budget = request.budget,
+                holder = request.holder,
+                need = request.need,
                 funded = f.funded,
                 spent = f.spent(),
                 held = f.open(),
@@ -443,20 +449,20 @@
         self.outputs.push(Output::Reply(to, result));
     }
 
-    fn install(&mut self, meta: &SnapshotMeta, bytes: &[u8]) -> Result<(), Error> {
+    fn install_snapshot(&mut self, meta: &SnapshotMeta, bytes: &[u8]) -> Result<(), Error> {
         self.kept.meta = meta.clone();
         self.kept.entries.clear();
         self.storage.snapshot(&self.kept, bytes)?;
         self.snapshot = meta.clone();
-        self.state = restore(&self.storage, meta)?;
+        self.state = load_state(&self.storage, meta)?;
         self.applied = meta.index;
         emit!(Event::SnapshotInstalled, index = meta.index);
         Ok(())
     }
 
     fn compact_if_due(&mut self) {
-        let grown = self.applied.saturating_sub(self.snapshot.index);
-        if self.stopped || grown < self.settings.snapshot_every {
+        let unsaved = self.applied.saturating_sub(self.snapshot.index);
+        if self.stopped || unsaved < self.settings.snapshot_every {
             return;
         }
         if let Err(e) = self.compact() {
@@ -475,19 +481,19 @@
         self.storage.snapshot(&self.kept, &bytes)?;
         self.kept.entries.clear();
         self.snapshot = meta;
-        // A slow follower gets the newest entries still as entries.
+        // Keep the newest entries, so that a slow follower can catch up without a snapshot.
         self.raft.compact(index.saturating_sub(self.settings.snapshot_every / 2));
         emit!(Event::SnapshotSaved, index = index, bytes = bytes.len());
         Ok(())
     }
 
-    /// Hands the lead to another replica, for a planned stop.
-    pub fn hand_over(&mut self) {
+    /// Transfers the leadership to another member before a planned stop.
+    pub fn transfer_leadership(&mut self) {
         self.raft.transfer_leadership();
     }
 }
 
-fn restore<S: Storage>(storage: &S, meta: &SnapshotMeta) -> Result<State, Error> {
+fn load_state<S: Storage>(storage: &S, meta: &SnapshotMeta) -> Result<State, Error> {
     if meta.index == 0 {
         return Ok(State::default());
     }
--- a/crates/control/src/machine/proposals.rs
+++ b/crates/control/src/machine/proposals.rs
@@ -1,4 +1,4 @@
-//! Commands on their way into the log, and the callers that wait for them.
+//! Proposal of commands to the replicated log, and the callers that wait for their answers.
 
 use std::sync::Arc;
 
@@ -10,32 +10,32 @@
 use cypressfork_wire::{MemberOrder, body, member_change};
 use metrics::histogram;
 
-use super::{Machine, Moment, STAMP};
+use super::{Machine, Moment, STAMP_BYTES};
 use crate::disk::Storage;
 
-/// Routers from which on their reports of spending share commits: 32 and more report each second,
-/// and each commit takes a message to and from every follower and a sync at each.
-const MANY: usize = 32;
+/// Number of routers from which on their spending reports share commits. Every router reports once a
+/// second, and a commit takes a round trip to and a sync on each follower.
+const MIN_ROUTERS_TO_BATCH: usize = 32;
 
-/// How long such a report waits at most for others, or for a command that is committed at once. A
-/// request that waits for a higher limit waits for this too.
-const GATHER_REPORTS: Millis = Millis(40);
+/// Maximum time that a spending report waits to share a commit. It delays requests that wait for a
+/// higher limit.
+const MAX_REPORT_DELAY: Millis = Millis(40);
 
-/// An entry that a caller waits for.
-pub(super) struct Proposed<T> {
-    /// The term that it was proposed in.
+/// A proposed entry whose caller waits for an answer.
+pub(super) struct PendingEntry<T> {
+    /// Term in which it was proposed.
     pub(super) term: Term,
-    /// When.
+    /// Time of the proposal.
     pub(super) at: Time,
     /// Where the answer goes.
     pub(super) to: T,
 }
 
-/// A command that waits for others to share its commit.
-pub(super) struct Gathered<T> {
-    /// When it came.
+/// A spending report that waits to share a commit.
+pub(super) struct QueuedReport<T> {
+    /// Time of arrival.
     pub(super) at: Moment,
-    /// The command.
+    /// The encoded command.
     pub(super) command: Vec<u8>,
     /// Where the answer goes.
     pub(super) to: T,
@@ -52,64 +52,65 @@
             self.heartbeats.record_bounds_report(at.now, holder, seq);
         }
         if let Command::Evacuate { data_centre, .. } = &c
-            && !self.knows(data_centre)
+            && !self.is_known_data_centre(data_centre)
         {
             return self.reply(from, Err(Code::DataCentreUnknown));
         }
         let is_report = matches!(c, Command::Tally { .. });
-        if is_report && self.raft.is_leader() && self.state.routers().len() >= MANY {
-            self.reports.push(Gathered { at, command, to: from });
+        if is_report && self.raft.is_leader() && self.state.routers().len() >= MIN_ROUTERS_TO_BATCH
+        {
+            self.queued_reports.push(QueuedReport { at, command, to: from });
             return;
         }
         self.propose_reports();
         self.propose_now(at, command, from);
     }
 
-    /// Proposes the reports that have been gathered, if the first has waited long enough.
+    /// Proposes the queued reports if the oldest has waited long enough.
     pub(super) fn tick_reports(&mut self, at: Moment) {
-        if self.reports.first().is_some_and(|r| at.now.since(r.at.now) >= GATHER_REPORTS) {
+        if self.queued_reports.first().is_some_and(|r| at.now.since(r.at.now) >= MAX_REPORT_DELAY) {
             self.propose_reports();
         }
     }
 
-    /// Proposes the reports that have been gathered, in the order in which they came.
+    /// Proposes the queued reports in order of arrival.
     fn propose_reports(&mut self) {
-        for r in std::mem::take(&mut self.reports) {
+        for r in std::mem::take(&mut self.queued_reports) {
             self.propose_now(r.at, r.command, r.to);
         }
     }
 
     fn propose_now(&mut self, at: Moment, command: Vec<u8>, from: T) {
-        let mut bytes = Vec::with_capacity(STAMP + command.len());
+        let mut bytes = Vec::with_capacity(STAMP_BYTES + command.len());
         bytes.extend_from_slice(&at.wall.0.to_be_bytes());
         bytes.extend_from_slice(&command);
         match self.raft.propose(at.now, Payload::Command(Arc::from(bytes))) {
-            Ok(index) => self.wait_for(at, index, from),
+            Ok(index) => self.add_pending(at, index, from),
             Err(code) => self.reply(from, Err(code)),
         }
     }
 
-    /// Whether there is such a data centre; any name will do where the settings list none.
-    fn knows(&self, data_centre: &str) -> bool {
+    /// Returns whether orders may name this data centre. Any name is valid if the settings list none.
+    fn is_known_data_centre(&self, data_centre: &str) -> bool {
         let all = &self.data_centres;
         !data_centre.is_empty() && (all.is_empty() || all.contains(data_centre))
     }
 
-    /// Takes the names of the data centres that orders may be about.
+    /// Sets the data centres that orders may name; an empty list allows any name.
     pub fn set_data_centres(&mut self, names: impl IntoIterator<Item = String>) {
         self.data_centres = names.into_iter().collect();
     }
 
-    fn wait_for(&mut self, at: Moment, index: Index, to: T) {
+    fn add_pending(&mut self, at: Moment, index: Index, to: T) {
         let term = self.raft.term();
-        self.proposed.insert(index, Proposed { term, at: at.now, to });
+        self.pending.insert(index, PendingEntry { term, at: at.now, to });
     }
 
-    /// Proposes a command of the leader's own, which nobody waits for.
-    pub(crate) fn propose_own(&mut self, at: Moment, c: &Command) {
+    /// Proposes a command of the leader itself, whose answer is not needed.
+    pub(crate) fn propose_internal(&mut self, at: Moment, c: &Command) {
         let mut bytes = at.wall.0.to_be_bytes().to_vec();
         bytes.extend_from_slice(&body::pack(c));
-        // A full log is no harm: the task comes up again.
+        // If the proposal fails, a later run of the task repeats it.
         let _ = self.raft.propose(at.now, Payload::Command(Arc::from(bytes)));
     }
 
@@ -118,26 +119,26 @@
             .map_err(|_| Code::MessageBad)
             .and_then(|c| self.raft.change(at.now, &c));
         match changed {
-            Ok(index) => self.wait_for(at, index, from),
+            Ok(index) => self.add_pending(at, index, from),
             Err(code) => self.reply(from, Err(code)),
         }
     }
 
     pub(super) fn answer_proposal(&mut self, at: Moment, index: Index, term: Term, answer: Answer) {
-        let Some(p) = self.proposed.remove(&index) else { return };
+        let Some(p) = self.pending.remove(&index) else { return };
         histogram!(metric::COMMIT).record(at.now.since(p.at).0 as f64 / 1000.0);
         let result = if p.term == term { Ok(body::pack(&answer)) } else { Err(Code::NotLeader) };
         self.reply(p.to, result);
     }
 
-    /// Tells everybody who waits to ask the next leader. What they sent may still be committed;
-    /// they send it again and get the same answer.
-    pub(super) fn give_up_calls(&mut self) {
-        let proposed = std::mem::take(&mut self.proposed);
-        for p in proposed.into_values() {
+    /// Answers all waiting callers with [`Code::NotLeader`]. Their commands may still be committed: a
+    /// caller that repeats its command at the next leader gets the same answer.
+    pub(super) fn fail_pending_calls(&mut self) {
+        let pending = std::mem::take(&mut self.pending);
+        for p in pending.into_values() {
             self.reply(p.to, Err(Code::NotLeader));
         }
-        for r in std::mem::take(&mut self.reports) {
+        for r in std::mem::take(&mut self.queued_reports) {
             self.reply(r.to, Err(Code::NotLeader));
         }
         self.fail_reads();
--- a/crates/control/src/run.rs
+++ b/crates/control/src/run.rs
@@ -1,4 +1,4 @@
-//! From settings to a serving process.
+//! Startup of a control process.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -26,20 +26,20 @@
 use crate::dialect::Dialect;
 use crate::disk::{Disk, disk_failed};
 use crate::fleet_view::FleetView;
-use crate::founding::keep_place;
+use crate::founding::maintain_membership;
 use crate::machine::{Machine, Moment};
 use crate::native::Native;
 use crate::reserve::Reserve;
-use crate::server::{Fleet, ReplyTo, Server};
+use crate::server::{FleetContext, ReplyTo, Server};
 use crate::settings::{File, FleetSettings, Settings};
 
-/// How long to wait before a disk that failed is tried again.
-const DISK_AGAIN: Duration = Duration::from_millis(500);
+/// Delay before a failed disk is tried again.
+const DISK_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Calls over HTTP that may wait for the process's own state.
-const CALLS: usize = 1_024;
+/// Maximum number of queued HTTP calls.
+const MAX_QUEUED_CALLS: usize = 1_024;
 
-/// Reads and checks the settings.
+/// Reads and checks the settings file. Returns the result code and the reason on failure.
 pub fn settings(path: &Path) -> Result<Settings, Failure> {
     load::<File>(path).map_err(|e| (e.code(), e.to_string()))
 }
@@ -52,33 +52,34 @@
     Reserve::open(&path, &b.region, &b.vm, &b.data_centre, rand::random::<u64>()).map(Some)
 }
 
-/// Opens the data folder. A disk that takes no bytes now may take them again: it is waited for,
-/// since a process that ends would only be started into the same.
+/// Opens the data folder, and retries while the disk fails: a process that exits would only be
+/// restarted into the same failure.
 async fn open_disk(s: &Settings) -> Result<(Disk, Restored), Error> {
     loop {
-        let fresh = rand::random::<u64>() >> 1;
-        let opened = Folder::open(&s.data_folder, &s.base.region, fresh).and_then(Disk::open);
+        let fresh_node = rand::random::<u64>() >> 1;
+        let opened = Folder::open(&s.data_folder, &s.base.region, fresh_node).and_then(Disk::open);
         match opened {
             Err(e @ Error::Io(..)) => emit!(Event::DiskFailed, why = e),
             other => return other,
         }
-        sleep(DISK_AGAIN).await;
+        sleep(DISK_RETRY_DELAY).await;
     }
 }
 
-/// Opens the fleet's side: where it listens, and who looks after this process's place.
-async fn open_fleet<D: Dialect>(
+/// Starts the HTTP listeners and the membership task. Returns the state and channels that the server
+/// shares with them.
+async fn start_fleet<D: Dialect>(
     f: &FleetSettings,
     (data_centre, regions): (String, Regions),
     me: &Credentials,
     own: SocketAddr,
     seeds: &[SocketAddr],
     group: Group,
-) -> Result<Fleet, Failure> {
-    let (local, calls) = mpsc::channel(CALLS);
-    let (place, places) = watch::channel(GroupStatus::default());
-    let (confirmed, confirmed_members) = mpsc::channel(1);
-    let place_group = group.clone();
+) -> Result<FleetContext, Failure> {
+    let (local, calls) = mpsc::channel(MAX_QUEUED_CALLS);
+    let (group_status, status_updates) = watch::channel(GroupStatus::default());
+    let (members_tx, rejoin_members) = mpsc::channel(1);
+    let membership_group = group.clone();
     let api = Rc::new(Api { group, local });
     for address in BTreeSet::from([f.listen, f.entry]) {
         let api = api.clone();
@@ -87,16 +88,23 @@
             api::serve::<D>(api.clone(), req)
         }));
     }
-    let founder = f.found && seeds.iter().min() == Some(&own);
-    let founds = founder.then(|| seeds.to_vec());
-    let keep = keep_place(me.clone(), own, place_group, founds, places, confirmed);
-    actix_rt::spawn(keep);
+    let is_founder = f.found && seeds.iter().min() == Some(&own);
+    let founders = is_founder.then(|| seeds.to_vec());
+    let membership = maintain_membership(
+        me.clone(),
+        own,
+        membership_group,
+        founders,
+        status_updates,
+        members_tx,
+    );
+    actix_rt::spawn(membership);
     let view = FleetView::new(rand::random(), f.replica_heartbeat);
-    Ok(Fleet {
+    Ok(FleetContext {
         view,
         calls,
-        place,
-        confirmed_members,
+        group_status,
+        rejoin_members,
         seeds: seeds.to_vec(),
         data_centre,
         regions,
@@ -106,12 +114,13 @@
     })
 }
 
-/// Serves until asked to stop, over HTTP in the project's own words.
+/// Serves until a stop signal arrives, with the native HTTP API. See [`serve`].
 pub async fn run(s: Settings, file: PathBuf) -> Result<(), Failure> {
     serve::<Native>(s, file).await
 }
 
-/// Serves until asked to stop, over HTTP in the words of `D`.
+/// Serves until a stop signal arrives, with the HTTP API of `D`. Returns the result code and the
+/// reason if the process cannot start or continue. A reload signal rereads the settings from `file`.
 pub async fn serve<D: Dialect>(s: Settings, file: PathBuf) -> Result<(), Failure> {
     logging::start(s.base.log_level, s.base.log_form);
     if let Some(address) = s.metrics {
@@ -141,8 +150,8 @@
     let group = Group::new(me.clone(), seeds.clone());
     let fleet = match &s.fleet {
         Some(f) => {
-            let place = (s.base.data_centre, s.base.regions);
-            Some(open_fleet::<D>(f, place, &me, s.advertise, &seeds, group.clone()).await?)
+            let location = (s.base.data_centre, s.base.regions);
+            Some(start_fleet::<D>(f, location, &me, s.advertise, &seeds, group.clone()).await?)
         }
         None => None,
     };
@@ -154,7 +163,7 @@
     let server = Server::new(machine, clock, me, s.advertise, reserve, group, fleet);
     let ended = server.run(listener).await;
     if let (Err((Code::FolderForeign, _)), Some(_)) = (&ended, &s.fleet) {
-        // The group mends itself: the next start joins it under another identity.
+        // The next start joins the group as a new member, which replaces this one.
         set_aside(&s.data_folder).map_err(disk_failed)?;
         emit!(Event::FolderSetAside, node = format_args!("{node:016x}"));
     }
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -1,4 +1,4 @@
-//! Sockets and timers round the machine.
+//! The event loop of a control process: connects the [`Machine`] to its links, timers and HTTP calls.
 
 mod fleet;
 
@@ -28,205 +28,204 @@
 use cypressfork_wire::{Ask, Frame, Return, body};
 use metrics::{counter, gauge};
 use tokio::net::TcpListener;
-use tokio::sync::{mpsc, watch as place};
+use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep};
 
 use crate::api::Local;
 use crate::disk::{Disk, disk_failed};
 use crate::fleet_view::FleetView;
-use crate::leaderless::Leaderless;
+use crate::leaderless::LeaderlessTimer;
 use crate::links::{accept_all, send_all};
 use crate::machine::{Machine, Moment, Output};
 use crate::reserve::Reserve;
 use crate::server::fleet::next_call;
-use crate::turns::{Kind, Turns};
+use crate::turns::{InputKind, LoopStats};
 
-/// How often the machine's time passes: five times between two heartbeats of a leader, and within
-/// these. A tick takes 60 us of a processor, half a hundredth of one at 100 ticks a second.
-const TICK: (Duration, Duration) = (Duration::from_millis(10), Duration::from_millis(20));
+/// Minimum and maximum of the tick interval, which is a fifth of the leader's heartbeat interval.
+const TICK_RANGE: (Duration, Duration) = (Duration::from_millis(10), Duration::from_millis(20));
 
-/// Inputs that share one sync at most.
-const BATCH: usize = 1024;
+/// Maximum number of inputs that share one sync.
+const MAX_BATCH: usize = 1024;
 
-/// Messages that may wait for one link; more are dropped, and the link with them.
+/// Maximum number of queued messages per link; further ones are dropped.
 pub(crate) const QUEUE: usize = 1024;
 
-/// How often the reserve looks after what it has to tell the group.
-const RESERVE_EVERY: Millis = Millis(250);
+/// Interval between checks for commands of the reserve to the group.
+const RESERVE_INTERVAL: Millis = Millis(250);
 
-/// How long a command of the reserve may wait for the group.
-const RESERVE_WITHIN: Duration = Duration::from_secs(2);
+/// Timeout of a command of the reserve to the group.
+const RESERVE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long a planned stop leaves the next leader to take over.
-const HAND_OVER: Duration = Duration::from_millis(300);
+/// Time that a planned stop allows for the leadership transfer.
+const TRANSFER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Where an answer goes.
+/// The caller that an answer goes to: its request and its link.
 pub struct ReplyTo {
     pub(crate) id: i64,
     pub(crate) tx: mpsc::Sender<Frame>,
 }
 
-/// What comes to a control process from its links.
+/// An input from a link or from a background task.
 pub(crate) enum Input {
     Call(Ask, ReplyTo),
     Raft(Message, Option<String>),
     /// The group's answer to a command of the reserve.
     ReserveAnswered(Box<Command>, Result<Answer, Code>),
-    /// What another control process has heard.
-    Seen(SocketAddr, Box<WatchResponse>),
+    /// A watch response of another control process.
+    PeerUpdate(SocketAddr, Box<WatchResponse>),
 }
 
 impl Input {
-    fn kind(&self) -> Kind {
+    fn kind(&self) -> InputKind {
         match self {
-            Input::Raft(..) => Kind::Log,
-            Input::Call(Ask::Watch(_), _) => Kind::Watch,
-            Input::Seen(..) => Kind::Seen,
-            Input::Call(..) | Input::ReserveAnswered(..) => Kind::Call,
+            Input::Raft(..) => InputKind::Raft,
+            Input::Call(Ask::Watch(_), _) => InputKind::Watch,
+            Input::PeerUpdate(..) => InputKind::PeerUpdate,
+            Input::Call(..) | Input::ReserveAnswered(..) => InputKind::Call,
         }
     }
 }
 
-/// The fleet's side of a control process.
-pub struct Fleet {
-    /// What it knows.
+/// The state and channels of a control process that serves the fleet over HTTP.
+pub struct FleetContext {
+    /// The replicas, routers and reports known to this process.
     pub view: FleetView<ReplyTo>,
-    /// Calls that arrive over HTTP.
+    /// Receives the calls that arrive over HTTP.
     pub calls: mpsc::Receiver<Local>,
-    /// Where it tells how it stands with its group.
-    pub place: place::Sender<GroupStatus>,
-    /// The members that the group's leader names to a process that seeks its group.
-    pub confirmed_members: mpsc::Receiver<Members>,
-    /// Addresses of control processes that it was told of.
+    /// Publishes this process's membership in the group.
+    pub group_status: watch::Sender<GroupStatus>,
+    /// Receives the members that the leader reports while this process rejoins its group.
+    pub rejoin_members: mpsc::Receiver<Members>,
+    /// Addresses of control processes from the settings.
     pub seeds: Vec<SocketAddr>,
     /// The data centre of this process.
     pub data_centre: String,
-    /// The regions of data centres.
+    /// The regions that the data centres belong to.
     pub regions: Regions,
-    /// How long callers may keep an entry answer.
+    /// How long callers may cache an entry answer.
     pub entry_keep: Millis,
-    /// Voters that the group should have.
+    /// Target number of voters in the group.
     pub voters: usize,
-    /// Thousandths of a service's requests that a bad version may get.
+    /// Maximum share of a service's requests that a bad version may get, in permille.
     pub rollout_allowed: u64,
 }
 
-/// How long to wait before a disk that failed is tried again.
-const DISK_AGAIN: Millis = Millis(500);
+/// Delay before a failed disk is tried again.
+const DISK_RETRY_DELAY: Millis = Millis(500);
 
-/// One control process.
+/// A running control process.
 pub struct Server {
     machine: Machine<Disk, ReplyTo>,
     clock: Clock,
-    me: Credentials,
-    /// Where others reach this process.
+    credentials: Credentials,
+    /// Address on which other control processes reach this one.
     address: String,
     peers: BTreeMap<NodeId, Peer>,
     reserve: Option<Reserve<ReplyTo>>,
     group: Group,
-    /// Commands of the reserve that wait for the group.
-    reserve_commands: usize,
+    /// Number of commands of the reserve that the group has not answered yet.
+    pending_reserve_commands: usize,
     next_reserve_command: Time,
-    /// Where replicas said that they listen, for those that are no members yet.
-    heard_at: BTreeMap<NodeId, String>,
-    fleet: Option<Fleet>,
-    /// How far the other control processes are followed.
+    /// Addresses received with messages, for senders that are not members yet.
+    sender_addresses: BTreeMap<NodeId, String>,
+    fleet: Option<FleetContext>,
+    /// Position in the feed of each other control process.
     feeds: Rc<RefCell<BTreeMap<SocketAddr, FeedCursor>>>,
-    /// The control processes that are followed.
-    followed: Rc<RefCell<BTreeSet<SocketAddr>>>,
-    next_follow: Time,
-    leaderless: Leaderless,
+    /// The control processes that are watched.
+    watched: Rc<RefCell<BTreeSet<SocketAddr>>>,
+    next_watch: Time,
+    leaderless: LeaderlessTimer,
     contacts: Contacts,
     clocks: Clocks,
-    /// When a disk that failed is tried again.
-    disk_again: Option<Time>,
-    /// The bytes of a query for limits.
+    /// When a failed disk is tried again.
+    disk_retry_at: Option<Time>,
+    /// The encoded query for limits.
     limits_query: Vec<u8>,
-    turns: Turns,
+    loop_stats: LoopStats,
 }
 
-/// The sending end towards another replica.
+/// The sending side of the link to another control process.
 struct Peer {
     address: String,
     tx: mpsc::Sender<Message>,
 }
 
 impl Server {
-    /// Wraps a machine.
+    /// Creates the server of a member. A process without `fleet` serves no HTTP calls.
     pub fn new(
         machine: Machine<Disk, ReplyTo>,
         clock: Clock,
-        me: Credentials,
+        credentials: Credentials,
         advertise: SocketAddr,
         reserve: Option<Reserve<ReplyTo>>,
         group: Group,
-        fleet: Option<Fleet>,
+        fleet: Option<FleetContext>,
     ) -> Server {
         Server {
             machine,
             clock,
-            me,
+            credentials,
             address: advertise.to_string(),
             peers: BTreeMap::new(),
             reserve,
             group,
-            reserve_commands: 0,
+            pending_reserve_commands: 0,
             next_reserve_command: Time(0),
-            heard_at: BTreeMap::new(),
+            sender_addresses: BTreeMap::new(),
             fleet,
             feeds: Rc::default(),
-            followed: Rc::default(),
-            next_follow: Time(0),
-            leaderless: Leaderless::default(),
+            watched: Rc::default(),
+            next_watch: Time(0),
+            leaderless: LeaderlessTimer::default(),
             contacts: Contacts::default(),
             clocks: Clocks::default(),
-            disk_again: None,
+            disk_retry_at: None,
             limits_query: body::pack(&Query::Limits),
-            turns: Turns::new(),
+            loop_stats: LoopStats::new(),
         }
     }
 
-    /// Serves until a signal asks to stop, or the machine cannot go on.
+    /// Serves until a stop signal arrives. Returns an error if the member cannot continue.
     pub async fn run(mut self, listener: TcpListener) -> Result<(), Failure> {
         let (tx, mut rx) = mpsc::channel(QUEUE);
-        actix_rt::spawn(accept_all(listener, self.me.clone(), tx.clone()));
+        actix_rt::spawn(accept_all(listener, self.credentials.clone(), tx.clone()));
         let between = Duration::from_millis(self.machine.settings.raft.heartbeat.0);
-        let mut ticks = interval((between / 5).clamp(TICK.0, TICK.1));
+        let mut ticks = interval((between / 5).clamp(TICK_RANGE.0, TICK_RANGE.1));
         ticks.set_missed_tick_behavior(MissedTickBehavior::Skip);
         let stop = stop_signal();
         tokio::pin!(stop);
         loop {
-            let begun;
+            let started;
             tokio::select! {
                 () = &mut stop => break,
                 Some(input) = rx.recv() => {
-                    begun = Instant::now();
-                    self.take_all(input, &mut rx);
+                    started = Instant::now();
+                    self.handle_batch(input, &mut rx);
                 }
                 Some(local) = next_call(&mut self.fleet) => {
-                    let begun = Instant::now();
-                    self.take_calls(local);
-                    self.turns.note_turn(begun);
-                    // Nothing of the group has changed by them: no more is due than at a tick.
+                    let started = Instant::now();
+                    self.handle_http_calls(local);
+                    self.loop_stats.record_iteration(started);
+                    // Calls leave the replicated log unchanged; watch responses wait for a tick.
                     continue;
                 }
                 _ = ticks.tick() => {
-                    begun = Instant::now();
-                    self.turns.note_tick();
-                    self.mend_disk()?;
+                    started = Instant::now();
+                    self.loop_stats.record_tick();
+                    self.retry_disk()?;
                     self.machine.tick(self.moment());
-                    self.observe();
+                    self.update_metrics();
                     self.send_reserve_commands(&tx);
                     self.tick_fleet(&tx);
                 }
             }
             self.finish()?;
-            self.turns.note_turn(begun);
+            self.loop_stats.record_iteration(started);
         }
         emit!(Event::Stopping);
-        self.machine.hand_over();
+        self.machine.transfer_leadership();
         self.finish()?;
-        sleep(HAND_OVER).await;
+        sleep(TRANSFER_TIMEOUT).await;
         Ok(())
     }
 
@@ -235,24 +234,24 @@
         Moment { now, wall: self.clocks.agreed(now, wall()) }
     }
 
-    fn take_all(&mut self, first: Input, rx: &mut mpsc::Receiver<Input>) {
-        self.take(first);
-        for _ in 1..BATCH {
+    fn handle_batch(&mut self, first: Input, rx: &mut mpsc::Receiver<Input>) {
+        self.handle(first);
+        for _ in 1..MAX_BATCH {
             let Ok(input) = rx.try_recv() else { break };
-            self.take(input);
+            self.handle(input);
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle(&mut self, input: Input) {
         let at = self.moment();
-        self.turns.note_input(input.kind());
+        self.loop_stats.record_input(input.kind());
         match input {
             Input::Call(Ask::Reserve(bytes), to) => match &mut self.reserve {
                 Some(r) => r.serve(at.wall, &bytes, to),
                 None => self.reply(to, Err(Code::ReserveNone)),
             },
             Input::ReserveAnswered(c, result) => {
-                self.reserve_commands -= 1;
+                self.pending_reserve_commands -= 1;
                 if let (Some(r), Ok(a)) = (&mut self.reserve, result) {
                     let known = r.is_enlisted();
                     r.answered(at.wall, &c, &a, self.machine.state());
@@ -261,16 +260,16 @@
                     }
                 }
             }
-            Input::Call(Ask::Query(bytes), to) if self.asks_for_limits(&bytes) => {
-                let words = self.fleet.as_ref().map(|f| f.view.limits.active_reports(at.now));
-                self.reply(to, Ok(body::pack(&Reply::Limits(words.unwrap_or_default()))));
+            Input::Call(Ask::Query(bytes), to) if self.is_limits_query(&bytes) => {
+                let reports = self.fleet.as_ref().map(|f| f.view.limits.active_reports(at.now));
+                self.reply(to, Ok(body::pack(&Reply::Limits(reports.unwrap_or_default()))));
             }
-            Input::Call(Ask::Watch(bytes), to) => self.take_watch(at, &bytes, to),
+            Input::Call(Ask::Watch(bytes), to) => self.handle_watch(at, &bytes, to),
             Input::Call(Ask::Announce(bytes), to) => {
-                let result = self.take_announce(at, &bytes);
+                let result = self.handle_announce(at, &bytes);
                 self.reply(to, result);
             }
-            Input::Seen(from, seen) => {
+            Input::PeerUpdate(from, seen) => {
                 self.clocks.record(at.now, from, Time(seen.wall));
                 seen.controls.iter().for_each(|a| self.contacts.record(at.now, a));
                 if let Some(lead) = &seen.lead {
@@ -283,48 +282,49 @@
             Input::Call(ask, to) => self.machine.call(at, ask, to),
             Input::Raft(m, reply_to) => {
                 if let Some(a) = reply_to {
-                    self.heard_at.insert(m.from, a);
+                    self.sender_addresses.insert(m.from, a);
                 }
                 self.machine.step(at, m);
             }
         }
     }
 
-    /// Whether a query is for limits: those are no part of the group's state.
-    fn asks_for_limits(&self, query: &[u8]) -> bool {
+    /// Returns whether a query is for limits, which this process answers from its own state because
+    /// they are not replicated.
+    fn is_limits_query(&self, query: &[u8]) -> bool {
         self.fleet.is_some() && query == self.limits_query
     }
 
-    /// Brings the gauges up to date.
-    fn observe(&mut self) {
+    /// Updates the metrics of this member.
+    fn update_metrics(&mut self) {
         let now = self.moment().now;
         let raft = self.machine.raft();
-        self.leaderless.note(now, raft.leader().is_some());
+        self.leaderless.update(now, raft.leader().is_some());
         gauge!(metric::LEADS).set(f64::from(u8::from(raft.is_leader())));
         gauge!(metric::TERM).set(raft.term() as f64);
         gauge!(metric::COMMITTED).set(raft.committed() as f64);
     }
 
-    /// Sends the reserve's commands to the group, once those before are answered.
+    /// Sends the reserve's due commands to the group, once the previous ones are answered.
     fn send_reserve_commands(&mut self, tx: &mpsc::Sender<Input>) {
         let at = self.moment();
         let Some(r) = &mut self.reserve else { return };
-        if self.reserve_commands > 0 || at.now < self.next_reserve_command {
+        if self.pending_reserve_commands > 0 || at.now < self.next_reserve_command {
             return;
         }
-        self.next_reserve_command = at.now.after(RESERVE_EVERY);
+        self.next_reserve_command = at.now.after(RESERVE_INTERVAL);
         for c in r.commands_due(at.wall, self.machine.state()) {
-            self.reserve_commands += 1;
+            self.pending_reserve_commands += 1;
             let (group, tx) = (self.group.clone(), tx.clone());
             actix_rt::spawn(async move {
-                let answer = group.command(&c, RESERVE_WITHIN).await;
-                // A server that has stopped needs no answer.
+                let answer = group.command(&c, RESERVE_TIMEOUT).await;
+                // The send fails only if the server has stopped.
                 let _ = tx.send(Input::ReserveAnswered(Box::new(c), answer)).await;
             });
         }
     }
 
-    /// Syncs and answers what routers asked of the reserve.
+    /// Syncs the reserve and answers the routers' requests to it.
     fn finish_reserve(&mut self) {
         let Some(r) = &mut self.reserve else { return };
         match r.finish() {
@@ -345,10 +345,10 @@
             match out {
                 Output::Reply(to, result) => self.reply(to, result),
                 Output::Send(m) => self.send(m),
-                // A full or broken disk may store again. Until then this process takes no part in
-                // the group, and answers what needs no disk.
+                // A full or failed disk may recover. Until then this process takes no part in the
+                // group, but answers requests that need no disk.
                 Output::Stop(Code::DiskFailed, _) => {
-                    self.disk_again = Some(at.now.after(DISK_AGAIN));
+                    self.disk_retry_at = Some(at.now.after(DISK_RETRY_DELAY));
                 }
                 Output::Stop(code, why) => return Err((code, why)),
             }
@@ -356,19 +356,19 @@
         Ok(())
     }
 
-    /// Tries a disk that failed, if that is due.
-    fn mend_disk(&mut self) -> Result<(), Failure> {
+    /// Restarts the member from a disk that has failed, if a retry is due.
+    fn retry_disk(&mut self) -> Result<(), Failure> {
         let at = self.moment();
-        if self.disk_again.is_none_or(|due| at.now < due) {
+        if self.disk_retry_at.is_none_or(|due| at.now < due) {
             return Ok(());
         }
         match self.machine.restart(at, rand::random()) {
             Ok(()) => {
-                self.disk_again = None;
+                self.disk_retry_at = None;
                 emit!(Event::DiskBack);
             }
             Err(e @ (Error::Io(..) | Error::Poisoned)) => {
-                self.disk_again = Some(at.now.after(DISK_AGAIN));
+                self.disk_retry_at = Some(at.now.after(DISK_RETRY_DELAY));
                 emit!(Event::DiskFailed, why = e);
             }
             Err(e) => return Err(disk_failed(e)),
@@ -392,26 +392,26 @@
         }
     }
 
-    /// Where the group's leader is: a process that does not count in the group has been told of it
-    /// by others, so that a caller who knows nobody else finds it.
+    /// Returns the address of the group's leader. A process outside the group returns the one reported
+    /// by other processes, so that it can redirect callers too.
     fn leader_address(&self) -> Option<String> {
-        let told = || self.contacts.leader(self.clock.now()).map(|l| l.address.clone());
-        self.machine.leader_address().or_else(told)
+        let reported = || self.contacts.leader(self.clock.now()).map(|l| l.address.clone());
+        self.machine.leader_address().or_else(reported)
     }
 
     fn send(&mut self, m: Message) {
         let known = self.machine.raft().address(m.to);
-        let address = known.or_else(|| self.heard_at.get(&m.to).map(String::as_str));
+        let address = known.or_else(|| self.sender_addresses.get(&m.to).map(String::as_str));
         let Some(address) = address.map(str::to_owned) else { return };
-        let known =
+        let is_connected =
             self.peers.get(&m.to).is_some_and(|p| p.address == address && !p.tx.is_closed());
-        if !known {
+        if !is_connected {
             let (tx, rx) = mpsc::channel(QUEUE);
             let own = self.address.clone();
-            actix_rt::spawn(send_all(address.clone(), own, self.me.clone(), rx));
+            actix_rt::spawn(send_all(address.clone(), own, self.credentials.clone(), rx));
             self.peers.insert(m.to, Peer { address, tx });
         }
-        // A full queue drops the message, as a network may.
+        // A message for a full queue is dropped: Raft tolerates message loss.
         let _ = self.peers[&m.to].tx.try_send(m);
     }
 }
--- a/crates/control/src/server/fleet.rs
+++ b/crates/control/src/server/fleet.rs
@@ -1,5 +1,5 @@
-//! The fleet's side of a control process: calls over HTTP, standing questions, and the other control
-//! processes that are followed.
+//! The fleet side of a control process: HTTP calls, watch requests, and watches of the other control
+//! processes.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,23 +21,23 @@
 use metrics::counter;
 use tokio::sync::mpsc;
 
-use super::{BATCH, Fleet, Input, ReplyTo, Server};
+use super::{FleetContext, Input, MAX_BATCH, ReplyTo, Server};
 use crate::api::Local;
 use crate::dialect::{Answer as CallAnswer, Call};
 use crate::fleet_view::Followed;
 use crate::machine::Moment;
-use crate::turns::Kind;
+use crate::turns::InputKind;
 
-/// How often it is looked whether there are control processes that are not followed yet.
-const FOLLOW_EVERY: Millis = Millis(100);
+/// Interval between checks for control processes that are not watched yet.
+const WATCH_INTERVAL: Millis = Millis(100);
 
-/// Routers named in one entry answer at most.
-const ENTRY_MOST: usize = 64;
+/// Maximum number of routers in one entry answer.
+const MAX_ENTRY_ADDRESSES: usize = 64;
 
 impl Server {
-    pub(super) fn take_watch(&mut self, at: Moment, bytes: &[u8], to: ReplyTo) {
-        let question = body::unpack::<Watch>(bytes);
-        match (&mut self.fleet, question) {
+    pub(super) fn handle_watch(&mut self, at: Moment, bytes: &[u8], to: ReplyTo) {
+        let request = body::unpack::<Watch>(bytes);
+        match (&mut self.fleet, request) {
             (Some(f), Ok(w)) => {
                 if let Some(address) = &w.control {
                     self.contacts.record(at.now, address);
@@ -48,7 +48,7 @@
         }
     }
 
-    pub(super) fn take_announce(&mut self, at: Moment, bytes: &[u8]) -> Result<Vec<u8>, Code> {
+    pub(super) fn handle_announce(&mut self, at: Moment, bytes: &[u8]) -> Result<Vec<u8>, Code> {
         let a = body::unpack::<Announce>(bytes).map_err(|_| Code::MessageBad)?;
         let f = self.fleet.as_mut().ok_or(Code::MessageBad)?;
         if !self.machine.raft().is_leader() {
@@ -58,25 +58,26 @@
         Ok(Vec::new())
     }
 
-    pub(super) fn take_calls(&mut self, first: Local) {
-        self.take_call(first);
-        for _ in 1..BATCH {
+    pub(super) fn handle_http_calls(&mut self, first: Local) {
+        self.handle_http_call(first);
+        for _ in 1..MAX_BATCH {
             let Some(local) = self.fleet.as_mut().and_then(|f| f.calls.try_recv().ok()) else {
                 break;
             };
-            self.take_call(local);
+            self.handle_http_call(local);
         }
     }
 
-    /// Answers a call that needs nothing but what this process knows.
-    pub(super) fn take_call(&mut self, local: Local) {
-        self.turns.note_input(Kind::Http);
+    /// Answers an HTTP call from this process's own state.
+    pub(super) fn handle_http_call(&mut self, local: Local) {
+        self.loop_stats.record_input(InputKind::Http);
         let now = self.moment().now;
-        let led = self.machine.raft().leader().is_some();
+        let has_leader = self.machine.raft().leader().is_some();
         let Some(f) = &mut self.fleet else { return };
         let answer = match local.call {
             Call::Entry(data_centre) => {
-                let addresses = f.view.routers.addresses(now, &data_centre, &f.regions, ENTRY_MOST);
+                let addresses =
+                    f.view.routers.addresses(now, &data_centre, &f.regions, MAX_ENTRY_ADDRESSES);
                 match addresses.is_empty() {
                     true => no_entry(),
                     false => CallAnswer::Entry(addresses, f.entry_keep),
@@ -86,62 +87,62 @@
                 let why = r.registration.validate().err().unwrap_or_default();
                 CallAnswer::Refused(Code::RegistrationBad, why)
             }
-            // Acknowledged, as its sender may be in the right before long: a document may name it.
+            // Acknowledged, because a document that names the service may follow soon.
             Call::Beat(r) if !self.machine.state().names_service(&r.registration.service) => {
                 counter!(metric::UNNAMED).increment(1);
                 let Registration { id, service, .. } = &r.registration;
                 emit!(Event::ServiceUnnamed, replica = id, service = service);
                 CallAnswer::Noted
             }
-            Call::Beat(r) if r.standing < ReplicaStatus::Draining || led => {
+            Call::Beat(r) if r.standing < ReplicaStatus::Draining || has_leader => {
                 let id = r.registration.id.clone();
                 if f.view.registry.apply(now, r, RecordSource::Replica) {
                     emit!(Event::ReplicaChanged, replica = id);
                 }
                 CallAnswer::Noted
             }
-            Call::Leave(id) if led => {
+            Call::Leave(id) if has_leader => {
                 if f.view.registry.mark_left(now, &id) {
                     emit!(Event::ReplicaChanged, replica = id);
                 }
                 CallAnswer::Noted
             }
-            // Cut off from the group, this process could not tell all routers.
+            // Without a leader this process may be cut off and unable to inform all routers.
             _ => CallAnswer::Refused(Code::NoQuorum, "this process knows no leader".to_owned()),
         };
-        // A caller that has gone needs no answer.
+        // The send fails only if the caller has gone.
         let _ = local.to.send(answer);
     }
 
-    /// Lets time pass for the fleet's side, follows the other control processes, and as leader
-    /// mends the group.
+    /// Runs the periodic work of the fleet side: expires old records, watches the other control
+    /// processes and, on the leader, repairs the group, writes off dead holders and steps rollouts.
     pub(super) fn tick_fleet(&mut self, tx: &mpsc::Sender<Input>) {
         let at = self.moment();
         let Some(f) = &mut self.fleet else { return };
         f.view.tick(at.now);
-        while let Ok(members) = f.confirmed_members.try_recv() {
+        while let Ok(members) = f.rejoin_members.try_recv() {
             self.machine.take_members(at, members);
         }
-        let place = self.machine.place();
-        f.place.send_if_modified(|p| std::mem::replace(p, place.clone()) != place);
+        let status = self.machine.place();
+        f.group_status.send_if_modified(|s| std::mem::replace(s, status.clone()) != status);
         self.machine.repair(at, &f.view.candidates, f.voters);
         let quorum = self.machine.members().quorum();
         let margin = self.clocks.margin(at.now, wall(), quorum);
-        self.machine.write_off_dead(at, margin);
+        self.machine.write_off_dead_holders(at, margin);
         self.machine.step_rollouts(at, &mut f.view, f.rollout_allowed);
-        if at.now >= self.next_follow {
-            self.next_follow = at.now.after(FOLLOW_EVERY);
-            self.follow_all(at, tx);
+        if at.now >= self.next_watch {
+            self.next_watch = at.now.after(WATCH_INTERVAL);
+            self.watch_all(at, tx);
         }
     }
 
-    /// Follows all other control processes that are known.
-    pub(super) fn follow_all(&mut self, at: Moment, tx: &mpsc::Sender<Input>) {
+    /// Watches all other control processes that are known.
+    pub(super) fn watch_all(&mut self, at: Moment, tx: &mpsc::Sender<Input>) {
         let Some(f) = &self.fleet else { return };
         self.contacts.tick(at.now);
         let members = raft_addresses(self.machine.members());
-        let heard = self.contacts.addresses().filter_map(|a| a.parse().ok());
-        let all = members.into_iter().chain(f.seeds.iter().copied()).chain(heard);
+        let reported = self.contacts.addresses().filter_map(|a| a.parse().ok());
+        let all = members.into_iter().chain(f.seeds.iter().copied()).chain(reported);
         let all: BTreeSet<_> = all.filter(|a| a.to_string() != self.address).collect();
         self.group.learn(all.iter().copied());
         let lead = self.machine.lead().or_else(|| self.contacts.leader(at.now).cloned());
@@ -150,15 +151,16 @@
         {
             self.group.point_to(lead.term, leader);
         }
-        let before = self.followed.replace(all.clone());
+        let before = self.watched.replace(all.clone());
         for address in all.into_iter().filter(|a| !before.contains(a)) {
-            let (feeds, own) = (self.feeds.clone(), self.address.clone());
-            let peer = PeerWatch { feeds, followed: self.followed.clone(), tx: tx.clone(), own };
-            actix_rt::spawn(watch(address, self.me.clone(), peer));
+            let (feeds, own_address) = (self.feeds.clone(), self.address.clone());
+            let peer =
+                PeerWatch { feeds, watched: self.watched.clone(), tx: tx.clone(), own_address };
+            actix_rt::spawn(watch(address, self.credentials.clone(), peer));
         }
     }
 
-    /// Answers the standing questions that are due.
+    /// Answers the watch requests that are due.
     pub(super) fn finish_fleet(&mut self) {
         let now = self.moment().now;
         let Some(f) = self.fleet.as_mut().filter(|f| f.view.is_time(now)) else { return };
@@ -188,8 +190,8 @@
     }
 }
 
-/// The next call over HTTP; never, without a fleet.
-pub(super) async fn next_call(f: &mut Option<Fleet>) -> Option<Local> {
+/// Returns the next HTTP call; pends forever if this process serves none.
+pub(super) async fn next_call(f: &mut Option<FleetContext>) -> Option<Local> {
     match f {
         Some(f) => f.calls.recv().await,
         None => std::future::pending().await,
@@ -204,27 +206,27 @@
     m.addresses.values().filter_map(|a| a.parse().ok()).collect()
 }
 
-/// Follows another control process.
+/// Watches another control process.
 struct PeerWatch {
     feeds: Rc<RefCell<BTreeMap<SocketAddr, FeedCursor>>>,
-    /// Those that are to be followed on.
-    followed: Rc<RefCell<BTreeSet<SocketAddr>>>,
+    /// The processes to keep watching.
+    watched: Rc<RefCell<BTreeSet<SocketAddr>>>,
     tx: mpsc::Sender<Input>,
-    /// Where this process listens for the others.
-    own: String,
+    /// Address on which this process listens for the others.
+    own_address: String,
 }
 
 impl Watcher for PeerWatch {
     fn question(&self, to: SocketAddr) -> Option<Watch> {
         let feed = self.feeds.borrow().get(&to).copied().unwrap_or_default();
-        let goes_on = !self.tx.is_closed() && self.followed.borrow().contains(&to);
-        goes_on.then(|| Watch {
+        let is_wanted = !self.tx.is_closed() && self.watched.borrow().contains(&to);
+        is_wanted.then(|| Watch {
             router: None,
             feed,
             version: 0,
             fetch: None,
             areas: NOT_WANTED,
-            control: Some(self.own.clone()),
+            control: Some(self.own_address.clone()),
             evacuations: evacuation::NOT_WANTED,
             quarantine: evacuation::NOT_WANTED,
             rollouts: evacuation::NOT_WANTED,
@@ -238,8 +240,8 @@
 
     fn seen(&self, from: SocketAddr, seen: WatchResponse) {
         let feed = seen.feed;
-        // What does not fit is asked for again.
-        if self.tx.try_send(Input::Seen(from, Box::new(seen))).is_ok() {
+        // If the queue is full, the next request asks for the same update again.
+        if self.tx.try_send(Input::PeerUpdate(from, Box::new(seen))).is_ok() {
             self.feeds.borrow_mut().insert(from, feed);
         }
     }
--- a/crates/control/src/turns.rs
+++ b/crates/control/src/turns.rs
@@ -1,5 +1,5 @@
-//! How a control process's one thread spends its time: whether it comes round to its clock in time, and
-//! what it was busy with if it does not.
+//! Statistics of a control process's event loop: whether its ticks are late, and what it was doing
+//! meanwhile.
 
 use std::fmt;
 use std::time::Duration;
@@ -9,111 +9,118 @@
 use metrics::{counter, histogram};
 use tokio::time::Instant;
 
-/// Between two ticks, from which on it is told what kept the process: some of that, and a follower's
-/// patience with its leader is over.
-const LATE: Duration = Duration::from_millis(200);
+/// Time between two ticks from which on the delay is logged. A little more, and followers start an
+/// election.
+const LATE_TICK: Duration = Duration::from_millis(200);
 
-/// What comes to a control process.
+/// The kind of an input to a control process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum InputKind {
     /// Messages of the replicated log.
-    Log,
+    Raft,
     /// Commands and queries.
     Call,
-    /// Standing questions.
+    /// Watch requests.
     Watch,
-    /// Answers of the other control processes to this one's.
-    Seen,
+    /// Watch responses of other control processes.
+    PeerUpdate,
     /// Calls over HTTP.
     Http,
 }
 
-impl Kind {
-    const ALL: [Kind; 5] = [Kind::Log, Kind::Call, Kind::Watch, Kind::Seen, Kind::Http];
+impl InputKind {
+    const ALL: [InputKind; 5] = [
+        InputKind::Raft,
+        InputKind::Call,
+        InputKind::Watch,
+        InputKind::PeerUpdate,
+        InputKind::Http,
+    ];
 
-    /// Its name in metrics.
-    fn name(self) -> &'static str {
+    /// Returns its label in metrics.
+    fn label(self) -> &'static str {
         match self {
-            Kind::Log => "log",
-            Kind::Call => "call",
-            Kind::Watch => "watch",
-            Kind::Seen => "seen",
-            Kind::Http => "http",
+            InputKind::Raft => "log",
+            InputKind::Call => "call",
+            InputKind::Watch => "watch",
+            InputKind::PeerUpdate => "seen",
+            InputKind::Http => "http",
         }
     }
 }
 
-/// Inputs of each kind.
+/// Number of inputs of each kind.
 #[derive(Clone, Copy, Debug, Default)]
-struct Counts([u64; Kind::ALL.len()]);
+struct Counts([u64; InputKind::ALL.len()]);
 
 impl fmt::Display for Counts {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (n, (kind, count)) in Kind::ALL.iter().zip(self.0).enumerate() {
+        for (n, (kind, count)) in InputKind::ALL.iter().zip(self.0).enumerate() {
             let space = if n == 0 { "" } else { " " };
-            write!(f, "{space}{}:{count}", kind.name())?;
+            write!(f, "{space}{}:{count}", kind.label())?;
         }
         Ok(())
     }
 }
 
-/// The turns of the process's loop since its last tick.
+/// Statistics of the event loop since its last tick.
 #[derive(Debug)]
-pub struct Turns {
-    ticked: Instant,
+pub struct LoopStats {
+    last_tick: Instant,
     inputs: Counts,
-    turns: u64,
+    iterations: u64,
     busy: Duration,
     longest: Duration,
 }
 
-impl Turns {
-    /// Begins now.
-    pub fn new() -> Turns {
-        Turns {
-            ticked: Instant::now(),
+impl LoopStats {
+    /// Creates empty statistics that start now.
+    pub fn new() -> LoopStats {
+        LoopStats {
+            last_tick: Instant::now(),
             inputs: Counts::default(),
-            turns: 0,
+            iterations: 0,
             busy: Duration::ZERO,
             longest: Duration::ZERO,
         }
     }
 
     /// Counts an input.
-    pub fn note_input(&mut self, kind: Kind) {
+    pub fn record_input(&mut self, kind: InputKind) {
         self.inputs.0[kind as usize] += 1;
-        counter!(metric::INPUTS, "kind" => kind.name()).increment(1);
+        counter!(metric::INPUTS, "kind" => kind.label()).increment(1);
     }
 
-    /// Notes a turn of the loop that began at `begun`.
-    pub fn note_turn(&mut self, begun: Instant) {
-        let took = begun.elapsed();
-        self.turns += 1;
+    /// Records an iteration of the loop that started at `started`.
+    pub fn record_iteration(&mut self, started: Instant) {
+        let took = started.elapsed();
+        self.iterations += 1;
         self.busy += took;
         self.longest = self.longest.max(took);
     }
 
-    /// Notes a tick. Returns the time since the one before.
-    pub fn note_tick(&mut self) -> Duration {
-        let since = self.ticked.elapsed();
+    /// Records a tick and starts anew; logs the statistics if the tick is late. Returns the time since
+    /// the previous tick.
+    pub fn record_tick(&mut self) -> Duration {
+        let since = self.last_tick.elapsed();
         histogram!(metric::TICK).record(since);
-        if since >= LATE {
+        if since >= LATE_TICK {
             emit!(
                 Event::HeldUp,
                 ms = since.as_millis(),
-                turns = self.turns,
+                turns = self.iterations,
                 busy_ms = self.busy.as_millis(),
                 longest_ms = self.longest.as_millis(),
                 inputs = self.inputs,
             );
         }
-        *self = Turns::new();
+        *self = LoopStats::new();
         since
     }
 }
 
-impl Default for Turns {
-    fn default() -> Turns {
-        Turns::new()
+impl Default for LoopStats {
+    fn default() -> LoopStats {
+        LoopStats::new()
     }
 }
