--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -170,7 +170,7 @@
     }
 
     /// Returns this process's view of its membership in the group.
-    pub fn place(&self) -> GroupStatus {
+    pub fn group_status(&self) -> GroupStatus {
         let raft = &self.raft;
         GroupStatus {
             node: raft.id(),
@@ -182,7 +182,7 @@
     }
 
     /// Returns the leader and its term, if known.
-    pub fn lead(&self) -> Option<Leader> {
+    pub fn known_leader(&self) -> Option<Leader> {
         let address = self.leader_address()?;
         Some(Leader { term: self.raft.term(), address })
     }
--- a/crates/control/src/server/fleet.rs
+++ b/crates/control/src/server/fleet.rs
@@ -123,7 +123,7 @@
         while let Ok(members) = f.rejoin_members.try_recv() {
             self.machine.take_members(at, members);
         }
-        let status = self.machine.place();
+        let status = self.machine.group_status();
         f.group_status.send_if_modified(|s| std::mem::replace(s, status.clone()) != status);
         self.machine.repair(at, &f.view.candidates, f.voters);
         let quorum = self.machine.members().quorum();
@@ -145,7 +145,7 @@
         let all = members.into_iter().chain(f.seeds.iter().copied()).chain(reported);
         let all: BTreeSet<_> = all.filter(|a| a.to_string() != self.address).collect();
         self.group.learn(all.iter().copied());
-        let lead = self.machine.lead().or_else(|| self.contacts.leader(at.now).cloned());
+        let lead = self.machine.known_leader().or_else(|| self.contacts.leader(at.now).cloned());
         if let Some(lead) = &lead
             && let Ok(leader) = lead.address.parse()
         {
@@ -167,7 +167,7 @@
         let (version, source) = self.machine.state().published();
         let controls = self.machine.members().addresses.values().cloned().collect();
         let registered = self.machine.state().routers();
-        let lead = self.machine.lead();
+        let lead = self.machine.known_leader();
         let evacuations = self.machine.state().evacuations();
         let quarantine = self.machine.state().quarantine();
         let rollouts = self.machine.state().rollouts();
--- a/crates/control/tests/support/places.rs
+++ b/crates/control/tests/support/places.rs
@@ -97,7 +97,7 @@
         for address in self.known_to(id) {
             let Some(to) = self.at(&address).filter(|to| self.reaches(id, *to)) else { continue };
             let told = self.machine(to).members().addresses.clone();
-            let lead = self.machine(to).lead();
+            let lead = self.machine(to).known_leader();
             let own = self.nodes[&id].address.clone();
             self.nodes.get_mut(&to).unwrap().contacts.record(now, &own);
             let contacts = &mut self.nodes.get_mut(&id).unwrap().contacts;
@@ -111,7 +111,7 @@
     /// One that does not count says so to whoever may lead: one process a look, and the one that it
     /// names.
     fn announce(&mut self, id: NodeId) {
-        let place = self.machine(id).place();
+        let place = self.machine(id).group_status();
         if !place.seeks_group(self.now.since(self.nodes[&id].started)) {
             return;
         }
