--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -188,7 +188,7 @@
     }
 
     /// Sets the members whose acceptance a rejoin needs, as received from the group's leader.
-    pub fn take_members(&mut self, at: Moment, members: Members) {
+    pub fn set_rejoin_members(&mut self, at: Moment, members: Members) {
         self.raft.set_rejoin_members(at.now, members);
     }
 
--- a/crates/control/src/server/fleet.rs
+++ b/crates/control/src/server/fleet.rs
@@ -121,7 +121,7 @@
         let Some(f) = &mut self.fleet else { return };
         f.view.tick(at.now);
         while let Ok(members) = f.rejoin_members.try_recv() {
-            self.machine.take_members(at, members);
+            self.machine.set_rejoin_members(at, members);
         }
         let status = self.machine.group_status();
         f.group_status.send_if_modified(|s| std::mem::replace(s, status.clone()) != status);
--- a/crates/control/tests/support/places.rs
+++ b/crates/control/tests/support/places.rs
@@ -135,6 +135,6 @@
         let a = Announce { node: id, address: self.nodes[&id].address.clone() };
         self.nodes.get_mut(&leader).unwrap().candidates.record(at.now, a);
         let machine = self.nodes.get_mut(&id).unwrap().machine.as_mut().unwrap();
-        machine.take_members(at, members);
+        machine.set_rejoin_members(at, members);
     }
 }
