--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -125,7 +125,7 @@
 
     /// Handles a request of a caller. Its answer is returned by this or a later
     /// [`Machine::finish`].
-    pub fn call(&mut self, at: Moment, ask: Ask, from: T) {
+    pub fn handle_request(&mut self, at: Moment, ask: Ask, from: T) {
         match ask {
             Ask::Command(bytes) => self.propose(at, bytes, from),
             Ask::Query(bytes) => match body::unpack::<Query>(&bytes) {
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -279,7 +279,7 @@
                     f.view.learn(at.now, seen.replicas, &seen.beats, &seen.limits);
                 }
             }
-            Input::Call(ask, to) => self.machine.call(at, ask, to),
+            Input::Call(ask, to) => self.machine.handle_request(at, ask, to),
             Input::Raft(m, reply_to) => {
                 if let Some(a) = reply_to {
                     self.sender_addresses.insert(m.from, a);
--- a/crates/control/tests/support/world.rs
+++ b/crates/control/tests/support/world.rs
@@ -135,7 +135,7 @@
         let order = |w: &mut World, i: NodeId| {
             let at = w.moment();
             let m = w.nodes.get_mut(&i).unwrap().machine.as_mut().unwrap();
-            m.call(at, Ask::Founders(Founders::new(peers.clone())), 0);
+            m.handle_request(at, Ask::Founders(Founders::new(peers.clone())), 0);
         };
         (1..=n).filter(|i| !late.contains(i)).for_each(|i| order(&mut w, i));
         for id in away {
@@ -262,7 +262,7 @@
         let node = self.nodes.get_mut(&to).unwrap();
         if let Some(m) = node.machine.as_mut().filter(|_| !node.frozen) {
             self.waiting.insert(token, what);
-            m.call(at, ask, token);
+            m.handle_request(at, ask, token);
         }
     }
 
