--- a/crates/control/src/leader_tasks.rs
+++ b/crates/control/src/leader_tasks.rs
@@ -60,7 +60,7 @@
 
     /// Starts the next membership change that repairs the group, if this member leads and a change is
     /// needed. `want` is the target number of voters.
-    pub fn repair(&mut self, at: Moment, candidates: &Candidates, want: usize) {
+    pub fn repair_group(&mut self, at: Moment, candidates: &Candidates, want: usize) {
         if !self.raft.is_leader() || at.now < self.leader_tasks.next_repair {
             return;
         }
--- a/crates/control/src/server/fleet.rs
+++ b/crates/control/src/server/fleet.rs
@@ -125,7 +125,7 @@
         }
         let status = self.machine.group_status();
         f.group_status.send_if_modified(|s| std::mem::replace(s, status.clone()) != status);
-        self.machine.repair(at, &f.view.candidates, f.voters);
+        self.machine.repair_group(at, &f.view.candidates, f.voters);
         let quorum = self.machine.members().quorum();
         let margin = self.clocks.margin(at.now, wall(), quorum);
         self.machine.write_off_dead_holders(at, margin);
--- a/crates/control/tests/support/places.rs
+++ b/crates/control/tests/support/places.rs
@@ -83,7 +83,7 @@
             node.contacts.tick(at.now);
             node.candidates.tick(at.now);
             let candidates = node.candidates.clone();
-            node.machine.as_mut().unwrap().repair(at, &candidates, WANT);
+            node.machine.as_mut().unwrap().repair_group(at, &candidates, WANT);
             if due {
                 self.follow(id);
                 self.announce(id);
