--- a/crates/control/src/links.rs
+++ b/crates/control/src/links.rs
@@ -12,7 +12,7 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-use crate::server::{Input, QUEUE, ReplyTo};
+use crate::server::{Input, MAX_QUEUED_MESSAGES, ReplyTo};
 
 /// How long to wait before a peer that cannot be reached is tried again.
 const RECONNECT: Duration = Duration::from_millis(50);
@@ -37,7 +37,7 @@
     };
     emit!(Event::LinkOpened, peer = link.peer, address = from);
     let Link { peer, mut reader, writer } = link;
-    let (answers, rx) = mpsc::channel(QUEUE);
+    let (answers, rx) = mpsc::channel(MAX_QUEUED_MESSAGES);
     let writing = actix_rt::spawn(write_all(writer, rx));
     let why = loop {
         let input = match reader.next().await {
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -48,7 +48,7 @@
 const MAX_BATCH: usize = 1024;
 
 /// Maximum number of queued messages per link; further ones are dropped.
-pub(crate) const QUEUE: usize = 1024;
+pub(crate) const MAX_QUEUED_MESSAGES: usize = 1024;
 
 /// Interval between checks for commands of the reserve to the group.
 const RESERVE_INTERVAL: Millis = Millis(250);
@@ -187,7 +187,7 @@
 
     /// Serves until a stop signal arrives. Returns an error if the member cannot continue.
     pub async fn run(mut self, listener: TcpListener) -> Result<(), Failure> {
-        let (tx, mut rx) = mpsc::channel(QUEUE);
+        let (tx, mut rx) = mpsc::channel(MAX_QUEUED_MESSAGES);
         actix_rt::spawn(accept_all(listener, self.credentials.clone(), tx.clone()));
         let between = Duration::from_millis(self.machine.settings.raft.heartbeat.0);
         let mut ticks = interval((between / 5).clamp(TICK_RANGE.0, TICK_RANGE.1));
@@ -406,7 +406,7 @@
         let is_connected =
             self.peers.get(&m.to).is_some_and(|p| p.address == address && !p.tx.is_closed());
         if !is_connected {
-            let (tx, rx) = mpsc::channel(QUEUE);
+            let (tx, rx) = mpsc::channel(MAX_QUEUED_MESSAGES);
             let own = self.address.clone();
             actix_rt::spawn(send_all(address.clone(), own, self.credentials.clone(), rx));
             self.peers.insert(m.to, Peer { address, tx });
