--- a/crates/router/src/gateway/answer.rs
+++ b/crates/router/src/gateway/answer.rs
@@ -1,4 +1,4 @@
-//! Answers of the gateway's own.
+//! Error responses that the gateway itself generates.
 
 use std::io;
 
@@ -10,7 +10,8 @@
 use super::dialect::Dialect;
 use crate::reply::{REQUEST_ID, Refusal};
 
-/// Sends a refusal or failure.
+/// Sends the response to a request that was refused or has failed. Fails if the caller's connection
+/// does.
 pub async fn refuse<D: Dialect>(client: &mut Client, id: &str, r: &Refusal) -> io::Result<()> {
     let mut headers = HeaderMap::new();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
@@ -19,5 +20,5 @@
     }
     let status =
         StatusCode::from_u16(D::refusal(r, &mut headers)).unwrap_or(StatusCode::BAD_GATEWAY);
-    client.whole(status, headers, Bytes::from(r.json().to_string())).await
+    client.send_response(status, headers, Bytes::from(r.json().to_string())).await
 }
--- a/crates/router/src/gateway/attempt.rs
+++ b/crates/router/src/gateway/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request sent to one replica.
+//! One attempt to serve a request: sends it to one replica and forwards the response.
 
 use std::time::Duration;
 
@@ -15,59 +15,59 @@
 use super::dialect::{Dialect, Told};
 use super::job::Job;
 use super::notices::{Addressee, Try};
-use super::request::Progress;
+use super::request::ResponseProgress;
 use super::state::Chosen;
 use super::stream;
 use super::witness::note_lost;
 
-/// The largest answer that is not a stream.
-const ANSWER_CAP: usize = 8 * 1024 * 1024;
+/// Maximum size of the body of a response that is not a stream.
+const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
 
-/// Answers to other requests that are skipped on one connection.
-const SKIPPED: usize = 4;
+/// Maximum number of responses to other requests that are skipped on one connection.
+const MAX_SKIPPED_RESPONSES: usize = 4;
 
-/// A replica's whole answer.
+/// A replica's complete response.
 #[derive(Debug)]
 pub struct Answer {
     /// Its status.
     pub status: StatusCode,
-    /// Its headers, without those of the connection.
+    /// Its headers without those that describe the connection and the framing.
     pub headers: HeaderMap,
     /// Its body.
     pub body: Bytes,
 }
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 #[derive(Debug)]
 pub enum Ended {
-    /// The answer was passed on whole.
+    /// The complete response was forwarded.
     Answered,
-    /// The caller has gone.
+    /// The caller closed its connection.
     Left,
-    /// The replica was not reached.
+    /// The request was not sent: the replica was not reached, or a second permit was denied.
     NotSent(String),
-    /// It was not sent: the replica has gone or asked for rest since it was chosen.
+    /// The request was not sent: the replica left or requested a backoff after it was picked.
     Withheld,
-    /// The replica says that it did not run it.
+    /// The replica rejected the request without running it.
     NotRun,
-    /// The replica answers with a failure of its own; nothing of it was passed on.
+    /// The replica returned a server error, which was not forwarded.
     Failed(Box<Answer>),
-    /// The connection to the replica ended: it may have run it, and there is no whole answer.
+    /// The connection to the replica ended before a complete response. The replica may have run the request.
     Lost(String),
-    /// The replica may have run it, and what it sends is no whole answer.
+    /// The response is invalid. The replica may have run the request.
     Broken(String),
-    /// The request's time is over.
+    /// The request's deadline passed.
     Late,
 }
 
 impl Ended {
-    /// Whether it speaks against the replica.
+    /// Returns whether the attempt counts as a failure of the replica.
     pub fn is_failure(&self) -> bool {
         !matches!(self, Ended::Answered | Ended::Left | Ended::Withheld | Ended::NotRun)
     }
 
-    /// Its name in metrics.
-    pub fn name(&self) -> &'static str {
+    /// Returns its label in metrics.
+    pub fn as_str(&self) -> &'static str {
         match self {
             Ended::Answered => "answered",
             Ended::Left => "caller_left",
@@ -83,8 +83,8 @@
 }
 
 impl From<Broken> for Ended {
-    fn from(b: Broken) -> Ended {
-        match b {
+    fn from(error: Broken) -> Ended {
+        match error {
             Broken::NotSent(why) => Ended::NotSent(why),
             Broken::Stale => Ended::Lost("the kept connection was closed".to_owned()),
             Broken::Closed(why) => Ended::Lost(why),
@@ -93,75 +93,79 @@
     }
 }
 
-/// Sends a request to the replica that was chosen, and passes its answer on. Returns how that ended,
-/// and after which time the first byte of the answer's content came.
+/// Sends a request to the replica that was picked and forwards the response. Returns the outcome, and the
+/// time from sending to the first event or, without events, to the head of the response.
 pub async fn run<D: Dialect>(
     job: &Job,
     client: &mut Client,
-    progress: &mut Progress,
+    progress: &mut ResponseProgress,
     chosen: &Chosen,
     which: Try,
 ) -> (Ended, Option<Duration>) {
     let (choice, replica) = (&chosen.choice, chosen.replica.as_str());
     let data_centre = chosen.data_centre.as_str();
     let (born, sent) = (job.gw.born(replica), Instant::now());
-    let mut exchange =
-        Exchange { job, choice, replica, data_centre, which, born, sent, first: None };
-    let ended = exchange.run::<D>(client, progress).await;
+    let mut attempt =
+        Attempt { job, choice, replica, data_centre, which, born, sent, time_to_first: None };
+    let ended = attempt.run::<D>(client, progress).await;
     if matches!(ended, Ended::Lost(_)) {
-        note_lost(job, choice.address, replica, exchange.sent);
+        note_lost(job, choice.address, replica, attempt.sent);
     }
-    (ended, exchange.first)
+    (ended, attempt.time_to_first)
 }
 
-/// What an attempt consists of.
-pub struct Exchange<'a> {
+/// One attempt at a replica.
+pub struct Attempt<'a> {
     /// The request.
     pub job: &'a Job,
-    /// The choice of the replica.
+    /// The replica's address and the estimates by which it was picked.
     pub choice: &'a Choice,
     /// The replica's id.
     pub replica: &'a str,
-    /// Its data centre.
+    /// The replica's data centre.
     pub data_centre: &'a str,
-    /// Which send of the request it is.
+    /// Which attempt at the request it is, as counted in metrics.
     which: Try,
-    /// When the replica's life began that it had as it was chosen.
+    /// Start time of the replica's process at the time it was picked; 0 if unknown.
     born: u64,
     /// When the request was sent.
     pub sent: Instant,
-    /// How long it took until the first event, or the head of an answer that is no stream.
-    pub first: Option<Duration>,
+    /// Time from sending to the first event or, before that, to the head of the response.
+    pub time_to_first: Option<Duration>,
 }
 
-impl Exchange<'_> {
-    async fn run<D: Dialect>(&mut self, client: &mut Client, progress: &mut Progress) -> Ended {
+impl Attempt<'_> {
+    async fn run<D: Dialect>(
+        &mut self,
+        client: &mut Client,
+        progress: &mut ResponseProgress,
+    ) -> Ended {
         let until = self.job.deadline;
-        // A caller that goes away ends the exchange, and with it the connection to the replica.
-        // A head that has come is read first: it may say what holds for other requests.
-        let done = tokio::select! {
+        // Returning early when the caller closes its connection drops the connection to the replica.
+        // A head that was received is read first: its backoff or rate limit concerns other requests too.
+        let result = tokio::select! {
             biased;
-            done = timeout_at(until, self.begin::<D>(progress.events.last())) => done,
-            () = client.gone() => return Ended::Left,
+            result = timeout_at(until, self.send_request::<D>(progress.events.last())) => result,
+            () = client.closed() => return Ended::Left,
         };
-        let (connection, head) = match done {
-            Ok(Ok(begun)) => begun,
+        let (connection, head) = match result {
+            Ok(Ok(started)) => started,
             Ok(Err(ended)) => return ended,
             Err(_) => return Ended::Late,
         };
-        self.first = Some(self.sent.elapsed());
-        self.finish::<D>(client, progress, connection, head).await
+        self.time_to_first = Some(self.sent.elapsed());
+        self.forward_response::<D>(client, progress, connection, head).await
     }
 
-    /// Sends the request and reads the head of its answer.
-    async fn begin<D: Dialect>(
+    /// Sends the request and returns the connection with the head of the response.
+    async fn send_request<D: Dialect>(
         &mut self,
         last_event: Option<u64>,
     ) -> Result<(Connection, ResponseHead), Ended> {
         let gw = &self.job.gw;
-        self.check()?;
+        self.check_replica()?;
         let mut connection = gw.connections.get(Instant::now(), self.choice.address).await?;
-        if let Err(ended) = self.check() {
+        if let Err(ended) = self.check_replica() {
             gw.keep(&self.job.service, self.choice.address, self.replica, connection);
             return Err(ended);
         }
@@ -169,29 +173,30 @@
         gw.notices.count_send(self.job, &self.addressee(), self.which);
         match self.send::<D>(&mut connection, last_event).await {
             Err(Broken::Stale) if self.job.is_repeatable() => {
-                self.permit_again().await?;
-                // Nothing of an answer came: a new connection tells whether the replica is there.
-                connection = match gw.connections.fresh(self.choice.address).await {
+                self.acquire_second_permit().await?;
+                // The idle connection was closed without a response. A new one shows whether the replica
+                // is still running.
+                connection = match gw.connections.open(self.choice.address).await {
                     Ok(c) => c,
                     Err(b) => {
                         note_lost(self.job, self.choice.address, self.replica, self.sent);
                         return Err(b.into());
                     }
                 };
-                self.check()?;
+                self.check_replica()?;
                 gw.notices.count_send(self.job, &self.addressee(), Try::Again);
                 self.send::<D>(&mut connection, last_event).await?;
             }
             sent => sent?,
         }
-        self.own_head::<D>(connection).await
+        self.read_own_head::<D>(connection).await
     }
 
-    /// Whether the replica still takes the request: time has passed since it was chosen.
-    fn check(&self) -> Result<(), Ended> {
+    /// Fails if the replica has left or requested a backoff since it was picked.
+    fn check_replica(&self) -> Result<(), Ended> {
         let (service, address) = (&self.job.service, self.choice.address);
-        let may = self.job.gw.may_send(service, address, self.replica);
-        may.then_some(()).ok_or(Ended::Withheld)
+        let allowed = self.job.gw.may_send(service, address, self.replica);
+        allowed.then_some(()).ok_or(Ended::Withheld)
     }
 
     fn addressee(&self) -> Addressee<'_> {
@@ -199,8 +204,9 @@
         Addressee { replica, address, born: self.born, sent: self.sent }
     }
 
-    /// The replica may have got the first send: the second counts against its limit as well.
-    async fn permit_again(&self) -> Result<(), Ended> {
+    /// Acquires a second permit. The replica may have received the first send, so the second counts against
+    /// its rate limit as well.
+    async fn acquire_second_permit(&self) -> Result<(), Ended> {
         let (gw, priority) = (&self.job.gw, self.job.priority);
         let permit = gw.limits.permit(gw, self.replica, self.data_centre, priority).await;
         permit.map_err(|_| Ended::NotSent(gw.limits.describe(gw.now(), self.replica)))
@@ -213,38 +219,41 @@
     ) -> Result<(), Broken> {
         let job = self.job;
         let mut headers = job.headers.clone();
-        let told = Told {
+        let forwarded = Told {
             deadline: Millis(job.left().as_millis() as u64),
             replica: self.replica,
             account: job.account.as_deref(),
             last_event,
             urgency: job.inbound.prompt.as_ref().map(|_| job.priority),
         };
-        D::outbound(&mut headers, &told);
+        D::outbound(&mut headers, &forwarded);
         let (method, uri, body) = (&job.method, &job.uri, &job.body);
         connection.send(Outbound { method, uri, headers, body }).await
     }
 
-    /// The head of the answer to this request. Late answers to other requests are skipped.
-    async fn own_head<D: Dialect>(
+    /// Reads the head of the response to this request. Late responses to other requests are skipped.
+    async fn read_own_head<D: Dialect>(
         &self,
         mut connection: Connection,
     ) -> Result<(Connection, ResponseHead), Ended> {
-        for _ in 0..SKIPPED {
+        for _ in 0..MAX_SKIPPED_RESPONSES {
             let head = connection.head().await?;
-            let said = D::head(&head);
-            let is_own = said.id == Some(self.job.inbound.id.as_str());
+            let response = D::head(&head);
+            let is_own = response.id == Some(self.job.inbound.id.as_str());
             let notices = &self.job.gw.notices;
-            if is_own || (said.id.is_none() && said.not_run) {
-                notices.heard(self.job, &self.addressee(), &said);
-                if !said.not_run && !said.another && said.rest == rest::RetryAfter::Absent {
+            if is_own || (response.id.is_none() && response.not_run) {
+                notices.heard(self.job, &self.addressee(), &response);
+                if !response.not_run
+                    && !response.another
+                    && response.rest == rest::RetryAfter::Absent
+                {
                     self.job.gw.let_in(&self.job.service, self.choice);
                 }
                 return Ok((connection, head));
             }
-            // Whatever request it answers, a rest is asked of this gateway.
-            notices.hear_rest(self.job, &self.addressee(), &said);
-            if said.another && said.id.is_none() {
+            // A backoff applies to this gateway, whichever request the response is for.
+            notices.hear_rest(self.job, &self.addressee(), &response);
+            if response.another && response.id.is_none() {
                 return Ok((connection, head));
             }
             while connection.piece().await?.is_some() {}
@@ -252,33 +261,34 @@
         Err(Ended::Broken("the connection brings answers to other requests".to_owned()))
     }
 
-    async fn finish<D: Dialect>(
+    /// Reads the rest of the response, forwards it and returns the outcome.
+    async fn forward_response<D: Dialect>(
         &mut self,
         client: &mut Client,
-        progress: &mut Progress,
+        progress: &mut ResponseProgress,
         connection: Connection,
         head: ResponseHead,
     ) -> Ended {
-        let said = D::head(&head);
-        let (not_run, sound) = (said.not_run || said.another, said.sound);
-        if said.another {
+        let response = D::head(&head);
+        let (not_run, is_valid) = (response.not_run || response.another, response.sound);
+        if response.another {
             self.job.gw.replica_not_there(self.replica);
         }
-        if !sound {
+        if !is_valid {
             return Ended::Broken("the answer is not in the form that was asked for".to_owned());
         }
         if self.job.kind == Kind::Stream && head.status.is_success() && !not_run {
-            return stream::pass(self, client, progress, connection, head).await;
+            return stream::forward(self, client, progress, connection, head).await;
         }
-        let whole = tokio::select! {
-            whole = timeout_at(self.job.deadline, collect(connection)) => whole,
-            () = client.gone() => return Ended::Left,
+        let complete = tokio::select! {
+            complete = timeout_at(self.job.deadline, read_body(connection)) => complete,
+            () = client.closed() => return Ended::Left,
         };
-        let (body, unframed) = match whole {
+        let (body, unframed) = match complete {
             Ok(Ok((connection, body))) => {
                 let gw = &self.job.gw;
                 let unframed = connection.is_unframed();
-                // One that ends with its connection may have been cut short.
+                // A response that ends with its connection may be truncated.
                 if !unframed && !not_run {
                     gw.quarantines.answered(self.job);
                 }
@@ -292,13 +302,13 @@
         if not_run {
             return Ended::NotRun;
         }
-        let headers = of_answer(&head);
+        let headers = end_to_end_headers(&head);
         if head.status.is_server_error() {
             return Ended::Failed(Box::new(Answer { status: head.status, headers, body }));
         }
         let sent = match unframed {
-            true => client.unframed(head.status, headers, body).await,
-            false => client.whole(head.status, headers, body).await,
+            true => client.send_unframed_response(head.status, headers, body).await,
+            false => client.send_response(head.status, headers, body).await,
         };
         match sent {
             Ok(()) => Ended::Answered,
@@ -307,8 +317,8 @@
     }
 }
 
-/// A replica's headers, without those of the connection.
-pub fn of_answer(head: &ResponseHead) -> HeaderMap {
+/// Returns a response's headers without those that describe the connection and the framing.
+pub fn end_to_end_headers(head: &ResponseHead) -> HeaderMap {
     let mut headers = head.headers.clone();
     let keep_alive = HeaderName::from_static("keep-alive");
     for name in [CONNECTION, CONTENT_LENGTH, TRANSFER_ENCODING, keep_alive] {
@@ -317,13 +327,14 @@
     headers
 }
 
-async fn collect(mut connection: Connection) -> Result<(Connection, Bytes), Broken> {
-    let mut all = BytesMut::new();
-    while let Some(piece) = connection.piece().await? {
-        if all.len() + piece.len() > ANSWER_CAP {
+/// Reads a whole body. Returns it with its connection.
+async fn read_body(mut connection: Connection) -> Result<(Connection, Bytes), Broken> {
+    let mut body = BytesMut::new();
+    while let Some(chunk) = connection.piece().await? {
+        if body.len() + chunk.len() > MAX_BODY_BYTES {
             return Err(Broken::Sent("the answer is too large".to_owned()));
         }
-        all.extend_from_slice(&piece);
+        body.extend_from_slice(&chunk);
     }
-    Ok((connection, all.freeze()))
+    Ok((connection, body.freeze()))
 }
--- a/crates/router/src/gateway/budget.rs
+++ b/crates/router/src/gateway/budget.rs
@@ -1,4 +1,6 @@
-//! The tokens that a request sets aside before it is sent.
+//! Reservation of a request's tokens before it is sent to a replica.
+//!
+//! A budget with home gateways is reserved at those, any other in this gateway's own slices.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -18,35 +20,35 @@
 use crate::taken::{Source, Taken};
 use crate::token_store::TokenStore;
 
-/// How long a request waits for more tokens before peers are asked.
-const QUICK: Duration = Duration::from_millis(60);
+/// How long a request waits for more tokens before other gateways are asked.
+const SHORT_WAIT: Duration = Duration::from_millis(60);
 
-/// How long a request waits at a home for tokens to be called back. The rounds before it take up to
-/// two times [`QUICK`] and a message to each data centre.
-const LAST_WAIT: Duration = Duration::from_millis(200);
+/// How long a request waits at a home for recalled tokens. The earlier rounds take up to two times
+/// [`SHORT_WAIT`] and a round trip to each other data centre.
+const HOME_RECALL_WAIT: Duration = Duration::from_millis(200);
 
-/// How long it waits for tokens to be called back after that.
-const WAIT: Duration = Duration::from_millis(400);
+/// How long a request without homes waits for this gateway's registration, and later for recalled tokens.
+const RECALL_WAIT: Duration = Duration::from_millis(400);
 
-/// When to come back while tokens are elsewhere.
-const AGAIN_AFTER: Millis = Millis(700);
+/// `Retry-After` while tokens are leased elsewhere and no home returned a time.
+const DEFAULT_RETRY_AFTER: Millis = Millis(700);
 
-/// The times to come back that a caller is told while tokens are elsewhere, at least and at most.
-const BUSY_LEAST: Millis = Millis(300);
-const BUSY_MOST: Millis = Millis::seconds(2);
+/// Bounds of the `Retry-After` that is based on a time from a home.
+const MIN_HOME_RETRY_AFTER: Millis = Millis(300);
+const MAX_HOME_RETRY_AFTER: Millis = Millis::seconds(2);
 
-/// Tokens set aside for one request. Whatever becomes of it, [`Held::settle`] ends it.
+/// Tokens reserved for one request. Must be ended with [`TokenReservation::settle`].
 #[derive(Default)]
-pub struct Held {
+pub struct TokenReservation {
     parts: Vec<Part>,
     prompt: Tokens,
 }
 
-/// A part of a request's tokens.
+/// A part of a request's reservation.
 enum Part {
-    /// In this gateway's own slices.
-    Own(Own),
-    /// Set aside by another gateway.
+    /// Reserved in this gateway's own slices.
+    Own(OwnReservation),
+    /// Reserved by another gateway.
     Borrowed(Borrowed),
 }
 
@@ -66,149 +68,158 @@
     }
 }
 
-/// Tokens set aside in this gateway's own slices.
-struct Own {
+/// Tokens reserved in this gateway's own slices.
+struct OwnReservation {
     token_store: Rc<TokenStore>,
     source: Source,
     budget: String,
     reservation: Reservation,
 }
 
-impl Own {
+impl OwnReservation {
     fn settle(self, used: Tokens) {
         self.token_store.settle(self.source, &self.budget, self.reservation, used);
     }
 }
 
-/// What a request needs of a budget.
-struct Need<'a> {
+/// The tokens that a request needs from a budget.
+struct TokenDemand<'a> {
     account: &'a str,
     budget: String,
     policy: Policy,
-    /// What it takes at its most.
-    most: Tokens,
+    /// The most tokens that the request can use.
+    max_tokens: Tokens,
     deadline: Instant,
 }
 
-/// What became of a request's tokens.
+/// How many tokens a request has used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Spent {
-    /// A replica may have run it.
+pub struct TokenUsage {
+    /// Whether a replica may have run the request.
     pub ran: bool,
-    /// Events that were taken from replicas.
+    /// Events read from replicas.
     pub events: u64,
-    /// Tokens of one event at most.
-    pub stride: Tokens,
-    /// Events that a replica may have made besides; none if the answer ended as it should.
-    pub unseen: u64,
+    /// Maximum number of tokens per event.
+    pub tokens_per_event: Tokens,
+    /// Events that a replica may have generated but that were not read; 0 if the response is complete.
+    pub unread: u64,
 }
 
-/// Sets aside what a request takes at its most.
-pub async fn hold(
+/// Reserves the most tokens that a request can use, `prompt.tokens + prompt.most`. Returns the refusal to
+/// send if they are not available by `deadline` or sooner.
+pub async fn reserve_tokens(
     gw: &Gateway,
     account: &str,
     prepaid: Tokens,
     prompt: &Prompt,
     deadline: Instant,
-) -> Result<Held, Refusal> {
-    let need = Need {
+) -> Result<TokenReservation, Refusal> {
+    let demand = TokenDemand {
         account,
         budget: budget_name(account),
         policy: Policy::for_prepaid(prepaid),
-        most: prompt.tokens.saturating_add(prompt.most),
+        max_tokens: prompt.tokens.saturating_add(prompt.most),
         deadline,
     };
-    gw.share.homes.note_request(gw.now(), &need.budget);
-    let parts = match gw.share.homes.of(gw.now(), gw.settings.link, &need.budget).is_empty() {
-        true => hold_here(gw, &need).await?,
-        false => hold_at_homes(gw, &need).await?,
+    gw.share.homes.note_request(gw.now(), &demand.budget);
+    let parts = match gw.share.homes.of(gw.now(), gw.settings.link, &demand.budget).is_empty() {
+        true => reserve_locally(gw, &demand).await?,
+        false => reserve_at_homes(gw, &demand).await?,
     };
-    Ok(Held { parts, prompt: prompt.tokens })
+    Ok(TokenReservation { parts, prompt: prompt.tokens })
 }
 
-/// The rounds in which a request asks the homes of its budget.
+/// The rounds in which a request reserves tokens at the homes of its budget.
 #[derive(Clone, Copy)]
 enum Round {
-    /// Those of the own data centre, for what they have or can have at once.
-    Near,
-    /// One of each other data centre, for what it has.
-    Elsewhere,
-    /// One of the own data centre again, for what the group calls back.
-    Last,
+    /// The homes in this data centre, for the tokens that they have or get at short notice.
+    Local,
+    /// One home in each other data centre, for the tokens that it has.
+    Remote,
+    /// One home in this data centre again, for the tokens that the control group recalls.
+    Recall,
 }
 
 impl Round {
     fn homes(self, gw: &Gateway, budget: &str) -> Vec<SocketAddr> {
         let (homes, own) = (&gw.share.homes, gw.settings.link);
         match self {
-            Round::Near => homes.of(gw.now(), own, budget),
-            Round::Elsewhere => homes.elsewhere(gw.now(), own, budget),
-            Round::Last => homes.of(gw.now(), own, budget).into_iter().take(1).collect(),
+            Round::Local => homes.of(gw.now(), own, budget),
+            Round::Remote => homes.elsewhere(gw.now(), own, budget),
+            Round::Recall => homes.of(gw.now(), own, budget).into_iter().take(1).collect(),
         }
     }
 
-    /// How long a home may wait for tokens.
+    /// Returns how long a home may wait for tokens.
     fn wait(self) -> Duration {
         match self {
-            Round::Near => QUICK,
-            Round::Elsewhere => Duration::ZERO,
-            Round::Last => LAST_WAIT,
+            Round::Local => SHORT_WAIT,
+            Round::Remote => Duration::ZERO,
+            Round::Recall => HOME_RECALL_WAIT,
         }
     }
 }
 
-/// Sets tokens aside at the budget's homes, a part at each if none has all: first what those of
-/// the own data centre have, then what those elsewhere have, then what the group gives.
-async fn hold_at_homes(gw: &Gateway, need: &Need<'_>) -> Result<Vec<Part>, Refusal> {
+/// Reserves tokens at the budget's homes, in the order of [`Round`], and takes parts from several if none
+/// has all. On failure every part is released.
+async fn reserve_at_homes(gw: &Gateway, demand: &TokenDemand<'_>) -> Result<Vec<Part>, Refusal> {
     let mut parts: Vec<Part> = Vec::new();
-    let mut missing = need.most;
+    let mut missing = demand.max_tokens;
     let mut reason = None;
-    'rounds: for round in [Round::Near, Round::Elsewhere, Round::Last] {
-        for home in round.homes(gw, &need.budget) {
-            let left = need.deadline.saturating_duration_since(Instant::now());
-            let (part, short) = hold_at(gw, need, home, missing, round.wait().min(left)).await;
+    'rounds: for round in [Round::Local, Round::Remote, Round::Recall] {
+        for home in round.homes(gw, &demand.budget) {
+            let left = demand.deadline.saturating_duration_since(Instant::now());
+            let (part, short) =
+                reserve_at_home(gw, demand, home, missing, round.wait().min(left)).await;
             missing -= part.as_ref().map_or(0, Part::amount);
             parts.extend(part);
             if missing == 0 {
                 return Ok(parts);
             }
-            reason = of_both(reason, short);
+            reason = combine_reasons(reason, short);
             if reason == Some(Shortfall::Spent) {
                 break 'rounds;
             }
         }
     }
-    let at_hand = need.most - missing;
+    let at_hand = demand.max_tokens - missing;
     parts.into_iter().for_each(|part| part.settle(0));
-    Err(not_held(need, reason, at_hand))
+    Err(homes_refusal(demand, reason, at_hand))
 }
 
-/// Sets aside what one home has of `tokens`.
-async fn hold_at(
+/// Reserves up to `tokens` at one home, waiting up to `within`. Returns the reserved part, and the reason if
+/// it is less than requested.
+async fn reserve_at_home(
     gw: &Gateway,
-    need: &Need<'_>,
+    demand: &TokenDemand<'_>,
     home: SocketAddr,
     tokens: Tokens,
     within: Duration,
 ) -> (Option<Part>, Option<Shortfall>) {
     if home != gw.settings.link {
-        let (part, short) = gw.share.hold(gw, home, need.account, tokens, within).await;
+        let (part, short) = gw.share.hold(gw, home, demand.account, tokens, within).await;
         return (part.map(Part::Borrowed), short);
     }
     let until = Instant::now() + within;
     let Some(token_store) = gw.wait_for_token_store(until).await else {
         return (None, Some(Shortfall::Closed));
     };
-    let Taken { part, short } = token_store.take(&need.budget, need.policy, tokens, until).await;
+    let Taken { part, short } =
+        token_store.take(&demand.budget, demand.policy, tokens, until).await;
     let own = |(source, reservation)| {
-        Part::Own(Own { token_store, source, budget: need.budget.clone(), reservation })
+        Part::Own(OwnReservation {
+            token_store,
+            source,
+            budget: demand.budget.clone(),
+            reservation,
+        })
     };
     (part.map(own), short)
 }
 
-/// What callers are told of the reasons of two homes: that the budget is spent before when to come
-/// back, and the sooner of two times.
-fn of_both(a: Option<Shortfall>, b: Option<Shortfall>) -> Option<Shortfall> {
+/// Combines the reasons of two homes into the one reported to the caller: a spent budget wins over any
+/// retry time, and the earlier of two retry times of the same kind wins.
+fn combine_reasons(a: Option<Shortfall>, b: Option<Shortfall>) -> Option<Shortfall> {
     let rank = |s: &Shortfall| match s {
         Shortfall::Spent => (0, Millis(0)),
         Shortfall::Limited(after) => (1, *after),
@@ -218,67 +229,76 @@
     [a, b].into_iter().flatten().min_by_key(rank)
 }
 
-fn not_held(need: &Need<'_>, reason: Option<Shortfall>, at_hand: Tokens) -> Refusal {
-    let (account, most) = (need.account, need.most);
-    let why = format!("account {account}, {most} wanted, {at_hand} at its homes, {reason:?}");
+/// Returns the refusal after the homes could not reserve all tokens.
+fn homes_refusal(demand: &TokenDemand<'_>, reason: Option<Shortfall>, at_hand: Tokens) -> Refusal {
+    let (account, max_tokens) = (demand.account, demand.max_tokens);
+    let why = format!("account {account}, {max_tokens} wanted, {at_hand} at its homes, {reason:?}");
     let after = match reason {
         Some(Shortfall::Spent) => return Refusal::from(Code::BudgetTooSmall).detail(why),
         Some(Shortfall::Busy(after) | Shortfall::Limited(after)) => {
-            after.clamp(BUSY_LEAST, BUSY_MOST)
+            after.clamp(MIN_HOME_RETRY_AFTER, MAX_HOME_RETRY_AFTER)
         }
-        _ => AGAIN_AFTER,
+        _ => DEFAULT_RETRY_AFTER,
     };
     Refusal::from(Code::BudgetUnreachable).after(after).detail(why)
 }
 
-/// Sets tokens aside in this gateway's own slices, or in those of peers.
-async fn hold_here(gw: &Gateway, need: &Need<'_>) -> Result<Vec<Part>, Refusal> {
-    let not_ready = || Refusal::from(Code::BudgetUnreachable).after(AGAIN_AFTER);
-    let Need { account, budget, policy, most, deadline } = need;
-    let (policy, most, deadline) = (*policy, *most, *deadline);
-    let registered = deadline.min(Instant::now() + WAIT);
+/// Reserves tokens in this gateway's own slices and, if those do not suffice, in those of other gateways.
+async fn reserve_locally(gw: &Gateway, demand: &TokenDemand<'_>) -> Result<Vec<Part>, Refusal> {
+    let not_ready = || Refusal::from(Code::BudgetUnreachable).after(DEFAULT_RETRY_AFTER);
+    let TokenDemand { account, budget, policy, max_tokens, deadline } = demand;
+    let (policy, max_tokens, deadline) = (*policy, *max_tokens, *deadline);
+    let registered = deadline.min(Instant::now() + RECALL_WAIT);
     let token_store = gw.wait_for_token_store(registered).await.ok_or_else(not_ready)?;
     let own = |source, reservation| {
         let (token_store, budget) = (token_store.clone(), budget.clone());
-        Part::Own(Own { token_store, source, budget, reservation })
+        Part::Own(OwnReservation { token_store, source, budget, reservation })
     };
-    // First what can be had at once, then what peers can spare, then what the group calls back.
-    let quick = deadline.min(Instant::now() + QUICK);
-    if let Ok((source, r)) = token_store.reserve(budget, policy, most, quick).await {
+    // The order is: tokens available at short notice, idle tokens of other gateways, recalled tokens.
+    let short_until = deadline.min(Instant::now() + SHORT_WAIT);
+    if let Ok((source, r)) = token_store.reserve(budget, policy, max_tokens, short_until).await {
         return Ok(vec![own(source, r)]);
     }
-    let part = token_store.reserve_part(budget, policy, most).map(|r| own(Source::Group, r));
+    let part = token_store.reserve_part(budget, policy, max_tokens).map(|r| own(Source::Group, r));
     let at_hand = part.as_ref().map_or(0, Part::amount);
-    if let Some(borrowed) = gw.share.borrow(gw, account, most - at_hand).await {
+    if let Some(borrowed) = gw.share.borrow(gw, account, max_tokens - at_hand).await {
         return Ok(part.into_iter().chain(borrowed.into_iter().map(Part::Borrowed)).collect());
     }
     if let Some(part) = part {
         part.settle(0);
     }
-    let until = deadline.min(Instant::now() + WAIT);
-    match token_store.reserve(budget, policy, most, until).await {
+    let until = deadline.min(Instant::now() + RECALL_WAIT);
+    match token_store.reserve(budget, policy, max_tokens, until).await {
         Ok((source, r)) => Ok(vec![own(source, r)]),
-        Err(r) => Err(refusal(r, account, most, token_store.at_hand(budget, policy))),
+        Err(r) => Err(local_refusal(r, account, max_tokens, token_store.at_hand(budget, policy))),
     }
 }
 
-fn refusal(r: Refusal, account: &str, most: Tokens, at_hand: (Tokens, Tokens)) -> Refusal {
+/// Returns the refusal after a local reservation failed with `r`. `at_hand` is the idle tokens and those
+/// that the spending limit allows.
+fn local_refusal(
+    r: Refusal,
+    account: &str,
+    max_tokens: Tokens,
+    at_hand: (Tokens, Tokens),
+) -> Refusal {
     let (idle, allowed) = at_hand;
     let text = r.code.text();
-    let why = format!("{text}; account {account}, {most} wanted, {idle} idle, {allowed} allowed");
+    let why =
+        format!("{text}; account {account}, {max_tokens} wanted, {idle} idle, {allowed} allowed");
     match r.code {
         Code::BudgetSpent => Refusal::from(Code::BudgetTooSmall).detail(why),
-        _ => Refusal::from(Code::BudgetUnreachable).after(AGAIN_AFTER).detail(why),
+        _ => Refusal::from(Code::BudgetUnreachable).after(DEFAULT_RETRY_AFTER).detail(why),
     }
 }
 
-impl Held {
-    /// Ends it. A stream that broke off is charged for events that may have been made unseen, up to the most
-    /// that it may have.
-    pub fn settle(self, s: Spent) {
-        let events = s.events.saturating_add(s.unseen);
-        let made = events.saturating_mul(s.stride);
-        let used = if s.ran { self.prompt.saturating_add(made) } else { 0 };
+impl TokenReservation {
+    /// Ends the reservation: charges the used tokens, at most the reserved ones, and releases the rest. The
+    /// charge of an incomplete stream includes events that may have been generated but were not read.
+    pub fn settle(self, s: TokenUsage) {
+        let events = s.events.saturating_add(s.unread);
+        let generated = events.saturating_mul(s.tokens_per_event);
+        let used = if s.ran { self.prompt.saturating_add(generated) } else { 0 };
         let parts: Vec<Tokens> = self.parts.iter().map(Part::amount).collect();
         for (part, charge) in self.parts.into_iter().zip(split_charge(&parts, used)) {
             part.settle(charge);
--- a/crates/router/src/gateway/client.rs
+++ b/crates/router/src/gateway/client.rs
@@ -1,4 +1,4 @@
-//! A caller's connection.
+//! HTTP/1 connections of callers.
 
 use std::cell::Cell;
 use std::io;
@@ -20,37 +20,37 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::time::{Instant, timeout_at};
 
-/// Bytes read at a time.
-const READ: usize = 16 * 1024;
+/// Buffer space reserved for one read, in bytes.
+const READ_BYTES: usize = 16 * 1024;
 
-/// Bytes that a caller may send ahead of the answer to its last request.
-const AHEAD: usize = 64 * 1024;
+/// Bytes that are buffered from a caller while a response is in progress. Above that, reading stops.
+const MAX_READ_AHEAD_BYTES: usize = 64 * 1024;
 
-/// What comes next on a connection.
+/// The result of waiting for the next request on a connection.
 pub enum Next {
-    /// A request.
+    /// The head of a request.
     Request(Request),
-    /// Nothing more.
+    /// No further request: the connection was closed or idle too long, or the gateway stops accepting.
     Closed,
-    /// Something that cannot be served; the connection is of no more use.
+    /// Invalid input; the connection cannot be reused.
     Bad(Code),
 }
 
-/// A caller's connection.
+/// A caller's connection. Responses are written to a buffer and sent by [`Client::flush`].
 pub struct Client {
     reader: OwnedReadHalf,
     writer: OwnedWriteHalf,
     buf: BytesMut,
     out: BytesMut,
     codec: Codec,
-    /// The connection ends with the present answer.
+    /// The connection closes after the current response.
     closing: bool,
-    /// Some of the present answer was written.
-    begun: bool,
-    /// The present answer ends with the connection.
+    /// A part of the current response was sent.
+    started: bool,
+    /// The end of the connection marks the end of the current response.
     unframed: bool,
-    /// Bytes from and to all callers of the process.
-    served: Rc<Cell<u64>>,
+    /// Bytes received from and sent to all callers of the process.
+    bytes_served: Rc<Cell<u64>>,
 }
 
 fn millis(m: cypressfork_core::unit::Millis) -> Duration {
@@ -58,9 +58,9 @@
 }
 
 impl Client {
-    /// A connection that was accepted; what passes on it is added to `served`.
-    pub fn new(stream: TcpStream, config: &ServiceConfig, served: Rc<Cell<u64>>) -> Client {
-        // A failure here only makes small pieces slower.
+    /// Wraps an accepted connection. Its traffic in bytes is added to `bytes_served`.
+    pub fn new(stream: TcpStream, config: &ServiceConfig, bytes_served: Rc<Cell<u64>>) -> Client {
+        // Failure only delays small writes.
         let _ = stream.set_nodelay(true);
         let (reader, writer) = stream.into_split();
         Client {
@@ -70,30 +70,31 @@
             out: BytesMut::new(),
             codec: Codec::new(config.clone()),
             closing: false,
-            begun: false,
+            started: false,
             unframed: false,
-            served,
+            bytes_served,
         }
     }
 
-    fn count(&self, way: &'static str, bytes: usize) {
-        self.served.set(self.served.get() + bytes as u64);
+    fn count_bytes(&self, way: &'static str, bytes: usize) {
+        self.bytes_served.set(self.bytes_served.get() + bytes as u64);
         counter!(metric::SERVED, "way" => way).increment(bytes as u64);
     }
 
     async fn fill(&mut self) -> io::Result<bool> {
-        self.buf.reserve(READ);
+        self.buf.reserve(READ_BYTES);
         let n = self.reader.read_buf(&mut self.buf).await?;
-        self.count("from_callers", n);
+        self.count_bytes("from_callers", n);
         Ok(n > 0)
     }
 
-    /// Waits for the next request: as long as it may rest, and then for its whole head.
+    /// Waits for the head of the next request until the idle timeout or `stop`. From its first bytes on, the
+    /// head timeout applies instead.
     pub async fn next(&mut self, limits: &Limits, stop: impl Future<Output = ()>) -> Next {
-        self.begun = false;
+        self.started = false;
         let idle = Instant::now() + millis(limits.idle);
         if self.buf.is_empty() {
-            // A connection that rests holds no memory.
+            // Idle connections keep no buffers.
             self.buf = BytesMut::new();
             self.out = BytesMut::new();
             let first = timeout_at(idle, self.fill());
@@ -126,8 +127,8 @@
         }
     }
 
-    /// The body of the request that came last.
-    pub async fn body(&mut self, cap: usize, within: Duration) -> Result<Bytes, Code> {
+    /// Reads the body of the current request: at most `max_bytes`, until `within` has passed.
+    pub async fn body(&mut self, max_bytes: usize, within: Duration) -> Result<Bytes, Code> {
         use actix_http::h1::MessageType;
         if self.codec.message_type() == MessageType::None {
             return Ok(Bytes::new());
@@ -145,16 +146,17 @@
                 },
                 Err(_) => return Err(Code::RequestBad),
             }
-            if all.len() > cap {
+            if all.len() > max_bytes {
                 return Err(Code::BodyTooLarge);
             }
         }
     }
 
-    /// Returns once the caller has closed the connection.
-    pub async fn gone(&mut self) {
+    /// Returns once the caller has closed the connection. Never returns if the caller has sent more than the
+    /// maximum read-ahead.
+    pub async fn closed(&mut self) {
         loop {
-            if self.buf.len() > AHEAD {
+            if self.buf.len() > MAX_READ_AHEAD_BYTES {
                 return std::future::pending().await;
             }
             if !matches!(self.fill().await, Ok(true)) {
@@ -163,28 +165,28 @@
         }
     }
 
-    /// Ends the connection with the present answer.
+    /// Closes the connection after the current response.
     pub fn close_after(&mut self) {
         self.closing = true;
     }
 
-    /// Whether another request may follow.
+    /// Returns whether another request may follow on the connection.
     pub fn is_open(&self) -> bool {
         !self.closing && self.codec.keep_alive()
     }
 
-    /// Whether the present answer was begun in a form that tells its end.
+    /// Returns whether the current response has started with framing that marks its end.
     pub fn is_framed(&self) -> bool {
-        self.begun && !self.unframed
+        self.started && !self.unframed
     }
 
-    /// Whether some of the present answer was written.
-    pub fn has_begun(&self) -> bool {
-        self.begun
+    /// Returns whether a part of the current response was sent.
+    pub fn has_started(&self) -> bool {
+        self.started
     }
 
-    /// Writes the head of an answer into the buffer.
-    pub fn head(
+    /// Buffers the head of a response.
+    pub fn write_head(
         &mut self,
         status: StatusCode,
         headers: HeaderMap,
@@ -198,9 +200,13 @@
         self.codec.encode(Message::Item((r, size)), &mut self.out)
     }
 
-    /// Writes the head of an answer that ends with the connection: nobody can tell whether it is
-    /// whole, so it must not look so.
-    pub fn unframed_head(&mut self, status: StatusCode, headers: HeaderMap) -> io::Result<()> {
+    /// Buffers the head of a response that ends with the connection. It is not sent as chunked, because the
+    /// gateway cannot detect whether it is complete.
+    pub fn write_unframed_head(
+        &mut self,
+        status: StatusCode,
+        headers: HeaderMap,
+    ) -> io::Result<()> {
         self.closing = true;
         self.unframed = true;
         let mut r = Response::new(status).drop_body();
@@ -210,65 +216,65 @@
         self.codec.encode(Message::Item((r, BodySize::Stream)), &mut self.out)
     }
 
-    /// Writes a piece of the body into the buffer.
-    pub fn piece(&mut self, bytes: Bytes) -> io::Result<()> {
+    /// Buffers a part of the body.
+    pub fn write_chunk(&mut self, bytes: Bytes) -> io::Result<()> {
         self.codec.encode(Message::Chunk(Some(bytes)), &mut self.out)
     }
 
-    /// Writes the end of the body into the buffer.
-    pub fn end(&mut self) -> io::Result<()> {
+    /// Buffers the end of the body.
+    pub fn write_end(&mut self) -> io::Result<()> {
         self.codec.encode(Message::Chunk(None), &mut self.out)
     }
 
-    /// Sends what is in the buffer.
+    /// Sends the buffered bytes.
     pub async fn flush(&mut self) -> io::Result<()> {
         if self.out.is_empty() {
             return Ok(());
         }
-        self.begun = true;
-        self.count("to_callers", self.out.len());
+        self.started = true;
+        self.count_bytes("to_callers", self.out.len());
         self.writer.write_all(&self.out).await?;
         self.out.clear();
         Ok(())
     }
 
-    /// Sends a whole answer.
-    pub async fn whole(
+    /// Sends a complete response.
+    pub async fn send_response(
         &mut self,
         status: StatusCode,
         headers: HeaderMap,
         body: Bytes,
     ) -> io::Result<()> {
-        self.head(status, headers, BodySize::Sized(body.len() as u64))?;
+        self.write_head(status, headers, BodySize::Sized(body.len() as u64))?;
         if !body.is_empty() {
-            self.piece(body)?;
+            self.write_chunk(body)?;
         }
-        self.end()?;
+        self.write_end()?;
         self.flush().await
     }
 
-    /// Sends a whole answer of which the replica did not tell where it ends.
-    pub async fn unframed(
+    /// Sends a response whose end the replica marked only by closing its connection.
+    pub async fn send_unframed_response(
         &mut self,
         status: StatusCode,
         headers: HeaderMap,
         body: Bytes,
     ) -> io::Result<()> {
-        self.unframed_head(status, headers)?;
+        self.write_unframed_head(status, headers)?;
         if !body.is_empty() {
-            self.piece(body)?;
+            self.write_chunk(body)?;
         }
-        self.end()?;
+        self.write_end()?;
         self.flush().await
     }
 
-    /// Says that nothing more comes, and reads what the caller still sends for a short while, so
-    /// that closing does not take the last answer away from it.
+    /// Shuts the connection down for writing, and reads and discards input for up to `within`. Unread input
+    /// at the close would reset the connection and could lose the last response.
     pub async fn close(mut self, within: Duration) {
-        // The connection is of no more use, whatever comes.
+        // Errors do not matter on a connection that is closed anyway.
         let _ = self.writer.shutdown().await;
         let until = Instant::now() + within;
-        let mut rest = BytesMut::with_capacity(READ);
+        let mut rest = BytesMut::with_capacity(READ_BYTES);
         while let Ok(Ok(n)) = timeout_at(until, self.reader.read_buf(&mut rest)).await {
             if n == 0 {
                 return;
--- a/crates/router/src/gateway/events.rs
+++ b/crates/router/src/gateway/events.rs
@@ -1,76 +1,78 @@
-//! The events of a stream, as a replica sends them: whole ones, in order, none twice.
+//! Splits a replica's event stream into complete events, in order and without duplicates.
 
 use bytes::{Bytes, BytesMut};
 
-/// The largest event, in bytes.
-const EVENT_CAP: usize = 1024 * 1024;
+/// Maximum size of one event, in bytes.
+const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
-/// Why a stream cannot go on.
+/// Why a stream cannot continue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
-    /// An event is too large.
+pub enum EventError {
+    /// An event exceeds the maximum size.
     TooLarge,
     /// An event is missing.
     Gap,
 }
 
-/// Cuts a stream into whole events and follows their numbers.
+/// Splits a stream into complete events and checks their numbers. Keeps its position when the stream
+/// continues at another replica.
 #[derive(Debug, Default)]
-pub struct Events {
+pub struct EventSplitter {
     buf: BytesMut,
     last: Option<u64>,
-    passed: u64,
+    count: u64,
 }
 
-impl Events {
-    /// Events that go on after number `last`.
-    pub fn after(last: Option<u64>) -> Events {
-        Events { last, ..Events::default() }
+impl EventSplitter {
+    /// Returns a splitter for a stream that continues after event number `last`.
+    pub fn resume_after(last: Option<u64>) -> EventSplitter {
+        EventSplitter { last, ..EventSplitter::default() }
     }
 
-    /// The number of the last event.
+    /// Returns the number of the last event.
     pub fn last(&self) -> Option<u64> {
         self.last
     }
 
-    /// How many events were passed on.
-    pub fn passed(&self) -> u64 {
-        self.passed
+    /// Returns how many events [`EventSplitter::feed`] has returned.
+    pub fn count(&self) -> u64 {
+        self.count
     }
 
-    /// Whether it ends between two events.
-    pub fn is_whole(&self) -> bool {
+    /// Returns whether no incomplete event is buffered.
+    pub fn is_at_boundary(&self) -> bool {
         self.buf.is_empty()
     }
 
-    /// Forgets a part of an event: its replica has broken off.
-    pub fn restart(&mut self) {
+    /// Discards a buffered incomplete event after its replica has failed.
+    pub fn discard_partial(&mut self) {
         self.buf.clear();
     }
 
-    /// Takes bytes; returns the whole events that they complete, without those seen before.
-    pub fn feed(&mut self, bytes: &[u8]) -> Result<Bytes, Fault> {
+    /// Appends received bytes. Returns the events that they complete, without those returned before.
+    pub fn feed(&mut self, bytes: &[u8]) -> Result<Bytes, EventError> {
         self.buf.extend_from_slice(bytes);
         let mut out = BytesMut::new();
         while let Some(end) = end_of_event(&self.buf) {
             let event = self.buf.split_to(end);
-            if self.is_next(&event)? {
-                self.passed += 1;
+            if self.is_new(&event)? {
+                self.count += 1;
                 out.extend_from_slice(&event);
             }
         }
-        if self.buf.len() > EVENT_CAP {
-            return Err(Fault::TooLarge);
+        if self.buf.len() > MAX_EVENT_BYTES {
+            return Err(EventError::TooLarge);
         }
         Ok(out.freeze())
     }
 
-    /// Whether an event is to be passed on; one without a number is.
-    fn is_next(&mut self, event: &[u8]) -> Result<bool, Fault> {
-        let Some(n) = number(event) else { return Ok(true) };
+    /// Returns whether an event was not returned before and records its number. An event without a
+    /// number always counts as new.
+    fn is_new(&mut self, event: &[u8]) -> Result<bool, EventError> {
+        let Some(n) = event_number(event) else { return Ok(true) };
         match self.last {
             Some(last) if n <= last => Ok(false),
-            Some(last) if n > last + 1 => Err(Fault::Gap),
+            Some(last) if n > last + 1 => Err(EventError::Gap),
             _ => {
                 self.last = Some(n);
                 Ok(true)
@@ -79,7 +81,7 @@
     }
 }
 
-/// Where the first event ends: behind its empty line.
+/// Returns the end of the first event, after the empty line that terminates it.
 fn end_of_event(buf: &[u8]) -> Option<usize> {
     let line_end = |at: usize| buf[at] == b'\n';
     let blank = |at: usize| match buf.get(at + 1)? {
@@ -90,7 +92,8 @@
     (0..buf.len()).filter(|at| line_end(*at)).find_map(blank)
 }
 
-fn number(event: &[u8]) -> Option<u64> {
+/// Returns the number in the `id` field of an event.
+fn event_number(event: &[u8]) -> Option<u64> {
     let lines = event.split(|b| *b == b'\n');
     let id = lines.into_iter().find_map(|l| l.strip_prefix(b"id:"))?;
     std::str::from_utf8(id.trim_ascii()).ok()?.parse().ok()
--- a/crates/router/src/gateway/job.rs
+++ b/crates/router/src/gateway/job.rs
@@ -1,4 +1,4 @@
-//! A request whose route and account are known, as every step of its way needs it.
+//! A request whose route and account have been resolved.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -17,58 +17,58 @@
 use super::dialect::{Inbound, Prompt};
 use super::state::Gateway;
 
-/// A request whose route and account are known.
+/// A request whose route and account have been resolved, with everything that its attempts need.
 pub struct Job {
     /// The gateway.
     pub gw: Rc<Gateway>,
-    /// What its head says.
+    /// The fields parsed from its head.
     pub inbound: Inbound,
-    /// The method.
+    /// Its method.
     pub method: Method,
-    /// Path and query.
+    /// Its path and query.
     pub uri: Uri,
-    /// The caller's headers that are passed on.
+    /// The caller's headers without the hop-by-hop ones.
     pub headers: HeaderMap,
-    /// The body.
+    /// Its body.
     pub body: Bytes,
-    /// Whether it may be repeated.
+    /// The route's kind: whether the request may be repeated, and whether the response is a stream.
     pub kind: Kind,
-    /// It is a stream that may go on elsewhere.
+    /// Whether the response is a stream that another replica can continue.
     pub resumable: bool,
-    /// How urgent it is.
+    /// Its priority; 0 is the most urgent.
     pub priority: u8,
-    /// The most replicas that may run it.
+    /// Maximum number of replicas that may run it.
     pub attempts: u32,
     /// The name of its route.
     pub route: String,
-    /// The service that it goes to.
+    /// The name of the service that it is sent to.
     pub service: String,
-    /// Requests a minute that a cold replica of it bears.
+    /// Maximum number of requests per minute to a cold replica of the service.
     pub cold_bound: Option<u32>,
-    /// The regions that it may be served in; empty: any.
+    /// The regions in which it may be served; empty: any.
     pub regions: BTreeSet<String>,
-    /// The client account.
+    /// The name of its client account.
     pub account: Option<String>,
-    /// Tokens of one event, at most.
+    /// Maximum number of tokens per event.
     pub stride: Tokens,
-    /// When it is in time.
+    /// The latency objective of its route.
     pub aim: LatencyObjective,
-    /// When it is given up.
+    /// Its deadline.
     pub deadline: Instant,
 }
 
 impl Job {
-    /// Whether it may run more than once.
+    /// Returns whether it may run more than once.
     pub fn is_repeatable(&self) -> bool {
         self.kind == Kind::Safe || self.resumable
     }
 
-    /// The work that it asks for.
+    /// Returns its prompt; an empty one if its head has none.
     pub fn prompt(&self) -> Prompt {
         self.inbound.prompt.clone().unwrap_or_default()
     }
 
-    /// What it asks of a replica.
+    /// Returns what the choice of a replica depends on.
     pub fn work(&self) -> RequestProfile {
         let prompt = self.inbound.prompt.as_ref();
         let (prefixes, regions) = (self.prompt().trail, self.regions.clone());
@@ -82,12 +82,12 @@
         }
     }
 
-    /// What is left of its time.
+    /// Returns the time until its deadline; zero if that has passed.
     pub fn left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// The parts in which its copies agree with it.
+    /// Returns the parts that are the same in all copies of the request.
     pub fn identity(&self) -> Identity<'_> {
         Identity {
             account: self.account.as_deref(),
--- a/crates/router/src/gateway/request.rs
+++ b/crates/router/src/gateway/request.rs
@@ -1,4 +1,4 @@
-//! One request, from its head to its end.
+//! Serves one request: resolves its route, reserves its tokens and tries replicas until one answers.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -25,39 +25,38 @@
 
 use super::answer::refuse;
 use super::attempt::{self, Ended};
-use super::budget::{Held, Spent, hold};
+use super::budget::{TokenReservation, TokenUsage, reserve_tokens};
 use super::client::Client;
 use super::dialect::{Dialect, Inbound};
 use super::documents::depends_on_document;
-use super::events::Events;
+use super::events::EventSplitter;
 use super::job::Job;
 use super::notices::Try;
 use super::rollouts::Observation;
 use super::state::{Chosen, Gateway};
-use super::timing::Timing;
+use super::timing::StreamTiming;
 use crate::reply::Refusal;
 
-/// When to come back to a gateway that knows no document yet.
-const NOT_READY_AFTER: Millis = Millis::seconds(1);
+/// `Retry-After` of a gateway without a current document.
+const NOT_READY_RETRY_AFTER: Millis = Millis::seconds(1);
 
-/// When to come back to a gateway that has too many requests under way.
-const OVERLOADED_AFTER: Millis = Millis::seconds(1);
+/// `Retry-After` of an overloaded gateway.
+const OVERLOADED_RETRY_AFTER: Millis = Millis::seconds(1);
 
-/// When to come back after replicas had no room.
-const FULL_AFTER: Millis = Millis(400);
+/// `Retry-After` when no replica accepts the request.
+const NO_CAPACITY_RETRY_AFTER: Millis = Millis(400);
 
-/// Tries that reach no replica, before the request is given up.
-const UNREACHED: usize = 4;
+/// Attempts that reach no replica before the request fails.
+const MAX_UNREACHED: usize = 4;
 
-/// Tries that replicas reject as not run, before the request is given up.
-const REJECTED: usize = 3;
+/// Attempts that replicas reject without running the request before it fails.
+const MAX_REJECTED: usize = 3;
 
-/// Permits that a request is denied before it goes to replicas without a limit or is refused: each takes
-/// a round trip between gateways.
-const DENIALS: u32 = 3;
+/// Denied permits before a request avoids rate-limited replicas. Each costs a round trip between gateways.
+const MAX_PERMIT_DENIALS: u32 = 3;
 
-/// Headers that concern one connection only.
-const OF_CONNECTION: [HeaderName; 8] = [
+/// Headers that apply to a single connection and are not forwarded.
+const HOP_BY_HOP: [HeaderName; 8] = [
     header::CONNECTION,
     header::CONTENT_LENGTH,
     header::TRANSFER_ENCODING,
@@ -68,42 +67,43 @@
     HeaderName::from_static("proxy-connection"),
 ];
 
-fn millis(m: Millis) -> Duration {
+fn to_duration(m: Millis) -> Duration {
     Duration::from_millis(m.0)
 }
 
-/// What has been passed on of the answer to a request, whichever replicas it came from.
-pub struct Progress {
-    /// The events.
-    pub events: Events,
-    /// Where its time went.
-    pub timing: Timing,
+/// What was forwarded of the response to a request, over all of its attempts.
+pub struct ResponseProgress {
+    /// The position in its stream of events.
+    pub events: EventSplitter,
+    /// The time spent in each phase.
+    pub timing: StreamTiming,
 }
 
-/// How a request ended.
+/// The outcome of a request.
 enum Outcome {
-    /// Its answer was passed on whole.
+    /// The complete response was forwarded.
     Answered,
-    /// It is refused, or has failed before anything was passed on.
+    /// The request was refused, or failed before any of a response was sent.
     Refused(Refusal),
-    /// Its answer broke off after a part was passed on.
-    Broken(String),
-    /// Its caller has gone.
-    Left,
+    /// The request failed after a part of the response was sent; the text is the reason.
+    Interrupted(String),
+    /// The caller closed its connection.
+    CallerClosed,
 }
 
-/// Serves one request whose body has arrived.
+/// Serves one request whose body was received, and sends the response to `client`.
 pub async fn serve<D: Dialect>(gw: &Rc<Gateway>, client: &mut Client, req: &Request, body: Bytes) {
     let (id, outcome) = match D::inbound(req.head()) {
         Ok(inbound) => {
             let id = inbound.id.clone();
-            (id, find_and_run::<D>(gw, client, req, inbound, body).await)
+            (id, route_and_run::<D>(gw, client, req, inbound, body).await)
         }
         Err(code) => (String::new(), Outcome::Refused(Refusal::from(code))),
     };
     finish::<D>(client, &id, outcome).await;
 }
 
+/// Sends a refusal, counts and logs the outcome, and closes the connection where the response is incomplete.
 async fn finish<D: Dialect>(client: &mut Client, id: &str, outcome: Outcome) {
     match outcome {
         Outcome::Answered => counter!(metric::REQUESTS, "code" => "0").increment(1),
@@ -116,18 +116,19 @@
                 client.close_after();
             }
         }
-        Outcome::Broken(why) => {
+        Outcome::Interrupted(why) => {
             emit!(Event::RequestFailed, id = id, code = 0, ran = "yes", why = why);
             client.close_after();
         }
-        Outcome::Left => {
+        Outcome::CallerClosed => {
             emit!(Event::RequestFailed, id = id, code = 0, why = "the caller has gone");
             client.close_after();
         }
     }
 }
 
-async fn find_and_run<D: Dialect>(
+/// Resolves the route of a request, reserves its tokens, runs it and settles the reservation.
+async fn route_and_run<D: Dialect>(
     gw: &Rc<Gateway>,
     client: &mut Client,
     req: &Request,
@@ -136,25 +137,25 @@
 ) -> Outcome {
     let arrived = Instant::now();
     if gw.is_overloaded().await {
-        return Outcome::Refused(Refusal::from(Code::Overloaded).after(OVERLOADED_AFTER));
+        return Outcome::Refused(Refusal::from(Code::Overloaded).after(OVERLOADED_RETRY_AFTER));
     }
     let wait = patience::first_document_wait(gw.now(), inbound.deadline);
     let until = Instant::now() + Duration::from_millis(wait.0);
     let Some(routes) = gw.wait_for_routes(until).await else {
-        return Outcome::Refused(Refusal::from(Code::NotReady).after(NOT_READY_AFTER));
+        return Outcome::Refused(Refusal::from(Code::NotReady).after(NOT_READY_RETRY_AFTER));
     };
-    let routes = match may_route(&routes, req, &inbound) {
+    let routes = match check_routable(&routes, req, &inbound) {
         Err(code) if depends_on_document(code) => match newest_routes(gw, &inbound).await {
             Some(routes) => routes,
-            None => return Outcome::Refused(behind(gw)),
+            None => return Outcome::Refused(not_ready(gw)),
         },
         _ => routes,
     };
-    let (job, prepaid) = match find(gw, &routes, req, inbound, body) {
-        Ok(found) => found,
+    let (job, prepaid) = match resolve(gw, &routes, req, inbound, body) {
+        Ok(resolved) => resolved,
         Err(code) => {
-            let by = gw.documents.describe(gw.now());
-            return Outcome::Refused(Refusal::from(code).detail(by));
+            let detail = gw.documents.describe(gw.now());
+            return Outcome::Refused(Refusal::from(code).detail(detail));
         }
     };
     if let Some(f) = gw.quarantines.find(&job) {
@@ -162,32 +163,32 @@
     }
     gw.count_request(&job.service);
     if !admission::admits(gw.active.get() as u64, gw.settings.places, job.priority) {
-        return Outcome::Refused(Refusal::from(Code::Overloaded).after(OVERLOADED_AFTER));
+        return Outcome::Refused(Refusal::from(Code::Overloaded).after(OVERLOADED_RETRY_AFTER));
     }
-    let begun = Instant::now();
-    let held = tokens(&job, prepaid).await;
-    histogram!(metric::TOKENS_WAIT).record(begun.elapsed());
-    let held = match held {
-        Ok(held) => held,
+    let started = Instant::now();
+    let reservation = reserve(&job, prepaid).await;
+    histogram!(metric::TOKENS_WAIT).record(started.elapsed());
+    let reservation = match reservation {
+        Ok(reservation) => reservation,
         Err(r) => return Outcome::Refused(r),
     };
-    let mut run = Run::new(&job, arrived);
-    let outcome = run.go::<D>(client).await;
-    let spent = run.spent(matches!(outcome, Outcome::Answered));
-    if let Some(held) = held {
-        held.settle(spent);
+    let mut attempts = RequestAttempts::new(&job, arrived);
+    let outcome = attempts.run::<D>(client).await;
+    let usage = attempts.usage(matches!(outcome, Outcome::Answered));
+    if let Some(reservation) = reservation {
+        reservation.settle(usage);
     }
     outcome
 }
 
-/// Whether the document allows a request at all.
-fn may_route(routes: &Routes, req: &Request, inbound: &Inbound) -> Result<(), Code> {
+/// Checks that the document has a route and an account for a request.
+fn check_routable(routes: &Routes, req: &Request, inbound: &Inbound) -> Result<(), Code> {
     let route = routes.route(&inbound.host, req.path())?;
     routes.account(route, inbound.key.as_deref()).map(|_| ())
 }
 
-/// The document by which a request may be refused for good: the newest that any control process has
-/// told of lately. None: this gateway does not have it in time, or hears of nobody.
+/// Returns the newest document that any control process has announced, which can refuse a request for
+/// good. Returns none if it does not arrive in time or no control process is reachable.
 async fn newest_routes(gw: &Gateway, inbound: &Inbound) -> Option<Rc<Routes>> {
     if gw.documents.is_cut_off(gw.now()) {
         return None;
@@ -196,19 +197,20 @@
     gw.wait_for_newest_routes(Instant::now() + Duration::from_millis(wait.0)).await
 }
 
-/// A refusal that a newer document may turn into an answer.
-fn behind(gw: &Gateway) -> Refusal {
-    let by = gw.documents.describe(gw.now());
-    Refusal::from(Code::NotReady).after(NOT_READY_AFTER).detail(by)
+/// Returns a refusal to be retried, for a gateway whose document may be outdated.
+fn not_ready(gw: &Gateway) -> Refusal {
+    let detail = gw.documents.describe(gw.now());
+    Refusal::from(Code::NotReady).after(NOT_READY_RETRY_AFTER).detail(detail)
 }
 
-/// The answer to a quarantined request. It names no time to come back: copies of it fare the same.
+/// Returns the refusal of a quarantined request, without `Retry-After` because copies of it are refused too.
 fn quarantined(f: Fingerprint) -> Refusal {
     Refusal::from(Code::Quarantined).detail(format!("fingerprint {f}"))
 }
 
-/// Finds the route, the account and the service of a request.
-fn find(
+/// Resolves the route, account and service of a request. Returns the request with the account's prepaid
+/// tokens.
+fn resolve(
     gw: &Rc<Gateway>,
     routes: &Routes,
     req: &Request,
@@ -221,7 +223,7 @@
         routes.choose_service(route, request_hash(&inbound.id)).ok_or(Code::NoUpstream)?;
     let limit = inbound.deadline.map_or(route.timeout, |d| d.min(route.timeout));
     let mut headers = req.head().headers.clone();
-    for name in OF_CONNECTION {
+    for name in HOP_BY_HOP {
         headers.remove(name);
     }
     let job = Job {
@@ -241,99 +243,103 @@
         account: account.map(|a| a.name.clone()),
         stride: backend.engine.map_or(1, |e| e.stride.max(1)),
         aim: LatencyObjective {
-            first_event: millis(route.objective),
-            max_pause: route.gap.map(millis),
+            first_event: to_duration(route.objective),
+            max_pause: route.gap.map(to_duration),
         },
-        deadline: Instant::now() + millis(limit),
+        deadline: Instant::now() + to_duration(limit),
         inbound,
     };
     Ok((job, account.and_then(|a| a.prepaid)))
 }
 
-/// The regions that a request may be served in: those of its route and of its account.
+/// Returns the regions allowed by both the route and the account; empty: any. Fails if they have none in
+/// common.
 fn allowed_regions(
     route: &Route,
     account: Option<&ClientAccount>,
 ) -> Result<BTreeSet<String>, Code> {
-    let of_route = &route.regions;
-    let Some(of_account) = account.map(|a| &a.regions).filter(|r| !r.is_empty()) else {
-        return Ok(of_route.clone());
+    let route_regions = &route.regions;
+    let Some(account_regions) = account.map(|a| &a.regions).filter(|r| !r.is_empty()) else {
+        return Ok(route_regions.clone());
     };
-    if of_route.is_empty() {
-        return Ok(of_account.clone());
+    if route_regions.is_empty() {
+        return Ok(account_regions.clone());
     }
-    let both: BTreeSet<_> = of_route.intersection(of_account).cloned().collect();
+    let both: BTreeSet<_> = route_regions.intersection(account_regions).cloned().collect();
     if both.is_empty() { Err(Code::NoRegion) } else { Ok(both) }
 }
 
-async fn tokens(job: &Job, prepaid: Option<Tokens>) -> Result<Option<Held>, Refusal> {
+/// Reserves the request's tokens. Returns none if it has no prompt, or its account no budget.
+async fn reserve(job: &Job, prepaid: Option<Tokens>) -> Result<Option<TokenReservation>, Refusal> {
     let (Some(prompt), Some(prepaid), Some(account)) = (&job.inbound.prompt, prepaid, &job.account)
     else {
         return Ok(None);
     };
-    hold(&job.gw, account, prepaid, prompt, job.deadline).await.map(Some)
+    reserve_tokens(&job.gw, account, prepaid, prompt, job.deadline).await.map(Some)
 }
 
 /// The attempts of one request.
-struct Run<'a> {
+struct RequestAttempts<'a> {
     job: &'a Job,
-    progress: Progress,
+    progress: ResponseProgress,
     tried: Vec<SocketAddr>,
-    /// Replicas that may have run it.
+    /// Attempts in which a replica may have run it.
     ran: u32,
     unreached: usize,
-    /// Times that a replica turned it away.
+    /// Attempts that a replica rejected without running it.
     rejected: usize,
-    /// Those of them by replicas that asked for rest.
-    rested: usize,
-    /// What keeps it away from the replicas that are left.
-    held_back: Option<Blocked>,
+    /// Rejected attempts whose replica requested a backoff.
+    backed_off: usize,
+    /// Why the remaining replicas cannot be used.
+    blocked: Option<Blocked>,
 }
 
-impl<'a> Run<'a> {
-    fn new(job: &'a Job, arrived: Instant) -> Run<'a> {
-        let events = Events::after(job.inbound.last_event);
-        let progress = Progress { events, timing: Timing::new(arrived) };
-        Run {
+impl<'a> RequestAttempts<'a> {
+    fn new(job: &'a Job, arrived: Instant) -> RequestAttempts<'a> {
+        let events = EventSplitter::resume_after(job.inbound.last_event);
+        let progress = ResponseProgress { events, timing: StreamTiming::new(arrived) };
+        RequestAttempts {
             job,
             progress,
             tried: Vec::new(),
             ran: 0,
             unreached: 0,
             rejected: 0,
-            rested: 0,
-            held_back: None,
+            backed_off: 0,
+            blocked: None,
         }
     }
 
-    fn spent(&self, whole: bool) -> Spent {
-        let (ran, events, stride) = (self.ran > 0, self.progress.events.passed(), self.job.stride);
-        let unseen = if whole { 0 } else { self.progress.timing.pace().max_unread() };
-        Spent { ran, events, stride, unseen }
+    fn usage(&self, is_complete: bool) -> TokenUsage {
+        let (ran, events, tokens_per_event) =
+            (self.ran > 0, self.progress.events.count(), self.job.stride);
+        let unread = if is_complete { 0 } else { self.progress.timing.unread().max_unread() };
+        TokenUsage { ran, events, tokens_per_event, unread }
     }
 
-    /// Sends it to one replica after the other until it is answered or given up.
-    async fn go<D: Dialect>(&mut self, client: &mut Client) -> Outcome {
+    /// Sends it to one replica after the other until a response is forwarded or the request fails.
+    async fn run<D: Dialect>(&mut self, client: &mut Client) -> Outcome {
         loop {
             if self.job.left() == Duration::ZERO {
-                return self.late(client);
+                return self.deadline_passed(client);
             }
             if let Some(f) = self.job.gw.quarantines.find(self.job) {
-                return self.stop(f, client);
+                return self.fail_quarantined(f, client);
             }
             let job = self.job;
-            let Some(Chosen { choice, replica, data_centre, side }) = self.choose().await else {
+            let Some(Chosen { choice, replica, data_centre, side }) = self.pick_replica().await
+            else {
                 return self.give_up("no replica is left", client);
             };
             self.tried.push(choice.address);
             let observation = Observation::begin(&job.gw, &job.service, side);
             let chosen = Chosen { choice, replica, data_centre, side };
             let which = if self.tried.len() == 1 { Try::First } else { Try::Further };
-            let (ended, first) =
+            let (ended, time_to_first) =
                 attempt::run::<D>(job, client, &mut self.progress, &chosen, which).await;
             let Chosen { choice, replica, .. } = chosen;
-            observation.end(&job.route, &ended, first, choice.expected_us);
-            counter!(metric::ATTEMPTS, "end" => ended.name()).increment(1);
+            observation.end(&job.route, &ended, time_to_first, choice.expected_us);
+            counter!(metric::ATTEMPTS, "end" => ended.as_str()).increment(1);
             let failed = ended.is_failure();
             self.job.gw.done(&self.job.service, &choice, failed);
             emit!(
@@ -346,14 +352,14 @@
             if matches!(ended, Ended::Answered) && self.job.kind == Kind::Stream {
                 self.progress.timing.report(&self.job.inbound.id, &replica, &self.job.aim);
             }
-            if let Some(outcome) = self.after(client, ended).await {
+            if let Some(outcome) = self.handle_attempt(client, ended).await {
                 return outcome;
             }
         }
     }
 
-    /// Chooses a replica that the request may be sent to now: one that names a limit needs a permit.
-    async fn choose(&mut self) -> Option<Chosen> {
+    /// Picks a replica and acquires a permit if it is rate-limited. Returns none if no replica is available.
+    async fn pick_replica(&mut self) -> Option<Chosen> {
         let job = self.job;
         let gw = &job.gw;
         let version_preference = gw.trials.version_preference(
@@ -362,28 +368,28 @@
             &job.inbound.id,
             !self.tried.is_empty(),
         );
-        let mut work = RequestProfile { version_preference, ..job.work() };
+        let mut profile = RequestProfile { version_preference, ..job.work() };
         let mut denials = 0;
         loop {
-            let picked = gw.pick(&job.service, job.cold_bound, &mut work, &self.tried);
+            let picked = gw.pick(&job.service, job.cold_bound, &mut profile, &self.tried);
             let Some(mut chosen) = picked else {
-                self.held_back = gw.held_back(&job.service, &work);
+                self.blocked = gw.held_back(&job.service, &profile);
                 return None;
             };
             let (replica, dc) = (&chosen.replica, &chosen.data_centre);
             let Err(denied) = gw.limits.permit(gw, replica, dc, job.priority).await else {
-                gw.commit(&job.service, &work, &mut chosen);
+                gw.commit(&job.service, &profile, &mut chosen);
                 return Some(chosen);
             };
             gw.bar(&job.service, &chosen, denied.after, job.priority);
-            work.version_preference = version_preference;
+            profile.version_preference = version_preference;
             denials += 1;
-            work.avoid_rate_limited = denied.unanswered || denials >= DENIALS;
+            profile.avoid_rate_limited = denied.unanswered || denials >= MAX_PERMIT_DENIALS;
         }
     }
 
-    /// What the end of an attempt comes to; none: the next replica is tried.
-    async fn after(&mut self, client: &mut Client, ended: Ended) -> Option<Outcome> {
+    /// Returns the outcome of the request after an attempt; none if another replica is to be tried.
+    async fn handle_attempt(&mut self, client: &mut Client, ended: Ended) -> Option<Outcome> {
         match ended {
             Ended::Answered => {
                 self.ran += 1;
@@ -391,39 +397,39 @@
             }
             Ended::Left => {
                 self.ran += 1;
-                Some(Outcome::Left)
+                Some(Outcome::CallerClosed)
             }
             Ended::NotSent(why) => {
                 self.unreached += 1;
-                let more = self.unreached < UNREACHED;
-                (!more).then(|| self.give_up(&why, client))
+                let try_next = self.unreached < MAX_UNREACHED;
+                (!try_next).then(|| self.give_up(&why, client))
             }
-            // It is chosen anew, without the replica.
+            // The next pick excludes this replica.
             Ended::Withheld => None,
             Ended::NotRun => {
                 self.rejected += 1;
-                self.rested += usize::from(self.last_is_resting());
-                let more = self.may_try_another();
-                (!more).then(|| self.give_up("replicas have no room", client))
+                self.backed_off += usize::from(self.last_is_backing_off());
+                let try_next = self.may_retry_rejected();
+                (!try_next).then(|| self.give_up("replicas have no room", client))
             }
             Ended::Failed(answer) => {
                 self.ran += 1;
-                if self.may_repeat(client) {
+                if self.may_run_again(client) {
                     return None;
                 }
-                let sent = client.whole(answer.status, answer.headers, answer.body).await;
-                Some(if sent.is_ok() { Outcome::Answered } else { Outcome::Left })
+                let sent = client.send_response(answer.status, answer.headers, answer.body).await;
+                Some(if sent.is_ok() { Outcome::Answered } else { Outcome::CallerClosed })
             }
             Ended::Lost(why) | Ended::Broken(why) => {
                 self.ran += 1;
-                self.progress.events.restart();
-                let more = self.may_repeat(client);
-                (!more).then(|| self.broken(client, why))
+                self.progress.events.discard_partial();
+                let try_next = self.may_run_again(client);
+                (!try_next).then(|| self.fail(client, why))
             }
             Ended::Late => {
                 self.ran += 1;
-                Some(if client.has_begun() {
-                    Outcome::Broken("its time is over".to_owned())
+                Some(if client.has_started() {
+                    Outcome::Interrupted("the deadline has passed".to_owned())
                 } else {
                     Outcome::Refused(Refusal::from(Code::UpstreamLate).ran(Ran::Unknown))
                 })
@@ -431,88 +437,92 @@
         }
     }
 
-    /// Whether another replica may be tried after one has turned it away. One that asks for rest is asked by
-    /// no other request, so that costs one try in all; where most rest, others would turn it away as well.
-    fn may_try_another(&mut self) -> bool {
+    /// Returns whether another replica may be tried after one has rejected the request. Rejections with a
+    /// backoff do not count towards the limit, because each stops further requests to the replica. If most
+    /// replicas are backing off, the others are likely to reject it too.
+    fn may_retry_rejected(&mut self) -> bool {
         let (gw, service) = (&self.job.gw, &self.job.service);
-        if self.rested > 0 && gw.is_mostly_resting(service) {
-            self.held_back = gw.held_back(service, &self.job.work());
+        if self.backed_off > 0 && gw.is_mostly_resting(service) {
+            self.blocked = gw.held_back(service, &self.job.work());
             return false;
         }
-        self.rejected - self.rested < REJECTED && gw.take_retry(service)
+        self.rejected - self.backed_off < MAX_REJECTED && gw.take_retry(service)
     }
 
-    /// Whether the replica that it was sent to last has asked for rest.
-    fn last_is_resting(&self) -> bool {
+    /// Returns whether the last replica tried is backing off.
+    fn last_is_backing_off(&self) -> bool {
         let (gw, service) = (&self.job.gw, &self.job.service);
         self.tried.last().is_some_and(|a| gw.is_resting(service, *a))
     }
 
-    /// Whether it may run once more.
-    fn may_repeat(&self, client: &Client) -> bool {
-        let can_go_on = !client.has_begun() || self.job.resumable;
+    /// Returns whether it may run once more. Takes a retry from the fleet's retry budget if so.
+    fn may_run_again(&self, client: &Client) -> bool {
+        let can_continue = !client.has_started() || self.job.resumable;
         self.job.is_repeatable()
-            && can_go_on
+            && can_continue
             && self.ran < self.job.attempts
             && self.job.gw.take_retry(&self.job.service)
     }
 
-    fn broken(&self, client: &Client, why: String) -> Outcome {
-        if client.has_begun() {
-            return Outcome::Broken(why);
+    /// Returns the outcome after a response failed part-way.
+    fn fail(&self, client: &Client, why: String) -> Outcome {
+        if client.has_started() {
+            return Outcome::Interrupted(why);
         }
         let failure = Refusal::from(Code::UpstreamFailed).ran(Ran::Unknown);
         Outcome::Refused(failure.detail(why))
     }
 
-    /// It has been quarantined meanwhile.
-    fn stop(&self, f: Fingerprint, client: &Client) -> Outcome {
+    /// Returns the outcome of a request that was quarantined after its first attempt.
+    fn fail_quarantined(&self, f: Fingerprint, client: &Client) -> Outcome {
         let refusal = quarantined(f);
         if self.ran > 0 {
-            return self.broken(client, refusal.code.text().to_owned());
+            return self.fail(client, refusal.code.text().to_owned());
         }
         Outcome::Refused(refusal)
     }
 
-    /// No replica is left to try.
+    /// Returns the outcome when no further attempt is made.
     fn give_up(&self, why: &str, client: &Client) -> Outcome {
         if self.ran > 0 {
-            return self.broken(client, why.to_owned());
+            return self.fail(client, why.to_owned());
         }
-        if let Some(held_back) = &self.held_back
-            && (held_back.reason == BlockReason::Backoff || self.rejected == 0)
+        if let Some(blocked) = &self.blocked
+            && (blocked.reason == BlockReason::Backoff || self.rejected == 0)
         {
-            return Outcome::Refused(self.refuse_held_back(held_back));
+            return Outcome::Refused(self.refuse_blocked(blocked));
         }
         let code = match (self.rejected, self.job.regions.is_empty()) {
             (0, true) => Code::NoUpstream,
             (0, false) => Code::NoRegion,
             _ => Code::RetriesSpent,
         };
-        Outcome::Refused(Refusal::from(code).after(FULL_AFTER).detail(why))
+        Outcome::Refused(Refusal::from(code).after(NO_CAPACITY_RETRY_AFTER).detail(why))
     }
 
-    /// Replicas could run it, and take no more for now.
-    fn refuse_held_back(&self, h: &Blocked) -> Refusal {
+    /// Returns the refusal when replicas are available but rate-limited or backing off.
+    fn refuse_blocked(&self, blocked: &Blocked) -> Refusal {
         let (gw, service) = (&self.job.gw, &self.job.service);
-        let (code, after, why) = match h.reason {
+        let (code, after, why) = match blocked.reason {
             BlockReason::RateLimit => {
-                let why = gw.limits.describe(gw.now(), &h.replica);
-                (Code::LimitReached, gw.limits.come_back(gw, service, h.retry_after), why)
+                let why = gw.limits.describe(gw.now(), &blocked.replica);
+                (Code::LimitReached, gw.limits.come_back(gw, service, blocked.retry_after), why)
             }
             BlockReason::Backoff => {
-                let why =
-                    format!("replica {} takes requests again in {} ms", h.replica, h.retry_after.0);
-                (Code::UpstreamsResting, gw.come_back(service, h.retry_after), why)
+                let why = format!(
+                    "replica {} takes requests again in {} ms",
+                    blocked.replica, blocked.retry_after.0
+                );
+                (Code::UpstreamsResting, gw.come_back(service, blocked.retry_after), why)
             }
         };
         Refusal::from(code).after(after).detail(why)
     }
 
-    /// Its time is over before a replica, or the next one, had it.
-    fn late(&self, client: &Client) -> Outcome {
-        if client.has_begun() {
-            return Outcome::Broken("its time is over".to_owned());
+    /// Returns the outcome when the deadline passes before the next attempt.
+    fn deadline_passed(&self, client: &Client) -> Outcome {
+        if client.has_started() {
+            return Outcome::Interrupted("the deadline has passed".to_owned());
         }
         let ran = if self.ran > 0 { Ran::Unknown } else { Ran::No };
         Outcome::Refused(Refusal::from(Code::DeadlinePassed).ran(ran))
--- a/crates/router/src/gateway/stream.rs
+++ b/crates/router/src/gateway/stream.rs
@@ -1,4 +1,4 @@
-//! A stream of events on its way to the caller.
+//! Forwards a stream of events from a replica to the caller.
 
 use actix_http::ResponseHead;
 use actix_http::body::BodySize;
@@ -6,162 +6,168 @@
 use cypressfork_http::client::{Broken, Connection};
 use tokio::time::{Instant, timeout_at};
 
-use super::attempt::{Ended, Exchange, of_answer};
+use super::attempt::{Attempt, Ended, end_to_end_headers};
 use super::client::Client;
-use super::request::Progress;
+use super::request::ResponseProgress;
 
-/// What a replica sends next.
-enum Piece {
+/// The result of one read from a replica's stream.
+enum ReadOutcome {
     Bytes(Bytes),
     End,
+    /// The connection ended.
     Lost(String),
+    /// The received bytes are not a valid response.
     Broken(String),
-    Late,
-    Left,
+    DeadlinePassed,
+    CallerClosed,
 }
 
-/// Bytes of a stream that are read after its caller has gone, at most: to count what its replica has made.
-const COUNTED_MOST: usize = 64 * 1024;
+/// Maximum number of received bytes that are read after a stream was cut off, to count their events.
+const MAX_COUNTED_BYTES: usize = 64 * 1024;
 
-/// Passes a stream on. What has come of one that its caller does not take is counted.
-pub async fn pass(
-    exchange: &mut Exchange<'_>,
+/// Forwards a stream to its caller and returns the outcome. If the caller closes its connection or the
+/// deadline passes, events that were received but not forwarded are still counted.
+pub async fn forward(
+    attempt: &mut Attempt<'_>,
     client: &mut Client,
-    progress: &mut Progress,
+    progress: &mut ResponseProgress,
     mut connection: Connection,
     head: ResponseHead,
 ) -> Ended {
-    let passed = pass_events(exchange, client, progress, &mut connection, &head).await;
-    match passed {
+    let cut_off = forward_events(attempt, client, progress, &mut connection, &head).await;
+    match cut_off {
         Some(ended) => {
             if matches!(ended, Ended::Left | Ended::Late) {
-                count_arrived(progress, &mut connection).await;
+                count_buffered(progress, &mut connection).await;
             }
             ended
         }
-        None => end(exchange, client, connection, &head).await,
+        None => finish_response(attempt, client, connection, &head).await,
     }
 }
 
-/// Counts events that had come and were not passed on.
-async fn count_arrived(progress: &mut Progress, connection: &mut Connection) {
-    let (pieces, all) = connection.arrived(COUNTED_MOST).await;
-    let before = progress.events.passed();
-    // A gap ends the stream all the same; what came before it counts.
-    let sound = pieces.iter().all(|piece| progress.events.feed(piece).is_ok());
-    progress.timing.left(progress.events.passed() - before, all && sound);
+/// Counts the events that were received and not forwarded.
+async fn count_buffered(progress: &mut ResponseProgress, connection: &mut Connection) {
+    let (chunks, is_all) = connection.arrived(MAX_COUNTED_BYTES).await;
+    let before = progress.events.count();
+    // Events before a gap count.
+    let is_valid = chunks.iter().all(|chunk| progress.events.feed(chunk).is_ok());
+    progress.timing.record_buffered(progress.events.count() - before, is_all && is_valid);
 }
 
-/// Passes whole events on as they come. The head goes out with the first of them, so that a
-/// stream that breaks off before it may still be answered by another replica. None: it ends as it should.
-async fn pass_events(
-    exchange: &mut Exchange<'_>,
+/// Forwards complete events as they are received. The head is sent with the first event, so that another
+/// replica can take over a stream that fails before it. Returns none at the regular end of the stream.
+async fn forward_events(
+    attempt: &mut Attempt<'_>,
     client: &mut Client,
-    progress: &mut Progress,
+    progress: &mut ResponseProgress,
     connection: &mut Connection,
     head: &ResponseHead,
 ) -> Option<Ended> {
-    let job = exchange.job;
-    let Progress { events, timing } = progress;
-    let mut first = true;
+    let job = attempt.job;
+    let ResponseProgress { events, timing } = progress;
+    let mut is_first = true;
     loop {
-        let before = events.passed();
-        // What has come is read before a caller is taken to have gone: it counts.
-        let piece = tokio::select! {
+        let before = events.count();
+        // Received bytes are read before a closed caller ends the stream, so that their events count.
+        let read = tokio::select! {
             biased;
-            piece = next(connection, job.deadline) => piece,
-            () = client.gone() => Piece::Left,
+            read = read_next(connection, job.deadline) => read,
+            () = client.closed() => ReadOutcome::CallerClosed,
         };
-        let whole = match piece {
-            Piece::Bytes(bytes) => match events.feed(&bytes) {
-                Ok(whole) => whole,
-                Err(fault) => return Some(Ended::Broken(format!("{fault:?}"))),
+        let complete = match read {
+            ReadOutcome::Bytes(bytes) => match events.feed(&bytes) {
+                Ok(complete) => complete,
+                Err(error) => return Some(Ended::Broken(format!("{error:?}"))),
             },
-            Piece::End if !events.is_whole() => {
+            ReadOutcome::End if !events.is_at_boundary() => {
                 return Some(Ended::Broken("it ends inside an event".to_owned()));
             }
-            // Another replica began it in a form that tells its end, and this one does not.
-            Piece::End if connection.is_unframed() && client.is_framed() => {
+            // The response started with framing, and this replica's connection does not mark the end.
+            ReadOutcome::End if connection.is_unframed() && client.is_framed() => {
                 let why = "the answer does not tell whether it is whole";
                 return Some(Ended::Broken(why.to_owned()));
             }
-            Piece::End => return None,
-            Piece::Lost(why) => return Some(Ended::Lost(why)),
-            Piece::Broken(why) => return Some(Ended::Broken(why)),
-            Piece::Late => return Some(Ended::Late),
-            Piece::Left => return Some(Ended::Left),
+            ReadOutcome::End => return None,
+            ReadOutcome::Lost(why) => return Some(Ended::Lost(why)),
+            ReadOutcome::Broken(why) => return Some(Ended::Broken(why)),
+            ReadOutcome::DeadlinePassed => return Some(Ended::Late),
+            ReadOutcome::CallerClosed => return Some(Ended::Left),
         };
-        if whole.is_empty() {
+        if complete.is_empty() {
             continue;
         }
-        timing.came(exchange.sent, events.passed() - before);
-        if std::mem::take(&mut first) {
-            let took = exchange.sent.elapsed();
-            exchange.first = Some(took);
-            job.gw.learn(&job.service, exchange.choice, took.as_micros() as u64);
+        timing.record_events(attempt.sent, events.count() - before);
+        if std::mem::take(&mut is_first) {
+            let took = attempt.sent.elapsed();
+            attempt.time_to_first = Some(took);
+            job.gw.learn(&job.service, attempt.choice, took.as_micros() as u64);
         }
         let unframed = connection.is_unframed();
         let begun = Instant::now();
-        let sent = send(client, head, unframed, whole, job.deadline).await;
-        timing.passed(begun.elapsed());
+        let sent = send_events(client, head, unframed, complete, job.deadline).await;
+        timing.record_forwarded(begun.elapsed());
         if !sent {
             return Some(Ended::Left);
         }
     }
 }
 
-async fn next(connection: &mut Connection, until: Instant) -> Piece {
+async fn read_next(connection: &mut Connection, until: Instant) -> ReadOutcome {
     match timeout_at(until, connection.piece()).await {
-        Ok(Ok(Some(bytes))) => Piece::Bytes(bytes),
-        Ok(Ok(None)) => Piece::End,
-        Ok(Err(Broken::Sent(why) | Broken::NotSent(why))) => Piece::Broken(why),
-        Ok(Err(Broken::Closed(why))) => Piece::Lost(why),
-        Ok(Err(Broken::Stale)) => Piece::Lost("the connection was closed".to_owned()),
-        Err(_) => Piece::Late,
+        Ok(Ok(Some(bytes))) => ReadOutcome::Bytes(bytes),
+        Ok(Ok(None)) => ReadOutcome::End,
+        Ok(Err(Broken::Sent(why) | Broken::NotSent(why))) => ReadOutcome::Broken(why),
+        Ok(Err(Broken::Closed(why))) => ReadOutcome::Lost(why),
+        Ok(Err(Broken::Stale)) => ReadOutcome::Lost("the connection was closed".to_owned()),
+        Err(_) => ReadOutcome::DeadlinePassed,
     }
 }
 
-/// Sends events, and the head before the first of them; false if the caller does not take them.
-async fn send(
+/// Sends events, and before the first of them the head. Returns false if the caller's connection fails or
+/// does not accept them in time.
+async fn send_events(
     client: &mut Client,
     head: &ResponseHead,
     unframed: bool,
     events: Bytes,
     until: Instant,
 ) -> bool {
-    if begin(client, head, unframed).is_err() || client.piece(events).is_err() {
+    if start_response(client, head, unframed).is_err() || client.write_chunk(events).is_err() {
         return false;
     }
     matches!(timeout_at(until, client.flush()).await, Ok(Ok(())))
 }
 
-fn begin(client: &mut Client, head: &ResponseHead, unframed: bool) -> std::io::Result<()> {
-    if client.has_begun() {
+/// Buffers the head of the response unless it was sent before.
+fn start_response(client: &mut Client, head: &ResponseHead, unframed: bool) -> std::io::Result<()> {
+    if client.has_started() {
         return Ok(());
     }
     if unframed {
-        return client.unframed_head(head.status, of_answer(head));
+        return client.write_unframed_head(head.status, end_to_end_headers(head));
     }
-    client.head(head.status, of_answer(head), BodySize::Stream)
+    client.write_head(head.status, end_to_end_headers(head), BodySize::Stream)
 }
 
-async fn end(
-    exchange: &Exchange<'_>,
+/// Ends the response after the replica's stream has ended regularly, and returns the outcome.
+async fn finish_response(
+    attempt: &Attempt<'_>,
     client: &mut Client,
     connection: Connection,
     head: &ResponseHead,
 ) -> Ended {
-    let gw = &exchange.job.gw;
+    let gw = &attempt.job.gw;
     let unframed = connection.is_unframed();
-    // One that ends with its connection may have been cut short.
+    // A response that ends with its connection may be truncated.
     if !unframed {
-        gw.quarantines.answered(exchange.job);
+        gw.quarantines.answered(attempt.job);
     }
-    gw.keep(&exchange.job.service, exchange.choice.address, exchange.replica, connection);
-    if begin(client, head, unframed).is_err() || client.end().is_err() {
+    gw.keep(&attempt.job.service, attempt.choice.address, attempt.replica, connection);
+    if start_response(client, head, unframed).is_err() || client.write_end().is_err() {
         return Ended::Left;
     }
-    match timeout_at(exchange.job.deadline, client.flush()).await {
+    match timeout_at(attempt.job.deadline, client.flush()).await {
         Ok(Ok(())) => Ended::Answered,
         _ => Ended::Left,
     }
--- a/crates/router/src/gateway/timing.rs
+++ b/crates/router/src/gateway/timing.rs
@@ -1,4 +1,4 @@
-//! Where the time of a stream goes, measured as it passes.
+//! Measures how long a stream spends in each phase, and reports streams that miss their objective.
 
 use std::time::Duration;
 
@@ -10,65 +10,77 @@
 use metrics::counter;
 use tokio::time::Instant;
 
-/// The times of one stream.
+/// Timing of one stream.
 #[derive(Debug)]
-pub struct Timing {
+pub struct StreamTiming {
     arrived: Instant,
-    /// When its tokens were set aside.
-    funded: Instant,
-    /// When events first and last came from a replica.
-    first: Option<Instant>,
-    event: Option<Instant>,
-    pace: UnreadEstimate,
-    spans: LatencyBreakdown,
+    /// When its tokens were reserved.
+    reserved: Instant,
+    /// When the first and the last event were received from a replica.
+    first_event: Option<Instant>,
+    last_event: Option<Instant>,
+    unread: UnreadEstimate,
+    breakdown: LatencyBreakdown,
 }
 
-impl Timing {
-    /// Times of a request that arrived at `arrived` and has its tokens now.
-    pub fn new(arrived: Instant) -> Timing {
-        let funded = Instant::now();
-        let spans =
-            LatencyBreakdown { reservation: funded - arrived, ..LatencyBreakdown::default() };
-        Timing { arrived, funded, first: None, event: None, pace: UnreadEstimate::default(), spans }
+impl StreamTiming {
+    /// Starts the timing of a request that arrived at `arrived` and whose tokens were reserved just now.
+    pub fn new(arrived: Instant) -> StreamTiming {
+        let reserved = Instant::now();
+        let breakdown =
+            LatencyBreakdown { reservation: reserved - arrived, ..LatencyBreakdown::default() };
+        StreamTiming {
+            arrived,
+            reserved,
+            first_event: None,
+            last_event: None,
+            unread: UnreadEstimate::default(),
+            breakdown,
+        }
     }
 
-    /// The pace at which its events came.
-    pub fn pace(&self) -> &UnreadEstimate {
-        &self.pace
+    /// Returns the estimate of the events that were generated but not read.
+    pub fn unread(&self) -> &UnreadEstimate {
+        &self.unread
     }
 
-    /// Notes what had come already when the stream broke off: so many events, and whether those were all.
-    pub fn left(&mut self, events: u64, all: bool) {
-        self.pace.record_events(events, self.first.map_or(Duration::ZERO, |first| first.elapsed()));
+    /// Records the events that were received but not forwarded when the stream was cut off. `all` is false
+    /// if there may be more of them.
+    pub fn record_buffered(&mut self, events: u64, all: bool) {
+        self.unread.record_events(
+            events,
+            self.first_event.map_or(Duration::ZERO, |first| first.elapsed()),
+        );
         if !all {
-            self.pace.mark_unbounded();
+            self.unread.mark_unbounded();
         }
     }
 
-    /// Notes that whole events came from a replica that was sent the request at `sent`.
-    pub fn came(&mut self, sent: Instant, events: u64) {
+    /// Records that `events` events were received from a replica to which the request was sent at `sent`.
+    pub fn record_events(&mut self, sent: Instant, events: u64) {
         let now = Instant::now();
-        self.pace.record_events(events, now - *self.first.get_or_insert(now));
-        match self.event.replace(now) {
-            Some(before) => self.spans.pause = self.spans.pause.max(now - before),
+        self.unread.record_events(events, now - *self.first_event.get_or_insert(now));
+        match self.last_event.replace(now) {
+            Some(previous) => self.breakdown.pause = self.breakdown.pause.max(now - previous),
             None => {
-                self.spans.gateway = sent.saturating_duration_since(self.funded);
-                self.spans.first_event = now.saturating_duration_since(sent);
+                self.breakdown.gateway = sent.saturating_duration_since(self.reserved);
+                self.breakdown.first_event = now.saturating_duration_since(sent);
             }
         }
     }
 
-    /// Notes that the caller's connection has taken the events that came last, or was waited for in vain.
-    pub fn passed(&mut self, took: Duration) {
-        self.pace.record_stall(took);
-        if let Some(came) = self.event {
-            self.spans.forwarding = self.spans.forwarding.max(came.elapsed());
+    /// Records that the gateway spent `took` on writing the last events to the caller's connection,
+    /// whether it succeeded or not.
+    pub fn record_forwarded(&mut self, took: Duration) {
+        self.unread.record_stall(took);
+        if let Some(received) = self.last_event {
+            self.breakdown.forwarding = self.breakdown.forwarding.max(received.elapsed());
         }
     }
 
-    /// Tells of a stream that was answered late, and why.
-    pub fn report(&self, id: &str, replica: &str, aim: &LatencyObjective) {
-        let Some(cause) = late_cause(&self.spans, aim) else { return };
+    /// Logs and counts the stream with the main cause if it missed `objective`.
+    pub fn report(&self, id: &str, replica: &str, objective: &LatencyObjective) {
+        let Some(cause) = late_cause(&self.breakdown, objective) else { return };
         counter!(metric::LATE, "cause" => cause.as_str()).increment(1);
         let ms = |span: Duration| span.as_millis();
         emit!(
@@ -76,11 +88,11 @@
             id = id,
             replica = replica,
             cause = cause.as_str(),
-            tokens_ms = ms(self.spans.reservation),
-            gateway_ms = ms(self.spans.gateway),
-            first_ms = ms(self.spans.first_event),
-            pause_ms = ms(self.spans.pause),
-            passing_ms = ms(self.spans.forwarding),
+            tokens_ms = ms(self.breakdown.reservation),
+            gateway_ms = ms(self.breakdown.gateway),
+            first_ms = ms(self.breakdown.first_event),
+            pause_ms = ms(self.breakdown.pause),
+            passing_ms = ms(self.breakdown.forwarding),
             whole_ms = ms(self.arrived.elapsed()),
         );
     }
--- a/crates/router/src/gateway/upstream.rs
+++ b/crates/router/src/gateway/upstream.rs
@@ -1,4 +1,4 @@
-//! Connections to replicas that rest between two exchanges.
+//! Pool of idle connections to replicas.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -7,33 +7,33 @@
 use cypressfork_http::client::{Broken, Connection};
 use tokio::time::Instant;
 
-/// Connections kept for one replica.
-const KEPT: usize = 32;
+/// Maximum number of idle connections kept per replica.
+const MAX_IDLE_PER_REPLICA: usize = 32;
 
-/// The connections that rest.
+/// Idle connections by replica address.
 #[derive(Default)]
 pub struct Connections {
-    resting: RefCell<HashMap<SocketAddr, Vec<Connection>>>,
+    idle: RefCell<HashMap<SocketAddr, Vec<Connection>>>,
 }
 
 impl Connections {
-    /// A connection to a replica: one that rests, or a new one.
+    /// Returns an idle connection to a replica, or opens a new one.
     pub async fn get(&self, now: Instant, address: SocketAddr) -> Result<Connection, Broken> {
-        match self.take(now, address) {
+        match self.take_idle(now, address) {
             Some(c) => Ok(c),
             None => Connection::open(address).await,
         }
     }
 
-    /// A new connection to a replica.
-    pub async fn fresh(&self, address: SocketAddr) -> Result<Connection, Broken> {
+    /// Opens a new connection to a replica even if there are idle ones.
+    pub async fn open(&self, address: SocketAddr) -> Result<Connection, Broken> {
         Connection::open(address).await
     }
 
-    fn take(&self, now: Instant, address: SocketAddr) -> Option<Connection> {
-        let mut resting = self.resting.borrow_mut();
-        let kept = resting.get_mut(&address)?;
-        while let Some(c) = kept.pop() {
+    fn take_idle(&self, now: Instant, address: SocketAddr) -> Option<Connection> {
+        let mut idle = self.idle.borrow_mut();
+        let connections = idle.get_mut(&address)?;
+        while let Some(c) = connections.pop() {
             if c.is_fresh(now) {
                 return Some(c);
             }
@@ -41,38 +41,39 @@
         None
     }
 
-    /// Lays a connection aside after a whole answer, if it can be used again.
+    /// Returns a connection to the pool after a complete response. Drops it if it cannot be reused or
+    /// the pool of the replica is full.
     pub fn put(&self, now: Instant, address: SocketAddr, mut c: Connection) {
         if !c.is_reusable() {
             return;
         }
         c.lay_aside(now);
-        let mut resting = self.resting.borrow_mut();
-        let kept = resting.entry(address).or_default();
-        if kept.len() < KEPT {
-            kept.push(c);
+        let mut idle = self.idle.borrow_mut();
+        let connections = idle.entry(address).or_default();
+        if connections.len() < MAX_IDLE_PER_REPLICA {
+            connections.push(c);
         }
     }
 
-    /// Closes those with a replica that is not there any more.
+    /// Closes the idle connections to the address of a replica that no longer exists.
     pub fn forget(&self, address: SocketAddr) {
-        self.resting.borrow_mut().remove(&address);
+        self.idle.borrow_mut().remove(&address);
     }
 
-    /// Whether a connection that rests with a replica is still open. Those that are not are dropped.
+    /// Returns whether an idle connection to a replica is still open. Drops those that are not.
     pub fn any_open(&self, now: Instant, address: SocketAddr) -> bool {
-        let mut resting = self.resting.borrow_mut();
-        let Some(kept) = resting.get_mut(&address) else { return false };
-        kept.retain(|c| c.is_fresh(now));
-        !kept.is_empty()
+        let mut idle = self.idle.borrow_mut();
+        let Some(connections) = idle.get_mut(&address) else { return false };
+        connections.retain(|c| c.is_fresh(now));
+        !connections.is_empty()
     }
 
-    /// Closes those that have rested too long.
+    /// Closes connections that have been idle too long or that the replica has closed.
     pub fn trim(&self, now: Instant) {
-        let mut resting = self.resting.borrow_mut();
-        for kept in resting.values_mut() {
-            kept.retain(|c| c.is_fresh(now));
+        let mut idle = self.idle.borrow_mut();
+        for connections in idle.values_mut() {
+            connections.retain(|c| c.is_fresh(now));
         }
-        resting.retain(|_, kept| !kept.is_empty());
+        idle.retain(|_, connections| !connections.is_empty());
     }
 }
