--- a/crates/router/src/gateway/attempt.rs
+++ b/crates/router/src/gateway/attempt.rs
@@ -39,7 +39,7 @@
 
 /// The outcome of an attempt.
 #[derive(Debug)]
-pub enum Ended {
+pub enum AttemptOutcome {
     /// The complete response was forwarded.
     Answered,
     /// The caller closed its connection.
@@ -60,35 +60,41 @@
     Late,
 }
 
-impl Ended {
+impl AttemptOutcome {
     /// Returns whether the attempt counts as a failure of the replica.
     pub fn is_failure(&self) -> bool {
-        !matches!(self, Ended::Answered | Ended::Left | Ended::Withheld | Ended::NotRun)
+        !matches!(
+            self,
+            AttemptOutcome::Answered
+                | AttemptOutcome::Left
+                | AttemptOutcome::Withheld
+                | AttemptOutcome::NotRun
+        )
     }
 
     /// Returns its label in metrics.
-    pub fn as_str(&self) -> &'static str {
+    pub fn label(&self) -> &'static str {
         match self {
-            Ended::Answered => "answered",
-            Ended::Left => "caller_left",
-            Ended::NotSent(_) => "not_sent",
-            Ended::Withheld => "withheld",
-            Ended::NotRun => "not_run",
-            Ended::Failed(_) => "failed",
-            Ended::Lost(_) => "lost",
-            Ended::Broken(_) => "broken",
-            Ended::Late => "late",
+            AttemptOutcome::Answered => "answered",
+            AttemptOutcome::Left => "caller_left",
+            AttemptOutcome::NotSent(_) => "not_sent",
+            AttemptOutcome::Withheld => "withheld",
+            AttemptOutcome::NotRun => "not_run",
+            AttemptOutcome::Failed(_) => "failed",
+            AttemptOutcome::Lost(_) => "lost",
+            AttemptOutcome::Broken(_) => "broken",
+            AttemptOutcome::Late => "late",
         }
     }
 }
 
-impl From<Broken> for Ended {
-    fn from(error: Broken) -> Ended {
+impl From<Broken> for AttemptOutcome {
+    fn from(error: Broken) -> AttemptOutcome {
         match error {
-            Broken::NotSent(why) => Ended::NotSent(why),
-            Broken::Stale => Ended::Lost("the kept connection was closed".to_owned()),
-            Broken::Closed(why) => Ended::Lost(why),
-            Broken::Sent(why) => Ended::Broken(why),
+            Broken::NotSent(why) => AttemptOutcome::NotSent(why),
+            Broken::Stale => AttemptOutcome::Lost("the kept connection was closed".to_owned()),
+            Broken::Closed(why) => AttemptOutcome::Lost(why),
+            Broken::Sent(why) => AttemptOutcome::Broken(why),
         }
     }
 }
@@ -101,14 +107,14 @@
     progress: &mut ResponseProgress,
     chosen: &Chosen,
     which: Try,
-) -> (Ended, Option<Duration>) {
+) -> (AttemptOutcome, Option<Duration>) {
     let (choice, replica) = (&chosen.choice, chosen.replica.as_str());
     let data_centre = chosen.data_centre.as_str();
     let (born, sent) = (job.gw.born(replica), Instant::now());
     let mut attempt =
         Attempt { job, choice, replica, data_centre, which, born, sent, time_to_first: None };
     let ended = attempt.run::<D>(client, progress).await;
-    if matches!(ended, Ended::Lost(_)) {
+    if matches!(ended, AttemptOutcome::Lost(_)) {
         note_lost(job, choice.address, replica, attempt.sent);
     }
     (ended, attempt.time_to_first)
@@ -139,19 +145,19 @@
         &mut self,
         client: &mut Client,
         progress: &mut ResponseProgress,
-    ) -> Ended {
+    ) -> AttemptOutcome {
         let until = self.job.deadline;
         // Returning early when the caller closes its connection drops the connection to the replica.
         // A head that was received is read first: its backoff or rate limit concerns other requests too.
         let result = tokio::select! {
             biased;
             result = timeout_at(until, self.send_request::<D>(progress.events.last())) => result,
-            () = client.closed() => return Ended::Left,
+            () = client.closed() => return AttemptOutcome::Left,
         };
         let (connection, head) = match result {
             Ok(Ok(started)) => started,
             Ok(Err(ended)) => return ended,
-            Err(_) => return Ended::Late,
+            Err(_) => return AttemptOutcome::Late,
         };
         self.time_to_first = Some(self.sent.elapsed());
         self.forward_response::<D>(client, progress, connection, head).await
@@ -161,7 +167,7 @@
     async fn send_request<D: Dialect>(
         &mut self,
         last_event: Option<u64>,
-    ) -> Result<(Connection, ResponseHead), Ended> {
+    ) -> Result<(Connection, ResponseHead), AttemptOutcome> {
         let gw = &self.job.gw;
         self.check_replica()?;
         let mut connection = gw.connections.get(Instant::now(), self.choice.address).await?;
@@ -193,10 +199,10 @@
     }
 
     /// Fails if the replica has left or requested a backoff since it was picked.
-    fn check_replica(&self) -> Result<(), Ended> {
+    fn check_replica(&self) -> Result<(), AttemptOutcome> {
         let (service, address) = (&self.job.service, self.choice.address);
         let allowed = self.job.gw.may_send(service, address, self.replica);
-        allowed.then_some(()).ok_or(Ended::Withheld)
+        allowed.then_some(()).ok_or(AttemptOutcome::Withheld)
     }
 
     fn addressee(&self) -> Addressee<'_> {
@@ -206,10 +212,10 @@
 
     /// Acquires a second permit. The replica may have received the first send, so the second counts against
     /// its rate limit as well.
-    async fn acquire_second_permit(&self) -> Result<(), Ended> {
+    async fn acquire_second_permit(&self) -> Result<(), AttemptOutcome> {
         let (gw, priority) = (&self.job.gw, self.job.priority);
         let permit = gw.limits.permit(gw, self.replica, self.data_centre, priority).await;
-        permit.map_err(|_| Ended::NotSent(gw.limits.describe(gw.now(), self.replica)))
+        permit.map_err(|_| AttemptOutcome::NotSent(gw.limits.describe(gw.now(), self.replica)))
     }
 
     async fn send<D: Dialect>(
@@ -235,7 +241,7 @@
     async fn read_own_head<D: Dialect>(
         &self,
         mut connection: Connection,
-    ) -> Result<(Connection, ResponseHead), Ended> {
+    ) -> Result<(Connection, ResponseHead), AttemptOutcome> {
         for _ in 0..MAX_SKIPPED_RESPONSES {
             let head = connection.head().await?;
             let response = D::head(&head);
@@ -258,7 +264,7 @@
             }
             while connection.piece().await?.is_some() {}
         }
-        Err(Ended::Broken("the connection brings answers to other requests".to_owned()))
+        Err(AttemptOutcome::Broken("the connection brings answers to other requests".to_owned()))
     }
 
     /// Reads the rest of the response, forwards it and returns the outcome.
@@ -268,21 +274,23 @@
         progress: &mut ResponseProgress,
         connection: Connection,
         head: ResponseHead,
-    ) -> Ended {
+    ) -> AttemptOutcome {
         let response = D::head(&head);
         let (not_run, is_valid) = (response.not_run || response.another, response.sound);
         if response.another {
             self.job.gw.replica_not_there(self.replica);
         }
         if !is_valid {
-            return Ended::Broken("the answer is not in the form that was asked for".to_owned());
+            return AttemptOutcome::Broken(
+                "the answer is not in the form that was asked for".to_owned(),
+            );
         }
         if self.job.kind == Kind::Stream && head.status.is_success() && !not_run {
             return stream::forward(self, client, progress, connection, head).await;
         }
         let complete = tokio::select! {
             complete = timeout_at(self.job.deadline, read_body(connection)) => complete,
-            () = client.closed() => return Ended::Left,
+            () = client.closed() => return AttemptOutcome::Left,
         };
         let (body, unframed) = match complete {
             Ok(Ok((connection, body))) => {
@@ -295,24 +303,24 @@
                 gw.keep(&self.job.service, self.choice.address, self.replica, connection);
                 (body, unframed)
             }
-            Ok(Err(_)) if not_run => return Ended::NotRun,
+            Ok(Err(_)) if not_run => return AttemptOutcome::NotRun,
             Ok(Err(b)) => return b.into(),
-            Err(_) => return Ended::Late,
+            Err(_) => return AttemptOutcome::Late,
         };
         if not_run {
-            return Ended::NotRun;
+            return AttemptOutcome::NotRun;
         }
         let headers = end_to_end_headers(&head);
         if head.status.is_server_error() {
-            return Ended::Failed(Box::new(Answer { status: head.status, headers, body }));
+            return AttemptOutcome::Failed(Box::new(Answer { status: head.status, headers, body }));
         }
         let sent = match unframed {
             true => client.send_unframed_response(head.status, headers, body).await,
             false => client.send_response(head.status, headers, body).await,
         };
         match sent {
-            Ok(()) => Ended::Answered,
-            Err(_) => Ended::Left,
+            Ok(()) => AttemptOutcome::Answered,
+            Err(_) => AttemptOutcome::Left,
         }
     }
 }
--- a/crates/router/src/gateway/request.rs
+++ b/crates/router/src/gateway/request.rs
@@ -24,7 +24,7 @@
 use tokio::time::Instant;
 
 use super::answer::refuse;
-use super::attempt::{self, Ended};
+use super::attempt::{self, AttemptOutcome};
 use super::budget::{TokenReservation, TokenUsage, reserve_tokens};
 use super::client::Client;
 use super::dialect::{Dialect, Inbound};
@@ -339,7 +339,7 @@
                 attempt::run::<D>(job, client, &mut self.progress, &chosen, which).await;
             let Chosen { choice, replica, .. } = chosen;
             observation.end(&job.route, &ended, time_to_first, choice.expected_us);
-            counter!(metric::ATTEMPTS, "end" => ended.as_str()).increment(1);
+            counter!(metric::ATTEMPTS, "end" => ended.label()).increment(1);
             let failed = ended.is_failure();
             self.job.gw.done(&self.job.service, &choice, failed);
             emit!(
@@ -349,7 +349,7 @@
                 ended = format_args!("{ended:?}"),
                 expected_us = choice.expected_us,
             );
-            if matches!(ended, Ended::Answered) && self.job.kind == Kind::Stream {
+            if matches!(ended, AttemptOutcome::Answered) && self.job.kind == Kind::Stream {
                 self.progress.timing.report(&self.job.inbound.id, &replica, &self.job.aim);
             }
             if let Some(outcome) = self.handle_attempt(client, ended).await {
@@ -389,30 +389,34 @@
     }
 
     /// Returns the outcome of the request after an attempt; none if another replica is to be tried.
-    async fn handle_attempt(&mut self, client: &mut Client, ended: Ended) -> Option<Outcome> {
+    async fn handle_attempt(
+        &mut self,
+        client: &mut Client,
+        ended: AttemptOutcome,
+    ) -> Option<Outcome> {
         match ended {
-            Ended::Answered => {
+            AttemptOutcome::Answered => {
                 self.ran += 1;
                 Some(Outcome::Answered)
             }
-            Ended::Left => {
+            AttemptOutcome::Left => {
                 self.ran += 1;
                 Some(Outcome::CallerClosed)
             }
-            Ended::NotSent(why) => {
+            AttemptOutcome::NotSent(why) => {
                 self.unreached += 1;
                 let try_next = self.unreached < MAX_UNREACHED;
                 (!try_next).then(|| self.give_up(&why, client))
             }
             // The next pick excludes this replica.
-            Ended::Withheld => None,
-            Ended::NotRun => {
+            AttemptOutcome::Withheld => None,
+            AttemptOutcome::NotRun => {
                 self.rejected += 1;
                 self.backed_off += usize::from(self.last_is_backing_off());
                 let try_next = self.may_retry_rejected();
                 (!try_next).then(|| self.give_up("replicas have no room", client))
             }
-            Ended::Failed(answer) => {
+            AttemptOutcome::Failed(answer) => {
                 self.ran += 1;
                 if self.may_run_again(client) {
                     return None;
@@ -420,13 +424,13 @@
                 let sent = client.send_response(answer.status, answer.headers, answer.body).await;
                 Some(if sent.is_ok() { Outcome::Answered } else { Outcome::CallerClosed })
             }
-            Ended::Lost(why) | Ended::Broken(why) => {
+            AttemptOutcome::Lost(why) | AttemptOutcome::Broken(why) => {
                 self.ran += 1;
                 self.progress.events.discard_partial();
                 let try_next = self.may_run_again(client);
                 (!try_next).then(|| self.fail(client, why))
             }
-            Ended::Late => {
+            AttemptOutcome::Late => {
                 self.ran += 1;
                 Some(if client.has_started() {
                     Outcome::Interrupted("the deadline has passed".to_owned())
--- a/crates/router/src/gateway/rollouts.rs
+++ b/crates/router/src/gateway/rollouts.rs
@@ -17,7 +17,7 @@
 use cypressfork_node::{emit, metric};
 use metrics::counter;
 
-use super::attempt::Ended;
+use super::attempt::AttemptOutcome;
 use super::state::Gateway;
 
 /// How often control processes are told at once of bad answers; the standing questions tell of all
@@ -163,7 +163,13 @@
     }
 
     /// Notes how it ended, and how long its first byte took against what was expected.
-    pub fn end(self, route: &str, ended: &Ended, first: Option<Duration>, expected_us: u64) {
+    pub fn end(
+        self,
+        route: &str,
+        ended: &AttemptOutcome,
+        first: Option<Duration>,
+        expected_us: u64,
+    ) {
         let is_new = match self.side {
             Side::Old => false,
             Side::New | Side::Standby => true,
@@ -177,20 +183,24 @@
         let sides = t.evidence.route_mut(route);
         let outcomes = if is_new { &mut sides.new } else { &mut sides.old };
         match ended {
-            Ended::Answered => {
+            AttemptOutcome::Answered => {
                 let first = first.map_or(0, |d| d.as_micros() as u64);
                 outcomes.record_response(first, expected_us);
             }
-            Ended::Failed(_) | Ended::Lost(_) | Ended::Broken(_) | Ended::Late => {
-                outcomes.record_failure()
-            }
+            AttemptOutcome::Failed(_)
+            | AttemptOutcome::Lost(_)
+            | AttemptOutcome::Broken(_)
+            | AttemptOutcome::Late => outcomes.record_failure(),
             // They say nothing of how the version answers.
-            Ended::Left | Ended::NotSent(_) | Ended::Withheld | Ended::NotRun => return,
+            AttemptOutcome::Left
+            | AttemptOutcome::NotSent(_)
+            | AttemptOutcome::Withheld
+            | AttemptOutcome::NotRun => return,
         }
         let version = if is_new { "new" } else { "old" };
         let labels = [("service", self.service.clone()), ("version", version.to_owned())];
         counter!(metric::ROLLOUT_ANSWERS, &labels).increment(1);
-        if !is_new || matches!(ended, Ended::Answered) {
+        if !is_new || matches!(ended, AttemptOutcome::Answered) {
             return;
         }
         counter!(metric::ROLLOUT_BAD, "service" => self.service.clone()).increment(1);
--- a/crates/router/src/gateway/stream.rs
+++ b/crates/router/src/gateway/stream.rs
@@ -6,7 +6,7 @@
 use cypressfork_http::client::{Broken, Connection};
 use tokio::time::{Instant, timeout_at};
 
-use super::attempt::{Attempt, Ended, end_to_end_headers};
+use super::attempt::{Attempt, AttemptOutcome, end_to_end_headers};
 use super::client::Client;
 use super::request::ResponseProgress;
 
@@ -33,11 +33,11 @@
     progress: &mut ResponseProgress,
     mut connection: Connection,
     head: ResponseHead,
-) -> Ended {
+) -> AttemptOutcome {
     let cut_off = forward_events(attempt, client, progress, &mut connection, &head).await;
     match cut_off {
         Some(ended) => {
-            if matches!(ended, Ended::Left | Ended::Late) {
+            if matches!(ended, AttemptOutcome::Left | AttemptOutcome::Late) {
                 count_buffered(progress, &mut connection).await;
             }
             ended
@@ -63,7 +63,7 @@
     progress: &mut ResponseProgress,
     connection: &mut Connection,
     head: &ResponseHead,
-) -> Option<Ended> {
+) -> Option<AttemptOutcome> {
     let job = attempt.job;
     let ResponseProgress { events, timing } = progress;
     let mut is_first = true;
@@ -78,21 +78,21 @@
         let complete = match read {
             ReadOutcome::Bytes(bytes) => match events.feed(&bytes) {
                 Ok(complete) => complete,
-                Err(error) => return Some(Ended::Broken(format!("{error:?}"))),
+                Err(error) => return Some(AttemptOutcome::Broken(format!("{error:?}"))),
             },
             ReadOutcome::End if !events.is_at_boundary() => {
-                return Some(Ended::Broken("it ends inside an event".to_owned()));
+                return Some(AttemptOutcome::Broken("it ends inside an event".to_owned()));
             }
             // The response started with framing, and this replica's connection does not mark the end.
             ReadOutcome::End if connection.is_unframed() && client.is_framed() => {
                 let why = "the answer does not tell whether it is whole";
-                return Some(Ended::Broken(why.to_owned()));
+                return Some(AttemptOutcome::Broken(why.to_owned()));
             }
             ReadOutcome::End => return None,
-            ReadOutcome::Lost(why) => return Some(Ended::Lost(why)),
-            ReadOutcome::Broken(why) => return Some(Ended::Broken(why)),
-            ReadOutcome::DeadlinePassed => return Some(Ended::Late),
-            ReadOutcome::CallerClosed => return Some(Ended::Left),
+            ReadOutcome::Lost(why) => return Some(AttemptOutcome::Lost(why)),
+            ReadOutcome::Broken(why) => return Some(AttemptOutcome::Broken(why)),
+            ReadOutcome::DeadlinePassed => return Some(AttemptOutcome::Late),
+            ReadOutcome::CallerClosed => return Some(AttemptOutcome::Left),
         };
         if complete.is_empty() {
             continue;
@@ -108,7 +108,7 @@
         let sent = send_events(client, head, unframed, complete, job.deadline).await;
         timing.record_forwarded(begun.elapsed());
         if !sent {
-            return Some(Ended::Left);
+            return Some(AttemptOutcome::Left);
         }
     }
 }
@@ -156,7 +156,7 @@
     client: &mut Client,
     connection: Connection,
     head: &ResponseHead,
-) -> Ended {
+) -> AttemptOutcome {
     let gw = &attempt.job.gw;
     let unframed = connection.is_unframed();
     // A response that ends with its connection may be truncated.
@@ -165,10 +165,10 @@
     }
     gw.keep(&attempt.job.service, attempt.choice.address, attempt.replica, connection);
     if start_response(client, head, unframed).is_err() || client.write_end().is_err() {
-        return Ended::Left;
+        return AttemptOutcome::Left;
     }
     match timeout_at(attempt.job.deadline, client.flush()).await {
-        Ok(Ok(())) => Ended::Answered,
-        _ => Ended::Left,
+        Ok(Ok(())) => AttemptOutcome::Answered,
+        _ => AttemptOutcome::Left,
     }
 }
