--- a/crates/router/src/gateway/attempt.rs
+++ b/crates/router/src/gateway/attempt.rs
@@ -13,7 +13,7 @@
 
 use super::client::Client;
 use super::dialect::{Dialect, Told};
-use super::job::Job;
+use super::job::RoutedRequest;
 use super::notices::{Addressee, Try};
 use super::request::ResponseProgress;
 use super::state::Chosen;
@@ -102,7 +102,7 @@
 /// Sends a request to the replica that was picked and forwards the response. Returns the outcome, and the
 /// time from sending to the first event or, without events, to the head of the response.
 pub async fn run<D: Dialect>(
-    job: &Job,
+    request: &RoutedRequest,
     client: &mut Client,
     progress: &mut ResponseProgress,
     chosen: &Chosen,
@@ -110,12 +110,12 @@
 ) -> (AttemptOutcome, Option<Duration>) {
     let (choice, replica) = (&chosen.choice, chosen.replica.as_str());
     let data_centre = chosen.data_centre.as_str();
-    let (born, sent) = (job.gw.born(replica), Instant::now());
+    let (born, sent) = (request.gw.born(replica), Instant::now());
     let mut attempt =
-        Attempt { job, choice, replica, data_centre, which, born, sent, time_to_first: None };
+        Attempt { request, choice, replica, data_centre, which, born, sent, time_to_first: None };
     let ended = attempt.run::<D>(client, progress).await;
     if matches!(ended, AttemptOutcome::Lost(_)) {
-        note_lost(job, choice.address, replica, attempt.sent);
+        note_lost(request, choice.address, replica, attempt.sent);
     }
     (ended, attempt.time_to_first)
 }
@@ -123,7 +123,7 @@
 /// One attempt at a replica.
 pub struct Attempt<'a> {
     /// The request.
-    pub job: &'a Job,
+    pub request: &'a RoutedRequest,
     /// The replica's address and the estimates by which it was picked.
     pub choice: &'a Choice,
     /// The replica's id.
@@ -146,7 +146,7 @@
         client: &mut Client,
         progress: &mut ResponseProgress,
     ) -> AttemptOutcome {
-        let until = self.job.deadline;
+        let until = self.request.deadline;
         // Returning early when the caller closes its connection drops the connection to the replica.
         // A head that was received is read first: its backoff or rate limit concerns other requests too.
         let result = tokio::select! {
@@ -168,29 +168,29 @@
         &mut self,
         last_event: Option<u64>,
     ) -> Result<(Connection, ResponseHead), AttemptOutcome> {
-        let gw = &self.job.gw;
+        let gw = &self.request.gw;
         self.check_replica()?;
         let mut connection = gw.connections.get(Instant::now(), self.choice.address).await?;
         if let Err(ended) = self.check_replica() {
-            gw.keep(&self.job.service, self.choice.address, self.replica, connection);
+            gw.keep(&self.request.service, self.choice.address, self.replica, connection);
             return Err(ended);
         }
         self.sent = Instant::now();
-        gw.notices.count_send(self.job, &self.addressee(), self.which);
+        gw.notices.count_send(self.request, &self.addressee(), self.which);
         match self.send::<D>(&mut connection, last_event).await {
-            Err(Broken::Stale) if self.job.is_repeatable() => {
+            Err(Broken::Stale) if self.request.is_repeatable() => {
                 self.acquire_second_permit().await?;
                 // The idle connection was closed without a response. A new one shows whether the replica
                 // is still running.
                 connection = match gw.connections.open(self.choice.address).await {
                     Ok(c) => c,
                     Err(b) => {
-                        note_lost(self.job, self.choice.address, self.replica, self.sent);
+                        note_lost(self.request, self.choice.address, self.replica, self.sent);
                         return Err(b.into());
                     }
                 };
                 self.check_replica()?;
-                gw.notices.count_send(self.job, &self.addressee(), Try::Again);
+                gw.notices.count_send(self.request, &self.addressee(), Try::Again);
                 self.send::<D>(&mut connection, last_event).await?;
             }
             sent => sent?,
@@ -200,8 +200,8 @@
 
     /// Fails if the replica has left or requested a backoff since it was picked.
     fn check_replica(&self) -> Result<(), AttemptOutcome> {
-        let (service, address) = (&self.job.service, self.choice.address);
-        let allowed = self.job.gw.may_send(service, address, self.replica);
+        let (service, address) = (&self.request.service, self.choice.address);
+        let allowed = self.request.gw.may_send(service, address, self.replica);
         allowed.then_some(()).ok_or(AttemptOutcome::Withheld)
     }
 
@@ -213,7 +213,7 @@
     /// Acquires a second permit. The replica may have received the first send, so the second counts against
     /// its rate limit as well.
     async fn acquire_second_permit(&self) -> Result<(), AttemptOutcome> {
-        let (gw, priority) = (&self.job.gw, self.job.priority);
+        let (gw, priority) = (&self.request.gw, self.request.priority);
         let permit = gw.limits.permit(gw, self.replica, self.data_centre, priority).await;
         permit.map_err(|_| AttemptOutcome::NotSent(gw.limits.describe(gw.now(), self.replica)))
     }
@@ -223,17 +223,17 @@
         connection: &mut Connection,
         last_event: Option<u64>,
     ) -> Result<(), Broken> {
-        let job = self.job;
-        let mut headers = job.headers.clone();
+        let request = self.request;
+        let mut headers = request.headers.clone();
         let forwarded = Told {
-            deadline: Millis(job.left().as_millis() as u64),
+            deadline: Millis(request.time_left().as_millis() as u64),
             replica: self.replica,
-            account: job.account.as_deref(),
+            account: request.account.as_deref(),
             last_event,
-            urgency: job.inbound.prompt.as_ref().map(|_| job.priority),
+            urgency: request.inbound.prompt.as_ref().map(|_| request.priority),
         };
         D::outbound(&mut headers, &forwarded);
-        let (method, uri, body) = (&job.method, &job.uri, &job.body);
+        let (method, uri, body) = (&request.method, &request.uri, &request.body);
         connection.send(Outbound { method, uri, headers, body }).await
     }
 
@@ -245,20 +245,20 @@
         for _ in 0..MAX_SKIPPED_RESPONSES {
             let head = connection.head().await?;
             let response = D::head(&head);
-            let is_own = response.id == Some(self.job.inbound.id.as_str());
-            let notices = &self.job.gw.notices;
+            let is_own = response.id == Some(self.request.inbound.id.as_str());
+            let notices = &self.request.gw.notices;
             if is_own || (response.id.is_none() && response.not_run) {
-                notices.heard(self.job, &self.addressee(), &response);
+                notices.heard(self.request, &self.addressee(), &response);
                 if !response.not_run
                     && !response.another
                     && response.rest == rest::RetryAfter::Absent
                 {
-                    self.job.gw.let_in(&self.job.service, self.choice);
+                    self.request.gw.let_in(&self.request.service, self.choice);
                 }
                 return Ok((connection, head));
             }
             // A backoff applies to this gateway, whichever request the response is for.
-            notices.hear_rest(self.job, &self.addressee(), &response);
+            notices.hear_rest(self.request, &self.addressee(), &response);
             if response.another && response.id.is_none() {
                 return Ok((connection, head));
             }
@@ -278,29 +278,29 @@
         let response = D::head(&head);
         let (not_run, is_valid) = (response.not_run || response.another, response.sound);
         if response.another {
-            self.job.gw.replica_not_there(self.replica);
+            self.request.gw.replica_not_there(self.replica);
         }
         if !is_valid {
             return AttemptOutcome::Broken(
                 "the answer is not in the form that was asked for".to_owned(),
             );
         }
-        if self.job.kind == Kind::Stream && head.status.is_success() && !not_run {
+        if self.request.kind == Kind::Stream && head.status.is_success() && !not_run {
             return stream::forward(self, client, progress, connection, head).await;
         }
         let complete = tokio::select! {
-            complete = timeout_at(self.job.deadline, read_body(connection)) => complete,
+            complete = timeout_at(self.request.deadline, read_body(connection)) => complete,
             () = client.closed() => return AttemptOutcome::Left,
         };
         let (body, unframed) = match complete {
             Ok(Ok((connection, body))) => {
-                let gw = &self.job.gw;
+                let gw = &self.request.gw;
                 let unframed = connection.is_unframed();
                 // A response that ends with its connection may be truncated.
                 if !unframed && !not_run {
-                    gw.quarantines.answered(self.job);
+                    gw.quarantines.answered(self.request);
                 }
-                gw.keep(&self.job.service, self.choice.address, self.replica, connection);
+                gw.keep(&self.request.service, self.choice.address, self.replica, connection);
                 (body, unframed)
             }
             Ok(Err(_)) if not_run => return AttemptOutcome::NotRun,
--- a/crates/router/src/gateway/job.rs
+++ b/crates/router/src/gateway/job.rs
@@ -18,7 +18,7 @@
 use super::state::Gateway;
 
 /// A request whose route and account have been resolved, with everything that its attempts need.
-pub struct Job {
+pub struct RoutedRequest {
     /// The gateway.
     pub gw: Rc<Gateway>,
     /// The fields parsed from its head.
@@ -44,7 +44,7 @@
     /// The name of the service that it is sent to.
     pub service: String,
     /// Maximum number of requests per minute to a cold replica of the service.
-    pub cold_bound: Option<u32>,
+    pub cold_per_minute: Option<u32>,
     /// The regions in which it may be served; empty: any.
     pub regions: BTreeSet<String>,
     /// The name of its client account.
@@ -52,12 +52,12 @@
     /// Maximum number of tokens per event.
     pub stride: Tokens,
     /// The latency objective of its route.
-    pub aim: LatencyObjective,
+    pub latency_objective: LatencyObjective,
     /// Its deadline.
     pub deadline: Instant,
 }
 
-impl Job {
+impl RoutedRequest {
     /// Returns whether it may run more than once.
     pub fn is_repeatable(&self) -> bool {
         self.kind == Kind::Safe || self.resumable
@@ -69,10 +69,10 @@
     }
 
     /// Returns what the choice of a replica depends on.
-    pub fn work(&self) -> RequestProfile {
+    pub fn profile(&self) -> RequestProfile {
         let prompt = self.inbound.prompt.as_ref();
         let (prefixes, regions) = (self.prompt().trail, self.regions.clone());
-        let objective = prompt.map(|_| self.aim);
+        let objective = prompt.map(|_| self.latency_objective);
         RequestProfile {
             prefixes,
             objective,
@@ -83,7 +83,7 @@
     }
 
     /// Returns the time until its deadline; zero if that has passed.
-    pub fn left(&self) -> Duration {
+    pub fn time_left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
--- a/crates/router/src/gateway/notices.rs
+++ b/crates/router/src/gateway/notices.rs
@@ -14,7 +14,7 @@
 use tokio::time::Instant;
 
 use super::dialect::Head;
-use super::job::Job;
+use super::job::RoutedRequest;
 use super::state::Gateway;
 
 /// Replicas that are remembered for having said what cannot be read.
@@ -77,39 +77,39 @@
 impl Notices {
     /// Takes what the head of an answer to this request says. An answer of another replica says nothing
     /// of this one, nor does one of a life that is over.
-    pub fn heard(&self, job: &Job, to: &Addressee, said: &Head) {
-        let gw = &job.gw;
+    pub fn heard(&self, request: &RoutedRequest, to: &Addressee, said: &Head) {
+        let gw = &request.gw;
         if !is_of_this_life(gw, to, said) {
             return;
         }
-        self.hear_rest(job, to, said);
+        self.hear_rest(request, to, said);
         // One that does not name its request may be older than it looks: it names a limit, and its
         // silence ends none.
         if said.id.is_some() || said.limit != LimitHeader::Absent {
-            gw.limits.heard(gw, to.replica, &job.inbound.id, to.sent, said.limit);
+            gw.limits.heard(gw, to.replica, &request.inbound.id, to.sent, said.limit);
         }
         if said.leaving {
-            self.hear_leaving(job, to);
+            self.hear_leaving(request, to);
         }
     }
 
     /// Takes what an answer of the replica says of a rest, whichever request it answers.
-    pub fn hear_rest(&self, job: &Job, to: &Addressee, said: &Head) {
-        if !is_of_this_life(&job.gw, to, said) {
+    pub fn hear_rest(&self, request: &RoutedRequest, to: &Addressee, said: &Head) {
+        if !is_of_this_life(&request.gw, to, said) {
             return;
         }
         match said.rest {
             rest::RetryAfter::Absent => {}
-            rest::RetryAfter::Invalid => self.tell_unreadable(to.replica, &job.inbound.id),
+            rest::RetryAfter::Invalid => self.tell_unreadable(to.replica, &request.inbound.id),
             rest::RetryAfter::Delay(span) => {
-                let under_way = job.gw.rest(&job.service, to.address, span);
-                counter!(metric::RESTS, "service" => job.service.clone()).increment(1);
+                let under_way = request.gw.rest(&request.service, to.address, span);
+                counter!(metric::RESTS, "service" => request.service.clone()).increment(1);
                 emit!(
                     Event::RestBegun,
                     replica = to.replica,
                     span_ms = span.0,
                     under_way = under_way,
-                    id = job.inbound.id,
+                    id = request.inbound.id,
                 );
             }
         }
@@ -117,13 +117,13 @@
 
     /// It leaves for good in this life, whatever its heartbeats say. Other gateways hear of it from the
     /// control processes.
-    fn hear_leaving(&self, job: &Job, to: &Addressee) {
-        if !job.gw.replica_leaves(to.replica) {
+    fn hear_leaving(&self, request: &RoutedRequest, to: &Addressee) {
+        if !request.gw.replica_leaves(to.replica) {
             return;
         }
-        emit!(Event::LeavingHeard, replica = to.replica, id = job.inbound.id);
+        emit!(Event::LeavingHeard, replica = to.replica, id = request.inbound.id);
         self.set_leaving(to.replica, to.born, true);
-        job.gw.urge_sources();
+        request.gw.urge_sources();
     }
 
     fn set_leaving(&self, replica: &str, born: u64, to_tell: bool) {
@@ -153,8 +153,8 @@
     }
 
     /// Counts a send to a replica that wants none.
-    pub fn count_send(&self, job: &Job, to: &Addressee, which: Try) {
-        if job.gw.is_resting(&job.service, to.address) {
+    pub fn count_send(&self, request: &RoutedRequest, to: &Addressee, which: Try) {
+        if request.gw.is_resting(&request.service, to.address) {
             counter!(metric::SENT_IN_REST, "try" => which.name()).increment(1);
         }
         if self.leaving.borrow().get(to.replica).is_some_and(|k| k.born == to.born) {
--- a/crates/router/src/gateway/quarantine.rs
+++ b/crates/router/src/gateway/quarantine.rs
@@ -24,7 +24,7 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep};
 
-use super::job::Job;
+use super::job::RoutedRequest;
 use super::state::Gateway;
 use super::witness::Victim;
 
@@ -95,12 +95,12 @@
     }
 
     /// The fingerprint of a request, if it is quarantined.
-    pub fn find(&self, job: &Job) -> Option<Fingerprint> {
+    pub fn find(&self, request: &RoutedRequest) -> Option<Fingerprint> {
         let alone = self.is_alone();
         if self.briefs.borrow().is_empty() && !alone {
             return None;
         }
-        let identity = job.identity();
+        let identity = request.identity();
         let named = self.briefs.borrow().contains(&identity.brief());
         if !named && !alone {
             return None;
@@ -116,8 +116,8 @@
     }
 
     /// Notes that a request was answered whole, and tells the group if that matters to anybody.
-    pub fn answered(&self, job: &Job) {
-        let identity = job.identity();
+    pub fn answered(&self, request: &RoutedRequest) {
+        let identity = request.identity();
         self.sound.borrow_mut().record(self.hasher.hash_one(identity));
         if self.briefs.borrow().is_empty() {
             return;
@@ -135,8 +135,8 @@
     }
 
     /// What this process knows a request by among those that it answered whole.
-    pub fn hash(&self, job: &Job) -> u64 {
-        self.hasher.hash_one(job.identity())
+    pub fn hash(&self, request: &RoutedRequest) -> u64 {
+        self.hasher.hash_one(request.identity())
     }
 
     /// Whether this gateway answered a copy of a request whole lately.
--- a/crates/router/src/gateway/request.rs
+++ b/crates/router/src/gateway/request.rs
@@ -30,7 +30,7 @@
 use super::dialect::{Dialect, Inbound};
 use super::documents::depends_on_document;
 use super::events::EventSplitter;
-use super::job::Job;
+use super::job::RoutedRequest;
 use super::notices::Try;
 use super::rollouts::Observation;
 use super::state::{Chosen, Gateway};
@@ -151,28 +151,28 @@
         },
         _ => routes,
     };
-    let (job, prepaid) = match resolve(gw, &routes, req, inbound, body) {
+    let (request, prepaid) = match resolve(gw, &routes, req, inbound, body) {
         Ok(resolved) => resolved,
         Err(code) => {
             let detail = gw.documents.describe(gw.now());
             return Outcome::Refused(Refusal::from(code).detail(detail));
         }
     };
-    if let Some(f) = gw.quarantines.find(&job) {
+    if let Some(f) = gw.quarantines.find(&request) {
         return Outcome::Refused(quarantined(f));
     }
-    gw.count_request(&job.service);
-    if !admission::admits(gw.active.get() as u64, gw.settings.places, job.priority) {
+    gw.count_request(&request.service);
+    if !admission::admits(gw.active.get() as u64, gw.settings.places, request.priority) {
         return Outcome::Refused(Refusal::from(Code::Overloaded).after(OVERLOADED_RETRY_AFTER));
     }
     let started = Instant::now();
-    let reservation = reserve(&job, prepaid).await;
+    let reservation = reserve(&request, prepaid).await;
     histogram!(metric::TOKENS_WAIT).record(started.elapsed());
     let reservation = match reservation {
         Ok(reservation) => reservation,
         Err(r) => return Outcome::Refused(r),
     };
-    let mut attempts = RequestAttempts::new(&job, arrived);
+    let mut attempts = RequestAttempts::new(&request, arrived);
     let outcome = attempts.run::<D>(client).await;
     let usage = attempts.usage(matches!(outcome, Outcome::Answered));
     if let Some(reservation) = reservation {
@@ -216,7 +216,7 @@
     req: &Request,
     inbound: Inbound,
     body: Bytes,
-) -> Result<(Job, Option<Tokens>), Code> {
+) -> Result<(RoutedRequest, Option<Tokens>), Code> {
     let route: &Route = routes.route(&inbound.host, req.path())?;
     let account = routes.account(route, inbound.key.as_deref())?;
     let backend =
@@ -226,7 +226,7 @@
     for name in HOP_BY_HOP {
         headers.remove(name);
     }
-    let job = Job {
+    let request = RoutedRequest {
         gw: gw.clone(),
         method: req.method().clone(),
         uri: req.uri().clone(),
@@ -238,18 +238,18 @@
         attempts: route.attempts.max(1),
         route: route.name.clone(),
         service: backend.name.clone(),
-        cold_bound: backend.cold_per_minute,
+        cold_per_minute: backend.cold_per_minute,
         regions: allowed_regions(route, account)?,
         account: account.map(|a| a.name.clone()),
         stride: backend.engine.map_or(1, |e| e.stride.max(1)),
-        aim: LatencyObjective {
+        latency_objective: LatencyObjective {
             first_event: to_duration(route.objective),
             max_pause: route.gap.map(to_duration),
         },
         deadline: Instant::now() + to_duration(limit),
         inbound,
     };
-    Ok((job, account.and_then(|a| a.prepaid)))
+    Ok((request, account.and_then(|a| a.prepaid)))
 }
 
 /// Returns the regions allowed by both the route and the account; empty: any. Fails if they have none in
@@ -270,17 +270,21 @@
 }
 
 /// Reserves the request's tokens. Returns none if it has no prompt, or its account no budget.
-async fn reserve(job: &Job, prepaid: Option<Tokens>) -> Result<Option<TokenReservation>, Refusal> {
-    let (Some(prompt), Some(prepaid), Some(account)) = (&job.inbound.prompt, prepaid, &job.account)
+async fn reserve(
+    request: &RoutedRequest,
+    prepaid: Option<Tokens>,
+) -> Result<Option<TokenReservation>, Refusal> {
+    let (Some(prompt), Some(prepaid), Some(account)) =
+        (&request.inbound.prompt, prepaid, &request.account)
     else {
         return Ok(None);
     };
-    reserve_tokens(&job.gw, account, prepaid, prompt, job.deadline).await.map(Some)
+    reserve_tokens(&request.gw, account, prepaid, prompt, request.deadline).await.map(Some)
 }
 
 /// The attempts of one request.
 struct RequestAttempts<'a> {
-    job: &'a Job,
+    request: &'a RoutedRequest,
     progress: ResponseProgress,
     tried: Vec<SocketAddr>,
     /// Attempts in which a replica may have run it.
@@ -295,11 +299,11 @@
 }
 
 impl<'a> RequestAttempts<'a> {
-    fn new(job: &'a Job, arrived: Instant) -> RequestAttempts<'a> {
-        let events = EventSplitter::resume_after(job.inbound.last_event);
+    fn new(request: &'a RoutedRequest, arrived: Instant) -> RequestAttempts<'a> {
+        let events = EventSplitter::resume_after(request.inbound.last_event);
         let progress = ResponseProgress { events, timing: StreamTiming::new(arrived) };
         RequestAttempts {
-            job,
+            request,
             progress,
             tried: Vec::new(),
             ran: 0,
@@ -312,7 +316,7 @@
 
     fn usage(&self, is_complete: bool) -> TokenUsage {
         let (ran, events, tokens_per_event) =
-            (self.ran > 0, self.progress.events.count(), self.job.stride);
+            (self.ran > 0, self.progress.events.count(), self.request.stride);
         let unread = if is_complete { 0 } else { self.progress.timing.unread().max_unread() };
         TokenUsage { ran, events, tokens_per_event, unread }
     }
@@ -320,37 +324,41 @@
     /// Sends it to one replica after the other until a response is forwarded or the request fails.
     async fn run<D: Dialect>(&mut self, client: &mut Client) -> Outcome {
         loop {
-            if self.job.left() == Duration::ZERO {
+            if self.request.time_left() == Duration::ZERO {
                 return self.deadline_passed(client);
             }
-            if let Some(f) = self.job.gw.quarantines.find(self.job) {
+            if let Some(f) = self.request.gw.quarantines.find(self.request) {
                 return self.fail_quarantined(f, client);
             }
-            let job = self.job;
+            let request = self.request;
             let Some(Chosen { choice, replica, data_centre, side }) = self.pick_replica().await
             else {
                 return self.give_up("no replica is left", client);
             };
             self.tried.push(choice.address);
-            let observation = Observation::begin(&job.gw, &job.service, side);
+            let observation = Observation::begin(&request.gw, &request.service, side);
             let chosen = Chosen { choice, replica, data_centre, side };
             let which = if self.tried.len() == 1 { Try::First } else { Try::Further };
             let (ended, time_to_first) =
-                attempt::run::<D>(job, client, &mut self.progress, &chosen, which).await;
+                attempt::run::<D>(request, client, &mut self.progress, &chosen, which).await;
             let Chosen { choice, replica, .. } = chosen;
-            observation.end(&job.route, &ended, time_to_first, choice.expected_us);
+            observation.end(&request.route, &ended, time_to_first, choice.expected_us);
             counter!(metric::ATTEMPTS, "end" => ended.label()).increment(1);
             let failed = ended.is_failure();
-            self.job.gw.done(&self.job.service, &choice, failed);
+            self.request.gw.done(&self.request.service, &choice, failed);
             emit!(
                 Event::AttemptEnded,
-                id = self.job.inbound.id,
+                id = self.request.inbound.id,
                 replica = replica,
                 ended = format_args!("{ended:?}"),
                 expected_us = choice.expected_us,
             );
-            if matches!(ended, AttemptOutcome::Answered) && self.job.kind == Kind::Stream {
-                self.progress.timing.report(&self.job.inbound.id, &replica, &self.job.aim);
+            if matches!(ended, AttemptOutcome::Answered) && self.request.kind == Kind::Stream {
+                self.progress.timing.report(
+                    &self.request.inbound.id,
+                    &replica,
+                    &self.request.latency_objective,
+                );
             }
             if let Some(outcome) = self.handle_attempt(client, ended).await {
                 return outcome;
@@ -360,28 +368,29 @@
 
     /// Picks a replica and acquires a permit if it is rate-limited. Returns none if no replica is available.
     async fn pick_replica(&mut self) -> Option<Chosen> {
-        let job = self.job;
-        let gw = &job.gw;
+        let request = self.request;
+        let gw = &request.gw;
         let version_preference = gw.trials.version_preference(
             gw.now(),
-            &job.service,
-            &job.inbound.id,
+            &request.service,
+            &request.inbound.id,
             !self.tried.is_empty(),
         );
-        let mut profile = RequestProfile { version_preference, ..job.work() };
+        let mut profile = RequestProfile { version_preference, ..request.profile() };
         let mut denials = 0;
         loop {
-            let picked = gw.pick(&job.service, job.cold_bound, &mut profile, &self.tried);
+            let picked =
+                gw.pick(&request.service, request.cold_per_minute, &mut profile, &self.tried);
             let Some(mut chosen) = picked else {
-                self.blocked = gw.held_back(&job.service, &profile);
+                self.blocked = gw.held_back(&request.service, &profile);
                 return None;
             };
             let (replica, dc) = (&chosen.replica, &chosen.data_centre);
-            let Err(denied) = gw.limits.permit(gw, replica, dc, job.priority).await else {
-                gw.commit(&job.service, &profile, &mut chosen);
+            let Err(denied) = gw.limits.permit(gw, replica, dc, request.priority).await else {
+                gw.commit(&request.service, &profile, &mut chosen);
                 return Some(chosen);
             };
-            gw.bar(&job.service, &chosen, denied.after, job.priority);
+            gw.bar(&request.service, &chosen, denied.after, request.priority);
             profile.version_preference = version_preference;
             denials += 1;
             profile.avoid_rate_limited = denied.unanswered || denials >= MAX_PERMIT_DENIALS;
@@ -445,9 +454,9 @@
     /// backoff do not count towards the limit, because each stops further requests to the replica. If most
     /// replicas are backing off, the others are likely to reject it too.
     fn may_retry_rejected(&mut self) -> bool {
-        let (gw, service) = (&self.job.gw, &self.job.service);
+        let (gw, service) = (&self.request.gw, &self.request.service);
         if self.backed_off > 0 && gw.is_mostly_resting(service) {
-            self.blocked = gw.held_back(service, &self.job.work());
+            self.blocked = gw.held_back(service, &self.request.profile());
             return false;
         }
         self.rejected - self.backed_off < MAX_REJECTED && gw.take_retry(service)
@@ -455,17 +464,17 @@
 
     /// Returns whether the last replica tried is backing off.
     fn last_is_backing_off(&self) -> bool {
-        let (gw, service) = (&self.job.gw, &self.job.service);
+        let (gw, service) = (&self.request.gw, &self.request.service);
         self.tried.last().is_some_and(|a| gw.is_resting(service, *a))
     }
 
     /// Returns whether it may run once more. Takes a retry from the fleet's retry budget if so.
     fn may_run_again(&self, client: &Client) -> bool {
-        let can_continue = !client.has_started() || self.job.resumable;
-        self.job.is_repeatable()
+        let can_continue = !client.has_started() || self.request.resumable;
+        self.request.is_repeatable()
             && can_continue
-            && self.ran < self.job.attempts
-            && self.job.gw.take_retry(&self.job.service)
+            && self.ran < self.request.attempts
+            && self.request.gw.take_retry(&self.request.service)
     }
 
     /// Returns the outcome after a response failed part-way.
@@ -496,7 +505,7 @@
         {
             return Outcome::Refused(self.refuse_blocked(blocked));
         }
-        let code = match (self.rejected, self.job.regions.is_empty()) {
+        let code = match (self.rejected, self.request.regions.is_empty()) {
             (0, true) => Code::NoUpstream,
             (0, false) => Code::NoRegion,
             _ => Code::RetriesSpent,
@@ -506,7 +515,7 @@
 
     /// Returns the refusal when replicas are available but rate-limited or backing off.
     fn refuse_blocked(&self, blocked: &Blocked) -> Refusal {
-        let (gw, service) = (&self.job.gw, &self.job.service);
+        let (gw, service) = (&self.request.gw, &self.request.service);
         let (code, after, why) = match blocked.reason {
             BlockReason::RateLimit => {
                 let why = gw.limits.describe(gw.now(), &blocked.replica);
--- a/crates/router/src/gateway/stream.rs
+++ b/crates/router/src/gateway/stream.rs
@@ -64,7 +64,7 @@
     connection: &mut Connection,
     head: &ResponseHead,
 ) -> Option<AttemptOutcome> {
-    let job = attempt.job;
+    let request = attempt.request;
     let ResponseProgress { events, timing } = progress;
     let mut is_first = true;
     loop {
@@ -72,7 +72,7 @@
         // Received bytes are read before a closed caller ends the stream, so that their events count.
         let read = tokio::select! {
             biased;
-            read = read_next(connection, job.deadline) => read,
+            read = read_next(connection, request.deadline) => read,
             () = client.closed() => ReadOutcome::CallerClosed,
         };
         let complete = match read {
@@ -101,11 +101,11 @@
         if std::mem::take(&mut is_first) {
             let took = attempt.sent.elapsed();
             attempt.time_to_first = Some(took);
-            job.gw.learn(&job.service, attempt.choice, took.as_micros() as u64);
+            request.gw.learn(&request.service, attempt.choice, took.as_micros() as u64);
         }
         let unframed = connection.is_unframed();
         let begun = Instant::now();
-        let sent = send_events(client, head, unframed, complete, job.deadline).await;
+        let sent = send_events(client, head, unframed, complete, request.deadline).await;
         timing.record_forwarded(begun.elapsed());
         if !sent {
             return Some(AttemptOutcome::Left);
@@ -157,17 +157,17 @@
     connection: Connection,
     head: &ResponseHead,
 ) -> AttemptOutcome {
-    let gw = &attempt.job.gw;
+    let gw = &attempt.request.gw;
     let unframed = connection.is_unframed();
     // A response that ends with its connection may be truncated.
     if !unframed {
-        gw.quarantines.answered(attempt.job);
+        gw.quarantines.answered(attempt.request);
     }
-    gw.keep(&attempt.job.service, attempt.choice.address, attempt.replica, connection);
+    gw.keep(&attempt.request.service, attempt.choice.address, attempt.replica, connection);
     if start_response(client, head, unframed).is_err() || client.write_end().is_err() {
         return AttemptOutcome::Left;
     }
-    match timeout_at(attempt.job.deadline, client.flush()).await {
+    match timeout_at(attempt.request.deadline, client.flush()).await {
         Ok(Ok(())) => AttemptOutcome::Answered,
         _ => AttemptOutcome::Left,
     }
--- a/crates/router/src/gateway/witness.rs
+++ b/crates/router/src/gateway/witness.rs
@@ -19,7 +19,7 @@
 use metrics::counter;
 use tokio::time::{Instant, sleep, timeout};
 
-use super::job::Job;
+use super::job::RoutedRequest;
 use super::state::Gateway;
 
 /// Delay until all lost connections of an ended replica have been recorded. They end at the same time, but
@@ -59,13 +59,13 @@
 
 /// Records that the connection to `replica` on which a request was sent at `sent` was lost. Starts a probe
 /// of its address unless one is running.
-pub fn note_lost(job: &Job, address: SocketAddr, replica: &str, sent: Instant) {
-    let gw = &job.gw;
+pub fn note_lost(request: &RoutedRequest, address: SocketAddr, replica: &str, sent: Instant) {
+    let gw = &request.gw;
     let lost = Victim {
-        id: job.inbound.id.clone(),
-        fingerprint: fingerprint(&job.identity()),
-        hash: gw.quarantines.hash(job),
-        account: job.account.clone(),
+        id: request.inbound.id.clone(),
+        fingerprint: fingerprint(&request.identity()),
+        hash: gw.quarantines.hash(request),
+        account: request.account.clone(),
         age: Millis(sent.elapsed().as_millis() as u64),
     };
     let mut losses = gw.lost_connections.losses.borrow_mut();
