--- a/crates/router/src/gateway/run.rs
+++ b/crates/router/src/gateway/run.rs
@@ -99,7 +99,7 @@
 async fn trim_forever(gw: Rc<Gateway>) {
     loop {
         sleep(TRIM_EVERY).await;
-        gw.connections.trim(Instant::now());
+        gw.connections.remove_expired(Instant::now());
         gw.limits.trim(&gw);
         gw.notices.trim(&gw);
         gauge!(metric::RESTING).set(gw.resting().len() as f64);
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -44,7 +44,7 @@
 use super::rollouts::Trials;
 use super::settings::Settings;
 use super::share::Peers;
-use super::upstream::Connections;
+use super::upstream::ConnectionPool;
 use super::witness::{LostConnections, record_replica_event};
 use crate::token_store::TokenStore;
 
@@ -87,7 +87,7 @@
     /// The document in force and the fetch of a newer one.
     pub documents: Documents,
     /// Connections to replicas.
-    pub connections: Connections,
+    pub connections: ConnectionPool,
     /// Connections to replicas that were lost with a request in flight.
     pub lost_connections: LostConnections,
     /// Quarantined requests, which are sent to no replica.
@@ -139,7 +139,7 @@
             me,
             group,
             documents: Documents::default(),
-            connections: Connections::default(),
+            connections: ConnectionPool::default(),
             lost_connections: LostConnections::default(),
             quarantines: Quarantines::default(),
             limits: Limits::default(),
@@ -401,7 +401,7 @@
             }
             None => {
                 pool.remove(now, c.address);
-                self.connections.forget(c.address);
+                self.connections.close_all(c.address);
             }
         }
     }
--- a/crates/router/src/gateway/upstream.rs
+++ b/crates/router/src/gateway/upstream.rs
@@ -12,11 +12,11 @@
 
 /// Idle connections by replica address.
 #[derive(Default)]
-pub struct Connections {
+pub struct ConnectionPool {
     idle: RefCell<HashMap<SocketAddr, Vec<Connection>>>,
 }
 
-impl Connections {
+impl ConnectionPool {
     /// Returns an idle connection to a replica, or opens a new one.
     pub async fn get(&self, now: Instant, address: SocketAddr) -> Result<Connection, Broken> {
         match self.take_idle(now, address) {
@@ -56,12 +56,12 @@
     }
 
     /// Closes the idle connections to the address of a replica that no longer exists.
-    pub fn forget(&self, address: SocketAddr) {
+    pub fn close_all(&self, address: SocketAddr) {
         self.idle.borrow_mut().remove(&address);
     }
 
     /// Returns whether an idle connection to a replica is still open. Drops those that are not.
-    pub fn any_open(&self, now: Instant, address: SocketAddr) -> bool {
+    pub fn has_open(&self, now: Instant, address: SocketAddr) -> bool {
         let mut idle = self.idle.borrow_mut();
         let Some(connections) = idle.get_mut(&address) else { return false };
         connections.retain(|c| c.is_fresh(now));
@@ -69,7 +69,7 @@
     }
 
     /// Closes connections that have been idle too long or that the replica has closed.
-    pub fn trim(&self, now: Instant) {
+    pub fn remove_expired(&self, now: Instant) {
         let mut idle = self.idle.borrow_mut();
         for connections in idle.values_mut() {
             connections.retain(|c| c.is_fresh(now));
--- a/crates/router/src/gateway/witness.rs
+++ b/crates/router/src/gateway/witness.rs
@@ -80,7 +80,7 @@
     let losses = &gw.lost_connections.losses;
     let mut presence = Connection::probe(address).await;
     sleep(GATHER_DELAY).await;
-    if gw.connections.any_open(Instant::now(), address) {
+    if gw.connections.has_open(Instant::now(), address) {
         let closed = losses.borrow_mut().confirm_alive(address, &replica);
         return count_alive(closed.iter().map(|l| l.requests.len()).sum());
     }
