--- a/crates/router/src/gateway/client.rs
+++ b/crates/router/src/gateway/client.rs
@@ -27,7 +27,7 @@
 const MAX_READ_AHEAD_BYTES: usize = 64 * 1024;
 
 /// The result of waiting for the next request on a connection.
-pub enum Next {
+pub enum NextRequest {
     /// The head of a request.
     Request(Request),
     /// No further request: the connection was closed or idle too long, or the gateway stops accepting.
@@ -90,7 +90,11 @@
 
     /// Waits for the head of the next request until the idle timeout or `stop`. From its first bytes on, the
     /// head timeout applies instead.
-    pub async fn next(&mut self, limits: &Limits, stop: impl Future<Output = ()>) -> Next {
+    pub async fn next_request(
+        &mut self,
+        limits: &Limits,
+        stop: impl Future<Output = ()>,
+    ) -> NextRequest {
         self.started = false;
         let idle = Instant::now() + millis(limits.idle);
         if self.buf.is_empty() {
@@ -100,10 +104,10 @@
             let first = timeout_at(idle, self.fill());
             let got = tokio::select! {
                 got = first => got,
-                () = stop => return Next::Closed,
+                () = stop => return NextRequest::Closed,
             };
             if !matches!(got, Ok(Ok(true))) {
-                return Next::Closed;
+                return NextRequest::Closed;
             }
         }
         let until = Instant::now() + millis(limits.head_within);
@@ -111,24 +115,26 @@
             let before = self.buf.len();
             match self.codec.decode(&mut self.buf) {
                 Ok(Some(Message::Item(_))) if before - self.buf.len() > limits.head => {
-                    return Next::Bad(Code::HeadTooLarge);
+                    return NextRequest::Bad(Code::HeadTooLarge);
+                }
+                Ok(Some(Message::Item(req))) => return NextRequest::Request(req),
+                Ok(Some(Message::Chunk(_))) => return NextRequest::Bad(Code::RequestBad),
+                Ok(None) if self.buf.len() > limits.head => {
+                    return NextRequest::Bad(Code::HeadTooLarge);
                 }
-                Ok(Some(Message::Item(req))) => return Next::Request(req),
-                Ok(Some(Message::Chunk(_))) => return Next::Bad(Code::RequestBad),
-                Ok(None) if self.buf.len() > limits.head => return Next::Bad(Code::HeadTooLarge),
                 Ok(None) => {}
-                Err(_) => return Next::Bad(Code::RequestBad),
+                Err(_) => return NextRequest::Bad(Code::RequestBad),
             }
             match timeout_at(until, self.fill()).await {
                 Ok(Ok(true)) => {}
-                Ok(_) => return Next::Closed,
-                Err(_) => return Next::Bad(Code::BodyCut),
+                Ok(_) => return NextRequest::Closed,
+                Err(_) => return NextRequest::Bad(Code::BodyCut),
             }
         }
     }
 
     /// Reads the body of the current request: at most `max_bytes`, until `within` has passed.
-    pub async fn body(&mut self, max_bytes: usize, within: Duration) -> Result<Bytes, Code> {
+    pub async fn read_body(&mut self, max_bytes: usize, within: Duration) -> Result<Bytes, Code> {
         use actix_http::h1::MessageType;
         if self.codec.message_type() == MessageType::None {
             return Ok(Bytes::new());
@@ -166,7 +172,7 @@
     }
 
     /// Closes the connection after the current response.
-    pub fn close_after(&mut self) {
+    pub fn close_after_response(&mut self) {
         self.closing = true;
     }
 
--- a/crates/router/src/gateway/request.rs
+++ b/crates/router/src/gateway/request.rs
@@ -113,16 +113,16 @@
             let why = r.detail.as_deref().unwrap_or_default();
             emit!(Event::RequestFailed, id = id, code = code, ran = r.ran.as_str(), why = why);
             if refuse::<D>(client, id, &r).await.is_err() {
-                client.close_after();
+                client.close_after_response();
             }
         }
         Outcome::Interrupted(why) => {
             emit!(Event::RequestFailed, id = id, code = 0, ran = "yes", why = why);
-            client.close_after();
+            client.close_after_response();
         }
         Outcome::CallerClosed => {
             emit!(Event::RequestFailed, id = id, code = 0, why = "the caller has gone");
-            client.close_after();
+            client.close_after_response();
         }
     }
 }
--- a/crates/router/src/gateway/server.rs
+++ b/crates/router/src/gateway/server.rs
@@ -16,7 +16,7 @@
 use tokio::time::sleep;
 
 use super::answer::refuse;
-use super::client::{Client, Next};
+use super::client::{Client, NextRequest};
 use super::dialect::Dialect;
 use super::request;
 use super::state::Gateway;
@@ -122,16 +122,16 @@
             // A door that is gone is closed.
             let _ = closed.wait_for(|c| *c).await;
         };
-        let req = match client.next(&limits, stop).await {
-            Next::Request(req) => req,
-            Next::Closed => break,
-            Next::Bad(code) => {
+        let req = match client.next_request(&limits, stop).await {
+            NextRequest::Request(req) => req,
+            NextRequest::Closed => break,
+            NextRequest::Bad(code) => {
                 bad::<D>(&mut client, code).await;
                 break;
             }
         };
         let _active = Active::new(&gw);
-        let body = match client.body(limits.body, BODY_WITHIN).await {
+        let body = match client.read_body(limits.body, BODY_WITHIN).await {
             Ok(body) => body,
             Err(code) => {
                 bad::<D>(&mut client, code).await;
@@ -139,7 +139,7 @@
             }
         };
         if gw.stopping.get() {
-            client.close_after();
+            client.close_after_response();
         }
         request::serve::<D>(&gw, &mut client, &req, body).await;
         if !client.is_open() {
@@ -150,7 +150,7 @@
 }
 
 async fn bad<D: Dialect>(client: &mut Client, code: Code) {
-    client.close_after();
+    client.close_after_response();
     // The connection ends, whether this arrives or not.
     let _ = refuse::<D>(client, "", &Refusal::from(code)).await;
 }
