--- a/crates/router/src/gateway/answer.rs
+++ b/crates/router/src/gateway/answer.rs
@@ -12,7 +12,11 @@
 
 /// Sends the response to a request that was refused or has failed. Fails if the caller's connection
 /// does.
-pub async fn refuse<D: Dialect>(client: &mut Client, id: &str, r: &Refusal) -> io::Result<()> {
+pub async fn send_refusal<D: Dialect>(
+    client: &mut Client,
+    id: &str,
+    r: &Refusal,
+) -> io::Result<()> {
     let mut headers = HeaderMap::new();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     if let Ok(v) = HeaderValue::from_str(id) {
--- a/crates/router/src/gateway/request.rs
+++ b/crates/router/src/gateway/request.rs
@@ -23,7 +23,7 @@
 use metrics::{counter, histogram};
 use tokio::time::Instant;
 
-use super::answer::refuse;
+use super::answer::send_refusal;
 use super::attempt::{self, AttemptOutcome};
 use super::budget::{TokenReservation, TokenUsage, reserve_tokens};
 use super::client::Client;
@@ -112,7 +112,7 @@
             counter!(metric::REQUESTS, "code" => code.to_string()).increment(1);
             let why = r.detail.as_deref().unwrap_or_default();
             emit!(Event::RequestFailed, id = id, code = code, ran = r.ran.as_str(), why = why);
-            if refuse::<D>(client, id, &r).await.is_err() {
+            if send_refusal::<D>(client, id, &r).await.is_err() {
                 client.close_after_response();
             }
         }
--- a/crates/router/src/gateway/server.rs
+++ b/crates/router/src/gateway/server.rs
@@ -15,7 +15,7 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-use super::answer::refuse;
+use super::answer::send_refusal;
 use super::client::{Client, NextRequest};
 use super::dialect::Dialect;
 use super::request;
@@ -152,5 +152,5 @@
 async fn bad<D: Dialect>(client: &mut Client, code: Code) {
     client.close_after_response();
     // The connection ends, whether this arrives or not.
-    let _ = refuse::<D>(client, "", &Refusal::from(code)).await;
+    let _ = send_refusal::<D>(client, "", &Refusal::from(code)).await;
 }
