--- a/crates/router/src/gateway/attempt.rs
+++ b/crates/router/src/gateway/attempt.rs
@@ -44,9 +44,10 @@
     Answered,
     /// The caller closed its connection.
     Left,
-    /// The request was not sent: the replica was not reached, or a second permit was denied.
+    /// The replica was not reached, or a permit for a second send was denied after an idle connection
+    /// turned out to be closed.
     NotSent(String),
-    /// The request was not sent: the replica left or requested a backoff after it was picked.
+    /// The replica left or requested a backoff after it was picked, so nothing more was sent to it.
     Withheld,
     /// The replica rejected the request without running it.
     NotRun,
