--- a/crates/router/src/gateway/request.rs
+++ b/crates/router/src/gateway/request.rs
@@ -526,7 +526,7 @@
                     "replica {} takes requests again in {} ms",
                     blocked.replica, blocked.retry_after.0
                 );
-                (Code::UpstreamsResting, gw.come_back(service, blocked.retry_after), why)
+                (Code::UpstreamsResting, gw.retry_delay(service, blocked.retry_after), why)
             }
         };
         Refusal::from(code).after(after).detail(why)
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -491,7 +491,7 @@
     /// Returns the `Retry-After` time for a refused caller of `service` whose replicas accept no request
     /// before `first`. Successive callers are spaced at the rate at which the replicas accepted requests
     /// before.
-    pub fn come_back(&self, service: &str, first: Millis) -> Millis {
+    pub fn retry_delay(&self, service: &str, first: Millis) -> Millis {
         let accepted_per_second =
             self.pools.borrow().get(service).map_or(0, Pool::accepted_per_second);
         let first = first.min(MAX_EARLIEST_RETRY);
