--- a/crates/router/src/gateway/request.rs
+++ b/crates/router/src/gateway/request.rs
@@ -382,7 +382,7 @@
             let picked =
                 gw.pick(&request.service, request.cold_per_minute, &mut profile, &self.tried);
             let Some(mut chosen) = picked else {
-                self.blocked = gw.held_back(&request.service, &profile);
+                self.blocked = gw.blocked(&request.service, &profile);
                 return None;
             };
             let (replica, dc) = (&chosen.replica, &chosen.data_centre);
@@ -390,7 +390,7 @@
                 gw.commit(&request.service, &profile, &mut chosen);
                 return Some(chosen);
             };
-            gw.bar(&request.service, &chosen, denied.after, request.priority);
+            gw.block(&request.service, &chosen, denied.after, request.priority);
             profile.version_preference = version_preference;
             denials += 1;
             profile.avoid_rate_limited = denied.unanswered || denials >= MAX_PERMIT_DENIALS;
@@ -456,7 +456,7 @@
     fn may_retry_rejected(&mut self) -> bool {
         let (gw, service) = (&self.request.gw, &self.request.service);
         if self.backed_off > 0 && gw.is_mostly_resting(service) {
-            self.blocked = gw.held_back(service, &self.request.profile());
+            self.blocked = gw.blocked(service, &self.request.profile());
             return false;
         }
         self.rejected - self.backed_off < MAX_REJECTED && gw.take_retry(service)
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -477,14 +477,14 @@
 
     /// Blocks requests of this priority or a lower one from a replica for `span`, because its rate limit
     /// is reached.
-    pub fn bar(&self, service: &str, c: &Chosen, span: Millis, priority: u8) {
+    pub fn block(&self, service: &str, c: &Chosen, span: Millis, priority: u8) {
         if let Some(pool) = self.pools.borrow_mut().get_mut(service) {
             pool.block(self.now(), c.choice.address, span, priority);
         }
     }
 
     /// Returns why the replicas of a service that could serve this request are blocked, if they are.
-    pub fn held_back(&self, service: &str, profile: &RequestProfile) -> Option<Blocked> {
+    pub fn blocked(&self, service: &str, profile: &RequestProfile) -> Option<Blocked> {
         self.pools.borrow_mut().get_mut(service)?.blocked(self.now(), profile)
     }
 
