--- a/crates/router/src/gateway/notices.rs
+++ b/crates/router/src/gateway/notices.rs
@@ -102,7 +102,7 @@
             rest::RetryAfter::Absent => {}
             rest::RetryAfter::Invalid => self.tell_unreadable(to.replica, &request.inbound.id),
             rest::RetryAfter::Delay(span) => {
-                let under_way = request.gw.rest(&request.service, to.address, span);
+                let under_way = request.gw.back_off(&request.service, to.address, span);
                 counter!(metric::RESTS, "service" => request.service.clone()).increment(1);
                 emit!(
                     Event::RestBegun,
@@ -154,7 +154,7 @@
 
     /// Counts a send to a replica that wants none.
     pub fn count_send(&self, request: &RoutedRequest, to: &Addressee, which: Try) {
-        if request.gw.is_resting(&request.service, to.address) {
+        if request.gw.is_backing_off(&request.service, to.address) {
             counter!(metric::SENT_IN_REST, "try" => which.name()).increment(1);
         }
         if self.leaving.borrow().get(to.replica).is_some_and(|k| k.born == to.born) {
--- a/crates/router/src/gateway/request.rs
+++ b/crates/router/src/gateway/request.rs
@@ -455,7 +455,7 @@
     /// replicas are backing off, the others are likely to reject it too.
     fn may_retry_rejected(&mut self) -> bool {
         let (gw, service) = (&self.request.gw, &self.request.service);
-        if self.backed_off > 0 && gw.is_mostly_resting(service) {
+        if self.backed_off > 0 && gw.is_mostly_backing_off(service) {
             self.blocked = gw.blocked(service, &self.request.profile());
             return false;
         }
@@ -465,7 +465,7 @@
     /// Returns whether the last replica tried is backing off.
     fn last_is_backing_off(&self) -> bool {
         let (gw, service) = (&self.request.gw, &self.request.service);
-        self.tried.last().is_some_and(|a| gw.is_resting(service, *a))
+        self.tried.last().is_some_and(|a| gw.is_backing_off(service, *a))
     }
 
     /// Returns whether it may run once more. Takes a retry from the fleet's retry budget if so.
--- a/crates/router/src/gateway/run.rs
+++ b/crates/router/src/gateway/run.rs
@@ -102,7 +102,7 @@
         gw.connections.remove_expired(Instant::now());
         gw.limits.trim(&gw);
         gw.notices.trim(&gw);
-        gauge!(metric::RESTING).set(gw.resting().len() as f64);
+        gauge!(metric::RESTING).set(gw.backing_off().len() as f64);
     }
 }
 
@@ -125,7 +125,7 @@
 
 /// The replicas that have asked this gateway for rest, and for how much longer.
 fn rests(gw: &Gateway) -> Response<Body> {
-    let all = gw.resting().into_iter();
+    let all = gw.backing_off().into_iter();
     let rests: Vec<_> =
         all.map(|(replica, left)| json!({ "replica": replica, "left_ms": left.0 })).collect();
     json_response(StatusCode::OK, &json!({ "rests": rests }))
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -518,7 +518,7 @@
 
     /// Starts a backoff of `span` that a replica has requested. Returns the number of this gateway's
     /// requests outstanding at the replica.
-    pub fn rest(&self, service: &str, address: SocketAddr, span: Millis) -> u32 {
+    pub fn back_off(&self, service: &str, address: SocketAddr, span: Millis) -> u32 {
         let mut pools = self.pools.borrow_mut();
         pools.get_mut(service).map_or(0, |p| p.back_off(self.now(), address, span))
     }
@@ -547,19 +547,19 @@
     }
 
     /// Returns the replicas whose backoff is in effect, with the remaining time.
-    pub fn resting(&self) -> Vec<(String, Millis)> {
+    pub fn backing_off(&self) -> Vec<(String, Millis)> {
         let pools = self.pools.borrow();
         let all = pools.values().flat_map(|p| p.backing_off(self.now()));
         all.map(|(replica, left)| (replica.to_owned(), left)).collect()
     }
 
     /// Returns whether at least half of a service's replicas have a backoff in effect.
-    pub fn is_mostly_resting(&self, service: &str) -> bool {
+    pub fn is_mostly_backing_off(&self, service: &str) -> bool {
         self.pools.borrow().get(service).is_some_and(|p| p.is_mostly_backing_off(self.now()))
     }
 
     /// Returns whether the backoff of the replica at `address` is in effect.
-    pub fn is_resting(&self, service: &str, address: SocketAddr) -> bool {
+    pub fn is_backing_off(&self, service: &str, address: SocketAddr) -> bool {
         self.pools.borrow().get(service).is_some_and(|p| p.is_backing_off(self.now(), address))
     }
 
