--- a/crates/router/src/gateway/attempt.rs
+++ b/crates/router/src/gateway/attempt.rs
@@ -254,7 +254,7 @@
                     && !response.another
                     && response.rest == rest::RetryAfter::Absent
                 {
-                    self.request.gw.let_in(&self.request.service, self.choice);
+                    self.request.gw.record_accepted(&self.request.service, self.choice);
                 }
                 return Ok((connection, head));
             }
--- a/crates/router/src/gateway/request.rs
+++ b/crates/router/src/gateway/request.rs
@@ -345,7 +345,7 @@
             observation.end(&request.route, &ended, time_to_first, choice.expected_us);
             counter!(metric::ATTEMPTS, "end" => ended.label()).increment(1);
             let failed = ended.is_failure();
-            self.request.gw.done(&self.request.service, &choice, failed);
+            self.request.gw.finish(&self.request.service, &choice, failed);
             emit!(
                 Event::AttemptEnded,
                 id = self.request.inbound.id,
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -463,7 +463,7 @@
     }
 
     /// Records a request that is being sent to a replica, and announces a long prompt to other gateways.
-    /// [`Gateway::done`] must follow.
+    /// [`Gateway::finish`] must follow.
     pub fn commit(&self, service: &str, profile: &RequestProfile, c: &mut Chosen) {
         if let Some(pool) = self.pools.borrow_mut().get_mut(service) {
             pool.commit(self.now(), profile, &mut c.choice);
@@ -524,7 +524,7 @@
     }
 
     /// Records that a replica has accepted a request.
-    pub fn let_in(&self, service: &str, c: &Choice) {
+    pub fn record_accepted(&self, service: &str, c: &Choice) {
         if let Some(pool) = self.pools.borrow_mut().get_mut(service) {
             pool.record_accepted(self.now(), c);
         }
@@ -583,7 +583,7 @@
     }
 
     /// Records the time from sending a request to the first event of its response, in microseconds.
-    pub fn learn(&self, service: &str, c: &Choice, first_us: u64) {
+    pub fn record_first_event(&self, service: &str, c: &Choice, first_us: u64) {
         if let Some(pool) = self.pools.borrow_mut().get_mut(service) {
             pool.record_first_event(self.now(), c, first_us);
             let seconds = Duration::from_micros(first_us);
@@ -592,7 +592,7 @@
     }
 
     /// Records the end of an attempt. A failure may eject the replica.
-    pub fn done(&self, service: &str, c: &Choice, failed: bool) {
+    pub fn finish(&self, service: &str, c: &Choice, failed: bool) {
         let mut pools = self.pools.borrow_mut();
         let Some(pool) = pools.get_mut(service) else { return };
         if pool.finish(self.now(), c, failed) {
--- a/crates/router/src/gateway/stream.rs
+++ b/crates/router/src/gateway/stream.rs
@@ -101,7 +101,11 @@
         if std::mem::take(&mut is_first) {
             let took = attempt.sent.elapsed();
             attempt.time_to_first = Some(took);
-            request.gw.learn(&request.service, attempt.choice, took.as_micros() as u64);
+            request.gw.record_first_event(
+                &request.service,
+                attempt.choice,
+                took.as_micros() as u64,
+            );
         }
         let unframed = connection.is_unframed();
         let begun = Instant::now();
