--- a/crates/router/src/gateway/limits.rs
+++ b/crates/router/src/gateway/limits.rs
@@ -146,7 +146,7 @@
 
     fn apply(&self, gw: &Gateway, replica: &str, change: LimitChange, by: &str, id: &str) {
         self.count();
-        gw.set_limited(replica, change.to.is_some());
+        gw.set_rate_limited(replica, change.to.is_some());
         emit!(
             Event::LimitChanged,
             replica = replica,
@@ -198,7 +198,7 @@
             self.known.borrow_mut().expire(now, |replica, born| gw.is_running(replica, born));
         for replica in gone {
             self.forget(&replica);
-            gw.set_limited(&replica, false);
+            gw.set_rate_limited(&replica, false);
         }
         self.count();
         self.permits.borrow_mut().expire(now, PERMITS_KEPT);
@@ -377,7 +377,7 @@
     /// one after the other, at this gateway's part of what the service's limits allow.
     pub fn come_back(&self, gw: &Gateway, service: &str, first: Millis) -> Millis {
         let now = gw.now();
-        let allowed: u64 = gw.limited_of(service).iter().map(|r| self.rate(r).0).sum();
+        let allowed: u64 = gw.rate_limited(service).iter().map(|r| self.rate(r).0).sum();
         let routers = self.homes.borrow().router_count().max(1) as u64;
         let each = Millis(1_000_000 * routers / allowed.max(1));
         let mut turns = self.turns.borrow_mut();
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -507,7 +507,7 @@
     }
 
     /// Records whether a replica has a rate limit.
-    pub fn set_limited(&self, replica: &str, limited: bool) {
+    pub fn set_rate_limited(&self, replica: &str, limited: bool) {
         let Some((service, address)) = self.replicas.borrow().location(replica) else { return };
         let mut pools = self.pools.borrow_mut();
         let Some(pool) = pools.get_mut(&service) else { return };
@@ -564,7 +564,7 @@
     }
 
     /// Returns the ids of the replicas of a service that have a rate limit.
-    pub fn limited_of(&self, service: &str) -> Vec<String> {
+    pub fn rate_limited(&self, service: &str) -> Vec<String> {
         let pools = self.pools.borrow();
         pools.get(service).map(|p| p.rate_limited().collect()).unwrap_or_default()
     }
