--- a/crates/router/src/gateway/attempt.rs
+++ b/crates/router/src/gateway/attempt.rs
@@ -279,7 +279,7 @@
         let response = D::head(&head);
         let (not_run, is_valid) = (response.not_run || response.another, response.sound);
         if response.another {
-            self.request.gw.replica_not_there(self.replica);
+            self.request.gw.mark_replaced(self.replica);
         }
         if !is_valid {
             return AttemptOutcome::Broken(
--- a/crates/router/src/gateway/notices.rs
+++ b/crates/router/src/gateway/notices.rs
@@ -118,7 +118,7 @@
     /// It leaves for good in this life, whatever its heartbeats say. Other gateways hear of it from the
     /// control processes.
     fn hear_leaving(&self, request: &RoutedRequest, to: &Addressee) {
-        if !request.gw.replica_leaves(to.replica) {
+        if !request.gw.mark_draining(to.replica) {
             return;
         }
         emit!(Event::LeavingHeard, replica = to.replica, id = request.inbound.id);
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -312,7 +312,7 @@
 
     /// Marks a replica as draining because one of its responses says so. Returns whether it was not
     /// known to be draining.
-    pub fn replica_leaves(&self, id: &str) -> bool {
+    pub fn mark_draining(&self, id: &str) -> bool {
         let record = self.replicas.borrow().draining_record(id);
         let is_new = record.is_some();
         self.apply_records(record.into_iter().collect());
@@ -365,7 +365,7 @@
 
     /// Records a response that says that this replica is no longer at its address. The pool stops using
     /// the address for it.
-    pub fn replica_not_there(&self, id: &str) {
+    pub fn mark_replaced(&self, id: &str) {
         record_replica_event(self, ReplicaEvent::NotThere(id));
         let change = self.replicas.borrow_mut().mark_replaced(id);
         if let Some(c) = &change {
