--- a/crates/router/src/gateway/quarantine.rs
+++ b/crates/router/src/gateway/quarantine.rs
@@ -26,7 +26,7 @@
 
 use super::job::RoutedRequest;
 use super::state::Gateway;
-use super::witness::Victim;
+use super::witness::LostRequest;
 
 /// How long one report may take before it is put back.
 const REPORT_WITHIN: Duration = Duration::from_secs(5);
@@ -145,8 +145,8 @@
     }
 
     /// Notes that a replica has ended at `since` with these requests under way.
-    pub fn ended(&self, gw: &Gateway, replica: &str, since: Time, victims: Vec<Victim>) {
-        let under_way = |v: Victim| InFlightRequest {
+    pub fn ended(&self, gw: &Gateway, replica: &str, since: Time, victims: Vec<LostRequest>) {
+        let under_way = |v: LostRequest| InFlightRequest {
             fingerprint: v.fingerprint,
             account: v.account.unwrap_or_default(),
             age: v.age,
--- a/crates/router/src/gateway/witness.rs
+++ b/crates/router/src/gateway/witness.rs
@@ -38,7 +38,7 @@
 const PROBE_DELAY: Duration = Duration::from_millis(20);
 
 /// A request whose connection to a replica was lost.
-pub struct Victim {
+pub struct LostRequest {
     /// The request id.
     pub id: String,
     /// Fingerprint that the request shares with its copies.
@@ -54,14 +54,14 @@
 /// Lost connections to replicas, until it is known whether the replicas have ended.
 #[derive(Default)]
 pub struct LostConnections {
-    losses: RefCell<ConnectionLosses<Victim>>,
+    losses: RefCell<ConnectionLosses<LostRequest>>,
 }
 
 /// Records that the connection to `replica` on which a request was sent at `sent` was lost. Starts a probe
 /// of its address unless one is running.
 pub fn note_lost(request: &RoutedRequest, address: SocketAddr, replica: &str, sent: Instant) {
     let gw = &request.gw;
-    let lost = Victim {
+    let lost = LostRequest {
         id: request.inbound.id.clone(),
         fingerprint: fingerprint(&request.identity()),
         hash: gw.quarantines.hash(request),
@@ -121,7 +121,7 @@
 
 /// Counts and logs the requests that were in flight at an ended replica, and reports them to the
 /// quarantine.
-fn record_ended(gw: &Gateway, evidence: EndEvidence, losses: Vec<Loss<Victim>>) {
+fn record_ended(gw: &Gateway, evidence: EndEvidence, losses: Vec<Loss<LostRequest>>) {
     for l in losses {
         counter!(metric::LOST_CONNECTIONS, "replica" => "ended").increment(l.requests.len() as u64);
         l.requests.iter().for_each(|v| log_ended(gw, evidence, &l, v));
@@ -129,7 +129,7 @@
     }
 }
 
-fn log_ended(gw: &Gateway, evidence: EndEvidence, l: &Loss<Victim>, v: &Victim) {
+fn log_ended(gw: &Gateway, evidence: EndEvidence, l: &Loss<LostRequest>, v: &LostRequest) {
     emit!(
         Event::ReplicaEnded,
         id = v.id,
