--- a/crates/router/src/gateway/attempt.rs
+++ b/crates/router/src/gateway/attempt.rs
@@ -18,7 +18,7 @@
 use super::request::ResponseProgress;
 use super::state::Chosen;
 use super::stream;
-use super::witness::note_lost;
+use super::witness::record_connection_loss;
 
 /// Maximum size of the body of a response that is not a stream.
 const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
@@ -116,7 +116,7 @@
         Attempt { request, choice, replica, data_centre, which, born, sent, time_to_first: None };
     let ended = attempt.run::<D>(client, progress).await;
     if matches!(ended, AttemptOutcome::Lost(_)) {
-        note_lost(request, choice.address, replica, attempt.sent);
+        record_connection_loss(request, choice.address, replica, attempt.sent);
     }
     (ended, attempt.time_to_first)
 }
@@ -186,7 +186,12 @@
                 connection = match gw.connections.open(self.choice.address).await {
                     Ok(c) => c,
                     Err(b) => {
-                        note_lost(self.request, self.choice.address, self.replica, self.sent);
+                        record_connection_loss(
+                            self.request,
+                            self.choice.address,
+                            self.replica,
+                            self.sent,
+                        );
                         return Err(b.into());
                     }
                 };
--- a/crates/router/src/gateway/witness.rs
+++ b/crates/router/src/gateway/witness.rs
@@ -59,7 +59,12 @@
 
 /// Records that the connection to `replica` on which a request was sent at `sent` was lost. Starts a probe
 /// of its address unless one is running.
-pub fn note_lost(request: &RoutedRequest, address: SocketAddr, replica: &str, sent: Instant) {
+pub fn record_connection_loss(
+    request: &RoutedRequest,
+    address: SocketAddr,
+    replica: &str,
+    sent: Instant,
+) {
     let gw = &request.gw;
     let lost = LostRequest {
         id: request.inbound.id.clone(),
