--- a/crates/router/src/gateway/limits.rs
+++ b/crates/router/src/gateway/limits.rs
@@ -130,7 +130,7 @@
         let change = self.known.borrow_mut().record_response(now, replica, born, sent, rate);
         if let Some(change) = change {
             self.apply(gw, replica, change, "answer", id);
-            gw.urge_sources();
+            gw.poll_sources_now();
         }
     }
 
--- a/crates/router/src/gateway/notices.rs
+++ b/crates/router/src/gateway/notices.rs
@@ -123,7 +123,7 @@
         }
         emit!(Event::LeavingHeard, replica = to.replica, id = request.inbound.id);
         self.set_leaving(to.replica, to.born, true);
-        request.gw.urge_sources();
+        request.gw.poll_sources_now();
     }
 
     fn set_leaving(&self, replica: &str, born: u64, to_tell: bool) {
--- a/crates/router/src/gateway/rollouts.rs
+++ b/crates/router/src/gateway/rollouts.rs
@@ -219,7 +219,7 @@
         let now = gw.now();
         if now.since(gw.trials.urged.get()) >= URGE_EVERY {
             gw.trials.urged.set(now);
-            gw.urge_all();
+            gw.poll_all_now();
         }
     }
 }
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -252,14 +252,14 @@
     }
 
     /// Repeats the watch requests to the sources of replica records at once.
-    pub fn urge_sources(&self) {
+    pub fn poll_sources_now(&self) {
         let sources = self.sources.borrow();
         let all = self.watches.borrow();
         all.iter().filter(|(a, _)| sources.is_selected(**a)).for_each(|(_, u)| u.wish());
     }
 
     /// Repeats the watch requests to all control processes at once.
-    pub fn urge_all(&self) {
+    pub fn poll_all_now(&self) {
         self.watches.borrow().values().for_each(|u| u.wish());
     }
 
