--- a/crates/router/src/gateway/budget.rs
+++ b/crates/router/src/gateway/budget.rs
@@ -197,7 +197,8 @@
     within: Duration,
 ) -> (Option<Part>, Option<Shortfall>) {
     if home != gw.settings.link {
-        let (part, short) = gw.share.hold(gw, home, demand.account, tokens, within).await;
+        let (part, short) =
+            gw.share.borrow_from_home(gw, home, demand.account, tokens, within).await;
         return (part.map(Part::Borrowed), short);
     }
     let until = Instant::now() + within;
--- a/crates/router/src/gateway/share.rs
+++ b/crates/router/src/gateway/share.rs
@@ -154,7 +154,7 @@
 
     /// Borrows tokens from a home, which waits for more for up to `within` if it has too few. Returns the
     /// loan, if any tokens were reserved, and the reason if fewer than `tokens` were.
-    pub async fn hold(
+    pub async fn borrow_from_home(
         &self,
         gw: &Gateway,
         home: SocketAddr,
@@ -205,7 +205,7 @@
     /// Asks another gateway how much longer it issues a replica's permits at a reduced rate, as the first
     /// of its permit issuers. The inner value is `None` if it does not; the outer one is `None` if the
     /// gateway does not respond in time.
-    pub async fn settles(
+    pub async fn reduced_until(
         &self,
         gw: &Gateway,
         home: SocketAddr,
