--- a/crates/router/src/gateway/budget.rs
+++ b/crates/router/src/gateway/budget.rs
@@ -14,7 +14,7 @@
 use tokio::time::Instant;
 
 use super::dialect::Prompt;
-use super::share::Borrowed;
+use super::share::BorrowedTokens;
 use super::state::Gateway;
 use crate::reply::Refusal;
 use crate::taken::{Source, Taken};
@@ -49,7 +49,7 @@
     /// Reserved in this gateway's own slices.
     Own(OwnReservation),
     /// Reserved by another gateway.
-    Borrowed(Borrowed),
+    Borrowed(BorrowedTokens),
 }
 
 impl Part {
--- a/crates/router/src/gateway/share.rs
+++ b/crates/router/src/gateway/share.rs
@@ -97,14 +97,14 @@
 }
 
 /// Tokens that another gateway has reserved for a request of this one.
-pub struct Borrowed {
+pub struct BorrowedTokens {
     lender: Group,
     id: u64,
     tokens: Tokens,
     unsettled: Rc<Cell<usize>>,
 }
 
-impl Borrowed {
+impl BorrowedTokens {
     /// Returns the number of tokens.
     pub fn amount(&self) -> Tokens {
         self.tokens
@@ -161,13 +161,14 @@
         account: &str,
         tokens: Tokens,
         within: Duration,
-    ) -> (Option<Borrowed>, Option<Shortfall>) {
+    ) -> (Option<BorrowedTokens>, Option<Shortfall>) {
         let lender = self.client(&gw.me, home);
         let id = rand::random();
         let wait = Millis(within.as_millis() as u64);
         let request = PeerRequest::Hold { id, account: account.to_owned(), tokens, within: wait };
         let answer = lender.call(Ask::Share(body::pack(&request)), within + LEND_TIMEOUT).await;
-        let loan = |tokens| Borrowed { lender, id, tokens, unsettled: self.unsettled.clone() };
+        let loan =
+            |tokens| BorrowedTokens { lender, id, tokens, unsettled: self.unsettled.clone() };
         match answer.ok().and_then(|b| body::unpack::<PeerReply>(&b).ok()) {
             Some(PeerReply::Held(held, short)) => {
                 if short == Some(Shortfall::Closed) {
@@ -243,7 +244,7 @@
         gw: &Gateway,
         account: &str,
         tokens: Tokens,
-    ) -> Option<Vec<Borrowed>> {
+    ) -> Option<Vec<BorrowedTokens>> {
         let mut parts = Vec::new();
         let mut missing = tokens;
         for address in self.lenders(gw.now(), account) {
@@ -273,7 +274,7 @@
         address: SocketAddr,
         account: &str,
         max: Tokens,
-    ) -> Option<Borrowed> {
+    ) -> Option<BorrowedTokens> {
         let lender = self.client(&gw.me, address);
         let id = rand::random();
         let unsettled = self.unsettled.clone();
@@ -285,12 +286,12 @@
                     let key = (address, account.to_owned());
                     self.spare.borrow_mut().insert(key, (0, gw.now()));
                 }
-                let loan = Borrowed { lender, id, tokens: tokens.min(max), unsettled };
+                let loan = BorrowedTokens { lender, id, tokens: tokens.min(max), unsettled };
                 (tokens > 0).then_some(loan)
             }
             _ => {
                 // The peer may have reserved tokens although no response arrived.
-                Borrowed { lender, id, tokens: 0, unsettled }.settle(0);
+                BorrowedTokens { lender, id, tokens: 0, unsettled }.settle(0);
                 None
             }
         }
