--- a/crates/router/src/gateway/attempt.rs
+++ b/crates/router/src/gateway/attempt.rs
@@ -16,7 +16,7 @@
 use super::job::RoutedRequest;
 use super::notices::{Addressee, Try};
 use super::request::ResponseProgress;
-use super::state::Chosen;
+use super::state::PickedReplica;
 use super::stream;
 use super::witness::record_connection_loss;
 
@@ -106,7 +106,7 @@
     request: &RoutedRequest,
     client: &mut Client,
     progress: &mut ResponseProgress,
-    chosen: &Chosen,
+    chosen: &PickedReplica,
     which: Try,
 ) -> (AttemptOutcome, Option<Duration>) {
     let (choice, replica) = (&chosen.choice, chosen.replica.as_str());
--- a/crates/router/src/gateway/request.rs
+++ b/crates/router/src/gateway/request.rs
@@ -33,7 +33,7 @@
 use super::job::RoutedRequest;
 use super::notices::Try;
 use super::rollouts::Observation;
-use super::state::{Chosen, Gateway};
+use super::state::{Gateway, PickedReplica};
 use super::timing::StreamTiming;
 use crate::reply::Refusal;
 
@@ -331,17 +331,18 @@
                 return self.fail_quarantined(f, client);
             }
             let request = self.request;
-            let Some(Chosen { choice, replica, data_centre, side }) = self.pick_replica().await
+            let Some(PickedReplica { choice, replica, data_centre, side }) =
+                self.pick_replica().await
             else {
                 return self.give_up("no replica is left", client);
             };
             self.tried.push(choice.address);
             let observation = Observation::begin(&request.gw, &request.service, side);
-            let chosen = Chosen { choice, replica, data_centre, side };
+            let chosen = PickedReplica { choice, replica, data_centre, side };
             let which = if self.tried.len() == 1 { Try::First } else { Try::Further };
             let (ended, time_to_first) =
                 attempt::run::<D>(request, client, &mut self.progress, &chosen, which).await;
-            let Chosen { choice, replica, .. } = chosen;
+            let PickedReplica { choice, replica, .. } = chosen;
             observation.end(&request.route, &ended, time_to_first, choice.expected_us);
             counter!(metric::ATTEMPTS, "end" => ended.label()).increment(1);
             let failed = ended.is_failure();
@@ -367,7 +368,7 @@
     }
 
     /// Picks a replica and acquires a permit if it is rate-limited. Returns none if no replica is available.
-    async fn pick_replica(&mut self) -> Option<Chosen> {
+    async fn pick_replica(&mut self) -> Option<PickedReplica> {
         let request = self.request;
         let gw = &request.gw;
         let version_preference = gw.trials.version_preference(
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -63,7 +63,7 @@
 const MAX_LOGGED_REPLICAS: usize = 8;
 
 /// A replica picked for a request.
-pub struct Chosen {
+pub struct PickedReplica {
     /// The pool's choice.
     pub choice: Choice,
     /// The replica's id.
@@ -440,7 +440,7 @@
         cold_rate_limit: Option<u32>,
         profile: &mut RequestProfile,
         tried: &[SocketAddr],
-    ) -> Option<Chosen> {
+    ) -> Option<PickedReplica> {
         let mut pools = self.pools.borrow_mut();
         let pool = pools.get_mut(service)?;
         pool.set_cold_rate_limit(self.now(), cold_rate_limit);
@@ -459,12 +459,12 @@
         let r = pool.get(choice.address)?;
         let vm = &r.upstream.vm;
         let (replica, data_centre) = (vm.name.clone(), vm.data_centre.clone());
-        Some(Chosen { choice, replica, data_centre, side: r.side })
+        Some(PickedReplica { choice, replica, data_centre, side: r.side })
     }
 
     /// Records a request that is being sent to a replica, and announces a long prompt to other gateways.
     /// [`Gateway::finish`] must follow.
-    pub fn commit(&self, service: &str, profile: &RequestProfile, c: &mut Chosen) {
+    pub fn commit(&self, service: &str, profile: &RequestProfile, c: &mut PickedReplica) {
         if let Some(pool) = self.pools.borrow_mut().get_mut(service) {
             pool.commit(self.now(), profile, &mut c.choice);
         }
@@ -477,7 +477,7 @@
 
     /// Blocks requests of this priority or a lower one from a replica for `span`, because its rate limit
     /// is reached.
-    pub fn block(&self, service: &str, c: &Chosen, span: Millis, priority: u8) {
+    pub fn block(&self, service: &str, c: &PickedReplica, span: Millis, priority: u8) {
         if let Some(pool) = self.pools.borrow_mut().get_mut(service) {
             pool.block(self.now(), c.choice.address, span, priority);
         }
