--- a/crates/router/src/gateway/budget.rs
+++ b/crates/router/src/gateway/budget.rs
@@ -121,8 +121,8 @@
         max_tokens: prompt.tokens.saturating_add(prompt.most),
         deadline,
     };
-    gw.share.homes.note_request(gw.now(), &demand.budget);
-    let parts = match gw.share.homes.of(gw.now(), gw.settings.link, &demand.budget).is_empty() {
+    gw.peers.homes.note_request(gw.now(), &demand.budget);
+    let parts = match gw.peers.homes.of(gw.now(), gw.settings.link, &demand.budget).is_empty() {
         true => reserve_locally(gw, &demand).await?,
         false => reserve_at_homes(gw, &demand).await?,
     };
@@ -142,7 +142,7 @@
 
 impl Round {
     fn homes(self, gw: &Gateway, budget: &str) -> Vec<SocketAddr> {
-        let (homes, own) = (&gw.share.homes, gw.settings.link);
+        let (homes, own) = (&gw.peers.homes, gw.settings.link);
         match self {
             Round::Local => homes.of(gw.now(), own, budget),
             Round::Remote => homes.elsewhere(gw.now(), own, budget),
@@ -198,7 +198,7 @@
 ) -> (Option<Part>, Option<Shortfall>) {
     if home != gw.settings.link {
         let (part, short) =
-            gw.share.borrow_from_home(gw, home, demand.account, tokens, within).await;
+            gw.peers.borrow_from_home(gw, home, demand.account, tokens, within).await;
         return (part.map(Part::Borrowed), short);
     }
     let until = Instant::now() + within;
@@ -262,7 +262,7 @@
     }
     let part = token_store.reserve_part(budget, policy, max_tokens).map(|r| own(Source::Group, r));
     let at_hand = part.as_ref().map_or(0, Part::amount);
-    if let Some(borrowed) = gw.share.borrow(gw, account, max_tokens - at_hand).await {
+    if let Some(borrowed) = gw.peers.borrow(gw, account, max_tokens - at_hand).await {
         return Ok(part.into_iter().chain(borrowed.into_iter().map(Part::Borrowed)).collect());
     }
     if let Some(part) = part {
--- a/crates/router/src/gateway/drain.rs
+++ b/crates/router/src/gateway/drain.rs
@@ -30,7 +30,7 @@
     // Connections that have ended by now need no word.
     let _ = door.send(true);
     let end = begun + within * END / 100;
-    while (gw.active.get() > 0 || !gw.share.is_settled()) && Instant::now() < end {
+    while (gw.active.get() > 0 || !gw.peers.is_settled()) && Instant::now() < end {
         sleep(LOOK).await;
     }
     hand_back(&gw, end).await;
--- a/crates/router/src/gateway/follow.rs
+++ b/crates/router/src/gateway/follow.rs
@@ -77,7 +77,7 @@
         let feed = gw.feeds.borrow().get(&to).copied().unwrap_or_default();
         let version = gw.documents.version_at(to);
         let fetch = gw.documents.part_request(to);
-        let areas = gw.share.homes.digest_for(to);
+        let areas = gw.peers.homes.digest_for(to);
         let evacuations = gw.evacuations.borrow().revision;
         let quarantine = gw.quarantines.revision();
         let without_replicas = !gw.sources.borrow().is_selected(to);
@@ -95,7 +95,7 @@
             reports: gw.trials.reports(),
             heard: if without_replicas { Vec::new() } else { gw.limits.reports(gw.now()) },
             leaving: if without_replicas { Vec::new() } else { gw.notices.to_tell() },
-            few: gw.limits.few_digest(gw.share.homes.digest_for(to)),
+            few: gw.limits.few_digest(gw.peers.homes.digest_for(to)),
         })
     }
 
@@ -129,7 +129,7 @@
             gw.apply_rollouts(rollouts);
         }
         documents::record_response::<D>(gw, from, response.version, response.part);
-        gw.share.add(gw.settings.link, &response.peers);
+        gw.peers.add(gw.settings.link, &response.peers);
         if let Some(areas) = &response.areas {
             apply_areas(gw, from, areas);
         }
@@ -154,7 +154,7 @@
     fn lost(&self, from: SocketAddr) {
         self.gw.sources.borrow_mut().record_failure(self.gw.now(), from);
         documents::record_failure(&self.gw, from);
-        self.gw.share.homes.record_failure(from);
+        self.gw.peers.homes.record_failure(from);
         emit!(Event::LinkFailed, address = from);
     }
 
@@ -184,10 +184,10 @@
 /// Applies the lists of gateways by data centre, and returns the tokens of budgets for which this gateway
 /// is no longer a home.
 fn apply_areas(gw: &Gateway, from: SocketAddr, areas: &[DataCentreRouters]) {
-    let homes = &gw.share.homes;
+    let homes = &gw.peers.homes;
     let base = &gw.settings.base;
     homes.update(from, &base.data_centre, &base.regions, areas);
-    gw.share.update_from_homes(gw.settings.link);
+    gw.peers.update_from_homes(gw.settings.link);
     gw.limits.set_areas(gw.now(), areas);
     let own = gw.settings.link;
     let is_elsewhere = |budget: &str| {
--- a/crates/router/src/gateway/limits.rs
+++ b/crates/router/src/gateway/limits.rs
@@ -307,7 +307,7 @@
         for to in self.homes_in_reach(gw, ask) {
             let grant = match to == own {
                 true => Some(self.serve(gw, ask)),
-                false => gw.share.permits(gw, to, ask, ASK_WITHIN).await,
+                false => gw.peers.permits(gw, to, ask, ASK_WITHIN).await,
             };
             match grant {
                 Some(g) if g.permits == 0 && g.reduced => denied = Some(g),
--- a/crates/router/src/gateway/share.rs
+++ b/crates/router/src/gateway/share.rs
@@ -445,13 +445,13 @@
             // Served in its own task, so that it does not block other requests on this link.
             let (gw, tx) = (gw.clone(), tx.clone());
             actix_rt::spawn(async move {
-                let reply = gw.share.serve_hold(&gw, id, &account, tokens, within).await;
+                let reply = gw.peers.serve_hold(&gw, id, &account, tokens, within).await;
                 // If the link has ended, the borrower settles the loan on another one.
                 let _ = tx.send(answer(c.id, Ok(reply))).await;
             });
             continue;
         }
-        let result = request.and_then(|r| gw.share.serve(&gw, r));
+        let result = request.and_then(|r| gw.peers.serve(&gw, r));
         if tx.send(answer(c.id, result)).await.is_err() {
             break;
         }
@@ -470,7 +470,7 @@
 pub async fn expire_forever(gw: Rc<Gateway>) {
     loop {
         sleep(EXPIRE_INTERVAL).await;
-        for loan in gw.share.loans.borrow_mut().expire(gw.now()) {
+        for loan in gw.peers.loans.borrow_mut().expire(gw.now()) {
             loan.settle(Tokens::MAX);
         }
     }
--- a/crates/router/src/gateway/stand_in.rs
+++ b/crates/router/src/gateway/stand_in.rs
@@ -60,7 +60,7 @@
 /// Looks at one gateway: it is dead if nobody listens at its address, and it may say that it stands back.
 async fn look(gw: &Gateway, replica: &str, First { gateway, data_centre }: &First) {
     let begun = gw.now();
-    let until = match gw.share.reduced_until(gw, *gateway, replica, data_centre).await {
+    let until = match gw.peers.reduced_until(gw, *gateway, replica, data_centre).await {
         Some(settles) => settles.map(|span| begun.after(span)),
         None => is_dead(*gateway).await.then(|| begun.after(PROBE_VALIDITY)),
     };
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -105,7 +105,7 @@
     /// The control processes selected as sources of replica records.
     pub sources: RefCell<ReplicaSources>,
     /// Other gateways, and the loans of tokens between them and this one.
-    pub share: Peers,
+    pub peers: Peers,
     /// The watched control processes, each with the trigger that repeats its watch request at once.
     pub watches: RefCell<BTreeMap<SocketAddr, Rc<Urge>>>,
     /// Highest number of routers in the fleet that a control process has reported.
@@ -148,7 +148,7 @@
             feeds: RefCell::default(),
             evacuations: RefCell::default(),
             sources: RefCell::new(ReplicaSources::new(rand::random())),
-            share: Peers::default(),
+            peers: Peers::default(),
             watches: RefCell::default(),
             routers: Cell::new(0),
             load_monitor: RefCell::default(),
@@ -471,7 +471,7 @@
         if c.choice.uncached >= MIN_ANNOUNCED_TOKENS {
             let (service, trail) = (service.to_owned(), profile.prefixes.clone());
             let (replica, fresh) = (c.choice.address, c.choice.uncached);
-            self.share.announce_placement(self, Placement { service, replica, fresh, trail });
+            self.peers.announce_placement(self, Placement { service, replica, fresh, trail });
         }
     }
 
