--- a/crates/router/src/gateway/budget.rs
+++ b/crates/router/src/gateway/budget.rs
@@ -121,11 +121,12 @@
         max_tokens: prompt.tokens.saturating_add(prompt.most),
         deadline,
     };
-    gw.peers.homes.note_request(gw.now(), &demand.budget);
-    let parts = match gw.peers.homes.of(gw.now(), gw.settings.link, &demand.budget).is_empty() {
-        true => reserve_locally(gw, &demand).await?,
-        false => reserve_at_homes(gw, &demand).await?,
-    };
+    gw.peers.homes.record_request(gw.now(), &demand.budget);
+    let parts =
+        match gw.peers.homes.for_budget(gw.now(), gw.settings.link, &demand.budget).is_empty() {
+            true => reserve_locally(gw, &demand).await?,
+            false => reserve_at_homes(gw, &demand).await?,
+        };
     Ok(TokenReservation { parts, prompt: prompt.tokens })
 }
 
@@ -144,9 +145,9 @@
     fn homes(self, gw: &Gateway, budget: &str) -> Vec<SocketAddr> {
         let (homes, own) = (&gw.peers.homes, gw.settings.link);
         match self {
-            Round::Local => homes.of(gw.now(), own, budget),
-            Round::Remote => homes.elsewhere(gw.now(), own, budget),
-            Round::Recall => homes.of(gw.now(), own, budget).into_iter().take(1).collect(),
+            Round::Local => homes.for_budget(gw.now(), own, budget),
+            Round::Remote => homes.remote_homes(gw.now(), own, budget),
+            Round::Recall => homes.for_budget(gw.now(), own, budget).into_iter().take(1).collect(),
         }
     }
 
--- a/crates/router/src/gateway/follow.rs
+++ b/crates/router/src/gateway/follow.rs
@@ -191,7 +191,7 @@
     gw.limits.set_areas(gw.now(), areas);
     let own = gw.settings.link;
     let is_elsewhere = |budget: &str| {
-        let all = homes.of(gw.now(), own, budget);
+        let all = homes.for_budget(gw.now(), own, budget);
         !all.is_empty() && !all.contains(&own)
     };
     if let Some(token_store) = gw.token_store() {
--- a/crates/router/src/gateway/homes.rs
+++ b/crates/router/src/gateway/homes.rs
@@ -98,7 +98,7 @@
 
     /// Returns the homes of a budget to ask for tokens, in order; none if each gateway holds its own
     /// slices. A gateway with heavy demand for the budget (`own`) comes first.
-    pub fn of(&self, now: Time, own: SocketAddr, budget: &str) -> Vec<SocketAddr> {
+    pub fn for_budget(&self, now: Time, own: SocketAddr, budget: &str) -> Vec<SocketAddr> {
         if self.local.borrow().is_empty() {
             return Vec::new();
         }
@@ -111,7 +111,7 @@
     }
 
     /// Records a request that spends from a budget.
-    pub fn note_request(&self, now: Time, budget: &str) {
+    pub fn record_request(&self, now: Time, budget: &str) {
         let mut all = self.demand.borrow_mut();
         match all.get_mut(budget) {
             Some(d) => d.record(now),
@@ -125,7 +125,7 @@
 
     /// Returns one home of the budget in each other data centre, to ask when those of the own one have too
     /// few tokens. Homes in the own region come first.
-    pub fn elsewhere(&self, now: Time, own: SocketAddr, budget: &str) -> Vec<SocketAddr> {
+    pub fn remote_homes(&self, now: Time, own: SocketAddr, budget: &str) -> Vec<SocketAddr> {
         let candidates = self.candidates(budget);
         let first_home = |(in_other_region, area): &(bool, Vec<SocketAddr>)| {
             let first = ask_order(area, own, |a| self.is_unavailable(now, a)).first().copied();
