--- a/crates/router/src/gateway/documents.rs
+++ b/crates/router/src/gateway/documents.rs
@@ -46,26 +46,26 @@
     }
 
     /// Returns the version of the document in force; 0 if there is none.
-    pub fn held(&self) -> Version {
+    pub fn version(&self) -> Version {
         self.in_force.borrow().as_ref().map_or(0, |r| r.version())
     }
 
     /// Returns the higher of the version that the control process at `address` is known to have and the
     /// version in force here.
     pub fn version_at(&self, address: SocketAddr) -> Version {
-        self.held().max(self.fetch.borrow().version_at(address))
+        self.version().max(self.fetch.borrow().version_at(address))
     }
 
     /// Returns the request for the next part of the newer document, if it is fetched from the control
     /// process at `address`.
     pub fn part_request(&self, address: SocketAddr) -> Option<PartRequest> {
         let is_source = self.fetch.borrow().is_source(address);
-        is_source.then(|| self.assembly.borrow().want(self.held()))
+        is_source.then(|| self.assembly.borrow().want(self.version()))
     }
 
     /// Returns whether a control process has announced a newer document than the one in force here.
     pub fn is_behind(&self) -> bool {
-        self.fetch.borrow().latest_version() > self.held()
+        self.fetch.borrow().latest_version() > self.version()
     }
 
     /// Returns whether no control process has answered recently. A newer document may then be in force
@@ -77,7 +77,7 @@
     /// Returns the version of the document in force and its time in force, as text for error messages.
     pub fn describe(&self, now: Time) -> String {
         let span = now.since(self.in_force_since.get()).0;
-        format!("by document {}, in force for {span} ms", self.held())
+        format!("by document {}, in force for {span} ms", self.version())
     }
 }
 
@@ -100,8 +100,8 @@
         add_part::<F>(gw, from, part);
     }
     let is_highest = docs.fetch.borrow_mut().record_version(from, version);
-    if is_highest && version > docs.held() {
-        emit!(Event::DocumentKnown, version = version, from = from, held = docs.held());
+    if is_highest && version > docs.version() {
+        emit!(Event::DocumentKnown, version = version, from = from, held = docs.version());
     }
     start_fetch(gw, None);
 }
@@ -131,7 +131,7 @@
 /// just abandoned.
 fn start_fetch(gw: &Rc<Gateway>, after: Option<SocketAddr>) {
     let docs = &gw.documents;
-    let held = docs.held();
+    let held = docs.version();
     let Some(address) = docs.fetch.borrow_mut().choose_source(gw.now(), held, after) else {
         return;
     };
@@ -160,7 +160,7 @@
 fn add_part<F: DocumentFormat>(gw: &Gateway, from: SocketAddr, part: Part) {
     let docs = &gw.documents;
     docs.fetch.borrow_mut().record_progress(gw.now(), from);
-    let outcome = docs.assembly.borrow_mut().take(docs.held(), part);
+    let outcome = docs.assembly.borrow_mut().take(docs.version(), part);
     match outcome {
         PartOutcome::Complete(bytes) => {
             docs.fetch.borrow_mut().finish();
@@ -175,7 +175,7 @@
 
 /// Puts a packed document in force if it is newer than the current one.
 fn put_in_force<F: DocumentFormat>(gw: &Gateway, bytes: &[u8]) {
-    let held = gw.documents.held();
+    let held = gw.documents.version();
     let source = match packed::unpack(bytes) {
         Ok(source) => source,
         Err(e) => return emit!(Event::MessageBad, why = e),
--- a/crates/router/src/gateway/run.rs
+++ b/crates/router/src/gateway/run.rs
@@ -134,7 +134,7 @@
 fn ready(gw: &Gateway) -> Response<Body> {
     let open = gw.is_open();
     let status = if open { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-    let version = gw.documents.held();
+    let version = gw.documents.version();
     let v = json!({ "ready": open, "stopping": gw.stopping.get(), "document": version });
     json_response(status, &v)
 }
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -179,7 +179,7 @@
 
     /// Returns whether the gateway accepts callers: it has a document and is not stopping.
     pub fn is_open(&self) -> bool {
-        !self.stopping.get() && self.documents.held() > 0
+        !self.stopping.get() && self.documents.version() > 0
     }
 
     /// Measures one pass of the process's task queue. Returns whether the process is too slow to accept
