--- a/crates/router/src/gateway/attempt.rs
+++ b/crates/router/src/gateway/attempt.rs
@@ -173,7 +173,12 @@
         self.check_replica()?;
         let mut connection = gw.connections.get(Instant::now(), self.choice.address).await?;
         if let Err(ended) = self.check_replica() {
-            gw.keep(&self.request.service, self.choice.address, self.replica, connection);
+            gw.keep_connection(
+                &self.request.service,
+                self.choice.address,
+                self.replica,
+                connection,
+            );
             return Err(ended);
         }
         self.sent = Instant::now();
@@ -306,7 +311,12 @@
                 if !unframed && !not_run {
                     gw.quarantines.answered(self.request);
                 }
-                gw.keep(&self.request.service, self.choice.address, self.replica, connection);
+                gw.keep_connection(
+                    &self.request.service,
+                    self.choice.address,
+                    self.replica,
+                    connection,
+                );
                 (body, unframed)
             }
             Ok(Err(_)) if not_run => return AttemptOutcome::NotRun,
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -531,7 +531,13 @@
     }
 
     /// Returns an idle connection to the connection pool, if the replica is still at its address.
-    pub fn keep(&self, service: &str, address: SocketAddr, replica: &str, c: Connection) {
+    pub fn keep_connection(
+        &self,
+        service: &str,
+        address: SocketAddr,
+        replica: &str,
+        c: Connection,
+    ) {
         let pools = self.pools.borrow();
         let current = pools.get(service).and_then(|p| p.get(address));
         if current.is_some_and(|r| r.upstream.vm.name == replica) {
--- a/crates/router/src/gateway/stream.rs
+++ b/crates/router/src/gateway/stream.rs
@@ -167,7 +167,12 @@
     if !unframed {
         gw.quarantines.answered(attempt.request);
     }
-    gw.keep(&attempt.request.service, attempt.choice.address, attempt.replica, connection);
+    gw.keep_connection(
+        &attempt.request.service,
+        attempt.choice.address,
+        attempt.replica,
+        connection,
+    );
     if start_response(client, head, unframed).is_err() || client.write_end().is_err() {
         return AttemptOutcome::Left;
     }
