--- a/crates/router/src/gateway/drain.rs
+++ b/crates/router/src/gateway/drain.rs
@@ -26,11 +26,11 @@
     gw.stopping.set(true);
     actix_rt::spawn(leave(gw.clone()));
     sleep(gw.settings.stop_serve).await;
-    emit!(Event::DrainWaits, active = gw.active.get());
+    emit!(Event::DrainWaits, active = gw.active_connections.get());
     // Connections that have ended by now need no word.
     let _ = door.send(true);
     let end = begun + within * END / 100;
-    while (gw.active.get() > 0 || !gw.peers.is_settled()) && Instant::now() < end {
+    while (gw.active_connections.get() > 0 || !gw.peers.is_settled()) && Instant::now() < end {
         sleep(LOOK).await;
     }
     hand_back(&gw, end).await;
--- a/crates/router/src/gateway/follow.rs
+++ b/crates/router/src/gateway/follow.rs
@@ -49,7 +49,7 @@
         gw.watches.borrow_mut().insert(address, poll_trigger.clone());
         let watcher =
             ControlWatcher::<D> { gw: gw.clone(), poll_trigger, dialect: std::marker::PhantomData };
-        actix_rt::spawn(watch(address, gw.me.clone(), watcher));
+        actix_rt::spawn(watch(address, gw.credentials.clone(), watcher));
     }
 }
 
@@ -110,7 +110,7 @@
             );
         }
         gw.feeds.borrow_mut().insert(from, response.feed);
-        gw.routers.set(gw.routers.get().max(response.routers));
+        gw.router_count.set(gw.router_count.get().max(response.routers));
         if response.part.is_some() {
             // A document has been committed, so there is a leader to register with.
             gw.group.wake();
--- a/crates/router/src/gateway/server.rs
+++ b/crates/router/src/gateway/server.rs
@@ -72,7 +72,7 @@
         emit!(
             Event::LinkFull,
             used = gw.load_monitor.borrow().link_utilisation(),
-            active = gw.active.get()
+            active = gw.active_connections.get()
         );
         let reopened = tokio::select! {
             reopened = reopen(gw.settings.listen) => reopened,
@@ -98,14 +98,14 @@
 
 impl Active {
     fn new(gw: &Rc<Gateway>) -> Active {
-        gw.active.set(gw.active.get() + 1);
+        gw.active_connections.set(gw.active_connections.get() + 1);
         Active(gw.clone())
     }
 }
 
 impl Drop for Active {
     fn drop(&mut self) {
-        self.0.active.set(self.0.active.get() - 1);
+        self.0.active_connections.set(self.0.active_connections.get() - 1);
     }
 }
 
@@ -115,7 +115,7 @@
     config: &ServiceConfig,
     mut closed: watch::Receiver<bool>,
 ) {
-    let mut client = Client::new(stream, config, gw.served.clone());
+    let mut client = Client::new(stream, config, gw.bytes_served.clone());
     loop {
         let limits = gw.documents.in_force().map_or(LIMITS, |r| *r.limits());
         let stop = async {
--- a/crates/router/src/gateway/share.rs
+++ b/crates/router/src/gateway/share.rs
@@ -162,7 +162,7 @@
         tokens: Tokens,
         within: Duration,
     ) -> (Option<BorrowedTokens>, Option<Shortfall>) {
-        let lender = self.client(&gw.me, home);
+        let lender = self.client(&gw.credentials, home);
         let id = rand::random();
         let wait = Millis(within.as_millis() as u64);
         let request = PeerRequest::Hold { id, account: account.to_owned(), tokens, within: wait };
@@ -194,7 +194,7 @@
         ask: &permits::PermitRequest,
         within: Duration,
     ) -> Option<permits::Grant> {
-        let home = self.client(&gw.me, home);
+        let home = self.client(&gw.credentials, home);
         let request = PeerRequest::Permit(ask.clone());
         let answer = home.call(Ask::Share(body::pack(&request)), within).await;
         match body::unpack::<PeerReply>(&answer.ok()?).ok()? {
@@ -213,7 +213,7 @@
         replica: &str,
         data_centre: &str,
     ) -> Option<Option<Millis>> {
-        let home = self.client(&gw.me, home);
+        let home = self.client(&gw.credentials, home);
         let (replica, data_centre) = (replica.to_owned(), data_centre.to_owned());
         let request = PeerRequest::Settles { replica, data_centre };
         let answer = home.call(Ask::Share(body::pack(&request)), LEND_TIMEOUT).await;
@@ -275,7 +275,7 @@
         account: &str,
         max: Tokens,
     ) -> Option<BorrowedTokens> {
-        let lender = self.client(&gw.me, address);
+        let lender = self.client(&gw.credentials, address);
         let id = rand::random();
         let unsettled = self.unsettled.clone();
         let request = PeerRequest::Reserve { id, account: account.to_owned(), tokens: max };
@@ -311,7 +311,7 @@
             if failed_at.is_some_and(|at| now.since(at) < UNRESPONSIVE_FOR) {
                 continue;
             }
-            let (peer, ask) = (self.client(&gw.me, address), ask.clone());
+            let (peer, ask) = (self.client(&gw.credentials, address), ask.clone());
             let unresponsive_since = self.unresponsive_since.clone();
             actix_rt::spawn(async move {
                 // Not retried: the peer only lacks this prompt in its choice of replicas.
@@ -424,7 +424,7 @@
 
 /// Serves the requests of another gateway on one link, until the link ends.
 async fn serve_peer(gw: Rc<Gateway>, stream: TcpStream, from: SocketAddr) {
-    let Link { mut reader, mut writer, .. } = match link::accept(stream, &gw.me).await {
+    let Link { mut reader, mut writer, .. } = match link::accept(stream, &gw.credentials).await {
         Ok(link) => link,
         Err(e) => return emit!(Event::LinkRefused, address = from, why = e),
     };
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -81,7 +81,7 @@
     /// The process's clock.
     pub clock: Clock,
     /// The credentials of this process on its links.
-    pub me: Credentials,
+    pub credentials: Credentials,
     /// Client of the control group.
     pub group: Group,
     /// The document in force and the fetch of a newer one.
@@ -109,15 +109,15 @@
     /// The watched control processes, each with the trigger that repeats its watch request at once.
     pub watches: RefCell<BTreeMap<SocketAddr, Rc<Urge>>>,
     /// Highest number of routers in the fleet that a control process has reported.
-    pub routers: Cell<u32>,
+    pub router_count: Cell<u32>,
     /// Queue delay of this process and utilisation of its link.
     pub load_monitor: RefCell<LoadMonitor>,
     /// Bytes received from and sent to callers since the start.
-    pub served: Rc<Cell<u64>>,
+    pub bytes_served: Rc<Cell<u64>>,
     /// Whether a planned stop is in progress.
     pub stopping: Cell<bool>,
     /// Number of connections with an active request.
-    pub active: Cell<usize>,
+    pub active_connections: Cell<usize>,
     replicas: RefCell<ReplicaTable>,
     pools: RefCell<HashMap<String, Pool>>,
     started: Time,
@@ -132,11 +132,16 @@
 
 impl Gateway {
     /// Returns a gateway without a document, replicas or a registration.
-    pub fn new(settings: Settings, clock: Clock, me: Credentials, group: Group) -> Gateway {
+    pub fn new(
+        settings: Settings,
+        clock: Clock,
+        credentials: Credentials,
+        group: Group,
+    ) -> Gateway {
         Gateway {
             settings,
             clock,
-            me,
+            credentials,
             group,
             documents: Documents::default(),
             connections: ConnectionPool::default(),
@@ -150,11 +155,11 @@
             sources: RefCell::new(ReplicaSources::new(rand::random())),
             peers: Peers::default(),
             watches: RefCell::default(),
-            routers: Cell::new(0),
+            router_count: Cell::new(0),
             load_monitor: RefCell::default(),
-            served: Rc::default(),
+            bytes_served: Rc::default(),
             stopping: Cell::new(false),
-            active: Cell::new(0),
+            active_connections: Cell::new(0),
             replicas: RefCell::default(),
             pools: RefCell::default(),
             started: clock.now(),
@@ -174,7 +179,7 @@
     /// Returns the interval between two reports of spent tokens, which depends on the number of routers.
     pub fn report_every(&self) -> Duration {
         let max = Millis(self.settings.report.as_millis() as u64);
-        Duration::from_millis(report_interval(u64::from(self.routers.get()), max).0)
+        Duration::from_millis(report_interval(u64::from(self.router_count.get()), max).0)
     }
 
     /// Returns whether the gateway accepts callers: it has a document and is not stopping.
@@ -202,7 +207,7 @@
                 pass_ms = took.as_millis(),
                 mean_us = load_monitor.mean_pass_us(now),
                 link = load_monitor.link_utilisation(),
-                active = self.active.get(),
+                active = self.active_connections.get(),
                 hears_of_nobody = cut_off,
                 refused = rejected,
             );
@@ -224,7 +229,7 @@
 
     fn update_link_utilisation(&self) {
         let mut load_monitor = self.load_monitor.borrow_mut();
-        load_monitor.record_bytes(self.now(), self.served.get(), self.settings.link_capacity);
+        load_monitor.record_bytes(self.now(), self.bytes_served.get(), self.settings.link_capacity);
         gauge!(metric::LINK_USED).set(load_monitor.link_utilisation() as f64 / 100.0);
     }
 
@@ -446,7 +451,7 @@
         pool.set_cold_rate_limit(self.now(), cold_rate_limit);
         let dc = &self.settings.base.data_centre;
         let mut rng = self.rng.borrow_mut();
-        pool.set_peer_count(u64::from(self.routers.get().saturating_sub(1)));
+        pool.set_peer_count(u64::from(self.router_count.get().saturating_sub(1)));
         let mut preferences = profile.version_preference.fallbacks();
         if profile.version_preference == VersionPreference::Old && !pool.has_old_replicas() {
             // The rollout has finished, but this gateway has not received that yet.
@@ -617,7 +622,7 @@
     /// Takes a retry out of this router's part of the fleet's retry budget for a service. Returns whether
     /// the budget allows it.
     pub fn take_retry(&self, service: &str) -> bool {
-        let routers = u64::from(self.routers.get());
+        let routers = u64::from(self.router_count.get());
         let mut budget = self.settings.retry;
         if routers == 0 {
             budget.extra = 0;
