--- a/crates/router/src/gateway/follow.rs
+++ b/crates/router/src/gateway/follow.rs
@@ -39,7 +39,7 @@
 
 /// Watches the control processes at `addresses` and all others that they list, each in its own task.
 /// Those already watched are skipped.
-pub fn follow_all<D: Dialect>(gw: &Rc<Gateway>, addresses: impl IntoIterator<Item = SocketAddr>) {
+pub fn watch_all<D: Dialect>(gw: &Rc<Gateway>, addresses: impl IntoIterator<Item = SocketAddr>) {
     for address in addresses {
         if gw.watches.borrow().contains_key(&address) {
             continue;
@@ -148,7 +148,7 @@
         {
             gw.group.point_to(lead.term, leader);
         }
-        follow_all::<D>(gw, controls());
+        watch_all::<D>(gw, controls());
     }
 
     fn lost(&self, from: SocketAddr) {
--- a/crates/router/src/gateway/run.rs
+++ b/crates/router/src/gateway/run.rs
@@ -22,7 +22,7 @@
 
 use super::dialect::Dialect;
 use super::drain::drain;
-use super::follow::{follow_all, register_forever};
+use super::follow::{register_forever, watch_all};
 use super::native::Native;
 use super::quarantine::report_forever;
 use super::server::accept;
@@ -72,7 +72,7 @@
         let response = ops(&g, &metrics, &req);
         async move { response }
     }));
-    follow_all::<D>(&gw, base.control);
+    watch_all::<D>(&gw, base.control);
     actix_rt::spawn(serve_peers(gw.clone(), peers));
     actix_rt::spawn(expire_forever(gw.clone()));
     actix_rt::spawn(register_forever(gw.clone()));
@@ -93,7 +93,7 @@
 /// Takes the settings that may change while the process runs: where the control processes are.
 fn reload<D: Dialect>(gw: &Rc<Gateway>, s: Settings) {
     gw.group.set_addresses(s.base.control.clone());
-    follow_all::<D>(gw, s.base.control);
+    watch_all::<D>(gw, s.base.control);
 }
 
 async fn trim_forever(gw: Rc<Gateway>) {
