--- a/crates/router/src/gateway/follow.rs
+++ b/crates/router/src/gateway/follow.rs
@@ -202,9 +202,9 @@
 /// Registers for tokens and processes their recalls, and registers anew whenever the registration is no
 /// longer known. Never returns.
 pub async fn register_forever(gw: Rc<Gateway>) {
-    // The previous holder at this address spends no tokens from this time on. At the first registration it
-    // is a process that ended before this one started; later it is this process's previous registration,
-    // whose token store is retired before the new request.
+    // The previous registration of this VM spends no tokens from this time on. At the first registration it
+    // is that of a process that ended before this one started; later it is this process's own, whose token
+    // store is retired before the new request.
     let mut predecessor_ended = gw.now();
     loop {
         if let Some(old) = gw.take_token_store() {
--- a/crates/router/src/gateway/witness.rs
+++ b/crates/router/src/gateway/witness.rs
@@ -26,11 +26,11 @@
 /// their tasks run one after the other.
 const GATHER_DELAY: Duration = Duration::from_millis(20);
 
-/// Time for which a new connection must stay open to show that the replica is alive. An exiting process
-/// closes its listening socket up to some hundred milliseconds after its connections.
+/// Time for which a connection opened by a probe is watched: if it ends, the address is probed again. An
+/// exiting process closes its listening socket up to some hundred milliseconds after its connections.
 const PROBE_OPEN_FOR: Duration = Duration::from_millis(500);
 
-/// Maximum number of repeated probes of one address: a replica with too many connections accepts and
+/// Maximum number of evaluated probes of one address: a replica with too many connections accepts and
 /// closes each new one.
 const MAX_PROBES: u32 = 5;
 
