--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -100,7 +100,7 @@
     ) -> Result<Machine<S, T>, Error> {
         let snapshot = restored.snapshot.clone();
         let state = load_state(&storage, &snapshot)?;
-        let kept = Kept { hard: restored.hard, marks: restored.marks.clone(), ..Kept::default() };
+        let kept = Kept { hard: restored.hard, marks: restored.peers.clone(), ..Kept::default() };
         let raft = Raft::new(at.now, node, settings.raft, restored, seed);
         Ok(Machine {
             region: region.to_owned(),
@@ -230,7 +230,7 @@
         self.snapshot = restored.snapshot.clone();
         self.state = load_state(&self.storage, &self.snapshot)?;
         self.applied = self.snapshot.index;
-        self.kept = Kept { hard: restored.hard, marks: restored.marks.clone(), ..Kept::default() };
+        self.kept = Kept { hard: restored.hard, marks: restored.peers.clone(), ..Kept::default() };
         self.raft = Raft::new(at.now, self.raft.id(), self.settings.raft, restored, seed);
         self.heartbeats = HolderHeartbeats::default();
         self.leader_tasks = LeaderTasks::default();
@@ -327,7 +327,7 @@
         self.kept = Kept {
             meta: meta.clone(),
             hard: restored.hard,
-            marks: restored.marks.clone(),
+            marks: restored.peers.clone(),
             entries: restored.entries.clone(),
         };
         let bytes = body::pack(&State::default());
