--- a/crates/router/src/gateway/limits.rs
+++ b/crates/router/src/gateway/limits.rs
@@ -1,5 +1,8 @@
-//! Limits that replicas name, at a gateway: what it knows of them, the permits that it asks other
-//! gateways for before it sends, and those that it hands out itself.
+//! Rate limits of replicas at a gateway.
+//!
+//! A replica announces its limit in a response header. Before the gateway sends a request to a replica
+//! with a limit, it requests a permit from the gateways that issue them (see [`PermitIssuers`]), which
+//! may include itself.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -19,110 +22,120 @@
 use rand::Rng;
 use tokio::time::Instant;
 
-use super::stand_in::Looks;
+use super::stand_in::IssuerProbes;
 use super::state::Gateway;
 
-/// How long another gateway may take to answer an ask. The request waits for it: no longer than a loan's.
-const ASK_WITHIN: Duration = Duration::from_millis(100);
+/// Timeout of a permit request to another gateway. The caller's request waits for it.
+const PERMIT_REQUEST_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// How long a gateway that did not answer is not asked again.
-const OUT_SPAN: Millis = Millis(1_500);
+/// How long a gateway that did not answer a permit request gets no further one.
+const UNREACHABLE_BACKOFF: Millis = Millis(1_500);
 
-/// When a replica whose permits nobody hands out is tried again.
-const NOBODY_AFTER: Millis = Millis(500);
+/// Retry delay when no gateway issues permits for a replica.
+const NO_ISSUER_DELAY: Millis = Millis(500);
 
-/// Permits that are asked for at once, at most.
-const WANTED_MOST: u32 = 16;
+/// Maximum number of permits in one request.
+const MAX_WANTED: u32 = 16;
 
-/// How often it is told again that a replica goes on naming the same limit.
-const TELL_AGAIN: Millis = Millis::seconds(5);
+/// Interval between reports to control processes on a limit that replicas keep announcing unchanged.
+const REPORT_INTERVAL: Millis = Millis::seconds(5);
 
-/// Words that one question to a control process carries, at most.
-const WORDS: usize = 64;
+/// Maximum number of reports in one watch request.
+const MAX_REPORTS: usize = 64;
 
-/// Replicas that are remembered for having said what cannot be read.
-const UNREADABLE_MOST: usize = 256;
+/// Maximum number of replicas remembered as logged for an invalid limit.
+const MAX_LOGGED: usize = 256;
 
-/// How long permits of a replica that nobody asks for are remembered.
-const PERMITS_KEPT: Millis = Millis::seconds(120);
+/// How long the permits of a replica are kept without a request for them.
+const PERMITS_IDLE_TTL: Millis = Millis::seconds(120);
 
-/// The longest after which callers are told to come back: until then others that went away have made room.
-const BACK_MOST: Millis = Millis::seconds(3);
+/// Maximum `Retry-After` of a refused caller. By then other callers have given up and freed capacity.
+const MAX_RETRY_DELAY: Millis = Millis::seconds(3);
 
-/// Why a request gets no permit.
+/// A denied permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Denied {
-    /// When to ask again.
+    /// When to retry.
     pub after: Millis,
-    /// Nobody answered: more asks would make the request wait.
+    /// No gateway answered, so a further permit request would only delay the caller's request.
     pub unanswered: bool,
 }
 
-/// Permits at hand for one replica.
+/// Unused permits for one replica.
 #[derive(Clone, Copy, Debug, Default)]
-struct Stock {
-    left: u32,
-    until: Time,
-    /// How many were asked for last.
-    wanted: u32,
+struct CachedPermits {
+    remaining: u32,
+    valid_until: Time,
+    /// Number of permits in the last request.
+    last_wanted: u32,
 }
 
-impl Stock {
-    fn take(&mut self, now: Time) -> bool {
-        let there = self.left > 0 && now < self.until;
-        self.left -= u32::from(there);
-        there
+impl CachedPermits {
+    /// Uses one permit. Returns whether there was a valid one.
+    fn try_take(&mut self, now: Time) -> bool {
+        let available = self.remaining > 0 && now < self.valid_until;
+        self.remaining -= u32::from(available);
+        available
     }
 
-    /// How many to ask for: twice as many as last if those were used up while they were good.
-    fn next(&self, now: Time) -> u32 {
-        let used_up = self.left == 0 && now < self.until;
-        if used_up { (self.wanted * 2).clamp(1, WANTED_MOST) } else { 1 }
+    /// Returns the number of permits to request: twice the last number if all of those were used before
+    /// they expired, else 1.
+    fn next_wanted(&self, now: Time) -> u32 {
+        let used_up = self.remaining == 0 && now < self.valid_until;
+        if used_up { (self.last_wanted * 2).clamp(1, MAX_WANTED) } else { 1 }
     }
 }
 
-/// What a gateway knows of the limits of replicas.
+/// The rate limits that a gateway knows, and the permits that it holds and issues.
 #[derive(Default)]
 pub struct Limits {
     known: RefCell<known::Limits>,
-    /// The same number as there are in `known`, for a first look at each request.
-    named: Cell<usize>,
-    permits: RefCell<PermitBuckets>,
-    homes: RefCell<PermitIssuers>,
-    /// The gateways of data centres with many and with few of them.
-    areas: RefCell<Vec<DataCentreRouters>>,
-    few: RefCell<Vec<DataCentreRouters>>,
-    stock: RefCell<HashMap<String, Stock>>,
-    /// When gateways last did not answer an ask.
-    out: RefCell<BTreeMap<SocketAddr, Time>>,
-    /// When the next caller of each service is told to come back.
-    turns: RefCell<HashMap<String, RetrySchedule>>,
-    /// Gateways that are to be looked at.
-    pub looks: Looks,
-    /// Replicas whose word could not be read, and has been logged.
-    unreadable: RefCell<BTreeSet<String>>,
+    /// Number of limited replicas in `known`, for a cheap check on each request.
+    limited_count: Cell<usize>,
+    buckets: RefCell<PermitBuckets>,
+    issuers: RefCell<PermitIssuers>,
+    /// The gateways of data centres with enough of them for homes.
+    with_homes: RefCell<Vec<DataCentreRouters>>,
+    /// The gateways of data centres with too few of them for homes.
+    without_homes: RefCell<Vec<DataCentreRouters>>,
+    cached: RefCell<HashMap<String, CachedPermits>>,
+    /// When each gateway last failed to answer a permit request.
+    unreachable: RefCell<BTreeMap<SocketAddr, Time>>,
+    /// `Retry-After` schedule of each service's refused callers.
+    retry_schedules: RefCell<HashMap<String, RetrySchedule>>,
+    /// Requested probes of primary issuers.
+    pub probes: IssuerProbes,
+    /// Replicas whose invalid limit has been logged.
+    logged: RefCell<BTreeSet<String>>,
 }
 
 impl Limits {
-    /// Whether a replica names a limit.
+    /// Returns whether a replica has a limit.
     pub fn names_one(&self, replica: &str) -> bool {
-        self.named.get() > 0 && self.known.borrow().rate(replica).is_some()
+        self.limited_count.get() > 0 && self.known.borrow().rate(replica).is_some()
     }
 
-    /// What holds of a replica, for a refusal: its limit and since when it names one.
+    /// Returns a description of a replica's limit for the detail of a refusal.
     pub fn describe(&self, now: Time, replica: &str) -> String {
         let known = self.known.borrow();
         let (rate, age) = (DisplayLimit(known.rate(replica)), known.age(now, replica));
         format!("replica {replica} takes {rate} a second, named {} ms ago", age.0)
     }
 
-    /// Takes what an answer to the request `id`, sent at `sent`, says of its replica's limit.
-    pub fn heard(&self, gw: &Gateway, replica: &str, id: &str, sent: Instant, said: LimitHeader) {
-        let rate = match said {
-            LimitHeader::Absent if self.named.get() == 0 => return,
+    /// Records the limit header of a response to the request `id`, which was sent at `sent`.
+    pub fn record_response(
+        &self,
+        gw: &Gateway,
+        replica: &str,
+        id: &str,
+        sent: Instant,
+        header: LimitHeader,
+    ) {
+        let rate = match header {
+            LimitHeader::Absent if self.limited_count.get() == 0 => return,
             LimitHeader::Absent => None,
             LimitHeader::Limit(rate) => Some(rate),
-            LimitHeader::Invalid => return self.tell_unreadable(replica, id),
+            LimitHeader::Invalid => return self.log_invalid(replica, id),
         };
         let now = gw.now();
         let sent = now.before(Millis(sent.elapsed().as_millis() as u64));
@@ -134,18 +147,18 @@
         }
     }
 
-    /// Takes what a control process tells of limits.
-    pub fn told(&self, gw: &Gateway, words: &[LimitReport]) {
-        for w in words.iter().filter(|w| gw.is_running(&w.replica, w.born)) {
-            let change = self.known.borrow_mut().apply(gw.now(), w);
+    /// Applies reports from a control process.
+    pub fn told(&self, gw: &Gateway, reports: &[LimitReport]) {
+        for r in reports.iter().filter(|r| gw.is_running(&r.replica, r.born)) {
+            let change = self.known.borrow_mut().apply(gw.now(), r);
             if let Some(change) = change {
-                self.apply(gw, &w.replica, change, "control", "");
+                self.apply(gw, &r.replica, change, "control", "");
             }
         }
     }
 
     fn apply(&self, gw: &Gateway, replica: &str, change: LimitChange, by: &str, id: &str) {
-        self.count();
+        self.update_count();
         gw.set_rate_limited(replica, change.to.is_some());
         emit!(
             Event::LimitChanged,
@@ -157,83 +170,89 @@
         );
     }
 
-    fn count(&self) {
-        let named = self.known.borrow().limited().count();
-        self.named.set(named);
-        gauge!(metric::LIMITED).set(named as f64);
+    fn update_count(&self) {
+        let count = self.known.borrow().limited().count();
+        self.limited_count.set(count);
+        gauge!(metric::LIMITED).set(count as f64);
     }
 
-    fn tell_unreadable(&self, replica: &str, id: &str) {
-        let mut told = self.unreadable.borrow_mut();
-        if told.len() >= UNREADABLE_MOST {
-            told.clear();
+    /// Logs an invalid limit header, once per replica.
+    fn log_invalid(&self, replica: &str, id: &str) {
+        let mut logged = self.logged.borrow_mut();
+        if logged.len() >= MAX_LOGGED {
+            logged.clear();
         }
-        if told.insert(replica.to_owned()) {
+        if logged.insert(replica.to_owned()) {
             emit!(Event::LimitUnreadable, replica = replica, id = id);
         }
     }
 
-    /// What control processes are to be told: what this gateway heard itself.
+    /// Returns the due reports to control processes on this gateway's own observations, and marks them
+    /// as reported.
     pub fn reports(&self, now: Time) -> Vec<LimitReport> {
-        if self.named.get() == 0 && self.known.borrow().position() == 0 {
+        if self.limited_count.get() == 0 && self.known.borrow().position() == 0 {
             return Vec::new();
         }
-        self.known.borrow_mut().take_due_reports(now, TELL_AGAIN, WORDS)
+        self.known.borrow_mut().take_due_reports(now, REPORT_INTERVAL, MAX_REPORTS)
     }
 
-    /// Forgets a replica that has left or started again.
+    /// Removes all state of a replica that has left or restarted.
     pub fn forget(&self, replica: &str) {
-        self.stock.borrow_mut().remove(replica);
-        self.permits.borrow_mut().remove(replica);
-        self.homes.borrow_mut().remove(replica);
+        self.cached.borrow_mut().remove(replica);
+        self.buckets.borrow_mut().remove(replica);
+        self.issuers.borrow_mut().remove(replica);
         if self.known.borrow_mut().remove(replica).is_some() {
-            self.count();
+            self.update_count();
         }
     }
 
-    /// Forgets what is old.
-    pub fn trim(&self, gw: &Gateway) {
+    /// Removes expired state.
+    pub fn remove_expired(&self, gw: &Gateway) {
         let now = gw.now();
-        let gone =
+        let expired =
             self.known.borrow_mut().expire(now, |replica, born| gw.is_running(replica, born));
-        for replica in gone {
+        for replica in expired {
             self.forget(&replica);
             gw.set_rate_limited(&replica, false);
         }
-        self.count();
-        self.permits.borrow_mut().expire(now, PERMITS_KEPT);
-        self.stock.borrow_mut().retain(|_, s| now.since(s.until) < PERMITS_KEPT);
-        self.turns.borrow_mut().retain(|_, turns| !turns.is_idle(now));
-        self.out.borrow_mut().retain(|_, at| now.since(*at) < OUT_SPAN);
+        self.update_count();
+        self.buckets.borrow_mut().expire(now, PERMITS_IDLE_TTL);
+        self.cached.borrow_mut().retain(|_, c| now.since(c.valid_until) < PERMITS_IDLE_TTL);
+        self.retry_schedules.borrow_mut().retain(|_, schedule| !schedule.is_idle(now));
+        self.unreachable.borrow_mut().retain(|_, at| now.since(*at) < UNREACHABLE_BACKOFF);
     }
 
-    /// The digest of the gateways of small data centres, to tell a control process whose word on the
-    /// others is wanted or not.
-    pub fn few_digest(&self, areas: u64) -> u64 {
-        if areas == NOT_WANTED { NOT_WANTED } else { digest(&self.few.borrow()) }
+    /// Returns the digest of the gateways of data centres without homes, for a watch request. Returns
+    /// [`NOT_WANTED`] if `with_homes`, the digest of the other data centres' gateways, is that too.
+    pub fn few_digest(&self, with_homes: u64) -> u64 {
+        if with_homes == NOT_WANTED { NOT_WANTED } else { digest(&self.without_homes.borrow()) }
     }
 
-    /// Takes the gateways of data centres with many of them into use.
-    pub fn set_areas(&self, now: Time, areas: &[DataCentreRouters]) {
-        *self.areas.borrow_mut() = areas.to_vec();
-        self.set_homes(now);
+    /// Replaces the gateways of data centres with homes.
+    pub fn set_areas(&self, now: Time, routers: &[DataCentreRouters]) {
+        *self.with_homes.borrow_mut() = routers.to_vec();
+        self.update_issuers(now);
     }
 
-    /// Takes the gateways of data centres with few of them into use.
-    pub fn set_few(&self, now: Time, few: Vec<DataCentreRouters>) {
-        *self.few.borrow_mut() = few;
-        self.set_homes(now);
+    /// Replaces the gateways of data centres without homes.
+    pub fn set_few(&self, now: Time, routers: Vec<DataCentreRouters>) {
+        *self.without_homes.borrow_mut() = routers;
+        self.update_issuers(now);
     }
 
-    fn set_homes(&self, now: Time) {
-        let (areas, few) = (self.areas.borrow(), self.few.borrow());
-        let links = |a: &DataCentreRouters| a.links.iter().filter_map(|l| l.parse().ok()).collect();
-        let all = areas.iter().chain(few.iter()).map(|a| (a.data_centre.clone(), links(a)));
-        self.homes.borrow_mut().set_routers(now, all.collect());
+    fn update_issuers(&self, now: Time) {
+        let (with_homes, without_homes) = (self.with_homes.borrow(), self.without_homes.borrow());
+        let links = |d: &DataCentreRouters| d.links.iter().filter_map(|l| l.parse().ok()).collect();
+        let all = with_homes
+            .iter()
+            .chain(without_homes.iter())
+            .map(|d| (d.data_centre.clone(), links(d)));
+        self.issuers.borrow_mut().set_routers(now, all.collect());
     }
 
-    /// Has a request of this priority let through to a replica, if that names a limit. Every send needs
-    /// one: first tries, further ones, and the second on a connection that turned out to be closed.
+    /// Acquires a permit for one request of this priority to a replica; succeeds at once if the replica
+    /// has no limit. Each send needs its own permit, including retries and a resend after a kept
+    /// connection turned out to be closed.
     pub async fn permit(
         &self,
         gw: &Gateway,
@@ -241,36 +260,37 @@
         data_centre: &str,
         priority: u8,
     ) -> Result<(), Denied> {
-        if self.named.get() == 0 {
+        if self.limited_count.get() == 0 {
             return Ok(());
         }
         let Some(rate) = self.known.borrow().rate(replica) else { return Ok(()) };
-        let asked = gw.now();
+        let requested = gw.now();
         let wanted = {
-            let mut stock = self.stock.borrow_mut();
-            let s = stock.entry(replica.to_owned()).or_default();
-            if s.take(asked) {
+            let mut cached = self.cached.borrow_mut();
+            let c = cached.entry(replica.to_owned()).or_default();
+            if c.try_take(requested) {
                 counter!(metric::PERMITS, "end" => "at_hand").increment(1);
                 return Ok(());
             }
-            s.next(asked)
+            c.next_wanted(requested)
         };
-        let ask = PermitRequest {
+        let req = PermitRequest {
             replica: replica.to_owned(),
             data_centre: data_centre.to_owned(),
             rate,
             priority,
             wanted,
         };
-        let grant = self.ask(gw, &ask).await;
-        self.take(gw, &ask, asked, grant)
+        let grant = self.request_grant(gw, &req).await;
+        self.apply_grant(gw, &req, requested, grant)
     }
 
-    fn take(
+    /// Uses one permit of a grant and caches the others.
+    fn apply_grant(
         &self,
         gw: &Gateway,
-        ask: &PermitRequest,
-        asked: Time,
+        req: &PermitRequest,
+        requested: Time,
         grant: Option<Grant>,
     ) -> Result<(), Denied> {
         let end = match grant {
@@ -281,110 +301,119 @@
         counter!(metric::PERMITS, "end" => end).increment(1);
         match grant {
             Some(g) if g.permits > 0 => {
-                let left = g.permits - 1;
-                let s = Stock { left, until: asked.after(PERMIT_TTL), wanted: ask.wanted };
-                self.stock.borrow_mut().insert(ask.replica.clone(), s);
+                let remaining = g.permits - 1;
+                let c = CachedPermits {
+                    remaining,
+                    valid_until: requested.after(PERMIT_TTL),
+                    last_wanted: req.wanted,
+                };
+                self.cached.borrow_mut().insert(req.replica.clone(), c);
                 Ok(())
             }
-            Some(g) => Err(Denied { after: spread(g.after), unanswered: false }),
+            Some(g) => Err(Denied { after: with_jitter(g.after), unanswered: false }),
             None => {
                 emit!(
                     Event::PermitUnanswered,
-                    replica = ask.replica,
-                    routers = self.homes.borrow().router_count(),
-                    ago_ms = gw.now().since(asked).0,
+                    replica = req.replica,
+                    routers = self.issuers.borrow().router_count(),
+                    ago_ms = gw.now().since(requested).0,
                 );
-                Err(Denied { after: spread(NOBODY_AFTER), unanswered: true })
+                Err(Denied { after: with_jitter(NO_ISSUER_DELAY), unanswered: true })
             }
         }
     }
 
-    /// Asks the first gateway that hands out a replica's permits, and the second where that is out or stands
-    /// back and has none.
-    async fn ask(&self, gw: &Gateway, ask: &PermitRequest) -> Option<Grant> {
+    /// Requests permits from the primary issuer, and from the secondary if the primary does not answer
+    /// or has none at the reduced rate. Returns `None` if no issuer answers.
+    async fn request_grant(&self, gw: &Gateway, req: &PermitRequest) -> Option<Grant> {
         let own = gw.settings.link;
         let mut denied = None;
-        for to in self.homes_in_reach(gw, ask) {
-            let grant = match to == own {
-                true => Some(self.serve(gw, ask)),
-                false => gw.peers.permits(gw, to, ask, ASK_WITHIN).await,
+        for issuer in self.reachable_issuers(gw, req) {
+            let grant = match issuer == own {
+                true => Some(self.serve(gw, req)),
+                false => gw.peers.permits(gw, issuer, req, PERMIT_REQUEST_TIMEOUT).await,
             };
             match grant {
                 Some(g) if g.permits == 0 && g.reduced => denied = Some(g),
                 Some(g) => return Some(g),
                 None => {
-                    self.out.borrow_mut().insert(to, gw.now());
+                    self.unreachable.borrow_mut().insert(issuer, gw.now());
                 }
             }
         }
         denied
     }
 
-    fn homes_in_reach(&self, gw: &Gateway, ask: &PermitRequest) -> Vec<SocketAddr> {
+    fn reachable_issuers(&self, gw: &Gateway, req: &PermitRequest) -> Vec<SocketAddr> {
         let now = gw.now();
-        let mut homes = self.homes.borrow_mut();
-        let all = homes.issuers(gw.settings.link, &ask.replica, &ask.data_centre).iter().copied();
-        all.filter(|a| !self.is_out(now, a)).collect()
+        let mut issuers = self.issuers.borrow_mut();
+        let all = issuers.issuers(gw.settings.link, &req.replica, &req.data_centre).iter().copied();
+        all.filter(|a| !self.is_unreachable(now, a)).collect()
     }
 
-    fn is_out(&self, now: Time, gateway: &SocketAddr) -> bool {
-        self.out.borrow().get(gateway).is_some_and(|at| now.since(*at) < OUT_SPAN)
+    fn is_unreachable(&self, now: Time, gateway: &SocketAddr) -> bool {
+        self.unreachable
+            .borrow()
+            .get(gateway)
+            .is_some_and(|at| now.since(*at) < UNREACHABLE_BACKOFF)
     }
 
-    /// Answers an ask for permits: another gateway's, or the own.
-    pub fn serve(&self, gw: &Gateway, ask: &PermitRequest) -> Grant {
+    /// Issues permits for another gateway's request or this gateway's own.
+    pub fn serve(&self, gw: &Gateway, req: &PermitRequest) -> Grant {
         let (now, own) = (gw.now(), gw.settings.link);
         let issue_rate =
-            self.homes.borrow_mut().issue_rate(now, own, &ask.replica, &ask.data_centre);
-        // Whoever asks has another list than this one.
+            self.issuers.borrow_mut().issue_rate(now, own, &req.replica, &req.data_centre);
+        // The requesting gateway has a different list of gateways.
         let Some(issue_rate) = issue_rate else {
-            return Grant { after: NOBODY_AFTER, ..Grant::default() };
+            return Grant { after: NO_ISSUER_DELAY, ..Grant::default() };
         };
-        self.look_after_first(gw, ask);
-        // Of two that heard different limits the lower holds until both know.
-        let known = self.known.borrow().rate(&ask.replica).unwrap_or(ask.rate);
-        let ask = PermitRequest { rate: ask.rate.min(known), ..ask.clone() };
-        let grant = self.permits.borrow_mut().grant(now, &ask, issue_rate);
+        self.request_probe(gw, req);
+        // While the two gateways know different limits, the lower one applies.
+        let known = self.known.borrow().rate(&req.replica).unwrap_or(req.rate);
+        let req = PermitRequest { rate: req.rate.min(known), ..req.clone() };
+        let grant = self.buckets.borrow_mut().grant(now, &req, issue_rate);
         counter!(metric::PERMITS_GIVEN).increment(u64::from(grant.permits));
-        let settles =
-            self.homes.borrow_mut().reduced_until(now, own, &ask.replica, &ask.data_centre);
-        Grant { reduced: settles.is_some(), ..grant }
+        let reduced_until =
+            self.issuers.borrow_mut().reduced_until(now, own, &req.replica, &req.data_centre);
+        Grant { reduced: reduced_until.is_some(), ..grant }
     }
 
-    /// How much longer this gateway stands back as the first of a replica.
+    /// Returns how much longer this gateway issues a replica's permits at the reduced rate as its new
+    /// primary, or `None` if it does not.
     pub fn settles(&self, gw: &Gateway, replica: &str, data_centre: &str) -> Option<Millis> {
         let (now, own) = (gw.now(), gw.settings.link);
-        let until = self.homes.borrow_mut().reduced_until(now, own, replica, data_centre)?;
+        let until = self.issuers.borrow_mut().reduced_until(now, own, replica, data_centre)?;
         Some(until.since(now))
     }
 
-    /// Has the first of a replica looked at, if this gateway is the second and does not know that it stands
-    /// back.
-    fn look_after_first(&self, gw: &Gateway, ask: &PermitRequest) {
+    /// Requests a probe of the replica's primary issuer if this gateway is the secondary and has no
+    /// recent probe result.
+    fn request_probe(&self, gw: &Gateway, req: &PermitRequest) {
         let (now, own) = (gw.now(), gw.settings.link);
-        let mut homes = self.homes.borrow_mut();
-        if let Some(first) = homes.primary_to_probe(now, own, &ask.replica, &ask.data_centre) {
-            self.looks.wish(first, &ask.replica, &ask.data_centre);
+        let mut issuers = self.issuers.borrow_mut();
+        if let Some(primary) = issuers.primary_to_probe(now, own, &req.replica, &req.data_centre) {
+            self.probes.request(primary, &req.replica, &req.data_centre);
         }
     }
 
-    /// Takes what a look at the first of a replica has shown: it stands back until `until`.
-    pub fn stands_back(&self, now: Time, replica: &str, first: SocketAddr, until: Time) {
-        self.homes.borrow_mut().record_reduced(now, replica, first, until);
+    /// Records the result of a probe that started at `now`: the primary issuer of a replica issues no
+    /// more than the reduced rate until `until`.
+    pub fn record_reduced(&self, now: Time, replica: &str, primary: SocketAddr, until: Time) {
+        self.issuers.borrow_mut().record_reduced(now, replica, primary, until);
     }
 
-    /// When a caller is to come back that no replica of `service` takes before `first`. Callers come back
-    /// one after the other, at this gateway's part of what the service's limits allow.
-    pub fn come_back(&self, gw: &Gateway, service: &str, first: Millis) -> Millis {
+    /// Returns the `Retry-After` of a caller that no replica of `service` accepts before `min_delay`.
+    /// Callers are spaced at this gateway's share of the sum of the service's limits.
+    pub fn come_back(&self, gw: &Gateway, service: &str, min_delay: Millis) -> Millis {
         let now = gw.now();
-        let allowed: u64 = gw.rate_limited(service).iter().map(|r| self.rate(r).0).sum();
-        let routers = self.homes.borrow().router_count().max(1) as u64;
-        let each = Millis(1_000_000 * routers / allowed.max(1));
-        let mut turns = self.turns.borrow_mut();
-        let turns = turns.entry(service.to_owned()).or_default();
-        turns.next_delay(
+        let total: u64 = gw.rate_limited(service).iter().map(|r| self.rate(r).0).sum();
+        let routers = self.issuers.borrow().router_count().max(1) as u64;
+        let spacing = Millis(1_000_000 * routers / total.max(1));
+        let mut schedules = self.retry_schedules.borrow_mut();
+        let schedule = schedules.entry(service.to_owned()).or_default();
+        schedule.next_delay(
             now,
-            &RetrySpacing { earliest: first, interval: each, max: BACK_MOST },
+            &RetrySpacing { earliest: min_delay, interval: spacing, max: MAX_RETRY_DELAY },
             &mut rand::rng(),
         )
     }
@@ -394,8 +423,8 @@
     }
 }
 
-/// A span, or up to a quarter less: those that were told the same do not come back together, and one that
-/// is early finds what others have left.
-fn spread(span: Millis) -> Millis {
+/// Returns `span` less a random part of up to a quarter, so that gateways with the same delay do not
+/// retry at the same time.
+fn with_jitter(span: Millis) -> Millis {
     Millis(span.0 - rand::rng().random_range(0..=span.0 / 4))
 }
--- a/crates/router/src/gateway/notices.rs
+++ b/crates/router/src/gateway/notices.rs
@@ -1,5 +1,5 @@
-//! What replicas say of themselves in the heads of their answers: the limit that they name, the rest that
-//! they ask for, and that they leave.
+//! Signals that replicas send in the headers of their responses: a rate limit, a backoff
+//! (`Retry-After`), and that they are about to leave.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,26 +17,26 @@
 use super::job::RoutedRequest;
 use super::state::Gateway;
 
-/// Replicas that are remembered for having said what cannot be read.
-const UNREADABLE_MOST: usize = 256;
+/// Maximum number of replicas remembered as logged for an invalid backoff.
+const MAX_LOGGED: usize = 256;
 
-/// Replicas that leave which one question to a control process tells of, at most.
-const LEAVING_MOST: usize = 64;
+/// Maximum number of leaving replicas in one watch request.
+const MAX_LEAVING_REPORTS: usize = 64;
 
-/// Which send of a request this is.
+/// The kind of a send, for metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Try {
-    /// The first.
+    /// The first send of the request.
     First,
-    /// One to another replica.
+    /// A retry at another replica.
     Further,
-    /// The same again, on a new connection.
+    /// A resend to the same replica on a new connection.
     Again,
 }
 
 impl Try {
-    /// Its name in metrics.
-    fn name(self) -> &'static str {
+    /// Returns the value of the `try` label in metrics.
+    fn label(self) -> &'static str {
         match self {
             Try::First => "first",
             Try::Further => "further",
@@ -45,79 +45,79 @@
     }
 }
 
-/// The replica that a request was sent to, in the life that it had then.
+/// The replica incarnation that a request was sent to.
 pub struct Addressee<'a> {
-    /// Its id.
+    /// The replica's id.
     pub replica: &'a str,
-    /// Its address.
+    /// The replica's address.
     pub address: SocketAddr,
-    /// When that life began; 0 if it does not say.
+    /// Start time of the incarnation, or 0 if not reported.
     pub born: u64,
     /// When the request was sent.
     pub sent: Instant,
 }
 
-/// What is known of a replica that leaves.
-struct Known {
-    /// When that life of it began; 0 if it does not say.
+/// A replica that is leaving.
+struct LeavingReplica {
+    /// Start time of the incarnation, or 0 if not reported.
     born: u64,
-    /// Control processes take it for ready, as far as they have told.
-    to_tell: bool,
+    /// Whether control processes have to be informed: the last status that one sent is ready.
+    needs_report: bool,
 }
 
-/// What is remembered of what replicas said.
+/// State from the signals of replicas.
 #[derive(Default)]
 pub struct Notices {
-    /// Replicas that said that they leave, or are known to.
-    leaving: RefCell<BTreeMap<String, Known>>,
-    /// Replicas whose word on a rest could not be read, and has been logged.
-    unreadable: RefCell<BTreeSet<String>>,
+    /// Replicas that are leaving.
+    leaving: RefCell<BTreeMap<String, LeavingReplica>>,
+    /// Replicas whose invalid backoff has been logged.
+    logged: RefCell<BTreeSet<String>>,
 }
 
 impl Notices {
-    /// Takes what the head of an answer to this request says. An answer of another replica says nothing
-    /// of this one, nor does one of a life that is over.
-    pub fn heard(&self, request: &RoutedRequest, to: &Addressee, said: &Head) {
+    /// Records the signals in a response to this request. Ignores responses of another replica or of an
+    /// earlier incarnation.
+    pub fn heard(&self, request: &RoutedRequest, to: &Addressee, head: &Head) {
         let gw = &request.gw;
-        if !is_of_this_life(gw, to, said) {
+        if !is_current(gw, to, head) {
             return;
         }
-        self.hear_rest(request, to, said);
-        // One that does not name its request may be older than it looks: it names a limit, and its
-        // silence ends none.
-        if said.id.is_some() || said.limit != LimitHeader::Absent {
-            gw.limits.heard(gw, to.replica, &request.inbound.id, to.sent, said.limit);
+        self.hear_rest(request, to, head);
+        // A response without a request id may be older than this request, so it can announce a limit
+        // but not lift one.
+        if head.id.is_some() || head.limit != LimitHeader::Absent {
+            gw.limits.record_response(gw, to.replica, &request.inbound.id, to.sent, head.limit);
         }
-        if said.leaving {
-            self.hear_leaving(request, to);
+        if head.leaving {
+            self.record_leaving(request, to);
         }
     }
 
-    /// Takes what an answer of the replica says of a rest, whichever request it answers.
-    pub fn hear_rest(&self, request: &RoutedRequest, to: &Addressee, said: &Head) {
-        if !is_of_this_life(&request.gw, to, said) {
+    /// Records the backoff that a response of the replica requests, whichever request it answers.
+    pub fn hear_rest(&self, request: &RoutedRequest, to: &Addressee, head: &Head) {
+        if !is_current(&request.gw, to, head) {
             return;
         }
-        match said.rest {
+        match head.rest {
             rest::RetryAfter::Absent => {}
-            rest::RetryAfter::Invalid => self.tell_unreadable(to.replica, &request.inbound.id),
+            rest::RetryAfter::Invalid => self.log_invalid(to.replica, &request.inbound.id),
             rest::RetryAfter::Delay(span) => {
-                let under_way = request.gw.back_off(&request.service, to.address, span);
+                let outstanding = request.gw.back_off(&request.service, to.address, span);
                 counter!(metric::RESTS, "service" => request.service.clone()).increment(1);
                 emit!(
                     Event::RestBegun,
                     replica = to.replica,
                     span_ms = span.0,
-                    under_way = under_way,
+                    under_way = outstanding,
                     id = request.inbound.id,
                 );
             }
         }
     }
 
-    /// It leaves for good in this life, whatever its heartbeats say. Other gateways hear of it from the
-    /// control processes.
-    fn hear_leaving(&self, request: &RoutedRequest, to: &Addressee) {
+    /// Marks a replica as leaving for the rest of its incarnation, whatever its heartbeats report. Other
+    /// gateways are informed by the control processes.
+    fn record_leaving(&self, request: &RoutedRequest, to: &Addressee) {
         if !request.gw.mark_draining(to.replica) {
             return;
         }
@@ -126,48 +126,53 @@
         request.gw.poll_sources_now();
     }
 
-    fn set_leaving(&self, replica: &str, born: u64, to_tell: bool) {
-        self.leaving.borrow_mut().insert(replica.to_owned(), Known { born, to_tell });
+    fn set_leaving(&self, replica: &str, born: u64, needs_report: bool) {
+        self.leaving.borrow_mut().insert(replica.to_owned(), LeavingReplica { born, needs_report });
     }
 
-    /// Takes note that a control process takes a replica that leaves for ready, or knows better.
-    pub fn told(&self, replica: &str, born: u64, said: ReplicaStatus) {
-        self.set_leaving(replica, born, said < ReplicaStatus::Draining);
+    /// Records the status that a control process sent for a leaving replica. If it is ready, the replica
+    /// is reported.
+    pub fn told(&self, replica: &str, born: u64, status: ReplicaStatus) {
+        self.set_leaving(replica, born, status < ReplicaStatus::Draining);
     }
 
-    /// What control processes are to be told, until they say so themselves.
+    /// Returns the leaving replicas to report to control processes. Each is reported until a control
+    /// process sends it as draining.
     pub fn to_tell(&self) -> Vec<Leaving> {
         let all = self.leaving.borrow();
-        let to_tell = all.iter().filter(|(_, k)| k.to_tell).take(LEAVING_MOST);
-        to_tell.map(|(id, k)| Leaving { replica: id.clone(), born: k.born }).collect()
+        let due = all.iter().filter(|(_, l)| l.needs_report).take(MAX_LEAVING_REPORTS);
+        due.map(|(id, l)| Leaving { replica: id.clone(), born: l.born }).collect()
     }
 
-    fn tell_unreadable(&self, replica: &str, id: &str) {
-        let mut told = self.unreadable.borrow_mut();
-        if told.len() >= UNREADABLE_MOST {
-            told.clear();
+    /// Logs an invalid backoff, once per replica.
+    fn log_invalid(&self, replica: &str, id: &str) {
+        let mut logged = self.logged.borrow_mut();
+        if logged.len() >= MAX_LOGGED {
+            logged.clear();
         }
-        if told.insert(replica.to_owned()) {
+        if logged.insert(replica.to_owned()) {
             emit!(Event::RestUnreadable, replica = replica, id = id);
         }
     }
 
-    /// Counts a send to a replica that wants none.
-    pub fn count_send(&self, request: &RoutedRequest, to: &Addressee, which: Try) {
+    /// Counts a send to a replica that is backing off or leaving.
+    pub fn count_send(&self, request: &RoutedRequest, to: &Addressee, kind: Try) {
         if request.gw.is_backing_off(&request.service, to.address) {
-            counter!(metric::SENT_IN_REST, "try" => which.name()).increment(1);
+            counter!(metric::SENT_IN_REST, "try" => kind.label()).increment(1);
         }
-        if self.leaving.borrow().get(to.replica).is_some_and(|k| k.born == to.born) {
-            counter!(metric::SENT_TO_LEAVING, "try" => which.name()).increment(1);
+        if self.leaving.borrow().get(to.replica).is_some_and(|l| l.born == to.born) {
+            counter!(metric::SENT_TO_LEAVING, "try" => kind.label()).increment(1);
         }
     }
 
-    /// Forgets replicas that are not there any more.
-    pub fn trim(&self, gw: &Gateway) {
-        self.leaving.borrow_mut().retain(|replica, k| gw.is_running(replica, k.born));
+    /// Removes incarnations that are no longer running.
+    pub fn remove_expired(&self, gw: &Gateway) {
+        self.leaving.borrow_mut().retain(|replica, l| gw.is_running(replica, l.born));
     }
 }
 
-fn is_of_this_life(gw: &Gateway, to: &Addressee, said: &Head) -> bool {
-    !said.another && gw.born(to.replica) == to.born
+/// Returns whether a response is from the replica that the request was sent to, and that replica is still
+/// in the same incarnation.
+fn is_current(gw: &Gateway, to: &Addressee, head: &Head) -> bool {
+    !head.another && gw.born(to.replica) == to.born
 }
--- a/crates/router/src/gateway/quarantine.rs
+++ b/crates/router/src/gateway/quarantine.rs
@@ -1,8 +1,8 @@
-//! What a gateway does about requests that end every replica that runs them: it reports ends of
-//! replicas to the control group, refuses what the group has quarantined, and tells it of suspects
-//! that are answered whole.
+//! Quarantine of requests that terminate every replica that runs them, at a gateway.
 //!
-//! While its reports do not arrive, it goes by what it saw itself as well.
+//! The gateway reports terminations of replicas to the control group, refuses the requests that the group
+//! has quarantined, and reports suspects that are answered completely. While a report is overdue, it
+//! also applies a local quarantine, based on the terminations that it detected itself.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeSet, HashSet};
@@ -28,97 +28,100 @@
 use super::state::Gateway;
 use super::witness::LostRequest;
 
-/// How long one report may take before it is put back.
-const REPORT_WITHIN: Duration = Duration::from_secs(5);
+/// Timeout of one report, after which it is queued again.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long after a report that failed the next is made.
-const PAUSE: Duration = Duration::from_millis(200);
+/// Delay between a failed report and the next.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// How long a report may be under way before this gateway goes by what it saw itself. A commit takes
-/// tens of milliseconds, and an election about a second.
-const ALONE_AFTER: Duration = Duration::from_millis(200);
+/// How long a report may take before the local quarantine applies too. A commit takes tens of
+/// milliseconds, and an election about a second.
+const REPORT_OVERDUE_AFTER: Duration = Duration::from_millis(200);
 
-/// Ended replicas that wait for their report; the oldest go first.
-const REPORTS_MOST: usize = 64;
+/// Maximum number of terminations that wait to be reported. Beyond it the oldest is dropped.
+const MAX_PENDING: usize = 64;
 
-/// An ended replica that has yet to be reported.
+/// The termination of a replica that has not been reported yet.
 #[derive(Clone)]
-struct Waiting {
+struct PendingTermination {
     replica: String,
-    since: Time,
+    at: Time,
     under_way: Vec<InFlightRequest>,
 }
 
-/// What a gateway knows of quarantined requests.
+/// A gateway's view of quarantined requests, and its pending reports.
 #[derive(Default)]
 pub struct Quarantines {
-    told: RefCell<QuarantineList>,
-    /// Requests that this gateway answered whole lately.
-    sound: RefCell<CompletedRequests>,
+    /// The list from the control processes.
+    list: RefCell<QuarantineList>,
+    /// Requests that this gateway recently answered completely.
+    completed: RefCell<CompletedRequests>,
     hasher: RandomState,
-    /// Briefs of all that `told` names, for a first look at each request.
+    /// Brief hashes of all requests in `list`, for a cheap check on each request.
     briefs: RefCell<HashSet<u64>>,
-    /// By the ends of replicas that this gateway saw.
-    own: RefCell<Quarantine>,
-    own_position: Cell<Index>,
-    waiting: RefCell<Vec<Waiting>>,
+    /// The local quarantine, from the terminations that this gateway detected.
+    local: RefCell<Quarantine>,
+    local_position: Cell<Index>,
+    pending: RefCell<Vec<PendingTermination>>,
+    /// Completely answered requests to report.
     survived: RefCell<BTreeSet<Fingerprint>>,
-    /// Requests of one strike that this gateway answered whole once since.
+    /// Requests with one strike that this gateway has answered completely once since.
     answered_once: RefCell<HashSet<Fingerprint>>,
-    /// Since when a report is under way.
-    reporting: Cell<Option<Instant>>,
+    /// Start of the report in progress, including its retries.
+    report_started: Cell<Option<Instant>>,
     wake: Notify,
 }
 
 impl Quarantines {
-    /// Revision of what the control processes told.
+    /// Returns the revision of the list from the control processes.
     pub fn revision(&self) -> Index {
-        self.told.borrow().revision
+        self.list.borrow().revision
     }
 
-    /// Takes what a control process tells.
-    pub fn take(&self, told: &QuarantineList) {
-        if !self.told.borrow_mut().replace_if_newer(told.clone()) {
+    /// Replaces the list by one from a control process, if that is newer.
+    pub fn take(&self, list: &QuarantineList) {
+        if !self.list.borrow_mut().replace_if_newer(list.clone()) {
             return;
         }
-        let all = told.quarantined.iter().chain(&told.suspects).chain(&told.struck);
+        let all = list.quarantined.iter().chain(&list.suspects).chain(&list.struck);
         *self.briefs.borrow_mut() = all.map(|f| f.brief).collect();
-        gauge!(metric::QUARANTINED).set(told.quarantined.len() as f64);
+        gauge!(metric::QUARANTINED).set(list.quarantined.len() as f64);
         emit!(
             Event::QuarantineSeen,
-            revision = told.revision,
-            quarantined = told.quarantined.len(),
-            suspects = told.suspects.len(),
-            struck = told.struck.len(),
+            revision = list.revision,
+            quarantined = list.quarantined.len(),
+            suspects = list.suspects.len(),
+            struck = list.struck.len(),
         );
-        self.answered_once.borrow_mut().retain(|f| told.struck.contains(f));
+        self.answered_once.borrow_mut().retain(|f| list.struck.contains(f));
     }
 
-    /// The fingerprint of a request, if it is quarantined.
+    /// Returns the fingerprint of a request if it is quarantined.
     pub fn find(&self, request: &RoutedRequest) -> Option<Fingerprint> {
-        let alone = self.is_alone();
-        if self.briefs.borrow().is_empty() && !alone {
+        let use_local = self.is_report_overdue();
+        if self.briefs.borrow().is_empty() && !use_local {
             return None;
         }
         let identity = request.identity();
-        let named = self.briefs.borrow().contains(&identity.brief());
-        if !named && !alone {
+        let may_be_listed = self.briefs.borrow().contains(&identity.brief());
+        if !may_be_listed && !use_local {
             return None;
         }
         let f = fingerprint(&identity);
-        let told = self.told.borrow().quarantined.contains(&f);
-        (told || (alone && self.own.borrow().contains(&f))).then_some(f)
+        let listed = self.list.borrow().quarantined.contains(&f);
+        (listed || (use_local && self.local.borrow().contains(&f))).then_some(f)
     }
 
-    /// Whether the group has not heard of the ends that this gateway saw.
-    fn is_alone(&self) -> bool {
-        self.reporting.get().is_some_and(|since| since.elapsed() >= ALONE_AFTER)
+    /// Returns whether the group has not confirmed a report in time.
+    fn is_report_overdue(&self) -> bool {
+        self.report_started.get().is_some_and(|since| since.elapsed() >= REPORT_OVERDUE_AFTER)
     }
 
-    /// Notes that a request was answered whole, and tells the group if that matters to anybody.
+    /// Records that a request was answered completely, and reports that if the request is a suspect or
+    /// quarantined, or has a strike and was answered completely twice.
     pub fn answered(&self, request: &RoutedRequest) {
         let identity = request.identity();
-        self.sound.borrow_mut().record(self.hasher.hash_one(identity));
+        self.completed.borrow_mut().record(self.hasher.hash_one(identity));
         if self.briefs.borrow().is_empty() {
             return;
         }
@@ -126,101 +129,107 @@
             return;
         }
         let f = fingerprint(&identity);
-        let told = self.told.borrow();
-        let again = || told.struck.contains(&f) && !self.answered_once.borrow_mut().insert(f);
-        if told.suspects.contains(&f) || told.quarantined.contains(&f) || again() {
+        let list = self.list.borrow();
+        let again = || list.struck.contains(&f) && !self.answered_once.borrow_mut().insert(f);
+        if list.suspects.contains(&f) || list.quarantined.contains(&f) || again() {
             self.survived.borrow_mut().insert(f);
             self.wake.notify_one();
         }
     }
 
-    /// What this process knows a request by among those that it answered whole.
+    /// Returns the per-process hash of a request, for [`Quarantines::is_sound`].
     pub fn hash(&self, request: &RoutedRequest) -> u64 {
         self.hasher.hash_one(request.identity())
     }
 
-    /// Whether this gateway answered a copy of a request whole lately.
+    /// Returns whether this gateway recently answered a copy of the request completely.
     pub fn is_sound(&self, hash: u64) -> bool {
-        self.sound.borrow().contains(hash)
+        self.completed.borrow().contains(hash)
     }
 
-    /// Notes that a replica has ended at `since` with these requests under way.
-    pub fn ended(&self, gw: &Gateway, replica: &str, since: Time, victims: Vec<LostRequest>) {
-        let under_way = |v: LostRequest| InFlightRequest {
+    /// Records and reports that a replica terminated at `at` with these requests in flight. Requests that
+    /// were recently answered completely are left out.
+    pub fn ended(&self, gw: &Gateway, replica: &str, at: Time, victims: Vec<LostRequest>) {
+        let in_flight = |v: LostRequest| InFlightRequest {
             fingerprint: v.fingerprint,
             account: v.account.unwrap_or_default(),
             age: v.age,
         };
         let suspects = victims.into_iter().filter(|v| !self.is_sound(v.hash));
-        let under_way: Vec<_> = suspects.map(under_way).collect();
+        let under_way: Vec<_> = suspects.map(in_flight).collect();
         if under_way.is_empty() {
             return;
         }
-        let own = TerminationReport {
+        let report = TerminationReport {
             replica: replica.to_owned(),
-            ago: gw.now().since(since),
+            ago: gw.now().since(at),
             under_way: under_way.clone(),
         };
-        self.own.borrow_mut().record_terminations(gw.now(), self.own_position.get(), &[own]);
-        self.own_position.set(self.own_position.get() + 1);
-        let mut waiting = self.waiting.borrow_mut();
-        if waiting.len() >= REPORTS_MOST {
-            let lost = waiting.remove(0);
-            emit!(Event::EndsUnreported, replica = lost.replica, requests = lost.under_way.len());
+        self.local.borrow_mut().record_terminations(gw.now(), self.local_position.get(), &[report]);
+        self.local_position.set(self.local_position.get() + 1);
+        let mut pending = self.pending.borrow_mut();
+        if pending.len() >= MAX_PENDING {
+            let dropped = pending.remove(0);
+            emit!(
+                Event::EndsUnreported,
+                replica = dropped.replica,
+                requests = dropped.under_way.len()
+            );
         }
-        waiting.push(Waiting { replica: replica.to_owned(), since, under_way });
+        pending.push(PendingTermination { replica: replica.to_owned(), at, under_way });
         self.wake.notify_one();
     }
 }
 
-fn report(now: Time, all: &[Waiting]) -> Command {
-    let ended = |w: &Waiting| TerminationReport {
-        replica: w.replica.clone(),
-        ago: now.since(w.since),
-        under_way: w.under_way.clone(),
+fn report_command(now: Time, all: &[PendingTermination]) -> Command {
+    let report = |t: &PendingTermination| TerminationReport {
+        replica: t.replica.clone(),
+        ago: now.since(t.at),
+        under_way: t.under_way.clone(),
     };
-    Command::Ended(all.iter().map(ended).collect())
+    Command::Ended(all.iter().map(report).collect())
 }
 
-/// Tells the control group what has been noted, for as long as the process runs. What comes up while a
-/// report is under way shares the next.
+/// Sends the pending reports to the control group until the process ends. Terminations that are recorded
+/// while a report is in progress share the next one.
 pub async fn report_forever(gw: Rc<Gateway>) {
-    let own = &gw.quarantines;
+    let quarantines = &gw.quarantines;
     loop {
-        let survived = std::mem::take(&mut *own.survived.borrow_mut());
+        let survived = std::mem::take(&mut *quarantines.survived.borrow_mut());
         if !survived.is_empty() {
             let command = Command::Survived(survived.into_iter().collect());
-            // Out of reach, its next copy that is answered whole says the same.
-            if let Err(code) = gw.group.command(&command, REPORT_WITHIN).await {
+            // Not retried: the next copy that is answered completely is reported again.
+            if let Err(code) = gw.group.command(&command, REPORT_TIMEOUT).await {
                 emit!(Event::EndsUnreported, why = code);
             }
         }
-        let waiting = std::mem::take(&mut *own.waiting.borrow_mut());
-        if waiting.is_empty() {
-            if own.survived.borrow().is_empty() {
-                own.wake.notified().await;
+        let pending = std::mem::take(&mut *quarantines.pending.borrow_mut());
+        if pending.is_empty() {
+            if quarantines.survived.borrow().is_empty() {
+                quarantines.wake.notified().await;
             }
             continue;
         }
-        if own.reporting.get().is_none() {
-            own.reporting.set(Some(Instant::now()));
+        if quarantines.report_started.get().is_none() {
+            quarantines.report_started.set(Some(Instant::now()));
         }
-        match gw.group.command_anew(|| report(gw.now(), &waiting), REPORT_WITHIN).await {
-            Ok(_) => own.reporting.set(None),
+        match gw.group.command_anew(|| report_command(gw.now(), &pending), REPORT_TIMEOUT).await {
+            Ok(_) => quarantines.report_started.set(None),
             Err(code) => {
-                emit!(Event::EndsUnreported, replicas = waiting.len(), why = code);
-                put_back(own, waiting);
-                sleep(PAUSE).await;
+                emit!(Event::EndsUnreported, replicas = pending.len(), why = code);
+                requeue(quarantines, pending);
+                sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Keeps reports that did not arrive for the next try, before those that came up meanwhile.
-fn put_back(own: &Quarantines, mut old: Vec<Waiting>) {
-    let mut waiting = own.waiting.borrow_mut();
-    old.append(&mut waiting);
-    let surplus = old.len().saturating_sub(REPORTS_MOST);
-    old.drain(..surplus);
-    *waiting = old;
+/// Queues terminations whose report failed before those recorded meanwhile, and drops the oldest beyond
+/// the maximum.
+fn requeue(quarantines: &Quarantines, mut failed: Vec<PendingTermination>) {
+    let mut pending = quarantines.pending.borrow_mut();
+    failed.append(&mut pending);
+    let surplus = failed.len().saturating_sub(MAX_PENDING);
+    failed.drain(..surplus);
+    *pending = failed;
 }
--- a/crates/router/src/gateway/rollouts.rs
+++ b/crates/router/src/gateway/rollouts.rs
@@ -1,5 +1,5 @@
-//! Roll-outs at a gateway: where requests go, what is seen of the old and the new version, and the stop
-//! by what this gateway saw itself.
+//! Rollouts at a gateway: the choice of a version for each request, the evidence on the old and the new
+//! version, and the local stop of a rollout.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -20,72 +20,77 @@
 use super::attempt::AttemptOutcome;
 use super::state::Gateway;
 
-/// How often control processes are told at once of bad answers; the standing questions tell of all
-/// others.
-const URGE_EVERY: Millis = Millis(250);
+/// Minimum interval between immediate reports on failed attempts. Other outcomes are reported with the
+/// next regular watch request.
+const URGENT_REPORT_INTERVAL: Millis = Millis(250);
 
-/// What a gateway knows of roll-outs.
+/// A gateway's view of the rollouts in the fleet.
 pub struct Trials {
-    told: RefCell<Rollouts>,
-    /// Drawn at the start of the process.
-    life: u64,
-    /// When a control process that knows a leader told of roll-outs last.
-    heard: Cell<Time>,
-    under_way: RefCell<HashMap<String, Trial>>,
-    urged: Cell<Time>,
+    /// The rollouts from the control processes.
+    rollouts: RefCell<Rollouts>,
+    /// Random id of this process, to which the reported counters belong.
+    process_id: u64,
+    /// Last contact with a control process that knows a leader.
+    last_contact: Cell<Time>,
+    /// This gateway's observations by service.
+    observed: RefCell<HashMap<String, ObservedRollout>>,
+    last_urgent_report: Cell<Time>,
 }
 
-/// What was seen of one roll-out.
+/// This gateway's observations of one service's rollout.
 #[derive(Default)]
-struct Trial {
+struct ObservedRollout {
     order: Index,
     evidence: Evidence,
+    /// Requests in flight at the old version.
     at_old: u64,
+    /// Whether this gateway found a fault and stopped the rollout locally.
     stopped: bool,
 }
 
 impl Default for Trials {
     fn default() -> Trials {
         Trials {
-            told: RefCell::default(),
-            life: rand::random(),
-            heard: Cell::default(),
-            under_way: RefCell::default(),
-            urged: Cell::default(),
+            rollouts: RefCell::default(),
+            process_id: rand::random(),
+            last_contact: Cell::default(),
+            observed: RefCell::default(),
+            last_urgent_report: Cell::default(),
         }
     }
 }
 
-/// How long a gateway goes on with a trial or a move of which it hears nothing. Control processes
-/// answer within a second, so a gateway that is cut off learns in this time that it is.
-const HEARD_WITHIN: Millis = Millis::seconds(2);
+/// How long a gateway continues a rollout without contact to a control process. Those answer watch
+/// requests within a second, so by then the gateway is cut off.
+const CONTACT_TIMEOUT: Millis = Millis::seconds(2);
 
 impl Trials {
-    /// Revision of what the control processes told.
+    /// Returns the revision of the rollouts from the control processes.
     pub fn revision(&self) -> Index {
-        self.told.borrow().revision
+        self.rollouts.borrow().revision
     }
 
-    /// Notes that a control process that knows a leader has answered.
+    /// Records contact with a control process that knows a leader.
     pub fn note_heard(&self, now: Time) {
-        self.heard.set(now);
+        self.last_contact.set(now);
     }
 
-    /// The roll-out of a service.
+    /// Returns the rollout of a service.
     pub fn of(&self, service: &str) -> Option<Rollout> {
-        self.told.borrow().get(service).cloned()
+        self.rollouts.borrow().get(service).cloned()
     }
 
-    /// Takes what a control process tells. Returns the roll-outs that have changed.
-    pub fn take(&self, told: &Rollouts) -> Vec<(String, Rollout)> {
-        let before = self.told.borrow().clone();
-        if !self.told.borrow_mut().replace_if_newer(told) {
+    /// Replaces the rollouts by those from a control process, if they are newer. Returns the ones that
+    /// have changed.
+    pub fn take(&self, rollouts: &Rollouts) -> Vec<(String, Rollout)> {
+        let before = self.rollouts.borrow().clone();
+        if !self.rollouts.borrow_mut().replace_if_newer(rollouts) {
             return Vec::new();
         }
-        let is_new = |(s, r): &(&str, &Rollout)| before.get(s) != Some(*r);
-        let changed = told.iter().filter(is_new).map(|(s, r)| (s.to_owned(), r.clone()));
+        let is_changed = |(s, r): &(&str, &Rollout)| before.get(s) != Some(*r);
+        let changed = rollouts.iter().filter(is_changed).map(|(s, r)| (s.to_owned(), r.clone()));
         let changed: Vec<_> = changed.collect();
-        let mut under_way = self.under_way.borrow_mut();
+        let mut observed = self.observed.borrow_mut();
         for (service, r) in &changed {
             emit!(
                 Event::RolloutSeen,
@@ -94,53 +99,59 @@
                 revision = r.revision,
                 stage = r.stage.as_str(),
             );
-            let known = under_way.entry(service.clone()).or_default();
-            if known.order != r.order {
-                // What runs now runs at the old version, whenever it was sent.
-                *known = Trial { order: r.order, at_old: known.at_old, ..Trial::default() };
+            let o = observed.entry(service.clone()).or_default();
+            if o.order != r.order {
+                // Requests in flight were sent before this rollout, to its old version.
+                *o = ObservedRollout {
+                    order: r.order,
+                    at_old: o.at_old,
+                    ..ObservedRollout::default()
+                };
             }
         }
         changed
     }
 
-    /// Where a request for a service goes; one that was tried before, not on trial again.
+    /// Returns the versions of a service to which the request `id` may be sent. A retry does not go to
+    /// the trial.
     pub fn version_preference(
         &self,
         now: Time,
         service: &str,
         id: &str,
-        tried: bool,
+        is_retry: bool,
     ) -> VersionPreference {
-        let told = self.told.borrow();
-        let Some(r) = told.get(service) else { return VersionPreference::Any };
-        let connected = now.since(self.heard.get()) < HEARD_WITHIN;
-        let stopped = self.under_way.borrow().get(service).is_some_and(|t| t.stopped);
+        let rollouts = self.rollouts.borrow();
+        let Some(r) = rollouts.get(service) else { return VersionPreference::Any };
+        let connected = now.since(self.last_contact.get()) < CONTACT_TIMEOUT;
+        let stopped = self.observed.borrow().get(service).is_some_and(|o| o.stopped);
         match version_preference(r, request_permille(id), GatewayView { connected, stopped }) {
-            VersionPreference::Trial if tried => VersionPreference::Old,
+            VersionPreference::Trial if is_retry => VersionPreference::Old,
             other => other,
         }
     }
 
-    /// What is told of the roll-outs under way.
+    /// Returns a report on each rollout in progress, for control processes.
     pub fn reports(&self) -> Vec<Report> {
-        let told = self.told.borrow();
-        let under_way = self.under_way.borrow();
+        let rollouts = self.rollouts.borrow();
+        let observed = self.observed.borrow();
         let report = |(service, r): (&str, &Rollout)| {
-            let t = under_way.get(service)?;
+            let o = observed.get(service)?;
             Some(Report {
                 service: service.to_owned(),
                 order: r.order,
                 revision: r.revision,
-                life: self.life,
-                evidence: t.evidence.clone(),
-                at_old: t.at_old,
+                life: self.process_id,
+                evidence: o.evidence.clone(),
+                at_old: o.at_old,
             })
         };
-        told.iter().filter(|(_, r)| !r.stage.is_over()).filter_map(report).collect()
+        rollouts.iter().filter(|(_, r)| !r.stage.is_over()).filter_map(report).collect()
     }
 }
 
-/// What an attempt at a replica says of its version, once it has ended.
+/// Records the outcome of one attempt as evidence on the version of its replica. Until it is dropped, an
+/// attempt at the old version counts as in flight.
 pub struct Observation {
     gw: Rc<Gateway>,
     service: String,
@@ -148,21 +159,25 @@
 }
 
 impl Observation {
-    /// Notes that a request goes to a replica on this side.
+    /// Records that a request is sent to a replica on this side.
     pub fn begin(gw: &Rc<Gateway>, service: &str, side: Side) -> Observation {
-        // Before a roll-out is heard of, all there is belongs to the old version.
+        // Without a rollout, all replicas count as the old version of the next one.
         if side != Side::New && side != Side::Standby {
-            let mut under_way = gw.trials.under_way.borrow_mut();
-            if let Some(t) = under_way.get_mut(service) {
-                t.at_old += 1;
+            let mut observed = gw.trials.observed.borrow_mut();
+            if let Some(o) = observed.get_mut(service) {
+                o.at_old += 1;
             } else {
-                under_way.insert(service.to_owned(), Trial { at_old: 1, ..Trial::default() });
+                observed.insert(
+                    service.to_owned(),
+                    ObservedRollout { at_old: 1, ..ObservedRollout::default() },
+                );
             }
         }
         Observation { gw: gw.clone(), service: service.to_owned(), side }
     }
 
-    /// Notes how it ended, and how long its first byte took against what was expected.
+    /// Records how the attempt ended, its time to the first byte and the expected one in microseconds.
+    /// Stops the rollout at this gateway if the evidence shows a fault of the new version.
     pub fn end(
         self,
         route: &str,
@@ -176,11 +191,11 @@
             Side::Any | Side::Excluded => return,
         };
         let gw = &self.gw;
-        let told = gw.trials.told.borrow();
-        let Some(r) = told.get(&self.service).filter(|r| !r.stage.is_over()) else { return };
-        let mut under_way = gw.trials.under_way.borrow_mut();
-        let Some(t) = under_way.get_mut(&self.service) else { return };
-        let sides = t.evidence.route_mut(route);
+        let rollouts = gw.trials.rollouts.borrow();
+        let Some(r) = rollouts.get(&self.service).filter(|r| !r.stage.is_over()) else { return };
+        let mut observed = gw.trials.observed.borrow_mut();
+        let Some(o) = observed.get_mut(&self.service) else { return };
+        let sides = o.evidence.route_mut(route);
         let outcomes = if is_new { &mut sides.new } else { &mut sides.old };
         match ended {
             AttemptOutcome::Answered => {
@@ -191,7 +206,7 @@
             | AttemptOutcome::Lost(_)
             | AttemptOutcome::Broken(_)
             | AttemptOutcome::Late => outcomes.record_failure(),
-            // They say nothing of how the version answers.
+            // No evidence on the version.
             AttemptOutcome::Left
             | AttemptOutcome::NotSent(_)
             | AttemptOutcome::Withheld
@@ -204,10 +219,10 @@
             return;
         }
         counter!(metric::ROLLOUT_BAD, "service" => self.service.clone()).increment(1);
-        if !t.stopped
-            && let Some((route, fault)) = find_fault(&t.evidence)
+        if !o.stopped
+            && let Some((route, fault)) = find_fault(&o.evidence)
         {
-            t.stopped = true;
+            o.stopped = true;
             emit!(
                 Event::RolloutStopped,
                 service = self.service,
@@ -217,8 +232,8 @@
             );
         }
         let now = gw.now();
-        if now.since(gw.trials.urged.get()) >= URGE_EVERY {
-            gw.trials.urged.set(now);
+        if now.since(gw.trials.last_urgent_report.get()) >= URGENT_REPORT_INTERVAL {
+            gw.trials.last_urgent_report.set(now);
             gw.poll_all_now();
         }
     }
@@ -229,10 +244,10 @@
         if matches!(self.side, Side::New | Side::Standby) {
             return;
         }
-        if let Ok(mut under_way) = self.gw.trials.under_way.try_borrow_mut()
-            && let Some(t) = under_way.get_mut(&self.service)
+        if let Ok(mut observed) = self.gw.trials.observed.try_borrow_mut()
+            && let Some(o) = observed.get_mut(&self.service)
         {
-            t.at_old = t.at_old.saturating_sub(1);
+            o.at_old = o.at_old.saturating_sub(1);
         }
     }
 }
--- a/crates/router/src/gateway/run.rs
+++ b/crates/router/src/gateway/run.rs
@@ -28,7 +28,7 @@
 use super::server::accept;
 use super::settings::{File, Settings};
 use super::share::{expire_forever, serve_peers};
-use super::stand_in::look_forever;
+use super::stand_in::probe_forever;
 use super::state::Gateway;
 use crate::reply::json_response;
 
@@ -78,7 +78,7 @@
     actix_rt::spawn(register_forever(gw.clone()));
     actix_rt::spawn(trim_forever(gw.clone()));
     actix_rt::spawn(report_forever(gw.clone()));
-    actix_rt::spawn(look_forever(gw.clone()));
+    actix_rt::spawn(probe_forever(gw.clone()));
     let g = gw.clone();
     actix_rt::spawn(reload_forever(move || settings(&file), move |s| reload::<D>(&g, s)));
     stop_signal().await;
@@ -100,8 +100,8 @@
     loop {
         sleep(TRIM_EVERY).await;
         gw.connections.remove_expired(Instant::now());
-        gw.limits.trim(&gw);
-        gw.notices.trim(&gw);
+        gw.limits.remove_expired(&gw);
+        gw.notices.remove_expired(&gw);
         gauge!(metric::RESTING).set(gw.backing_off().len() as f64);
     }
 }
--- a/crates/router/src/gateway/stand_in.rs
+++ b/crates/router/src/gateway/stand_in.rs
@@ -1,5 +1,5 @@
-//! Looks at the first gateways of replicas that name a limit: while one of them is dead or stands back, the
-//! second hands out all of the limit in its place.
+//! Probes of the primary permit issuers of replicas with a rate limit. While a primary is dead or issues
+//! at the reduced rate, the secondary issues at the full rate.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -16,61 +16,63 @@
 
 use super::state::Gateway;
 
-/// The time between two rounds of looks.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Pause between two rounds of probes.
+const ROUND_PAUSE: Duration = Duration::from_millis(100);
 
-/// The first gateway of a replica.
-struct First {
+/// The primary issuer of a replica.
+struct Primary {
     gateway: SocketAddr,
     /// The replica's data centre.
     data_centre: String,
 }
 
-/// The replicas whose first gateways are to be looked at.
+/// The requested probes, by replica.
 #[derive(Default)]
-pub struct Looks {
-    wanted: RefCell<BTreeMap<String, First>>,
+pub struct IssuerProbes {
+    requested: RefCell<BTreeMap<String, Primary>>,
     wake: Notify,
 }
 
-impl Looks {
-    /// Has the first gateway of a replica looked at.
-    pub fn wish(&self, gateway: SocketAddr, replica: &str, data_centre: &str) {
-        let first = First { gateway, data_centre: data_centre.to_owned() };
-        self.wanted.borrow_mut().insert(replica.to_owned(), first);
+impl IssuerProbes {
+    /// Requests a probe of `gateway`, the primary issuer of a replica.
+    pub fn request(&self, gateway: SocketAddr, replica: &str, data_centre: &str) {
+        let primary = Primary { gateway, data_centre: data_centre.to_owned() };
+        self.requested.borrow_mut().insert(replica.to_owned(), primary);
         self.wake.notify_one();
     }
 }
 
-/// Looks at gateways as that is wished, for as long as the process runs.
-pub async fn look_forever(gw: Rc<Gateway>) {
-    let looks = &gw.limits.looks;
+/// Runs the requested probes until the process ends.
+pub async fn probe_forever(gw: Rc<Gateway>) {
+    let probes = &gw.limits.probes;
     loop {
-        let wanted = std::mem::take(&mut *looks.wanted.borrow_mut());
-        if wanted.is_empty() {
-            looks.wake.notified().await;
+        let requested = std::mem::take(&mut *probes.requested.borrow_mut());
+        if requested.is_empty() {
+            probes.wake.notified().await;
             continue;
         }
-        let all = wanted.iter().map(|(replica, first)| look(&gw, replica, first));
+        let all = requested.iter().map(|(replica, primary)| probe(&gw, replica, primary));
         futures_util::future::join_all(all).await;
-        sleep(PAUSE).await;
+        sleep(ROUND_PAUSE).await;
     }
 }
 
-/// Looks at one gateway: it is dead if nobody listens at its address, and it may say that it stands back.
-async fn look(gw: &Gateway, replica: &str, First { gateway, data_centre }: &First) {
-    let begun = gw.now();
+/// Asks a primary issuer until when it issues at the reduced rate, and records the result. If it does
+/// not answer, checks whether any process listens at its address.
+async fn probe(gw: &Gateway, replica: &str, Primary { gateway, data_centre }: &Primary) {
+    let start = gw.now();
     let until = match gw.peers.reduced_until(gw, *gateway, replica, data_centre).await {
-        Some(settles) => settles.map(|span| begun.after(span)),
-        None => is_dead(*gateway).await.then(|| begun.after(PROBE_VALIDITY)),
+        Some(reduced_for) => reduced_for.map(|span| start.after(span)),
+        None => is_dead(*gateway).await.then(|| start.after(PROBE_VALIDITY)),
     };
     if let Some(until) = until {
-        gw.limits.stands_back(begun, replica, *gateway, until);
+        gw.limits.record_reduced(start, replica, *gateway, until);
     }
-    let stands_in_ms = until.unwrap_or(begun).since(begun).0;
+    let stands_in_ms = until.unwrap_or(start).since(start).0;
     emit!(Event::FirstLookedAt, address = gateway, replica = replica, stands_in_ms = stands_in_ms);
 }
 
+/// Returns whether no process listens at a gateway's address.
 async fn is_dead(gateway: SocketAddr) -> bool {
     matches!(Connection::probe(gateway).await, Presence::Nobody)
 }
