--- a/crates/router/src/gateway/dialect.rs
+++ b/crates/router/src/gateway/dialect.rs
@@ -1,4 +1,4 @@
-//! The words in which callers and replicas speak to a gateway.
+//! The interface of a dialect: how requests, responses and documents are written on the wire.
 
 use actix_http::header::HeaderMap;
 use actix_http::{RequestHead, ResponseHead};
@@ -10,77 +10,78 @@
 
 use crate::reply::Refusal;
 
-/// What a request says of the work that it asks of an engine.
+/// The size of a prompt as declared by the caller.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
     /// Tokens of the prompt.
     pub tokens: Tokens,
-    /// The most tokens that the answer has.
+    /// Maximum tokens of the answer.
     pub most: Tokens,
-    /// The prompt's parts.
+    /// Cumulative prefixes of the prompt, from its parts.
     pub trail: PromptPrefixes,
 }
 
-/// What a caller's head says.
+/// The parsed headers of a caller's request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Inbound {
-    /// The host that it names.
+    /// Value of the `Host` header.
     pub host: String,
     /// The request's id.
     pub id: String,
-    /// Its bearer key.
+    /// The bearer key.
     pub key: Option<String>,
-    /// How long the caller waits.
+    /// The caller's timeout.
     pub deadline: Option<Millis>,
-    /// The work that it asks for.
+    /// The size of the prompt.
     pub prompt: Option<Prompt>,
-    /// The last event that the caller has of the stream that it goes on with.
+    /// Id of the last event that the caller received, to resume its stream.
     pub last_event: Option<u64>,
 }
 
-/// What a replica is told besides the caller's own headers.
+/// The values that the gateway adds to the caller's headers when it forwards a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Told<'a> {
-    /// How long it may work.
+    /// Time left for the request.
     pub deadline: Millis,
-    /// The replica that is meant.
+    /// Id of the replica that the request is sent to.
     pub replica: &'a str,
-    /// The client account.
+    /// Name of the client account.
     pub account: Option<&'a str>,
-    /// The last event that the caller has.
+    /// Id of the last event that the caller received.
     pub last_event: Option<u64>,
-    /// How urgent it is; 0 is the most.
+    /// Priority of the request; 0 is the most urgent.
     pub urgency: Option<u8>,
 }
 
-/// What the head of a replica's answer says.
+/// The parsed headers of a replica's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Head<'a> {
-    /// The request that it answers.
+    /// Id of the request that it answers.
     pub id: Option<&'a str>,
-    /// The replica says that it did not run the request.
+    /// Whether the replica did not run the request.
     pub not_run: bool,
-    /// The replica is not the one that was meant.
+    /// Whether another replica than the intended one responded.
     pub another: bool,
-    /// The answer is in the form that was asked for.
+    /// Whether the body is in the requested form.
     pub sound: bool,
-    /// What it says of the replica's limit.
+    /// The replica's rate limit.
     pub limit: LimitHeader,
-    /// What it says of a rest.
+    /// The backoff that the replica requests.
     pub rest: rest::RetryAfter,
-    /// The replica says that it leaves.
+    /// Whether the replica announces that it is about to leave.
     pub leaving: bool,
 }
 
-/// A way to write requests and answers on the wire.
+/// The wire format of requests, responses and documents at a gateway.
 pub trait Dialect: DocumentFormat {
-    /// Reads a caller's head.
+    /// Parses the headers of a caller's request. Fails if a required header is missing or one is malformed.
     fn inbound(head: &RequestHead) -> Result<Inbound, Code>;
-    /// Writes what a replica is told into the caller's headers, and takes out what it is not to
-    /// see.
+    /// Turns the caller's headers into those of the forwarded request: removes what the replica must not
+    /// receive, and adds `told`.
     fn outbound(headers: &mut HeaderMap, told: &Told);
-    /// Reads the head of a replica's answer.
+    /// Parses the headers of a replica's response.
     fn head(head: &ResponseHead) -> Head<'_>;
-    /// The status, and more headers, of a refusal or failure of this system's own.
+    /// Returns the status of a refusal or failure that the gateway itself responds with, and adds its
+    /// headers.
     fn refusal(r: &Refusal, headers: &mut HeaderMap) -> u16;
 }
--- a/crates/router/src/gateway/drain.rs
+++ b/crates/router/src/gateway/drain.rs
@@ -1,4 +1,4 @@
-//! A planned stop within a stated time that cuts off no request.
+//! Graceful shutdown within a configured time.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,46 +11,49 @@
 
 use super::state::Gateway;
 
-/// The part of the stop's time, in hundredths, after which it ends whatever is under way.
-const END: u32 = 94;
+/// Percentage of the shutdown time after which requests in flight are no longer waited for.
+const DRAIN_PERCENT: u32 = 94;
 
-/// How often the stop looks whether it may go on.
-const LOOK: Duration = Duration::from_millis(50);
+/// Interval between checks for remaining requests and tokens.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Leaves the entry answers, serves on while callers may have them, closes the door, waits for
-/// requests under way and hands the tokens back.
-pub async fn drain(gw: Rc<Gateway>, door: watch::Sender<bool>) {
-    let begun = Instant::now();
+/// Drains the gateway: leaves the list of router addresses, continues to serve callers that still have
+/// this address, stops accepting connections through `closed`, waits for requests in flight and returns
+/// unused tokens.
+pub async fn drain(gw: Rc<Gateway>, closed: watch::Sender<bool>) {
+    let start = Instant::now();
     let within = gw.settings.stop_within;
     emit!(Event::Stopping);
     gw.stopping.set(true);
-    actix_rt::spawn(leave(gw.clone()));
+    actix_rt::spawn(announce_leave(gw.clone()));
     sleep(gw.settings.stop_serve).await;
     emit!(Event::DrainWaits, active = gw.active_connections.get());
-    // Connections that have ended by now need no word.
-    let _ = door.send(true);
-    let end = begun + within * END / 100;
+    // Fails only if no receiver is left.
+    let _ = closed.send(true);
+    let end = start + within * DRAIN_PERCENT / 100;
     while (gw.active_connections.get() > 0 || !gw.peers.is_settled()) && Instant::now() < end {
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
-    hand_back(&gw, end).await;
+    return_tokens(&gw, end).await;
 }
 
-async fn leave(gw: Rc<Gateway>) {
+/// Reports to the control group that this gateway is leaving.
+async fn announce_leave(gw: Rc<Gateway>) {
     let Some(token_store) = gw.token_store() else { return };
-    // Out of reach, the other processes hear of it from this one's next question anyway.
+    // Not retried: the next watch request also reports this gateway as closed to callers.
     let _ = gw.group.command(&Command::Leave(token_store.holder()), gw.settings.stop_within).await;
 }
 
-async fn hand_back(gw: &Gateway, end: Instant) {
+/// Returns unused tokens until none are left or `end` has passed.
+async fn return_tokens(gw: &Gateway, end: Instant) {
     let Some(token_store) = gw.token_store() else { return };
     while Instant::now() < end {
         token_store.recall_all();
-        // One that does not come through is sent again.
+        // A failed report is sent again in the next iteration.
         let _ = timeout_at(end, token_store.tally()).await;
         if token_store.is_settled() {
             return emit!(Event::SlicesReturned);
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/router/src/gateway/native.rs
+++ b/crates/router/src/gateway/native.rs
@@ -1,4 +1,6 @@
-//! The project's own words: the headers of `docs/CALLERS.md`, and documents as JSON.
+//! The native dialect: the headers of `docs/CALLERS.md`, and documents as JSON.
+//!
+//! The functions that parse and set headers are also used by other dialects.
 
 use actix_http::header::{
     AUTHORIZATION, DATE, HOST, HeaderMap, HeaderName, HeaderValue, RETRY_AFTER,
@@ -14,34 +16,34 @@
 use super::dialect::{Dialect, Head, Inbound, Prompt, Told};
 use crate::reply::{REQUEST_ID, Refusal};
 
-/// Milliseconds that the caller waits, or that the replica may work.
+/// Timeout of the request in milliseconds.
 const DEADLINE: HeaderName = HeaderName::from_static("x-timeout-ms");
 
-/// `TOKENS,MOST`: tokens of the prompt, and the most of the answer.
+/// `TOKENS,MOST`: tokens of the prompt, and the maximum tokens of the answer.
 const TOKENS: HeaderName = HeaderName::from_static("x-tokens");
 
-/// `ID:TOKENS` for each part of the prompt, with commas between them; ids in hexadecimal.
+/// Comma-separated `ID:TOKENS` for each part of the prompt, with hexadecimal ids.
 const PARTS: HeaderName = HeaderName::from_static("x-prompt-parts");
 
-/// The last event that the caller has.
+/// Id of the last stream event that the caller received.
 const LAST_EVENT: HeaderName = HeaderName::from_static("last-event-id");
 
-/// The replica that is meant.
+/// Id of the replica that the request is sent to.
 const REPLICA: HeaderName = HeaderName::from_static("x-replica");
 
-/// The client account.
+/// Name of the client account.
 const ACCOUNT: HeaderName = HeaderName::from_static("x-client-account");
 
-/// A replica's word that it did not run a request.
+/// Present if the replica did not run the request.
 const NOT_RUN: HeaderName = HeaderName::from_static("x-not-run");
 
-/// Requests a second that the replica takes from all gateways together, as a decimal number.
+/// The replica's rate limit for all gateways together: requests per second, as a decimal number.
 const LIMIT: HeaderName = HeaderName::from_static("x-rate-limit");
 
-/// The replica's word that it leaves.
+/// `1` if the replica is about to leave.
 const LEAVING: HeaderName = HeaderName::from_static("x-leaving");
 
-/// The project's own words.
+/// The native dialect.
 pub struct Native;
 
 impl DocumentFormat for Native {
@@ -50,19 +52,20 @@
     }
 }
 
-/// The text of a header.
+/// Returns the text of a header, or `None` if it is absent or not visible ASCII.
 pub fn text(h: &HeaderMap, name: HeaderName) -> Option<&str> {
     h.get(name).and_then(|v| v.to_str().ok())
 }
 
-/// The number in a header; an error if there is something else in it.
+/// Parses the number in a header. Returns `None` if the header is absent, and [`Code::HeaderBad`] if it
+/// is not a number.
 pub fn number(h: &HeaderMap, name: HeaderName) -> Result<Option<u64>, Code> {
     let Some(v) = h.get(name) else { return Ok(None) };
     let n = v.to_str().ok().and_then(|v| v.trim().parse().ok());
     n.map(Some).ok_or(Code::HeaderBad)
 }
 
-/// What the header `name` of an answer says of its replica's limit.
+/// Parses the rate limit in the header `name` of a response. A repeated header is invalid.
 pub fn limit(h: &HeaderMap, name: HeaderName) -> LimitHeader {
     let mut all = h.get_all(name);
     let Some(value) = all.next() else { return LimitHeader::Absent };
@@ -73,54 +76,57 @@
     }
 }
 
-/// What an answer says of a rest: only a replica that turns a request away with 503 asks for one. It names
-/// seconds, or a date, which counts from the date of the answer.
+/// Parses the backoff that a response requests. Only `Retry-After` headers of 503 responses count. Each has
+/// a number of seconds, or a date that is compared with the response's `Date`. Of several headers the
+/// longest backoff applies.
 pub fn rest(head: &ResponseHead) -> rest::RetryAfter {
     if head.status != StatusCode::SERVICE_UNAVAILABLE {
         return rest::RetryAfter::Absent;
     }
     let h = &head.headers;
-    let read = |v: &HeaderValue| match v.to_str() {
-        Ok(s) => until_date(h, s).unwrap_or_else(|| rest::RetryAfter::parse(s)),
+    let parse = |v: &HeaderValue| match v.to_str() {
+        Ok(s) => delay_until(h, s).unwrap_or_else(|| rest::RetryAfter::parse(s)),
         Err(_) => rest::RetryAfter::Invalid,
     };
-    let all = h.get_all(RETRY_AFTER).map(read);
+    let all = h.get_all(RETRY_AFTER).map(parse);
     all.fold(rest::RetryAfter::Absent, rest::RetryAfter::or_later)
 }
 
-/// The span between the date of an answer and a later date.
-fn until_date(h: &HeaderMap, text: &str) -> Option<rest::RetryAfter> {
+/// Returns the time from a response's `Date` to the HTTP date in `text`; 0 if that is earlier, and `None`
+/// if one of them is not a date.
+fn delay_until(h: &HeaderMap, text: &str) -> Option<rest::RetryAfter> {
     let end = httpdate::parse_http_date(text).ok()?;
     let sent = httpdate::parse_http_date(self::text(h, DATE)?).ok()?;
     let span = end.duration_since(sent).unwrap_or_default();
     Some(rest::RetryAfter::Delay(Millis(span.as_millis() as u64)))
 }
 
-/// Whether the header `name` of an answer says that its replica leaves.
+/// Returns whether the header `name` of a response announces that the replica is about to leave.
 pub fn leaving(h: &HeaderMap, name: HeaderName) -> bool {
     h.get_all(name).any(|v| v == "1")
 }
 
-/// The work that a request asks for, from the two headers that tell it.
+/// Parses the size of a prompt from the headers with the token counts and the parts. Returns `None` without
+/// token counts, and [`Code::HeaderBad`] if a header is malformed.
 pub fn prompt(tokens: Option<&str>, parts: Option<&str>) -> Result<Option<Prompt>, Code> {
     let Some(tokens) = tokens else { return Ok(None) };
     let (prompt, most) = tokens.split_once(',').ok_or(Code::HeaderBad)?;
     let count = |s: &str| s.trim().parse().map_err(|_| Code::HeaderBad);
     let parts = parts.unwrap_or_default().split(',').filter(|p| !p.is_empty());
-    let parts: Option<Vec<_>> = parts.map(part).collect();
+    let parts: Option<Vec<_>> = parts.map(parse_part).collect();
     let trail = PromptPrefixes::from_sized_parts(parts.ok_or(Code::HeaderBad)?);
     Ok(Some(Prompt { tokens: count(prompt)?, most: count(most)?, trail }))
 }
 
-/// An id in hexadecimal and a count of tokens.
-fn part(s: &str) -> Option<(u64, u64)> {
+/// Parses a hexadecimal id and a token count.
+fn parse_part(s: &str) -> Option<(u64, u64)> {
     let (id, tokens) = s.trim().split_once(':')?;
-    // Only whether two ids are equal matters; the last digits of a long one tell enough.
+    // Ids are only compared, so the last 64 bits of a longer one are enough.
     let digits = id.get(id.len().saturating_sub(16)..)?;
     Some((u64::from_str_radix(digits, 16).ok()?, tokens.parse().ok()?))
 }
 
-/// The key of a bearer authorization.
+/// Returns the key of a bearer `Authorization` header.
 pub fn bearer(h: &HeaderMap) -> Option<&str> {
     let (scheme, key) = text(h, AUTHORIZATION)?.split_once(' ')?;
     scheme.eq_ignore_ascii_case("bearer").then(|| key.trim())
@@ -131,7 +137,7 @@
     h.insert(name, HeaderValue::from(n));
 }
 
-/// Sets a header to a text; one that a header cannot hold is left out.
+/// Sets a header to a text. Does nothing if the text is not a valid header value.
 pub fn set_text(h: &mut HeaderMap, name: HeaderName, s: &str) {
     if let Ok(v) = HeaderValue::from_str(s) {
         h.insert(name, v);
--- a/crates/router/src/gateway/run.rs
+++ b/crates/router/src/gateway/run.rs
@@ -1,4 +1,4 @@
-//! From settings to a serving gateway.
+//! Startup and shutdown of the gateway process.
 
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -32,23 +32,24 @@
 use super::state::Gateway;
 use crate::reply::json_response;
 
-/// Where operators see the rests in force.
+/// Operators' path that lists the backoffs in effect.
 const RESTS_PATH: &str = "/rests";
 
-/// How often connections that have rested too long are looked for.
-const TRIM_EVERY: Duration = Duration::from_secs(1);
+/// Interval at which idle connections and expired state are removed.
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Reads and checks the settings.
+/// Reads and validates the settings file.
 pub fn settings(path: &Path) -> Result<Settings, Failure> {
     load::<File>(path).map_err(|e| (e.code(), e.to_string()))
 }
 
-/// Serves in the project's own words until asked to stop.
+/// Runs a gateway with the [`Native`] dialect until the process is asked to stop.
 pub async fn run(s: Settings, file: PathBuf) -> Result<(), Failure> {
     serve::<Native>(s, file).await
 }
 
-/// Serves in the words of `D` until asked to stop.
+/// Runs a gateway with the dialect `D` until the process is asked to stop. `file` is read again to reload
+/// the settings. A second stop signal ends the process without waiting for requests.
 pub async fn serve<D: Dialect>(s: Settings, file: PathBuf) -> Result<(), Failure> {
     logging::start(s.base.log_level, s.base.log_form);
     let metrics = operators::start_metrics()
@@ -57,11 +58,11 @@
     let peers = listen(s.link_listen).await?;
     let for_operators = listen(s.operators).await?;
     let base = s.base.clone();
-    let me = Credentials { key: base.key, cluster: base.cluster, name: base.vm };
-    let group = Group::new(me.clone(), base.control.clone());
+    let credentials = Credentials { key: base.key, cluster: base.cluster, name: base.vm };
+    let group = Group::new(credentials.clone(), base.control.clone());
     emit!(Event::Started, listen = s.listen, operators = s.operators);
-    let gw = Rc::new(Gateway::new(s, Clock::start(), me, group));
-    let (door, closed) = watch::channel(false);
+    let gw = Rc::new(Gateway::new(s, Clock::start(), credentials, group));
+    let (closed_tx, closed) = watch::channel(false);
     actix_rt::spawn(accept::<D>(gw.clone(), callers, closed));
     let g = gw.clone();
     if let Some(address) = gw.settings.metrics {
@@ -69,36 +70,36 @@
         actix_rt::spawn(operators::serve_metrics(listener, metrics.clone()));
     }
     actix_rt::spawn(cypressfork_http::serve(for_operators, move |req| {
-        let response = ops(&g, &metrics, &req);
+        let response = respond(&g, &metrics, &req);
         async move { response }
     }));
     watch_all::<D>(&gw, base.control);
     actix_rt::spawn(serve_peers(gw.clone(), peers));
     actix_rt::spawn(expire_forever(gw.clone()));
     actix_rt::spawn(register_forever(gw.clone()));
-    actix_rt::spawn(trim_forever(gw.clone()));
+    actix_rt::spawn(clean_up_forever(gw.clone()));
     actix_rt::spawn(report_forever(gw.clone()));
     actix_rt::spawn(probe_forever(gw.clone()));
     let g = gw.clone();
     actix_rt::spawn(reload_forever(move || settings(&file), move |s| reload::<D>(&g, s)));
     stop_signal().await;
     tokio::select! {
-        () = drain(gw, door) => {}
+        () = drain(gw, closed_tx) => {}
         () = stop_signal() => emit!(Event::StopForced),
     }
     emit!(Event::Stopped);
     Ok(())
 }
 
-/// Takes the settings that may change while the process runs: where the control processes are.
+/// Applies the settings that may change while the process runs: the addresses of the control processes.
 fn reload<D: Dialect>(gw: &Rc<Gateway>, s: Settings) {
     gw.group.set_addresses(s.base.control.clone());
     watch_all::<D>(gw, s.base.control);
 }
 
-async fn trim_forever(gw: Rc<Gateway>) {
+async fn clean_up_forever(gw: Rc<Gateway>) {
     loop {
-        sleep(TRIM_EVERY).await;
+        sleep(CLEANUP_INTERVAL).await;
         gw.connections.remove_expired(Instant::now());
         gw.limits.remove_expired(&gw);
         gw.notices.remove_expired(&gw);
@@ -106,15 +107,15 @@
     }
 }
 
-/// Serves one operators' request.
-fn ops(gw: &Gateway, metrics: &PrometheusHandle, req: &Request) -> Response<Body> {
+/// Responds to a request on the operators' address.
+fn respond(gw: &Gateway, metrics: &PrometheusHandle, req: &Request) -> Response<Body> {
     let path = req.path();
     if req.method() == Method::GET && path == gw.settings.ready_path {
-        return ready(gw);
+        return readiness(gw);
     }
     match (req.method(), path) {
         (&Method::GET, "/healthz") => json_response(StatusCode::OK, &json!({ "alive": true })),
-        (&Method::GET, RESTS_PATH) => rests(gw),
+        (&Method::GET, RESTS_PATH) => list_backoffs(gw),
         (&Method::GET, "/metrics") => operators::text(StatusCode::OK, metrics.render()),
         _ => json_response(
             StatusCode::NOT_FOUND,
@@ -123,15 +124,16 @@
     }
 }
 
-/// The replicas that have asked this gateway for rest, and for how much longer.
-fn rests(gw: &Gateway) -> Response<Body> {
+/// Lists the replicas with a backoff in effect at this gateway, and the remaining time of each.
+fn list_backoffs(gw: &Gateway) -> Response<Body> {
     let all = gw.backing_off().into_iter();
-    let rests: Vec<_> =
+    let backoffs: Vec<_> =
         all.map(|(replica, left)| json!({ "replica": replica, "left_ms": left.0 })).collect();
-    json_response(StatusCode::OK, &json!({ "rests": rests }))
+    json_response(StatusCode::OK, &json!({ "rests": backoffs }))
 }
 
-fn ready(gw: &Gateway) -> Response<Body> {
+/// Reports whether this gateway accepts requests.
+fn readiness(gw: &Gateway) -> Response<Body> {
     let open = gw.is_open();
     let status = if open { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
     let version = gw.documents.version();
--- a/crates/router/src/gateway/server.rs
+++ b/crates/router/src/gateway/server.rs
@@ -1,4 +1,4 @@
-//! Callers' connections: one request after the other.
+//! Accepts connections of callers and serves their requests, one at a time per connection.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -22,29 +22,29 @@
 use super::state::Gateway;
 use crate::reply::Refusal;
 
-/// How long to wait when no connection can be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// How long no connection is taken while the link is full. A caller that is refused one at once goes
-/// elsewhere; one whose request is refused has sent it, and comes back. Those that move show within half
-/// a second whether there is room again.
-const CLOSED_FOR: Duration = Duration::from_millis(500);
+/// How long the gateway stops listening when its network link is full. A refused connection makes a
+/// caller use another gateway at once, while a refused request has already used the link and is retried
+/// here. Half a second is enough for the load to drop as callers move.
+const LISTEN_PAUSE: Duration = Duration::from_millis(500);
 
-/// How long a body may take to arrive.
-const BODY_WITHIN: Duration = Duration::from_secs(10);
+/// Time limit for receiving a request body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long the end of a connection waits for the caller to close it too.
-const LINGER: Duration = Duration::from_millis(500);
+/// How long closing a connection waits for the caller to close its side.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Bounds on callers until a document tells them.
-const LIMITS: Limits = Limits {
+/// Limits on requests while no document is in force.
+const DEFAULT_LIMITS: Limits = Limits {
     head: 16 * 1024,
     body: 4 * 1024 * 1024,
     head_within: Millis::seconds(3),
     idle: Millis::seconds(15),
 };
 
-/// Accepts connections until the planned stop closes the door.
+/// Accepts connections until `closed` becomes true or its sender is dropped.
 pub async fn accept<D: Dialect>(
     gw: Rc<Gateway>,
     mut listener: TcpListener,
@@ -61,8 +61,8 @@
                 let (gw, config, closed) = (gw.clone(), config.clone(), closed.clone());
                 actix_rt::spawn(async move { serve::<D>(gw, stream, &config, closed).await });
             }
-            // Out of descriptors, most likely: those in use come free again.
-            Err(_) => sleep(ACCEPT_PAUSE).await,
+            // Most likely out of file descriptors. Closed connections free some.
+            Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
         }
         if !gw.is_full() {
             continue;
@@ -82,10 +82,10 @@
     }
 }
 
-/// Listens again after a while.
+/// Listens again after a pause, and retries until that succeeds.
 async fn reopen(address: SocketAddr) -> TcpListener {
     loop {
-        sleep(CLOSED_FOR).await;
+        sleep(LISTEN_PAUSE).await;
         match TcpListener::bind(address).await {
             Ok(listener) => return listener,
             Err(e) => emit!(Event::ListenFailed, address = address, why = e),
@@ -93,17 +93,17 @@
     }
 }
 
-/// Counts a request as under way while it lives.
-struct Active(Rc<Gateway>);
+/// Counts a request as active until dropped.
+struct ActiveGuard(Rc<Gateway>);
 
-impl Active {
-    fn new(gw: &Rc<Gateway>) -> Active {
+impl ActiveGuard {
+    fn new(gw: &Rc<Gateway>) -> ActiveGuard {
         gw.active_connections.set(gw.active_connections.get() + 1);
-        Active(gw.clone())
+        ActiveGuard(gw.clone())
     }
 }
 
-impl Drop for Active {
+impl Drop for ActiveGuard {
     fn drop(&mut self) {
         self.0.active_connections.set(self.0.active_connections.get() - 1);
     }
@@ -117,24 +117,24 @@
 ) {
     let mut client = Client::new(stream, config, gw.bytes_served.clone());
     loop {
-        let limits = gw.documents.in_force().map_or(LIMITS, |r| *r.limits());
+        let limits = gw.documents.in_force().map_or(DEFAULT_LIMITS, |r| *r.limits());
         let stop = async {
-            // A door that is gone is closed.
+            // Fails if the sender was dropped, which also means closed.
             let _ = closed.wait_for(|c| *c).await;
         };
         let req = match client.next_request(&limits, stop).await {
             NextRequest::Request(req) => req,
             NextRequest::Closed => break,
             NextRequest::Bad(code) => {
-                bad::<D>(&mut client, code).await;
+                reject::<D>(&mut client, code).await;
                 break;
             }
         };
-        let _active = Active::new(&gw);
-        let body = match client.read_body(limits.body, BODY_WITHIN).await {
+        let _active = ActiveGuard::new(&gw);
+        let body = match client.read_body(limits.body, BODY_TIMEOUT).await {
             Ok(body) => body,
             Err(code) => {
-                bad::<D>(&mut client, code).await;
+                reject::<D>(&mut client, code).await;
                 break;
             }
         };
@@ -146,11 +146,12 @@
             break;
         }
     }
-    client.close(LINGER).await;
+    client.close(LINGER_TIMEOUT).await;
 }
 
-async fn bad<D: Dialect>(client: &mut Client, code: Code) {
+/// Refuses a request that could not be read, and marks the connection for closing.
+async fn reject<D: Dialect>(client: &mut Client, code: Code) {
     client.close_after_response();
-    // The connection ends, whether this arrives or not.
+    // A write error needs no handling: the connection is closed in any case.
     let _ = send_refusal::<D>(client, "", &Refusal::from(code)).await;
 }
--- a/crates/router/src/gateway/settings.rs
+++ b/crates/router/src/gateway/settings.rs
@@ -13,69 +13,64 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct File {
-    /// What every process has.
+    /// Settings common to all processes.
     pub common: Common,
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub listen: String,
-    /// Where other gateways connect.
+    /// Address that other gateways connect to.
     pub link: String,
-    /// The address at which they reach it, if it is another: behind a translation of addresses.
+    /// Address under which other gateways reach `link`, if different, for example behind NAT.
     #[serde(default)]
     pub link_advertise: Option<String>,
-    /// Where operators read health and metrics.
+    /// Address of health checks and metrics for operators.
     pub operators: String,
-    /// Where metrics are served besides, on an address of their own.
+    /// Additional address that serves only metrics.
     #[serde(default)]
     pub metrics: Option<String>,
-    /// The path that tells whether this gateway takes callers.
+    /// Path of the readiness check.
     #[serde(default = "ready_default")]
     pub ready_path: String,
-    /// Milliseconds between reports of what was spent.
+    /// Interval between reports of spent tokens, in milliseconds.
     #[serde(default = "report_default")]
     pub report_ms: u64,
-    /// The whole fleet's retries, as a part of a service's requests in a window.
+    /// Maximum retries of the whole fleet, as a fraction of a service's requests in a window.
     #[serde(default)]
     pub retry_ratio: Quantity,
-    /// The whole fleet's retries besides.
+    /// Retries of the whole fleet allowed in addition per window.
     #[serde(default)]
     pub retry_extra: Quantity,
-    /// Seconds of the window.
+    /// Length of the window in seconds.
     #[serde(default)]
     pub retry_window_s: Quantity,
-    /// Mebibytes of memory that the process may use; it bounds the requests under way at once.
+    /// Memory that the process may use, in MiB. Determines the maximum number of active requests.
     #[serde(default)]
     pub memory_mb: Quantity,
-    /// Megabits a second that the machine's link bears; where it is half full, callers are led elsewhere.
+    /// Capacity of the machine's network link in Mbit/s. Above half of it, callers are directed to other
+    /// gateways.
     #[serde(default)]
     pub link_mbps: Quantity,
-    /// Seconds that a planned stop may take.
+    /// Maximum duration of a graceful shutdown in seconds.
     #[serde(default)]
     pub stop_within_s: Quantity,
-    /// Seconds of it in which callers that still have this address are served.
+    /// Part of that time, in seconds, during which new connections are still accepted.
     #[serde(default)]
     pub stop_serve_s: Quantity,
 }
 
-/// What a quantity is where the file gives none.
+/// Defaults of the quantities in [`File`].
 mod default {
-    /// Retries for each request.
     pub const RETRY_RATIO: f64 = 0.2;
-    /// Retries of the whole fleet besides.
     pub const RETRY_EXTRA: f64 = 0.0;
-    /// Seconds.
-    pub const RETRY_WINDOW: f64 = 10.0;
-    /// Mebibytes.
-    pub const MEMORY: f64 = 512.0;
-    /// Megabits a second; 0: nobody knows.
-    pub const LINK: f64 = 0.0;
-    /// Seconds.
-    pub const STOP: f64 = 30.0;
-    /// Seconds.
-    pub const STOP_SERVE: f64 = 10.0;
+    pub const RETRY_WINDOW_S: f64 = 10.0;
+    pub const MEMORY_MB: f64 = 512.0;
+    /// 0 is unknown.
+    pub const LINK_MBPS: f64 = 0.0;
+    pub const STOP_WITHIN_S: f64 = 30.0;
+    pub const STOP_SERVE_S: f64 = 10.0;
 }
 
-/// The most that ratios, extras and seconds may be.
-const MOST: f64 = 100_000.0;
+/// Maximum of `retry_ratio`, `stop_within_s` and `stop_serve_s`.
+const MAX_QUANTITY: f64 = 100_000.0;
 
 fn ready_default() -> String {
     "/readyz".to_owned()
@@ -85,34 +80,34 @@
     1_000
 }
 
-/// The settings, checked.
+/// The validated settings.
 #[derive(Clone)]
 pub struct Settings {
-    /// What every process has.
+    /// Settings common to all processes.
     pub base: Base,
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub listen: SocketAddr,
-    /// Where to listen for other gateways.
+    /// Address on which to listen for other gateways.
     pub link_listen: SocketAddr,
-    /// Where other gateways reach this one.
+    /// Address under which other gateways reach this one.
     pub link: SocketAddr,
-    /// Where operators connect.
+    /// Address that operators connect to.
     pub operators: SocketAddr,
-    /// Where metrics are served besides.
+    /// Additional address that serves only metrics.
     pub metrics: Option<SocketAddr>,
-    /// The path that tells whether this gateway takes callers.
+    /// Path of the readiness check.
     pub ready_path: String,
-    /// Time between reports of what was spent.
+    /// Interval between reports of spent tokens.
     pub report: Duration,
-    /// The whole fleet's bound on retries.
+    /// Limit on the retries of the whole fleet.
     pub retry: RetryLimit,
-    /// Requests under way at once.
+    /// Maximum number of active requests.
     pub places: u64,
-    /// Bytes a second that the machine's link bears each way; 0: nobody knows.
+    /// Capacity of the machine's network link in bytes per second and direction; 0 if unknown.
     pub link_capacity: u64,
-    /// How long a planned stop may take.
+    /// Maximum duration of a graceful shutdown.
     pub stop_within: Duration,
-    /// How much of it callers that still have this address are served.
+    /// Part of that time during which new connections are still accepted.
     pub stop_serve: Duration,
 }
 
@@ -124,16 +119,27 @@
         if base.control.is_empty() {
             return Err(Error::value("common.control", "[]", "name at least one control process"));
         }
-        let ratio = quantity("retry_ratio", self.retry_ratio, default::RETRY_RATIO, 0.0..=MOST)?;
+        let ratio =
+            quantity("retry_ratio", self.retry_ratio, default::RETRY_RATIO, 0.0..=MAX_QUANTITY)?;
         let extra = quantity("retry_extra", self.retry_extra, default::RETRY_EXTRA, 0.0..=1e9)?;
-        let window =
-            quantity("retry_window_s", self.retry_window_s, default::RETRY_WINDOW, 1.0..=3_600.0)?;
-        let memory = quantity("memory_mb", self.memory_mb, default::MEMORY, 16.0..=1_048_576.0)?;
-        let link = quantity("link_mbps", self.link_mbps, default::LINK, 0.0..=1e9)?;
-        let stop = quantity("stop_within_s", self.stop_within_s, default::STOP, 0.0..=MOST)?;
-        let serve = quantity("stop_serve_s", self.stop_serve_s, default::STOP_SERVE, 0.0..=MOST)?;
-        // Each is rounded to the safe side: fewer retries in a longer window, less memory, a
-        // shorter stop.
+        let window = quantity(
+            "retry_window_s",
+            self.retry_window_s,
+            default::RETRY_WINDOW_S,
+            1.0..=3_600.0,
+        )?;
+        let memory = quantity("memory_mb", self.memory_mb, default::MEMORY_MB, 16.0..=1_048_576.0)?;
+        let link = quantity("link_mbps", self.link_mbps, default::LINK_MBPS, 0.0..=1e9)?;
+        let stop = quantity(
+            "stop_within_s",
+            self.stop_within_s,
+            default::STOP_WITHIN_S,
+            0.0..=MAX_QUANTITY,
+        )?;
+        let serve =
+            quantity("stop_serve_s", self.stop_serve_s, default::STOP_SERVE_S, 0.0..=MAX_QUANTITY)?;
+        // Rounded towards the stricter limit: fewer retries, a longer window, less memory, a shorter
+        // shutdown.
         let retry = RetryLimit {
             percent: (ratio * 100.0).floor() as u64,
             extra: extra.floor() as u64,
@@ -149,21 +155,19 @@
             ready_path: self.ready_path,
             report: Duration::from_millis(range("report_ms", self.report_ms, 10, 60_000)?),
             retry,
-            places: admission::max_active_requests((memory * MEBIBYTE).floor() as u64),
-            link_capacity: (link * BYTES_OF_MEGABIT).floor() as u64,
-            stop_within: millis(stop),
-            stop_serve: millis(serve.min(stop)),
+            places: admission::max_active_requests((memory * BYTES_PER_MEBIBYTE).floor() as u64),
+            link_capacity: (link * BYTES_PER_MEGABIT).floor() as u64,
+            stop_within: to_millis(stop),
+            stop_serve: to_millis(serve.min(stop)),
         })
     }
 }
 
-/// Bytes of a megabit.
-const BYTES_OF_MEGABIT: f64 = 125_000.0;
+const BYTES_PER_MEGABIT: f64 = 125_000.0;
 
-/// Bytes of a mebibyte.
-const MEBIBYTE: f64 = 1_048_576.0;
+const BYTES_PER_MEBIBYTE: f64 = 1_048_576.0;
 
-/// Seconds as whole milliseconds, rounded down.
-fn millis(seconds: f64) -> Duration {
+/// Converts seconds to a duration of whole milliseconds, rounded down.
+fn to_millis(seconds: f64) -> Duration {
     Duration::from_millis((seconds * 1_000.0).floor() as u64)
 }
