--- a/crates/router/src/gateway/attempt.rs
+++ b/crates/router/src/gateway/attempt.rs
@@ -255,14 +255,14 @@
     ) -> Result<(Connection, ResponseHead), AttemptOutcome> {
         for _ in 0..MAX_SKIPPED_RESPONSES {
             let head = connection.head().await?;
-            let response = D::head(&head);
+            let response = D::parse_response(&head);
             let is_own = response.id == Some(self.request.inbound.id.as_str());
             let notices = &self.request.gw.notices;
             if is_own || (response.id.is_none() && response.not_run) {
                 notices.heard(self.request, &self.addressee(), &response);
                 if !response.not_run
-                    && !response.another
-                    && response.rest == rest::RetryAfter::Absent
+                    && !response.wrong_replica
+                    && response.retry_after == rest::RetryAfter::Absent
                 {
                     self.request.gw.record_accepted(&self.request.service, self.choice);
                 }
@@ -270,7 +270,7 @@
             }
             // A backoff applies to this gateway, whichever request the response is for.
             notices.hear_rest(self.request, &self.addressee(), &response);
-            if response.another && response.id.is_none() {
+            if response.wrong_replica && response.id.is_none() {
                 return Ok((connection, head));
             }
             while connection.piece().await?.is_some() {}
@@ -286,9 +286,10 @@
         connection: Connection,
         head: ResponseHead,
     ) -> AttemptOutcome {
-        let response = D::head(&head);
-        let (not_run, is_valid) = (response.not_run || response.another, response.sound);
-        if response.another {
+        let response = D::parse_response(&head);
+        let (not_run, is_valid) =
+            (response.not_run || response.wrong_replica, response.well_formed);
+        if response.wrong_replica {
             self.request.gw.mark_replaced(self.replica);
         }
         if !is_valid {
--- a/crates/router/src/gateway/dialect.rs
+++ b/crates/router/src/gateway/dialect.rs
@@ -55,21 +55,21 @@
 
 /// The parsed headers of a replica's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Head<'a> {
+pub struct ReplicaResponse<'a> {
     /// Id of the request that it answers.
     pub id: Option<&'a str>,
     /// Whether the replica did not run the request.
     pub not_run: bool,
     /// Whether another replica than the intended one responded.
-    pub another: bool,
+    pub wrong_replica: bool,
     /// Whether the body is in the requested form.
-    pub sound: bool,
+    pub well_formed: bool,
     /// The replica's rate limit.
     pub limit: LimitHeader,
     /// The backoff that the replica requests.
-    pub rest: rest::RetryAfter,
+    pub retry_after: rest::RetryAfter,
     /// Whether the replica announces that it is about to leave.
-    pub leaving: bool,
+    pub draining: bool,
 }
 
 /// The wire format of requests, responses and documents at a gateway.
@@ -80,7 +80,7 @@
     /// receive, and adds `told`.
     fn outbound(headers: &mut HeaderMap, told: &Told);
     /// Parses the headers of a replica's response.
-    fn head(head: &ResponseHead) -> Head<'_>;
+    fn parse_response(head: &ResponseHead) -> ReplicaResponse<'_>;
     /// Returns the status of a refusal or failure that the gateway itself responds with, and adds its
     /// headers.
     fn refusal(r: &Refusal, headers: &mut HeaderMap) -> u16;
--- a/crates/router/src/gateway/native.rs
+++ b/crates/router/src/gateway/native.rs
@@ -13,7 +13,7 @@
 use cypressfork_core::route::{PromptPrefixes, rest};
 use cypressfork_core::unit::Millis;
 
-use super::dialect::{Dialect, Head, Inbound, Prompt, Told};
+use super::dialect::{Dialect, Inbound, Prompt, ReplicaResponse, Told};
 use crate::reply::{REQUEST_ID, Refusal};
 
 /// Timeout of the request in milliseconds.
@@ -170,16 +170,16 @@
         }
     }
 
-    fn head(head: &ResponseHead) -> Head<'_> {
+    fn parse_response(head: &ResponseHead) -> ReplicaResponse<'_> {
         let h = &head.headers;
-        Head {
+        ReplicaResponse {
             id: text(h, REQUEST_ID),
             not_run: h.contains_key(NOT_RUN),
-            another: head.status.as_u16() == 421,
-            sound: true,
+            wrong_replica: head.status.as_u16() == 421,
+            well_formed: true,
             limit: limit(h, LIMIT),
-            rest: rest(head),
-            leaving: leaving(h, LEAVING),
+            retry_after: rest(head),
+            draining: leaving(h, LEAVING),
         }
     }
 
--- a/crates/router/src/gateway/notices.rs
+++ b/crates/router/src/gateway/notices.rs
@@ -13,7 +13,7 @@
 use metrics::counter;
 use tokio::time::Instant;
 
-use super::dialect::Head;
+use super::dialect::ReplicaResponse;
 use super::job::RoutedRequest;
 use super::state::Gateway;
 
@@ -77,28 +77,28 @@
 impl Notices {
     /// Records the signals in a response to this request. Ignores responses of another replica or of an
     /// earlier incarnation.
-    pub fn heard(&self, request: &RoutedRequest, to: &Addressee, head: &Head) {
+    pub fn heard(&self, request: &RoutedRequest, to: &Addressee, response: &ReplicaResponse) {
         let gw = &request.gw;
-        if !is_current(gw, to, head) {
+        if !is_current(gw, to, response) {
             return;
         }
-        self.hear_rest(request, to, head);
+        self.hear_rest(request, to, response);
         // A response without a request id may be older than this request, so it can announce a limit
         // but not lift one.
-        if head.id.is_some() || head.limit != LimitHeader::Absent {
-            gw.limits.record_response(gw, to.replica, &request.inbound.id, to.sent, head.limit);
+        if response.id.is_some() || response.limit != LimitHeader::Absent {
+            gw.limits.record_response(gw, to.replica, &request.inbound.id, to.sent, response.limit);
         }
-        if head.leaving {
+        if response.draining {
             self.record_leaving(request, to);
         }
     }
 
     /// Records the backoff that a response of the replica requests, whichever request it answers.
-    pub fn hear_rest(&self, request: &RoutedRequest, to: &Addressee, head: &Head) {
-        if !is_current(&request.gw, to, head) {
+    pub fn hear_rest(&self, request: &RoutedRequest, to: &Addressee, response: &ReplicaResponse) {
+        if !is_current(&request.gw, to, response) {
             return;
         }
-        match head.rest {
+        match response.retry_after {
             rest::RetryAfter::Absent => {}
             rest::RetryAfter::Invalid => self.log_invalid(to.replica, &request.inbound.id),
             rest::RetryAfter::Delay(span) => {
@@ -173,6 +173,6 @@
 
 /// Returns whether a response is from the replica that the request was sent to, and that replica is still
 /// in the same incarnation.
-fn is_current(gw: &Gateway, to: &Addressee, head: &Head) -> bool {
-    !head.another && gw.born(to.replica) == to.born
+fn is_current(gw: &Gateway, to: &Addressee, response: &ReplicaResponse) -> bool {
+    !response.wrong_replica && gw.born(to.replica) == to.born
 }
