--- a/crates/router/src/gateway/attempt.rs
+++ b/crates/router/src/gateway/attempt.rs
@@ -12,7 +12,7 @@
 use tokio::time::{Instant, timeout_at};
 
 use super::client::Client;
-use super::dialect::{Dialect, Told};
+use super::dialect::{Dialect, ForwardHeaders};
 use super::job::RoutedRequest;
 use super::notices::{Addressee, Try};
 use super::request::ResponseProgress;
@@ -236,14 +236,14 @@
     ) -> Result<(), Broken> {
         let request = self.request;
         let mut headers = request.headers.clone();
-        let forwarded = Told {
+        let forwarded = ForwardHeaders {
             deadline: Millis(request.time_left().as_millis() as u64),
             replica: self.replica,
             account: request.account.as_deref(),
             last_event,
             urgency: request.inbound.prompt.as_ref().map(|_| request.priority),
         };
-        D::outbound(&mut headers, &forwarded);
+        D::set_forward_headers(&mut headers, &forwarded);
         let (method, uri, body) = (&request.method, &request.uri, &request.body);
         connection.send(Outbound { method, uri, headers, body }).await
     }
--- a/crates/router/src/gateway/dialect.rs
+++ b/crates/router/src/gateway/dialect.rs
@@ -40,7 +40,7 @@
 
 /// The values that the gateway adds to the caller's headers when it forwards a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Told<'a> {
+pub struct ForwardHeaders<'a> {
     /// Time left for the request.
     pub deadline: Millis,
     /// Id of the replica that the request is sent to.
@@ -77,8 +77,8 @@
     /// Parses the headers of a caller's request. Fails if a required header is missing or one is malformed.
     fn inbound(head: &RequestHead) -> Result<Inbound, Code>;
     /// Turns the caller's headers into those of the forwarded request: removes what the replica must not
-    /// receive, and adds `told`.
-    fn outbound(headers: &mut HeaderMap, told: &Told);
+    /// receive, and adds `values`.
+    fn set_forward_headers(headers: &mut HeaderMap, values: &ForwardHeaders);
     /// Parses the headers of a replica's response.
     fn parse_response(head: &ResponseHead) -> ReplicaResponse<'_>;
     /// Returns the status of a refusal or failure that the gateway itself responds with, and adds its
--- a/crates/router/src/gateway/native.rs
+++ b/crates/router/src/gateway/native.rs
@@ -13,7 +13,7 @@
 use cypressfork_core::route::{PromptPrefixes, rest};
 use cypressfork_core::unit::Millis;
 
-use super::dialect::{Dialect, Inbound, Prompt, ReplicaResponse, Told};
+use super::dialect::{Dialect, ForwardHeaders, Inbound, Prompt, ReplicaResponse};
 use crate::reply::{REQUEST_ID, Refusal};
 
 /// Timeout of the request in milliseconds.
@@ -157,15 +157,15 @@
         })
     }
 
-    fn outbound(h: &mut HeaderMap, told: &Told) {
+    fn set_forward_headers(h: &mut HeaderMap, values: &ForwardHeaders) {
         h.remove(AUTHORIZATION);
         h.remove(ACCOUNT);
-        set_number(h, DEADLINE, told.deadline.0);
-        set_text(h, REPLICA, told.replica);
-        if let Some(account) = told.account {
+        set_number(h, DEADLINE, values.deadline.0);
+        set_text(h, REPLICA, values.replica);
+        if let Some(account) = values.account {
             set_text(h, ACCOUNT, account);
         }
-        if let Some(n) = told.last_event {
+        if let Some(n) = values.last_event {
             set_number(h, LAST_EVENT, n);
         }
     }
