--- a/crates/router/src/gateway/answer.rs
+++ b/crates/router/src/gateway/answer.rs
@@ -22,7 +22,7 @@
     if let Ok(v) = HeaderValue::from_str(id) {
         headers.insert(REQUEST_ID, v);
     }
-    let status =
-        StatusCode::from_u16(D::refusal(r, &mut headers)).unwrap_or(StatusCode::BAD_GATEWAY);
+    let status = StatusCode::from_u16(D::set_refusal_headers(r, &mut headers))
+        .unwrap_or(StatusCode::BAD_GATEWAY);
     client.send_response(status, headers, Bytes::from(r.json().to_string())).await
 }
--- a/crates/router/src/gateway/dialect.rs
+++ b/crates/router/src/gateway/dialect.rs
@@ -23,7 +23,7 @@
 
 /// The parsed headers of a caller's request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Inbound {
+pub struct CallerRequest {
     /// Value of the `Host` header.
     pub host: String,
     /// The request's id.
@@ -75,7 +75,7 @@
 /// The wire format of requests, responses and documents at a gateway.
 pub trait Dialect: DocumentFormat {
     /// Parses the headers of a caller's request. Fails if a required header is missing or one is malformed.
-    fn inbound(head: &RequestHead) -> Result<Inbound, Code>;
+    fn parse_request(head: &RequestHead) -> Result<CallerRequest, Code>;
     /// Turns the caller's headers into those of the forwarded request: removes what the replica must not
     /// receive, and adds `values`.
     fn set_forward_headers(headers: &mut HeaderMap, values: &ForwardHeaders);
@@ -83,5 +83,5 @@
     fn parse_response(head: &ResponseHead) -> ReplicaResponse<'_>;
     /// Returns the status of a refusal or failure that the gateway itself responds with, and adds its
     /// headers.
-    fn refusal(r: &Refusal, headers: &mut HeaderMap) -> u16;
+    fn set_refusal_headers(r: &Refusal, headers: &mut HeaderMap) -> u16;
 }
--- a/crates/router/src/gateway/job.rs
+++ b/crates/router/src/gateway/job.rs
@@ -14,7 +14,7 @@
 use cypressfork_core::unit::Tokens;
 use tokio::time::Instant;
 
-use super::dialect::{Inbound, Prompt};
+use super::dialect::{CallerRequest, Prompt};
 use super::state::Gateway;
 
 /// A request whose route and account have been resolved, with everything that its attempts need.
@@ -22,7 +22,7 @@
     /// The gateway.
     pub gw: Rc<Gateway>,
     /// The fields parsed from its head.
-    pub inbound: Inbound,
+    pub inbound: CallerRequest,
     /// Its method.
     pub method: Method,
     /// Its path and query.
--- a/crates/router/src/gateway/native.rs
+++ b/crates/router/src/gateway/native.rs
@@ -13,7 +13,7 @@
 use cypressfork_core::route::{PromptPrefixes, rest};
 use cypressfork_core::unit::Millis;
 
-use super::dialect::{Dialect, ForwardHeaders, Inbound, Prompt, ReplicaResponse};
+use super::dialect::{CallerRequest, Dialect, ForwardHeaders, Prompt, ReplicaResponse};
 use crate::reply::{REQUEST_ID, Refusal};
 
 /// Timeout of the request in milliseconds.
@@ -145,9 +145,9 @@
 }
 
 impl Dialect for Native {
-    fn inbound(head: &RequestHead) -> Result<Inbound, Code> {
+    fn parse_request(head: &RequestHead) -> Result<CallerRequest, Code> {
         let h = &head.headers;
-        Ok(Inbound {
+        Ok(CallerRequest {
             host: text(h, HOST).ok_or(Code::HeaderBad)?.to_owned(),
             id: text(h, REQUEST_ID).ok_or(Code::HeaderBad)?.to_owned(),
             key: bearer(h).map(str::to_owned),
@@ -183,7 +183,7 @@
         }
     }
 
-    fn refusal(r: &Refusal, h: &mut HeaderMap) -> u16 {
+    fn set_refusal_headers(r: &Refusal, h: &mut HeaderMap) -> u16 {
         if let Some(span) = r.after {
             set_number(h, RETRY_AFTER, span.as_retry_after_secs());
         }
--- a/crates/router/src/gateway/request.rs
+++ b/crates/router/src/gateway/request.rs
@@ -27,7 +27,7 @@
 use super::attempt::{self, AttemptOutcome};
 use super::budget::{TokenReservation, TokenUsage, reserve_tokens};
 use super::client::Client;
-use super::dialect::{Dialect, Inbound};
+use super::dialect::{CallerRequest, Dialect};
 use super::documents::depends_on_document;
 use super::events::EventSplitter;
 use super::job::RoutedRequest;
@@ -93,7 +93,7 @@
 
 /// Serves one request whose body was received, and sends the response to `client`.
 pub async fn serve<D: Dialect>(gw: &Rc<Gateway>, client: &mut Client, req: &Request, body: Bytes) {
-    let (id, outcome) = match D::inbound(req.head()) {
+    let (id, outcome) = match D::parse_request(req.head()) {
         Ok(inbound) => {
             let id = inbound.id.clone();
             (id, route_and_run::<D>(gw, client, req, inbound, body).await)
@@ -132,7 +132,7 @@
     gw: &Rc<Gateway>,
     client: &mut Client,
     req: &Request,
-    inbound: Inbound,
+    inbound: CallerRequest,
     body: Bytes,
 ) -> Outcome {
     let arrived = Instant::now();
@@ -183,14 +183,14 @@
 }
 
 /// Checks that the document has a route and an account for a request.
-fn check_routable(routes: &Routes, req: &Request, inbound: &Inbound) -> Result<(), Code> {
+fn check_routable(routes: &Routes, req: &Request, inbound: &CallerRequest) -> Result<(), Code> {
     let route = routes.route(&inbound.host, req.path())?;
     routes.account(route, inbound.key.as_deref()).map(|_| ())
 }
 
 /// Returns the newest document that any control process has announced, which can refuse a request for
 /// good. Returns none if it does not arrive in time or no control process is reachable.
-async fn newest_routes(gw: &Gateway, inbound: &Inbound) -> Option<Rc<Routes>> {
+async fn newest_routes(gw: &Gateway, inbound: &CallerRequest) -> Option<Rc<Routes>> {
     if gw.documents.is_cut_off(gw.now()) {
         return None;
     }
@@ -215,7 +215,7 @@
     gw: &Rc<Gateway>,
     routes: &Routes,
     req: &Request,
-    inbound: Inbound,
+    inbound: CallerRequest,
     body: Bytes,
 ) -> Result<(RoutedRequest, Option<Tokens>), Code> {
     let route: &Route = routes.route(&inbound.host, req.path())?;
