--- a/crates/router/src/gateway/budget.rs
+++ b/crates/router/src/gateway/budget.rs
@@ -13,7 +13,7 @@
 use cypressfork_core::unit::{Millis, Tokens};
 use tokio::time::Instant;
 
-use super::dialect::Prompt;
+use super::dialect::PromptSize;
 use super::share::BorrowedTokens;
 use super::state::Gateway;
 use crate::reply::Refusal;
@@ -111,14 +111,14 @@
     gw: &Gateway,
     account: &str,
     prepaid: Tokens,
-    prompt: &Prompt,
+    prompt: &PromptSize,
     deadline: Instant,
 ) -> Result<TokenReservation, Refusal> {
     let demand = TokenDemand {
         account,
         budget: budget_name(account),
         policy: Policy::for_prepaid(prepaid),
-        max_tokens: prompt.tokens.saturating_add(prompt.most),
+        max_tokens: prompt.tokens.saturating_add(prompt.max_output),
         deadline,
     };
     gw.peers.homes.record_request(gw.now(), &demand.budget);
--- a/crates/router/src/gateway/dialect.rs
+++ b/crates/router/src/gateway/dialect.rs
@@ -12,13 +12,13 @@
 
 /// The size of a prompt as declared by the caller.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Prompt {
+pub struct PromptSize {
     /// Tokens of the prompt.
     pub tokens: Tokens,
     /// Maximum tokens of the answer.
-    pub most: Tokens,
+    pub max_output: Tokens,
     /// Cumulative prefixes of the prompt, from its parts.
-    pub trail: PromptPrefixes,
+    pub prefixes: PromptPrefixes,
 }
 
 /// The parsed headers of a caller's request.
@@ -33,7 +33,7 @@
     /// The caller's timeout.
     pub deadline: Option<Millis>,
     /// The size of the prompt.
-    pub prompt: Option<Prompt>,
+    pub prompt: Option<PromptSize>,
     /// Id of the last event that the caller received, to resume its stream.
     pub last_event: Option<u64>,
 }
--- a/crates/router/src/gateway/job.rs
+++ b/crates/router/src/gateway/job.rs
@@ -14,7 +14,7 @@
 use cypressfork_core::unit::Tokens;
 use tokio::time::Instant;
 
-use super::dialect::{CallerRequest, Prompt};
+use super::dialect::{CallerRequest, PromptSize};
 use super::state::Gateway;
 
 /// A request whose route and account have been resolved, with everything that its attempts need.
@@ -64,14 +64,14 @@
     }
 
     /// Returns its prompt; an empty one if its head has none.
-    pub fn prompt(&self) -> Prompt {
+    pub fn prompt(&self) -> PromptSize {
         self.inbound.prompt.clone().unwrap_or_default()
     }
 
     /// Returns what the choice of a replica depends on.
     pub fn profile(&self) -> RequestProfile {
         let prompt = self.inbound.prompt.as_ref();
-        let (prefixes, regions) = (self.prompt().trail, self.regions.clone());
+        let (prefixes, regions) = (self.prompt().prefixes, self.regions.clone());
         let objective = prompt.map(|_| self.latency_objective);
         RequestProfile {
             prefixes,
--- a/crates/router/src/gateway/native.rs
+++ b/crates/router/src/gateway/native.rs
@@ -13,7 +13,7 @@
 use cypressfork_core::route::{PromptPrefixes, rest};
 use cypressfork_core::unit::Millis;
 
-use super::dialect::{CallerRequest, Dialect, ForwardHeaders, Prompt, ReplicaResponse};
+use super::dialect::{CallerRequest, Dialect, ForwardHeaders, PromptSize, ReplicaResponse};
 use crate::reply::{REQUEST_ID, Refusal};
 
 /// Timeout of the request in milliseconds.
@@ -108,14 +108,14 @@
 
 /// Parses the size of a prompt from the headers with the token counts and the parts. Returns `None` without
 /// token counts, and [`Code::HeaderBad`] if a header is malformed.
-pub fn prompt(tokens: Option<&str>, parts: Option<&str>) -> Result<Option<Prompt>, Code> {
+pub fn prompt(tokens: Option<&str>, parts: Option<&str>) -> Result<Option<PromptSize>, Code> {
     let Some(tokens) = tokens else { return Ok(None) };
-    let (prompt, most) = tokens.split_once(',').ok_or(Code::HeaderBad)?;
+    let (prompt, max_output) = tokens.split_once(',').ok_or(Code::HeaderBad)?;
     let count = |s: &str| s.trim().parse().map_err(|_| Code::HeaderBad);
     let parts = parts.unwrap_or_default().split(',').filter(|p| !p.is_empty());
     let parts: Option<Vec<_>> = parts.map(parse_part).collect();
-    let trail = PromptPrefixes::from_sized_parts(parts.ok_or(Code::HeaderBad)?);
-    Ok(Some(Prompt { tokens: count(prompt)?, most: count(most)?, trail }))
+    let prefixes = PromptPrefixes::from_sized_parts(parts.ok_or(Code::HeaderBad)?);
+    Ok(Some(PromptSize { tokens: count(prompt)?, max_output: count(max_output)?, prefixes }))
 }
 
 /// Parses a hexadecimal id and a token count.
