--- a/crates/router/src/gateway/attempt.rs
+++ b/crates/router/src/gateway/attempt.rs
@@ -14,7 +14,7 @@
 use super::client::Client;
 use super::dialect::{Dialect, ForwardHeaders};
 use super::job::RoutedRequest;
-use super::notices::{Addressee, Try};
+use super::notices::{SendTarget, Try};
 use super::request::ResponseProgress;
 use super::state::PickedReplica;
 use super::stream;
@@ -182,7 +182,7 @@
             return Err(ended);
         }
         self.sent = Instant::now();
-        gw.notices.count_send(self.request, &self.addressee(), self.which);
+        gw.notices.count_send(self.request, &self.send_target(), self.which);
         match self.send::<D>(&mut connection, last_event).await {
             Err(Broken::Stale) if self.request.is_repeatable() => {
                 self.acquire_second_permit().await?;
@@ -201,7 +201,7 @@
                     }
                 };
                 self.check_replica()?;
-                gw.notices.count_send(self.request, &self.addressee(), Try::Again);
+                gw.notices.count_send(self.request, &self.send_target(), Try::Again);
                 self.send::<D>(&mut connection, last_event).await?;
             }
             sent => sent?,
@@ -216,9 +216,9 @@
         allowed.then_some(()).ok_or(AttemptOutcome::Withheld)
     }
 
-    fn addressee(&self) -> Addressee<'_> {
+    fn send_target(&self) -> SendTarget<'_> {
         let (replica, address) = (self.replica, self.choice.address);
-        Addressee { replica, address, born: self.born, sent: self.sent }
+        SendTarget { replica, address, born: self.born, sent: self.sent }
     }
 
     /// Acquires a second permit. The replica may have received the first send, so the second counts against
@@ -259,7 +259,7 @@
             let is_own = response.id == Some(self.request.inbound.id.as_str());
             let notices = &self.request.gw.notices;
             if is_own || (response.id.is_none() && response.not_run) {
-                notices.heard(self.request, &self.addressee(), &response);
+                notices.heard(self.request, &self.send_target(), &response);
                 if !response.not_run
                     && !response.wrong_replica
                     && response.retry_after == rest::RetryAfter::Absent
@@ -269,7 +269,7 @@
                 return Ok((connection, head));
             }
             // A backoff applies to this gateway, whichever request the response is for.
-            notices.hear_rest(self.request, &self.addressee(), &response);
+            notices.hear_rest(self.request, &self.send_target(), &response);
             if response.wrong_replica && response.id.is_none() {
                 return Ok((connection, head));
             }
--- a/crates/router/src/gateway/notices.rs
+++ b/crates/router/src/gateway/notices.rs
@@ -46,7 +46,7 @@
 }
 
 /// The replica incarnation that a request was sent to.
-pub struct Addressee<'a> {
+pub struct SendTarget<'a> {
     /// The replica's id.
     pub replica: &'a str,
     /// The replica's address.
@@ -77,7 +77,7 @@
 impl Notices {
     /// Records the signals in a response to this request. Ignores responses of another replica or of an
     /// earlier incarnation.
-    pub fn heard(&self, request: &RoutedRequest, to: &Addressee, response: &ReplicaResponse) {
+    pub fn heard(&self, request: &RoutedRequest, to: &SendTarget, response: &ReplicaResponse) {
         let gw = &request.gw;
         if !is_current(gw, to, response) {
             return;
@@ -94,7 +94,7 @@
     }
 
     /// Records the backoff that a response of the replica requests, whichever request it answers.
-    pub fn hear_rest(&self, request: &RoutedRequest, to: &Addressee, response: &ReplicaResponse) {
+    pub fn hear_rest(&self, request: &RoutedRequest, to: &SendTarget, response: &ReplicaResponse) {
         if !is_current(&request.gw, to, response) {
             return;
         }
@@ -117,7 +117,7 @@
 
     /// Marks a replica as leaving for the rest of its incarnation, whatever its heartbeats report. Other
     /// gateways are informed by the control processes.
-    fn record_leaving(&self, request: &RoutedRequest, to: &Addressee) {
+    fn record_leaving(&self, request: &RoutedRequest, to: &SendTarget) {
         if !request.gw.mark_draining(to.replica) {
             return;
         }
@@ -156,7 +156,7 @@
     }
 
     /// Counts a send to a replica that is backing off or leaving.
-    pub fn count_send(&self, request: &RoutedRequest, to: &Addressee, kind: Try) {
+    pub fn count_send(&self, request: &RoutedRequest, to: &SendTarget, kind: Try) {
         if request.gw.is_backing_off(&request.service, to.address) {
             counter!(metric::SENT_IN_REST, "try" => kind.label()).increment(1);
         }
@@ -173,6 +173,6 @@
 
 /// Returns whether a response is from the replica that the request was sent to, and that replica is still
 /// in the same incarnation.
-fn is_current(gw: &Gateway, to: &Addressee, response: &ReplicaResponse) -> bool {
+fn is_current(gw: &Gateway, to: &SendTarget, response: &ReplicaResponse) -> bool {
     !response.wrong_replica && gw.born(to.replica) == to.born
 }
