--- a/crates/router/src/gateway/attempt.rs
+++ b/crates/router/src/gateway/attempt.rs
@@ -182,7 +182,7 @@
             return Err(ended);
         }
         self.sent = Instant::now();
-        gw.notices.count_send(self.request, &self.send_target(), self.which);
+        gw.notices.count_unwanted_send(self.request, &self.send_target(), self.which);
         match self.send::<D>(&mut connection, last_event).await {
             Err(Broken::Stale) if self.request.is_repeatable() => {
                 self.acquire_second_permit().await?;
@@ -201,7 +201,7 @@
                     }
                 };
                 self.check_replica()?;
-                gw.notices.count_send(self.request, &self.send_target(), Try::Again);
+                gw.notices.count_unwanted_send(self.request, &self.send_target(), Try::Again);
                 self.send::<D>(&mut connection, last_event).await?;
             }
             sent => sent?,
@@ -259,7 +259,7 @@
             let is_own = response.id == Some(self.request.inbound.id.as_str());
             let notices = &self.request.gw.notices;
             if is_own || (response.id.is_none() && response.not_run) {
-                notices.heard(self.request, &self.send_target(), &response);
+                notices.record_response(self.request, &self.send_target(), &response);
                 if !response.not_run
                     && !response.wrong_replica
                     && response.retry_after == rest::RetryAfter::Absent
@@ -269,7 +269,7 @@
                 return Ok((connection, head));
             }
             // A backoff applies to this gateway, whichever request the response is for.
-            notices.hear_rest(self.request, &self.send_target(), &response);
+            notices.record_backoff(self.request, &self.send_target(), &response);
             if response.wrong_replica && response.id.is_none() {
                 return Ok((connection, head));
             }
--- a/crates/router/src/gateway/follow.rs
+++ b/crates/router/src/gateway/follow.rs
@@ -94,7 +94,7 @@
             rollouts: gw.trials.revision(),
             reports: gw.trials.reports(),
             heard: if without_replicas { Vec::new() } else { gw.limits.reports(gw.now()) },
-            leaving: if without_replicas { Vec::new() } else { gw.notices.to_tell() },
+            leaving: if without_replicas { Vec::new() } else { gw.notices.pending_reports() },
             few: gw.limits.few_digest(gw.peers.homes.digest_for(to)),
         })
     }
--- a/crates/router/src/gateway/notices.rs
+++ b/crates/router/src/gateway/notices.rs
@@ -67,22 +67,27 @@
 
 /// State from the signals of replicas.
 #[derive(Default)]
-pub struct Notices {
+pub struct ReplicaSignals {
     /// Replicas that are leaving.
     leaving: RefCell<BTreeMap<String, LeavingReplica>>,
     /// Replicas whose invalid backoff has been logged.
     logged: RefCell<BTreeSet<String>>,
 }
 
-impl Notices {
+impl ReplicaSignals {
     /// Records the signals in a response to this request. Ignores responses of another replica or of an
     /// earlier incarnation.
-    pub fn heard(&self, request: &RoutedRequest, to: &SendTarget, response: &ReplicaResponse) {
+    pub fn record_response(
+        &self,
+        request: &RoutedRequest,
+        to: &SendTarget,
+        response: &ReplicaResponse,
+    ) {
         let gw = &request.gw;
         if !is_current(gw, to, response) {
             return;
         }
-        self.hear_rest(request, to, response);
+        self.record_backoff(request, to, response);
         // A response without a request id may be older than this request, so it can announce a limit
         // but not lift one.
         if response.id.is_some() || response.limit != LimitHeader::Absent {
@@ -94,7 +99,12 @@
     }
 
     /// Records the backoff that a response of the replica requests, whichever request it answers.
-    pub fn hear_rest(&self, request: &RoutedRequest, to: &SendTarget, response: &ReplicaResponse) {
+    pub fn record_backoff(
+        &self,
+        request: &RoutedRequest,
+        to: &SendTarget,
+        response: &ReplicaResponse,
+    ) {
         if !is_current(&request.gw, to, response) {
             return;
         }
@@ -132,13 +142,13 @@
 
     /// Records the status that a control process sent for a leaving replica. If it is ready, the replica
     /// is reported.
-    pub fn told(&self, replica: &str, born: u64, status: ReplicaStatus) {
+    pub fn record_status(&self, replica: &str, born: u64, status: ReplicaStatus) {
         self.set_leaving(replica, born, status < ReplicaStatus::Draining);
     }
 
     /// Returns the leaving replicas to report to control processes. Each is reported until a control
     /// process sends it as draining.
-    pub fn to_tell(&self) -> Vec<Leaving> {
+    pub fn pending_reports(&self) -> Vec<Leaving> {
         let all = self.leaving.borrow();
         let due = all.iter().filter(|(_, l)| l.needs_report).take(MAX_LEAVING_REPORTS);
         due.map(|(id, l)| Leaving { replica: id.clone(), born: l.born }).collect()
@@ -156,7 +166,7 @@
     }
 
     /// Counts a send to a replica that is backing off or leaving.
-    pub fn count_send(&self, request: &RoutedRequest, to: &SendTarget, kind: Try) {
+    pub fn count_unwanted_send(&self, request: &RoutedRequest, to: &SendTarget, kind: Try) {
         if request.gw.is_backing_off(&request.service, to.address) {
             counter!(metric::SENT_IN_REST, "try" => kind.label()).increment(1);
         }
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -39,7 +39,7 @@
 
 use super::documents::Documents;
 use super::limits::Limits;
-use super::notices::Notices;
+use super::notices::ReplicaSignals;
 use super::quarantine::Quarantines;
 use super::rollouts::Trials;
 use super::settings::Settings;
@@ -95,7 +95,7 @@
     /// Rate limits of replicas.
     pub limits: Limits,
     /// Notices in replicas' response headers: draining and unreadable values.
-    pub notices: Notices,
+    pub notices: ReplicaSignals,
     /// Rollouts in progress.
     pub trials: Trials,
     /// Position in each control process's feed of replica records.
@@ -148,7 +148,7 @@
             lost_connections: LostConnections::default(),
             quarantines: Quarantines::default(),
             limits: Limits::default(),
-            notices: Notices::default(),
+            notices: ReplicaSignals::default(),
             trials: Trials::default(),
             feeds: RefCell::default(),
             evacuations: RefCell::default(),
@@ -310,7 +310,7 @@
         for (id, standing) in reported {
             let known = self.replicas.borrow().standing(&id);
             if known == Some(ReplicaStatus::Draining) {
-                self.notices.told(&id, self.born(&id), standing);
+                self.notices.record_status(&id, self.born(&id), standing);
             }
         }
     }
