--- a/crates/router/src/gateway/attempt.rs
+++ b/crates/router/src/gateway/attempt.rs
@@ -14,7 +14,7 @@
 use super::client::Client;
 use super::dialect::{Dialect, ForwardHeaders};
 use super::job::RoutedRequest;
-use super::notices::{SendTarget, Try};
+use super::notices::{SendKind, SendTarget};
 use super::request::ResponseProgress;
 use super::state::PickedReplica;
 use super::stream;
@@ -107,7 +107,7 @@
     client: &mut Client,
     progress: &mut ResponseProgress,
     chosen: &PickedReplica,
-    which: Try,
+    which: SendKind,
 ) -> (AttemptOutcome, Option<Duration>) {
     let (choice, replica) = (&chosen.choice, chosen.replica.as_str());
     let data_centre = chosen.data_centre.as_str();
@@ -132,7 +132,7 @@
     /// The replica's data centre.
     pub data_centre: &'a str,
     /// Which attempt at the request it is, as counted in metrics.
-    which: Try,
+    which: SendKind,
     /// Start time of the replica's process at the time it was picked; 0 if unknown.
     born: u64,
     /// When the request was sent.
@@ -201,7 +201,7 @@
                     }
                 };
                 self.check_replica()?;
-                gw.notices.count_unwanted_send(self.request, &self.send_target(), Try::Again);
+                gw.notices.count_unwanted_send(self.request, &self.send_target(), SendKind::Resend);
                 self.send::<D>(&mut connection, last_event).await?;
             }
             sent => sent?,
--- a/crates/router/src/gateway/notices.rs
+++ b/crates/router/src/gateway/notices.rs
@@ -25,22 +25,22 @@
 
 /// The kind of a send, for metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Try {
+pub enum SendKind {
     /// The first send of the request.
     First,
     /// A retry at another replica.
     Further,
     /// A resend to the same replica on a new connection.
-    Again,
+    Resend,
 }
 
-impl Try {
+impl SendKind {
     /// Returns the value of the `try` label in metrics.
     fn label(self) -> &'static str {
         match self {
-            Try::First => "first",
-            Try::Further => "further",
-            Try::Again => "again",
+            SendKind::First => "first",
+            SendKind::Further => "further",
+            SendKind::Resend => "again",
         }
     }
 }
@@ -166,7 +166,7 @@
     }
 
     /// Counts a send to a replica that is backing off or leaving.
-    pub fn count_unwanted_send(&self, request: &RoutedRequest, to: &SendTarget, kind: Try) {
+    pub fn count_unwanted_send(&self, request: &RoutedRequest, to: &SendTarget, kind: SendKind) {
         if request.gw.is_backing_off(&request.service, to.address) {
             counter!(metric::SENT_IN_REST, "try" => kind.label()).increment(1);
         }
--- a/crates/router/src/gateway/request.rs
+++ b/crates/router/src/gateway/request.rs
@@ -31,7 +31,7 @@
 use super::documents::depends_on_document;
 use super::events::EventSplitter;
 use super::job::RoutedRequest;
-use super::notices::Try;
+use super::notices::SendKind;
 use super::rollouts::Observation;
 use super::state::{Gateway, PickedReplica};
 use super::timing::StreamTiming;
@@ -340,7 +340,7 @@
             self.tried.push(choice.address);
             let observation = Observation::begin(&request.gw, &request.service, side);
             let chosen = PickedReplica { choice, replica, data_centre, side };
-            let which = if self.tried.len() == 1 { Try::First } else { Try::Further };
+            let which = if self.tried.len() == 1 { SendKind::First } else { SendKind::Further };
             let (ended, time_to_first) =
                 attempt::run::<D>(request, client, &mut self.progress, &chosen, which).await;
             let PickedReplica { choice, replica, .. } = chosen;
