--- a/crates/router/src/gateway/follow.rs
+++ b/crates/router/src/gateway/follow.rs
@@ -140,7 +140,7 @@
         if let Some(packed) = &response.packed {
             apply_packed_records(gw, from, packed);
         }
-        gw.limits.told(gw, &response.limits);
+        gw.limits.apply_reports(gw, &response.limits);
         let controls = || response.controls.iter().filter_map(|a| a.parse().ok());
         gw.group.learn(controls());
         if let Some(lead) = &response.lead
--- a/crates/router/src/gateway/limits.rs
+++ b/crates/router/src/gateway/limits.rs
@@ -88,7 +88,7 @@
 
 /// The rate limits that a gateway knows, and the permits that it holds and issues.
 #[derive(Default)]
-pub struct Limits {
+pub struct ReplicaLimits {
     known: RefCell<known::Limits>,
     /// Number of limited replicas in `known`, for a cheap check on each request.
     limited_count: Cell<usize>,
@@ -109,9 +109,9 @@
     logged: RefCell<BTreeSet<String>>,
 }
 
-impl Limits {
+impl ReplicaLimits {
     /// Returns whether a replica has a limit.
-    pub fn names_one(&self, replica: &str) -> bool {
+    pub fn has_limit(&self, replica: &str) -> bool {
         self.limited_count.get() > 0 && self.known.borrow().rate(replica).is_some()
     }
 
@@ -148,7 +148,7 @@
     }
 
     /// Applies reports from a control process.
-    pub fn told(&self, gw: &Gateway, reports: &[LimitReport]) {
+    pub fn apply_reports(&self, gw: &Gateway, reports: &[LimitReport]) {
         for r in reports.iter().filter(|r| gw.is_running(&r.replica, r.born)) {
             let change = self.known.borrow_mut().apply(gw.now(), r);
             if let Some(change) = change {
@@ -197,7 +197,7 @@
     }
 
     /// Removes all state of a replica that has left or restarted.
-    pub fn forget(&self, replica: &str) {
+    pub fn remove(&self, replica: &str) {
         self.cached.borrow_mut().remove(replica);
         self.buckets.borrow_mut().remove(replica);
         self.issuers.borrow_mut().remove(replica);
@@ -212,7 +212,7 @@
         let expired =
             self.known.borrow_mut().expire(now, |replica, born| gw.is_running(replica, born));
         for replica in expired {
-            self.forget(&replica);
+            self.remove(&replica);
             gw.set_rate_limited(&replica, false);
         }
         self.update_count();
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -38,7 +38,7 @@
 use tokio::time::{Instant, timeout_at};
 
 use super::documents::Documents;
-use super::limits::Limits;
+use super::limits::ReplicaLimits;
 use super::notices::ReplicaSignals;
 use super::quarantine::Quarantines;
 use super::rollouts::Trials;
@@ -93,7 +93,7 @@
     /// Quarantined requests, which are sent to no replica.
     pub quarantines: Quarantines,
     /// Rate limits of replicas.
-    pub limits: Limits,
+    pub limits: ReplicaLimits,
     /// Notices in replicas' response headers: draining and unreadable values.
     pub notices: ReplicaSignals,
     /// Rollouts in progress.
@@ -147,7 +147,7 @@
             connections: ConnectionPool::default(),
             lost_connections: LostConnections::default(),
             quarantines: Quarantines::default(),
-            limits: Limits::default(),
+            limits: ReplicaLimits::default(),
             notices: ReplicaSignals::default(),
             trials: Trials::default(),
             feeds: RefCell::default(),
@@ -333,7 +333,7 @@
             let (id, address, sequence) = (g.id.clone(), g.address.clone(), g.sequence);
             let start = self.replicas.borrow().classify_start(&r);
             if start == Start::Restarted || r.standing == ReplicaStatus::Left {
-                self.limits.forget(&id);
+                self.limits.remove(&id);
             }
             let Some((standing, changes)) = self.replicas.borrow_mut().apply(now, r) else {
                 continue;
@@ -401,7 +401,7 @@
         match &c.upstream {
             Some((upstream, condition)) => {
                 pool.upsert(now, upstream, condition);
-                let limited = self.limits.names_one(&upstream.vm.name);
+                let limited = self.limits.has_limit(&upstream.vm.name);
                 pool.set_rate_limited(now, c.address, limited);
             }
             None => {
