--- a/crates/router/src/gateway/attempt.rs
+++ b/crates/router/src/gateway/attempt.rs
@@ -225,7 +225,7 @@
     /// its rate limit as well.
     async fn acquire_second_permit(&self) -> Result<(), AttemptOutcome> {
         let (gw, priority) = (&self.request.gw, self.request.priority);
-        let permit = gw.limits.permit(gw, self.replica, self.data_centre, priority).await;
+        let permit = gw.limits.acquire_permit(gw, self.replica, self.data_centre, priority).await;
         permit.map_err(|_| AttemptOutcome::NotSent(gw.limits.describe(gw.now(), self.replica)))
     }
 
--- a/crates/router/src/gateway/limits.rs
+++ b/crates/router/src/gateway/limits.rs
@@ -253,7 +253,7 @@
     /// Acquires a permit for one request of this priority to a replica; succeeds at once if the replica
     /// has no limit. Each send needs its own permit, including retries and a resend after a kept
     /// connection turned out to be closed.
-    pub async fn permit(
+    pub async fn acquire_permit(
         &self,
         gw: &Gateway,
         replica: &str,
@@ -330,7 +330,7 @@
         let mut denied = None;
         for issuer in self.reachable_issuers(gw, req) {
             let grant = match issuer == own {
-                true => Some(self.serve(gw, req)),
+                true => Some(self.issue_permits(gw, req)),
                 false => gw.peers.permits(gw, issuer, req, PERMIT_REQUEST_TIMEOUT).await,
             };
             match grant {
@@ -359,7 +359,7 @@
     }
 
     /// Issues permits for another gateway's request or this gateway's own.
-    pub fn serve(&self, gw: &Gateway, req: &PermitRequest) -> Grant {
+    pub fn issue_permits(&self, gw: &Gateway, req: &PermitRequest) -> Grant {
         let (now, own) = (gw.now(), gw.settings.link);
         let issue_rate =
             self.issuers.borrow_mut().issue_rate(now, own, &req.replica, &req.data_centre);
@@ -380,7 +380,7 @@
 
     /// Returns how much longer this gateway issues a replica's permits at the reduced rate as its new
     /// primary, or `None` if it does not.
-    pub fn settles(&self, gw: &Gateway, replica: &str, data_centre: &str) -> Option<Millis> {
+    pub fn reduced_until(&self, gw: &Gateway, replica: &str, data_centre: &str) -> Option<Millis> {
         let (now, own) = (gw.now(), gw.settings.link);
         let until = self.issuers.borrow_mut().reduced_until(now, own, replica, data_centre)?;
         Some(until.since(now))
@@ -404,7 +404,7 @@
 
     /// Returns the `Retry-After` of a caller that no replica of `service` accepts before `min_delay`.
     /// Callers are spaced at this gateway's share of the sum of the service's limits.
-    pub fn come_back(&self, gw: &Gateway, service: &str, min_delay: Millis) -> Millis {
+    pub fn retry_delay(&self, gw: &Gateway, service: &str, min_delay: Millis) -> Millis {
         let now = gw.now();
         let total: u64 = gw.rate_limited(service).iter().map(|r| self.rate(r).0).sum();
         let routers = self.issuers.borrow().router_count().max(1) as u64;
--- a/crates/router/src/gateway/request.rs
+++ b/crates/router/src/gateway/request.rs
@@ -388,7 +388,8 @@
                 return None;
             };
             let (replica, dc) = (&chosen.replica, &chosen.data_centre);
-            let Err(denied) = gw.limits.permit(gw, replica, dc, request.priority).await else {
+            let Err(denied) = gw.limits.acquire_permit(gw, replica, dc, request.priority).await
+            else {
                 gw.commit(&request.service, &profile, &mut chosen);
                 return Some(chosen);
             };
@@ -521,7 +522,7 @@
         let (code, after, why) = match blocked.reason {
             BlockReason::RateLimit => {
                 let why = gw.limits.describe(gw.now(), &blocked.replica);
-                (Code::LimitReached, gw.limits.come_back(gw, service, blocked.retry_after), why)
+                (Code::LimitReached, gw.limits.retry_delay(gw, service, blocked.retry_after), why)
             }
             BlockReason::Backoff => {
                 let why = format!(
--- a/crates/router/src/gateway/share.rs
+++ b/crates/router/src/gateway/share.rs
@@ -338,9 +338,9 @@
                 gw.record_peer_placement(&p);
                 Ok(PeerReply::Noted)
             }
-            PeerRequest::Permit(ask) => Ok(PeerReply::Permitted(gw.limits.serve(gw, &ask))),
+            PeerRequest::Permit(ask) => Ok(PeerReply::Permitted(gw.limits.issue_permits(gw, &ask))),
             PeerRequest::Settles { replica, data_centre } => {
-                Ok(PeerReply::Settles(gw.limits.settles(gw, &replica, &data_centre)))
+                Ok(PeerReply::Settles(gw.limits.reduced_until(gw, &replica, &data_centre)))
             }
             // Served by [`Peers::serve_hold`], because it may wait.
             PeerRequest::Hold { .. } => Err(Code::MessageBad),
