--- a/crates/router/src/gateway/follow.rs
+++ b/crates/router/src/gateway/follow.rs
@@ -95,7 +95,7 @@
             reports: gw.trials.reports(),
             heard: if without_replicas { Vec::new() } else { gw.limits.reports(gw.now()) },
             leaving: if without_replicas { Vec::new() } else { gw.notices.pending_reports() },
-            few: gw.limits.few_digest(gw.peers.homes.digest_for(to)),
+            few: gw.limits.small_data_centres_digest(gw.peers.homes.digest_for(to)),
         })
     }
 
@@ -134,7 +134,7 @@
             apply_areas(gw, from, areas);
         }
         if let Some(few) = response.few {
-            gw.limits.set_few(gw.now(), few);
+            gw.limits.set_small_data_centres(gw.now(), few);
         }
         gw.apply_control_records(response.replicas);
         if let Some(packed) = &response.packed {
@@ -188,7 +188,7 @@
     let base = &gw.settings.base;
     homes.update(from, &base.data_centre, &base.regions, areas);
     gw.peers.update_from_homes(gw.settings.link);
-    gw.limits.set_areas(gw.now(), areas);
+    gw.limits.set_large_data_centres(gw.now(), areas);
     let own = gw.settings.link;
     let is_elsewhere = |budget: &str| {
         let all = homes.for_budget(gw.now(), own, budget);
--- a/crates/router/src/gateway/limits.rs
+++ b/crates/router/src/gateway/limits.rs
@@ -95,9 +95,9 @@
     buckets: RefCell<PermitBuckets>,
     issuers: RefCell<PermitIssuers>,
     /// The gateways of data centres with enough of them for homes.
-    with_homes: RefCell<Vec<DataCentreRouters>>,
+    large_data_centres: RefCell<Vec<DataCentreRouters>>,
     /// The gateways of data centres with too few of them for homes.
-    without_homes: RefCell<Vec<DataCentreRouters>>,
+    small_data_centres: RefCell<Vec<DataCentreRouters>>,
     cached: RefCell<HashMap<String, CachedPermits>>,
     /// When each gateway last failed to answer a permit request.
     unreachable: RefCell<BTreeMap<SocketAddr, Time>>,
@@ -223,29 +223,34 @@
     }
 
     /// Returns the digest of the gateways of data centres without homes, for a watch request. Returns
-    /// [`NOT_WANTED`] if `with_homes`, the digest of the other data centres' gateways, is that too.
-    pub fn few_digest(&self, with_homes: u64) -> u64 {
-        if with_homes == NOT_WANTED { NOT_WANTED } else { digest(&self.without_homes.borrow()) }
+    /// [`NOT_WANTED`] if `large_data_centres`, the digest of the other data centres' gateways, is that too.
+    pub fn small_data_centres_digest(&self, large_data_centres: u64) -> u64 {
+        if large_data_centres == NOT_WANTED {
+            NOT_WANTED
+        } else {
+            digest(&self.small_data_centres.borrow())
+        }
     }
 
     /// Replaces the gateways of data centres with homes.
-    pub fn set_areas(&self, now: Time, routers: &[DataCentreRouters]) {
-        *self.with_homes.borrow_mut() = routers.to_vec();
+    pub fn set_large_data_centres(&self, now: Time, routers: &[DataCentreRouters]) {
+        *self.large_data_centres.borrow_mut() = routers.to_vec();
         self.update_issuers(now);
     }
 
     /// Replaces the gateways of data centres without homes.
-    pub fn set_few(&self, now: Time, routers: Vec<DataCentreRouters>) {
-        *self.without_homes.borrow_mut() = routers;
+    pub fn set_small_data_centres(&self, now: Time, routers: Vec<DataCentreRouters>) {
+        *self.small_data_centres.borrow_mut() = routers;
         self.update_issuers(now);
     }
 
     fn update_issuers(&self, now: Time) {
-        let (with_homes, without_homes) = (self.with_homes.borrow(), self.without_homes.borrow());
+        let (large_data_centres, small_data_centres) =
+            (self.large_data_centres.borrow(), self.small_data_centres.borrow());
         let links = |d: &DataCentreRouters| d.links.iter().filter_map(|l| l.parse().ok()).collect();
-        let all = with_homes
+        let all = large_data_centres
             .iter()
-            .chain(without_homes.iter())
+            .chain(small_data_centres.iter())
             .map(|d| (d.data_centre.clone(), links(d)));
         self.issuers.borrow_mut().set_routers(now, all.collect());
     }
