--- a/crates/router/src/gateway/run.rs
+++ b/crates/router/src/gateway/run.rs
@@ -28,7 +28,7 @@
 use super::server::accept;
 use super::settings::{File, Settings};
 use super::share::{expire_forever, serve_peers};
-use super::stand_in::probe_forever;
+use super::stand_in::probe_issuers_forever;
 use super::state::Gateway;
 use crate::reply::json_response;
 
@@ -79,7 +79,7 @@
     actix_rt::spawn(register_forever(gw.clone()));
     actix_rt::spawn(clean_up_forever(gw.clone()));
     actix_rt::spawn(report_forever(gw.clone()));
-    actix_rt::spawn(probe_forever(gw.clone()));
+    actix_rt::spawn(probe_issuers_forever(gw.clone()));
     let g = gw.clone();
     actix_rt::spawn(reload_forever(move || settings(&file), move |s| reload::<D>(&g, s)));
     stop_signal().await;
--- a/crates/router/src/gateway/stand_in.rs
+++ b/crates/router/src/gateway/stand_in.rs
@@ -43,7 +43,7 @@
 }
 
 /// Runs the requested probes until the process ends.
-pub async fn probe_forever(gw: Rc<Gateway>) {
+pub async fn probe_issuers_forever(gw: Rc<Gateway>) {
     let probes = &gw.limits.probes;
     loop {
         let requested = std::mem::take(&mut *probes.requested.borrow_mut());
