--- a/crates/router/src/gateway/attempt.rs
+++ b/crates/router/src/gateway/attempt.rs
@@ -310,7 +310,7 @@
                 let unframed = connection.is_unframed();
                 // A response that ends with its connection may be truncated.
                 if !unframed && !not_run {
-                    gw.quarantines.answered(self.request);
+                    gw.quarantines.record_completion(self.request);
                 }
                 gw.keep_connection(
                     &self.request.service,
--- a/crates/router/src/gateway/follow.rs
+++ b/crates/router/src/gateway/follow.rs
@@ -120,7 +120,7 @@
             gw.apply_evacuations(evacuations);
         }
         if let Some(quarantine) = &response.quarantine {
-            gw.quarantines.take(quarantine);
+            gw.quarantines.update(quarantine);
         }
         if response.lead.is_some() {
             gw.trials.note_heard(gw.now());
--- a/crates/router/src/gateway/quarantine.rs
+++ b/crates/router/src/gateway/quarantine.rs
@@ -51,7 +51,7 @@
 
 /// A gateway's view of quarantined requests, and its pending reports.
 #[derive(Default)]
-pub struct Quarantines {
+pub struct QuarantineState {
     /// The list from the control processes.
     list: RefCell<QuarantineList>,
     /// Requests that this gateway recently answered completely.
@@ -72,14 +72,14 @@
     wake: Notify,
 }
 
-impl Quarantines {
+impl QuarantineState {
     /// Returns the revision of the list from the control processes.
     pub fn revision(&self) -> Index {
         self.list.borrow().revision
     }
 
     /// Replaces the list by one from a control process, if that is newer.
-    pub fn take(&self, list: &QuarantineList) {
+    pub fn update(&self, list: &QuarantineList) {
         if !self.list.borrow_mut().replace_if_newer(list.clone()) {
             return;
         }
@@ -119,7 +119,7 @@
 
     /// Records that a request was answered completely, and reports that if the request is a suspect or
     /// quarantined, or has a strike and was answered completely twice.
-    pub fn answered(&self, request: &RoutedRequest) {
+    pub fn record_completion(&self, request: &RoutedRequest) {
         let identity = request.identity();
         self.completed.borrow_mut().record(self.hasher.hash_one(identity));
         if self.briefs.borrow().is_empty() {
@@ -137,25 +137,31 @@
         }
     }
 
-    /// Returns the per-process hash of a request, for [`Quarantines::is_sound`].
-    pub fn hash(&self, request: &RoutedRequest) -> u64 {
+    /// Returns the per-process hash of a request, for [`QuarantineState::has_completed`].
+    pub fn request_hash(&self, request: &RoutedRequest) -> u64 {
         self.hasher.hash_one(request.identity())
     }
 
     /// Returns whether this gateway recently answered a copy of the request completely.
-    pub fn is_sound(&self, hash: u64) -> bool {
+    pub fn has_completed(&self, hash: u64) -> bool {
         self.completed.borrow().contains(hash)
     }
 
     /// Records and reports that a replica terminated at `at` with these requests in flight. Requests that
     /// were recently answered completely are left out.
-    pub fn ended(&self, gw: &Gateway, replica: &str, at: Time, victims: Vec<LostRequest>) {
+    pub fn record_termination(
+        &self,
+        gw: &Gateway,
+        replica: &str,
+        at: Time,
+        victims: Vec<LostRequest>,
+    ) {
         let in_flight = |v: LostRequest| InFlightRequest {
             fingerprint: v.fingerprint,
             account: v.account.unwrap_or_default(),
             age: v.age,
         };
-        let suspects = victims.into_iter().filter(|v| !self.is_sound(v.hash));
+        let suspects = victims.into_iter().filter(|v| !self.has_completed(v.hash));
         let under_way: Vec<_> = suspects.map(in_flight).collect();
         if under_way.is_empty() {
             return;
@@ -226,7 +232,7 @@
 
 /// Queues terminations whose report failed before those recorded meanwhile, and drops the oldest beyond
 /// the maximum.
-fn requeue(quarantines: &Quarantines, mut failed: Vec<PendingTermination>) {
+fn requeue(quarantines: &QuarantineState, mut failed: Vec<PendingTermination>) {
     let mut pending = quarantines.pending.borrow_mut();
     failed.append(&mut pending);
     let surplus = failed.len().saturating_sub(MAX_PENDING);
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -40,7 +40,7 @@
 use super::documents::Documents;
 use super::limits::ReplicaLimits;
 use super::notices::ReplicaSignals;
-use super::quarantine::Quarantines;
+use super::quarantine::QuarantineState;
 use super::rollouts::Trials;
 use super::settings::Settings;
 use super::share::Peers;
@@ -91,7 +91,7 @@
     /// Connections to replicas that were lost with a request in flight.
     pub lost_connections: LostConnections,
     /// Quarantined requests, which are sent to no replica.
-    pub quarantines: Quarantines,
+    pub quarantines: QuarantineState,
     /// Rate limits of replicas.
     pub limits: ReplicaLimits,
     /// Notices in replicas' response headers: draining and unreadable values.
@@ -146,7 +146,7 @@
             documents: Documents::default(),
             connections: ConnectionPool::default(),
             lost_connections: LostConnections::default(),
-            quarantines: Quarantines::default(),
+            quarantines: QuarantineState::default(),
             limits: ReplicaLimits::default(),
             notices: ReplicaSignals::default(),
             trials: Trials::default(),
--- a/crates/router/src/gateway/stream.rs
+++ b/crates/router/src/gateway/stream.rs
@@ -165,7 +165,7 @@
     let unframed = connection.is_unframed();
     // A response that ends with its connection may be truncated.
     if !unframed {
-        gw.quarantines.answered(attempt.request);
+        gw.quarantines.record_completion(attempt.request);
     }
     gw.keep_connection(
         &attempt.request.service,
--- a/crates/router/src/gateway/witness.rs
+++ b/crates/router/src/gateway/witness.rs
@@ -69,7 +69,7 @@
     let lost = LostRequest {
         id: request.inbound.id.clone(),
         fingerprint: fingerprint(&request.identity()),
-        hash: gw.quarantines.hash(request),
+        hash: gw.quarantines.request_hash(request),
         account: request.account.clone(),
         age: Millis(sent.elapsed().as_millis() as u64),
     };
@@ -130,7 +130,7 @@
     for l in losses {
         counter!(metric::LOST_CONNECTIONS, "replica" => "ended").increment(l.requests.len() as u64);
         l.requests.iter().for_each(|v| log_ended(gw, evidence, &l, v));
-        gw.quarantines.ended(gw, &l.replica, l.since, l.requests);
+        gw.quarantines.record_termination(gw, &l.replica, l.since, l.requests);
     }
 }
 
@@ -144,7 +144,7 @@
         address = l.address,
         age_ms = v.age.0,
         ago_ms = gw.now().since(l.since).0,
-        sound = gw.quarantines.is_sound(v.hash),
+        sound = gw.quarantines.has_completed(v.hash),
         shown = evidence.as_str(),
     );
 }
