--- a/crates/router/src/gateway/follow.rs
+++ b/crates/router/src/gateway/follow.rs
@@ -91,8 +91,8 @@
             evacuations,
             without_replicas,
             quarantine,
-            rollouts: gw.trials.revision(),
-            reports: gw.trials.reports(),
+            rollouts: gw.rollouts.revision(),
+            reports: gw.rollouts.reports(),
             heard: if without_replicas { Vec::new() } else { gw.limits.reports(gw.now()) },
             leaving: if without_replicas { Vec::new() } else { gw.notices.pending_reports() },
             few: gw.limits.small_data_centres_digest(gw.peers.homes.digest_for(to)),
@@ -123,7 +123,7 @@
             gw.quarantines.update(quarantine);
         }
         if response.lead.is_some() {
-            gw.trials.note_heard(gw.now());
+            gw.rollouts.record_contact(gw.now());
         }
         if let Some(rollouts) = &response.rollouts {
             gw.apply_rollouts(rollouts);
--- a/crates/router/src/gateway/request.rs
+++ b/crates/router/src/gateway/request.rs
@@ -372,7 +372,7 @@
     async fn pick_replica(&mut self) -> Option<PickedReplica> {
         let request = self.request;
         let gw = &request.gw;
-        let version_preference = gw.trials.version_preference(
+        let version_preference = gw.rollouts.version_preference(
             gw.now(),
             &request.service,
             &request.inbound.id,
--- a/crates/router/src/gateway/rollouts.rs
+++ b/crates/router/src/gateway/rollouts.rs
@@ -25,7 +25,7 @@
 const URGENT_REPORT_INTERVAL: Millis = Millis(250);
 
 /// A gateway's view of the rollouts in the fleet.
-pub struct Trials {
+pub struct RolloutTracker {
     /// The rollouts from the control processes.
     rollouts: RefCell<Rollouts>,
     /// Random id of this process, to which the reported counters belong.
@@ -48,9 +48,9 @@
     stopped: bool,
 }
 
-impl Default for Trials {
-    fn default() -> Trials {
-        Trials {
+impl Default for RolloutTracker {
+    fn default() -> RolloutTracker {
+        RolloutTracker {
             rollouts: RefCell::default(),
             process_id: rand::random(),
             last_contact: Cell::default(),
@@ -64,25 +64,25 @@
 /// requests within a second, so by then the gateway is cut off.
 const CONTACT_TIMEOUT: Millis = Millis::seconds(2);
 
-impl Trials {
+impl RolloutTracker {
     /// Returns the revision of the rollouts from the control processes.
     pub fn revision(&self) -> Index {
         self.rollouts.borrow().revision
     }
 
     /// Records contact with a control process that knows a leader.
-    pub fn note_heard(&self, now: Time) {
+    pub fn record_contact(&self, now: Time) {
         self.last_contact.set(now);
     }
 
     /// Returns the rollout of a service.
-    pub fn of(&self, service: &str) -> Option<Rollout> {
+    pub fn rollout(&self, service: &str) -> Option<Rollout> {
         self.rollouts.borrow().get(service).cloned()
     }
 
     /// Replaces the rollouts by those from a control process, if they are newer. Returns the ones that
     /// have changed.
-    pub fn take(&self, rollouts: &Rollouts) -> Vec<(String, Rollout)> {
+    pub fn update(&self, rollouts: &Rollouts) -> Vec<(String, Rollout)> {
         let before = self.rollouts.borrow().clone();
         if !self.rollouts.borrow_mut().replace_if_newer(rollouts) {
             return Vec::new();
@@ -163,7 +163,7 @@
     pub fn begin(gw: &Rc<Gateway>, service: &str, side: Side) -> Observation {
         // Without a rollout, all replicas count as the old version of the next one.
         if side != Side::New && side != Side::Standby {
-            let mut observed = gw.trials.observed.borrow_mut();
+            let mut observed = gw.rollouts.observed.borrow_mut();
             if let Some(o) = observed.get_mut(service) {
                 o.at_old += 1;
             } else {
@@ -191,9 +191,9 @@
             Side::Any | Side::Excluded => return,
         };
         let gw = &self.gw;
-        let rollouts = gw.trials.rollouts.borrow();
+        let rollouts = gw.rollouts.rollouts.borrow();
         let Some(r) = rollouts.get(&self.service).filter(|r| !r.stage.is_over()) else { return };
-        let mut observed = gw.trials.observed.borrow_mut();
+        let mut observed = gw.rollouts.observed.borrow_mut();
         let Some(o) = observed.get_mut(&self.service) else { return };
         let sides = o.evidence.route_mut(route);
         let outcomes = if is_new { &mut sides.new } else { &mut sides.old };
@@ -232,8 +232,8 @@
             );
         }
         let now = gw.now();
-        if now.since(gw.trials.last_urgent_report.get()) >= URGENT_REPORT_INTERVAL {
-            gw.trials.last_urgent_report.set(now);
+        if now.since(gw.rollouts.last_urgent_report.get()) >= URGENT_REPORT_INTERVAL {
+            gw.rollouts.last_urgent_report.set(now);
             gw.poll_all_now();
         }
     }
@@ -244,7 +244,7 @@
         if matches!(self.side, Side::New | Side::Standby) {
             return;
         }
-        if let Ok(mut observed) = self.gw.trials.observed.try_borrow_mut()
+        if let Ok(mut observed) = self.gw.rollouts.observed.try_borrow_mut()
             && let Some(o) = observed.get_mut(&self.service)
         {
             o.at_old = o.at_old.saturating_sub(1);
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -41,7 +41,7 @@
 use super::limits::ReplicaLimits;
 use super::notices::ReplicaSignals;
 use super::quarantine::QuarantineState;
-use super::rollouts::Trials;
+use super::rollouts::RolloutTracker;
 use super::settings::Settings;
 use super::share::Peers;
 use super::upstream::ConnectionPool;
@@ -97,7 +97,7 @@
     /// Notices in replicas' response headers: draining and unreadable values.
     pub notices: ReplicaSignals,
     /// Rollouts in progress.
-    pub trials: Trials,
+    pub rollouts: RolloutTracker,
     /// Position in each control process's feed of replica records.
     pub feeds: RefCell<BTreeMap<SocketAddr, FeedCursor>>,
     /// Evacuated data centres, whose replicas receive no new requests.
@@ -149,7 +149,7 @@
             quarantines: QuarantineState::default(),
             limits: ReplicaLimits::default(),
             notices: ReplicaSignals::default(),
-            trials: Trials::default(),
+            rollouts: RolloutTracker::default(),
             feeds: RefCell::default(),
             evacuations: RefCell::default(),
             sources: RefCell::new(ReplicaSources::new(rand::random())),
@@ -393,7 +393,7 @@
             let base = &self.settings.base;
             pool.set_location(&base.data_centre, &base.regions);
             pool.set_closed_data_centres(now, &closed());
-            if let Some(r) = self.trials.of(&c.service) {
+            if let Some(r) = self.rollouts.rollout(&c.service) {
                 pool.set_rollout(&r);
             }
             pool
@@ -430,7 +430,7 @@
 
     /// Replaces the rollouts if `received` is newer than the known list, and applies them to the pools.
     pub fn apply_rollouts(&self, received: &Rollouts) {
-        for (service, r) in self.trials.take(received) {
+        for (service, r) in self.rollouts.update(received) {
             if let Some(pool) = self.pools.borrow_mut().get_mut(&service) {
                 pool.set_rollout(&r);
             }
