--- a/crates/router/src/gateway/request.rs
+++ b/crates/router/src/gateway/request.rs
@@ -32,7 +32,7 @@
 use super::events::EventSplitter;
 use super::job::RoutedRequest;
 use super::notices::SendKind;
-use super::rollouts::Observation;
+use super::rollouts::AttemptObservation;
 use super::state::{Gateway, PickedReplica};
 use super::timing::StreamTiming;
 use crate::reply::Refusal;
@@ -338,13 +338,13 @@
                 return self.give_up("no replica is left", client);
             };
             self.tried.push(choice.address);
-            let observation = Observation::begin(&request.gw, &request.service, side);
+            let observation = AttemptObservation::start(&request.gw, &request.service, side);
             let chosen = PickedReplica { choice, replica, data_centre, side };
             let which = if self.tried.len() == 1 { SendKind::First } else { SendKind::Further };
             let (ended, time_to_first) =
                 attempt::run::<D>(request, client, &mut self.progress, &chosen, which).await;
             let PickedReplica { choice, replica, .. } = chosen;
-            observation.end(&request.route, &ended, time_to_first, choice.expected_us);
+            observation.finish(&request.route, &ended, time_to_first, choice.expected_us);
             counter!(metric::ATTEMPTS, "end" => ended.label()).increment(1);
             let failed = ended.is_failure();
             self.request.gw.finish(&self.request.service, &choice, failed);
--- a/crates/router/src/gateway/rollouts.rs
+++ b/crates/router/src/gateway/rollouts.rs
@@ -152,15 +152,15 @@
 
 /// Records the outcome of one attempt as evidence on the version of its replica. Until it is dropped, an
 /// attempt at the old version counts as in flight.
-pub struct Observation {
+pub struct AttemptObservation {
     gw: Rc<Gateway>,
     service: String,
     side: Side,
 }
 
-impl Observation {
+impl AttemptObservation {
     /// Records that a request is sent to a replica on this side.
-    pub fn begin(gw: &Rc<Gateway>, service: &str, side: Side) -> Observation {
+    pub fn start(gw: &Rc<Gateway>, service: &str, side: Side) -> AttemptObservation {
         // Without a rollout, all replicas count as the old version of the next one.
         if side != Side::New && side != Side::Standby {
             let mut observed = gw.rollouts.observed.borrow_mut();
@@ -173,12 +173,12 @@
                 );
             }
         }
-        Observation { gw: gw.clone(), service: service.to_owned(), side }
+        AttemptObservation { gw: gw.clone(), service: service.to_owned(), side }
     }
 
     /// Records how the attempt ended, its time to the first byte and the expected one in microseconds.
     /// Stops the rollout at this gateway if the evidence shows a fault of the new version.
-    pub fn end(
+    pub fn finish(
         self,
         route: &str,
         ended: &AttemptOutcome,
@@ -239,7 +239,7 @@
     }
 }
 
-impl Drop for Observation {
+impl Drop for AttemptObservation {
     fn drop(&mut self) {
         if matches!(self.side, Side::New | Side::Standby) {
             return;
