--- a/crates/router/src/gateway/request.rs
+++ b/crates/router/src/gateway/request.rs
@@ -162,8 +162,11 @@
         return Outcome::Refused(quarantined(f));
     }
     gw.count_request(&request.service);
-    if !admission::admits(gw.active_connections.get() as u64, gw.settings.places, request.priority)
-    {
+    if !admission::admits(
+        gw.active_connections.get() as u64,
+        gw.settings.max_active_requests,
+        request.priority,
+    ) {
         return Outcome::Refused(Refusal::from(Code::Overloaded).after(OVERLOADED_RETRY_AFTER));
     }
     let started = Instant::now();
--- a/crates/router/src/gateway/settings.rs
+++ b/crates/router/src/gateway/settings.rs
@@ -98,11 +98,11 @@
     /// Path of the readiness check.
     pub ready_path: String,
     /// Interval between reports of spent tokens.
-    pub report: Duration,
+    pub report_interval: Duration,
     /// Limit on the retries of the whole fleet.
     pub retry: RetryLimit,
     /// Maximum number of active requests.
-    pub places: u64,
+    pub max_active_requests: u64,
     /// Capacity of the machine's network link in bytes per second and direction; 0 if unknown.
     pub link_capacity: u64,
     /// Maximum duration of a graceful shutdown.
@@ -153,9 +153,11 @@
             operators: address("operators", &self.operators)?,
             metrics: self.metrics.map(|a| address("metrics", &a)).transpose()?,
             ready_path: self.ready_path,
-            report: Duration::from_millis(range("report_ms", self.report_ms, 10, 60_000)?),
+            report_interval: Duration::from_millis(range("report_ms", self.report_ms, 10, 60_000)?),
             retry,
-            places: admission::max_active_requests((memory * BYTES_PER_MEBIBYTE).floor() as u64),
+            max_active_requests: admission::max_active_requests(
+                (memory * BYTES_PER_MEBIBYTE).floor() as u64,
+            ),
             link_capacity: (link * BYTES_PER_MEGABIT).floor() as u64,
             stop_within: to_millis(stop),
             stop_serve: to_millis(serve.min(stop)),
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -178,7 +178,7 @@
 
     /// Returns the interval between two reports of spent tokens, which depends on the number of routers.
     pub fn report_every(&self) -> Duration {
-        let max = Millis(self.settings.report.as_millis() as u64);
+        let max = Millis(self.settings.report_interval.as_millis() as u64);
         Duration::from_millis(report_interval(u64::from(self.router_count.get()), max).0)
     }
 
