--- a/crates/control/src/disk.rs
+++ b/crates/control/src/disk.rs
@@ -1,4 +1,4 @@
-//! What a replica keeps in its data folder, as records of the store's log.
+//! The durable state of a member: records in the log and snapshots of its data folder.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -19,14 +19,14 @@
 
 /// Kinds of record in the log.
 mod kind {
-    pub(super) const HARD: u8 = 1;
+    pub(super) const HARD_STATE: u8 = 1;
     pub(super) const ENTRY: u8 = 2;
     pub(super) const TRUNCATE: u8 = 3;
-    pub(super) const MARK: u8 = 4;
+    pub(super) const PEER_STATE: u8 = 4;
     pub(super) const BASE: u8 = 5;
 }
 
-/// The result code of an error of the data folder.
+/// Returns the result code of an error of the data folder.
 fn code(e: &Error) -> Code {
     match e {
         Error::InUse(_) => Code::FolderInUse,
@@ -37,47 +37,47 @@
     }
 }
 
-/// The end of a process whose data folder cannot be used.
+/// Returns the failure with which a process ends if its data folder cannot be used.
 pub(crate) fn disk_failed(e: Error) -> Failure {
     (code(&e), format!("CF{}: {e}", code(&e).number()))
 }
 
-/// Where a replica keeps what must survive.
+/// The durable storage of a member. What is appended is stored by the next [`Storage::sync`].
 pub trait Storage {
-    /// Adds the term and vote to the next sync.
+    /// Appends the term and vote.
     fn hard(&mut self, h: HardState);
-    /// Adds what is remembered of another replica to the next sync.
+    /// Appends the state that is kept of another member.
     fn mark(&mut self, node: NodeId, m: PeerState);
-    /// Adds entries to the next sync.
+    /// Appends log entries.
     fn entries(&mut self, entries: &[Entry]);
-    /// Drops the entries from `from` on, with the next sync.
+    /// Appends the removal of the entries from index `from` on.
     fn truncate(&mut self, from: Index);
-    /// Makes all that was added last.
+    /// Makes everything that was appended durable.
     fn sync(&mut self) -> Result<(), Error>;
-    /// Stores a snapshot, and a log that holds only what comes after it.
+    /// Stores a snapshot and replaces the log by what follows it. Syncs both.
     fn snapshot(&mut self, kept: &Kept, bytes: &[u8]) -> Result<(), Error>;
-    /// Reads the newest snapshot.
+    /// Returns the bytes of the snapshot that covers the log up to `index`.
     fn load(&self, index: Index) -> Result<Vec<u8>, Error>;
-    /// Bytes of the log.
+    /// Returns the size of the log in bytes.
     fn size(&self) -> u64;
-    /// Begins anew after a failure, with what is stored for certain.
+    /// Reopens the storage after a failed sync, and returns the state that is stored.
     fn reopen(&mut self) -> Result<Restored, Error>;
 }
 
-/// What a shortened log begins with.
+/// The contents of a log after it was compacted into a snapshot.
 #[derive(Clone, Debug, Default)]
 pub struct Kept {
-    /// What the snapshot covers.
+    /// Index, term and members that the snapshot covers.
     pub meta: SnapshotMeta,
     /// Term and vote.
     pub hard: HardState,
-    /// What is remembered of other replicas.
+    /// State kept of the other members.
     pub marks: BTreeMap<NodeId, PeerState>,
     /// The entries after the snapshot.
     pub entries: Vec<Entry>,
 }
 
-/// A data folder.
+/// [`Storage`] in a data folder.
 pub struct Disk {
     folder: Folder,
     log: Log<File>,
@@ -119,12 +119,12 @@
 }
 
 fn hard_record(h: HardState) -> Record {
-    record(kind::HARD, &HardRecord { term: h.term, vote: h.vote })
+    record(kind::HARD_STATE, &HardRecord { term: h.term, vote: h.vote })
 }
 
-fn mark_record(node: NodeId, m: &PeerState) -> Record {
+fn peer_record(node: NodeId, m: &PeerState) -> Record {
     let PeerState { incarnation, boot, term, last } = *m;
-    record(kind::MARK, &MarkRecord { node, incarnation, boot, term, last })
+    record(kind::PEER_STATE, &MarkRecord { node, incarnation, boot, term, last })
 }
 
 fn entry_record(e: &Entry) -> Record {
@@ -150,85 +150,86 @@
     Entry { term: r.term, index: r.index, payload }
 }
 
-/// Applies one record to what was found so far; false if it makes no sense.
-fn replay(found: &mut Restored, r: &Record) -> bool {
+/// Applies one record of the log to the restored state. Returns false if the record is malformed or out
+/// of order.
+fn replay(restored: &mut Restored, r: &Record) -> bool {
     fn read<T: DeserializeOwned>(r: &Record) -> Option<T> {
         rmp_serde::from_slice(&r.payload).ok()
     }
-    let next = found.entries.last().map_or(found.snapshot.index, |e| e.index) + 1;
-    let taken = match r.kind {
-        kind::HARD => read(r).map(|h: HardRecord| {
-            found.hard = HardState { term: h.term, vote: h.vote };
+    let next = restored.entries.last().map_or(restored.snapshot.index, |e| e.index) + 1;
+    let applied = match r.kind {
+        kind::HARD_STATE => read(r).map(|h: HardRecord| {
+            restored.hard = HardState { term: h.term, vote: h.vote };
         }),
-        kind::ENTRY => {
-            read(r).filter(|e: &EntryRecord| e.index == next).map(|e| found.entries.push(entry(e)))
-        }
-        kind::TRUNCATE => read(r).map(|from: Index| found.entries.retain(|e| e.index < from)),
-        kind::MARK => read(r).map(|m: MarkRecord| {
+        kind::ENTRY => read(r)
+            .filter(|e: &EntryRecord| e.index == next)
+            .map(|e| restored.entries.push(entry(e))),
+        kind::TRUNCATE => read(r).map(|from: Index| restored.entries.retain(|e| e.index < from)),
+        kind::PEER_STATE => read(r).map(|m: MarkRecord| {
             let MarkRecord { node, incarnation, boot, term, last } = m;
-            found.peers.insert(node, PeerState { incarnation, boot, term, last });
+            restored.peers.insert(node, PeerState { incarnation, boot, term, last });
         }),
         kind::BASE => read(r).map(|b: BaseRecord| {
-            found.snapshot = SnapshotMeta { index: b.index, term: b.term, members: b.members };
-            found.entries.clear();
+            restored.snapshot = SnapshotMeta { index: b.index, term: b.term, members: b.members };
+            restored.entries.clear();
         }),
         _ => None,
     };
-    taken.is_some()
+    applied.is_some()
 }
 
-/// What the records of a folder's log come to.
+/// Returns the state that the records of a folder's log restore.
 fn replay_all(folder: &Folder, records: &[Record]) -> Result<Restored, Error> {
     let incarnation = folder.identity().incarnation;
-    let mut found = Restored { incarnation, ..Restored::default() };
+    let mut restored = Restored { incarnation, ..Restored::default() };
     for (n, r) in records.iter().enumerate() {
-        if !replay(&mut found, r) {
+        if !replay(&mut restored, r) {
             return Err(Error::Damaged(format!("record {n} of the log").into(), 0));
         }
     }
-    Ok(found)
+    Ok(restored)
 }
 
 impl Disk {
-    /// Opens the folder's log and returns what it holds.
+    /// Opens the folder's log, and returns the state restored from it.
     pub fn open(folder: Folder) -> Result<(Disk, Restored), Error> {
         let (log, records) = folder.log()?;
-        let found = replay_all(&folder, &records)?;
-        Ok((Disk { folder, log }, found))
+        let restored = replay_all(&folder, &records)?;
+        Ok((Disk { folder, log }, restored))
     }
 
-    /// This replica's identity.
+    /// Returns this member's id.
     pub fn node(&self) -> NodeId {
         self.folder.identity().node
     }
 
-    fn add(&mut self, r: &Record) {
+    fn append(&mut self, r: &Record) {
         self.log.append(r.kind, &r.payload);
     }
 }
 
 impl Storage for Disk {
     fn hard(&mut self, h: HardState) {
-        self.add(&hard_record(h));
+        self.append(&hard_record(h));
     }
 
     fn mark(&mut self, node: NodeId, m: PeerState) {
-        self.add(&mark_record(node, &m));
+        self.append(&peer_record(node, &m));
     }
 
     fn entries(&mut self, entries: &[Entry]) {
-        entries.iter().for_each(|e| self.add(&entry_record(e)));
+        entries.iter().for_each(|e| self.append(&entry_record(e)));
     }
 
     fn truncate(&mut self, from: Index) {
-        self.add(&record(kind::TRUNCATE, &from));
+        self.append(&record(kind::TRUNCATE, &from));
     }
 
     fn sync(&mut self) -> Result<(), Error> {
-        let begun = Instant::now();
-        let synced = self.log.sync();
-        histogram!(metric::SYNC).record(begun.elapsed());
-        synced
+        let start = Instant::now();
+        let result = self.log.sync();
+        histogram!(metric::SYNC).record(start.elapsed());
+        result
     }
 
     fn snapshot(&mut self, kept: &Kept, bytes: &[u8]) -> Result<(), Error> {
@@ -236,7 +237,7 @@
         self.log.sync()?;
         self.folder.save_snapshot(index, bytes)?;
         let mut records = vec![base_record(&kept.meta), hard_record(kept.hard)];
-        records.extend(kept.marks.iter().map(|(n, m)| mark_record(*n, m)));
+        records.extend(kept.marks.iter().map(|(n, m)| peer_record(*n, m)));
         records.extend(kept.entries.iter().map(entry_record));
         self.log.replace(&records)?;
         self.folder.drop_snapshots_below(index)
@@ -253,10 +254,10 @@
     fn reopen(&mut self) -> Result<Restored, Error> {
         self.folder.renew()?;
         let (mut log, records) = self.folder.log()?;
-        let found = replay_all(&self.folder, &records)?;
-        // What a failed sync left may be readable and yet not stored: all of it is written again.
+        let restored = replay_all(&self.folder, &records)?;
+        // Records of a failed sync may be readable without being durable, so the log is rewritten.
         log.replace(&records)?;
         self.log = log;
-        Ok(found)
+        Ok(restored)
     }
 }
--- a/crates/control/src/fleet_view.rs
+++ b/crates/control/src/fleet_view.rs
@@ -1,5 +1,5 @@
-//! What a control process knows of the fleet without its being durable: replicas that register,
-//! routers that ask, and processes that want to join the group.
+//! The in-memory view that a control process has of the fleet: registered replicas, routers, and
+//! processes that want to join the group. None of it is stored.
 
 use cypressfork_core::fleet::contacts::Leader;
 use cypressfork_core::fleet::entry::RouterHeartbeats;
@@ -25,129 +25,134 @@
 
 use crate::feed_cache::{Changes, FeedCache};
 
-/// How long a standing question waits for news.
-const WATCH_SPAN: Millis = Millis(1_000);
+/// Time after which a watch is answered even without changes.
+const WATCH_TIMEOUT: Millis = Millis(1_000);
 
-/// How long heartbeats are gathered before they are passed on to another control process.
-const GATHER: Millis = Millis(300);
+/// Time for which heartbeats are batched before they are relayed to another control process.
+const HEARTBEAT_BATCH_DELAY: Millis = Millis(300);
 
-/// How long changes of replicas are gathered before they are passed on to a router: replicas that
-/// register within a second come in ten answers at most, however many they are. One that leaves may
-/// get work for this much longer, of the seconds that it grants.
-const GATHER_CHANGES: Millis = Millis(100);
+/// Time for which changes of replicas are batched before they are sent to a router. A leaving replica
+/// may get requests for this much longer, so it has to be shorter than the notice that replicas give.
+const CHANGE_BATCH_DELAY: Millis = Millis(100);
 
-/// How often standing questions are looked at. A part of a document is not kept waiting for it.
-const LOOK: Millis = Millis(20);
+/// Interval at which pending watches are checked. A request for a part of a document does not wait for
+/// it.
+const POLL_INTERVAL: Millis = Millis(20);
 
-/// Replicas that one answer tells of at most, some 50 kB of them: the rest follows in the next. An
-/// answer has to come over the slowest link within the time that its asker waits for it.
-const RECORDS: usize = 256;
+/// Maximum number of replica records in one response, about 50 kB; the rest follows in the next one. A
+/// response has to cross the slowest link before the watcher's timeout.
+const MAX_RECORDS: usize = 256;
 
-/// Heartbeats that one answer to another control process tells of at most, some 40 kB of them.
-const BEATS: usize = 2_048;
+/// Maximum number of heartbeats in one response to another control process, about 40 kB.
+const MAX_HEARTBEATS: usize = 2_048;
 
-/// Limits that one answer tells of at most, some 20 kB of them.
-const WORDS: usize = 512;
+/// Maximum number of rate limits in one response, about 20 kB.
+const MAX_LIMITS: usize = 512;
 
-/// How often limits of replicas that are not there any more are forgotten.
-const TRIM_EVERY: Millis = Millis::seconds(1);
+/// Interval at which rate limits of replicas that are gone are removed.
+const LIMIT_EXPIRY_INTERVAL: Millis = Millis::seconds(1);
 
-/// Routers that a router is told of for lending tokens.
-const PEERS: usize = 32;
+/// Maximum number of routers listed to a router as lenders of tokens.
+const MAX_PEERS: usize = 32;
 
-/// The part of the replicated state that watchers follow.
+/// The state that watch responses are made from, besides the fleet view itself.
 pub struct Followed<'a> {
-    /// Version of the document in force here; 0 if there is none.
+    /// Version of the document in force at this process; 0 if there is none.
     pub version: Version,
     /// The document as submitted.
     pub source: &'a str,
     /// Addresses of the group's control processes.
     pub controls: Vec<String>,
-    /// What this process's clock shows.
+    /// Wall clock time at this process.
     pub wall: Time,
-    /// The routers that have registered.
+    /// The registered routers.
     pub registered: &'a Registered,
-    /// Who leads the group, if that is known here.
+    /// The group's leader, if this process knows it.
     pub lead: Option<Leader>,
     /// The data centre of this process.
     pub data_centre: &'a str,
     /// The data centres that get no new work.
     pub evacuations: &'a Evacuations,
-    /// The requests that are sent to no replica.
+    /// The quarantined requests, which are sent to no replica.
     pub quarantine: &'a Quarantine,
-    /// The roll-outs of all services.
+    /// The rollouts of all services.
     pub rollouts: &'a Rollouts,
 }
 
-/// The state; `T` tells where an answer goes.
+/// The fleet as seen by one control process, and the watches that wait for changes of it. `T` identifies
+/// the watcher to respond to.
 pub struct FleetView<T> {
-    /// The replicas.
+    /// The registered replicas.
     pub registry: Registry,
-    /// The routers.
+    /// The latest heartbeats of the routers.
     pub routers: RouterHeartbeats,
-    /// Processes that say that they belong to no group.
+    /// Processes that announced that they belong to no group.
     pub candidates: Candidates,
-    /// What routers have seen of roll-outs under way.
+    /// Routers' reports on rollouts in progress.
     pub reports: Reports,
-    /// The limits that replicas name, by what routers have heard.
+    /// The rate limits of replicas, as reported by routers.
     pub limits: Limits,
-    next_trim: Time,
+    next_limit_expiry: Time,
     directory: RouterDirectory,
-    /// When standing questions are looked at next.
-    next_look: Time,
+    /// Time of the next check of the pending watches.
+    next_poll: Time,
     boot: u64,
     heartbeat: Millis,
-    standing: Vec<Standing<T>>,
-    packs: PackedDocuments,
+    pending: Vec<PendingWatch<T>>,
+    packed_documents: PackedDocuments,
     feed_cache: FeedCache,
-    told: Option<QuarantineList>,
+    quarantine_list: Option<QuarantineList>,
 }
 
-struct Standing<T> {
+/// A watch that has not been answered yet.
+struct PendingWatch<T> {
     watch: Watch,
+    /// Position up to which the watcher has received the changes of replicas.
     since: u64,
-    /// The same for replicas that told this process itself that they leave.
+    /// Position up to which it has received the leaves that replicas reported to this process directly.
     leaves: u64,
-    /// The same for limits.
+    /// Position up to which it has received the changes of rate limits.
     limits: u64,
-    asked: Time,
+    received: Time,
     to: T,
 }
 
-impl<T> Standing<T> {
-    /// There are changes of replicas for it.
-    fn is_told(&self, registry: &Registry) -> bool {
+impl<T> PendingWatch<T> {
+    /// Returns whether there are changes of replicas to send.
+    fn has_replica_changes(&self, registry: &Registry) -> bool {
         !self.watch.without_replicas && registry.has_changes(self.since)
     }
 
-    /// Replicas have told this process that they leave. A router that hears of replicas elsewhere is told
-    /// as well: this process has acknowledged it, and may be cut off from those before they know.
-    fn is_told_of_leaves(&self, registry: &Registry) -> bool {
+    /// Returns whether replicas have reported to this process that they leave, and the watcher gets its
+    /// replica records from other control processes. This process has acknowledged the leaves and may
+    /// be cut off before it relays them.
+    fn has_direct_leaves(&self, registry: &Registry) -> bool {
         self.watch.without_replicas && registry.has_direct_leaves(self.leaves)
     }
 
-    /// Limits have changed. A router hears of them where it hears of replicas.
-    fn is_told_of_limits(&self, limits: &Limits) -> bool {
+    /// Returns whether there are changes of rate limits to send. A router gets them from the same control
+    /// processes as its replica records.
+    fn has_limit_changes(&self, limits: &Limits) -> bool {
         !self.watch.without_replicas && limits.has_changes(self.limits)
     }
 
-    /// There is something new of quarantined requests for it. Suspects, who come and go, are told by
-    /// those alone that tell of replicas.
-    fn is_told_of(&self, q: &Quarantine) -> bool {
+    /// Returns whether there are changes of the quarantine list to send. Suspects change often and are
+    /// only sent to watchers that also get replica records from this process.
+    fn has_quarantine_changes(&self, q: &Quarantine) -> bool {
         let newest =
             if self.watch.without_replicas { q.quarantined_revision() } else { q.revision() };
         newest > self.watch.quarantine
     }
 
-    /// It asks for a part of a document, and has none as new as `version` in force.
+    /// Returns whether the watcher requests a part of a document and holds a version below `version`.
     fn is_behind(&self, version: Version) -> bool {
         self.watch.fetch.is_some_and(|w| version > w.held)
     }
 }
 
 impl<T> FleetView<T> {
-    /// Knows nothing yet; `boot` is drawn at each start, and replicas tell of themselves about
-    /// every `heartbeat`.
+    /// Creates an empty view. `boot` is a random number of this process's start; `heartbeat` is the
+    /// interval at which replicas send heartbeats.
     pub fn new(boot: u64, heartbeat: Millis) -> FleetView<T> {
         FleetView {
             registry: Registry::default(),
@@ -155,166 +160,170 @@
             candidates: Candidates::default(),
             reports: Reports::default(),
             limits: Limits::default(),
-            next_trim: Time(0),
+            next_limit_expiry: Time(0),
             directory: RouterDirectory::default(),
-            next_look: Time(0),
+            next_poll: Time(0),
             boot,
             heartbeat,
-            standing: Vec::new(),
-            packs: PackedDocuments::default(),
+            pending: Vec::new(),
+            packed_documents: PackedDocuments::default(),
             feed_cache: FeedCache::default(),
-            told: None,
+            quarantine_list: None,
         }
     }
 
-    /// Takes a standing question.
+    /// Applies the reports that a watch carries, and keeps the watch until [`FleetView::answers`] returns
+    /// its response.
     pub fn watch(&mut self, now: Time, mut watch: Watch, to: T) {
         let reports = std::mem::take(&mut watch.reports);
         if let Some(r) = &watch.router {
             self.routers.record(now, r);
             reports.into_iter().for_each(|report| self.reports.record(now, &r.vm, report));
         }
-        let heard = std::mem::take(&mut watch.heard);
-        self.hear_limits(now, &heard);
+        let limit_reports = std::mem::take(&mut watch.heard);
+        self.apply_limit_reports(now, &limit_reports);
         for l in std::mem::take(&mut watch.leaving) {
             if self.registry.apply_leaving(now, &l) {
                 emit!(Event::ReplicaChanged, replica = l.replica, by = "answer");
             }
         }
         if watch.fetch.is_some() {
-            self.next_look = now;
+            self.next_poll = now;
         }
         let (since, leaves, limits) = match watch.feed.boot == self.boot {
             true => (watch.feed.position, watch.feed.leaves, watch.feed.limits),
-            // Its sources tell it of those before.
+            // The watcher gets earlier leaves from its replica sources.
             false => (0, self.registry.position(), 0),
         };
-        self.standing.push(Standing { watch, since, leaves, limits, asked: now, to });
+        self.pending.push(PendingWatch { watch, since, leaves, limits, received: now, to });
     }
 
-    /// Takes a process's word that it belongs to no group.
+    /// Records a process's announcement that it belongs to no group.
     pub fn announce(&mut self, now: Time, a: Announce) {
         self.candidates.record(now, a);
     }
 
-    /// Takes words on limits; those of former lives of replicas say nothing any more.
-    fn hear_limits(&mut self, now: Time, words: &[LimitReport]) {
-        for w in words.iter().filter(|w| is_running(&self.registry, &w.replica, w.born)) {
-            if let Some(change) = self.limits.apply(now, w) {
+    /// Applies reports on rate limits, except those on earlier incarnations of replicas.
+    fn apply_limit_reports(&mut self, now: Time, reports: &[LimitReport]) {
+        for r in reports.iter().filter(|r| is_running(&self.registry, &r.replica, r.born)) {
+            if let Some(change) = self.limits.apply(now, r) {
                 emit!(
                     Event::LimitChanged,
-                    replica = w.replica,
+                    replica = r.replica,
                     from = DisplayLimit(change.from),
                     to = DisplayLimit(change.to),
-                    age_ms = w.age.0,
+                    age_ms = r.age.0,
                 );
                 gauge!(metric::LIMITED).set(self.limits.limited().count() as f64);
             }
         }
     }
 
-    /// Takes what another control process has heard.
+    /// Applies the records, heartbeats and rate limits that another control process relayed.
     pub fn learn(
         &mut self,
         now: Time,
         replicas: Vec<Record>,
-        beats: &[Heartbeat],
+        heartbeats: &[Heartbeat],
         limits: &[LimitReport],
     ) {
         for r in replicas {
             self.registry.apply(now, r, RecordSource::Peer);
         }
-        for b in beats {
-            self.registry.apply_heartbeat(now, b);
+        for h in heartbeats {
+            self.registry.apply_heartbeat(now, h);
         }
-        self.hear_limits(now, limits);
+        self.apply_limit_reports(now, limits);
     }
 
-    /// Lets time pass.
+    /// Expires heartbeats, candidates and rate limits that are out of date at `now`.
     pub fn tick(&mut self, now: Time) {
         self.registry.tick(now, self.heartbeat);
         self.candidates.tick(now);
-        if now >= self.next_trim {
-            self.next_trim = now.after(TRIM_EVERY);
+        if now >= self.next_limit_expiry {
+            self.next_limit_expiry = now.after(LIMIT_EXPIRY_INTERVAL);
             let registry = &self.registry;
             self.limits.expire(now, |replica, born| is_running(registry, replica, born));
             gauge!(metric::LIMITED).set(self.limits.limited().count() as f64);
         }
     }
 
-    /// Whether it is time to look for answers that are due.
+    /// Returns whether the pending watches have to be checked.
     pub fn is_time(&self, now: Time) -> bool {
-        now >= self.next_look
+        now >= self.next_poll
     }
 
-    /// The answers that are due.
+    /// Removes the pending watches that are due, and returns their responses.
     pub fn answers(&mut self, now: Time, f: &Followed) -> Vec<(T, WatchResponse)> {
-        self.next_look = now.after(LOOK);
+        self.next_poll = now.after(POLL_INTERVAL);
         let (due, rest): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.standing).into_iter().partition(|s| self.is_due(now, s, f));
-        self.standing = rest;
-        if due.iter().any(|s| s.is_behind(f.version)) && self.packs.newest_version() < f.version {
-            self.packs.insert(f.version, packed::pack(f.source));
+            std::mem::take(&mut self.pending).into_iter().partition(|w| self.is_due(now, w, f));
+        self.pending = rest;
+        if due.iter().any(|w| w.is_behind(f.version))
+            && self.packed_documents.newest_version() < f.version
+        {
+            self.packed_documents.insert(f.version, packed::pack(f.source));
         }
         self.directory.refresh(now, f.registered.iter(), &self.routers);
         due.into_iter()
-            .map(|s| (self.seen(now, &s, f), s.to))
-            .map(|(seen, to)| (to, seen))
+            .map(|w| (self.response(now, &w, f), w.to))
+            .map(|(response, to)| (to, response))
             .collect()
     }
 
-    /// What routers are told of quarantined requests: sorted out once for all that lack the same.
-    fn told(&mut self, q: &Quarantine) -> QuarantineList {
-        match &self.told {
-            Some(told) if told.revision == q.revision() => told.clone(),
-            _ => self.told.insert(q.list()).clone(),
+    /// Returns the quarantine list, which is cached until its revision changes.
+    fn quarantine_list(&mut self, q: &Quarantine) -> QuarantineList {
+        match &self.quarantine_list {
+            Some(list) if list.revision == q.revision() => list.clone(),
+            _ => self.quarantine_list.insert(q.list()).clone(),
         }
     }
 
-    fn is_due(&self, now: Time, s: &Standing<T>, f: &Followed) -> bool {
-        let waited = now.since(s.asked);
-        let newer = s.watch.router.is_some() && f.version > s.watch.version;
-        let beats = s.watch.router.is_none() && waited >= GATHER;
+    fn is_due(&self, now: Time, w: &PendingWatch<T>, f: &Followed) -> bool {
+        let waited = now.since(w.received);
+        let newer = w.watch.router.is_some() && f.version > w.watch.version;
+        let relays_heartbeats = w.watch.router.is_none() && waited >= HEARTBEAT_BATCH_DELAY;
         newer
-            || s.is_behind(f.version)
-            || f.evacuations.revision > s.watch.evacuations
-            || f.quarantine.quarantined_revision() > s.watch.quarantine
-            || f.rollouts.revision > s.watch.rollouts
-            || waited >= WATCH_SPAN
-            || (waited >= GATHER_CHANGES && s.is_told_of(f.quarantine))
-            || (waited >= GATHER_CHANGES && s.is_told(&self.registry))
-            || (waited >= GATHER_CHANGES && s.is_told_of_leaves(&self.registry))
-            || (waited >= GATHER_CHANGES && s.is_told_of_limits(&self.limits))
-            || (beats && self.registry.has_heartbeats(s.since))
+            || w.is_behind(f.version)
+            || f.evacuations.revision > w.watch.evacuations
+            || f.quarantine.quarantined_revision() > w.watch.quarantine
+            || f.rollouts.revision > w.watch.rollouts
+            || waited >= WATCH_TIMEOUT
+            || (waited >= CHANGE_BATCH_DELAY && w.has_quarantine_changes(f.quarantine))
+            || (waited >= CHANGE_BATCH_DELAY && w.has_replica_changes(&self.registry))
+            || (waited >= CHANGE_BATCH_DELAY && w.has_direct_leaves(&self.registry))
+            || (waited >= CHANGE_BATCH_DELAY && w.has_limit_changes(&self.limits))
+            || (relays_heartbeats && self.registry.has_heartbeats(w.since))
     }
 
-    fn seen(&mut self, now: Time, s: &Standing<T>, f: &Followed) -> WatchResponse {
-        let router = s.watch.router.is_some();
-        let mut beats = Vec::new();
+    fn response(&mut self, now: Time, w: &PendingWatch<T>, f: &Followed) -> WatchResponse {
+        let router = w.watch.router.is_some();
+        let mut heartbeats = Vec::new();
         let mut leaves = self.registry.position();
         let changes = match router {
-            true if s.watch.without_replicas => {
-                let (records, upto) = self.registry.direct_leaves(s.leaves, RECORDS);
+            true if w.watch.without_replicas => {
+                let (records, upto) = self.registry.direct_leaves(w.leaves, MAX_RECORDS);
                 leaves = upto;
-                Changes { records, position: s.since, ..Changes::default() }
+                Changes { records, position: w.since, ..Changes::default() }
             }
-            true => self.feed_cache.changes(now, &self.registry, s.since, RECORDS),
+            true => self.feed_cache.changes(now, &self.registry, w.since, MAX_RECORDS),
             false => {
-                let part = self.registry.relay_batch(s.since, RECORDS, BEATS);
-                beats = part.heartbeats;
-                Changes { records: part.records, packed: None, position: part.position }
+                let batch = self.registry.relay_batch(w.since, MAX_RECORDS, MAX_HEARTBEATS);
+                heartbeats = batch.heartbeats;
+                Changes { records: batch.records, packed: None, position: batch.position }
             }
         };
         let has_homes = |r: &RouterStatus| self.directory.has_homes(&r.data_centre);
-        let peers = s.watch.router.as_ref().is_some_and(|r| !has_homes(r));
+        let needs_peers = w.watch.router.as_ref().is_some_and(|r| !has_homes(r));
         let controls = controls_digest(&f.controls);
-        let same = s.watch.feed.boot == self.boot && s.watch.feed.controls == controls;
-        let known =
-            s.watch.areas == NOT_WANTED || s.watch.areas == self.directory.with_homes_digest();
-        let few = s.watch.few == NOT_WANTED || s.watch.few == self.directory.without_homes_digest();
-        let (limits, upto) = match s.watch.without_replicas {
-            true => (Vec::new(), s.limits),
-            false => self.limits.changes(now, s.limits, WORDS),
+        let same_controls = w.watch.feed.boot == self.boot && w.watch.feed.controls == controls;
+        let has_areas =
+            w.watch.areas == NOT_WANTED || w.watch.areas == self.directory.with_homes_digest();
+        let has_few =
+            w.watch.few == NOT_WANTED || w.watch.few == self.directory.without_homes_digest();
+        let (limits, upto) = match w.watch.without_replicas {
+            true => (Vec::new(), w.limits),
+            false => self.limits.changes(now, w.limits, MAX_LIMITS),
         };
         WatchResponse {
             feed: FeedCursor {
@@ -326,30 +335,33 @@
             },
             replicas: changes.records,
             packed: changes.packed,
-            beats,
+            beats: heartbeats,
             version: f.version,
-            part: s.watch.fetch.and_then(|want| self.packs.part(&want)),
-            controls: if same { Vec::new() } else { f.controls.clone() },
+            part: w.watch.fetch.and_then(|want| self.packed_documents.part(&want)),
+            controls: if same_controls { Vec::new() } else { f.controls.clone() },
             routers: self.routers.count(now),
-            peers: if peers { self.routers.links(now, PEERS) } else { Vec::new() },
+            peers: if needs_peers { self.routers.links(now, MAX_PEERS) } else { Vec::new() },
             wall: f.wall.0,
-            areas: (!known).then(|| self.directory.with_homes().to_vec()),
+            areas: (!has_areas).then(|| self.directory.with_homes().to_vec()),
             lead: f.lead.clone(),
-            data_centre: match s.watch.feed.boot == self.boot {
+            data_centre: match w.watch.feed.boot == self.boot {
                 true => String::new(),
                 false => f.data_centre.to_owned(),
             },
-            evacuations: (f.evacuations.revision > s.watch.evacuations)
+            evacuations: (f.evacuations.revision > w.watch.evacuations)
                 .then(|| f.evacuations.clone()),
-            rollouts: (f.rollouts.revision > s.watch.rollouts).then(|| f.rollouts.clone()),
-            quarantine: s.is_told_of(f.quarantine).then(|| self.told(f.quarantine)),
+            rollouts: (f.rollouts.revision > w.watch.rollouts).then(|| f.rollouts.clone()),
+            quarantine: w
+                .has_quarantine_changes(f.quarantine)
+                .then(|| self.quarantine_list(f.quarantine)),
             limits,
-            few: (!few).then(|| self.directory.without_homes().to_vec()),
+            few: (!has_few).then(|| self.directory.without_homes().to_vec()),
         }
     }
 }
 
-/// Whether a replica is registered, in this life of it or one that is not told apart.
+/// Returns whether a replica is registered with the incarnation `born`, or with one that cannot be
+/// distinguished from it.
 fn is_running(registry: &Registry, replica: &str, born: u64) -> bool {
     registry.get(replica).is_some_and(|r| r.is_running(born))
 }
--- a/crates/control/src/read.rs
+++ b/crates/control/src/read.rs
@@ -1,4 +1,5 @@
-//! Queries: confirmed by a quorum, then answered from the state machine.
+//! Linearizable reads: a query is answered from the state machine after a quorum has confirmed the
+//! leader.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,50 +18,52 @@
 use crate::disk::Storage;
 use crate::machine::{Machine, Moment};
 
-/// How long a router's standing question waits for news.
-const FOLLOW_SPAN: Millis = Millis(1_000);
+/// Time after which a router's watch is answered even without changes.
+const WATCH_TIMEOUT: Millis = Millis(1_000);
 
-/// How often standing questions are looked at.
-const LOOK: Millis = Millis(20);
+/// Interval at which pending watches are checked.
+const POLL_INTERVAL: Millis = Millis(20);
 
-/// How long standing questions are gathered for one confirmed read. Each read takes a message to and
-/// from every follower; 300 routers ask each second.
-const GATHER: Millis = Millis(50);
+/// Time for which watches are batched into one confirmed read. Each read costs a round trip to every
+/// follower.
+const READ_BATCH_DELAY: Millis = Millis(50);
 
-/// A replica that has not answered for this long is shown as not heard.
-const HEARD_WITHIN: Millis = Millis(1_000);
+/// A member without a response for this long is reported as not heard.
+const RESPONSE_TIMEOUT: Millis = Millis(1_000);
 
-/// Queries on their way.
+/// Queries in progress; `T` identifies the caller to reply to.
 pub struct Reads<T> {
-    tokens: u64,
-    /// Standing questions that share the next read.
-    gathered: Vec<(Query, T)>,
+    /// Number of reads started, which is also the token of the last one.
+    last_token: u64,
+    /// Watches that share the next confirmed read.
+    batched: Vec<(Query, T)>,
     next_read: Time,
-    /// Waiting for a quorum's confirmation.
+    /// Queries that wait for a quorum's confirmation, by read token.
     unconfirmed: BTreeMap<u64, Vec<(Query, T)>>,
-    /// Confirmed, waiting for a position to be applied.
+    /// Confirmed queries that wait until the state machine has applied an index.
     confirmed: Vec<(Index, Query, T)>,
-    /// Routers' standing questions.
-    standing: Vec<Standing<T>>,
-    next_look: Time,
+    /// Routers' watches that wait for changes.
+    pending: Vec<PendingWatch<T>>,
+    next_poll: Time,
 }
 
-struct Standing<T> {
-    question: Question,
-    until: Time,
+/// A router's watch that has not been answered yet.
+struct PendingWatch<T> {
+    follow: Follow,
+    deadline: Time,
     to: T,
 }
 
-/// The routers at one moment.
-struct FleetNow {
+/// The registered routers at one moment.
+struct RoutersSnapshot {
     sites: Vec<Site>,
     digest: u64,
     registered: BTreeSet<HolderId>,
 }
 
-/// A router's standing question.
+/// The fields of a [`Query::Follow`].
 #[derive(Clone, Copy)]
-struct Question {
+struct Follow {
     holder: HolderId,
     version: Version,
     sites: u64,
@@ -69,74 +72,79 @@
 impl<T> Default for Reads<T> {
     fn default() -> Reads<T> {
         Reads {
-            tokens: 0,
-            gathered: Vec::new(),
+            last_token: 0,
+            batched: Vec::new(),
             next_read: Time(0),
             unconfirmed: BTreeMap::new(),
             confirmed: Vec::new(),
-            standing: Vec::new(),
-            next_look: Time(0),
+            pending: Vec::new(),
+            next_poll: Time(0),
         }
     }
 }
 
 impl<S: Storage, T> Machine<S, T> {
+    /// Starts a confirmed read for a query, or adds a router's watch to the next batch.
     pub(crate) fn ask(&mut self, q: Query, from: T) {
         if matches!(q, Query::Follow { .. }) && self.raft.is_leader() {
-            self.reads.gathered.push((q, from));
+            self.reads.batched.push((q, from));
             return;
         }
-        self.read(vec![(q, from)]);
+        self.start_read(vec![(q, from)]);
     }
 
-    /// Has the standing questions that have gathered confirmed together, if that is due.
+    /// Starts one confirmed read for the batched watches, if it is due.
     pub(crate) fn tick_reads(&mut self, at: Moment) {
-        if self.reads.gathered.is_empty() || at.now < self.reads.next_read {
+        if self.reads.batched.is_empty() || at.now < self.reads.next_read {
             return;
         }
-        self.reads.next_read = at.now.after(GATHER);
-        let gathered = std::mem::take(&mut self.reads.gathered);
-        self.read(gathered);
+        self.reads.next_read = at.now.after(READ_BATCH_DELAY);
+        let batch = std::mem::take(&mut self.reads.batched);
+        self.start_read(batch);
     }
 
-    /// Asks for one confirmation of several questions.
-    fn read(&mut self, questions: Vec<(Query, T)>) {
-        self.reads.tokens += 1;
-        let token = self.reads.tokens;
+    /// Starts one confirmed read for several queries.
+    fn start_read(&mut self, queries: Vec<(Query, T)>) {
+        self.reads.last_token += 1;
+        let token = self.reads.last_token;
         match self.raft.read(token) {
             Ok(()) => {
-                self.reads.unconfirmed.insert(token, questions);
+                self.reads.unconfirmed.insert(token, queries);
             }
-            Err(code) => questions.into_iter().for_each(|(_, to)| self.reply(to, Err(code))),
+            Err(code) => queries.into_iter().for_each(|(_, to)| self.reply(to, Err(code))),
         }
     }
 
+    /// Handles the confirmation of a read: its queries are answered once `index` is applied.
     pub(crate) fn read_ready(&mut self, at: Moment, token: u64, index: Index) {
-        if let Some(questions) = self.reads.unconfirmed.remove(&token) {
-            let confirmed = questions.into_iter().map(|(q, to)| (index, q, to));
+        if let Some(queries) = self.reads.unconfirmed.remove(&token) {
+            let confirmed = queries.into_iter().map(|(q, to)| (index, q, to));
             self.reads.confirmed.extend(confirmed);
             self.answer_reads(at);
         }
     }
 
+    /// Refuses the queries of a read that was not confirmed.
     pub(crate) fn read_failed(&mut self, token: u64) {
         for (_, to) in self.reads.unconfirmed.remove(&token).unwrap_or_default() {
             self.reply(to, Err(Code::NotLeader));
         }
     }
 
+    /// Refuses all queries in progress.
     pub(crate) fn fail_reads(&mut self) {
         let reads = std::mem::take(&mut self.reads);
-        self.reads.tokens = reads.tokens;
-        let asked = reads.unconfirmed.into_values().flatten().chain(reads.gathered);
-        let unconfirmed = asked.map(|(_, to)| to);
+        self.reads.last_token = reads.last_token;
+        let unconfirmed = reads.unconfirmed.into_values().flatten().chain(reads.batched);
+        let unconfirmed = unconfirmed.map(|(_, to)| to);
         let confirmed = reads.confirmed.into_iter().map(|(_, _, to)| to);
-        let standing = reads.standing.into_iter().map(|s| s.to);
-        for to in unconfirmed.chain(confirmed).chain(standing) {
+        let pending = reads.pending.into_iter().map(|w| w.to);
+        for to in unconfirmed.chain(confirmed).chain(pending) {
             self.reply(to, Err(Code::NotLeader));
         }
     }
 
+    /// Answers the confirmed queries whose index is applied.
     pub(crate) fn answer_reads(&mut self, at: Moment) {
         let applied = self.applied;
         let (due, rest) =
@@ -152,9 +160,9 @@
         let reply = match q {
             Query::Follow { holder, version, sites } => {
                 self.heartbeats.record(at.now, holder, version);
-                let question = Question { holder, version, sites };
-                let until = at.now.after(FOLLOW_SPAN);
-                self.reads.standing.push(Standing { question, until, to });
+                let follow = Follow { holder, version, sites };
+                let deadline = at.now.after(WATCH_TIMEOUT);
+                self.reads.pending.push(PendingWatch { follow, deadline, to });
                 return self.answer_followers(at);
             }
             Query::Status => Reply::Status(self.status(at)),
@@ -166,8 +174,8 @@
                 templates: self.state.config().templates().values().cloned().collect(),
                 applications: self.state.config().applications().values().cloned().collect(),
             },
-            Query::History(most) => Reply::History(
-                self.state.config().history().iter().rev().take(most).cloned().collect(),
+            Query::History(limit) => Reply::History(
+                self.state.config().history().iter().rev().take(limit).cloned().collect(),
             ),
             Query::Published => {
                 let (version, source) = self.state.published();
@@ -175,7 +183,7 @@
             }
             Query::Members => Reply::Members(self.raft.committed_members().clone()),
             Query::Quarantined => Reply::Quarantined(self.quarantined(at)),
-            // A process that serves a fleet answers this one out of what it has heard.
+            // The server of a process with fleet settings answers this query itself.
             Query::Limits => Reply::Limits(Vec::new()),
             Query::Rollouts(service) => Reply::Rollouts(self.rollouts(service.as_deref())),
             Query::BackTo(version) => Reply::Items(
@@ -186,40 +194,39 @@
         self.reply(to, Ok(body::pack(&reply)));
     }
 
-    /// Answers the standing questions for which there is news, or whose wait is over, if it is time
-    /// to look.
+    /// Answers the pending watches with changes or with an expired deadline, if a check is due.
     pub(crate) fn answer_followers(&mut self, at: Moment) {
-        if self.reads.standing.is_empty() || at.now < self.reads.next_look {
+        if self.reads.pending.is_empty() || at.now < self.reads.next_poll {
             return;
         }
-        self.reads.next_look = at.now.after(LOOK);
-        let sites = self.reads.standing.iter().any(|s| s.question.sites != NO_SITES);
-        let sites = if sites { self.sites(at) } else { Vec::new() };
-        let fleet = FleetNow {
+        self.reads.next_poll = at.now.after(POLL_INTERVAL);
+        let needs_sites = self.reads.pending.iter().any(|w| w.follow.sites != NO_SITES);
+        let sites = if needs_sites { self.sites(at) } else { Vec::new() };
+        let routers = RoutersSnapshot {
             digest: sites_digest(&sites),
             sites,
             registered: self.state.routers().iter().map(|r| r.holder).collect(),
         };
-        let standing = std::mem::take(&mut self.reads.standing);
-        for s in standing {
-            let news = self.news(at, &s.question, &fleet);
-            if at.now >= s.until || is_news(&news, &s.question) {
-                self.heartbeats.record(at.now, s.question.holder, s.question.version);
-                self.reply(s.to, Ok(body::pack(&Reply::News(news))));
+        let pending = std::mem::take(&mut self.reads.pending);
+        for w in pending {
+            let update = self.router_update(at, &w.follow, &routers);
+            if at.now >= w.deadline || has_changes(&update, &w.follow) {
+                self.heartbeats.record(at.now, w.follow.holder, w.follow.version);
+                self.reply(w.to, Ok(body::pack(&Reply::News(update))));
             } else {
-                self.reads.standing.push(s);
+                self.reads.pending.push(w);
             }
         }
     }
 
-    fn news(&self, at: Moment, q: &Question, fleet: &FleetNow) -> RouterUpdate {
+    fn router_update(&self, at: Moment, q: &Follow, routers: &RoutersSnapshot) -> RouterUpdate {
         let recalls = self.state.ledger().recalls(at.wall, q.holder);
-        let known = q.sites == fleet.digest || q.sites == NO_SITES;
+        let up_to_date = q.sites == routers.digest || q.sites == NO_SITES;
         RouterUpdate {
             difference: self.state.config().difference(q.version),
             recalls: recalls.map(str::to_owned).collect(),
-            sites: (!known).then(|| fleet.sites.clone()),
-            stranger: !fleet.registered.contains(&q.holder),
+            sites: (!up_to_date).then(|| routers.sites.clone()),
+            stranger: !routers.registered.contains(&q.holder),
         }
     }
 
@@ -257,7 +264,7 @@
     fn status(&self, at: Moment) -> Status {
         let nodes = self.nodes(at);
         let heard = nodes.iter().filter(|n| n.voter && n.heard).count();
-        let whole = nodes.iter().filter(|n| n.voter).all(|n| n.heard && n.behind == 0);
+        let up_to_date = nodes.iter().filter(|n| n.voter).all(|n| n.heard && n.behind == 0);
         let spare = heard.saturating_sub(self.raft.members().quorum());
         Status {
             region: self.region.clone(),
@@ -265,7 +272,7 @@
             committed: self.raft.committed(),
             version: self.state.config().version(),
             spare,
-            safe: whole && spare > 0,
+            safe: up_to_date && spare > 0,
             nodes,
             routers: self.state.routers().iter().map(|r| self.router(at, r)).collect(),
             evacuated: self.state.evacuations().data_centres.iter().cloned().collect(),
@@ -284,7 +291,8 @@
                 address: members.addresses.get(&id).cloned().unwrap_or_default(),
                 voter: members.voters.contains(&id),
                 leader: id == me,
-                heard: id == me || p.is_some_and(|p| at.now.since(p.last_response) < HEARD_WITHIN),
+                heard: id == me
+                    || p.is_some_and(|p| at.now.since(p.last_response) < RESPONSE_TIMEOUT),
                 behind: if id == me { 0 } else { last - p.map_or(0, |p| p.matched) },
             }
         };
@@ -302,7 +310,7 @@
     }
 }
 
-fn is_news(n: &RouterUpdate, q: &Question) -> bool {
-    let changed = n.difference.version > q.version || n.sites.is_some();
-    changed || !n.recalls.is_empty() || n.stranger
+fn has_changes(u: &RouterUpdate, q: &Follow) -> bool {
+    let changed = u.difference.version > q.version || u.sites.is_some();
+    changed || !u.recalls.is_empty() || u.stranger
 }
