--- a/crates/control/src/api.rs
+++ b/crates/control/src/api.rs
@@ -1,4 +1,4 @@
-//! The control process's HTTP side: documents, registrations and answers on where to go.
+//! The control process's HTTP API: documents, registrations, rollouts and router addresses.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,47 +19,47 @@
 
 use crate::dialect::{Answer, Call, Dialect, Incoming};
 
-/// How long a document may take to be committed.
-const PUBLISH_WITHIN: Duration = Duration::from_millis(3_500);
+/// Time within which a document has to be committed.
+const PUBLISH_TIMEOUT: Duration = Duration::from_millis(3_500);
 
-/// How long an order about a data centre or a roll-out may take to be committed.
-const ORDER_WITHIN: Duration = Duration::from_millis(900);
+/// Time within which an evacuation or a rollout command has to be committed.
+const COMMAND_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// How long a confirmed read may take.
-const READ_WITHIN: Duration = Duration::from_millis(900);
+/// Timeout of a confirmed read.
+const READ_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// How long a body may take to arrive.
-const BODY_WITHIN: Duration = Duration::from_secs(5);
+/// Time within which a request body has to arrive.
+const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The largest body.
-const BODY_CAP: usize = 8 * 1024 * 1024;
+/// Maximum size of a request body in bytes.
+const MAX_BODY: usize = 8 * 1024 * 1024;
 
-/// A call that the process answers out of what it knows itself, and where the answer goes.
+/// A call that the process answers from its own state, without the group.
 pub struct Local {
-    /// The call: never one of a document.
+    /// The call: one that needs no committed command and no confirmed read.
     pub call: Call,
-    /// Where the answer goes.
+    /// Receives the answer.
     pub to: oneshot::Sender<Answer>,
 }
 
-/// What all requests share.
+/// State shared by all requests.
 pub struct Api {
     /// The control group.
     pub group: Group,
-    /// The process's own state.
+    /// Calls to be answered from the process's own state.
     pub local: mpsc::Sender<Local>,
 }
 
-/// Serves one request.
+/// Handles one request: reads it in the dialect `D`, carries out its call, and returns the response.
 pub async fn serve<D: Dialect>(api: Rc<Api>, req: Request) -> Response<Body> {
     let method = req.method().clone();
     let uri = req.uri().clone();
-    let answer = match body(req).await {
+    let answer = match read_body(req).await {
         Some(bytes) => {
             let (path, query) = (uri.path(), uri.query().unwrap_or_default());
             let incoming = Incoming { method: &method, path, query, body: &bytes };
             match D::call(&incoming) {
-                Ok(call) => answer::<D>(&api, call).await,
+                Ok(call) => dispatch::<D>(&api, call).await,
                 Err(refused) => refused,
             }
         }
@@ -72,35 +72,36 @@
     D::write(answer)
 }
 
-async fn body(req: Request) -> Option<BytesMut> {
+/// Returns the request's body, or `None` if it is too large, late or cut off.
+async fn read_body(req: Request) -> Option<BytesMut> {
     let mut payload = req.into_parts().1;
     let collect = async {
         let mut all = BytesMut::new();
-        while let Some(piece) = payload.next().await {
-            let piece = piece.ok()?;
-            if all.len() + piece.len() > BODY_CAP {
+        while let Some(chunk) = payload.next().await {
+            let chunk = chunk.ok()?;
+            if all.len() + chunk.len() > MAX_BODY {
                 return None;
             }
-            all.extend_from_slice(&piece);
+            all.extend_from_slice(&chunk);
         }
         Some(all)
     };
-    timeout(BODY_WITHIN, collect).await.ok()?
+    timeout(BODY_TIMEOUT, collect).await.ok()?
 }
 
-async fn answer<D: Dialect>(api: &Api, call: Call) -> Answer {
+async fn dispatch<D: Dialect>(api: &Api, call: Call) -> Answer {
     match call {
         Call::Publish(source) => publish::<D>(api, source).await,
-        Call::Current => current(api).await,
+        Call::Current => current_document(api).await,
         Call::Evacuate(data_centre, evacuate) => {
-            order(api, Command::Evacuate { data_centre, evacuate }).await
+            run_command(api, Command::Evacuate { data_centre, evacuate }).await
         }
         Call::StartRollout(service, version, within) => {
-            order(api, Command::StartRollout { service, version, within }).await
+            run_command(api, Command::StartRollout { service, version, within }).await
         }
-        Call::AbortRollout(service) => order(api, Command::AbortRollout(service)).await,
+        Call::AbortRollout(service) => run_command(api, Command::AbortRollout(service)).await,
         Call::Rollout(service) => rollout(api, service).await,
-        call => local(api, call).await,
+        call => call_local(api, call).await,
     }
 }
 
@@ -113,7 +114,7 @@
     let services = document.services.iter().map(|s| s.name.clone()).collect();
     let version = document.version;
     let command = Command::Publish { version, source, budgets, services };
-    match api.group.command(&command, PUBLISH_WITHIN).await {
+    match api.group.command(&command, PUBLISH_TIMEOUT).await {
         Ok(Committed::Published(held)) => {
             emit!(Event::DocumentPublished, version = version, held = held);
             Answer::Published(held)
@@ -123,10 +124,10 @@
     }
 }
 
-/// Has an order committed. A caller sends it again elsewhere after a second: it
-/// is not kept for longer, lest it overtake the caller's next order.
-async fn order(api: &Api, command: Command) -> Answer {
-    match api.group.command(&command, ORDER_WITHIN).await {
+/// Has a command committed by the group. Callers retry at another control process after a second; a
+/// longer timeout could commit the command after the caller's next one.
+async fn run_command(api: &Api, command: Command) -> Answer {
+    match api.group.command(&command, COMMAND_TIMEOUT).await {
         Ok(Committed::Done) => Answer::Noted,
         Ok(Committed::Refused(code)) => Answer::Refused(code, "the group refuses it".to_owned()),
         Ok(_) => Answer::Refused(Code::MessageBad, "the group gave another answer".to_owned()),
@@ -134,8 +135,8 @@
     }
 }
 
-async fn current(api: &Api) -> Answer {
-    match api.group.query(&Query::Published, READ_WITHIN).await {
+async fn current_document(api: &Api) -> Answer {
+    match api.group.query(&Query::Published, READ_TIMEOUT).await {
         Ok(Reply::Published(Some(source))) => Answer::Current(source),
         Ok(_) => Answer::Refused(Code::NotReady, "no document is in force yet".to_owned()),
         Err(code) => Answer::Refused(code, "no quorum confirmed what is in force".to_owned()),
@@ -143,7 +144,7 @@
 }
 
 async fn rollout(api: &Api, service: String) -> Answer {
-    match api.group.query(&Query::Rollouts(Some(service)), READ_WITHIN).await {
+    match api.group.query(&Query::Rollouts(Some(service)), READ_TIMEOUT).await {
         Ok(Reply::Rollouts(found)) => match found.into_iter().next() {
             Some((_, r)) => Answer::Rollout(r),
             None => Answer::Refused(Code::RolloutUnknown, "none is known".to_owned()),
@@ -153,7 +154,7 @@
     }
 }
 
-async fn local(api: &Api, call: Call) -> Answer {
+async fn call_local(api: &Api, call: Call) -> Answer {
     let (to, answer) = oneshot::channel();
     let busy = || Answer::Refused(Code::QueueFull, "too many calls wait".to_owned());
     if api.local.try_send(Local { call, to }).is_err() {
--- a/crates/control/src/dialect.rs
+++ b/crates/control/src/dialect.rs
@@ -1,4 +1,4 @@
-//! The words in which operators, replicas and callers speak to a control process over HTTP.
+//! The interface between the control process and the formats of its HTTP API.
 
 use actix_http::{Method, Response};
 use cypressfork_core::code::Code;
@@ -8,62 +8,63 @@
 use cypressfork_core::unit::{Millis, Version};
 use cypressfork_http::Body;
 
-/// A request, as it arrived.
+/// An HTTP request.
 pub struct Incoming<'a> {
-    /// Its method.
+    /// Method.
     pub method: &'a Method,
-    /// Its path.
+    /// Path.
     pub path: &'a str,
-    /// Its query, without the question mark.
+    /// Query string, without the question mark.
     pub query: &'a str,
-    /// Its body.
+    /// Body.
     pub body: &'a [u8],
 }
 
-/// What is asked for.
+/// A call to the control process.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Call {
-    /// Put this document in force.
+    /// Put this document into force.
     Publish(String),
-    /// The document in force.
+    /// Return the document in force.
     Current,
-    /// A replica tells of itself.
+    /// Apply the heartbeat of a replica.
     Beat(Record),
-    /// The replica with this id has left.
+    /// Mark the replica with this id as left.
     Leave(String),
-    /// Keep new work from the replicas of this data centre, or let it in again.
+    /// Start (true) or end (false) the evacuation of this data centre, whose replicas get no new requests
+    /// meanwhile.
     Evacuate(String, bool),
-    /// Move a service's requests to replicas of a version, within this time.
+    /// Start a rollout: move this service's requests to replicas of this version within this time.
     StartRollout(String, String, Millis),
-    /// Take a service's roll-out back.
+    /// Roll back the rollout of this service.
     AbortRollout(String),
-    /// How the roll-out of a service stands.
+    /// Return the state of this service's rollout.
     Rollout(String),
-    /// Which routers a caller in this data centre should use.
+    /// Return router addresses for a client in this data centre.
     Entry(String),
 }
 
-/// What it came to.
+/// The answer to a [`Call`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
     /// A document of this version or a higher one is in force.
     Published(Version),
-    /// The document in force.
+    /// The document in force, as submitted.
     Current(String),
-    /// It is noted.
+    /// The call was carried out.
     Noted,
-    /// Addresses of routers, and how long to keep them.
+    /// Router addresses, and the time for which they may be cached.
     Entry(Vec<String>, Millis),
-    /// A roll-out.
+    /// The state of a rollout.
     Rollout(Rollout),
-    /// It is refused.
+    /// The call was refused with this code, for this reason.
     Refused(Code, String),
 }
 
-/// A way to write calls and answers over HTTP.
+/// A format of calls and answers over HTTP.
 pub trait Dialect: DocumentFormat {
-    /// Reads a request.
+    /// Parses a request into a call. Returns the answer to send if it is refused.
     fn call(r: &Incoming) -> Result<Call, Answer>;
-    /// Writes an answer.
+    /// Encodes an answer as an HTTP response.
     fn write(a: Answer) -> Response<Body>;
 }
--- a/crates/control/src/feed_cache.rs
+++ b/crates/control/src/feed_cache.rs
@@ -1,7 +1,6 @@
-//! What routers are told of replicas, made once for all that lack the same.
+//! A cache of compressed replica changes, shared by the routers that follow from the same position.
 //!
-//! At a start hundreds of routers ask for thousands of records at once. Those that have followed up to
-//! the same position get the same bytes.
+//! After a start, hundreds of routers request thousands of records at once.
 
 use std::collections::BTreeMap;
 
@@ -10,75 +9,75 @@
 use cypressfork_wire::packed;
 use serde_bytes::ByteBuf;
 
-/// Records from which on they are compressed. 3,000 short ones are 115 kB, and 16 kB compressed in
-/// parts of 256 (`a_start_is_told_compressed`).
-const MANY: usize = 16;
+/// Minimum number of records that are compressed.
+const MIN_PACKED: usize = 16;
 
-/// Positions that are remembered; all are forgotten when there are more.
-const KEPT: usize = 64;
+/// Maximum number of cached positions; the cache is cleared when it is full.
+const MAX_POSITIONS: usize = 64;
 
-/// How long the same bytes are cached. A replica that has left is known for much longer (two minutes):
-/// whoever is told that it is there is told that it has left as well.
-const FRESH: Millis = Millis::seconds(10);
+/// Time for which changes are cached. It is shorter than the time for which the registry keeps replicas
+/// that have left, so that whoever receives a replica from the cache also receives that it left.
+const TTL: Millis = Millis::seconds(10);
 
-/// Changes of replicas, as routers are told of them.
+/// Changes of replicas, as sent to routers.
 #[derive(Clone, Default)]
 pub struct Changes {
-    /// Few of them.
+    /// The changes, if there are too few to compress.
     pub records: Vec<Record>,
-    /// Many of them.
+    /// The compressed changes otherwise.
     pub packed: Option<ByteBuf>,
-    /// How far they bring a router.
+    /// Position of a router that has received them.
     pub position: u64,
 }
 
-/// What was told to those that had followed up to a position.
+/// The cached changes after one position.
 struct Cached {
     changes: Changes,
-    /// When they were put together.
-    at: Time,
-    /// The newest change then.
+    cached_at: Time,
+    /// Position of the newest change at that time.
     newest: u64,
-    /// More follows: whatever changes later comes at a later position.
+    /// Whether more records follow; later changes then have a later position and cannot outdate this
+    /// entry.
     full: bool,
 }
 
-/// What routers were told lately.
+/// Caches the changes that were recently sent to routers.
 #[derive(Default)]
 pub struct FeedCache {
     by_since: BTreeMap<u64, Cached>,
 }
 
 impl FeedCache {
-    /// How many positions are remembered.
+    /// Returns the number of cached positions.
     pub fn len(&self) -> usize {
         self.by_since.len()
     }
 
-    /// Whether none is.
+    /// Returns whether the cache is empty.
     pub fn is_empty(&self) -> bool {
         self.by_since.is_empty()
     }
 
-    /// What has changed after `since`, at most `most` records.
-    pub fn changes(&mut self, now: Time, registry: &Registry, since: u64, most: usize) -> Changes {
+    /// Returns the changes after the position `since`, at most `limit` records.
+    pub fn changes(&mut self, now: Time, registry: &Registry, since: u64, limit: usize) -> Changes {
         let newest = registry.newest_change();
-        let known = self.by_since.get(&since);
-        let valid = |t: &&Cached| now.since(t.at) < FRESH && (t.full || t.newest == newest);
-        if let Some(cached) = known.filter(valid) {
+        let cached = self.by_since.get(&since);
+        let is_valid = |c: &&Cached| now.since(c.cached_at) < TTL && (c.full || c.newest == newest);
+        if let Some(cached) = cached.filter(is_valid) {
             return cached.changes.clone();
         }
-        let Batch { records, position, .. } = registry.changes(since, most);
-        if records.len() < MANY {
+        let Batch { records, position, .. } = registry.changes(since, limit);
+        if records.len() < MIN_PACKED {
             return Changes { records, packed: None, position };
         }
-        let full = records.len() == most;
+        let full = records.len() == limit;
         let packed = Some(ByteBuf::from(packed::pack_value(&records)));
         let changes = Changes { records: Vec::new(), packed, position };
-        if self.by_since.len() == KEPT {
+        if self.by_since.len() == MAX_POSITIONS {
             self.by_since.clear();
         }
-        self.by_since.insert(since, Cached { changes: changes.clone(), at: now, newest, full });
+        self.by_since
+            .insert(since, Cached { changes: changes.clone(), cached_at: now, newest, full });
         changes
     }
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,4 +1,4 @@
-//! The control process: a region's replicated, durable state.
+//! The control process: holds a region's replicated, durable state and the registry of its fleet.
 
 mod api;
 pub mod dialect;
--- a/crates/control/src/links.rs
+++ b/crates/control/src/links.rs
@@ -1,4 +1,4 @@
-//! The links of a control process: those that it accepts, and those to the other replicas.
+//! The links of a control process: accepted ones, and those to the other members.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,23 +14,24 @@
 
 use crate::server::{Input, MAX_QUEUED_MESSAGES, ReplyTo};
 
-/// How long to wait before a peer that cannot be reached is tried again.
-const RECONNECT: Duration = Duration::from_millis(50);
+/// Delay before a failed connection or accept is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Accepts links from routers, operators and other control processes.
 pub(crate) async fn accept_all(listener: TcpListener, me: Credentials, tx: mpsc::Sender<Input>) {
     loop {
         match listener.accept().await {
             Ok((stream, from)) => {
-                actix_rt::spawn(serve(stream, from, me.clone(), tx.clone()));
+                actix_rt::spawn(serve_link(stream, from, me.clone(), tx.clone()));
             }
-            // Out of descriptors, most likely: those in use come free again.
-            Err(_) => sleep(RECONNECT).await,
+            // Probably out of file descriptors, which are freed as links close.
+            Err(_) => sleep(RETRY_DELAY).await,
         }
     }
 }
 
-async fn serve(stream: TcpStream, from: SocketAddr, me: Credentials, tx: mpsc::Sender<Input>) {
+/// Reads the messages of one accepted link into `tx` until the link breaks or the server stops.
+async fn serve_link(stream: TcpStream, from: SocketAddr, me: Credentials, tx: mpsc::Sender<Input>) {
     let link = match link::accept(stream, &me).await {
         Ok(link) => link,
         Err(e) => return emit!(Event::LinkRefused, address = from, why = e),
@@ -38,8 +39,8 @@
     emit!(Event::LinkOpened, peer = link.peer, address = from);
     let Link { peer, mut reader, writer } = link;
     let (answers, rx) = mpsc::channel(MAX_QUEUED_MESSAGES);
-    let writing = actix_rt::spawn(write_all(writer, rx));
-    let why = loop {
+    let writer_task = actix_rt::spawn(write_frames(writer, rx));
+    let reason = loop {
         let input = match reader.next().await {
             Ok(Frame::Call(c)) => Input::Call(c.ask, ReplyTo { id: c.id, tx: answers.clone() }),
             Ok(Frame::Raft(m)) => match (m.reply_to.clone(), into_raft(m)) {
@@ -53,14 +54,15 @@
             Err(e) => break e.to_string(),
         };
         if tx.send(input).await.is_err() {
-            break "the process stops".to_owned();
+            break "the process is stopping".to_owned();
         }
     };
-    writing.abort();
-    emit!(Event::LinkClosed, peer = peer, why = why);
+    writer_task.abort();
+    emit!(Event::LinkClosed, peer = peer, why = reason);
 }
 
-async fn write_all(mut writer: Writer, mut rx: mpsc::Receiver<Frame>) {
+/// Writes answers to a link until one cannot be sent.
+async fn write_frames(mut writer: Writer, mut rx: mpsc::Receiver<Frame>) {
     while let Some(f) = rx.recv().await {
         if let Err(e) = writer.send(&f).await {
             return emit!(Event::LinkSlow, why = e);
@@ -68,7 +70,8 @@
     }
 }
 
-/// Sends to one replica, connecting again whenever the link breaks.
+/// Sends messages to the member at `address` until `rx` is closed, and reconnects when the link breaks.
+/// `own` is the address under which the member reaches this process.
 pub(crate) async fn send_all(
     address: String,
     own: String,
@@ -78,16 +81,17 @@
     let Ok(to) = address.parse::<SocketAddr>() else { return };
     while !rx.is_closed() {
         match link::connect(to, &me).await {
-            Ok(mut link) => pump(&mut link.writer, &own, &mut rx).await,
+            Ok(mut link) => forward(&mut link.writer, &own, &mut rx).await,
             Err(e) => emit!(Event::LinkFailed, address = to, why = e),
         }
-        sleep(RECONNECT).await;
-        // What waits for a broken link is out of date.
+        sleep(RETRY_DELAY).await;
+        // Messages queued for the broken link are out of date.
         while rx.try_recv().is_ok() {}
     }
 }
 
-async fn pump(writer: &mut Writer, own: &str, rx: &mut mpsc::Receiver<Message>) {
+/// Sends messages on one link until it breaks or `rx` is closed.
+async fn forward(writer: &mut Writer, own: &str, rx: &mut mpsc::Receiver<Message>) {
     while let Some(m) = rx.recv().await {
         if writer.send(&Frame::Raft(from_raft(&m, own))).await.is_err() {
             return;
--- a/crates/control/src/native.rs
+++ b/crates/control/src/native.rs
@@ -1,4 +1,4 @@
-//! The project's own words over HTTP: documents, registrations and entry answers as JSON.
+//! The project's own HTTP API: documents, registrations and router addresses as JSON.
 
 use actix_http::header::{CONTENT_TYPE, HeaderValue, RETRY_AFTER};
 use actix_http::{Method, Response, StatusCode};
@@ -14,16 +14,16 @@
 
 use crate::dialect::{Answer, Call, Dialect, Incoming};
 
-/// When to come back to a control process that has no quorum.
-const AGAIN_AFTER: Millis = Millis::seconds(1);
+/// `Retry-After` of a control process without a quorum.
+const RETRY_DELAY: Millis = Millis::seconds(1);
 
-/// What the paths of orders about data centres begin with.
+/// Path prefix of evacuations; the data centre follows.
 const EVACUATIONS: &str = "/v1/evacuations/";
 
-/// What the paths of roll-outs begin with; the service follows.
+/// Path prefix of rollouts; the service follows.
 const ROLLOUTS: &str = "/v1/rollouts/";
 
-/// The project's own words.
+/// The project's own HTTP API.
 pub struct Native;
 
 impl DocumentFormat for Native {
@@ -32,7 +32,7 @@
     }
 }
 
-/// What a replica sends; its id stands in the path.
+/// Body of a replica's heartbeat; the replica's id is in the path.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Beat {
@@ -58,7 +58,7 @@
 
 impl Dialect for Native {
     fn call(r: &Incoming) -> Result<Call, Answer> {
-        let text = || String::from_utf8(r.body.to_vec()).map_err(|e| bad(e.to_string()));
+        let text = || String::from_utf8(r.body.to_vec()).map_err(|e| invalid_json(e.to_string()));
         match (r.method, r.path, r.path.strip_prefix("/v1/replicas/")) {
             (&Method::PUT, "/v1/document", _) => Ok(Call::Publish(text()?)),
             (&Method::GET, "/v1/document", _) => Ok(Call::Current),
@@ -67,8 +67,8 @@
             (&Method::DELETE, path, _) if path.starts_with(EVACUATIONS) => {
                 order(r, EVACUATIONS, false)
             }
-            (method, path, _) if path.starts_with(ROLLOUTS) => rollout(method, r),
-            (&Method::PUT, _, Some(id)) if !id.is_empty() => beat(id, r.body),
+            (method, path, _) if path.starts_with(ROLLOUTS) => parse_rollout(method, r),
+            (&Method::PUT, _, Some(id)) if !id.is_empty() => heartbeat(id, r.body),
             (&Method::DELETE, _, Some(id)) if !id.is_empty() => Ok(Call::Leave(id.to_owned())),
             _ => {
                 Err(Answer::Refused(Code::PathUnknown, format!("no call {} {}", r.method, r.path)))
@@ -81,21 +81,26 @@
             Answer::Published(version) => respond(StatusCode::OK, json!({ "version": version })),
             Answer::Current(source) => whole(StatusCode::OK, source),
             Answer::Noted => respond(StatusCode::OK, json!({})),
-            Answer::Entry(addresses, keep) => {
-                respond(StatusCode::OK, json!({ "addresses": addresses, "keep_ms": keep.0 }))
+            Answer::Entry(addresses, ttl) => {
+                respond(StatusCode::OK, json!({ "addresses": addresses, "keep_ms": ttl.0 }))
             }
             Answer::Rollout(r) => respond(StatusCode::OK, json!(r)),
-            Answer::Refused(code, why) => refuse(code, &why),
+            Answer::Refused(code, reason) => refuse(code, &reason),
         }
     }
 }
 
-/// An order about the data centre that the path names after `prefix`.
+/// Returns the call that evacuates the data centre named in the path after `prefix`, or with `evacuate`
+/// false ends its evacuation.
+///
+/// # Errors
+///
+/// Refuses a path without a data centre, and a request with a body.
 pub fn order(r: &Incoming, prefix: &str, evacuate: bool) -> Result<Call, Answer> {
     let name = r.path.strip_prefix(prefix).unwrap_or_default();
     if name.is_empty() {
-        let why = "the path names no data centre".to_owned();
-        return Err(Answer::Refused(Code::DataCentreUnknown, why));
+        let reason = "the path names no data centre".to_owned();
+        return Err(Answer::Refused(Code::DataCentreUnknown, reason));
     }
     if !r.body.is_empty() {
         return Err(Answer::Refused(Code::BodyUnexpected, format!("{} bytes", r.body.len())));
@@ -103,7 +108,7 @@
     Ok(Call::Evacuate(name.to_owned(), evacuate))
 }
 
-/// An order for a roll-out; its service stands in the path.
+/// Body of a request for a rollout; the service is in the path.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct RolloutOrder {
@@ -111,14 +116,15 @@
     within_ms: u64,
 }
 
-fn rollout(method: &Method, r: &Incoming) -> Result<Call, Answer> {
+fn parse_rollout(method: &Method, r: &Incoming) -> Result<Call, Answer> {
     let service = r.path.strip_prefix(ROLLOUTS).unwrap_or_default().to_owned();
     if service.is_empty() {
         return Err(Answer::Refused(Code::RolloutBad, "the path names no service".to_owned()));
     }
     match *method {
         Method::PUT => {
-            let o: RolloutOrder = serde_json::from_slice(r.body).map_err(|e| bad(e.to_string()))?;
+            let o: RolloutOrder =
+                serde_json::from_slice(r.body).map_err(|e| invalid_json(e.to_string()))?;
             Ok(Call::StartRollout(service, o.version, Millis(o.within_ms)))
         }
         Method::DELETE => Ok(Call::AbortRollout(service)),
@@ -127,12 +133,12 @@
     }
 }
 
-fn bad(why: String) -> Answer {
-    Answer::Refused(Code::BodyNotJson, why)
+fn invalid_json(reason: String) -> Answer {
+    Answer::Refused(Code::BodyNotJson, reason)
 }
 
-fn beat(id: &str, body: &[u8]) -> Result<Call, Answer> {
-    let b: Beat = serde_json::from_slice(body).map_err(|e| bad(e.to_string()))?;
+fn heartbeat(id: &str, body: &[u8]) -> Result<Call, Answer> {
+    let b: Beat = serde_json::from_slice(body).map_err(|e| invalid_json(e.to_string()))?;
     let standing = if b.draining { ReplicaStatus::Draining } else { ReplicaStatus::Ready };
     let registration = Registration {
         id: id.to_owned(),
@@ -148,13 +154,13 @@
     Ok(Call::Beat(Record { registration, standing }))
 }
 
-/// The value of a field of a query; empty if it is missing.
+/// Returns the value of a query parameter, without decoding it; empty if it is missing.
 pub fn field(query: &str, name: &str) -> String {
-    let fields = query.split('&').filter_map(|f| f.split_once('='));
-    fields.into_iter().find(|(n, _)| *n == name).map_or(String::new(), |(_, v)| v.to_owned())
+    let params = query.split('&').filter_map(|p| p.split_once('='));
+    params.into_iter().find(|(n, _)| *n == name).map_or(String::new(), |(_, v)| v.to_owned())
 }
 
-/// An answer with a JSON text.
+/// Returns a response with a JSON body.
 pub fn whole(status: StatusCode, text: String) -> Response<Body> {
     let mut r = Response::with_body(status, Body::Whole(Bytes::from(text)));
     r.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
@@ -165,15 +171,15 @@
     whole(status, v.to_string())
 }
 
-fn refuse(code: Code, why: &str) -> Response<Body> {
+fn refuse(code: Code, reason: &str) -> Response<Body> {
     let error =
-        json!({ "code": format!("CF{}", code.number()), "message": code.text(), "why": why });
-    // What has no status of its own is a group that cannot answer now.
+        json!({ "code": format!("CF{}", code.number()), "message": code.text(), "why": reason });
+    // A code without a status of its own means that the group cannot answer now.
     let status = StatusCode::from_u16(code.status()).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
     let mut r = respond(status, json!({ "error": error }));
     if status == StatusCode::SERVICE_UNAVAILABLE {
-        let after = HeaderValue::from(AGAIN_AFTER.as_retry_after_secs());
-        r.headers_mut().insert(RETRY_AFTER, after);
+        let delay = HeaderValue::from(RETRY_DELAY.as_retry_after_secs());
+        r.headers_mut().insert(RETRY_AFTER, delay);
     }
     r
 }
--- a/crates/control/src/reserve.rs
+++ b/crates/control/src/reserve.rs
@@ -1,7 +1,7 @@
-//! A data centre's reserve, kept on this process's own disk.
+//! A data centre's reserve of tokens, stored on this process's own disk.
 //!
-//! It is no part of the replicated log: during a cut it must answer without a quorum. Every command
-//! is synced before it is answered, so that a restart forgets nothing.
+//! It is not part of the replicated log, so that it works without a quorum during a network partition.
+//! Every command is synced before it is answered, so that a restart loses nothing.
 
 use std::collections::BTreeSet;
 use std::fs::File;
@@ -19,11 +19,11 @@
 /// Kinds of record in the log.
 mod kind {
     pub(super) const COMMAND: u8 = 1;
-    pub(super) const WHOLE: u8 = 2;
+    pub(super) const LEDGER: u8 = 2;
 }
 
-/// Bytes of the log after which it is shortened.
-const LOG_MOST: u64 = 4 * 1024 * 1024;
+/// Size of the log in bytes above which it is compacted.
+const MAX_LOG_SIZE: u64 = 4 * 1024 * 1024;
 
 #[derive(Serialize, Deserialize)]
 struct CommandRecord {
@@ -32,10 +32,10 @@
     command: ReserveCommand,
 }
 
-/// An answer and where it goes.
+/// An answer and the caller that it goes to.
 pub type Reply<T> = (T, Result<Vec<u8>, Code>);
 
-/// A reserve and its disk; `T` tells where an answer goes.
+/// A reserve and its storage; `T` identifies the caller to reply to.
 pub struct Reserve<T> {
     vm: String,
     data_centre: String,
@@ -43,13 +43,16 @@
     log: Log<File>,
     reserve_ledger: ReserveLedger,
     holder: Option<HolderId>,
+    /// Number of commands applied since the start.
     commands: u64,
     replies: Vec<Reply<T>>,
+    /// Whether a sync has failed.
     failed: bool,
 }
 
 impl<T> Reserve<T> {
-    /// Opens the reserve in its folder.
+    /// Opens the reserve in the folder at `path`, and restores it from the log. `fresh` is the identity of
+    /// a folder that is new.
     pub fn open(
         path: &Path,
         region: &str,
@@ -77,29 +80,29 @@
         })
     }
 
-    /// Does a router's command; the answer comes with the next [`Reserve::finish`].
+    /// Applies a router's command; the next [`Reserve::finish`] returns the answer.
     pub fn serve(&mut self, now: Time, bytes: &[u8], from: T) {
         let result = match body::unpack::<ReserveCommand>(bytes) {
-            Ok(d @ (ReserveCommand::Ask(_) | ReserveCommand::Report(..))) => {
-                Ok(body::pack(&self.apply(now, &d)))
+            Ok(c @ (ReserveCommand::Ask(_) | ReserveCommand::Report(..))) => {
+                Ok(body::pack(&self.apply(now, &c)))
             }
             _ => Err(Code::MessageBad),
         };
         self.replies.push((from, result));
     }
 
-    fn apply(&mut self, now: Time, d: &ReserveCommand) -> ReserveAnswer {
+    fn apply(&mut self, now: Time, c: &ReserveCommand) -> ReserveAnswer {
         self.commands += 1;
         let identity = self.folder.identity();
-        // No other start, and no other disk, has the same first number.
+        // Unique to this disk and this start of the process.
         let term = identity.node.wrapping_add(identity.incarnation);
         let id = LeaseId { term, index: self.commands };
-        let record = CommandRecord { at: now, id, command: d.clone() };
+        let record = CommandRecord { at: now, id, command: c.clone() };
         self.log.append(kind::COMMAND, &body::pack(&record));
-        self.reserve_ledger.apply(now, id, d)
+        self.reserve_ledger.apply(now, id, c)
     }
 
-    /// Syncs what was done; returns the answers. After a failed sync nothing more is answered.
+    /// Syncs the applied commands, and returns their answers. After a failed sync every command is refused.
     pub fn finish(&mut self) -> Result<Vec<Reply<T>>, Error> {
         let replies = std::mem::take(&mut self.replies);
         if self.failed {
@@ -108,15 +111,16 @@
         }
         self.failed = true;
         self.log.sync()?;
-        if self.log.size() > LOG_MOST {
-            let whole = Record { kind: kind::WHOLE, payload: body::pack(&self.reserve_ledger) };
-            self.log.replace(&[whole])?;
+        if self.log.size() > MAX_LOG_SIZE {
+            let ledger = Record { kind: kind::LEDGER, payload: body::pack(&self.reserve_ledger) };
+            self.log.replace(&[ledger])?;
         }
         self.failed = false;
         Ok(replies)
     }
 
-    /// What to have committed by the group, as this replica's state, late or not, suggests.
+    /// Returns the commands to send to the group, based on this member's replicated state, which may lag
+    /// behind: the registration, or the lease requests and reports on each budget.
     pub fn commands_due(&mut self, now: Time, state: &State) -> Vec<Command> {
         let Some(holder) = self.holder else {
             let nonce = self.folder.identity().node;
@@ -133,21 +137,21 @@
             commands.extend(
                 self.reserve_ledger.next_request(holder, &budget, target).map(Command::Ask),
             );
-            commands.extend(self.tally(holder, &budget, state));
+            commands.extend(self.pending_reports(holder, &budget, state));
         }
         commands
     }
 
-    /// The report on a budget, if the group does not know it yet.
-    fn tally(&self, holder: HolderId, budget: &str, state: &State) -> Option<Command> {
+    /// Returns the reports on a budget that differ from the group's ledger, if there are any.
+    fn pending_reports(&self, holder: HolderId, budget: &str, state: &State) -> Option<Command> {
         let f = state.ledger().get(budget)?;
         let known = |r: &cypressfork_core::budget::Report| {
             f.leases().any(|(id, l)| *id == r.lease && (l.used, l.keep) == (r.used, r.keep))
         };
         let reports: Vec<_> =
             self.reserve_ledger.reports(budget).into_iter().filter(|r| !known(r)).collect();
-        let none = reports.is_empty();
-        (!none).then_some(Command::Tally {
+        let is_empty = reports.is_empty();
+        (!is_empty).then_some(Command::Tally {
             holder,
             reports,
             batch: 0,
@@ -158,19 +162,19 @@
         })
     }
 
-    /// The budgets that this data centre's routers spend, and those held already.
+    /// Returns the budgets that routers of this data centre hold leases on, and those of the reserve.
     fn budgets(&self, state: &State) -> BTreeSet<String> {
-        let here = state.routers().iter().filter(|r| r.data_centre == self.data_centre);
-        let here: BTreeSet<HolderId> = here.map(|r| r.holder).collect();
-        let spent = state
+        let local = state.routers().iter().filter(|r| r.data_centre == self.data_centre);
+        let local: BTreeSet<HolderId> = local.map(|r| r.holder).collect();
+        let leased = state
             .ledger()
             .iter()
-            .filter(|(_, f)| f.leases().any(|(_, l)| here.contains(&l.holder)))
+            .filter(|(_, f)| f.leases().any(|(_, l)| local.contains(&l.holder)))
             .map(|(name, _)| name.clone());
-        spent.chain(self.reserve_ledger.budgets().cloned()).collect()
+        leased.chain(self.reserve_ledger.budgets().cloned()).collect()
     }
 
-    /// Takes the group's answer to a command.
+    /// Applies the group's answer to one of [`Reserve::commands_due`].
     pub fn answered(&mut self, now: Time, c: &Command, a: &Answer, state: &State) {
         match (c, a) {
             (Command::Enlist { .. }, Answer::Registered(h)) => self.holder = Some(*h),
@@ -185,30 +189,32 @@
                     }
                 }
             }
-            // Replaced by another disk under the same name.
+            // Another disk has registered under the same VM name.
             (_, Answer::Refused(Code::HolderStale)) => self.holder = None,
             _ => {}
         }
     }
 
+    /// Returns the budget that a lease is on.
     fn budget_of(&self, lease: LeaseId) -> Option<String> {
         let holds = |b: &&String| self.reserve_ledger.reports(b).iter().any(|r| r.lease == lease);
         self.reserve_ledger.budgets().find(holds).cloned()
     }
 
-    /// Whether the group knows this reserve.
+    /// Returns whether this reserve is registered at the group.
     pub fn is_enlisted(&self) -> bool {
         self.holder.is_some()
     }
 }
 
+/// Applies one record of the log to the ledger. Returns `None` if the record is malformed.
 fn replay(reserve_ledger: &mut ReserveLedger, r: &Record) -> Option<()> {
     match r.kind {
         kind::COMMAND => {
-            let d: CommandRecord = body::unpack(&r.payload).ok()?;
-            reserve_ledger.apply(d.at, d.id, &d.command);
+            let c: CommandRecord = body::unpack(&r.payload).ok()?;
+            reserve_ledger.apply(c.at, c.id, &c.command);
         }
-        kind::WHOLE => *reserve_ledger = body::unpack(&r.payload).ok()?,
+        kind::LEDGER => *reserve_ledger = body::unpack(&r.payload).ok()?,
         _ => return None,
     }
     Some(())
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -16,59 +16,59 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct File {
-    /// What every process has.
+    /// Settings that every process has.
     pub common: Common,
-    /// Where routers, operators and the other replicas connect.
+    /// Listening address for routers, operators and the other members.
     pub listen: String,
-    /// The address at which they reach it, if it is another: behind a translation of addresses.
+    /// Address under which they reach this process, if it differs, such as behind NAT.
     #[serde(default)]
     pub advertise: Option<String>,
-    /// The data folder.
+    /// Path of the data folder.
     pub data_folder: String,
-    /// Where health and metrics are served; nowhere by default.
+    /// Listening address for health and metrics; none by default.
     #[serde(default)]
     pub metrics: Option<String>,
-    /// Keeps the reserve of its data centre; at most one process in each should.
+    /// Whether to keep the reserve of the data centre; at most one process in each should.
     #[serde(default = "reserve_default")]
     pub reserve: bool,
     /// Milliseconds between a leader's heartbeats.
     #[serde(default = "heartbeat_default")]
     pub heartbeat_ms: u64,
-    /// Milliseconds of silence after which a follower stands for election.
+    /// Milliseconds without a heartbeat after which a follower starts an election.
     #[serde(default = "election_default")]
     pub election_ms: u64,
     /// Log entries between snapshots.
     #[serde(default = "snapshot_default")]
     pub snapshot_every: u64,
-    /// The fleet's side; without it the process serves nothing over HTTP.
+    /// Fleet settings; without them the process serves no HTTP API.
     #[serde(default)]
     pub fleet: Option<FleetFile>,
 }
 
-/// The settings of the fleet's side.
+/// The fleet settings, as in the file.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetFile {
-    /// Where operators and replicas call.
+    /// Listening address of the HTTP API for operators and replicas.
     pub listen: String,
-    /// Where callers ask which router to use.
+    /// Listening address at which clients request router addresses.
     pub entry: String,
-    /// Milliseconds for which they may keep the answer.
+    /// Milliseconds for which clients may cache router addresses.
     #[serde(default = "entry_keep_default")]
     pub entry_keep_ms: u64,
     /// Milliseconds between a replica's heartbeats.
     #[serde(default)]
     pub replica_heartbeat_ms: Quantity,
-    /// The whole system starts for the first time: the seeds found the group.
+    /// Whether the seeds found the group: set for the first start of the whole system.
     #[serde(default)]
     pub found: Option<bool>,
-    /// Voters that the group should have.
+    /// Target number of voters.
     #[serde(default = "voters_default")]
     pub voters: u64,
-    /// The data centres that may be evacuated; any, if none is given.
+    /// Data centres that may be evacuated; any if the list is empty.
     #[serde(default)]
     pub data_centres: Vec<String>,
-    /// The part of a service's requests that a version on roll-out may get if it turns out bad.
+    /// Maximum fraction of a service's requests that a bad version may get during a rollout.
     #[serde(default)]
     pub rollout_share: Quantity,
 }
@@ -77,52 +77,59 @@
     2_000
 }
 
-/// Milliseconds between a replica's heartbeats where the file gives none.
-const REPLICA_HEARTBEAT: f64 = 1_000.0;
+/// Default of `replica_heartbeat_ms`.
+const DEFAULT_REPLICA_HEARTBEAT_MS: f64 = 1_000.0;
 
 fn voters_default() -> u64 {
     5
 }
 
-/// The part of a service's requests that a bad version may get where the file gives none.
-const ROLLOUT_SHARE: f64 = 0.1;
+/// Default of `rollout_share`.
+const DEFAULT_ROLLOUT_SHARE: f64 = 0.1;
 
-/// The settings of the fleet's side, checked.
+/// The validated fleet settings.
 pub struct FleetSettings {
-    /// Where operators and replicas call.
+    /// Listening address of the HTTP API for operators and replicas.
     pub listen: SocketAddr,
-    /// Where callers ask which router to use.
+    /// Listening address at which clients request router addresses.
     pub entry: SocketAddr,
-    /// How long they may keep the answer.
+    /// Time for which clients may cache router addresses.
     pub entry_keep: Millis,
-    /// The span between a replica's heartbeats.
+    /// Interval between a replica's heartbeats.
     pub replica_heartbeat: Millis,
-    /// The seeds found the group.
+    /// Whether the seeds found the group.
     pub found: bool,
-    /// Voters that the group should have.
+    /// Target number of voters.
     pub voters: usize,
-    /// The data centres that may be evacuated; none: any.
+    /// Data centres that may be evacuated; any if the list is empty.
     pub data_centres: Vec<String>,
-    /// Thousandths of a service's requests that a version on roll-out may get if it turns out bad.
+    /// Maximum share of a service's requests, in thousandths, that a bad version may get during a
+    /// rollout.
     pub rollout_allowed: u64,
 }
 
 impl FleetFile {
     fn check(self) -> Result<FleetSettings, Error> {
-        let keep = range("fleet.entry_keep_ms", self.entry_keep_ms, 100, 600_000)?;
+        let entry_keep = range("fleet.entry_keep_ms", self.entry_keep_ms, 100, 600_000)?;
         let key = "fleet.replica_heartbeat_ms";
-        let beat = quantity(key, self.replica_heartbeat_ms, REPLICA_HEARTBEAT, 10.0..=600_000.0)?;
-        let share = quantity("fleet.rollout_share", self.rollout_share, ROLLOUT_SHARE, 0.0..=1.0)?;
+        let heartbeat = quantity(
+            key,
+            self.replica_heartbeat_ms,
+            DEFAULT_REPLICA_HEARTBEAT_MS,
+            10.0..=600_000.0,
+        )?;
+        let share =
+            quantity("fleet.rollout_share", self.rollout_share, DEFAULT_ROLLOUT_SHARE, 0.0..=1.0)?;
         Ok(FleetSettings {
             listen: address("fleet.listen", &self.listen)?,
             entry: address("fleet.entry", &self.entry)?,
-            entry_keep: Millis(keep),
-            // Rounded up: a replica that speaks in time is not taken for silent.
-            replica_heartbeat: Millis(beat.ceil() as u64),
+            entry_keep: Millis(entry_keep),
+            // Rounded up, so that a heartbeat in time is never late.
+            replica_heartbeat: Millis(heartbeat.ceil() as u64),
             found: self.found.unwrap_or(false),
             voters: range("fleet.voters", self.voters, 1, 9)? as usize,
             data_centres: self.data_centres,
-            // Rounded down: it is a bound.
+            // Rounded down, because it is an upper bound.
             rollout_allowed: (share * 1_000.0) as u64,
         })
     }
@@ -144,23 +151,23 @@
     8_192
 }
 
-/// The settings, checked.
+/// The validated settings.
 pub struct Settings {
-    /// What every process has.
+    /// Settings that every process has.
     pub base: Base,
-    /// Where to listen.
+    /// Listening address for routers, operators and the other members.
     pub listen: SocketAddr,
-    /// Where others reach it.
+    /// Address under which they reach this process.
     pub advertise: SocketAddr,
-    /// The data folder.
+    /// Path of the data folder.
     pub data_folder: PathBuf,
-    /// Where health and metrics are served.
+    /// Listening address for health and metrics.
     pub metrics: Option<SocketAddr>,
-    /// Whether it keeps the reserve of its data centre.
+    /// Whether to keep the reserve of the data centre.
     pub reserve: bool,
-    /// Timing and sizes.
+    /// Timing of the replicated log and snapshot interval.
     pub machine: machine::Settings,
-    /// The fleet's side.
+    /// Fleet settings, if the process serves the HTTP API.
     pub fleet: Option<FleetSettings>,
 }
 
