--- a/crates/control/tests/feed_cache.rs
+++ b/crates/control/tests/feed_cache.rs
@@ -1,4 +1,4 @@
-//! What routers are told of replicas, by one control process, as they change.
+//! The cache of replica changes that one control process sends to routers.
 
 use std::collections::BTreeMap;
 
@@ -30,7 +30,7 @@
     packed.unwrap_or(c.records)
 }
 
-/// Every router ends with what the registry has, whatever changes while it follows in parts.
+/// Every router ends with the registry's records, whatever changes while it receives them in parts.
 #[test]
 fn what_is_told_again_misses_no_change() {
     let (mut registry, mut cache) = (Registry::default(), FeedCache::default());
@@ -41,32 +41,32 @@
             continue;
         }
         for (since, all) in routers.iter_mut().skip(n % 3) {
-            let told = cache.changes(Time(n as u64), &registry, *since, 100);
-            *since = told.position;
-            for r in records(told) {
+            let changes = cache.changes(Time(n as u64), &registry, *since, 100);
+            *since = changes.position;
+            for r in records(changes) {
                 all.insert(r.registration.id.clone(), r);
             }
         }
     }
     for (since, all) in &mut routers {
         while registry.has_changes(*since) {
-            let told = cache.changes(Time(3_000), &registry, *since, 100);
-            assert!(told.position > *since);
-            *since = told.position;
-            for r in records(told) {
+            let changes = cache.changes(Time(3_000), &registry, *since, 100);
+            assert!(changes.position > *since);
+            *since = changes.position;
+            for r in records(changes) {
                 all.insert(r.registration.id.clone(), r);
             }
         }
-        let standings: Vec<_> = all.values().map(|r| r.standing).collect();
+        let statuses: Vec<_> = all.values().map(|r| r.standing).collect();
         let expected: Vec<_> = registry.iter().map(|r| r.standing).collect();
-        assert_eq!(standings, expected);
+        assert_eq!(statuses, expected);
     }
 }
 
-/// 300 routers that start together are told 3,000 replicas in less than a fifth of the plain bytes (4.9
-/// of 34.5 MB as measured), put together once.
+/// 300 routers that start together receive 3,000 replicas in less than a fifth of the uncompressed bytes,
+/// and the batches are compressed once for all of them.
 #[test]
-fn a_start_is_told_compressed() {
+fn replicas_are_sent_compressed_at_a_start() {
     let (mut registry, mut cache) = (Registry::default(), FeedCache::default());
     (0..3_000).for_each(|n| _ = registry.apply(Time(0), record(n, 1), RecordSource::Replica));
     let plain: usize = (0..3_000).map(|n| body::pack(&record(n, 1)).len()).sum();
@@ -74,23 +74,23 @@
     for _ in 0..300 {
         let mut since = 0;
         while registry.has_changes(since) {
-            let told = cache.changes(Time(9), &registry, since, 256);
-            bytes += told.packed.as_ref().map_or(0, |b| b.len());
-            since = told.position;
+            let changes = cache.changes(Time(9), &registry, since, 256);
+            bytes += changes.packed.as_ref().map_or(0, |b| b.len());
+            since = changes.position;
         }
     }
     assert!(bytes * 5 < plain * 300, "{bytes} of {}", plain * 300);
     assert!(cache.len() <= 12);
 }
 
-/// A router that starts long after is told of no replica that has left and is forgotten.
+/// A router that starts late receives no replica that has left and is removed from the registry.
 #[test]
-fn one_that_is_forgotten_is_not_told_again() {
+fn a_removed_replica_is_not_sent_again() {
     let (mut registry, mut cache) = (Registry::default(), FeedCache::default());
     (0..300).for_each(|n| _ = registry.apply(Time(0), record(n, 1), RecordSource::Replica));
     assert_eq!(records(cache.changes(Time(0), &registry, 0, 256)).len(), 256);
     registry.mark_left(Time(1_000), "r-7");
     registry.tick(Time(200_000), Millis(1_000_000));
-    let told = records(cache.changes(Time(200_000), &registry, 0, 256));
-    assert!(told.iter().all(|r| r.registration.id != "r-7"));
+    let received = records(cache.changes(Time(200_000), &registry, 0, 256));
+    assert!(received.iter().all(|r| r.registration.id != "r-7"));
 }
--- a/crates/control/tests/group.rs
+++ b/crates/control/tests/group.rs
@@ -1,4 +1,4 @@
-//! A control group under its failures: nothing accepted is lost and nothing stale is served.
+//! A control group under failures: no acknowledged change is lost and no stale read is served.
 
 mod support;
 
@@ -13,7 +13,7 @@
     (1..=3).filter(|i| *i != n).collect()
 }
 
-/// Cuts a replica off in both directions.
+/// Cuts the links of a member in both directions.
 fn cut_off(w: &mut World, n: u64) {
     for o in others(n) {
         w.cut.insert((n, o));
@@ -34,14 +34,14 @@
     w.heal_and_check();
 }
 
-/// A process that was slow at its start votes and takes entries before it hears that it is a founder. It
-/// keeps both, and counts as the others do.
+/// A founder that starts slowly votes and receives entries before the founding request reaches it, and
+/// keeps both.
 #[rstest]
-fn a_founder_that_hears_of_it_late_forgets_nothing(
+fn a_late_founder_keeps_its_vote_and_entries(
     #[values(1, 2, 3, 4, 5)] seed: u64,
     #[values(1, 2, 3)] late: u64,
 ) {
-    let mut w = World::founding(3, &[], &[late], seed);
+    let mut w = World::with_late_founders(3, &[], &[late], seed);
     w.run(2_000);
     assert_eq!(w.nodes[&late].stopped, None);
     assert_eq!(w.machine(late).members().voters.len(), 3);
@@ -51,8 +51,7 @@
     w.heal_and_check();
 }
 
-/// The leader's outgoing messages are lost and the others' still reach it, or the other way round:
-/// it must not keep the group from a leader that can serve.
+/// A leader that can only send or only receive must not prevent the election of another one.
 #[rstest]
 fn a_leader_cut_one_way_steps_down(#[values(true, false)] outgoing: bool) {
     let mut w = World::new(3, 2);
@@ -102,7 +101,7 @@
     w.heal_and_check();
 }
 
-/// A replica that was cut off does not depose the leader when it is back.
+/// A member that was partitioned does not depose the leader when it reconnects.
 #[test]
 fn pre_vote_keeps_a_returning_replica_from_deposing_the_leader() {
     let mut w = World::new(3, 5);
@@ -116,17 +115,17 @@
     assert_eq!((w.leader(), w.machine(leader).raft().term()), (Some(leader), term));
 }
 
-/// Every replica's disk fails once at each of its first syncs, with the write there or not.
+/// A disk fails once at one of its first syncs, with the data written or not.
 #[rstest]
 fn a_failed_sync_stops_the_replica_and_loses_nothing(
     #[values(0, 1, 2, 3, 5, 8, 13, 30)] after: u32,
-    #[values(true, false)] kept: bool,
+    #[values(true, false)] written: bool,
     #[values(true, false)] leader: bool,
 ) {
     let mut w = World::new(3, 6 + u64::from(after));
     let lead = w.leader().unwrap();
     let victim = if leader { lead } else { others(lead)[0] };
-    w.fail_sync(victim, after, kept);
+    w.fail_sync(victim, after, written);
     for _ in 0..200 {
         w.top_up();
         w.run(40);
@@ -135,7 +134,7 @@
     w.heal_and_check();
 }
 
-/// A full disk takes a replica out of its group for as long as it is full; the process stays.
+/// A member with a full disk takes no part in its group until there is space; the process keeps running.
 #[rstest]
 fn a_replica_whose_disk_is_full_takes_no_part_until_there_is_room(
     #[values(true, false)] leader: bool,
@@ -163,7 +162,7 @@
     w.heal_and_check();
 }
 
-/// Disks fail at any sync, with the write there or not, and their replicas begin anew in place.
+/// Disks fail at any sync, with the data written or not, and their members restart in place.
 #[test]
 fn disks_that_fail_again_and_again_lose_nothing() {
     for seed in 0..30 {
@@ -187,7 +186,7 @@
 }
 
 #[test]
-fn a_replica_far_behind_catches_up_by_a_snapshot_in_parts() {
+fn a_member_far_behind_catches_up_by_a_chunked_snapshot() {
     let mut w = World::new(3, 7);
     let away = others(w.leader().unwrap())[0];
     w.crash(away);
@@ -207,7 +206,7 @@
     w.heal_and_check();
 }
 
-/// An old copy of a data folder is put back, from before or after the last restart.
+/// An old copy of a data folder is restored, from before or after the last restart.
 #[rstest]
 fn an_old_copy_of_a_disk_takes_no_part(#[values(true, false)] restarted_since: bool) {
     let mut w = World::new(3, 8);
@@ -227,15 +226,15 @@
         w.run(500);
     }
     w.crash(victim);
-    w.put_back(victim, copy);
+    w.restore_disk(victim, copy);
     w.start(victim);
     w.run(5_000);
     assert_eq!(w.nodes[&victim].stopped, Some(Code::FolderForeign));
     w.heal_and_check();
 }
 
-/// With an empty disk a replica has another identity: it belongs to no group, votes for nobody
-/// and stands for nothing.
+/// With an empty disk a process has a new identity: it belongs to no group, does not vote and is no
+/// candidate.
 #[test]
 fn a_wiped_disk_never_votes() {
     let mut w = World::new(3, 9);
@@ -248,18 +247,18 @@
     w.heal_and_check();
 }
 
-/// Replaces a replica whose disk is lost.
+/// Replaces a member whose disk is lost. Returns the new member.
 fn replace(w: &mut World, lost: u64) -> u64 {
     w.crash(lost);
     w.nodes.remove(&lost);
     let fresh = w.add_fresh();
     w.add_learner(fresh);
-    w.order_until_done(MemberChange::Promote(fresh));
-    w.order_until_done(MemberChange::Remove(lost));
+    w.change_members_until_done(MemberChange::Promote(fresh));
+    w.change_members_until_done(MemberChange::Remove(lost));
     fresh
 }
 
-/// A second replica is lost at each stage of the first one's replacement.
+/// A second member is lost at each stage of the replacement of the first one.
 #[rstest]
 #[case::before_anything(0)]
 #[case::learner_added(1)]
@@ -280,28 +279,28 @@
         w.add_learner(fresh);
     }
     if stage >= 2 {
-        w.order_until_done(MemberChange::Promote(fresh));
+        w.change_members_until_done(MemberChange::Promote(fresh));
     }
     if stage >= 3 {
-        w.order_until_done(MemberChange::Remove(first));
+        w.change_members_until_done(MemberChange::Remove(first));
     }
     w.crash(second);
     w.top_up();
     w.run(5_000);
-    // The second loss is of the process, not of its disk: it comes back.
+    // The second member keeps its disk and restarts.
     w.start(second);
     w.run(3_000);
     if stage < 3 {
         if stage < 1 {
             w.add_learner(fresh);
         }
-        w.order_until_done(MemberChange::Promote(fresh));
-        w.order_until_done(MemberChange::Remove(first));
+        w.change_members_until_done(MemberChange::Promote(fresh));
+        w.change_members_until_done(MemberChange::Remove(first));
     }
     w.heal_and_check();
 }
 
-/// One disk after the other is lost and replaced, until nothing of the founders is left.
+/// All disks are lost and replaced one after the other, until no founder is left.
 #[test]
 fn every_replica_can_be_replaced_one_after_the_other() {
     let mut w = World::new(3, 30);
@@ -323,14 +322,14 @@
     let fresh = w.add_fresh();
     w.crash(fresh);
     w.add_learner(fresh);
-    w.order(MemberChange::Promote(fresh));
+    w.change_members(MemberChange::Promote(fresh));
     w.run(300);
     assert_eq!(w.last_member_answer, Some(Err(Code::MemberBad)), "it has nothing yet");
-    // With the followers cut off the first change cannot commit, so the second is refused.
+    // With the followers cut off, the first change cannot commit, so the second is refused.
     let l = w.leader().unwrap();
     cut_off(&mut w, l);
-    w.order(MemberChange::Remove(others(l)[0]));
-    w.order(MemberChange::Remove(others(l)[1]));
+    w.change_members(MemberChange::Remove(others(l)[0]));
+    w.change_members(MemberChange::Remove(others(l)[1]));
     w.run(100);
     assert_eq!(w.last_member_answer, Some(Err(Code::MemberChangeBusy)));
     w.heal_and_check();
@@ -355,11 +354,11 @@
     w.heal_and_check();
 }
 
-/// Those that have just restarted do not wait as long for a leader's word as those that have lost
-/// one: if there is a leader it speaks sooner, and if there is none nobody refuses a pre-vote.
+/// The first election timeout after a restart is shorter than later ones: a live leader sends a heartbeat
+/// sooner, and without a leader no member refuses the pre-vote.
 #[test]
 fn a_group_that_restarts_at_once_is_soon_led_again() {
-    const SOON: u64 = 500;
+    const ELECTION_TIME: u64 = 500;
     for seed in 0..40 {
         let mut w = World::new(5, seed);
         w.top_up();
@@ -370,13 +369,16 @@
         for id in 1..=5 {
             w.start(id);
         }
-        w.run(SOON);
-        assert!(w.leader().is_some(), "seed {seed}: nobody leads {SOON} ms after the restart");
+        w.run(ELECTION_TIME);
+        assert!(
+            w.leader().is_some(),
+            "seed {seed}: nobody leads {ELECTION_TIME} ms after the restart"
+        );
         w.heal_and_check();
     }
 }
 
-/// A replica that restarts next to a leader does not stand against it.
+/// A restarted member does not start an election against a live leader.
 #[test]
 fn a_replica_that_restarts_leaves_the_leader_alone() {
     for seed in 0..20 {
@@ -394,7 +396,7 @@
     }
 }
 
-/// A fault, or what a client does.
+/// A fault or a client's action.
 #[derive(Clone, Debug)]
 enum Step {
     Run(u64),
@@ -407,7 +409,7 @@
     Cut(u64, u64),
     Heal,
     Drop(u32),
-    Double(u32),
+    Duplicate(u32),
     FailSync(u64, u32, bool),
 }
 
@@ -424,12 +426,12 @@
         2 => (node(), node()).prop_map(|(a, b)| Step::Cut(a, b)),
         2 => Just(Step::Heal),
         1 => (0u32..30).prop_map(Step::Drop),
-        1 => (0u32..30).prop_map(Step::Double),
-        1 => (node(), 0u32..6, any::<bool>()).prop_map(|(n, k, kept)| Step::FailSync(n, k, kept)),
+        1 => (0u32..30).prop_map(Step::Duplicate),
+        1 => (node(), 0u32..6, any::<bool>()).prop_map(|(n, k, written)| Step::FailSync(n, k, written)),
     ]
 }
 
-fn take(w: &mut World, s: Step) {
+fn apply_step(w: &mut World, s: Step) {
     match s {
         Step::Run(ms) => w.run(ms),
         Step::TopUp => w.top_up(),
@@ -443,12 +445,12 @@
         }
         Step::Heal => w.cut.clear(),
         Step::Drop(p) => w.drop_percent = p,
-        Step::Double(p) => w.double_percent = p,
-        Step::FailSync(n, k, kept) => w.fail_sync(n, k, kept),
+        Step::Duplicate(p) => w.duplicate_percent = p,
+        Step::FailSync(n, k, written) => w.fail_sync(n, k, written),
     }
 }
 
-/// The seed of the runs; CI always takes the same one.
+/// The seed of the random schedules, fixed so that every run is the same.
 const SEED: [u8; 32] = *b"cypressfork control group seed 1";
 
 #[test]
@@ -461,7 +463,7 @@
     let result = runner.run(&(any::<u64>(), steps), |(seed, steps)| {
         let mut w = World::new(3, seed);
         for s in steps {
-            take(&mut w, s);
+            apply_step(&mut w, s);
         }
         w.heal_and_check();
         Ok(())
--- a/crates/control/tests/leaves.rs
+++ b/crates/control/tests/leaves.rs
@@ -1,7 +1,7 @@
-//! A replica's word that it leaves, at the control process that acknowledged it.
+//! The control process that acknowledges a replica's leave sends it to every router that watches it.
 //!
-//! Seen: a control process acknowledged that a replica leaves and was cut off from the others 42 ms later.
-//! Gateways that heard of replicas elsewhere went on sending to it for more than three seconds.
+//! Guards against routers that get their replica records elsewhere and keep sending to the replica when
+//! that control process is cut off from the others right after the acknowledgement.
 
 use cypressfork_control::fleet_view::{FleetView, Followed};
 use cypressfork_core::fleet::evacuation::Evacuations;
@@ -13,11 +13,11 @@
 use cypressfork_core::unit::{Millis, Time};
 use rstest::rstest;
 
-/// This process, as its watchers know it.
+/// Boot number of the control process.
 const BOOT: u64 = 7;
 
-/// Within this time of its acknowledgement a router in touch hears of it.
-const TOLD_WITHIN: u64 = 200;
+/// Time within which a connected router receives a leave after its acknowledgement, in milliseconds.
+const MAX_DELAY: u64 = 200;
 
 fn record(id: &str, sequence: u64, standing: ReplicaStatus) -> Record {
     let registration = Registration {
@@ -34,8 +34,8 @@
     Record { registration, standing }
 }
 
-/// The question of a router that hears of replicas elsewhere.
-fn question(feed: FeedCursor) -> Watch {
+/// Returns a watch of a router that gets replica records from other control processes.
+fn watch(feed: FeedCursor) -> Watch {
     let router = RouterStatus {
         vm: "edge-1".to_owned(),
         data_centre: "b".to_owned(),
@@ -62,8 +62,8 @@
     }
 }
 
-/// Answers that are due until `until`, looked for every 20 ms from `from` on.
-fn answers(view: &mut FleetView<u8>, from: u64, until: u64) -> Vec<WatchResponse> {
+/// Returns the responses that are due between `from` and `until`, checked every 20 ms.
+fn responses(view: &mut FleetView<u8>, from: u64, until: u64) -> Vec<WatchResponse> {
     let (registered, evacuations) = (Routers::default(), Evacuations::default());
     let (quarantine, rollouts) = (Quarantine::default(), Rollouts::default());
     let mut all = Vec::new();
@@ -80,7 +80,7 @@
             quarantine: &quarantine,
             rollouts: &rollouts,
         };
-        all.extend(view.answers(Time(now), &f).into_iter().map(|(_, seen)| seen));
+        all.extend(view.answers(Time(now), &f).into_iter().map(|(_, response)| response));
     }
     all
 }
@@ -88,36 +88,36 @@
 #[rstest]
 #[case::it_told_this_process(RecordSource::Replica, &["i-2"])]
 #[case::another_process_passed_it_on(RecordSource::Peer, &[])]
-fn every_router_is_told_of_leaves_by_the_process_that_heard_of_them(
+fn every_router_receives_leaves_from_the_process_that_acknowledged_them(
     #[case] source: RecordSource,
-    #[case] told: &[&str],
+    #[case] expected: &[&str],
 ) {
     let mut view = FleetView::new(BOOT, Millis(1_000));
     for id in ["i-1", "i-2"] {
         view.registry.apply(Time(10), record(id, 1, ReplicaStatus::Ready), RecordSource::Replica);
     }
     let feed = FeedCursor { boot: BOOT, leaves: view.registry.position(), ..FeedCursor::default() };
-    view.watch(Time(1_000), question(feed), 0);
+    view.watch(Time(1_000), watch(feed), 0);
     view.registry.apply(Time(1_050), record("i-2", 2, ReplicaStatus::Draining), source);
-    let got = answers(&mut view, 1_050, 1_050 + TOLD_WITHIN);
+    let got = responses(&mut view, 1_050, 1_050 + MAX_DELAY);
     let ids: Vec<_> =
-        got.iter().flat_map(|s| &s.replicas).map(|r| r.registration.id.as_str()).collect();
-    assert_eq!(ids, told);
-    // Told once.
-    if let Some(seen) = got.first() {
-        view.watch(Time(1_300), question(seen.feed), 0);
-        assert_eq!(answers(&mut view, 1_300, 1_600), []);
+        got.iter().flat_map(|r| &r.replicas).map(|r| r.registration.id.as_str()).collect();
+    assert_eq!(ids, expected);
+    // The leave is sent once.
+    if let Some(response) = got.first() {
+        view.watch(Time(1_300), watch(response.feed), 0);
+        assert_eq!(responses(&mut view, 1_300, 1_600), []);
     }
 }
 
-/// One that asks for the first time hears of earlier ones from its sources.
+/// A router with a new watch receives earlier leaves from its replica sources.
 #[test]
-fn earlier_leaves_are_left_to_the_sources() {
+fn earlier_leaves_are_not_sent_to_a_new_watcher() {
     let mut view = FleetView::new(BOOT, Millis(1_000));
     view.registry.apply(Time(10), record("i-1", 1, ReplicaStatus::Ready), RecordSource::Replica);
     view.registry.apply(Time(20), record("i-1", 2, ReplicaStatus::Draining), RecordSource::Replica);
-    view.watch(Time(1_000), question(FeedCursor::default()), 0);
-    let got = answers(&mut view, 1_000, 2_100);
+    view.watch(Time(1_000), watch(FeedCursor::default()), 0);
+    let got = responses(&mut view, 1_000, 2_100);
     assert_eq!(got.len(), 1);
     assert_eq!(got[0].replicas, []);
 }
--- a/crates/control/tests/support/memory.rs
+++ b/crates/control/tests/support/memory.rs
@@ -1,4 +1,4 @@
-//! A data folder in memory: what was not synced is lost with the process.
+//! [`Storage`] in memory: what was not synced is lost when the process crashes.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -10,22 +10,22 @@
 use cypressfork_core::unit::{Index, NodeId};
 use cypressfork_store::Error;
 
-/// What is on the disk.
+/// The contents of the disk and its pending failures.
 #[derive(Clone, Debug, Default)]
 pub struct Image {
-    pub found: Restored,
+    pub state: Restored,
     pub snapshots: BTreeMap<Index, Vec<u8>>,
-    /// The sync after this many fails; what it should have written is there or not.
+    /// Number of syncs before the next one fails, and whether that one still writes its data.
     pub fail_in: Option<(u32, bool)>,
     pub syncs: u64,
-    /// Nothing can be stored.
+    /// Whether the disk is full.
     pub full: bool,
 }
 
 #[derive(Clone)]
 enum Write {
-    Hard(HardState),
-    Mark(NodeId, PeerState),
+    HardState(HardState),
+    PeerState(NodeId, PeerState),
     Entries(Vec<Entry>),
     Truncate(Index),
 }
@@ -37,23 +37,23 @@
 }
 
 impl Memory {
-    /// The disk as a new process finds it.
+    /// Opens the disk as a new process, and returns the restored state.
     pub fn open(image: &Rc<RefCell<Image>>) -> (Memory, Restored) {
-        image.borrow_mut().found.incarnation += 1;
+        image.borrow_mut().state.incarnation += 1;
         image.borrow_mut().fail_in = None;
-        let found = image.borrow().found.clone();
-        (Memory { image: image.clone(), pending: Vec::new() }, found)
+        let restored = image.borrow().state.clone();
+        (Memory { image: image.clone(), pending: Vec::new() }, restored)
     }
 
-    /// Whether the next write fails, and if so whether it still reaches the disk.
-    fn fails(&self) -> Option<bool> {
+    /// Counts a sync. Returns `None` if it succeeds, else whether its data is still written.
+    fn next_failure(&self) -> Option<bool> {
         let mut image = self.image.borrow_mut();
         image.syncs += 1;
         if image.full {
             return Some(false);
         }
         match &mut image.fail_in {
-            Some((0, kept)) => Some(*kept),
+            Some((0, written)) => Some(*written),
             Some((n, _)) => {
                 *n -= 1;
                 None
@@ -64,15 +64,15 @@
 
     fn write(&mut self) {
         let mut image = self.image.borrow_mut();
-        let f = &mut image.found;
+        let state = &mut image.state;
         for w in self.pending.drain(..) {
             match w {
-                Write::Hard(h) => f.hard = h,
-                Write::Mark(n, m) => {
-                    f.peers.insert(n, m);
+                Write::HardState(h) => state.hard = h,
+                Write::PeerState(n, p) => {
+                    state.peers.insert(n, p);
                 }
-                Write::Entries(e) => f.entries.extend(e),
-                Write::Truncate(from) => f.entries.retain(|e| e.index < from),
+                Write::Entries(e) => state.entries.extend(e),
+                Write::Truncate(from) => state.entries.retain(|e| e.index < from),
             }
         }
     }
@@ -84,11 +84,11 @@
 
 impl Storage for Memory {
     fn hard(&mut self, h: HardState) {
-        self.pending.push(Write::Hard(h));
+        self.pending.push(Write::HardState(h));
     }
 
     fn mark(&mut self, node: NodeId, m: PeerState) {
-        self.pending.push(Write::Mark(node, m));
+        self.pending.push(Write::PeerState(node, m));
     }
 
     fn entries(&mut self, entries: &[Entry]) {
@@ -103,10 +103,10 @@
         if self.pending.is_empty() {
             return Ok(());
         }
-        match self.fails() {
+        match self.next_failure() {
             None => self.write(),
-            Some(kept) => {
-                if kept {
+            Some(written) => {
+                if written {
                     self.write();
                 }
                 return Memory::failed();
@@ -117,16 +117,16 @@
 
     fn snapshot(&mut self, kept: &Kept, bytes: &[u8]) -> Result<(), Error> {
         self.sync()?;
-        let fails = self.fails();
-        if fails != Some(false) {
+        let failure = self.next_failure();
+        if failure != Some(false) {
             let mut image = self.image.borrow_mut();
             image.snapshots.insert(kept.meta.index, bytes.to_vec());
-            image.found.snapshot = kept.meta.clone();
-            image.found.hard = kept.hard;
-            image.found.peers = kept.marks.clone();
-            image.found.entries = kept.entries.clone();
+            image.state.snapshot = kept.meta.clone();
+            image.state.hard = kept.hard;
+            image.state.peers = kept.marks.clone();
+            image.state.entries = kept.entries.clone();
         }
-        if fails.is_some() { Memory::failed() } else { Ok(()) }
+        if failure.is_some() { Memory::failed() } else { Ok(()) }
     }
 
     fn load(&self, index: Index) -> Result<Vec<u8>, Error> {
--- a/crates/control/tests/support/mod.rs
+++ b/crates/control/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Replicas in virtual time over a small in-memory link, for tests.
+//! Members in virtual time over an in-memory network, for tests.
 
 #![allow(dead_code, missing_docs)]
 
--- a/crates/control/tests/support/world.rs
+++ b/crates/control/tests/support/world.rs
@@ -1,4 +1,4 @@
-//! A group of replicas, its link, its clients, and what must hold at every moment.
+//! A group of members with its network, its clients and the invariants that are checked every round.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -20,7 +20,7 @@
 
 use super::memory::{Image, Memory};
 
-/// Virtual time between two rounds.
+/// Virtual time that one round takes.
 const ROUND: Millis = Millis(10);
 
 type Disk = Rc<RefCell<Image>>;
@@ -29,23 +29,23 @@
     pub machine: Option<Machine<Memory, u64>>,
     pub disk: Disk,
     pub frozen: bool,
-    /// Until when its one thread is busy with something else: what comes waits, its clock goes on.
-    pub busy_until: Time,
-    /// Why it stopped by itself.
+    /// Time until which the process is stalled: its messages wait while its clock goes on.
+    pub stalled_until: Time,
+    /// Result code with which it stopped by itself.
     pub stopped: Option<Code>,
-    /// Where it listens.
+    /// Listening address.
     pub address: String,
     pub(super) started: Time,
     pub(super) contacts: Contacts,
     pub(super) candidates: Candidates,
-    /// How often it has said that it is there.
-    pub(super) announced: usize,
+    /// Number of announcements sent.
+    pub(super) announcements: usize,
     inbox: Vec<Message>,
 }
 
-/// What a client waits for.
+/// A client's call that is not answered yet.
 #[derive(Clone, Debug)]
-enum Waiting {
+enum PendingCall {
     TopUp(usize),
     Change(usize),
     Read { acked: Version },
@@ -58,28 +58,29 @@
     pub nodes: BTreeMap<NodeId, Node>,
     pub settings: Settings,
     rng: SmallRng,
-    post: Vec<(Time, Message)>,
+    /// Messages on their way, with their time of arrival.
+    in_flight: Vec<(Time, Message)>,
     pub cut: BTreeSet<(NodeId, NodeId)>,
     pub drop_percent: u32,
-    /// A replica whose disk has failed stays and may be restarted in its place.
+    /// Whether members whose disk failed keep running, to be restarted in place.
     pub in_place: bool,
-    pub double_percent: u32,
-    waiting: BTreeMap<u64, Waiting>,
+    pub duplicate_percent: u32,
+    pending: BTreeMap<u64, PendingCall>,
     calls: u64,
     leaders: BTreeMap<Term, NodeId>,
     committed: BTreeMap<Index, (Term, Payload)>,
     checked: BTreeMap<NodeId, Index>,
     topups: Vec<bool>,
-    /// The base of each change, and what came of it.
+    /// Base version of each change, and its result.
     changes: Vec<(Version, Option<Result<Version, Code>>)>,
     pub acked_version: Version,
     pub reads: u64,
     pub last_member_answer: Option<Result<(), Code>>,
-    /// Messages between replicas so far.
+    /// Number of messages sent between members.
     pub sent: u64,
-    /// Answers to routers' reports and standing questions so far.
+    /// Number of answers to routers' reports and watches.
     pub answered: u64,
-    /// The addresses that all processes are told at their start; none: members are ordered by hand.
+    /// Addresses of the seeds configured at all processes; if there are none, tests change the members.
     pub seeds: Vec<String>,
     next_id: NodeId,
 }
@@ -89,31 +90,31 @@
 }
 
 impl World {
-    /// Fresh replicas 1 to `n`, made a group, with a first configuration.
+    /// Returns a group of new members 1 to `n` with a first configuration.
     pub fn new(n: u64, seed: u64) -> World {
-        World::without(n, &[], seed)
+        World::with_crashed(n, &[], seed)
     }
 
-    /// The same, where the replicas `away` hear nothing but that the group is founded.
-    pub fn without(n: u64, away: &[NodeId], seed: u64) -> World {
-        World::founding(n, away, &[], seed)
+    /// Returns the same, where the members `crashed` crash right after the founding request.
+    pub fn with_crashed(n: u64, crashed: &[NodeId], seed: u64) -> World {
+        World::with_late_founders(n, crashed, &[], seed)
     }
 
-    /// The same, where the order that founds the group reaches the replicas `late` once it has a leader
-    /// that has asked for their votes and sent them entries.
-    pub fn founding(n: u64, away: &[NodeId], late: &[NodeId], seed: u64) -> World {
+    /// Returns the same, where the members `late` receive the founding request only once there is a leader,
+    /// which has requested their votes and sent them entries.
+    pub fn with_late_founders(n: u64, crashed: &[NodeId], late: &[NodeId], seed: u64) -> World {
         let raft = RaftSettings { chunk_bytes: 512, ..RaftSettings::default() };
         let mut w = World {
             now: Time(10_000),
             nodes: BTreeMap::new(),
             settings: Settings { raft, snapshot_every: 40 },
             rng: SmallRng::seed_from_u64(seed),
-            post: Vec::new(),
+            in_flight: Vec::new(),
             cut: BTreeSet::new(),
             drop_percent: 0,
             in_place: false,
-            double_percent: 0,
-            waiting: BTreeMap::new(),
+            duplicate_percent: 0,
+            pending: BTreeMap::new(),
             calls: 0,
             leaders: BTreeMap::new(),
             committed: BTreeMap::new(),
@@ -132,17 +133,17 @@
             w.add_fresh();
         }
         let peers: Vec<_> = (1..=n).map(|i| Peer::new(i as i64, address(i))).collect();
-        let order = |w: &mut World, i: NodeId| {
+        let found = |w: &mut World, i: NodeId| {
             let at = w.moment();
             let m = w.nodes.get_mut(&i).unwrap().machine.as_mut().unwrap();
             m.handle_request(at, Ask::Founders(Founders::new(peers.clone())), 0);
         };
-        (1..=n).filter(|i| !late.contains(i)).for_each(|i| order(&mut w, i));
-        for id in away {
+        (1..=n).filter(|i| !late.contains(i)).for_each(|i| found(&mut w, i));
+        for id in crashed {
             w.crash(*id);
         }
         w.until(5_000, |w| w.leader().is_some());
-        late.iter().for_each(|i| order(&mut w, *i));
+        late.iter().for_each(|i| found(&mut w, *i));
         w.change();
         while w.acked_version == 0 {
             w.run(100);
@@ -151,12 +152,12 @@
         w
     }
 
-    /// A new replica with an empty disk.
+    /// Starts a process with an empty disk. Returns its id.
     pub fn add_fresh(&mut self) -> NodeId {
         self.add_fresh_at(address(self.next_id))
     }
 
-    /// A new replica with an empty disk, at an address that another may have had.
+    /// Starts a process with an empty disk at an address that another may have had. Returns its id.
     pub fn add_fresh_at(&mut self, address: String) -> NodeId {
         let id = self.next_id;
         self.next_id += 1;
@@ -164,13 +165,13 @@
             machine: None,
             disk: Disk::default(),
             frozen: false,
-            busy_until: Time(0),
+            stalled_until: Time(0),
             stopped: None,
             address,
             started: self.now,
             contacts: Contacts::default(),
             candidates: Candidates::default(),
-            announced: 0,
+            announcements: 0,
             inbox: Vec::new(),
         };
         self.nodes.insert(id, node);
@@ -185,8 +186,9 @@
         if node.machine.is_some() {
             return;
         }
-        let (memory, found) = Memory::open(&node.disk);
-        let machine = Machine::start(at, "tas-north", settings, memory, (id, found), seed).unwrap();
+        let (memory, restored) = Memory::open(&node.disk);
+        let machine =
+            Machine::start(at, "tas-north", settings, memory, (id, restored), seed).unwrap();
         node.machine = Some(machine);
         node.stopped = None;
         node.started = at.now;
@@ -196,7 +198,7 @@
         self.checked.remove(&id);
     }
 
-    /// Tries the disk of a replica that has stopped; whether it takes part again.
+    /// Reopens the disk of a member that has stopped. Returns whether it runs again.
     pub fn restart_in_place(&mut self, id: NodeId) -> bool {
         let (at, seed) = (self.moment(), self.rng.random());
         let node = self.nodes.get_mut(&id).unwrap();
@@ -208,7 +210,7 @@
         done
     }
 
-    /// kill -9: what was not synced is lost.
+    /// Kills a process: what was not synced is lost.
     pub fn crash(&mut self, id: NodeId) {
         let node = self.nodes.get_mut(&id).unwrap();
         node.machine = None;
@@ -219,22 +221,22 @@
         self.nodes.get_mut(&id).unwrap().frozen = frozen;
     }
 
-    /// Has a replica's thread be busy with something else for a while.
-    pub fn hold_up(&mut self, id: NodeId, ms: u64) {
-        self.nodes.get_mut(&id).unwrap().busy_until = self.now.after(Millis(ms));
+    /// Stalls a process for `ms` milliseconds.
+    pub fn stall(&mut self, id: NodeId, ms: u64) {
+        self.nodes.get_mut(&id).unwrap().stalled_until = self.now.after(Millis(ms));
     }
 
     pub fn copy_disk(&self, id: NodeId) -> Image {
         self.nodes[&id].disk.borrow().clone()
     }
 
-    pub fn put_back(&mut self, id: NodeId, image: Image) {
+    pub fn restore_disk(&mut self, id: NodeId, image: Image) {
         *self.nodes[&id].disk.borrow_mut() = image;
     }
 
-    /// The sync after `n` more fails; `kept` tells whether it still reached the disk.
-    pub fn fail_sync(&mut self, id: NodeId, n: u32, kept: bool) {
-        self.nodes[&id].disk.borrow_mut().fail_in = Some((n, kept));
+    /// Makes the sync after `n` more fail; `written` says whether its data still reaches the disk.
+    pub fn fail_sync(&mut self, id: NodeId, n: u32, written: bool) {
+        self.nodes[&id].disk.borrow_mut().fail_in = Some((n, written));
     }
 
     pub fn moment(&self) -> Moment {
@@ -249,19 +251,19 @@
         self.nodes[&id].machine.as_ref().unwrap()
     }
 
-    /// The live replica that leads the newest term.
+    /// Returns the running leader of the newest term.
     pub fn leader(&self) -> Option<NodeId> {
-        let leads = |i: &NodeId| self.machine(*i).raft().is_leader() && !self.nodes[i].frozen;
-        let newest = |i: &NodeId| self.machine(*i).raft().term();
-        self.live().into_iter().filter(leads).max_by_key(newest)
+        let is_leader = |i: &NodeId| self.machine(*i).raft().is_leader() && !self.nodes[i].frozen;
+        let term = |i: &NodeId| self.machine(*i).raft().term();
+        self.live().into_iter().filter(is_leader).max_by_key(term)
     }
 
-    fn call(&mut self, to: NodeId, ask: Ask, what: Waiting) {
+    fn call(&mut self, to: NodeId, ask: Ask, pending: PendingCall) {
         self.calls += 1;
         let (at, token) = (self.moment(), self.calls);
         let node = self.nodes.get_mut(&to).unwrap();
         if let Some(m) = node.machine.as_mut().filter(|_| !node.frozen) {
-            self.waiting.insert(token, what);
+            self.pending.insert(token, pending);
             m.handle_request(at, ask, token);
         }
     }
@@ -272,7 +274,7 @@
         live.get(n).copied()
     }
 
-    /// A client adds a token; it sends the same operation until it is answered.
+    /// A client adds a token; [`World::resend`] repeats the operation until it is answered.
     pub fn top_up(&mut self) {
         self.topups.push(false);
         self.send_top_up(self.topups.len() - 1);
@@ -282,11 +284,11 @@
         let budget = "club-talk".to_owned();
         let c = Command::TopUp { op: format!("t{n}"), budget, tokens: 1 };
         if let Some(to) = self.any_live() {
-            self.call(to, Ask::Command(body::pack(&c)), Waiting::TopUp(n));
+            self.call(to, Ask::Command(body::pack(&c)), PendingCall::TopUp(n));
         }
     }
 
-    /// An operator changes the configuration, made from the newest version that was acknowledged.
+    /// An operator changes the configuration, based on the newest acknowledged version.
     pub fn change(&mut self) {
         self.changes.push((self.acked_version, None));
         self.send_change(self.changes.len() - 1);
@@ -298,44 +300,45 @@
         let change = Change { op: format!("c{n}"), base, by: "ann".into(), items };
         if let Some(to) = self.any_live() {
             let ask = Ask::Command(body::pack(&Command::Apply(change)));
-            self.call(to, ask, Waiting::Change(n));
+            self.call(to, ask, PendingCall::Change(n));
         }
     }
 
-    /// A router reads; whatever was acknowledged before must be in the answer.
+    /// A client reads the configuration; the answer must include every version acknowledged before.
     pub fn read(&mut self) {
         let acked = self.acked_version;
         if let Some(to) = self.any_live() {
             let ask = Ask::Query(body::pack(&Query::Config));
-            self.call(to, ask, Waiting::Read { acked });
+            self.call(to, ask, PendingCall::Read { acked });
         }
     }
 
-    /// A router registers, sends a report or puts its standing question, to the leader.
-    pub fn router_asks(&mut self, ask: Ask) {
+    /// Sends a router's registration, report or watch to the leader.
+    pub fn send_router_request(&mut self, ask: Ask) {
         if let Some(to) = self.leader() {
-            self.call(to, ask, Waiting::Router);
+            self.call(to, ask, PendingCall::Router);
         }
     }
 
-    /// An operator's order about a member, to the leader.
-    pub fn order(&mut self, change: MemberChange) {
+    /// Sends an operator's change of the members to the leader.
+    pub fn change_members(&mut self, change: MemberChange) {
         self.last_member_answer = None;
         if let Some(to) = self.leader() {
-            self.call(to, Ask::Members(member_order(&change)), Waiting::Members);
+            self.call(to, Ask::Members(member_order(&change)), PendingCall::Members);
         }
     }
 
-    /// Orders it again until it is done.
-    pub fn order_until_done(&mut self, change: MemberChange) {
+    /// Repeats a change of the members until it is done.
+    pub fn change_members_until_done(&mut self, change: MemberChange) {
         let mut rounds = 0;
         loop {
-            self.order(change.clone());
+            self.change_members(change.clone());
             self.run(300);
             if self.last_member_answer == Some(Ok(())) {
                 return;
             }
-            let done = self.leader().is_some_and(|l| has(self.machine(l).members(), &change));
+            let done =
+                self.leader().is_some_and(|l| has_change(self.machine(l).members(), &change));
             rounds += 1;
             if done {
                 return;
@@ -345,16 +348,17 @@
     }
 
     pub fn add_learner(&mut self, id: NodeId) {
-        self.order_until_done(MemberChange::AddLearner(id, address(id)));
+        self.change_members_until_done(MemberChange::AddLearner(id, address(id)));
     }
 
-    /// Lets `ms` of virtual time pass.
+    /// Runs for `ms` milliseconds of virtual time.
     pub fn run(&mut self, ms: u64) {
         for _ in 0..ms.div_ceil(ROUND.0) {
             self.round();
         }
     }
 
+    /// Runs until `done` returns true, and fails after `ms` milliseconds of virtual time.
     pub fn until(&mut self, ms: u64, done: impl Fn(&World) -> bool) {
         for _ in 0..ms.div_ceil(ROUND.0) {
             if done(self) {
@@ -368,30 +372,31 @@
     pub fn round(&mut self) {
         self.now = self.now.after(ROUND);
         let now = self.now;
-        let (due, rest): (Vec<_>, Vec<_>) = self.post.drain(..).partition(|(at, _)| *at <= now);
-        self.post = rest;
+        let (due, rest): (Vec<_>, Vec<_>) =
+            self.in_flight.drain(..).partition(|(at, _)| *at <= now);
+        self.in_flight = rest;
         for (_, m) in due {
             if let Some(node) = self.nodes.get_mut(&m.to) {
                 node.inbox.push(m);
             }
         }
         for id in self.live() {
-            self.turn(id);
+            self.step_node(id);
         }
-        self.keep_places();
+        self.maintain_membership();
         self.check();
     }
 
-    fn turn(&mut self, id: NodeId) {
+    fn step_node(&mut self, id: NodeId) {
         let at = self.moment();
         let node = self.nodes.get_mut(&id).unwrap();
-        if node.frozen || node.busy_until > at.now {
+        if node.frozen || node.stalled_until > at.now {
             return;
         }
         let m = node.machine.as_mut().unwrap();
-        if node.busy_until.0 > 0 {
-            // A timer that is due and messages that wait are taken in any order.
-            node.busy_until = Time(0);
+        if node.stalled_until.0 > 0 {
+            // A process that was stalled may handle its timer before the waiting messages.
+            node.stalled_until = Time(0);
             m.tick(at);
         }
         for message in node.inbox.drain(..) {
@@ -401,7 +406,7 @@
         for out in m.finish(at) {
             match out {
                 Output::Send(message) => self.send(message),
-                Output::Reply(token, result) => self.answered(token, result),
+                Output::Reply(token, result) => self.handle_answer(token, result),
                 Output::Stop(code, _) => {
                     let node = self.nodes.get_mut(&id).unwrap();
                     if !self.in_place {
@@ -418,23 +423,23 @@
         if self.cut.contains(&(m.from, m.to)) || self.rng.random_range(0..100) < self.drop_percent {
             return;
         }
-        if self.rng.random_range(0..100) < self.double_percent {
+        if self.rng.random_range(0..100) < self.duplicate_percent {
             let late = self.now.after(Millis(self.rng.random_range(0..2_000)));
-            self.post.push((late, m.clone()));
+            self.in_flight.push((late, m.clone()));
         }
         let at = self.now.after(Millis(self.rng.random_range(0..30)));
-        self.post.push((at, m));
+        self.in_flight.push((at, m));
     }
 
-    fn answered(&mut self, token: u64, result: Result<Vec<u8>, Code>) {
-        let Some(what) = self.waiting.remove(&token) else { return };
-        match (what, result) {
-            (Waiting::TopUp(n), Ok(bytes)) => {
+    fn handle_answer(&mut self, token: u64, result: Result<Vec<u8>, Code>) {
+        let Some(call) = self.pending.remove(&token) else { return };
+        match (call, result) {
+            (PendingCall::TopUp(n), Ok(bytes)) => {
                 let a: Answer = body::unpack(&bytes).unwrap();
                 assert!(matches!(a, Answer::Funded(_)), "{a:?}");
                 self.topups[n] = true;
             }
-            (Waiting::Change(n), Ok(bytes)) => {
+            (PendingCall::Change(n), Ok(bytes)) => {
                 let Answer::Applied(result) = body::unpack(&bytes).unwrap() else { panic!() };
                 let result = result.map_err(|r| r.code);
                 let first = *self.changes[n].1.get_or_insert(result);
@@ -443,20 +448,20 @@
                     self.acked_version = self.acked_version.max(v);
                 }
             }
-            (Waiting::Read { acked }, Ok(bytes)) => {
+            (PendingCall::Read { acked }, Ok(bytes)) => {
                 let Reply::Config { version, .. } = body::unpack(&bytes).unwrap() else { panic!() };
                 assert!(version >= acked, "read {version} after {acked} was acknowledged");
                 self.reads += 1;
             }
-            (Waiting::Router, Ok(_)) => self.answered += 1,
-            (Waiting::Members, result) => self.last_member_answer = Some(result.map(|_| ())),
+            (PendingCall::Router, Ok(_)) => self.answered += 1,
+            (PendingCall::Members, result) => self.last_member_answer = Some(result.map(|_| ())),
             (_, Err(_)) => {}
         }
     }
 
-    /// Sends everything again that was not answered.
+    /// Resends every top-up and change that is not answered.
     pub fn resend(&mut self) {
-        self.waiting.clear();
+        self.pending.clear();
         for n in 0..self.topups.len() {
             if !self.topups[n] {
                 self.send_top_up(n);
@@ -469,7 +474,7 @@
         }
     }
 
-    /// What must hold at every moment.
+    /// Checks that each term has one leader and that committed entries never differ.
     fn check(&mut self) {
         for id in self.live() {
             let raft = self.nodes[&id].machine.as_ref().unwrap().raft();
@@ -487,11 +492,11 @@
         }
     }
 
-    /// Heals everything, restarts everybody, and checks that nothing acknowledged was lost.
+    /// Heals the network, restarts all processes, and checks that no acknowledged change was lost.
     pub fn heal_and_check(&mut self) {
         self.cut.clear();
         self.drop_percent = 0;
-        self.double_percent = 0;
+        self.duplicate_percent = 0;
         let acked = self.topups.iter().filter(|a| **a).count() as u64;
         for id in self.nodes.keys().copied().collect::<Vec<_>>() {
             self.freeze(id, false);
@@ -523,7 +528,7 @@
     }
 }
 
-fn has(m: &Members, change: &MemberChange) -> bool {
+fn has_change(m: &Members, change: &MemberChange) -> bool {
     match change {
         MemberChange::AddLearner(n, _) => m.contains(*n),
         MemberChange::Promote(n) => m.voters.contains(n),
