--- a/crates/control/src/fleet_view.rs
+++ b/crates/control/src/fleet_view.rs
@@ -56,7 +56,7 @@
 const MAX_PEERS: usize = 32;
 
 /// The state that watch responses are made from, besides the fleet view itself.
-pub struct Followed<'a> {
+pub struct WatchedState<'a> {
     /// Version of the document in force at this process; 0 if there is none.
     pub version: Version,
     /// The document as submitted.
@@ -254,7 +254,7 @@
     }
 
     /// Removes the pending watches that are due, and returns their responses.
-    pub fn answers(&mut self, now: Time, f: &Followed) -> Vec<(T, WatchResponse)> {
+    pub fn answers(&mut self, now: Time, f: &WatchedState) -> Vec<(T, WatchResponse)> {
         self.next_poll = now.after(POLL_INTERVAL);
         let (due, rest): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.pending).into_iter().partition(|w| self.is_due(now, w, f));
@@ -279,7 +279,7 @@
         }
     }
 
-    fn is_due(&self, now: Time, w: &PendingWatch<T>, f: &Followed) -> bool {
+    fn is_due(&self, now: Time, w: &PendingWatch<T>, f: &WatchedState) -> bool {
         let waited = now.since(w.received);
         let newer = w.watch.router.is_some() && f.version > w.watch.version;
         let relays_heartbeats = w.watch.router.is_none() && waited >= HEARTBEAT_BATCH_DELAY;
@@ -296,7 +296,7 @@
             || (relays_heartbeats && self.registry.has_heartbeats(w.since))
     }
 
-    fn response(&mut self, now: Time, w: &PendingWatch<T>, f: &Followed) -> WatchResponse {
+    fn response(&mut self, now: Time, w: &PendingWatch<T>, f: &WatchedState) -> WatchResponse {
         let router = w.watch.router.is_some();
         let mut heartbeats = Vec::new();
         let mut leaves = self.registry.position();
--- a/crates/control/src/server/fleet.rs
+++ b/crates/control/src/server/fleet.rs
@@ -24,7 +24,7 @@
 use super::{FleetContext, Input, MAX_BATCH, ReplyTo, Server};
 use crate::api::Local;
 use crate::dialect::{Answer as CallAnswer, Call};
-use crate::fleet_view::Followed;
+use crate::fleet_view::WatchedState;
 use crate::machine::Moment;
 use crate::turns::InputKind;
 
@@ -171,7 +171,7 @@
         let evacuations = self.machine.state().evacuations();
         let quarantine = self.machine.state().quarantine();
         let rollouts = self.machine.state().rollouts();
-        let followed = Followed {
+        let followed = WatchedState {
             version,
             source,
             controls,
--- a/crates/control/tests/leaves.rs
+++ b/crates/control/tests/leaves.rs
@@ -3,7 +3,7 @@
 //! Guards against routers that get their replica records elsewhere and keep sending to the replica when
 //! that control process is cut off from the others right after the acknowledgement.
 
-use cypressfork_control::fleet_view::{FleetView, Followed};
+use cypressfork_control::fleet_view::{FleetView, WatchedState};
 use cypressfork_core::fleet::evacuation::Evacuations;
 use cypressfork_core::fleet::quarantine::Quarantine;
 use cypressfork_core::fleet::registry::{Record, RecordSource, Registration, ReplicaStatus};
@@ -68,7 +68,7 @@
     let (quarantine, rollouts) = (Quarantine::default(), Rollouts::default());
     let mut all = Vec::new();
     for now in (from..=until).step_by(20) {
-        let f = Followed {
+        let f = WatchedState {
             version: 0,
             source: "",
             controls: Vec::new(),
--- a/crates/cypressfork/tests/support/control.rs
+++ b/crates/cypressfork/tests/support/control.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::Duration;
 
-use cypressfork_control::fleet_view::{FleetView, Followed};
+use cypressfork_control::fleet_view::{FleetView, WatchedState};
 use cypressfork_core::code::Code;
 use cypressfork_core::fleet::evacuation::Evacuations;
 use cypressfork_core::fleet::quarantine::Quarantine;
@@ -94,7 +94,7 @@
         let (controls, wall) = (Vec::new(), Time(0));
         let evacuations = Evacuations::default();
         let (quarantine, rollouts) = (Quarantine::default(), Rollouts::default());
-        let f = Followed {
+        let f = WatchedState {
             version,
             source: &source,
             controls,
