--- a/crates/control/src/disk.rs
+++ b/crates/control/src/disk.rs
@@ -55,7 +55,7 @@
     /// Makes everything that was appended durable.
     fn sync(&mut self) -> Result<(), Error>;
     /// Stores a snapshot and replaces the log by what follows it. Syncs both.
-    fn snapshot(&mut self, kept: &Kept, bytes: &[u8]) -> Result<(), Error>;
+    fn snapshot(&mut self, compacted: &CompactedLog, bytes: &[u8]) -> Result<(), Error>;
     /// Returns the bytes of the snapshot that covers the log up to `index`.
     fn load(&self, index: Index) -> Result<Vec<u8>, Error>;
     /// Returns the size of the log in bytes.
@@ -66,13 +66,13 @@
 
 /// The contents of a log after it was compacted into a snapshot.
 #[derive(Clone, Debug, Default)]
-pub struct Kept {
+pub struct CompactedLog {
     /// Index, term and members that the snapshot covers.
     pub meta: SnapshotMeta,
     /// Term and vote.
     pub hard: HardState,
     /// State kept of the other members.
-    pub marks: BTreeMap<NodeId, PeerState>,
+    pub peers: BTreeMap<NodeId, PeerState>,
     /// The entries after the snapshot.
     pub entries: Vec<Entry>,
 }
@@ -232,13 +232,13 @@
         result
     }
 
-    fn snapshot(&mut self, kept: &Kept, bytes: &[u8]) -> Result<(), Error> {
-        let index = kept.meta.index;
+    fn snapshot(&mut self, compacted: &CompactedLog, bytes: &[u8]) -> Result<(), Error> {
+        let index = compacted.meta.index;
         self.log.sync()?;
         self.folder.save_snapshot(index, bytes)?;
-        let mut records = vec![base_record(&kept.meta), hard_record(kept.hard)];
-        records.extend(kept.marks.iter().map(|(n, m)| peer_record(*n, m)));
-        records.extend(kept.entries.iter().map(entry_record));
+        let mut records = vec![base_record(&compacted.meta), hard_record(compacted.hard)];
+        records.extend(compacted.peers.iter().map(|(n, m)| peer_record(*n, m)));
+        records.extend(compacted.entries.iter().map(entry_record));
         self.log.replace(&records)?;
         self.folder.drop_snapshots_below(index)
     }
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -26,7 +26,7 @@
 use cypressfork_store::Error;
 use cypressfork_wire::{Ask, Founders, body};
 
-use crate::disk::{Kept, Storage};
+use crate::disk::{CompactedLog, Storage};
 use crate::leader_tasks::LeaderTasks;
 use crate::machine::proposals::{PendingEntry, QueuedReport};
 use crate::read::Reads;
@@ -83,7 +83,7 @@
     data_centres: BTreeSet<String>,
     seed: u64,
     snapshot: SnapshotMeta,
-    kept: Kept,
+    compacted_log: CompactedLog,
     stopped: bool,
 }
 
@@ -100,7 +100,11 @@
     ) -> Result<Machine<S, T>, Error> {
         let snapshot = restored.snapshot.clone();
         let state = load_state(&storage, &snapshot)?;
-        let kept = Kept { hard: restored.hard, marks: restored.peers.clone(), ..Kept::default() };
+        let compacted_log = CompactedLog {
+            hard: restored.hard,
+            peers: restored.peers.clone(),
+            ..CompactedLog::default()
+        };
         let raft = Raft::new(at.now, node, settings.raft, restored, seed);
         Ok(Machine {
             region: region.to_owned(),
@@ -118,7 +122,7 @@
             data_centres: BTreeSet::new(),
             seed,
             snapshot,
-            kept,
+            compacted_log,
             stopped: false,
         })
     }
@@ -230,7 +234,11 @@
         self.snapshot = restored.snapshot.clone();
         self.state = load_state(&self.storage, &self.snapshot)?;
         self.applied = self.snapshot.index;
-        self.kept = Kept { hard: restored.hard, marks: restored.peers.clone(), ..Kept::default() };
+        self.compacted_log = CompactedLog {
+            hard: restored.hard,
+            peers: restored.peers.clone(),
+            ..CompactedLog::default()
+        };
         self.raft = Raft::new(at.now, self.raft.id(), self.settings.raft, restored, seed);
         self.heartbeats = HolderHeartbeats::default();
         self.leader_tasks = LeaderTasks::default();
@@ -262,11 +270,11 @@
     fn store_action(&mut self, a: &Action) -> Result<(), Error> {
         match a {
             Action::Save(h) => {
-                self.kept.hard = *h;
+                self.compacted_log.hard = *h;
                 self.storage.hard(*h);
             }
             Action::SavePeer(n, m) => {
-                self.kept.marks.insert(*n, *m);
+                self.compacted_log.peers.insert(*n, *m);
                 self.storage.mark(*n, *m);
             }
             Action::Truncate(from) => self.storage.truncate(*from),
@@ -324,15 +332,15 @@
         }
         let meta = SnapshotMeta { index: 0, term: 0, members };
         let restored = Restored { snapshot: meta.clone(), ..self.raft.restored() };
-        self.kept = Kept {
+        self.compacted_log = CompactedLog {
             meta: meta.clone(),
             hard: restored.hard,
-            marks: restored.peers.clone(),
+            peers: restored.peers.clone(),
             entries: restored.entries.clone(),
         };
         let bytes = body::pack(&State::default());
-        self.storage.snapshot(&self.kept, &bytes).map_err(|_| Code::DiskFailed)?;
-        self.kept.entries.clear();
+        self.storage.snapshot(&self.compacted_log, &bytes).map_err(|_| Code::DiskFailed)?;
+        self.compacted_log.entries.clear();
         self.snapshot = meta;
         self.raft = Raft::new(at.now, me, self.settings.raft, restored, self.seed);
         emit!(Event::GroupFounded, members = self.raft.members().voters.len());
@@ -450,9 +458,9 @@
     }
 
     fn install_snapshot(&mut self, meta: &SnapshotMeta, bytes: &[u8]) -> Result<(), Error> {
-        self.kept.meta = meta.clone();
-        self.kept.entries.clear();
-        self.storage.snapshot(&self.kept, bytes)?;
+        self.compacted_log.meta = meta.clone();
+        self.compacted_log.entries.clear();
+        self.storage.snapshot(&self.compacted_log, bytes)?;
         self.snapshot = meta.clone();
         self.state = load_state(&self.storage, meta)?;
         self.applied = meta.index;
@@ -475,11 +483,11 @@
         let index = self.applied;
         let term = log.term(index).unwrap_or_default();
         let meta = SnapshotMeta { index, term, members: log.members_at(index).clone() };
-        self.kept.meta = meta.clone();
-        self.kept.entries = log.slice(index + 1, usize::MAX);
+        self.compacted_log.meta = meta.clone();
+        self.compacted_log.entries = log.slice(index + 1, usize::MAX);
         let bytes = body::pack(&self.state);
-        self.storage.snapshot(&self.kept, &bytes)?;
-        self.kept.entries.clear();
+        self.storage.snapshot(&self.compacted_log, &bytes)?;
+        self.compacted_log.entries.clear();
         self.snapshot = meta;
         // Keep the newest entries, so that a slow follower can catch up without a snapshot.
         self.raft.compact(index.saturating_sub(self.settings.snapshot_every / 2));
--- a/crates/control/tests/support/memory.rs
+++ b/crates/control/tests/support/memory.rs
@@ -5,7 +5,7 @@
 use std::io;
 use std::rc::Rc;
 
-use cypressfork_control::disk::{Kept, Storage};
+use cypressfork_control::disk::{CompactedLog, Storage};
 use cypressfork_core::raft::{Entry, HardState, PeerState, Restored};
 use cypressfork_core::unit::{Index, NodeId};
 use cypressfork_store::Error;
@@ -115,16 +115,16 @@
         Ok(())
     }
 
-    fn snapshot(&mut self, kept: &Kept, bytes: &[u8]) -> Result<(), Error> {
+    fn snapshot(&mut self, compacted: &CompactedLog, bytes: &[u8]) -> Result<(), Error> {
         self.sync()?;
         let failure = self.next_failure();
         if failure != Some(false) {
             let mut image = self.image.borrow_mut();
-            image.snapshots.insert(kept.meta.index, bytes.to_vec());
-            image.state.snapshot = kept.meta.clone();
-            image.state.hard = kept.hard;
-            image.state.peers = kept.marks.clone();
-            image.state.entries = kept.entries.clone();
+            image.snapshots.insert(compacted.meta.index, bytes.to_vec());
+            image.state.snapshot = compacted.meta.clone();
+            image.state.hard = compacted.hard;
+            image.state.peers = compacted.peers.clone();
+            image.state.entries = compacted.entries.clone();
         }
         if failure.is_some() { Memory::failed() } else { Ok(()) }
     }
