--- a/crates/control/src/disk.rs
+++ b/crates/control/src/disk.rs
@@ -45,21 +45,21 @@
 /// The durable storage of a member. What is appended is stored by the next [`Storage::sync`].
 pub trait Storage {
     /// Appends the term and vote.
-    fn hard(&mut self, h: HardState);
+    fn append_hard_state(&mut self, h: HardState);
     /// Appends the state that is kept of another member.
-    fn mark(&mut self, node: NodeId, m: PeerState);
+    fn append_peer_state(&mut self, node: NodeId, m: PeerState);
     /// Appends log entries.
-    fn entries(&mut self, entries: &[Entry]);
+    fn append_entries(&mut self, entries: &[Entry]);
     /// Appends the removal of the entries from index `from` on.
     fn truncate(&mut self, from: Index);
     /// Makes everything that was appended durable.
     fn sync(&mut self) -> Result<(), Error>;
     /// Stores a snapshot and replaces the log by what follows it. Syncs both.
-    fn snapshot(&mut self, compacted: &CompactedLog, bytes: &[u8]) -> Result<(), Error>;
+    fn save_snapshot(&mut self, compacted: &CompactedLog, bytes: &[u8]) -> Result<(), Error>;
     /// Returns the bytes of the snapshot that covers the log up to `index`.
-    fn load(&self, index: Index) -> Result<Vec<u8>, Error>;
+    fn load_snapshot(&self, index: Index) -> Result<Vec<u8>, Error>;
     /// Returns the size of the log in bytes.
-    fn size(&self) -> u64;
+    fn log_size(&self) -> u64;
     /// Reopens the storage after a failed sync, and returns the state that is stored.
     fn reopen(&mut self) -> Result<Restored, Error>;
 }
@@ -209,15 +209,15 @@
 }
 
 impl Storage for Disk {
-    fn hard(&mut self, h: HardState) {
+    fn append_hard_state(&mut self, h: HardState) {
         self.append(&hard_record(h));
     }
 
-    fn mark(&mut self, node: NodeId, m: PeerState) {
+    fn append_peer_state(&mut self, node: NodeId, m: PeerState) {
         self.append(&peer_record(node, &m));
     }
 
-    fn entries(&mut self, entries: &[Entry]) {
+    fn append_entries(&mut self, entries: &[Entry]) {
         entries.iter().for_each(|e| self.append(&entry_record(e)));
     }
 
@@ -232,7 +232,7 @@
         result
     }
 
-    fn snapshot(&mut self, compacted: &CompactedLog, bytes: &[u8]) -> Result<(), Error> {
+    fn save_snapshot(&mut self, compacted: &CompactedLog, bytes: &[u8]) -> Result<(), Error> {
         let index = compacted.meta.index;
         self.log.sync()?;
         self.folder.save_snapshot(index, bytes)?;
@@ -243,11 +243,11 @@
         self.folder.drop_snapshots_below(index)
     }
 
-    fn load(&self, index: Index) -> Result<Vec<u8>, Error> {
+    fn load_snapshot(&self, index: Index) -> Result<Vec<u8>, Error> {
         self.folder.load_snapshot(index)
     }
 
-    fn size(&self) -> u64 {
+    fn log_size(&self) -> u64 {
         self.log.size()
     }
 
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -271,14 +271,14 @@
         match a {
             Action::Save(h) => {
                 self.compacted_log.hard = *h;
-                self.storage.hard(*h);
+                self.storage.append_hard_state(*h);
             }
             Action::SavePeer(n, m) => {
                 self.compacted_log.peers.insert(*n, *m);
-                self.storage.mark(*n, *m);
+                self.storage.append_peer_state(*n, *m);
             }
             Action::Truncate(from) => self.storage.truncate(*from),
-            Action::Append(entries) => self.storage.entries(entries),
+            Action::Append(entries) => self.storage.append_entries(entries),
             Action::Install(meta, bytes) => self.install_snapshot(meta, bytes)?,
             _ => {}
         }
@@ -292,7 +292,7 @@
             Action::ReadReady(token, index) => self.read_ready(at, token, index),
             Action::ReadFailed(token) => self.read_failed(token),
             Action::LoadSnapshot(n) => {
-                let bytes = self.storage.load(self.snapshot.index)?;
+                let bytes = self.storage.load_snapshot(self.snapshot.index)?;
                 self.raft.snapshot_loaded(n, self.snapshot.clone(), Arc::from(bytes));
             }
             Action::LeaderChanged(true) => {
@@ -339,7 +339,7 @@
             entries: restored.entries.clone(),
         };
         let bytes = body::pack(&State::default());
-        self.storage.snapshot(&self.compacted_log, &bytes).map_err(|_| Code::DiskFailed)?;
+        self.storage.save_snapshot(&self.compacted_log, &bytes).map_err(|_| Code::DiskFailed)?;
         self.compacted_log.entries.clear();
         self.snapshot = meta;
         self.raft = Raft::new(at.now, me, self.settings.raft, restored, self.seed);
@@ -460,7 +460,7 @@
     fn install_snapshot(&mut self, meta: &SnapshotMeta, bytes: &[u8]) -> Result<(), Error> {
         self.compacted_log.meta = meta.clone();
         self.compacted_log.entries.clear();
-        self.storage.snapshot(&self.compacted_log, bytes)?;
+        self.storage.save_snapshot(&self.compacted_log, bytes)?;
         self.snapshot = meta.clone();
         self.state = load_state(&self.storage, meta)?;
         self.applied = meta.index;
@@ -486,7 +486,7 @@
         self.compacted_log.meta = meta.clone();
         self.compacted_log.entries = log.slice(index + 1, usize::MAX);
         let bytes = body::pack(&self.state);
-        self.storage.snapshot(&self.compacted_log, &bytes)?;
+        self.storage.save_snapshot(&self.compacted_log, &bytes)?;
         self.compacted_log.entries.clear();
         self.snapshot = meta;
         // Keep the newest entries, so that a slow follower can catch up without a snapshot.
@@ -505,7 +505,7 @@
     if meta.index == 0 {
         return Ok(State::default());
     }
-    let bytes = storage.load(meta.index)?;
+    let bytes = storage.load_snapshot(meta.index)?;
     body::unpack(&bytes)
         .map_err(|e| Error::Snapshot(format!("number {}", meta.index).into(), e.to_string()))
 }
--- a/crates/control/tests/support/memory.rs
+++ b/crates/control/tests/support/memory.rs
@@ -83,15 +83,15 @@
 }
 
 impl Storage for Memory {
-    fn hard(&mut self, h: HardState) {
+    fn append_hard_state(&mut self, h: HardState) {
         self.pending.push(Write::HardState(h));
     }
 
-    fn mark(&mut self, node: NodeId, m: PeerState) {
+    fn append_peer_state(&mut self, node: NodeId, m: PeerState) {
         self.pending.push(Write::PeerState(node, m));
     }
 
-    fn entries(&mut self, entries: &[Entry]) {
+    fn append_entries(&mut self, entries: &[Entry]) {
         self.pending.push(Write::Entries(entries.to_vec()));
     }
 
@@ -115,7 +115,7 @@
         Ok(())
     }
 
-    fn snapshot(&mut self, compacted: &CompactedLog, bytes: &[u8]) -> Result<(), Error> {
+    fn save_snapshot(&mut self, compacted: &CompactedLog, bytes: &[u8]) -> Result<(), Error> {
         self.sync()?;
         let failure = self.next_failure();
         if failure != Some(false) {
@@ -129,11 +129,11 @@
         if failure.is_some() { Memory::failed() } else { Ok(()) }
     }
 
-    fn load(&self, index: Index) -> Result<Vec<u8>, Error> {
+    fn load_snapshot(&self, index: Index) -> Result<Vec<u8>, Error> {
         Ok(self.image.borrow().snapshots[&index].clone())
     }
 
-    fn size(&self) -> u64 {
+    fn log_size(&self) -> u64 {
         0
     }
 
