--- a/crates/control/src/reserve.rs
+++ b/crates/control/src/reserve.rs
@@ -81,7 +81,7 @@
     }
 
     /// Applies a router's command; the next [`Reserve::finish`] returns the answer.
-    pub fn serve(&mut self, now: Time, bytes: &[u8], from: T) {
+    pub fn handle_request(&mut self, now: Time, bytes: &[u8], from: T) {
         let result = match body::unpack::<ReserveCommand>(bytes) {
             Ok(c @ (ReserveCommand::Ask(_) | ReserveCommand::Report(..))) => {
                 Ok(body::pack(&self.apply(now, &c)))
@@ -175,7 +175,7 @@
     }
 
     /// Applies the group's answer to one of [`Reserve::commands_due`].
-    pub fn answered(&mut self, now: Time, c: &Command, a: &Answer, state: &State) {
+    pub fn handle_answer(&mut self, now: Time, c: &Command, a: &Answer, state: &State) {
         match (c, a) {
             (Command::Enlist { .. }, Answer::Registered(h)) => self.holder = Some(*h),
             (Command::Ask(ask), Answer::Decided(Ok(g))) => {
@@ -202,7 +202,7 @@
     }
 
     /// Returns whether this reserve is registered at the group.
-    pub fn is_enlisted(&self) -> bool {
+    pub fn is_registered(&self) -> bool {
         self.holder.is_some()
     }
 }
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -247,15 +247,15 @@
         self.loop_stats.record_input(input.kind());
         match input {
             Input::Call(Ask::Reserve(bytes), to) => match &mut self.reserve {
-                Some(r) => r.serve(at.wall, &bytes, to),
+                Some(r) => r.handle_request(at.wall, &bytes, to),
                 None => self.reply(to, Err(Code::ReserveNone)),
             },
             Input::ReserveAnswered(c, result) => {
                 self.pending_reserve_commands -= 1;
                 if let (Some(r), Ok(a)) = (&mut self.reserve, result) {
-                    let known = r.is_enlisted();
-                    r.answered(at.wall, &c, &a, self.machine.state());
-                    if !known && r.is_enlisted() {
+                    let known = r.is_registered();
+                    r.handle_answer(at.wall, &c, &a, self.machine.state());
+                    if !known && r.is_registered() {
                         emit!(Event::ReserveEnlisted);
                     }
                 }
