--- a/crates/control/src/api.rs
+++ b/crates/control/src/api.rs
@@ -17,7 +17,7 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::timeout;
 
-use crate::dialect::{Answer, Call, Dialect, Incoming};
+use crate::dialect::{Call, CallAnswer, Dialect, Incoming};
 
 /// Time within which a document has to be committed.
 const PUBLISH_TIMEOUT: Duration = Duration::from_millis(3_500);
@@ -39,7 +39,7 @@
     /// The call: one that needs no committed command and no confirmed read.
     pub call: Call,
     /// Receives the answer.
-    pub to: oneshot::Sender<Answer>,
+    pub to: oneshot::Sender<CallAnswer>,
 }
 
 /// State shared by all requests.
@@ -63,9 +63,9 @@
                 Err(refused) => refused,
             }
         }
-        None => Answer::Refused(Code::BodyCut, "the body did not arrive whole".to_owned()),
+        None => CallAnswer::Refused(Code::BodyCut, "the body did not arrive whole".to_owned()),
     };
-    if let Answer::Refused(code, why) = &answer {
+    if let CallAnswer::Refused(code, why) = &answer {
         counter!(metric::CALLS_REFUSED, "code" => code.number().to_string()).increment(1);
         emit!(Event::CallRefused, code = code.number(), path = uri.path(), why = why);
     }
@@ -89,10 +89,10 @@
     timeout(BODY_TIMEOUT, collect).await.ok()?
 }
 
-async fn dispatch<D: Dialect>(api: &Api, call: Call) -> Answer {
+async fn dispatch<D: Dialect>(api: &Api, call: Call) -> CallAnswer {
     match call {
         Call::Publish(source) => publish::<D>(api, source).await,
-        Call::Current => current_document(api).await,
+        Call::Document => current_document(api).await,
         Call::Evacuate(data_centre, evacuate) => {
             run_command(api, Command::Evacuate { data_centre, evacuate }).await
         }
@@ -105,10 +105,10 @@
     }
 }
 
-async fn publish<D: Dialect>(api: &Api, source: String) -> Answer {
+async fn publish<D: Dialect>(api: &Api, source: String) -> CallAnswer {
     let document = match D::parse(&source) {
         Ok(d) => d,
-        Err(e) => return Answer::Refused(e.code, e.reason),
+        Err(e) => return CallAnswer::Refused(e.code, e.reason),
     };
     let budgets = document.budgets().collect();
     let services = document.services.iter().map(|s| s.name.clone()).collect();
@@ -117,46 +117,48 @@
     match api.group.command(&command, PUBLISH_TIMEOUT).await {
         Ok(Committed::Published(held)) => {
             emit!(Event::DocumentPublished, version = version, held = held);
-            Answer::Published(held)
+            CallAnswer::Published(held)
         }
-        Ok(_) => Answer::Refused(Code::MessageBad, "the group gave another answer".to_owned()),
-        Err(code) => Answer::Refused(code, "the group did not commit it in time".to_owned()),
+        Ok(_) => CallAnswer::Refused(Code::MessageBad, "the group gave another answer".to_owned()),
+        Err(code) => CallAnswer::Refused(code, "the group did not commit it in time".to_owned()),
     }
 }
 
 /// Has a command committed by the group. Callers retry at another control process after a second; a
 /// longer timeout could commit the command after the caller's next one.
-async fn run_command(api: &Api, command: Command) -> Answer {
+async fn run_command(api: &Api, command: Command) -> CallAnswer {
     match api.group.command(&command, COMMAND_TIMEOUT).await {
-        Ok(Committed::Done) => Answer::Noted,
-        Ok(Committed::Refused(code)) => Answer::Refused(code, "the group refuses it".to_owned()),
-        Ok(_) => Answer::Refused(Code::MessageBad, "the group gave another answer".to_owned()),
-        Err(code) => Answer::Refused(code, "the order was not carried out".to_owned()),
+        Ok(Committed::Done) => CallAnswer::Accepted,
+        Ok(Committed::Refused(code)) => {
+            CallAnswer::Refused(code, "the group refuses it".to_owned())
+        }
+        Ok(_) => CallAnswer::Refused(Code::MessageBad, "the group gave another answer".to_owned()),
+        Err(code) => CallAnswer::Refused(code, "the order was not carried out".to_owned()),
     }
 }
 
-async fn current_document(api: &Api) -> Answer {
+async fn current_document(api: &Api) -> CallAnswer {
     match api.group.query(&Query::Published, READ_TIMEOUT).await {
-        Ok(Reply::Published(Some(source))) => Answer::Current(source),
-        Ok(_) => Answer::Refused(Code::NotReady, "no document is in force yet".to_owned()),
-        Err(code) => Answer::Refused(code, "no quorum confirmed what is in force".to_owned()),
+        Ok(Reply::Published(Some(source))) => CallAnswer::Document(source),
+        Ok(_) => CallAnswer::Refused(Code::NotReady, "no document is in force yet".to_owned()),
+        Err(code) => CallAnswer::Refused(code, "no quorum confirmed what is in force".to_owned()),
     }
 }
 
-async fn rollout(api: &Api, service: String) -> Answer {
+async fn rollout(api: &Api, service: String) -> CallAnswer {
     match api.group.query(&Query::Rollouts(Some(service)), READ_TIMEOUT).await {
         Ok(Reply::Rollouts(found)) => match found.into_iter().next() {
-            Some((_, r)) => Answer::Rollout(r),
-            None => Answer::Refused(Code::RolloutUnknown, "none is known".to_owned()),
+            Some((_, r)) => CallAnswer::Rollout(r),
+            None => CallAnswer::Refused(Code::RolloutUnknown, "none is known".to_owned()),
         },
-        Ok(_) => Answer::Refused(Code::MessageBad, "the group gave another answer".to_owned()),
-        Err(code) => Answer::Refused(code, "no quorum confirmed how it stands".to_owned()),
+        Ok(_) => CallAnswer::Refused(Code::MessageBad, "the group gave another answer".to_owned()),
+        Err(code) => CallAnswer::Refused(code, "no quorum confirmed how it stands".to_owned()),
     }
 }
 
-async fn call_local(api: &Api, call: Call) -> Answer {
+async fn call_local(api: &Api, call: Call) -> CallAnswer {
     let (to, answer) = oneshot::channel();
-    let busy = || Answer::Refused(Code::QueueFull, "too many calls wait".to_owned());
+    let busy = || CallAnswer::Refused(Code::QueueFull, "too many calls wait".to_owned());
     if api.local.try_send(Local { call, to }).is_err() {
         return busy();
     }
--- a/crates/control/src/dialect.rs
+++ b/crates/control/src/dialect.rs
@@ -26,9 +26,9 @@
     /// Put this document into force.
     Publish(String),
     /// Return the document in force.
-    Current,
+    Document,
     /// Apply the heartbeat of a replica.
-    Beat(Record),
+    Heartbeat(Record),
     /// Mark the replica with this id as left.
     Leave(String),
     /// Start (true) or end (false) the evacuation of this data centre, whose replicas get no new requests
@@ -46,13 +46,13 @@
 
 /// The answer to a [`Call`].
 #[derive(Clone, Debug, PartialEq)]
-pub enum Answer {
+pub enum CallAnswer {
     /// A document of this version or a higher one is in force.
     Published(Version),
     /// The document in force, as submitted.
-    Current(String),
+    Document(String),
     /// The call was carried out.
-    Noted,
+    Accepted,
     /// Router addresses, and the time for which they may be cached.
     Entry(Vec<String>, Millis),
     /// The state of a rollout.
@@ -64,7 +64,7 @@
 /// A format of calls and answers over HTTP.
 pub trait Dialect: DocumentFormat {
     /// Parses a request into a call. Returns the answer to send if it is refused.
-    fn call(r: &Incoming) -> Result<Call, Answer>;
+    fn call(r: &Incoming) -> Result<Call, CallAnswer>;
     /// Encodes an answer as an HTTP response.
-    fn write(a: Answer) -> Response<Body>;
+    fn write(a: CallAnswer) -> Response<Body>;
 }
--- a/crates/control/src/native.rs
+++ b/crates/control/src/native.rs
@@ -12,7 +12,7 @@
 use serde::Deserialize;
 use serde_json::{Value, json};
 
-use crate::dialect::{Answer, Call, Dialect, Incoming};
+use crate::dialect::{Call, CallAnswer, Dialect, Incoming};
 
 /// `Retry-After` of a control process without a quorum.
 const RETRY_DELAY: Millis = Millis::seconds(1);
@@ -57,11 +57,11 @@
 }
 
 impl Dialect for Native {
-    fn call(r: &Incoming) -> Result<Call, Answer> {
+    fn call(r: &Incoming) -> Result<Call, CallAnswer> {
         let text = || String::from_utf8(r.body.to_vec()).map_err(|e| invalid_json(e.to_string()));
         match (r.method, r.path, r.path.strip_prefix("/v1/replicas/")) {
             (&Method::PUT, "/v1/document", _) => Ok(Call::Publish(text()?)),
-            (&Method::GET, "/v1/document", _) => Ok(Call::Current),
+            (&Method::GET, "/v1/document", _) => Ok(Call::Document),
             (&Method::GET, "/v1/entry", _) => Ok(Call::Entry(field(r.query, "data_centre"))),
             (&Method::PUT, path, _) if path.starts_with(EVACUATIONS) => order(r, EVACUATIONS, true),
             (&Method::DELETE, path, _) if path.starts_with(EVACUATIONS) => {
@@ -70,22 +70,25 @@
             (method, path, _) if path.starts_with(ROLLOUTS) => parse_rollout(method, r),
             (&Method::PUT, _, Some(id)) if !id.is_empty() => heartbeat(id, r.body),
             (&Method::DELETE, _, Some(id)) if !id.is_empty() => Ok(Call::Leave(id.to_owned())),
-            _ => {
-                Err(Answer::Refused(Code::PathUnknown, format!("no call {} {}", r.method, r.path)))
-            }
+            _ => Err(CallAnswer::Refused(
+                Code::PathUnknown,
+                format!("no call {} {}", r.method, r.path),
+            )),
         }
     }
 
-    fn write(a: Answer) -> Response<Body> {
+    fn write(a: CallAnswer) -> Response<Body> {
         match a {
-            Answer::Published(version) => respond(StatusCode::OK, json!({ "version": version })),
-            Answer::Current(source) => whole(StatusCode::OK, source),
-            Answer::Noted => respond(StatusCode::OK, json!({})),
-            Answer::Entry(addresses, ttl) => {
+            CallAnswer::Published(version) => {
+                respond(StatusCode::OK, json!({ "version": version }))
+            }
+            CallAnswer::Document(source) => whole(StatusCode::OK, source),
+            CallAnswer::Accepted => respond(StatusCode::OK, json!({})),
+            CallAnswer::Entry(addresses, ttl) => {
                 respond(StatusCode::OK, json!({ "addresses": addresses, "keep_ms": ttl.0 }))
             }
-            Answer::Rollout(r) => respond(StatusCode::OK, json!(r)),
-            Answer::Refused(code, reason) => refuse(code, &reason),
+            CallAnswer::Rollout(r) => respond(StatusCode::OK, json!(r)),
+            CallAnswer::Refused(code, reason) => refuse(code, &reason),
         }
     }
 }
@@ -96,14 +99,14 @@
 /// # Errors
 ///
 /// Refuses a path without a data centre, and a request with a body.
-pub fn order(r: &Incoming, prefix: &str, evacuate: bool) -> Result<Call, Answer> {
+pub fn order(r: &Incoming, prefix: &str, evacuate: bool) -> Result<Call, CallAnswer> {
     let name = r.path.strip_prefix(prefix).unwrap_or_default();
     if name.is_empty() {
         let reason = "the path names no data centre".to_owned();
-        return Err(Answer::Refused(Code::DataCentreUnknown, reason));
+        return Err(CallAnswer::Refused(Code::DataCentreUnknown, reason));
     }
     if !r.body.is_empty() {
-        return Err(Answer::Refused(Code::BodyUnexpected, format!("{} bytes", r.body.len())));
+        return Err(CallAnswer::Refused(Code::BodyUnexpected, format!("{} bytes", r.body.len())));
     }
     Ok(Call::Evacuate(name.to_owned(), evacuate))
 }
@@ -116,10 +119,10 @@
     within_ms: u64,
 }
 
-fn parse_rollout(method: &Method, r: &Incoming) -> Result<Call, Answer> {
+fn parse_rollout(method: &Method, r: &Incoming) -> Result<Call, CallAnswer> {
     let service = r.path.strip_prefix(ROLLOUTS).unwrap_or_default().to_owned();
     if service.is_empty() {
-        return Err(Answer::Refused(Code::RolloutBad, "the path names no service".to_owned()));
+        return Err(CallAnswer::Refused(Code::RolloutBad, "the path names no service".to_owned()));
     }
     match *method {
         Method::PUT => {
@@ -129,15 +132,15 @@
         }
         Method::DELETE => Ok(Call::AbortRollout(service)),
         Method::GET => Ok(Call::Rollout(service)),
-        _ => Err(Answer::Refused(Code::PathUnknown, format!("no call {method} {}", r.path))),
+        _ => Err(CallAnswer::Refused(Code::PathUnknown, format!("no call {method} {}", r.path))),
     }
 }
 
-fn invalid_json(reason: String) -> Answer {
-    Answer::Refused(Code::BodyNotJson, reason)
+fn invalid_json(reason: String) -> CallAnswer {
+    CallAnswer::Refused(Code::BodyNotJson, reason)
 }
 
-fn heartbeat(id: &str, body: &[u8]) -> Result<Call, Answer> {
+fn heartbeat(id: &str, body: &[u8]) -> Result<Call, CallAnswer> {
     let b: Beat = serde_json::from_slice(body).map_err(|e| invalid_json(e.to_string()))?;
     let standing = if b.draining { ReplicaStatus::Draining } else { ReplicaStatus::Ready };
     let registration = Registration {
@@ -151,7 +154,7 @@
         sequence: b.sequence,
         born: b.born,
     };
-    Ok(Call::Beat(Record { registration, standing }))
+    Ok(Call::Heartbeat(Record { registration, standing }))
 }
 
 /// Returns the value of a query parameter, without decoding it; empty if it is missing.
--- a/crates/control/src/server/fleet.rs
+++ b/crates/control/src/server/fleet.rs
@@ -23,7 +23,7 @@
 
 use super::{FleetContext, Input, MAX_BATCH, ReplyTo, Server};
 use crate::api::Local;
-use crate::dialect::{Answer as CallAnswer, Call};
+use crate::dialect::{Call, CallAnswer};
 use crate::fleet_view::WatchedState;
 use crate::machine::Moment;
 use crate::turns::InputKind;
@@ -83,29 +83,29 @@
                     false => CallAnswer::Entry(addresses, f.entry_keep),
                 }
             }
-            Call::Beat(r) if r.registration.validate().is_err() => {
+            Call::Heartbeat(r) if r.registration.validate().is_err() => {
                 let why = r.registration.validate().err().unwrap_or_default();
                 CallAnswer::Refused(Code::RegistrationBad, why)
             }
             // Acknowledged, because a document that names the service may follow soon.
-            Call::Beat(r) if !self.machine.state().names_service(&r.registration.service) => {
+            Call::Heartbeat(r) if !self.machine.state().names_service(&r.registration.service) => {
                 counter!(metric::UNNAMED).increment(1);
                 let Registration { id, service, .. } = &r.registration;
                 emit!(Event::ServiceUnnamed, replica = id, service = service);
-                CallAnswer::Noted
+                CallAnswer::Accepted
             }
-            Call::Beat(r) if r.standing < ReplicaStatus::Draining || has_leader => {
+            Call::Heartbeat(r) if r.standing < ReplicaStatus::Draining || has_leader => {
                 let id = r.registration.id.clone();
                 if f.view.registry.apply(now, r, RecordSource::Replica) {
                     emit!(Event::ReplicaChanged, replica = id);
                 }
-                CallAnswer::Noted
+                CallAnswer::Accepted
             }
             Call::Leave(id) if has_leader => {
                 if f.view.registry.mark_left(now, &id) {
                     emit!(Event::ReplicaChanged, replica = id);
                 }
-                CallAnswer::Noted
+                CallAnswer::Accepted
             }
             // Without a leader this process may be cut off and unable to inform all routers.
             _ => CallAnswer::Refused(Code::NoQuorum, "this process knows no leader".to_owned()),
--- a/crates/cypressfork/tests/foreign_heartbeats.rs
+++ b/crates/cypressfork/tests/foreign_heartbeats.rs
@@ -8,7 +8,7 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-use cypressfork_control::dialect::{Answer, Call, Dialect, Incoming};
+use cypressfork_control::dialect::{Call, CallAnswer, Dialect, Incoming};
 use cypressfork_control::native::Native;
 use proptest::prelude::*;
 use rstest::rstest;
@@ -48,7 +48,7 @@
     }
 }
 
-fn call(body: &[u8]) -> Result<Call, Answer> {
+fn call(body: &[u8]) -> Result<Call, CallAnswer> {
     let (method, path) = (&actix_http::Method::PUT, "/v1/replicas/b-1");
     Native::call(&Incoming { method, path, query: "", body })
 }
@@ -61,7 +61,7 @@
     #[test]
     fn any_bytes_are_read_or_refused(body in proptest::collection::vec(any::<u8>(), 0..300)) {
         if let Err(answer) = call(&body) {
-            prop_assert!(matches!(answer, Answer::Refused(..)));
+            prop_assert!(matches!(answer, CallAnswer::Refused(..)));
         }
     }
 
@@ -73,9 +73,9 @@
         let at = at % body.len();
         body[at] = byte;
         match call(&body) {
-            Ok(Call::Beat(r)) => prop_assert_eq!(r.registration.id, "b-1"),
+            Ok(Call::Heartbeat(r)) => prop_assert_eq!(r.registration.id, "b-1"),
             Ok(other) => prop_assert!(false, "{other:?}"),
-            Err(answer) => prop_assert!(matches!(answer, Answer::Refused(..))),
+            Err(answer) => prop_assert!(matches!(answer, CallAnswer::Refused(..))),
         }
     }
 }
