--- a/crates/control/src/fleet_view.rs
+++ b/crates/control/src/fleet_view.rs
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Applies the reports that a watch carries, and keeps the watch until [`FleetView::answers`] returns
+    /// Applies the reports that a watch carries, and keeps the watch until [`FleetView::due_responses`] returns
     /// its response.
     pub fn watch(&mut self, now: Time, mut watch: Watch, to: T) {
         let reports = std::mem::take(&mut watch.reports);
@@ -220,7 +220,7 @@
     }
 
     /// Applies the records, heartbeats and rate limits that another control process relayed.
-    pub fn learn(
+    pub fn apply_peer_update(
         &mut self,
         now: Time,
         replicas: Vec<Record>,
@@ -249,12 +249,12 @@
     }
 
     /// Returns whether the pending watches have to be checked.
-    pub fn is_time(&self, now: Time) -> bool {
+    pub fn is_poll_due(&self, now: Time) -> bool {
         now >= self.next_poll
     }
 
     /// Removes the pending watches that are due, and returns their responses.
-    pub fn answers(&mut self, now: Time, f: &WatchedState) -> Vec<(T, WatchResponse)> {
+    pub fn due_responses(&mut self, now: Time, f: &WatchedState) -> Vec<(T, WatchResponse)> {
         self.next_poll = now.after(POLL_INTERVAL);
         let (due, rest): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.pending).into_iter().partition(|w| self.is_due(now, w, f));
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -276,7 +276,7 @@
                     self.contacts.record_leader(at.now, lead);
                 }
                 if let Some(f) = &mut self.fleet {
-                    f.view.learn(at.now, seen.replicas, &seen.beats, &seen.limits);
+                    f.view.apply_peer_update(at.now, seen.replicas, &seen.beats, &seen.limits);
                 }
             }
             Input::Call(ask, to) => self.machine.handle_request(at, ask, to),
--- a/crates/control/src/server/fleet.rs
+++ b/crates/control/src/server/fleet.rs
@@ -163,7 +163,7 @@
     /// Answers the watch requests that are due.
     pub(super) fn finish_fleet(&mut self) {
         let now = self.moment().now;
-        let Some(f) = self.fleet.as_mut().filter(|f| f.view.is_time(now)) else { return };
+        let Some(f) = self.fleet.as_mut().filter(|f| f.view.is_poll_due(now)) else { return };
         let (version, source) = self.machine.state().published();
         let controls = self.machine.members().addresses.values().cloned().collect();
         let registered = self.machine.state().routers();
@@ -183,7 +183,7 @@
             quarantine,
             rollouts,
         };
-        let answers = f.view.answers(now, &followed);
+        let answers = f.view.due_responses(now, &followed);
         for (to, seen) in answers {
             self.reply(to, Ok(body::pack(&seen)));
         }
--- a/crates/control/tests/leaves.rs
+++ b/crates/control/tests/leaves.rs
@@ -80,7 +80,7 @@
             quarantine: &quarantine,
             rollouts: &rollouts,
         };
-        all.extend(view.answers(Time(now), &f).into_iter().map(|(_, response)| response));
+        all.extend(view.due_responses(Time(now), &f).into_iter().map(|(_, response)| response));
     }
     all
 }
--- a/crates/cypressfork/tests/support/control.rs
+++ b/crates/cypressfork/tests/support/control.rs
@@ -106,7 +106,7 @@
             quarantine: &quarantine,
             rollouts: &rollouts,
         };
-        for (to, seen) in view.answers(clock.now(), &f) {
+        for (to, seen) in view.due_responses(clock.now(), &f) {
             let bytes = body::pack(&seen);
             let kept_back = bytes.len() >= LARGE && *inside.withholds.lock().unwrap();
             if !kept_back && !*inside.silent.lock().unwrap() {
