--- a/crates/control/src/native.rs
+++ b/crates/control/src/native.rs
@@ -62,10 +62,12 @@
         match (r.method, r.path, r.path.strip_prefix("/v1/replicas/")) {
             (&Method::PUT, "/v1/document", _) => Ok(Call::Publish(text()?)),
             (&Method::GET, "/v1/document", _) => Ok(Call::Document),
-            (&Method::GET, "/v1/entry", _) => Ok(Call::Entry(field(r.query, "data_centre"))),
-            (&Method::PUT, path, _) if path.starts_with(EVACUATIONS) => order(r, EVACUATIONS, true),
+            (&Method::GET, "/v1/entry", _) => Ok(Call::Entry(query_field(r.query, "data_centre"))),
+            (&Method::PUT, path, _) if path.starts_with(EVACUATIONS) => {
+                parse_evacuation(r, EVACUATIONS, true)
+            }
             (&Method::DELETE, path, _) if path.starts_with(EVACUATIONS) => {
-                order(r, EVACUATIONS, false)
+                parse_evacuation(r, EVACUATIONS, false)
             }
             (method, path, _) if path.starts_with(ROLLOUTS) => parse_rollout(method, r),
             (&Method::PUT, _, Some(id)) if !id.is_empty() => heartbeat(id, r.body),
@@ -82,7 +84,7 @@
             CallAnswer::Published(version) => {
                 respond(StatusCode::OK, json!({ "version": version }))
             }
-            CallAnswer::Document(source) => whole(StatusCode::OK, source),
+            CallAnswer::Document(source) => json_response(StatusCode::OK, source),
             CallAnswer::Accepted => respond(StatusCode::OK, json!({})),
             CallAnswer::Entry(addresses, ttl) => {
                 respond(StatusCode::OK, json!({ "addresses": addresses, "keep_ms": ttl.0 }))
@@ -99,7 +101,7 @@
 /// # Errors
 ///
 /// Refuses a path without a data centre, and a request with a body.
-pub fn order(r: &Incoming, prefix: &str, evacuate: bool) -> Result<Call, CallAnswer> {
+pub fn parse_evacuation(r: &Incoming, prefix: &str, evacuate: bool) -> Result<Call, CallAnswer> {
     let name = r.path.strip_prefix(prefix).unwrap_or_default();
     if name.is_empty() {
         let reason = "the path names no data centre".to_owned();
@@ -158,20 +160,20 @@
 }
 
 /// Returns the value of a query parameter, without decoding it; empty if it is missing.
-pub fn field(query: &str, name: &str) -> String {
+pub fn query_field(query: &str, name: &str) -> String {
     let params = query.split('&').filter_map(|p| p.split_once('='));
     params.into_iter().find(|(n, _)| *n == name).map_or(String::new(), |(_, v)| v.to_owned())
 }
 
 /// Returns a response with a JSON body.
-pub fn whole(status: StatusCode, text: String) -> Response<Body> {
+pub fn json_response(status: StatusCode, text: String) -> Response<Body> {
     let mut r = Response::with_body(status, Body::Whole(Bytes::from(text)));
     r.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     r
 }
 
 fn respond(status: StatusCode, v: Value) -> Response<Body> {
-    whole(status, v.to_string())
+    json_response(status, v.to_string())
 }
 
 fn refuse(code: Code, reason: &str) -> Response<Body> {
