--- a/crates/control/src/api.rs
+++ b/crates/control/src/api.rs
@@ -35,7 +35,7 @@
 const MAX_BODY: usize = 8 * 1024 * 1024;
 
 /// A call that the process answers from its own state, without the group.
-pub struct Local {
+pub struct LocalCall {
     /// The call: one that needs no committed command and no confirmed read.
     pub call: Call,
     /// Receives the answer.
@@ -47,7 +47,7 @@
     /// The control group.
     pub group: Group,
     /// Calls to be answered from the process's own state.
-    pub local: mpsc::Sender<Local>,
+    pub local: mpsc::Sender<LocalCall>,
 }
 
 /// Handles one request: reads it in the dialect `D`, carries out its call, and returns the response.
@@ -159,7 +159,7 @@
 async fn call_local(api: &Api, call: Call) -> CallAnswer {
     let (to, answer) = oneshot::channel();
     let busy = || CallAnswer::Refused(Code::QueueFull, "too many calls wait".to_owned());
-    if api.local.try_send(Local { call, to }).is_err() {
+    if api.local.try_send(LocalCall { call, to }).is_err() {
         return busy();
     }
     answer.await.unwrap_or_else(|_| busy())
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -31,7 +31,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep};
 
-use crate::api::Local;
+use crate::api::LocalCall;
 use crate::disk::{Disk, disk_failed};
 use crate::fleet_view::FleetView;
 use crate::leaderless::LeaderlessTimer;
@@ -91,7 +91,7 @@
     /// The replicas, routers and reports known to this process.
     pub view: FleetView<ReplyTo>,
     /// Receives the calls that arrive over HTTP.
-    pub calls: mpsc::Receiver<Local>,
+    pub calls: mpsc::Receiver<LocalCall>,
     /// Publishes this process's membership in the group.
     pub group_status: watch::Sender<GroupStatus>,
     /// Receives the members that the leader reports while this process rejoins its group.
--- a/crates/control/src/server/fleet.rs
+++ b/crates/control/src/server/fleet.rs
@@ -22,7 +22,7 @@
 use tokio::sync::mpsc;
 
 use super::{FleetContext, Input, MAX_BATCH, ReplyTo, Server};
-use crate::api::Local;
+use crate::api::LocalCall;
 use crate::dialect::{Call, CallAnswer};
 use crate::fleet_view::WatchedState;
 use crate::machine::Moment;
@@ -58,7 +58,7 @@
         Ok(Vec::new())
     }
 
-    pub(super) fn handle_http_calls(&mut self, first: Local) {
+    pub(super) fn handle_http_calls(&mut self, first: LocalCall) {
         self.handle_http_call(first);
         for _ in 1..MAX_BATCH {
             let Some(local) = self.fleet.as_mut().and_then(|f| f.calls.try_recv().ok()) else {
@@ -69,7 +69,7 @@
     }
 
     /// Answers an HTTP call from this process's own state.
-    pub(super) fn handle_http_call(&mut self, local: Local) {
+    pub(super) fn handle_http_call(&mut self, local: LocalCall) {
         self.loop_stats.record_input(InputKind::Http);
         let now = self.moment().now;
         let has_leader = self.machine.raft().leader().is_some();
@@ -191,7 +191,7 @@
 }
 
 /// Returns the next HTTP call; pends forever if this process serves none.
-pub(super) async fn next_call(f: &mut Option<FleetContext>) -> Option<Local> {
+pub(super) async fn next_call(f: &mut Option<FleetContext>) -> Option<LocalCall> {
     match f {
         Some(f) => f.calls.recv().await,
         None => std::future::pending().await,
