--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -133,7 +133,7 @@
         match ask {
             Ask::Command(bytes) => self.propose(at, bytes, from),
             Ask::Query(bytes) => match body::unpack::<Query>(&bytes) {
-                Ok(q) => self.ask(q, from),
+                Ok(q) => self.query(q, from),
                 Err(_) => self.reply(from, Err(Code::MessageBad)),
             },
             Ask::Members(order) => self.change_members(at, &order, from),
@@ -164,7 +164,7 @@
         self.tick_reads(at);
         self.tick_reports(at);
         self.tick_leader_tasks(at);
-        self.answer_followers(at);
+        self.answer_watches(at);
     }
 
     /// Returns the address of the known leader, for callers that have to be redirected.
@@ -289,8 +289,8 @@
         match a {
             Action::Send(m) => self.outputs.push(Output::Send(m)),
             Action::Commit(up_to) => self.apply_up_to(at, up_to),
-            Action::ReadReady(token, index) => self.read_ready(at, token, index),
-            Action::ReadFailed(token) => self.read_failed(token),
+            Action::ReadReady(token, index) => self.confirm_read(at, token, index),
+            Action::ReadFailed(token) => self.reject_read(token),
             Action::LoadSnapshot(n) => {
                 let bytes = self.storage.load_snapshot(self.snapshot.index)?;
                 self.raft.snapshot_loaded(n, self.snapshot.clone(), Arc::from(bytes));
@@ -355,7 +355,7 @@
             self.answer_proposal(at, e.index, e.term, answer);
         }
         self.answer_reads(at);
-        self.answer_followers(at);
+        self.answer_watches(at);
     }
 
     fn apply(&mut self, e: &Entry) -> Answer {
--- a/crates/control/src/read.rs
+++ b/crates/control/src/read.rs
@@ -85,7 +85,7 @@
 
 impl<S: Storage, T> Machine<S, T> {
     /// Starts a confirmed read for a query, or adds a router's watch to the next batch.
-    pub(crate) fn ask(&mut self, q: Query, from: T) {
+    pub(crate) fn query(&mut self, q: Query, from: T) {
         if matches!(q, Query::Follow { .. }) && self.raft.is_leader() {
             self.reads.batched.push((q, from));
             return;
@@ -116,7 +116,7 @@
     }
 
     /// Handles the confirmation of a read: its queries are answered once `index` is applied.
-    pub(crate) fn read_ready(&mut self, at: Moment, token: u64, index: Index) {
+    pub(crate) fn confirm_read(&mut self, at: Moment, token: u64, index: Index) {
         if let Some(queries) = self.reads.unconfirmed.remove(&token) {
             let confirmed = queries.into_iter().map(|(q, to)| (index, q, to));
             self.reads.confirmed.extend(confirmed);
@@ -125,7 +125,7 @@
     }
 
     /// Refuses the queries of a read that was not confirmed.
-    pub(crate) fn read_failed(&mut self, token: u64) {
+    pub(crate) fn reject_read(&mut self, token: u64) {
         for (_, to) in self.reads.unconfirmed.remove(&token).unwrap_or_default() {
             self.reply(to, Err(Code::NotLeader));
         }
@@ -163,7 +163,7 @@
                 let follow = Follow { holder, version, sites };
                 let deadline = at.now.after(WATCH_TIMEOUT);
                 self.reads.pending.push(PendingWatch { follow, deadline, to });
-                return self.answer_followers(at);
+                return self.answer_watches(at);
             }
             Query::Status => Reply::Status(self.status(at)),
             Query::Budgets(only) => Reply::Budgets(self.state.budgets(at.wall, only.as_deref())),
@@ -195,7 +195,7 @@
     }
 
     /// Answers the pending watches with changes or with an expired deadline, if a check is due.
-    pub(crate) fn answer_followers(&mut self, at: Moment) {
+    pub(crate) fn answer_watches(&mut self, at: Moment) {
         if self.reads.pending.is_empty() || at.now < self.reads.next_poll {
             return;
         }
