--- a/crates/control/src/links.rs
+++ b/crates/control/src/links.rs
@@ -18,7 +18,7 @@
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Accepts links from routers, operators and other control processes.
-pub(crate) async fn accept_all(listener: TcpListener, me: Credentials, tx: mpsc::Sender<Input>) {
+pub(crate) async fn accept_links(listener: TcpListener, me: Credentials, tx: mpsc::Sender<Input>) {
     loop {
         match listener.accept().await {
             Ok((stream, from)) => {
@@ -72,7 +72,7 @@
 
 /// Sends messages to the member at `address` until `rx` is closed, and reconnects when the link breaks.
 /// `own` is the address under which the member reaches this process.
-pub(crate) async fn send_all(
+pub(crate) async fn send_messages(
     address: String,
     own: String,
     me: Credentials,
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -35,7 +35,7 @@
 use crate::disk::{Disk, disk_failed};
 use crate::fleet_view::FleetView;
 use crate::leaderless::LeaderlessTimer;
-use crate::links::{accept_all, send_all};
+use crate::links::{accept_links, send_messages};
 use crate::machine::{Machine, Moment, Output};
 use crate::reserve::Reserve;
 use crate::server::fleet::next_call;
@@ -188,7 +188,7 @@
     /// Serves until a stop signal arrives. Returns an error if the member cannot continue.
     pub async fn run(mut self, listener: TcpListener) -> Result<(), Failure> {
         let (tx, mut rx) = mpsc::channel(MAX_QUEUED_MESSAGES);
-        actix_rt::spawn(accept_all(listener, self.credentials.clone(), tx.clone()));
+        actix_rt::spawn(accept_links(listener, self.credentials.clone(), tx.clone()));
         let between = Duration::from_millis(self.machine.settings.raft.heartbeat.0);
         let mut ticks = interval((between / 5).clamp(TICK_RANGE.0, TICK_RANGE.1));
         ticks.set_missed_tick_behavior(MissedTickBehavior::Skip);
@@ -408,7 +408,7 @@
         if !is_connected {
             let (tx, rx) = mpsc::channel(MAX_QUEUED_MESSAGES);
             let own = self.address.clone();
-            actix_rt::spawn(send_all(address.clone(), own, self.credentials.clone(), rx));
+            actix_rt::spawn(send_messages(address.clone(), own, self.credentials.clone(), rx));
             self.peers.insert(m.to, Peer { address, tx });
         }
         // A message for a full queue is dropped: Raft tolerates message loss.
