--- a/crates/router/src/count.rs
+++ b/crates/router/src/count.rs
@@ -1,91 +1,94 @@
-//! What an engine's stream has used so far.
+//! Counts the tokens that an engine's stream has used.
 
 use cypressfork_core::unit::Tokens;
 use serde_json::Value;
 
-/// Prompt and generated tokens.
+/// The token usage of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// Of the prompt.
+    /// Prompt tokens.
     pub prompt: Tokens,
-    /// Generated.
+    /// Generated tokens.
     pub output: Tokens,
 }
 
 impl Usage {
-    /// Both together.
+    /// Returns the sum of prompt and generated tokens.
     pub fn total(self) -> Tokens {
         self.prompt + self.output
     }
 
-    /// The sum of two runs.
+    /// Returns the sum of two usages.
     pub fn plus(self, other: Usage) -> Usage {
         Usage { prompt: self.prompt + other.prompt, output: self.output + other.output }
     }
 }
 
-/// Counts along with a stream.
+/// Counts the tokens of a stream from its events and the usage that the engine reports.
 #[derive(Clone, Copy, Debug)]
 pub struct Counter {
     prompt_bound: Tokens,
     output_cap: Tokens,
     reported: Option<Usage>,
-    /// Events with text; each stands for one token at least.
-    events: u64,
-    /// Bytes of text since the last report; no tokenizer makes more tokens than bytes.
-    unreported: u64,
+    /// Events with text, each of which holds at least one token.
+    text_events: u64,
+    /// Bytes of text since the last reported usage. A tokenizer never produces more tokens than
+    /// bytes.
+    unreported_bytes: u64,
 }
 
 impl Counter {
-    /// Starts a count under the bounds that were reserved.
+    /// Creates a counter for a stream with tokens reserved up to these bounds.
     pub fn new(prompt_bound: Tokens, output_cap: Tokens) -> Counter {
-        Counter { prompt_bound, output_cap, reported: None, events: 0, unreported: 0 }
+        Counter { prompt_bound, output_cap, reported: None, text_events: 0, unreported_bytes: 0 }
     }
 
-    /// Takes the text and the usage of one event.
+    /// Counts an event of `text` bytes and the usage it reports.
     pub fn add(&mut self, text: usize, usage: Option<Usage>) {
         if text > 0 {
-            self.events += 1;
-            self.unreported += text as u64;
+            self.text_events += 1;
+            self.unreported_bytes += text as u64;
         }
         if let Some(u) = usage {
             let last = self.reported.unwrap_or_default();
             let output = last.output.max(u.output);
             self.reported = Some(Usage { prompt: last.prompt.max(u.prompt), output });
-            self.unreported = 0;
+            self.unreported_bytes = 0;
         }
     }
 
-    /// Whether more was generated than was asked for.
+    /// Returns whether more tokens were generated than the output cap.
     pub fn is_over(&self) -> bool {
-        self.events > self.output_cap || self.reported.is_some_and(|u| u.output > self.output_cap)
+        self.text_events > self.output_cap
+            || self.reported.is_some_and(|u| u.output > self.output_cap)
     }
 
-    /// Whether the engine's count cannot be right.
+    /// Returns whether the engine reported no usage, fewer output tokens than events with text, or
+    /// more prompt tokens than the bound.
     pub fn is_odd(&self) -> bool {
-        self.reported.is_none_or(|u| u.output < self.events || u.prompt > self.prompt_bound)
+        self.reported.is_none_or(|u| u.output < self.text_events || u.prompt > self.prompt_bound)
     }
 
-    /// What is charged: the engine's count, never below what was seen and never above what was
-    /// reserved. Text after the last report, and all of it if there was none, counts by its bytes.
+    /// Returns the usage to charge: the engine's count, at least the number of events with text and
+    /// at most the reserved amount. Text without a later reported usage is charged by its bytes.
     pub fn charge(&self) -> Usage {
-        let (prompt, base) = match self.reported {
+        let (prompt, reported_output) = match self.reported {
             Some(u) => (u.prompt, u.output),
             None => (self.prompt_bound, 0),
         };
-        let output = (base + self.unreported).max(self.events);
+        let output = (reported_output + self.unreported_bytes).max(self.text_events);
         Usage { prompt: prompt.min(self.prompt_bound), output: output.min(self.output_cap) }
     }
 }
 
-/// The text of an event in either form, and its finish reason.
+/// Returns the text of an event of either API, and its finish reason.
 pub fn text_of(event: &Value) -> (&str, Option<&str>) {
     let Some(choice) = event["choices"].get(0) else { return ("", None) };
     let text = choice["delta"]["content"].as_str().or(choice["text"].as_str()).unwrap_or("");
     (text, choice["finish_reason"].as_str())
 }
 
-/// The usage that an event reports.
+/// Returns the usage that an event reports, if any.
 pub fn usage_of(event: &Value) -> Option<Usage> {
     let u = event.get("usage")?;
     Some(Usage { prompt: u["prompt_tokens"].as_u64()?, output: u["completion_tokens"].as_u64()? })
--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One model request's exchange with engines, from the first try to the bill.
+//! The exchange of one model request with engines, from the first try to the bill.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -24,30 +24,30 @@
 use crate::hold::Hold;
 use crate::reply::Refusal;
 
-/// Engines that one attempt is tried on at most.
-const TRIES: usize = 3;
+/// The most engines that one attempt is tried on.
+const MAX_TRIES: usize = 3;
 
-/// Attempts that one answer may consist of.
-const ATTEMPTS: usize = 5;
+/// The most attempts that one response may consist of.
+const MAX_ATTEMPTS: usize = 5;
 
-/// When to come back if no engine could be reached.
-const NO_UPSTREAM_AFTER: Millis = Millis::seconds(2);
+/// `Retry-After` if no engine responded.
+const NO_UPSTREAM_RETRY_AFTER: Millis = Millis::seconds(2);
 
-/// When to come back after a deadline that could not be met.
-const DEADLINE_AFTER: Millis = Millis::seconds(2);
+/// `Retry-After` after a missed deadline.
+const DEADLINE_RETRY_AFTER: Millis = Millis::seconds(2);
 
-/// One request on its way.
+/// A model request in progress.
 pub struct Exchange {
     pub(crate) app: Rc<App>,
     pub(crate) plan: Plan,
     pub(crate) claim: Option<Claim>,
     pub(crate) caller: Caller,
     pub(crate) attempt: Attempt,
-    /// The attempts that broke off, whose text the caller has.
+    /// Earlier attempts that broke off; the client has received their text.
     pub(crate) before: Vec<Attempt>,
     pub(crate) text: String,
     pub(crate) finish: Option<String>,
-    /// Events that the caller was sent.
+    /// Number of events sent to the client.
     pub(crate) events: u64,
     run: u64,
     tried: Vec<SocketAddr>,
@@ -55,15 +55,15 @@
 
 /// Why a try on one engine failed.
 pub(crate) enum Failed {
-    /// No byte of the request can have reached the engine.
+    /// No byte of the request was sent to the engine.
     NotSent,
-    /// The engine refused it whole.
+    /// The engine rejected the request and used no tokens.
     Refused(String),
-    /// It may have run, and did not end well.
+    /// The request may have run and failed.
     Sent(String),
     /// The deadline has passed.
     Late,
-    /// The caller has gone.
+    /// The client has disconnected.
     Left,
 }
 
@@ -77,7 +77,7 @@
 }
 
 impl Exchange {
-    /// Prepares an exchange.
+    /// Creates an exchange with its first attempt, not sent yet.
     pub fn new(
         app: Rc<App>,
         plan: Plan,
@@ -102,11 +102,12 @@
         }
     }
 
-    /// Runs it to its end.
+    /// Runs the exchange: sends the request, relays the response, and bills the usage. A response
+    /// that breaks off is continued by another attempt where possible.
     pub async fn run(mut self) {
         let mut answering = match self.dispatch().await {
             Ok(a) => a,
-            Err(refusal) => return self.refuse(refusal),
+            Err(refusal) => return self.finish_refused(refusal),
         };
         self.caller.begin();
         loop {
@@ -118,36 +119,40 @@
             if let Err(Failed::Sent(why)) = &ended {
                 let (service, address) = (&self.plan.service, answering.choice.address);
                 emit!(Event::UpstreamFailed, service = service, address = address, why = why);
-                if let Some(next) = self.take_up().await {
+                if let Some(next) = self.resume().await {
                     answering = next;
                     continue;
                 }
             }
-            return self.end(ended, answering.choice.address).await;
+            return self.finish(ended, answering.choice.address).await;
         }
     }
 
-    /// Begins another attempt with the text so far, if the answer may be taken up.
-    async fn take_up(&mut self) -> Option<Answering> {
-        let made = self.attempt.usage().output;
-        let cap = self.attempt.cap.saturating_sub(made);
-        let may = self.claim.is_none() && self.before.len() + 1 < ATTEMPTS && self.finish.is_none();
-        let fresh = self.text.len() > self.attempt.text_before || self.before.is_empty();
-        if !may || !fresh || cap == 0 || self.text.is_empty() || self.attempt.is_over() {
+    /// Starts another attempt that continues from the text generated so far. Returns `None` if the
+    /// response may not be continued or no engine responds.
+    async fn resume(&mut self) -> Option<Answering> {
+        let generated = self.attempt.usage().output;
+        let cap = self.attempt.cap.saturating_sub(generated);
+        let allowed =
+            self.claim.is_none() && self.before.len() + 1 < MAX_ATTEMPTS && self.finish.is_none();
+        let progressed = self.text.len() > self.attempt.earlier_text_len || self.before.is_empty();
+        if !allowed || !progressed || cap == 0 || self.text.is_empty() || self.attempt.is_over() {
             return None;
         }
-        let bound = self.plan.ask.prompt_bound + self.text.len() as u64;
+        let prompt_bound = self.plan.ask.prompt_bound + self.text.len() as u64;
         let (token_store, budget) =
             (self.attempt.hold().token_store().clone(), self.attempt.hold().budget());
         let policy = self.plan.policy;
-        let held =
-            token_store.reserve(budget, policy, bound + cap, self.plan.deadline).await.ok()?;
-        let hold = Hold::new(token_store.clone(), budget.to_owned(), held);
-        let next = Attempt::new(hold, bound, cap, self.text.len());
-        let mut broken = std::mem::replace(&mut self.attempt, next);
-        broken.close();
-        self.before.push(broken);
-        // Another engine if there is one, else the same again.
+        let reserved = token_store
+            .reserve(budget, policy, prompt_bound + cap, self.plan.deadline)
+            .await
+            .ok()?;
+        let hold = Hold::new(token_store.clone(), budget.to_owned(), reserved);
+        let next = Attempt::new(hold, prompt_bound, cap, self.text.len());
+        let mut failed = std::mem::replace(&mut self.attempt, next);
+        failed.charge_final_usage();
+        self.before.push(failed);
+        // Prefer another engine; use the same one only if there is no other.
         let last = self.tried.last().copied();
         self.tried = last.into_iter().collect();
         match self.dispatch().await {
@@ -160,10 +165,10 @@
         }
     }
 
-    /// Tries engines until one answers.
+    /// Sends the request to one engine after the other until one responds.
     async fn dispatch(&mut self) -> Result<Answering, Refusal> {
         let mut why = String::new();
-        for n in 0..TRIES {
+        for n in 0..MAX_TRIES {
             if !self.app.may_try(&self.plan.service, n) {
                 break;
             }
@@ -174,15 +179,17 @@
                 Ok(response) => return Ok(Answering { choice, response }),
                 Err(f) => f,
             };
-            let fault = !matches!(failed, Failed::Late | Failed::Left);
-            self.app.done(&self.plan.service, &choice, fault);
+            let is_fault = !matches!(failed, Failed::Late | Failed::Left);
+            self.app.done(&self.plan.service, &choice, is_fault);
             match failed {
                 Failed::NotSent => {}
-                Failed::Late => return Err(late(self.ran())),
-                Failed::Left => return Err(failure(Code::UpstreamFailed, "the caller has gone")),
-                // A claimed request goes to one engine, whatever its answer.
+                Failed::Late => return Err(deadline_refusal(self.ran_so_far())),
+                Failed::Left => {
+                    return Err(upstream_failure(Code::UpstreamFailed, "the caller has gone"));
+                }
+                // A claimed request is sent to one engine only, as it may run at most once.
                 Failed::Refused(text) | Failed::Sent(text) if self.claim.is_some() => {
-                    return Err(failure(Code::UpstreamFailed, text));
+                    return Err(upstream_failure(Code::UpstreamFailed, text));
                 }
                 Failed::Refused(text) | Failed::Sent(text) => why = text,
             }
@@ -190,12 +197,12 @@
             emit!(Event::UpstreamFailed, service = service, address = address, why = why);
         }
         if self.attempt.dispatched || !why.is_empty() {
-            return Err(failure(Code::UpstreamFailed, why).after(NO_UPSTREAM_AFTER));
+            return Err(upstream_failure(Code::UpstreamFailed, why).after(NO_UPSTREAM_RETRY_AFTER));
         }
-        Err(Refusal::from(Code::NoUpstream).after(NO_UPSTREAM_AFTER))
+        Err(Refusal::from(Code::NoUpstream).after(NO_UPSTREAM_RETRY_AFTER))
     }
 
-    fn ran(&self) -> Ran {
+    fn ran_so_far(&self) -> Ran {
         if self.attempt.dispatched { Ran::Unknown } else { Ran::No }
     }
 
@@ -214,7 +221,7 @@
             c.start();
         }
         let sending = req.send_body(plan.ask.for_engine(self.attempt.cap, &self.text));
-        self.attempt.sending();
+        self.attempt.mark_sent();
         let sent = tokio::select! {
             sent = timeout_at(plan.deadline, sending) => sent,
             () = self.caller.gone() => {
@@ -223,8 +230,8 @@
             }
         };
         let not_sent = matches!(&sent, Ok(Err(e)) if is_not_sent(e));
-        let refused = matches!(&sent, Ok(Ok(r)) if is_refusal(r.status()));
-        self.attempt.dispatched |= !not_sent && !refused;
+        let rejected = matches!(&sent, Ok(Ok(r)) if is_rejection(r.status()));
+        self.attempt.dispatched |= !not_sent && !rejected;
         match sent {
             Err(_) => Err(Failed::Late),
             Ok(Err(_)) if not_sent => Err(Failed::NotSent),
@@ -232,46 +239,46 @@
             Ok(Ok(r)) if r.status().is_success() => Ok(r),
             Ok(Ok(r)) => {
                 let text = format!("the engine answered {}", r.status());
-                Err(if refused { Failed::Refused(text) } else { Failed::Sent(text) })
+                Err(if rejected { Failed::Refused(text) } else { Failed::Sent(text) })
             }
         }
     }
 
-    /// Ends an exchange that no engine answered.
-    fn refuse(mut self, refusal: Refusal) {
-        self.close(false, refusal.ran);
+    /// Settles an exchange without a response and sends the refusal.
+    fn finish_refused(mut self, refusal: Refusal) {
+        self.settle(false, refusal.ran);
         self.caller.answer(Err(refusal));
     }
 
-    async fn end(mut self, ended: Result<(), Failed>, address: SocketAddr) {
+    async fn finish(mut self, ended: Result<(), Failed>, address: SocketAddr) {
         if self.attempt.is_odd() && ended.is_ok() {
             emit!(Event::UpstreamMiscounted, service = self.plan.service, address = address);
         }
-        self.close(ended.is_ok(), Ran::Unknown);
-        let (word, last) = match ended {
+        self.settle(ended.is_ok(), Ran::Unknown);
+        let (response, last) = match ended {
             Ok(()) => (Ok(Started::Whole(self.whole())), self.end_mark()),
             Err(f) => {
-                let refusal = refusal(f);
+                let refusal = refusal_for(f);
                 let event = format!("event: error\ndata: {}\n\n", refusal.json());
                 (Err(refusal), event)
             }
         };
-        if !self.caller.answer(word) {
-            // A caller that has gone needs no end.
+        if !self.caller.answer(response) {
+            // Fails only if the client has disconnected or the deadline has passed.
             let _ = self.caller.pass(last.into(), self.plan.deadline).await;
         }
     }
 
-    /// What all attempts used.
+    /// Returns the total usage of all attempts.
     pub(crate) fn usage(&self) -> Usage {
         let attempts = self.before.iter().chain([&self.attempt]);
         attempts.map(Attempt::usage).fold(Usage::default(), Usage::plus)
     }
 
-    /// Bills what was used and tells the claim's end, before the caller hears of it.
-    fn close(&mut self, whole: bool, ran: Ran) {
+    /// Bills the usage and reports the claim's end. Called before the end of the response is sent.
+    fn settle(&mut self, whole: bool, ran: Ran) {
         let _settling = self.plan.trace.span("settlement");
-        self.attempt.close();
+        self.attempt.charge_final_usage();
         let usage = self.usage();
         if self.attempt.dispatched || !self.before.is_empty() {
             counter!(metric::TOKENS, "kind" => "prompt").increment(usage.prompt);
@@ -295,31 +302,31 @@
     }
 }
 
-fn failure(code: Code, why: impl Into<String>) -> Refusal {
+fn upstream_failure(code: Code, why: impl Into<String>) -> Refusal {
     Refusal::from(code).ran(Ran::Unknown).detail(why)
 }
 
-fn late(ran: Ran) -> Refusal {
-    Refusal::from(Code::DeadlinePassed).ran(ran).after(DEADLINE_AFTER)
+fn deadline_refusal(ran: Ran) -> Refusal {
+    Refusal::from(Code::DeadlinePassed).ran(ran).after(DEADLINE_RETRY_AFTER)
 }
 
-fn refusal(f: Failed) -> Refusal {
+fn refusal_for(f: Failed) -> Refusal {
     match f {
-        Failed::Late => late(Ran::Unknown),
-        Failed::Left => failure(Code::UpstreamFailed, "the caller has gone"),
+        Failed::Late => deadline_refusal(Ran::Unknown),
+        Failed::Left => upstream_failure(Code::UpstreamFailed, "the caller has gone"),
         Failed::Sent(why) | Failed::Refused(why) => {
-            failure(Code::UpstreamFailed, why).after(NO_UPSTREAM_AFTER)
+            upstream_failure(Code::UpstreamFailed, why).after(NO_UPSTREAM_RETRY_AFTER)
         }
-        Failed::NotSent => Refusal::from(Code::NoUpstream).after(NO_UPSTREAM_AFTER),
+        Failed::NotSent => Refusal::from(Code::NoUpstream).after(NO_UPSTREAM_RETRY_AFTER),
     }
 }
 
-/// Whether an engine says by this status that it used nothing up.
-fn is_refusal(status: StatusCode) -> bool {
+/// Returns whether the status means that the engine rejected the request without using tokens.
+fn is_rejection(status: StatusCode) -> bool {
     status.is_client_error() || status == StatusCode::SERVICE_UNAVAILABLE
 }
 
-/// Whether the error proves that no byte of the request was sent.
+/// Returns whether the error guarantees that no byte of the request was sent.
 fn is_not_sent(e: &SendRequestError) -> bool {
     match e {
         SendRequestError::Connect(ConnectError::Disconnected) => false,
