--- a/crates/router/src/budget_slices.rs
+++ b/crates/router/src/budget_slices.rs
@@ -1,4 +1,4 @@
-//! The slice stores of one grantor, by budget, and those that wait for them.
+//! The slice stores for the slices of one grantor, by budget.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -10,39 +10,39 @@
 
 use crate::taken::Asked;
 
-/// One budget's slice store, and those that wait for it.
+/// The slice store of one budget, with the state of lease requests to its grantor.
 pub struct BudgetSlices {
     /// The slice store.
     pub slices: RefCell<SliceStore>,
-    /// An ask is under way.
+    /// Whether a lease request is in flight.
     pub asking: Cell<bool>,
-    /// What the last ask came to, until it is seen to.
+    /// The result of the last lease request, until it is taken.
     pub answer: Cell<Option<Asked>>,
-    /// Notified when tokens may have come.
+    /// Notified when tokens may have become available.
     pub changed: Notify,
 }
 
-/// The slice stores of one grantor.
+/// The slice stores for one grantor, by budget.
 #[derive(Default)]
 pub struct SlicesByBudget {
     by_budget: RefCell<BTreeMap<String, Rc<BudgetSlices>>>,
 }
 
 impl SlicesByBudget {
-    /// The slices of a budget, made if there is none.
+    /// Returns the slices of a budget under `policy`, creating the store if necessary.
     pub fn get(&self, budget: &str, policy: Policy) -> Rc<BudgetSlices> {
         let mut all = self.by_budget.borrow_mut();
-        let fresh = || {
+        let new_slices = || {
             let slices = RefCell::new(SliceStore::new(policy, 0));
             let (asking, answer) = (Cell::new(false), Cell::new(None));
             Rc::new(BudgetSlices { slices, asking, answer, changed: Notify::new() })
         };
-        let p = all.entry(budget.to_owned()).or_insert_with(fresh);
+        let p = all.entry(budget.to_owned()).or_insert_with(new_slices);
         p.slices.borrow_mut().set_policy(policy);
         p.clone()
     }
 
-    /// Ends a reservation of which `used` tokens were spent; returns what was charged.
+    /// Ends a reservation of which `used` tokens were spent. Returns the number of tokens charged.
     pub fn settle(&self, now: Time, budget: &str, r: Reservation, used: Tokens) -> Tokens {
         let Some(p) = self.by_budget.borrow().get(budget).cloned() else { return 0 };
         let charged = p.slices.borrow_mut().settle(now, r, used);
@@ -50,31 +50,34 @@
         charged
     }
 
-    /// Gives back what is idle of a budget.
+    /// Returns the idle tokens of a budget to the grantor.
     pub fn recall(&self, budget: &str) {
         if let Some(p) = self.by_budget.borrow().get(budget) {
             p.slices.borrow_mut().return_idle();
         }
     }
 
-    /// Gives back what is idle of the budgets that `of` names; returns whether there are any.
-    pub fn recall_where(&self, of: impl Fn(&str) -> bool) -> bool {
+    /// Returns the idle tokens of all budgets that `matches` selects to the grantor. Returns
+    /// whether any of them has slices.
+    pub fn recall_where(&self, matches: impl Fn(&str) -> bool) -> bool {
         let all = self.by_budget.borrow();
-        let named = all.iter().filter(|(budget, p)| of(budget) && !p.slices.borrow().is_empty());
-        named.map(|(_, p)| p.slices.borrow_mut().return_idle()).count() > 0
+        let matching =
+            all.iter().filter(|(budget, p)| matches(budget) && !p.slices.borrow().is_empty());
+        matching.map(|(_, p)| p.slices.borrow_mut().return_idle()).count() > 0
     }
 
-    /// Gives back everything that is idle.
+    /// Returns the idle tokens of all budgets to the grantor.
     pub fn recall_all(&self) {
         self.by_budget.borrow().values().for_each(|p| p.slices.borrow_mut().return_idle());
     }
 
-    /// Whether nothing is held.
+    /// Returns whether no budget has slices.
     pub fn is_empty(&self) -> bool {
         self.by_budget.borrow().values().all(|p| p.slices.borrow().is_empty())
     }
 
-    /// What to tell the grantor.
+    /// Returns the usage reports to send to the grantor, after marking excess tokens for
+    /// return.
     pub fn reports(&self, now: Time) -> Vec<(String, Report)> {
         let mut out = Vec::new();
         for (budget, p) in self.by_budget.borrow().iter() {
@@ -85,13 +88,13 @@
         out
     }
 
-    /// What to bind this holder to.
+    /// Returns the spending bounds to send to the grantor.
     pub fn bounds(&self, now: Time) -> Vec<Bound> {
         let all = self.by_budget.borrow();
         all.iter().filter_map(|(budget, p)| p.slices.borrow_mut().bound(now, budget)).collect()
     }
 
-    /// Notes that the grantor has taken the bounds.
+    /// Records that the grantor has accepted `bounds`.
     pub fn bounds_taken(&self, now: Time, bounds: &[Bound]) {
         let all = self.by_budget.borrow();
         for b in bounds {
@@ -102,7 +105,8 @@
         }
     }
 
-    /// Notes what the grantor said to the reports, sent at `sent`.
+    /// Records the grantor's response to `reports` that were sent at `sent`. `known` states for
+    /// each report whether the grantor knows the lease.
     pub fn acknowledge(&self, sent: Time, reports: &[(String, Report)], known: &[bool]) {
         for ((budget, r), known) in reports.iter().zip(known) {
             if let Some(p) = self.by_budget.borrow().get(budget) {
--- a/crates/router/src/caller.rs
+++ b/crates/router/src/caller.rs
@@ -1,4 +1,4 @@
-//! The caller's end of a model request: gone or there, waiting for a first word or for pieces.
+//! The response channel of a model request: one initial response, then the chunks of a stream.
 
 use bytes::Bytes;
 use tokio::sync::{mpsc, oneshot};
@@ -7,67 +7,68 @@
 use crate::chat::Started;
 use crate::reply::Refusal;
 
-/// Why a piece did not reach the caller.
+/// Why a chunk could not be sent to the client.
 pub enum Undelivered {
-    /// The caller has gone.
+    /// The client has disconnected.
     Left,
-    /// The caller reads too slowly for its deadline.
+    /// The client did not read it before the deadline.
     Late,
 }
 
-/// The caller's end.
+/// Sends the response of one model request to its handler.
 pub struct Caller {
-    /// Waits for the first word; taken once it is said.
-    first: Option<oneshot::Sender<Result<Started, Refusal>>>,
-    tx: mpsc::Sender<Bytes>,
+    /// Sends the initial response; `None` once it is sent.
+    response_tx: Option<oneshot::Sender<Result<Started, Refusal>>>,
+    chunk_tx: mpsc::Sender<Bytes>,
     stream: bool,
 }
 
 impl Caller {
-    /// A caller that waits for its first word, and for pieces after it if it wants a stream.
+    /// Creates a channel that sends the initial response through `response_tx` and, if `stream` is
+    /// set, the chunks through `chunk_tx`.
     pub fn new(
-        first: oneshot::Sender<Result<Started, Refusal>>,
-        tx: mpsc::Sender<Bytes>,
+        response_tx: oneshot::Sender<Result<Started, Refusal>>,
+        chunk_tx: mpsc::Sender<Bytes>,
         stream: bool,
     ) -> Caller {
-        Caller { first: Some(first), tx, stream }
+        Caller { response_tx: Some(response_tx), chunk_tx, stream }
     }
 
-    /// Ends when the caller has gone.
+    /// Completes when the client has disconnected.
     pub async fn gone(&mut self) {
-        match &mut self.first {
+        match &mut self.response_tx {
             Some(f) => f.closed().await,
-            None => self.tx.closed().await,
+            None => self.chunk_tx.closed().await,
         }
     }
 
-    /// Tells that an engine answers, if the caller wants a stream.
+    /// Starts the streamed response, if the client requested one.
     pub fn begin(&mut self) {
         if self.stream
-            && let Some(first) = self.first.take()
+            && let Some(response_tx) = self.response_tx.take()
         {
-            // A caller that has gone is noticed with the first piece.
-            let _ = first.send(Ok(Started::Streaming));
+            // If the client has disconnected, sending the first chunk fails.
+            let _ = response_tx.send(Ok(Started::Streaming));
         }
     }
 
-    /// Passes a piece of a stream on; one that wants no stream gets none.
-    pub async fn pass(&self, piece: Bytes, deadline: Instant) -> Result<(), Undelivered> {
+    /// Sends a chunk of a streamed response. Does nothing if the client requested no stream.
+    pub async fn pass(&self, chunk: Bytes, deadline: Instant) -> Result<(), Undelivered> {
         if !self.stream {
             return Ok(());
         }
-        match timeout_at(deadline, self.tx.send(piece)).await {
+        match timeout_at(deadline, self.chunk_tx.send(chunk)).await {
             Ok(Ok(())) => Ok(()),
             Ok(Err(_)) => Err(Undelivered::Left),
             Err(_) => Err(Undelivered::Late),
         }
     }
 
-    /// Says the last word, if the first is not said yet; returns false if it is.
-    pub fn answer(&mut self, word: Result<Started, Refusal>) -> bool {
-        let Some(first) = self.first.take() else { return false };
-        // A caller that has gone needs no answer.
-        let _ = first.send(word);
+    /// Sends the initial response. Returns false if it was sent before.
+    pub fn answer(&mut self, response: Result<Started, Refusal>) -> bool {
+        let Some(response_tx) = self.response_tx.take() else { return false };
+        // Fails only if the client has disconnected.
+        let _ = response_tx.send(response);
         true
     }
 }
--- a/crates/router/src/chat.rs
+++ b/crates/router/src/chat.rs
@@ -1,4 +1,4 @@
-//! Model requests: from the caller's body to the whole streamed answer and its bill.
+//! Handles model requests: admission, token reservation, claim and the start of the exchange.
 
 use std::rc::Rc;
 
@@ -28,38 +28,38 @@
 use crate::trace::Trace;
 use crate::view::{Client, Model};
 
-/// Pieces of an answer that wait for a slow caller.
-const PIECES: usize = 32;
+/// The most chunks of a response that are buffered for a slow client.
+const MAX_BUFFERED_CHUNKS: usize = 32;
 
-/// A request that may go to an engine.
+/// An admitted request with the limits for its exchange with engines.
 pub struct Plan {
-    /// The request's id as the control group knows it.
+    /// The request's id in claims and bills.
     pub id: RequestId,
-    /// What is asked.
+    /// The parsed request.
     pub ask: Ask,
     /// The service's name.
     pub service: String,
     /// The most tokens to generate.
     pub cap: Tokens,
-    /// When it must be done.
+    /// When the response must be complete.
     pub deadline: Instant,
     /// The request's trace.
     pub trace: Rc<Trace>,
-    /// Slice policy of the budget that pays.
+    /// The slice policy of the charged budget.
     pub policy: Policy,
-    /// What the choice of an engine goes by.
+    /// The properties by which an engine is chosen.
     pub work: RequestProfile,
 }
 
-/// What the handler waits for.
+/// The start of a response, which the handler waits for.
 pub enum Started {
-    /// The engine answers; pieces follow.
+    /// An engine has responded; chunks follow.
     Streaming,
-    /// The whole answer, for a caller that wants no stream.
+    /// The complete response, for a client that requested no stream.
     Whole(Value),
 }
 
-/// What a request comes to under the configuration in force.
+/// The parsed request with the client account, model and budget found in the configuration.
 struct Target {
     client: Rc<Client>,
     model: Rc<Model>,
@@ -68,7 +68,7 @@
     policy: Policy,
 }
 
-fn target(app: &App, form: Form, head: &Head, bytes: &[u8]) -> Result<Target, Refusal> {
+fn resolve_target(app: &App, form: Form, head: &Head, bytes: &[u8]) -> Result<Target, Refusal> {
     let view = app.view.borrow();
     let client = view.client(&head.key)?;
     let ask = Ask::read(form, bytes)?;
@@ -78,7 +78,7 @@
     Ok(Target { client, model, ask, budget, policy })
 }
 
-/// Serves a model request.
+/// Serves a model request. Returns when the response has started or was refused.
 pub async fn chat(
     app: &Rc<App>,
     form: Form,
@@ -87,7 +87,7 @@
     trace: &Rc<Trace>,
 ) -> Result<Response<Body>, Refusal> {
     let deadline = Instant::now() + head.deadline.unwrap_or(app.settings.deadline);
-    let Target { client, model, ask, budget, policy } = target(app, form, head, bytes)?;
+    let Target { client, model, ask, budget, policy } = resolve_target(app, form, head, bytes)?;
     let id = request_id(&client.name, &head.id);
     let cap = ask.output_cap(model.service.max_output);
     let need = ask.prompt_bound + cap;
@@ -116,10 +116,10 @@
     let (service, trace) = (model.name.clone(), trace.clone());
     let work = RequestProfile { prefixes: ask.trail(), ..RequestProfile::default() };
     let plan = Plan { id, ask, service, cap, deadline, trace, policy, work };
-    run(app, plan, hold, claim, permit).await
+    start_exchange(app, plan, hold, claim, permit).await
 }
 
-async fn run(
+async fn start_exchange(
     app: &Rc<App>,
     plan: Plan,
     hold: Hold,
@@ -127,12 +127,12 @@
     permit: Permit,
 ) -> Result<Response<Body>, Refusal> {
     let stream = plan.ask.stream;
-    let (tx, rx) = mpsc::channel(PIECES);
+    let (tx, rx) = mpsc::channel(MAX_BUFFERED_CHUNKS);
     let (first_tx, first_rx) = oneshot::channel();
     let caller = Caller::new(first_tx, tx, stream);
     let exchange = Exchange::new(app.clone(), plan, hold, claim, caller);
     let active = Active::new(app);
-    // A task of its own: a caller that leaves must not leave tokens unsettled.
+    // A separate task, so that tokens are settled even if the client disconnects.
     actix_rt::spawn(async move {
         exchange.run().await;
         drop(permit);
@@ -141,7 +141,7 @@
     match first_rx.await {
         Ok(Ok(Started::Streaming)) => {
             debug_assert!(stream);
-            Ok(streaming(rx))
+            Ok(streaming_response(rx))
         }
         Ok(Ok(Started::Whole(v))) => Ok(json_response(StatusCode::OK, &v)),
         Ok(Err(refusal)) => Err(refusal),
@@ -149,7 +149,7 @@
     }
 }
 
-fn streaming(rx: mpsc::Receiver<Bytes>) -> Response<Body> {
+fn streaming_response(rx: mpsc::Receiver<Bytes>) -> Response<Body> {
     let mut r = Response::with_body(StatusCode::OK, Body::Pieces(rx));
     let h = r.headers_mut();
     h.insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
@@ -157,7 +157,7 @@
     r
 }
 
-/// The recorded answer of a request that has run.
+/// Builds the response from the recorded outcome of a request that has run.
 pub fn replay(o: &Outcome) -> Response<Body> {
     let status = StatusCode::from_u16(o.status).unwrap_or(StatusCode::OK);
     let Some(body) = &o.body else {
--- a/crates/router/src/claim.rs
+++ b/crates/router/src/claim.rs
@@ -1,4 +1,4 @@
-//! Claims of requests that may run at most once.
+//! Claims for requests that may run at most once.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -13,42 +13,44 @@
 use crate::app::App;
 use crate::reply::Refusal;
 
-/// How long a claim may take before the request is refused as not run.
-const CLAIM_WITHIN: Duration = Duration::from_secs(2);
+/// Timeout of a claim; after it the request is refused as not run.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long one try to tell an end may take.
-const CONCLUDE_WITHIN: Duration = Duration::from_secs(10);
+/// Timeout of one try to report a claim's end.
+const CONCLUDE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long to keep trying to tell an end. After this the group has long since taken the claim
-/// for one of unknown outcome.
-const CONCLUDE_FOR: Duration = Duration::from_secs(24 * 3600);
+/// How long to retry reporting a claim's end. By then the control group has long recorded the
+/// outcome as unknown.
+const CONCLUDE_RETRY_PERIOD: Duration = Duration::from_secs(24 * 3600);
 
-/// When to come back while the control group is out of reach.
-const UNREACHABLE_AFTER: Millis = Millis::seconds(5);
+/// `Retry-After` while the control group is unreachable.
+const UNREACHABLE_RETRY_AFTER: Millis = Millis::seconds(5);
 
-/// When to come back while another copy of the request runs.
-const RUNNING_AFTER: Millis = Millis::seconds(1);
+/// `Retry-After` while another copy of the request runs.
+const RUNNING_RETRY_AFTER: Millis = Millis::seconds(1);
 
-/// A claim that was granted. Its end must be told; if it is dropped untold, the request has not run
-/// as long as it was not started, and has an unknown outcome after that.
+/// A granted claim, whose end must be reported. If it is dropped without a report, the request is
+/// reported as not run, or with an unknown outcome if it was started.
 pub struct Claim {
     app: Rc<App>,
     holder: HolderId,
     seq: u64,
     id: RequestId,
     started: Cell<bool>,
-    told: Cell<bool>,
+    reported: Cell<bool>,
 }
 
-/// What a claim came to.
+/// The result of a claim that was not refused.
 pub enum Claimed {
     /// The request may be sent, once.
     Run(Claim),
-    /// It has run; this was the answer.
+    /// The request has run, with this outcome.
     Done(Outcome),
 }
 
-/// Claims a request before any byte of it goes upstream.
+/// Claims a request, which must happen before any byte of it is sent upstream. Returns a refusal
+/// if the control group is unreachable or does not grant the claim, for example because another
+/// copy of the request runs.
 pub async fn claim(
     app: &Rc<App>,
     id: RequestId,
@@ -58,33 +60,33 @@
     let token_store = app.token_store().ok_or(Code::NotReady)?;
     let seq = app.next_run();
     let holder = token_store.holder();
-    let mine = Claim {
+    let claim = Claim {
         app: app.clone(),
         holder,
         seq,
         id,
         started: Cell::new(false),
-        told: Cell::new(false),
+        reported: Cell::new(false),
     };
-    let within = CLAIM_WITHIN.min(deadline.saturating_duration_since(Instant::now()));
+    let timeout = CLAIM_TIMEOUT.min(deadline.saturating_duration_since(Instant::now()));
     let c = Command::Claim { holder, seq, id, body };
-    let answer = app.group.command(&c, within).await;
-    let verdict = match answer {
+    let answer = app.group.command(&c, timeout).await;
+    let decision = match answer {
         Ok(Answer::Claimed(v)) => v,
         _ => {
-            // Should the claim be committed yet, it must not stand in a retry's way.
-            mine.tell(ClaimEnd::NotRun);
-            return Err(Refusal::from(Code::ClaimUnreachable).after(UNREACHABLE_AFTER));
+            // The claim may still be committed, and must then not block a retry.
+            claim.tell(ClaimEnd::NotRun);
+            return Err(Refusal::from(Code::ClaimUnreachable).after(UNREACHABLE_RETRY_AFTER));
         }
     };
-    if verdict != ClaimDecision::Run {
-        mine.told.set(true);
+    if decision != ClaimDecision::Run {
+        claim.reported.set(true);
     }
-    match verdict {
-        ClaimDecision::Run => Ok(Claimed::Run(mine)),
+    match decision {
+        ClaimDecision::Run => Ok(Claimed::Run(claim)),
         ClaimDecision::Done(o) => Ok(Claimed::Done(o)),
         ClaimDecision::Running => {
-            Err(Refusal::from(Code::ClaimRunning).ran(Ran::Unknown).after(RUNNING_AFTER))
+            Err(Refusal::from(Code::ClaimRunning).ran(Ran::Unknown).after(RUNNING_RETRY_AFTER))
         }
         ClaimDecision::Unknown => Err(Refusal::from(Code::ClaimUnknown).ran(Ran::Unknown)),
         ClaimDecision::Expired => Err(Refusal::from(Code::ClaimExpired).ran(Ran::Yes)),
@@ -93,22 +95,23 @@
 }
 
 impl Claim {
-    /// Notes that bytes of the request may go upstream from now on.
+    /// Marks the request as started: bytes of it may have been sent upstream.
     pub fn start(&self) {
         self.started.set(true);
     }
 
-    /// Tells how the request ended, in the background and until it is committed.
+    /// Reports how the request ended. A background task retries until the report is committed. Only
+    /// the first call has an effect.
     pub fn tell(&self, end: ClaimEnd) {
-        if self.told.replace(true) {
+        if self.reported.replace(true) {
             return;
         }
         let (holder, seq, id) = (self.holder, self.seq, self.id);
         let c = Command::Conclude { holder, seq, id, end };
         let group = self.app.group.clone();
         actix_rt::spawn(async move {
-            let until = Instant::now() + CONCLUDE_FOR;
-            while group.command(&c, CONCLUDE_WITHIN).await.is_err() && Instant::now() < until {
+            let until = Instant::now() + CONCLUDE_RETRY_PERIOD;
+            while group.command(&c, CONCLUDE_TIMEOUT).await.is_err() && Instant::now() < until {
                 sleep(Duration::from_secs(1)).await;
             }
         });
--- a/crates/router/src/hold.rs
+++ b/crates/router/src/hold.rs
@@ -1,4 +1,4 @@
-//! Tokens set aside for one request, settled whatever happens to it.
+//! The token reservation of one request, settled when it is dropped.
 
 use std::rc::Rc;
 
@@ -8,7 +8,8 @@
 use crate::taken::Source;
 use crate::token_store::TokenStore;
 
-/// A reservation that settles itself: what was last charged is spent, the rest goes back.
+/// A reservation that settles itself when dropped: the last charged amount is spent, the rest is
+/// released.
 pub struct Hold {
     token_store: Rc<TokenStore>,
     budget: String,
@@ -17,22 +18,22 @@
 }
 
 impl Hold {
-    /// Holds a reservation of which nothing is spent yet.
+    /// Wraps a reservation of which nothing is spent yet.
     pub fn new(token_store: Rc<TokenStore>, budget: String, r: (Source, Reservation)) -> Hold {
         Hold { token_store, budget, reservation: Some(r), used: 0 }
     }
 
-    /// Sets what the request has spent so far.
+    /// Sets the number of tokens that the request has spent so far.
     pub fn charge(&mut self, used: Tokens) {
         self.used = used;
     }
 
-    /// The token store that the tokens come from.
+    /// Returns the token store that made the reservation.
     pub fn token_store(&self) -> &Rc<TokenStore> {
         &self.token_store
     }
 
-    /// The budget.
+    /// Returns the name of the budget.
     pub fn budget(&self) -> &str {
         &self.budget
     }
