--- a/crates/router/src/app.rs
+++ b/crates/router/src/app.rs
@@ -1,4 +1,4 @@
-//! What all requests of a router share.
+//! State shared by all requests of a router.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -23,59 +23,60 @@
 use crate::trace::Exporter;
 use crate::view::View;
 
-/// How long an upstream may take to accept a connection.
+/// Timeout for connecting to an upstream.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Calls that one replica of a plain service runs at once.
-const PLAIN_SLOTS: u32 = 64;
+/// Concurrent calls per replica of a plain service.
+const PLAIN_SLOTS_PER_REPLICA: u32 = 64;
 
-/// Calls of a plain service that wait at one router.
-const PLAIN_QUEUE: u32 = 256;
+/// The most calls of a plain service that one router queues.
+const MAX_QUEUED_PLAIN_CALLS: u32 = 256;
 
-/// What all requests share.
+/// State shared by all requests.
 pub struct App {
     /// The settings.
     pub settings: Settings,
-    /// The process's clock.
+    /// The monotonic clock of this process.
     pub clock: Clock,
-    /// The control group.
+    /// Client of the control group.
     pub group: Group,
-    /// Who keeps the data centre's reserve.
+    /// Client of the process that keeps the data centre's budget reserve, if one is configured.
     pub reserve: Option<Group>,
-    /// Where traces go.
+    /// Writes traces, if enabled.
     pub exporter: Option<Exporter>,
-    /// The configuration in force.
+    /// The current configuration.
     pub view: RefCell<View>,
-    /// The replicas of each service.
+    /// The replicas of each service, by service name.
     pub pools: RefCell<HashMap<String, Pool>>,
     queues: RefCell<HashMap<String, Rc<Queue>>>,
     vms: RefCell<VmTracker>,
     retries: RefCell<HashMap<String, RetryBudget>>,
-    /// The routers of the region.
+    /// The routers of the region, for entry answers.
     pub sites: RefCell<Vec<Site>>,
-    /// Connections to engines and for calls that may be repeated.
+    /// HTTP client with keep-alive, for requests that may be sent again.
     pub client: Client,
-    /// Fresh connections for calls that may run at most once: a connection kept open might have
-    /// been closed by the other side unseen, and then nobody knows whether the call ran.
+    /// HTTP client without keep-alive, for requests that may run at most once. An upstream can
+    /// close a reused connection while a request is being sent, which leaves unknown whether it
+    /// ran.
     pub once_client: Client,
-    /// A planned stop is under way.
+    /// Whether a graceful shutdown is in progress.
     pub draining: Cell<bool>,
-    /// The configuration was confirmed since the start.
+    /// Whether the control group has confirmed the configuration since this process started.
     pub ready: Cell<bool>,
-    /// Requests under way.
+    /// Number of active requests.
     pub active: Cell<usize>,
     token_store: RefCell<Option<Rc<TokenStore>>>,
     rng: RefCell<SmallRng>,
     runs: Cell<u64>,
 }
 
-fn client(keep: Duration) -> Client {
-    let c = Connector::new().timeout(CONNECT_TIMEOUT).conn_keep_alive(keep).limit(0);
+fn build_client(keep_alive: Duration) -> Client {
+    let c = Connector::new().timeout(CONNECT_TIMEOUT).conn_keep_alive(keep_alive).limit(0);
     Client::builder().connector(c).disable_timeout().disable_redirects().finish()
 }
 
 impl App {
-    /// A router that knows nothing yet.
+    /// Creates the state of a router without configuration or registration.
     pub fn new(
         settings: Settings,
         clock: Clock,
@@ -95,8 +96,8 @@
             vms: RefCell::default(),
             retries: RefCell::default(),
             sites: RefCell::default(),
-            client: client(Duration::from_secs(15)),
-            once_client: client(Duration::ZERO),
+            client: build_client(Duration::from_secs(15)),
+            once_client: build_client(Duration::ZERO),
             draining: Cell::new(false),
             ready: Cell::new(false),
             active: Cell::new(0),
@@ -106,29 +107,31 @@
         }
     }
 
-    /// The token store of the present registration.
+    /// Returns the token store of the current registration, or `None` before the first one.
     pub fn token_store(&self) -> Option<Rc<TokenStore>> {
         self.token_store.borrow().clone()
     }
 
-    /// Takes the token store of a new registration into use; returns the old one.
-    pub fn set_token_store(&self, w: Rc<TokenStore>) -> Option<Rc<TokenStore>> {
-        self.token_store.borrow_mut().replace(w)
+    /// Replaces the token store after a new registration. Returns the previous one.
+    pub fn set_token_store(&self, store: Rc<TokenStore>) -> Option<Rc<TokenStore>> {
+        self.token_store.borrow_mut().replace(store)
     }
 
-    /// A number that no other run of a request by this registration has.
+    /// Returns a run number that is unique across the requests of this registration: the holder's
+    /// id in the upper half, a counter in the lower.
     pub fn next_run(&self) -> u64 {
         self.runs.set(self.runs.get() + 1);
-        let holder = self.token_store().map_or(0, |w| w.holder().0);
+        let holder = self.token_store().map_or(0, |store| store.holder().0);
         (holder << 32) | self.runs.get()
     }
 
-    /// A random number for a request's id.
+    /// Returns a random number, for example for a request id.
     pub fn draw(&self) -> u128 {
         self.rng.borrow_mut().random()
     }
 
-    /// Takes the services of the configuration into the pools and queues.
+    /// Updates the pools and queues from the services of the current configuration and removes
+    /// those of deleted services.
     pub fn refresh_services(&self) {
         let view = self.view.borrow();
         let mut pools = self.pools.borrow_mut();
@@ -137,27 +140,27 @@
         pools.retain(|name, _| view.services().any(|(n, _)| n == name));
         queues.retain(|name, _| view.services().any(|(n, _)| n == name));
         for (name, s) in view.services() {
-            let (slots, room) = match s {
+            let (slots, queue_limit) = match s {
                 Service::Model(m) => (m.slots, m.queue),
-                Service::Plain(_) => (PLAIN_SLOTS, PLAIN_QUEUE),
+                Service::Plain(_) => (PLAIN_SLOTS_PER_REPLICA, MAX_QUEUED_PLAIN_CALLS),
             };
             let pool = pools.entry(name.to_owned()).or_default();
             pool.set_upstreams(now, s.upstreams(), slots);
             let limit = slots.saturating_mul(s.upstreams().len() as u32);
-            let fresh = || Rc::new(Queue::new(self.clock, limit, room));
-            queues.entry(name.to_owned()).or_insert_with(fresh).set(limit, room);
-            self.mark_leaving(pool);
+            let new_queue = || Rc::new(Queue::new(self.clock, limit, queue_limit));
+            queues.entry(name.to_owned()).or_insert_with(new_queue).set(limit, queue_limit);
+            self.update_leaving(pool);
         }
     }
 
-    fn mark_leaving(&self, pool: &mut Pool) {
+    fn update_leaving(&self, pool: &mut Pool) {
         let vms = self.vms.borrow();
         let names: Vec<_> = pool.iter().map(|r| r.upstream.vm.name.clone()).collect();
         let now = self.clock.now();
         names.iter().for_each(|vm| pool.set_leaving(now, vm, vms.is_leaving(vm)));
     }
 
-    /// Takes the platform's list of `Vm`s.
+    /// Applies the platform's list of VMs: replicas on leaving VMs get no new requests.
     pub fn observe_vms(&self, list: &BTreeMap<String, ListedState>) {
         let changes = self.vms.borrow_mut().observe(self.clock.now(), list);
         for (vm, leaving) in &changes {
@@ -165,16 +168,17 @@
             emit!(event, vm = vm);
         }
         if !changes.is_empty() {
-            self.pools.borrow_mut().values_mut().for_each(|p| self.mark_leaving(p));
+            self.pools.borrow_mut().values_mut().for_each(|p| self.update_leaving(p));
         }
     }
 
-    /// The queue of a service.
+    /// Returns the queue of a service, or `None` if the service is unknown.
     pub fn queue(&self, service: &str) -> Option<Rc<Queue>> {
         self.queues.borrow().get(service).cloned()
     }
 
-    /// Chooses a replica of a service; [`App::done`] must follow.
+    /// Chooses a replica of a service that is not in `tried`. Each choice must be completed by
+    /// [`App::done`]. Returns `None` if no replica is available.
     pub fn choose(
         &self,
         service: &str,
@@ -187,8 +191,8 @@
         pools.get_mut(service)?.choose(self.clock.now(), dc, work, tried, &mut *rng)
     }
 
-    /// Whether a request may be sent for the time `tries + 1`: the first time always, again only
-    /// out of the service's budget of retries.
+    /// Returns whether a request may be sent after `tries` earlier tries. The first try is always
+    /// allowed, further ones only within the service's retry budget, from which they are taken.
     pub fn may_try(&self, service: &str, tries: usize) -> bool {
         let mut all = self.retries.borrow_mut();
         let budget = all.entry(service.to_owned()).or_default();
@@ -199,14 +203,14 @@
         true
     }
 
-    /// Learns from the time to the first token.
+    /// Records the time to the first token of a request, for the choice of replicas.
     pub fn learn(&self, service: &str, c: &Choice, first: Duration) {
         if let Some(pool) = self.pools.borrow_mut().get_mut(service) {
             pool.record_first_event(self.clock.now(), c, first.as_micros() as u64);
         }
     }
 
-    /// Notes the end of a request that a replica was chosen for.
+    /// Records the end of a request on the replica chosen for it. A failure may eject the replica.
     pub fn done(&self, service: &str, c: &Choice, failed: bool) {
         let mut pools = self.pools.borrow_mut();
         let Some(pool) = pools.get_mut(service) else { return };
@@ -216,11 +220,11 @@
     }
 }
 
-/// Counts a request as under way while it lives.
+/// Guard that counts a request as active until it is dropped.
 pub struct Active(Rc<App>);
 
 impl Active {
-    /// Counts one more.
+    /// Increments the number of active requests.
     pub fn new(app: &Rc<App>) -> Active {
         app.active.set(app.active.get() + 1);
         Active(app.clone())
--- a/crates/router/src/drain.rs
+++ b/crates/router/src/drain.rs
@@ -1,4 +1,4 @@
-//! A planned stop that cuts off no request.
+//! Graceful shutdown of a router.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,50 +11,51 @@
 use crate::app::App;
 use crate::token_store::TokenStore;
 
-/// How long one command of the stop may take.
-const COMMAND_WITHIN: Duration = Duration::from_secs(5);
+/// Timeout of one command to the control group.
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How often the stop looks whether it may go on.
-const LOOK: Duration = Duration::from_millis(50);
+/// How often to check whether the shutdown can continue.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How often the stop says what it waits for.
-const SAY: Duration = Duration::from_secs(5);
+/// How often to log what the shutdown waits for.
+const LOG_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Leaves the entry answers, goes on serving until those that name this router have lapsed,
-/// waits for the requests under way, and hands all slices back.
+/// Shuts the router down: removes it from entry answers, serves until cached entry answers have
+/// expired, waits for active requests, returns all slices, and ends the registration. Waits at most
+/// the configured drain time for requests and slices.
 pub async fn drain(app: Rc<App>) {
     emit!(Event::Stopping);
     app.draining.set(true);
     let Some(token_store) = app.token_store() else { return };
-    leave(&app, &token_store).await;
-    emit!(Event::DrainWaits, why = "entry answers lapse");
+    announce_leaving(&app, &token_store).await;
+    emit!(Event::DrainWaits, why = "cached entry answers have not expired");
     sleep(app.settings.entry_keep).await;
     let until = Instant::now() + app.settings.drain;
     wait_for_requests(&app, until).await;
-    hand_back(&token_store, until).await;
+    return_slices(&token_store, until).await;
     let gone = Command::Gone(token_store.holder());
-    // Without an answer the registration lapses by itself.
-    let _ = app.group.command(&gone, COMMAND_WITHIN).await;
+    // If this fails, the registration expires on its own.
+    let _ = app.group.command(&gone, COMMAND_TIMEOUT).await;
 }
 
-async fn leave(app: &App, token_store: &TokenStore) {
+async fn announce_leaving(app: &App, token_store: &TokenStore) {
     let leave = Command::Leave(token_store.holder());
-    // Out of reach, the other routers soon suspect this one anyway.
-    let _ = app.group.command(&leave, COMMAND_WITHIN).await;
+    // If this fails, the router is soon suspected and left out of entry answers anyway.
+    let _ = app.group.command(&leave, COMMAND_TIMEOUT).await;
 }
 
 async fn wait_for_requests(app: &App, until: Instant) {
-    let mut next = Instant::now();
+    let mut next_log = Instant::now();
     while app.active.get() > 0 && Instant::now() < until {
-        if Instant::now() >= next {
-            emit!(Event::DrainWaits, why = "requests are under way", active = app.active.get());
-            next += SAY;
+        if Instant::now() >= next_log {
+            emit!(Event::DrainWaits, why = "requests are active", active = app.active.get());
+            next_log += LOG_INTERVAL;
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn hand_back(token_store: &TokenStore, until: Instant) {
+async fn return_slices(token_store: &TokenStore, until: Instant) {
     while Instant::now() < until {
         token_store.recall_all();
         token_store.tally().await;
@@ -62,6 +63,6 @@
         if token_store.is_settled() {
             return emit!(Event::SlicesReturned);
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/router/src/entry.rs
+++ b/crates/router/src/entry.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/entry`: which of the system's addresses a caller should use.
+//! `GET /v1/entry`: the router addresses that a client should use.
 
 use actix_http::header::{CACHE_CONTROL, HeaderValue};
 use actix_http::{Response, StatusCode};
@@ -9,38 +9,39 @@
 use crate::app::App;
 use crate::reply::json_response;
 
-/// Addresses in one answer at most.
-const MOST: usize = 8;
+/// The most addresses in one answer.
+const MAX_ADDRESSES: usize = 8;
 
-/// The sites in the order that a caller should try them: this data centre first, spread by
-/// `turn`, without those that leave or are not heard of.
-pub fn rank<'a>(sites: &'a [Site], data_centre: &str, turn: usize) -> Vec<&'a Site> {
-    let near = |s: &&Site| s.data_centre == data_centre;
+/// Returns the usable sites in the order in which a client should try them: those in `data_centre`
+/// first. Each of the two groups is rotated by `rotation` to spread clients.
+pub fn order_sites<'a>(sites: &'a [Site], data_centre: &str, rotation: usize) -> Vec<&'a Site> {
+    let is_local = |s: &&Site| s.data_centre == data_centre;
     let usable = sites.iter().filter(|s| s.usable);
-    let (mut here, mut there): (Vec<_>, Vec<_>) = usable.partition(near);
-    for group in [&mut here, &mut there] {
+    let (mut local, mut remote): (Vec<_>, Vec<_>) = usable.partition(is_local);
+    for group in [&mut local, &mut remote] {
         let n = group.len().max(1);
-        group.rotate_left(turn % n);
+        group.rotate_left(rotation % n);
     }
-    here.append(&mut there);
-    here.truncate(MOST);
-    here
+    local.append(&mut remote);
+    local.truncate(MAX_ADDRESSES);
+    local
 }
 
-/// Answers with the ranked addresses and how long to keep them.
+/// Returns the addresses of usable routers and how long a client may cache them. Lists only this
+/// router if no other is known and it is not draining.
 pub fn entry(app: &App) -> Response<Body> {
     let sites = app.sites.borrow();
-    let turn = app.draw() as usize;
-    let ranked = rank(&sites, &app.settings.base.data_centre, turn);
+    let rotation = app.draw() as usize;
+    let ordered = order_sites(&sites, &app.settings.base.data_centre, rotation);
     let own = app.settings.public.to_string();
-    let mut addresses: Vec<_> = ranked
+    let mut addresses: Vec<_> = ordered
         .iter()
         .map(|s| json!({ "address": s.address, "vm": s.vm, "data_centre": s.data_centre }))
         .collect();
     if addresses.is_empty() && !app.draining.get() {
         let base = &app.settings.base;
-        let here = json!({ "address": own, "vm": base.vm, "data_centre": base.data_centre });
-        addresses.push(here);
+        let local = json!({ "address": own, "vm": base.vm, "data_centre": base.data_centre });
+        addresses.push(local);
     }
     let keep = app.settings.entry_keep.as_secs();
     let v = json!({ "addresses": addresses, "keep_s": keep });
--- a/crates/router/src/follow.rs
+++ b/crates/router/src/follow.rs
@@ -1,4 +1,5 @@
-//! The router's standing talk with the control group: registration, configuration, recalls.
+//! Registers the router with the control group and applies its updates: configuration, router sites
+//! and slice recalls.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,16 +14,17 @@
 use crate::app::App;
 use crate::token_store::TokenStore;
 
-/// How long a registration may take before it is tried anew.
-const REGISTER_WITHIN: Duration = Duration::from_secs(10);
+/// Timeout of one registration request.
+const REGISTER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long a standing question may go without an answer.
-const FOLLOW_WITHIN: Duration = Duration::from_secs(4);
+/// Timeout of one watch request (long poll).
+const FOLLOW_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// How long to wait after a failed try.
-const PAUSE: Duration = Duration::from_millis(200);
+/// Delay after a failed request.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Registers and follows until a planned stop.
+/// Registers and applies updates until the router drains. Registers again, with a new token store,
+/// whenever the control group no longer knows the registration.
 pub async fn follow(app: Rc<App>) {
     while !app.draining.get() {
         let holder = register(&app).await;
@@ -33,7 +35,7 @@
         if let Some(old) = app.set_token_store(token_store) {
             old.retire();
         }
-        follow_as(&app, holder).await;
+        watch_updates(&app, holder).await;
     }
 }
 
@@ -48,65 +50,65 @@
         link: String::new(),
     };
     loop {
-        if let Ok(Answer::Registered(holder)) = app.group.command(&c, REGISTER_WITHIN).await {
+        if let Ok(Answer::Registered(holder)) = app.group.command(&c, REGISTER_TIMEOUT).await {
             emit!(Event::RouterRegistered, holder = holder);
             return holder;
         }
         emit!(Event::ControlLost);
-        sleep(PAUSE).await;
+        sleep(RETRY_DELAY).await;
     }
 }
 
-/// Follows until the registration is no longer known.
-async fn follow_as(app: &App, holder: HolderId) {
-    let mut reached = true;
+/// Watches for updates until the control group no longer knows the registration.
+async fn watch_updates(app: &App, holder: HolderId) {
+    let mut connected = true;
     loop {
         let version = app.view.borrow().version();
         let sites = sites_digest(&app.sites.borrow());
         let q = Query::Follow { holder, version, sites };
-        match app.group.query(&q, FOLLOW_WITHIN).await {
-            Ok(Reply::News(news)) => {
-                if !reached {
+        match app.group.query(&q, FOLLOW_TIMEOUT).await {
+            Ok(Reply::News(update)) => {
+                if !connected {
                     emit!(Event::ControlFound);
                 }
-                reached = true;
-                set_away(app, false);
-                if news.stranger {
+                connected = true;
+                set_group_unreachable(app, false);
+                if update.stranger {
                     return;
                 }
-                take(app, news);
+                apply_update(app, update);
             }
             _ => {
-                if reached {
+                if connected {
                     emit!(Event::ControlLost);
                 }
-                reached = false;
-                set_away(app, true);
-                sleep(PAUSE).await;
+                connected = false;
+                set_group_unreachable(app, true);
+                sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
-fn set_away(app: &App, away: bool) {
-    if let Some(w) = app.token_store() {
-        w.set_away(away);
+fn set_group_unreachable(app: &App, unreachable: bool) {
+    if let Some(store) = app.token_store() {
+        store.set_away(unreachable);
     }
 }
 
-fn take(app: &App, news: RouterUpdate) {
-    if let Some(sites) = news.sites {
+fn apply_update(app: &App, update: RouterUpdate) {
+    if let Some(sites) = update.sites {
         *app.sites.borrow_mut() = sites;
     }
-    let version = news.difference.version;
-    if app.view.borrow_mut().update(news.difference) {
+    let version = update.difference.version;
+    if app.view.borrow_mut().update(update.difference) {
         app.refresh_services();
         emit!(Event::ConfigApplied, version = version);
     }
     if !app.ready.replace(true) {
         emit!(Event::RouterReady);
     }
-    if let Some(w) = app.token_store() {
-        news.recalls.iter().for_each(|b| w.recall(b));
+    if let Some(store) = app.token_store() {
+        update.recalls.iter().for_each(|b| store.recall(b));
     }
 }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,4 +1,5 @@
-//! The entry router: tells callers which address to use, admits, bills and routes their requests.
+//! The router: lists entry addresses and admits, routes and bills the requests of language-model
+//! clients.
 
 mod app;
 mod ask;
