--- a/crates/router/src/budget_slices.rs
+++ b/crates/router/src/budget_slices.rs
@@ -106,7 +106,7 @@
     }
 
     /// Records the grantor's response to `reports` that were sent at `sent`. `known` states for
-    /// each report whether the grantor knows the lease.
+    /// each report whether its lease exists.
     pub fn acknowledge(&self, sent: Time, reports: &[(String, Report)], known: &[bool]) {
         for ((budget, r), known) in reports.iter().zip(known) {
             if let Some(p) = self.by_budget.borrow().get(budget) {
--- a/crates/router/src/entry.rs
+++ b/crates/router/src/entry.rs
@@ -28,7 +28,7 @@
 }
 
 /// Returns the addresses of usable routers and how long a client may cache them. Lists only this
-/// router if no other is known and it is not draining.
+/// router if there is no other usable one and it is not draining.
 pub fn entry(app: &App) -> Response<Body> {
     let sites = app.sites.borrow();
     let rotation = app.draw() as usize;
--- a/crates/router/src/follow.rs
+++ b/crates/router/src/follow.rs
@@ -24,7 +24,7 @@
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Registers and applies updates until the router drains. Registers again, with a new token store,
-/// whenever the control group no longer knows the registration.
+/// whenever the registration is no longer valid.
 pub async fn follow(app: Rc<App>) {
     while !app.draining.get() {
         let holder = register(&app).await;
@@ -59,7 +59,7 @@
     }
 }
 
-/// Watches for updates until the control group no longer knows the registration.
+/// Watches for updates until the registration is no longer valid.
 async fn watch_updates(app: &App, holder: HolderId) {
     let mut connected = true;
     loop {
