--- a/crates/router/src/serve.rs
+++ b/crates/router/src/serve.rs
@@ -1,4 +1,4 @@
-//! From a caller's request to the part that answers it.
+//! Dispatches callers' requests by path.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -26,17 +26,17 @@
 use crate::reply::{REQUEST_ID, Refusal, json_response};
 use crate::trace::Trace;
 
-/// How long a body may take to arrive.
-const BODY_WITHIN: Duration = Duration::from_secs(20);
+/// Timeout for reading a request body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// When to come back to a router that is not ready.
-const NOT_READY_AFTER: Millis = Millis::seconds(1);
+/// Retry delay while the router is not ready.
+const NOT_READY_RETRY_AFTER: Millis = Millis::seconds(1);
 
-/// Serves one request.
+/// Serves one request of a caller. Counts and logs its result and returns the response.
 pub async fn serve(app: Rc<App>, req: Request) -> Response<Body> {
-    let fresh = app.draw();
-    let head = head::read(req.headers(), app.settings.head_cap, fresh);
-    let id = head.as_ref().map_or_else(|_| format!("{fresh:032x}"), |h| h.id.clone());
+    let new_id = app.draw();
+    let head = head::read(req.headers(), app.settings.head_cap, new_id);
+    let id = head.as_ref().map_or_else(|_| format!("{new_id:032x}"), |h| h.id.clone());
     let path = req.path().to_owned();
     let traceparent = head.as_ref().ok().and_then(|h| h.traceparent.as_deref());
     let trace = Trace::begin(app.exporter.clone(), traceparent);
@@ -68,69 +68,69 @@
     let path = req.path().to_owned();
     match path.as_str() {
         "/v1/entry" => {
-            only(&req, &Method::GET)?;
+            require_method(&req, &Method::GET)?;
             Ok(entry(app))
         }
         "/v1/models" => {
-            only(&req, &Method::GET)?;
-            models(app, &head?)
+            require_method(&req, &Method::GET)?;
+            list_models(app, &head?)
         }
-        "/v1/chat/completions" => model(app, Form::Chat, req, head, trace).await,
-        "/v1/completions" => model(app, Form::Text, req, head, trace).await,
-        _ => pass(app, req, head?, trace).await,
+        "/v1/chat/completions" => serve_model(app, Form::Chat, req, head, trace).await,
+        "/v1/completions" => serve_model(app, Form::Text, req, head, trace).await,
+        _ => serve_plain(app, req, head?, trace).await,
     }
 }
 
-fn only(req: &Request, method: &Method) -> Result<(), Refusal> {
+fn require_method(req: &Request, method: &Method) -> Result<(), Refusal> {
     if req.method() == method {
         return Ok(());
     }
     Err(Refusal::from(Code::MethodWrong).detail(format!("use {method}")))
 }
 
-fn ready(app: &App) -> Result<(), Refusal> {
+fn require_ready(app: &App) -> Result<(), Refusal> {
     if app.ready.get() {
         return Ok(());
     }
-    Err(Refusal::from(Code::NotReady).after(NOT_READY_AFTER))
+    Err(Refusal::from(Code::NotReady).after(NOT_READY_RETRY_AFTER))
 }
 
-async fn model(
+async fn serve_model(
     app: &Rc<App>,
     form: Form,
     req: Request,
     head: Result<Head, Refusal>,
     trace: &Rc<Trace>,
 ) -> Result<Response<Body>, Refusal> {
-    only(&req, &Method::POST)?;
+    require_method(&req, &Method::POST)?;
     let head = head?;
-    ready(app)?;
-    // An unknown caller's body is not read.
+    require_ready(app)?;
+    // Check the caller before reading the body.
     app.view.borrow().client(&head.key)?;
-    let entry = trace.span("entry");
-    let bytes = body(req, app.settings.body_cap).await?;
-    drop(entry);
+    let span = trace.span("entry");
+    let bytes = read_body(req, app.settings.body_cap).await?;
+    drop(span);
     chat(app, form, &head, &bytes, trace).await
 }
 
-async fn pass(
+async fn serve_plain(
     app: &Rc<App>,
     req: Request,
     head: Head,
     trace: &Rc<Trace>,
 ) -> Result<Response<Body>, Refusal> {
-    ready(app)?;
+    require_ready(app)?;
     let client = app.view.borrow().client(&head.key)?;
     app.view.borrow().plain(&client, req.path())?;
     let method = req.method().clone();
     let path = req.uri().path_and_query().map_or("/", |p| p.as_str()).to_owned();
     let kind = req.headers().get(header::CONTENT_TYPE).cloned();
-    let body = body(req, app.settings.body_cap).await?;
+    let body = read_body(req, app.settings.body_cap).await?;
     plain(app, &head, Call { method, path, kind, body }, trace).await
 }
 
-fn models(app: &App, head: &Head) -> Result<Response<Body>, Refusal> {
-    ready(app)?;
+fn list_models(app: &App, head: &Head) -> Result<Response<Body>, Refusal> {
+    require_ready(app)?;
     let view = app.view.borrow();
     let client = view.client(&head.key)?;
     let data: Vec<_> = view
@@ -141,32 +141,33 @@
     Ok(json_response(StatusCode::OK, &json!({ "object": "list", "data": data })))
 }
 
-/// Reads a body of at most `cap` bytes.
-async fn body(req: Request, cap: usize) -> Result<Bytes, Refusal> {
+/// Reads a body of at most `cap` bytes. Fails with `BodyTooLarge` or, if it does not arrive whole in
+/// time, `BodyCut`.
+async fn read_body(req: Request, cap: usize) -> Result<Bytes, Refusal> {
     let too_large = || Refusal::from(Code::BodyTooLarge).detail(format!("the cap is {cap} bytes"));
-    let announced = req.headers().get(header::CONTENT_LENGTH);
-    let announced = announced.and_then(|v| v.to_str().ok()?.parse::<usize>().ok());
-    if announced.is_some_and(|n| n > cap) {
+    let content_length = req.headers().get(header::CONTENT_LENGTH);
+    let content_length = content_length.and_then(|v| v.to_str().ok()?.parse::<usize>().ok());
+    if content_length.is_some_and(|n| n > cap) {
         return Err(too_large());
     }
     let payload = req.into_parts().1;
-    match timeout(BODY_WITHIN, collect(payload, cap)).await {
+    match timeout(BODY_TIMEOUT, collect_body(payload, cap)).await {
         Ok(Ok(Some(bytes))) => Ok(bytes),
         Ok(Ok(None)) => Err(too_large()),
-        Ok(Err(why)) => Err(Refusal::from(Code::BodyCut).detail(why)),
+        Ok(Err(e)) => Err(Refusal::from(Code::BodyCut).detail(e)),
         Err(_) => Err(Refusal::from(Code::BodyCut).detail("it took too long")),
     }
 }
 
-/// The whole body, or nothing if it is larger than `cap`.
-async fn collect(mut payload: Payload, cap: usize) -> Result<Option<Bytes>, String> {
+/// Returns the whole body, or `None` if it is larger than `cap` bytes.
+async fn collect_body(mut payload: Payload, cap: usize) -> Result<Option<Bytes>, String> {
     let mut all = BytesMut::new();
-    while let Some(piece) = payload.next().await {
-        let piece = piece.map_err(|e| e.to_string())?;
-        if all.len() + piece.len() > cap {
+    while let Some(chunk) = payload.next().await {
+        let chunk = chunk.map_err(|e| e.to_string())?;
+        if all.len() + chunk.len() > cap {
             return Ok(None);
         }
-        all.extend_from_slice(&piece);
+        all.extend_from_slice(&chunk);
     }
     Ok(Some(all.freeze()))
 }
--- a/crates/router/src/taken.rs
+++ b/crates/router/src/taken.rs
@@ -1,5 +1,4 @@
-//! What becomes of a wish for tokens: set aside, decided by the control group, or refused to the
-//! caller.
+//! Results of token reservations and lease requests, and the refusals that callers get for them.
 
 use cypressfork_core::budget::{Decision, Reservation, Shortage};
 use cypressfork_core::code::Code;
@@ -8,13 +7,13 @@
 
 use crate::reply::Refusal;
 
-/// When to come back once a budget is spent.
-const SPENT_AFTER: Millis = Millis::seconds(60);
+/// Retry delay once a budget is spent.
+const SPENT_RETRY_AFTER: Millis = Millis::seconds(60);
 
-/// When to come back while the control group is out of reach.
+/// Retry delay while the control group is unreachable.
 pub const UNREACHABLE_AFTER: Millis = Millis::seconds(5);
 
-/// Who granted a slice.
+/// The grantor of a slice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
     /// The control group.
@@ -23,38 +22,38 @@
     Reserve,
 }
 
-/// What could be had of tokens that were asked for.
+/// A reservation of all or some of the requested tokens.
 pub struct Taken {
-    /// Set aside.
+    /// The reserved tokens and their grantor, if any.
     pub part: Option<(Source, Reservation)>,
-    /// Why not all.
+    /// Why some are missing; `None` if all are reserved.
     pub short: Option<Shortfall>,
 }
 
-/// What an ask came to.
+/// The result of a lease request to the control group.
 #[derive(Clone, Copy, Debug)]
 pub enum Asked {
-    /// The group has decided it.
+    /// The group granted a lease or reported a shortage.
     Decided(Decision),
-    /// It could not be decided.
+    /// The request failed or was invalid.
     Refused(Code),
 }
 
-/// How long to wait after a shortage, or what to tell the caller.
+/// Returns how long to wait after a shortage, or the refusal for the caller.
 pub fn busy(s: Shortage) -> Result<Millis, Refusal> {
     match s {
         Shortage::Busy(span) => Ok(span),
         Shortage::Away(span) => Err(Refusal::from(Code::BudgetBusy).after(span)),
-        Shortage::Spent => Err(Refusal::from(Code::BudgetSpent).after(SPENT_AFTER)),
+        Shortage::Spent => Err(Refusal::from(Code::BudgetSpent).after(SPENT_RETRY_AFTER)),
     }
 }
 
-/// Whether the group could not be reached.
+/// Returns whether `code` means that the control group could not be reached.
 pub fn is_away(code: Code) -> bool {
     matches!(code, Code::NoQuorum | Code::LinkBroken | Code::NotLeader | Code::QueueFull)
 }
 
-/// What a caller is told when the control group refused an ask.
+/// Returns the refusal for the caller whose lease request failed with `code`.
 pub fn refusal(code: Code) -> Refusal {
     match code {
         Code::AccountClosed => Refusal::from(code),
--- a/crates/router/src/token_store.rs
+++ b/crates/router/src/token_store.rs
@@ -1,5 +1,5 @@
-//! The router's slices of budgets, the bills that wait, and their talk with the control group and
-//! the data centre's reserve.
+//! Leased budget slices and unsent bills of one registration, with their requests and reports to the
+//! control group and the data centre's reserve.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -28,83 +28,87 @@
 use crate::reply::Refusal;
 use crate::taken::{Asked, Source, Taken, UNREACHABLE_AFTER, busy, is_away, refusal};
 
-/// Bills in one tally at most.
-const BATCH: usize = 512;
+/// Maximum number of bills in one report.
+const MAX_BATCH: usize = 512;
 
-/// How long an ask waits for the control group before the reserve is tried.
-const ASK_WITHIN: Duration = Duration::from_secs(2);
+/// Timeout of a lease request to the control group, after which the reserve is tried.
+const LEASE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long an ask or a report waits for the reserve.
-const RESERVE_WITHIN: Duration = Duration::from_secs(1);
+/// Timeout of a lease request or a report to the reserve.
+const RESERVE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long a tally waits for its commit.
-const TALLY_WITHIN: Duration = Duration::from_secs(5);
+/// Timeout of a report to the control group, which is answered once it is committed.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// When to come back to a budget that is short for no reason known.
-const BUSY_AFTER: Millis = Millis(700);
+/// Retry delay for a budget that is short of tokens for an unknown reason.
+const BUSY_RETRY_AFTER: Millis = Millis(700);
 
-/// The tokens in hand under one registration.
+/// The leased tokens and unsent bills of one registration.
 pub struct TokenStore {
     holder: HolderId,
     group: Group,
     reserve: Option<Group>,
     clock: Clock,
-    own: SlicesByBudget,
-    spare: SlicesByBudget,
-    /// The control group did not answer when it was last asked.
-    away: Cell<bool>,
+    group_slices: SlicesByBudget,
+    reserve_slices: SlicesByBudget,
+    /// Whether the last request to the control group failed.
+    group_unreachable: Cell<bool>,
     bills: RefCell<VecDeque<Bill>>,
-    /// The batch that is being told, unchanged until it is acknowledged, and its number.
+    /// Number and bills of the batch being sent, unchanged until it is acknowledged.
     batch: RefCell<(u64, Vec<Bill>)>,
-    due: Notify,
+    report_due: Notify,
     retired: Cell<bool>,
-    /// Numbers of the last report of bounds, and of the last one known to be taken.
+    /// Sequence numbers of the last report of bounds and of the last one known to be accepted.
     bound_seq: Cell<(u64, u64)>,
-    telling: Mutex<()>,
+    report_lock: Mutex<()>,
 }
 
 impl TokenStore {
-    /// An empty token store for a fresh registration.
+    /// Creates an empty token store for a new registration.
     pub fn new(holder: HolderId, group: Group, reserve: Option<Group>, clock: Clock) -> TokenStore {
         TokenStore {
             holder,
             group,
             reserve,
             clock,
-            own: SlicesByBudget::default(),
-            spare: SlicesByBudget::default(),
-            away: Cell::new(false),
+            group_slices: SlicesByBudget::default(),
+            reserve_slices: SlicesByBudget::default(),
+            group_unreachable: Cell::new(false),
             bills: RefCell::default(),
             batch: RefCell::default(),
-            due: Notify::new(),
+            report_due: Notify::new(),
             retired: Cell::new(false),
             bound_seq: Cell::new((0, 0)),
-            telling: Mutex::new(()),
+            report_lock: Mutex::new(()),
         }
     }
 
-    /// The registration.
+    /// Returns the id of the registration.
     pub fn holder(&self) -> HolderId {
         self.holder
     }
 
-    /// Ends its use: another registration has taken its place. It goes on telling what its
-    /// running requests spend, and gives back the rest.
+    /// Retires the store because another registration has replaced it. It returns its idle tokens and
+    /// keeps reporting what its running requests spend.
     pub fn retire(&self) {
         self.retired.set(true);
         self.recall_all();
     }
 
-    /// Notes whether the control group answers.
-    pub fn set_away(&self, away: bool) {
-        if self.away.replace(away) && !away {
-            // The reserve is for cuts only.
-            self.spare.recall_all();
-            self.due.notify_one();
+    /// Records whether the control group is unreachable. Once it is reachable again, idle tokens of the
+    /// reserve are returned.
+    pub fn set_away(&self, unreachable: bool) {
+        if self.group_unreachable.replace(unreachable) && !unreachable {
+            // The reserve is only for times when the group is unreachable.
+            self.reserve_slices.recall_all();
+            self.report_due.notify_one();
         }
     }
 
-    /// Sets `n` tokens of a budget aside, asking for more and waiting until `deadline` at most.
+    /// Reserves `n` tokens of a budget. Requests more from the control group if too few are idle, or from
+    /// the reserve if the group is unreachable, and waits no longer than `deadline`.
+    ///
+    /// Returns the reservation and its grantor, or the refusal for the caller.
     pub async fn reserve(
         self: &Rc<Self>,
         budget: &str,
@@ -112,7 +116,7 @@
         n: Tokens,
         deadline: Instant,
     ) -> Result<(Source, Reservation), Refusal> {
-        let p = self.own.get(budget, policy);
+        let p = self.group_slices.get(budget, policy);
         loop {
             let now = self.clock.now();
             let found = p.slices.borrow_mut().reserve(now, n);
@@ -121,43 +125,43 @@
                 return Ok((Source::Group, r));
             }
             if self.is_limited(&p, now, n) {
-                let allows = self.allows_by(&p, now, n, deadline);
-                if allows.is_some() || !self.away.get() {
+                let allows = self.limit_allows_at(&p, now, n, deadline);
+                if allows.is_some() || !self.group_unreachable.get() {
                     self.wait_for_limit(&p, n, allows, deadline).await?;
                     continue;
                 }
             }
-            if self.away.get() {
-                return self.reserve_spare(budget, policy, n, deadline).await;
+            if self.group_unreachable.get() {
+                return self.reserve_from_data_centre(budget, policy, n, deadline).await;
             }
             if !p.asking.get() {
-                self.start_ask(budget, &p, n);
+                self.start_lease_request(budget, &p, n);
             }
             let changed = timeout_at(deadline, p.changed.notified()).await;
             changed.map_err(|_| Refusal::from(Code::BudgetBusy).after(Millis::seconds(1)))?;
             let wait = match p.answer.take() {
                 Some(Asked::Decided(Err(s))) => busy(s)?,
                 Some(Asked::Refused(code)) if !is_away(code) => return Err(refusal(code)),
-                // Tokens have come, or another that waited has seen to the answer.
+                // Tokens became available, or another waiting request has taken the answer.
                 _ => continue,
             };
             let until = Instant::now() + Duration::from_millis(wait.0);
             if until >= deadline {
                 return Err(Refusal::from(Code::BudgetBusy).after(wait));
             }
-            // Tokens that come back by themselves end the wait early.
+            // The wait ends early when running requests return tokens.
             let _ = timeout_at(until, p.changed.notified()).await;
         }
     }
 
-    /// Whether `n` tokens are idle and only the limit keeps them from being set aside.
+    /// Returns whether `n` tokens are idle but the spending limit does not allow them.
     fn is_limited(&self, p: &BudgetSlices, now: Time, n: Tokens) -> bool {
         let slices = p.slices.borrow();
         slices.idle(now) >= n && slices.exceeds_limit(now, n)
     }
 
-    /// When the limit allows `n` more by itself, if that is before `deadline`.
-    fn allows_by(
+    /// Returns when the current limit allows `n` more tokens, if that is no later than `deadline`.
+    fn limit_allows_at(
         &self,
         p: &BudgetSlices,
         now: Time,
@@ -169,8 +173,9 @@
         (at <= deadline).then_some(at)
     }
 
-    /// Waits until the grantor has taken a report, which asks for a limit that allows `n` more, or
-    /// until the limit allows them by itself.
+    /// Requests a limit that allows `n` more tokens and waits for the grantor to accept it, until
+    /// `allows` at most, when the current limit allows them. Without `allows`, returns `BudgetBusy` at
+    /// `deadline`.
     async fn wait_for_limit(
         &self,
         p: &BudgetSlices,
@@ -179,25 +184,25 @@
         deadline: Instant,
     ) -> Result<(), Refusal> {
         p.slices.borrow_mut().add_limit_demand(n);
-        self.due.notify_one();
-        let taken = timeout_at(allows.unwrap_or(deadline), p.changed.notified()).await;
+        self.report_due.notify_one();
+        let accepted = timeout_at(allows.unwrap_or(deadline), p.changed.notified()).await;
         p.slices.borrow_mut().remove_limit_demand(n);
-        if taken.is_err() && allows.is_none() {
+        if accepted.is_err() && allows.is_none() {
             return Err(Refusal::from(Code::BudgetBusy).after(Millis::seconds(1)));
         }
         Ok(())
     }
 
-    /// Sets tokens of the data centre's reserve aside. It is asked once: it has nobody to call
-    /// tokens back from who would answer later.
-    async fn reserve_spare(
+    /// Reserves `n` tokens of the data centre's reserve. The reserve is asked only once: it cannot recall
+    /// tokens from other holders, so a later request would not get more.
+    async fn reserve_from_data_centre(
         &self,
         budget: &str,
         policy: Policy,
         n: Tokens,
         deadline: Instant,
     ) -> Result<(Source, Reservation), Refusal> {
-        let p = self.spare.get(budget, policy);
+        let p = self.reserve_slices.get(budget, policy);
         let unreachable = || Refusal::from(Code::BudgetUnreachable).after(UNREACHABLE_AFTER);
         for _ in 0..2 {
             let now = self.clock.now();
@@ -205,12 +210,12 @@
             if let Some(r) = found {
                 return Ok((Source::Reserve, r));
             }
-            let ask = p.slices.borrow_mut().next_request(now, self.holder, budget, n);
-            let (Some(group), Some(ask)) = (&self.reserve, ask) else { break };
+            let request = p.slices.borrow_mut().next_request(now, self.holder, budget, n);
+            let (Some(group), Some(request)) = (&self.reserve, request) else { break };
             emit!(Event::ReserveUsed, budget = budget, tokens = n);
-            let within = RESERVE_WITHIN.min(deadline.saturating_duration_since(Instant::now()));
-            let seq = ask.seq;
-            match command(group, &ReserveCommand::Ask(ask), within).await {
+            let timeout = RESERVE_TIMEOUT.min(deadline.saturating_duration_since(Instant::now()));
+            let seq = request.seq;
+            match send_to_reserve(group, &ReserveCommand::Ask(request), timeout).await {
                 Ok(ReserveAnswer::Decided(d)) => p.slices.borrow_mut().apply_decision(seq, &d),
                 _ => break,
             }
@@ -218,33 +223,38 @@
         Err(unreachable())
     }
 
-    /// Asks the group in the background, so that a request which cannot wait for the answer does
-    /// not keep it from the next one.
-    fn start_ask(self: &Rc<Self>, budget: &str, p: &Rc<BudgetSlices>, need: Tokens) {
+    /// Requests a lease in the background. The answer reaches other waiting requests even if the one that
+    /// needed it has timed out.
+    fn start_lease_request(self: &Rc<Self>, budget: &str, p: &Rc<BudgetSlices>, need: Tokens) {
         p.asking.set(true);
         p.answer.set(None);
         let (me, p, budget) = (self.clone(), p.clone(), budget.to_owned());
         actix_rt::spawn(async move {
-            let asked = me.ask(&budget, &p, need).await;
-            if matches!(asked, Asked::Refused(code) if is_away(code)) {
+            let outcome = me.request_lease(&budget, &p, need).await;
+            if matches!(outcome, Asked::Refused(code) if is_away(code)) {
                 me.set_away(true);
             }
-            p.answer.set(Some(asked));
+            p.answer.set(Some(outcome));
             p.asking.set(false);
             p.changed.notify_waiters();
         });
     }
 
-    async fn ask(&self, budget: &str, p: &BudgetSlices, need: Tokens) -> Asked {
+    async fn request_lease(&self, budget: &str, p: &BudgetSlices, need: Tokens) -> Asked {
         let now = self.clock.now();
-        let ask = p.slices.borrow_mut().next_request(now, self.holder, budget, need);
-        let Some(ask) = ask else { return Asked::Decided(Err(Shortage::Busy(Millis(1)))) };
-        self.send_ask(p, ask, ASK_WITHIN).await
+        let request = p.slices.borrow_mut().next_request(now, self.holder, budget, need);
+        let Some(request) = request else { return Asked::Decided(Err(Shortage::Busy(Millis(1)))) };
+        self.send_lease_request(p, request, LEASE_TIMEOUT).await
     }
 
-    async fn send_ask(&self, p: &BudgetSlices, ask: LeaseRequest, within: Duration) -> Asked {
-        let seq = ask.seq;
-        match self.group.command(&Command::Ask(ask), within).await {
+    async fn send_lease_request(
+        &self,
+        p: &BudgetSlices,
+        request: LeaseRequest,
+        timeout: Duration,
+    ) -> Asked {
+        let seq = request.seq;
+        match self.group.command(&Command::Ask(request), timeout).await {
             Ok(Answer::Decided(d)) => {
                 p.slices.borrow_mut().apply_decision(seq, &d);
                 Asked::Decided(d)
@@ -258,18 +268,19 @@
         }
     }
 
-    /// Asks for more in the background when a slice store runs low.
+    /// Requests more tokens in the background if few are idle.
     fn refill(self: &Rc<Self>, budget: &str, p: &Rc<BudgetSlices>) {
-        if p.asking.get() || self.away.get() {
+        if p.asking.get() || self.group_unreachable.get() {
             return;
         }
         let low = p.slices.borrow_mut().is_low(self.clock.now());
         if low {
-            self.start_ask(budget, p, 0);
+            self.start_lease_request(budget, p, 0);
         }
     }
 
-    /// Sets aside all of `n` tokens if they can be had by `until`, else what is at hand then.
+    /// Reserves `n` tokens, waiting for them until `until`; if too few become available, reserves the idle
+    /// ones. Returns the reservation and the reason for a shortfall.
     pub async fn take(
         self: &Rc<Self>,
         budget: &str,
@@ -281,91 +292,93 @@
             Ok(part) => return Taken { part: Some(part), short: None },
             Err(refusal) => refusal,
         };
-        let at_hand = self.take_at_hand(budget, policy, n);
-        let short = match (refusal.code, at_hand.short) {
+        let available = self.take_at_hand(budget, policy, n);
+        let short = match (refusal.code, available.short) {
             (Code::BudgetSpent, _) => Some(Shortfall::Spent),
             (_, Some(Shortfall::Busy(_))) => {
-                Some(Shortfall::Busy(refusal.after.unwrap_or(BUSY_AFTER)))
+                Some(Shortfall::Busy(refusal.after.unwrap_or(BUSY_RETRY_AFTER)))
             }
             (_, short) => short,
         };
-        Taken { short, ..at_hand }
+        Taken { short, ..available }
     }
 
-    /// Sets aside what is at hand of `n` tokens.
+    /// Reserves up to `n` idle tokens without waiting. Returns the reservation and the reason for a
+    /// shortfall.
     pub fn take_at_hand(&self, budget: &str, policy: Policy, n: Tokens) -> Taken {
-        let p = self.own.get(budget, policy);
+        let p = self.group_slices.get(budget, policy);
         let wait = p.slices.borrow().limit_wait(self.clock.now(), n);
         let part = self.reserve_part(budget, policy, n).map(|r| (Source::Group, r));
         let is_whole = part.as_ref().is_some_and(|(_, r)| r.amount() == n);
-        let short = wait.map_or(Shortfall::Busy(BUSY_AFTER), Shortfall::Limited);
+        let short = wait.map_or(Shortfall::Busy(BUSY_RETRY_AFTER), Shortfall::Limited);
         Taken { part, short: (!is_whole).then_some(short) }
     }
 
-    /// Gives back, now, what is idle of the budgets that `of` names.
+    /// Returns the idle tokens of the budgets for which `of` is true to the control group immediately.
     pub fn recall_where(&self, of: impl Fn(&str) -> bool) {
-        if self.own.recall_where(of) {
-            self.due.notify_one();
+        if self.group_slices.recall_where(of) {
+            self.report_due.notify_one();
         }
     }
 
-    /// Sets aside what is at hand of `n` tokens of a budget; none if that is nothing.
+    /// Reserves up to `n` idle tokens of a budget. Returns `None` if none are available.
     pub fn reserve_part(&self, budget: &str, policy: Policy, n: Tokens) -> Option<Reservation> {
-        let p = self.own.get(budget, policy);
+        let p = self.group_slices.get(budget, policy);
         let mut slices = p.slices.borrow_mut();
         slices.reserve_part(self.clock.now(), n)
     }
 
-    /// Tokens of a budget that are idle here, and what the limit still allows.
+    /// Returns the idle tokens of a budget and how many more the spending limit allows.
     pub fn at_hand(&self, budget: &str, policy: Policy) -> (Tokens, Tokens) {
         let now = self.clock.now();
-        let p = self.own.get(budget, policy);
+        let p = self.group_slices.get(budget, policy);
         let slices = p.slices.borrow();
         (slices.idle(now), slices.limit_remaining(now))
     }
 
-    /// Ends a reservation of which `used` tokens were spent; returns what was charged.
+    /// Settles a reservation of which `used` tokens were spent. Returns the tokens charged.
     pub fn settle(&self, from: Source, budget: &str, r: Reservation, used: Tokens) -> Tokens {
         self.slices_of(from).settle(self.clock.now(), budget, r, used)
     }
 
     fn slices_of(&self, from: Source) -> &SlicesByBudget {
         match from {
-            Source::Group => &self.own,
-            Source::Reserve => &self.spare,
+            Source::Group => &self.group_slices,
+            Source::Reserve => &self.reserve_slices,
         }
     }
 
-    /// Adds a bill to the next tally.
+    /// Queues a bill for the next reports.
     pub fn bill(&self, b: Bill) {
         self.bills.borrow_mut().push_back(b);
     }
 
-    /// Gives back what is idle of a budget, now.
+    /// Returns the idle tokens of a budget to the control group immediately.
     pub fn recall(&self, budget: &str) {
-        self.own.recall(budget);
-        self.due.notify_one();
+        self.group_slices.recall(budget);
+        self.report_due.notify_one();
     }
 
-    /// Gives back everything that is idle.
+    /// Returns all idle tokens to the control group and the reserve immediately.
     pub fn recall_all(&self) {
-        self.own.recall_all();
-        self.spare.recall_all();
-        self.due.notify_one();
+        self.group_slices.recall_all();
+        self.reserve_slices.recall_all();
+        self.report_due.notify_one();
     }
 
-    /// Whether nothing is held and nothing waits to be told.
+    /// Returns whether there are no leases and no unacknowledged bills.
     pub fn is_settled(&self) -> bool {
-        let told = self.bills.borrow().is_empty() && self.batch.borrow().1.is_empty();
-        told && self.own.is_empty() && self.spare.is_empty()
+        let all_sent = self.bills.borrow().is_empty() && self.batch.borrow().1.is_empty();
+        all_sent && self.group_slices.is_empty() && self.reserve_slices.is_empty()
     }
 
-    /// Tells what was spent, after each span that `every` gives and whenever something is due.
+    /// Sends reports after each interval that `every` returns and whenever tokens are to be returned or a
+    /// higher limit is needed. Returns once the store is retired, settled and used by nothing else.
     pub async fn tally_forever(self: Rc<Self>, every: impl Fn() -> Duration) {
         loop {
             tokio::select! {
                 () = sleep(every()) => {}
-                () = self.due.notified() => {}
+                () = self.report_due.notified() => {}
             }
             tokio::join!(self.tally(), self.tally_spare());
             if self.retired.get() && self.is_settled() && Rc::strong_count(&self) == 1 {
@@ -374,69 +387,72 @@
         }
     }
 
-    /// Tells the control group once. What is not acknowledged is told again the next time.
+    /// Sends reports, bills and bounds to the control group once. What is not acknowledged is sent again
+    /// the next time.
     pub async fn tally(&self) {
-        // Reports of bounds are told one after the other.
-        let _one = self.telling.lock().await;
+        // Only one report of bounds may be in progress.
+        let _guard = self.report_lock.lock().await;
         let now = self.clock.now();
-        let reports = self.own.reports(now);
-        let bounds = self.own.bounds(now);
+        let reports = self.group_slices.reports(now);
+        let bounds = self.group_slices.bounds(now);
         let (batch, bills) = self.next_batch();
         if reports.is_empty() && bills.is_empty() && bounds.is_empty() {
             return;
         }
         let (seq, after) = self.next_bound_seq(&bounds);
-        let bare = bare(&reports);
+        let without_budgets = without_budgets(&reports);
         let holder = self.holder;
         let c = Command::Tally {
             holder,
-            reports: bare,
+            reports: without_budgets,
             batch,
             bills,
             seq,
             after,
             bounds: bounds.clone(),
         };
-        let begun = Instant::now();
-        if let Ok(Answer::Tallied { known, .. }) = self.group.command(&c, TALLY_WITHIN).await {
-            histogram!(metric::REPORT).record(begun.elapsed());
-            self.own.acknowledge(now, &reports, &known);
+        let started = Instant::now();
+        if let Ok(Answer::Tallied { known, .. }) = self.group.command(&c, REPORT_TIMEOUT).await {
+            histogram!(metric::REPORT).record(started.elapsed());
+            self.group_slices.acknowledge(now, &reports, &known);
             self.batch.borrow_mut().1.clear();
             if seq > 0 {
                 self.bound_seq.set((seq, seq));
-                self.own.bounds_taken(self.clock.now(), &bounds);
+                self.group_slices.bounds_taken(self.clock.now(), &bounds);
             }
         }
     }
 
-    /// The number of the next report of bounds, 0 if there are none, and of the last one known to
-    /// be taken. A number is used once: a report that got no answer may have been taken.
+    /// Returns the sequence numbers of the next report of bounds (0 without bounds) and of the last one
+    /// known to be accepted. A number is never reused: a report without an answer may have been accepted.
     fn next_bound_seq(&self, bounds: &[Bound]) -> (u64, u64) {
-        let (last, taken) = self.bound_seq.get();
+        let (last, accepted) = self.bound_seq.get();
         if bounds.is_empty() {
-            return (0, taken);
+            return (0, accepted);
         }
-        self.bound_seq.set((last + 1, taken));
-        (last + 1, taken)
+        self.bound_seq.set((last + 1, accepted));
+        (last + 1, accepted)
     }
 
-    /// Tells the data centre's reserve.
+    /// Sends reports to the data centre's reserve once.
     pub async fn tally_spare(&self) {
         let now: Time = self.clock.now();
-        let reports = self.spare.reports(now);
+        let reports = self.reserve_slices.reports(now);
         let Some(group) = self.reserve.as_ref().filter(|_| !reports.is_empty()) else { return };
-        let d = ReserveCommand::Report(self.holder, bare(&reports));
-        if let Ok(ReserveAnswer::Reported(known)) = command(group, &d, RESERVE_WITHIN).await {
-            self.spare.acknowledge(now, &reports, &known);
+        let report = ReserveCommand::Report(self.holder, without_budgets(&reports));
+        if let Ok(ReserveAnswer::Reported(known)) =
+            send_to_reserve(group, &report, RESERVE_TIMEOUT).await
+        {
+            self.reserve_slices.acknowledge(now, &reports, &known);
         }
     }
 
-    /// The batch that is under way, or a new one; number 0 if there is nothing to bill.
+    /// Returns the unacknowledged batch of bills, or a new one; number 0 if there are no bills.
     fn next_batch(&self) -> (u64, Vec<Bill>) {
         let mut batch = self.batch.borrow_mut();
         let mut bills = self.bills.borrow_mut();
         if batch.1.is_empty() && !bills.is_empty() {
-            let n = bills.len().min(BATCH);
+            let n = bills.len().min(MAX_BATCH);
             batch.0 += 1;
             batch.1 = bills.drain(..n).collect();
         }
@@ -444,16 +460,16 @@
     }
 }
 
-fn bare(reports: &[(String, Report)]) -> Vec<Report> {
+fn without_budgets(reports: &[(String, Report)]) -> Vec<Report> {
     reports.iter().map(|(_, r)| *r).collect()
 }
 
-/// Has the reserve do a command.
-async fn command(
+/// Sends a command to the reserve and returns its answer.
+async fn send_to_reserve(
     group: &Group,
-    d: &ReserveCommand,
-    within: Duration,
+    c: &ReserveCommand,
+    timeout: Duration,
 ) -> Result<ReserveAnswer, Code> {
-    let bytes = group.call(WireAsk::Reserve(body::pack(d)), within).await?;
+    let bytes = group.call(WireAsk::Reserve(body::pack(c)), timeout).await?;
     body::unpack(&bytes).map_err(|_| Code::MessageBad)
 }
--- a/crates/router/src/view.rs
+++ b/crates/router/src/view.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, arranged for requests.
+//! The current configuration, indexed for lookups by requests.
 
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
@@ -9,34 +9,34 @@
 };
 use cypressfork_core::unit::Version;
 
-/// A client account as requests need it.
+/// A client account and its name.
 #[derive(Clone, Debug)]
 pub struct Client {
-    /// Its name.
+    /// Name of the account.
     pub name: String,
-    /// Its settings.
+    /// Settings of the account.
     pub account: Account,
 }
 
-/// A service of model engines as requests need it.
+/// A service of model engines and its name.
 #[derive(Clone, Debug)]
 pub struct Model {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
-    /// Its settings.
+    /// Settings of the service.
     pub service: ModelService,
 }
 
-/// A plain service as requests need it.
+/// A plain service and its name.
 #[derive(Clone, Debug)]
 pub struct Plain {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
-    /// Its settings.
+    /// Settings of the service.
     pub service: PlainService,
 }
 
-/// The configuration in force.
+/// The current configuration and its indexes.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     version: Version,
@@ -48,12 +48,12 @@
 }
 
 impl View {
-    /// The version in force.
+    /// Returns the version of the current configuration.
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// Takes a difference; one that does not lead to a higher version changes nothing.
+    /// Applies a difference if its version is higher than the current one. Returns whether it did.
     pub fn update(&mut self, d: Difference) -> bool {
         if d.version <= self.version {
             return false;
@@ -65,11 +65,11 @@
                 None => self.objects.remove(&name),
             };
         }
-        self.arrange();
+        self.rebuild_indexes();
         true
     }
 
-    fn arrange(&mut self) {
+    fn rebuild_indexes(&mut self) {
         self.by_key.clear();
         self.by_model.clear();
         self.plain.clear();
@@ -98,41 +98,43 @@
                 }
             }
         }
-        // The longest prefix that fits wins.
+        // `plain` takes the first match, which is to be the longest prefix.
         self.plain.sort_by_key(|p| std::cmp::Reverse(p.service.prefix.len()));
     }
 
-    /// The client account of a key's digest.
+    /// Returns the client account with the key of this digest. Fails if there is none or it is closed.
     pub fn client(&self, digest: &str) -> Result<Rc<Client>, Code> {
         let client = self.by_key.get(digest).ok_or(Code::KeyUnknown)?;
         if client.account.closed { Err(Code::AccountClosed) } else { Ok(client.clone()) }
     }
 
-    /// The service of a model, if the client account may use it.
+    /// Returns the service of a model. Fails if there is none or the client account may not use it.
     pub fn model(&self, client: &Client, model: &str) -> Result<Rc<Model>, Code> {
         let m = self.by_model.get(model).ok_or(Code::ModelUnknown)?;
-        allowed(client, &m.name)?;
+        require_access(client, &m.name)?;
         Ok(m.clone())
     }
 
-    /// The models that a client account may use, by name.
+    /// Returns the names of the models that a client account may use, in order.
     pub fn models(&self, client: &Client) -> Vec<String> {
-        let may = |m: &Model| client.account.services.contains(&m.name);
+        let has_access = |m: &Model| client.account.services.contains(&m.name);
         let mut all: Vec<_> =
-            self.by_model.iter().filter(|(_, m)| may(m)).map(|(n, _)| n.clone()).collect();
+            self.by_model.iter().filter(|(_, m)| has_access(m)).map(|(n, _)| n.clone()).collect();
         all.sort();
         all
     }
 
-    /// The plain service of a path, if the client account may use it.
+    /// Returns the plain service with the longest prefix of a path. Fails if there is none or the client
+    /// account may not use it.
     pub fn plain(&self, client: &Client, path: &str) -> Result<Rc<Plain>, Code> {
         let p = self.plain.iter().find(|p| path.starts_with(&p.service.prefix));
         let p = p.ok_or(Code::PathUnknown)?;
-        allowed(client, &p.name)?;
+        require_access(client, &p.name)?;
         Ok(p.clone())
     }
 
-    /// The budget that pays for a client account's use of a service, with its settings.
+    /// Returns the name and settings of the budget that pays for a client account's use of a service.
+    /// Fails if there is none.
     pub fn budget(&self, client: &Client, service: &str) -> Result<(&str, &Budget), Code> {
         let name = self.budgets.get(&(client.name.clone(), service.to_owned()));
         let name = name.ok_or(Code::BudgetNone)?;
@@ -142,7 +144,7 @@
         }
     }
 
-    /// All services by name.
+    /// Returns all services with their names, in order of their names.
     pub fn services(&self) -> impl Iterator<Item = (&str, &Service)> {
         self.objects.iter().filter_map(|(n, o)| match o {
             Object::Service(s) => Some((n.name.as_str(), s)),
@@ -151,7 +153,7 @@
     }
 }
 
-fn allowed(client: &Client, service: &str) -> Result<(), Code> {
-    let may = client.account.services.iter().any(|s| s == service);
-    if may { Ok(()) } else { Err(Code::ServiceForbidden) }
+fn require_access(client: &Client, service: &str) -> Result<(), Code> {
+    let has_access = client.account.services.iter().any(|s| s == service);
+    if has_access { Ok(()) } else { Err(Code::ServiceForbidden) }
 }
