--- a/crates/router/src/queue.rs
+++ b/crates/router/src/queue.rs
@@ -1,4 +1,4 @@
-//! The limiter of one service, and the requests that wait at it.
+//! Concurrency limit of one service, with a queue of waiting requests.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -15,71 +15,75 @@
 
 use crate::reply::Refusal;
 
-/// The least time to come back after.
-const AFTER_LEAST: Millis = Millis(200);
+/// Minimum retry delay for refused requests.
+const MIN_RETRY_AFTER: Millis = Millis(200);
 
-struct Waiting {
+struct Waiter {
     tx: oneshot::Sender<Result<(), Refusal>>,
     client_account: String,
 }
 
-/// The limiter of one service.
+/// Concurrency limiter of one service and the requests that wait for a permit.
 pub struct Queue {
     clock: Clock,
     limiter: RefCell<Limiter>,
-    waiting: RefCell<HashMap<Ticket, Waiting>>,
-    tickets: Cell<Ticket>,
+    waiting: RefCell<HashMap<Ticket, Waiter>>,
+    last_ticket: Cell<Ticket>,
 }
 
-/// A place among the running requests, given up when dropped.
+/// A permit for one running request, released when dropped.
 pub struct Permit {
     queue: Rc<Queue>,
     client_account: String,
     since: Time,
 }
 
-/// Takes a request out of the queue if its caller goes while it waits, or in the moment that it
-/// was let in.
-struct Place<'a> {
+/// A queued request, removed from the queue when dropped. A permit that was granted but not received
+/// is released.
+struct QueueEntry<'a> {
     queue: &'a Queue,
     ticket: Ticket,
     client_account: &'a str,
     rx: oneshot::Receiver<Result<(), Refusal>>,
 }
 
-impl Drop for Place<'_> {
+impl Drop for QueueEntry<'_> {
     fn drop(&mut self) {
         self.queue.waiting.borrow_mut().remove(&self.ticket);
         self.queue.limiter.borrow_mut().remove(self.ticket);
         if matches!(self.rx.try_recv(), Ok(Ok(()))) {
             self.queue.limiter.borrow_mut().release(self.client_account, None);
-            self.queue.pump();
+            self.queue.start_waiting();
         }
     }
 }
 
-fn refused(code: Code, wait: Millis) -> Refusal {
-    Refusal::from(code).after(wait.max(AFTER_LEAST))
+fn refusal(code: Code, wait: Millis) -> Refusal {
+    Refusal::from(code).after(wait.max(MIN_RETRY_AFTER))
 }
 
 impl Queue {
-    /// A limiter that lets `limit` requests run and `room` wait.
-    pub fn new(clock: Clock, limit: u32, room: u32) -> Queue {
+    /// Creates a limiter for `limit` running and `queue_capacity` waiting requests.
+    pub fn new(clock: Clock, limit: u32, queue_capacity: u32) -> Queue {
         Queue {
             clock,
-            limiter: RefCell::new(Limiter::new(limit, room)),
+            limiter: RefCell::new(Limiter::new(limit, queue_capacity)),
             waiting: RefCell::default(),
-            tickets: Cell::new(0),
+            last_ticket: Cell::new(0),
         }
     }
 
-    /// Changes the limits.
-    pub fn set(&self, limit: u32, room: u32) {
-        self.limiter.borrow_mut().set_limits(limit, room);
-        self.pump();
+    /// Changes the limits and starts waiting requests that they allow.
+    pub fn set(&self, limit: u32, queue_capacity: u32) {
+        self.limiter.borrow_mut().set_limits(limit, queue_capacity);
+        self.start_waiting();
     }
 
-    /// Waits for a place until `deadline` at most; a request that is given up hears at once.
+    /// Acquires a permit, waiting until `deadline` at most. At most `concurrency` requests of the client
+    /// account run at once.
+    ///
+    /// Returns the refusal for the caller if the queue is full, the request would miss its deadline, or
+    /// another request evicts it.
     pub async fn enter(
         self: &Rc<Self>,
         client_account: &str,
@@ -87,23 +91,23 @@
         priority: Priority,
         deadline: Instant,
     ) -> Result<Permit, Refusal> {
-        let ticket = self.tickets.get() + 1;
-        self.tickets.set(ticket);
+        let ticket = self.last_ticket.get() + 1;
+        self.last_ticket.set(ticket);
         let now = self.clock.now();
         let left = deadline.saturating_duration_since(Instant::now());
-        let waiter = QueuedRequest {
+        let queued = QueuedRequest {
             ticket,
             client_account: client_account.to_owned(),
             priority,
             deadline: now.after(millis(left)),
             concurrency,
         };
-        let admission = self.limiter.borrow_mut().submit(now, waiter);
+        let admission = self.limiter.borrow_mut().submit(now, queued);
         match admission {
             Admission::Started => return Ok(self.permit(client_account)),
-            Admission::Refused(wait) => return Err(refused(Code::Overloaded, wait)),
+            Admission::Refused(wait) => return Err(refusal(Code::Overloaded, wait)),
             Admission::Displaced(victim, wait) => {
-                self.tell(victim, Err(refused(Code::Overloaded, wait)));
+                self.notify(victim, Err(refusal(Code::Overloaded, wait)));
             }
             Admission::Queued => {}
         }
@@ -117,13 +121,13 @@
         deadline: Instant,
     ) -> Result<Permit, Refusal> {
         let (tx, rx) = oneshot::channel();
-        let waiting = Waiting { tx, client_account: client_account.to_owned() };
-        self.waiting.borrow_mut().insert(ticket, waiting);
-        let mut place = Place { queue: self, ticket, client_account, rx };
-        match timeout_at(deadline, &mut place.rx).await {
+        let waiter = Waiter { tx, client_account: client_account.to_owned() };
+        self.waiting.borrow_mut().insert(ticket, waiter);
+        let mut entry = QueueEntry { queue: self, ticket, client_account, rx };
+        match timeout_at(deadline, &mut entry.rx).await {
             Ok(Ok(Ok(()))) => Ok(self.permit(client_account)),
-            Ok(Ok(Err(refusal))) => Err(refusal),
-            _ => Err(refused(Code::DeadlinePassed, Millis::seconds(1))),
+            Ok(Ok(Err(r))) => Err(r),
+            _ => Err(refusal(Code::DeadlinePassed, Millis::seconds(1))),
         }
     }
 
@@ -132,18 +136,19 @@
         Permit { queue, client_account: client_account.to_owned(), since }
     }
 
-    fn tell(&self, ticket: Ticket, word: Result<(), Refusal>) -> bool {
-        let waiting = self.waiting.borrow_mut().remove(&ticket);
-        waiting.is_some_and(|w| w.tx.send(word).is_ok())
+    /// Sends a waiting request its result. Returns whether the request was still waiting.
+    fn notify(&self, ticket: Ticket, result: Result<(), Refusal>) -> bool {
+        let waiter = self.waiting.borrow_mut().remove(&ticket);
+        waiter.is_some_and(|w| w.tx.send(result).is_ok())
     }
 
-    /// Lets in whoever may run now.
-    fn pump(&self) {
+    /// Starts the waiting requests that the limits allow now.
+    fn start_waiting(&self) {
         loop {
             let next = self.limiter.borrow_mut().start_next();
             let Some(ticket) = next else { return };
             let client = self.waiting.borrow().get(&ticket).map(|w| w.client_account.clone());
-            if !self.tell(ticket, Ok(()))
+            if !self.notify(ticket, Ok(()))
                 && let Some(client) = client
             {
                 self.limiter.borrow_mut().release(&client, None);
@@ -151,7 +156,7 @@
         }
     }
 
-    /// Requests that run and that wait.
+    /// Returns the numbers of running and waiting requests.
     pub fn load(&self) -> (u32, usize) {
         let limiter = self.limiter.borrow();
         (limiter.running(), limiter.waiting())
@@ -166,6 +171,6 @@
     fn drop(&mut self) {
         let ran = self.queue.clock.now().since(self.since);
         self.queue.limiter.borrow_mut().release(&self.client_account, Some(ran));
-        self.queue.pump();
+        self.queue.start_waiting();
     }
 }
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -1,4 +1,4 @@
-//! An engine's stream on its way to the caller: counted, checked, passed on event by event.
+//! Relays an engine's event stream to the caller: counts, checks and forwards each event.
 
 use std::time::Duration;
 
@@ -18,22 +18,22 @@
 use crate::exchange::{Exchange, Failed};
 use crate::sse::Parser;
 
-/// How long a stream may be silent before a comment keeps idle links alive.
-const KEEP_ALIVE: Duration = Duration::from_secs(10);
+/// Interval at which comments are sent on an idle stream to keep connections alive.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(10);
 
-/// What ends a whole stream.
-const MARK: &str = "data: [DONE]\n\n";
+/// The event that ends a complete stream.
+const END_OF_STREAM: &str = "data: [DONE]\n\n";
 
 impl Exchange {
-    /// Passes the engine's events on until the stream's end.
+    /// Relays the engine's events until the end of its stream. Returns why if it fails before.
     pub(crate) async fn relay(&mut self, a: &mut Answering) -> Result<(), Failed> {
         let mut parser = Parser::default();
         loop {
-            let piece = tokio::select! {
-                p = timeout_at(self.plan.deadline, timeout(KEEP_ALIVE, a.response.next())) => p,
+            let next = tokio::select! {
+                p = timeout_at(self.plan.deadline, timeout(KEEP_ALIVE_INTERVAL, a.response.next())) => p,
                 () = self.caller.gone() => return Err(Failed::Left),
             };
-            let bytes = match piece {
+            let bytes = match next {
                 Err(_) => return Err(Failed::Late),
                 Ok(Err(_)) => {
                     let comment = Bytes::from_static(b": keep-alive\n\n");
@@ -46,18 +46,18 @@
                 Ok(Ok(Some(Err(e)))) => return Err(Failed::Sent(e.to_string())),
                 Ok(Ok(Some(Ok(bytes)))) => bytes,
             };
-            self.note_first(a);
+            self.record_first_chunk(a);
             let events = parser.feed(&bytes);
             for event in events.map_err(|_| Failed::Sent("an event is too large".into()))? {
                 if event == b"[DONE]" {
-                    return self.check_end();
+                    return self.check_finish();
                 }
-                self.take(&event).await?;
+                self.process_event(&event).await?;
             }
         }
     }
 
-    fn note_first(&mut self, a: &Answering) {
+    fn record_first_chunk(&mut self, a: &Answering) {
         if let Some(span) = self.attempt.begin() {
             let service = self.plan.service.clone();
             histogram!(metric::FIRST_TOKEN, "service" => service).record(span);
@@ -65,14 +65,14 @@
         }
     }
 
-    fn check_end(&self) -> Result<(), Failed> {
+    fn check_finish(&self) -> Result<(), Failed> {
         match self.finish {
             Some(_) => Ok(()),
             None => Err(Failed::Sent("the stream ended without a finish reason".into())),
         }
     }
 
-    async fn take(&mut self, event: &[u8]) -> Result<(), Failed> {
+    async fn process_event(&mut self, event: &[u8]) -> Result<(), Failed> {
         let mut v: Value = serde_json::from_slice(event)
             .map_err(|e| Failed::Sent(format!("an event is not JSON: {e}")))?;
         if !self.attempt.is_own(v["id"].as_str().unwrap_or_default()) {
@@ -89,8 +89,8 @@
         if let Some(f) = finish {
             self.finish = Some(f.to_owned());
         }
-        let usage_alone = v["choices"].as_array().is_some_and(Vec::is_empty);
-        if !self.plan.ask.stream || usage_alone {
+        let is_usage_only = v["choices"].as_array().is_some_and(Vec::is_empty);
+        if !self.plan.ask.stream || is_usage_only {
             return Ok(());
         }
         if let Some(o) = v.as_object_mut() {
@@ -98,35 +98,38 @@
             o.insert("id".into(), self.answer_id().into());
         }
         self.events += 1;
-        let piece = Bytes::from(format!("id: {}\ndata: {v}\n\n", self.events));
-        Ok(self.caller.pass(piece, self.plan.deadline).await?)
+        let chunk = Bytes::from(format!("id: {}\ndata: {v}\n\n", self.events));
+        Ok(self.caller.pass(chunk, self.plan.deadline).await?)
     }
 
-    /// The answer's id for the caller: the first attempt's, whichever engine goes on with it.
+    /// Returns the answer's id for the caller: that of the first attempt, also if another engine
+    /// continues the answer.
     fn answer_id(&self) -> &str {
         let first = self.before.iter().chain([&self.attempt]).next();
         first.and_then(|l| l.engine_id()).unwrap_or_default()
     }
 
-    /// What ends a whole stream: the usage as it was billed, if it was asked for, and the mark.
+    /// Returns the events that end a complete stream: the billed usage, if the caller requested it, and
+    /// `[DONE]`.
     pub(crate) fn end_mark(&self) -> String {
         if !self.plan.ask.usage {
-            return MARK.to_owned();
+            return END_OF_STREAM.to_owned();
         }
         let mut v = self.whole();
         v["object"] = "chat.completion.chunk".into();
         v["choices"] = json!([]);
-        format!("id: {}\ndata: {v}\n\n{MARK}", self.events + 1)
+        format!("id: {}\ndata: {v}\n\n{END_OF_STREAM}", self.events + 1)
     }
 
-    /// What is recorded of a claimed request's answer.
+    /// Returns the outcome to store for a claimed request. It has the body only if the request is not
+    /// streamed and the body is at most `MAX_STORED_BODY` bytes.
     pub(crate) fn outcome(&self) -> Outcome {
         let body = self.whole().to_string().into_bytes();
-        let keep = !self.plan.ask.stream && body.len() <= MAX_STORED_BODY;
-        Outcome { status: 200, kind: "application/json".into(), body: keep.then_some(body) }
+        let is_storable = !self.plan.ask.stream && body.len() <= MAX_STORED_BODY;
+        Outcome { status: 200, kind: "application/json".into(), body: is_storable.then_some(body) }
     }
 
-    /// The answer in the form of a caller that wants no stream.
+    /// Returns the complete answer as a response body that is not streamed.
     pub(crate) fn whole(&self) -> Value {
         let usage = self.usage();
         let (object, choice) = match self.plan.ask.form {
--- a/crates/router/src/reply.rs
+++ b/crates/router/src/reply.rs
@@ -1,4 +1,4 @@
-//! Answers to callers, and the shape of errors.
+//! Responses to callers and the format of errors.
 
 use actix_http::header::{self, HeaderName, HeaderValue};
 use actix_http::{Response, StatusCode};
@@ -8,47 +8,47 @@
 use cypressfork_http::Body;
 use serde_json::json;
 
-/// Says whether a request ran: `no`, `yes` or `unknown`.
+/// Header with whether the request was executed: `no`, `yes` or `unknown`.
 pub const RAN: HeaderName = HeaderName::from_static("x-ran");
 
-/// The request's id.
+/// Header with the request id.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 
-/// A refusal or failure.
+/// The refusal or failure of a request, for its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// What.
+    /// The error code.
     pub code: Code,
-    /// Whether it ran.
+    /// Whether the request was executed.
     pub ran: Ran,
-    /// More about it.
+    /// Additional text for the error message.
     pub detail: Option<String>,
-    /// When to come back.
+    /// Delay after which the caller may retry.
     pub after: Option<Millis>,
 }
 
 impl Refusal {
-    /// A request that was not run.
+    /// Creates a refusal of a request that was not executed.
     pub fn not_run(code: Code) -> Refusal {
         Refusal { code, ran: Ran::No, detail: None, after: None }
     }
 
-    /// The same with when to come back.
+    /// Sets the delay after which the caller may retry.
     pub fn after(self, span: Millis) -> Refusal {
         Refusal { after: Some(span), ..self }
     }
 
-    /// The same with more about it.
+    /// Sets the additional text for the error message.
     pub fn detail(self, text: impl Into<String>) -> Refusal {
         Refusal { detail: Some(text.into()), ..self }
     }
 
-    /// The same with another word on whether it ran.
+    /// Sets whether the request was executed.
     pub fn ran(self, ran: Ran) -> Refusal {
         Refusal { ran, ..self }
     }
 
-    /// The error object, in the shape that language-model clients expect.
+    /// Returns the error object in the format that language-model clients expect.
     pub fn json(&self) -> serde_json::Value {
         let message = match &self.detail {
             Some(d) => format!("{}: {d}", self.code.text()),
@@ -66,7 +66,7 @@
         json!({ "error": error })
     }
 
-    /// The whole answer.
+    /// Returns the response: status, headers and the error object.
     pub fn response(&self) -> Response<Body> {
         let status = StatusCode::from_u16(self.code.status()).unwrap_or(StatusCode::BAD_GATEWAY);
         let mut r = json_response(status, &self.json());
@@ -85,7 +85,7 @@
     }
 }
 
-/// An answer with a JSON body.
+/// Returns a response with a JSON body.
 pub fn json_response(status: StatusCode, v: &serde_json::Value) -> Response<Body> {
     let mut r = Response::with_body(status, Body::Whole(Bytes::from(v.to_string())));
     let json = HeaderValue::from_static("application/json");
--- a/crates/router/src/run.rs
+++ b/crates/router/src/run.rs
@@ -1,4 +1,4 @@
-//! From settings to a serving process.
+//! Starts the router process from its settings.
 
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -22,12 +22,12 @@
 use crate::settings::{File, Settings};
 use crate::trace::Exporter;
 
-/// Reads and checks the settings.
+/// Reads and checks the settings file at `path`.
 pub fn settings(path: &Path) -> Result<Settings, Failure> {
     load::<File>(path).map_err(|e| (e.code(), e.to_string()))
 }
 
-fn exporter(s: &Settings) -> Result<Option<Exporter>, Failure> {
+fn open_exporter(s: &Settings) -> Result<Option<Exporter>, Failure> {
     let Some(path) = &s.trace_file else { return Ok(None) };
     Exporter::open(path, &s.base.vm).map(Some).map_err(|e| {
         let shown = path.display();
@@ -35,27 +35,28 @@
     })
 }
 
-/// Serves until asked to stop.
+/// Serves until a stop signal, then drains. A second signal ends the drain. `file` is the settings file,
+/// whose control addresses can be reloaded.
 pub async fn run(s: Settings, file: PathBuf) -> Result<(), Failure> {
     logging::start(s.base.log_level, s.base.log_form);
     let metrics = operators::start_metrics()
         .map_err(|e| (Code::SettingsValue, format!("could not start metrics: {e}")))?;
-    let callers = listen(s.listen).await?;
-    let for_operators = listen(s.operators).await?;
+    let caller_listener = listen(s.listen).await?;
+    let operator_listener = listen(s.operators).await?;
     let base = s.base.clone();
-    let me = Credentials { key: base.key, cluster: base.cluster, name: base.vm };
-    let reserve = s.reserve.map(|a| Group::new(me.clone(), vec![a]));
-    let group = Group::new(me, base.control);
-    let exporter = exporter(&s)?;
+    let credentials = Credentials { key: base.key, cluster: base.cluster, name: base.vm };
+    let reserve = s.reserve.map(|a| Group::new(credentials.clone(), vec![a]));
+    let group = Group::new(credentials, base.control);
+    let exporter = open_exporter(&s)?;
     emit!(Event::Started, listen = s.listen, operators = s.operators);
     let app = Rc::new(App::new(s, Clock::start(), group, reserve, exporter));
     let a = app.clone();
-    actix_rt::spawn(cypressfork_http::serve(callers, move |req| {
+    actix_rt::spawn(cypressfork_http::serve(caller_listener, move |req| {
         let app = a.clone();
         async move { serve(app, req).await }
     }));
     let a = app.clone();
-    actix_rt::spawn(cypressfork_http::serve(for_operators, move |req| {
+    actix_rt::spawn(cypressfork_http::serve(operator_listener, move |req| {
         let response = ops(&a, &metrics, &req);
         async move { response }
     }));
--- a/crates/router/src/trace.rs
+++ b/crates/router/src/trace.rs
@@ -1,4 +1,4 @@
-//! Traces: W3C context in and out, a span for each hop, one OTLP JSON line for each request.
+//! Request traces: W3C trace contexts, one span per hop, one OTLP JSON line per request.
 
 use std::cell::RefCell;
 use std::fs::File;
@@ -11,21 +11,21 @@
 
 use serde_json::{Value, json};
 
-/// Lines that may wait for the disk; more are dropped, so that a slow disk delays no request.
-const LINES: usize = 1024;
+/// Maximum number of queued lines. More are dropped, so that a slow disk does not delay requests.
+const MAX_QUEUED_LINES: usize = 1024;
 
-/// Writes the lines of finished traces to a file, on a thread of its own.
+/// Queues the lines of finished traces for a thread that appends them to a file.
 #[derive(Clone)]
 pub struct Exporter {
     tx: SyncSender<String>,
     vm: Rc<str>,
 }
 
-fn write_all(file: File, rx: &Receiver<String>) -> io::Result<()> {
+fn write_lines(file: File, rx: &Receiver<String>) -> io::Result<()> {
     let mut out = BufWriter::new(file);
     while let Ok(line) = rx.recv() {
         writeln!(out, "{line}")?;
-        // Whatever waits is written before the buffer is emptied.
+        // Flush once for all queued lines.
         while let Ok(line) = rx.try_recv() {
             writeln!(out, "{line}")?;
         }
@@ -35,25 +35,26 @@
 }
 
 impl Exporter {
-    /// Appends to the file at `path`.
+    /// Creates an exporter that appends to the file at `path`. `vm` is the host name in the traces.
+    /// Returns an error if the file cannot be opened or the thread cannot be started.
     pub fn open(path: &Path, vm: &str) -> io::Result<Exporter> {
         let file = File::options().create(true).append(true).open(path)?;
-        let (tx, rx) = sync_channel(LINES);
-        // A file that fails ends the thread; lines are dropped from then on.
-        thread::Builder::new().name("traces".into()).spawn(move || write_all(file, &rx))?;
+        let (tx, rx) = sync_channel(MAX_QUEUED_LINES);
+        // The thread ends at the first write error; later lines are dropped.
+        thread::Builder::new().name("traces".into()).spawn(move || write_lines(file, &rx))?;
         Ok(Exporter { tx, vm: vm.into() })
     }
 }
 
-/// The context that a caller sent: its trace and the span that is the request's parent.
+/// A caller's trace context: its trace id and the request's parent span.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Parent {
     trace: u128,
     span: u64,
 }
 
-/// Reads a `traceparent` header; one that cannot be understood counts as none.
-fn parse(header: &str) -> Option<Parent> {
+/// Parses a `traceparent` header. Returns `None` if it is invalid.
+fn parse_traceparent(header: &str) -> Option<Parent> {
     let mut parts = header.split('-');
     let (version, trace, span) = (parts.next()?, parts.next()?, parts.next()?);
     if version.len() != 2 || trace.len() != 32 || span.len() != 16 {
@@ -66,7 +67,7 @@
     (p.trace != 0 && p.span != 0).then_some(p)
 }
 
-struct Finished {
+struct FinishedSpan {
     name: &'static str,
     id: u64,
     parent: u64,
@@ -75,19 +76,19 @@
     note: String,
 }
 
-/// One request's trace. It is exported when the last part that works on the request drops it.
+/// One request's trace, exported when its last reference is dropped.
 pub struct Trace {
     exporter: Option<Exporter>,
     trace: u128,
     parent: Option<u64>,
     root: u64,
     begin: Instant,
-    /// The beginning, in nanoseconds since 1970.
-    epoch: u64,
-    spans: RefCell<Vec<Finished>>,
+    /// Start time in nanoseconds since 1970.
+    begin_ns: u64,
+    spans: RefCell<Vec<FinishedSpan>>,
 }
 
-/// A hop under way; it ends when dropped.
+/// A span in progress, which ends when it is dropped.
 pub struct Span {
     trace: Rc<Trace>,
     name: &'static str,
@@ -97,9 +98,9 @@
 }
 
 impl Trace {
-    /// Begins a request's trace, under the caller's context if it sent one.
+    /// Starts a request's trace, under the caller's context if `traceparent` is valid.
     pub fn begin(exporter: Option<Exporter>, traceparent: Option<&str>) -> Rc<Trace> {
-        let parent = traceparent.and_then(parse);
+        let parent = traceparent.and_then(parse_traceparent);
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Rc::new(Trace {
             exporter,
@@ -107,43 +108,43 @@
             parent: parent.map(|p| p.span),
             root: rand::random::<u64>() | 1,
             begin: Instant::now(),
-            epoch: since.as_nanos() as u64,
+            begin_ns: since.as_nanos() as u64,
             spans: RefCell::default(),
         })
     }
 
     fn now(&self) -> u64 {
-        self.epoch + self.begin.elapsed().as_nanos() as u64
+        self.begin_ns + self.begin.elapsed().as_nanos() as u64
     }
 
-    /// Begins a hop.
+    /// Starts a span under the request.
     pub fn span(self: &Rc<Self>, name: &'static str) -> Span {
         let (id, begin) = (rand::random::<u64>() | 1, self.now());
         Span { trace: self.clone(), name, id, begin, note: String::new() }
     }
 
-    fn line(&self, vm: &str) -> Value {
-        let root = Finished {
+    fn otlp_line(&self, vm: &str) -> Value {
+        let root = FinishedSpan {
             name: "request",
             id: self.root,
             parent: self.parent.unwrap_or(0),
-            begin: self.epoch,
+            begin: self.begin_ns,
             end: self.now(),
             note: String::new(),
         };
         let spans: Vec<Value> =
-            self.spans.borrow().iter().chain([&root]).map(|s| self.json(s)).collect();
-        let service = |k: &str, v: &str| json!({ "key": k, "value": { "stringValue": v } });
+            self.spans.borrow().iter().chain([&root]).map(|s| self.span_json(s)).collect();
+        let attribute = |k: &str, v: &str| json!({ "key": k, "value": { "stringValue": v } });
         json!({ "resourceSpans": [{
             "resource": { "attributes": [
-                service("service.name", "cypressfork-router"),
-                service("host.name", vm),
+                attribute("service.name", "cypressfork-router"),
+                attribute("host.name", vm),
             ] },
             "scopeSpans": [{ "scope": { "name": "cypressfork" }, "spans": spans }],
         }] })
     }
 
-    fn json(&self, s: &Finished) -> Value {
+    fn span_json(&self, s: &FinishedSpan) -> Value {
         let mut v = json!({
             "traceId": format!("{:032x}", self.trace),
             "spanId": format!("{:016x}", s.id),
@@ -165,19 +166,19 @@
 impl Drop for Trace {
     fn drop(&mut self) {
         if let Some(e) = &self.exporter {
-            // A queue that is full drops the line.
-            let _ = e.tx.try_send(self.line(&e.vm).to_string());
+            // If the queue is full, the line is dropped.
+            let _ = e.tx.try_send(self.otlp_line(&e.vm).to_string());
         }
     }
 }
 
 impl Span {
-    /// Adds a word on what came of it.
+    /// Sets the text of the `note` attribute.
     pub fn note(&mut self, text: impl Into<String>) {
         self.note = text.into();
     }
 
-    /// The context for whoever is asked in this hop.
+    /// Returns the `traceparent` header for a request sent within this span.
     pub fn traceparent(&self) -> String {
         format!("00-{:032x}-{:016x}-01", self.trace.trace, self.id)
     }
@@ -185,7 +186,7 @@
 
 impl Drop for Span {
     fn drop(&mut self) {
-        let finished = Finished {
+        let finished = FinishedSpan {
             name: self.name,
             id: self.id,
             parent: self.trace.root,
