--- a/crates/router/src/oneshot.rs
+++ b/crates/router/src/oneshot.rs
@@ -1,8 +1,8 @@
-//! One HTTP/1.1 exchange on a connection made for it.
+//! One HTTP/1.1 exchange on a new connection.
 //!
-//! The pooled client takes a connection that closes early for the end of an answer, and cannot tell
-//! whether a kept connection had been closed before a request was written to it. Here both are
-//! known: nothing is sent before the connection stands, and an answer is whole or an error.
+//! The pooled client takes an early close for the end of a response, and cannot detect whether a kept
+//! connection was closed before a request was written to it. Here nothing is sent before the
+//! connection is established, and an incomplete response is an error.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,103 +17,103 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// How long an upstream may take to accept a connection.
-const CONNECT_WITHIN: Duration = Duration::from_secs(1);
+/// Timeout for connecting to an upstream.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why there is no whole answer.
+/// Why an exchange failed, with a description.
 pub enum Failed {
     /// No byte of the request was sent.
     NotSent(String),
-    /// Some may have been.
+    /// Some bytes of the request may have been sent.
     Sent(String),
 }
 
-/// A request.
+/// An HTTP request.
 pub struct Request {
-    /// The method.
+    /// HTTP method.
     pub method: Method,
-    /// The path and query.
+    /// Path and query.
     pub path: String,
-    /// The headers, without `Host` and the length.
+    /// Headers without `Host` and `Content-Length`.
     pub headers: HeaderMap,
-    /// The body.
+    /// Request body.
     pub body: Bytes,
 }
 
-/// A whole answer.
+/// A complete HTTP response.
 pub struct Answer {
     /// Status and headers.
     pub head: ResponseHead,
-    /// The body.
+    /// Response body.
     pub body: Bytes,
 }
 
-fn sent(e: impl ToString) -> Failed {
+fn sent_error(e: impl ToString) -> Failed {
     Failed::Sent(e.to_string())
 }
 
-fn head(address: SocketAddr, r: &Request) -> Result<RequestHead, Failed> {
-    let bad = |e: String| Failed::NotSent(e);
+fn request_head(address: SocketAddr, r: &Request) -> Result<RequestHead, Failed> {
+    let not_sent = |e: String| Failed::NotSent(e);
     let mut head = RequestHead::default();
     head.method = r.method.clone();
-    head.uri = r.path.parse::<Uri>().map_err(|e| bad(e.to_string()))?;
+    head.uri = r.path.parse::<Uri>().map_err(|e| not_sent(e.to_string()))?;
     head.headers = r.headers.clone();
-    let host = HeaderValue::from_str(&address.to_string()).map_err(|e| bad(e.to_string()))?;
+    let host = HeaderValue::from_str(&address.to_string()).map_err(|e| not_sent(e.to_string()))?;
     head.headers.insert(HOST, host);
     head.set_connection_type(actix_http::ConnectionType::Close);
     Ok(head)
 }
 
 async fn connect(address: SocketAddr) -> Result<TcpStream, Failed> {
-    match timeout(CONNECT_WITHIN, TcpStream::connect(address)).await {
+    match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => Ok(stream),
         Ok(Err(e)) => Err(Failed::NotSent(e.to_string())),
-        Err(_) => Err(Failed::NotSent("no connection in time".into())),
+        Err(_) => Err(Failed::NotSent("connect timed out".into())),
     }
 }
 
-/// Sends a request and reads the whole answer, of at most `cap` bytes.
+/// Sends a request to `address` and returns the complete response, with a body of at most `cap` bytes.
 pub async fn exchange(address: SocketAddr, r: Request, cap: usize) -> Result<Answer, Failed> {
-    let head = head(address, &r)?;
+    let head = request_head(address, &r)?;
     let stream = connect(address).await?;
-    // A failure here only makes small requests slower.
+    // An error here is harmless: it only delays small requests.
     let _ = stream.set_nodelay(true);
     let mut framed = Framed::new(stream, ClientCodec::default());
     let size = BodySize::Sized(r.body.len() as u64);
-    let first = Message::Item((RequestHeadType::Owned(head), size));
-    framed.feed(first).await.map_err(sent)?;
+    let item = Message::Item((RequestHeadType::Owned(head), size));
+    framed.feed(item).await.map_err(sent_error)?;
     if !r.body.is_empty() {
-        framed.feed(Message::Chunk(Some(r.body))).await.map_err(sent)?;
+        framed.feed(Message::Chunk(Some(r.body))).await.map_err(sent_error)?;
     }
-    framed.feed(Message::Chunk(None)).await.map_err(sent)?;
-    framed.flush().await.map_err(sent)?;
+    framed.feed(Message::Chunk(None)).await.map_err(sent_error)?;
+    framed.flush().await.map_err(sent_error)?;
     let head = match framed.next().await {
         Some(Ok(head)) => head,
-        Some(Err(e)) => return Err(sent(e)),
-        None => return Err(sent("the connection closed before an answer")),
+        Some(Err(e)) => return Err(sent_error(e)),
+        None => return Err(sent_error("the connection closed before an answer")),
     };
     let body = match framed.codec_ref().message_type() {
         MessageType::None => Bytes::new(),
-        _ => body(framed, cap).await?,
+        _ => read_body(framed, cap).await?,
     };
     Ok(Answer { head, body })
 }
 
-async fn body(framed: Framed<TcpStream, ClientCodec>, cap: usize) -> Result<Bytes, Failed> {
-    // Without a length or chunks the end of the connection is the end of the body.
+async fn read_body(framed: Framed<TcpStream, ClientCodec>, cap: usize) -> Result<Bytes, Failed> {
+    // Without a length or chunked encoding, the body ends when the connection is closed.
     let until_close = framed.codec_ref().message_type() == MessageType::Stream;
     let mut framed = framed.into_map_codec(ClientCodec::into_payload_codec);
     let mut all = BytesMut::new();
     loop {
         match framed.next().await {
-            Some(Ok(Some(piece))) if all.len() + piece.len() > cap => {
-                return Err(sent("the answer is too large"));
+            Some(Ok(Some(chunk))) if all.len() + chunk.len() > cap => {
+                return Err(sent_error("the answer is too large"));
             }
-            Some(Ok(Some(piece))) => all.extend_from_slice(&piece),
+            Some(Ok(Some(chunk))) => all.extend_from_slice(&chunk),
             Some(Ok(None)) => return Ok(all.freeze()),
-            Some(Err(e)) => return Err(sent(e)),
+            Some(Err(e)) => return Err(sent_error(e)),
             None if until_close => return Ok(all.freeze()),
-            None => return Err(sent("the connection closed before the answer was whole")),
+            None => return Err(sent_error("the connection closed before the answer was whole")),
         }
     }
 }
--- a/crates/router/src/ops.rs
+++ b/crates/router/src/ops.rs
@@ -1,4 +1,4 @@
-//! What operators read from a router: health, readiness, metrics.
+//! Health, readiness and metrics endpoints for operators.
 
 use std::rc::Rc;
 
@@ -12,13 +12,13 @@
 use crate::app::App;
 use crate::reply::json_response;
 
-/// Serves one operators' request.
+/// Serves one request on the operators' address.
 pub fn ops(app: &Rc<App>, metrics: &PrometheusHandle, req: &Request) -> Response<Body> {
     match (req.method(), req.path()) {
         (&Method::GET, "/healthz") => json_response(StatusCode::OK, &json!({ "alive": true })),
-        (&Method::GET, "/readyz") => ready(app),
+        (&Method::GET, "/readyz") => readiness(app),
         (&Method::GET, "/metrics") => {
-            observe(app);
+            update_gauges(app);
             operators::text(StatusCode::OK, metrics.render())
         }
         _ => json_response(
@@ -28,8 +28,8 @@
     }
 }
 
-/// Brings the gauges up to date.
-fn observe(app: &App) {
+/// Updates the gauges that are computed on demand.
+fn update_gauges(app: &App) {
     gauge!(metric::ACTIVE).set(app.active.get() as f64);
     gauge!(metric::VERSION).set(app.view.borrow().version() as f64);
     let now = app.clock.now();
@@ -41,7 +41,7 @@
     }
 }
 
-fn ready(app: &App) -> Response<Body> {
+fn readiness(app: &App) -> Response<Body> {
     let ready = app.ready.get() && !app.draining.get();
     let status = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
     let v = json!({
--- a/crates/router/src/plain.rs
+++ b/crates/router/src/plain.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services, passed through by path.
+//! Calls to plain services, which are selected by the path of the request.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -25,42 +25,43 @@
 use crate::reply::{RAN, REQUEST_ID, Refusal};
 use crate::trace::{Span, Trace};
 
-/// The largest answer that is passed on, in bytes.
-const ANSWER_CAP: usize = 8 * 1024 * 1024;
+/// Maximum size of a forwarded response body in bytes.
+const MAX_ANSWER: usize = 8 * 1024 * 1024;
 
-/// Replicas that one call is tried on at most.
-const TRIES: usize = 3;
+/// Maximum number of replicas that one call is sent to.
+const MAX_TRIES: usize = 3;
 
-/// When to come back if no replica could be reached.
-const NO_UPSTREAM_AFTER: Millis = Millis::seconds(1);
+/// Retry delay if no replica could be reached.
+const NO_UPSTREAM_RETRY_AFTER: Millis = Millis::seconds(1);
 
 const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
 const TRACEPARENT: HeaderName = HeaderName::from_static("traceparent");
 
-/// A call as the caller made it.
+/// A call as received from the caller.
 pub struct Call {
-    /// The method.
+    /// HTTP method.
     pub method: Method,
-    /// The path and query.
+    /// Path and query.
     pub path: String,
-    /// `Content-Type`, if it has one.
+    /// `Content-Type` header, if any.
     pub kind: Option<HeaderValue>,
-    /// The body.
+    /// Request body.
     pub body: Bytes,
 }
 
-/// A call on its way.
-struct Sending {
-    /// The request's id.
+/// A call with what is needed to send it to a replica.
+struct PendingCall {
+    /// Request id.
     id: String,
     call: Call,
-    /// It may be sent again after bytes of it were sent.
-    again: bool,
+    /// Whether it may be resent after a part of it was sent.
+    can_resend: bool,
     deadline: Instant,
 }
 
-/// Serves a call of a plain service.
+/// Serves a call to a plain service. Returns the response of a replica or the stored one of a claimed
+/// request, or the refusal for the caller.
 pub async fn plain(
     app: &Rc<App>,
     head: &Head,
@@ -71,9 +72,9 @@
     let client = app.view.borrow().client(&head.key)?;
     let path = call.path.split('?').next().unwrap_or_default().to_owned();
     let service = app.view.borrow().plain(&client, &path)?;
-    let safe = matches!(call.method, Method::GET | Method::HEAD);
-    let once = head.once || (service.service.writes_once && !safe);
-    if once && !head.id_given {
+    let is_safe = matches!(call.method, Method::GET | Method::HEAD);
+    let needs_claim = head.once || (service.service.writes_once && !is_safe);
+    if needs_claim && !head.id_given {
         return Err(Code::IdMissing.into());
     }
     let id = request_id(&client.name, &head.id);
@@ -83,7 +84,7 @@
     let admission = trace.span("admission");
     let permit = queue.enter(&client.name, concurrency, priority, deadline).await?;
     drop(admission);
-    let claim = match once {
+    let claim = match needs_claim {
         false => None,
         true => {
             let digest = body_digest(call.method.as_str(), &call.path, &call.body);
@@ -94,14 +95,14 @@
             }
         }
     };
-    let again = safe && claim.is_none();
+    let can_resend = is_safe && claim.is_none();
     let (app, head, service) = (app.clone(), head.clone(), service.name.clone());
-    let sending = Sending { id: head.id.clone(), call, again, deadline };
+    let pending = PendingCall { id: head.id.clone(), call, can_resend, deadline };
     let trace = trace.clone();
-    // A task of its own: a caller that leaves must not leave the outcome untold.
+    // Runs in its own task, so that the outcome is recorded even if the caller disconnects.
     let active = Active::new(&app);
     let running = actix_rt::spawn(async move {
-        let result = run(&app, &service, &sending, claim, &trace).await;
+        let result = run_and_record(&app, &service, &pending, claim, &trace).await;
         drop(permit);
         drop(active);
         result
@@ -109,44 +110,44 @@
     running.await.unwrap_or_else(|_| Err(Refusal::from(Code::UpstreamFailed).ran(Ran::Unknown)))
 }
 
-async fn run(
+async fn run_and_record(
     app: &App,
     service: &str,
-    sending: &Sending,
+    pending: &PendingCall,
     claim: Option<Claim>,
     trace: &Rc<Trace>,
 ) -> Result<Response<Body>, Refusal> {
     if let Some(c) = &claim {
         c.start();
     }
-    let result = try_replicas(app, service, sending, trace).await;
+    let result = try_replicas(app, service, pending, trace).await;
     let end = match &result {
-        Ok(a) => ClaimEnd::Answered(outcome(a)),
+        Ok(a) => ClaimEnd::Answered(stored_outcome(a)),
         Err(r) if r.ran == Ran::No => ClaimEnd::NotRun,
         Err(_) => ClaimEnd::Unknown,
     };
     if let Some(c) = claim {
         c.tell(end);
     }
-    result.map(respond)
+    result.map(response)
 }
 
 async fn try_replicas(
     app: &App,
     service: &str,
-    s: &Sending,
+    s: &PendingCall,
     trace: &Rc<Trace>,
 ) -> Result<Answer, Refusal> {
     let mut tried = Vec::new();
-    let mut last = Refusal::from(Code::NoUpstream).after(NO_UPSTREAM_AFTER);
-    while tried.len() < TRIES && app.may_try(service, tried.len()) {
+    let mut last = Refusal::from(Code::NoUpstream).after(NO_UPSTREAM_RETRY_AFTER);
+    while tried.len() < MAX_TRIES && app.may_try(service, tried.len()) {
         let Some(choice) = app.choose(service, &RequestProfile::default(), &tried) else { break };
         let address = choice.address;
         tried.push(address);
-        let mut hop = trace.span("dispatch");
-        hop.note(address.to_string());
-        let sent = timeout_at(s.deadline, send(address, s, &hop)).await;
-        drop(hop);
+        let mut span = trace.span("dispatch");
+        span.note(address.to_string());
+        let sent = timeout_at(s.deadline, send(address, s, &span)).await;
+        drop(span);
         let failed = matches!(sent, Ok(Err(_)));
         app.done(service, &choice, failed);
         match sent {
@@ -158,7 +159,7 @@
             Ok(Err(Failed::Sent(why))) => {
                 emit!(Event::UpstreamFailed, service = service, address = address, why = why);
                 last = Refusal::from(Code::UpstreamFailed).ran(Ran::Unknown).detail(why);
-                if !s.again {
+                if !s.can_resend {
                     break;
                 }
             }
@@ -167,7 +168,7 @@
     Err(last)
 }
 
-async fn send(address: SocketAddr, s: &Sending, hop: &Span) -> Result<Answer, Failed> {
+async fn send(address: SocketAddr, s: &PendingCall, span: &Span) -> Result<Answer, Failed> {
     let mut headers = HeaderMap::new();
     let mut set = |name: HeaderName, value: &str| {
         if let Ok(v) = HeaderValue::from_str(value) {
@@ -176,22 +177,22 @@
     };
     set(REQUEST_ID, &s.id);
     set(IDEMPOTENCY_KEY, &s.id);
-    set(TRACEPARENT, &hop.traceparent());
+    set(TRACEPARENT, &span.traceparent());
     if let Some(kind) = &s.call.kind {
         headers.insert(header::CONTENT_TYPE, kind.clone());
     }
     let (method, path, body) = (s.call.method.clone(), s.call.path.clone(), s.call.body.clone());
-    exchange(address, Request { method, path, headers, body }, ANSWER_CAP).await
+    exchange(address, Request { method, path, headers, body }, MAX_ANSWER).await
 }
 
-fn outcome(a: &Answer) -> Outcome {
+fn stored_outcome(a: &Answer) -> Outcome {
     let kind = a.head.headers.get(header::CONTENT_TYPE);
     let kind = kind.and_then(|k| k.to_str().ok()).unwrap_or_default().to_owned();
     let body = (a.body.len() <= MAX_STORED_BODY).then(|| a.body.to_vec());
     Outcome { status: a.head.status.as_u16(), kind, body }
 }
 
-fn respond(a: Answer) -> Response<Body> {
+fn response(a: Answer) -> Response<Body> {
     let mut r = Response::with_body(a.head.status, Body::Whole(a.body));
     if let Some(kind) = a.head.headers.get(header::CONTENT_TYPE) {
         r.headers_mut().insert(header::CONTENT_TYPE, kind.clone());
--- a/crates/router/src/platform.rs
+++ b/crates/router/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's list of `Vm`s, polled.
+//! Polls the platform's list of VMs.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -12,14 +12,14 @@
 
 use crate::app::App;
 
-/// How often the list is asked for.
-const EVERY: Duration = Duration::from_secs(1);
+/// Time between two polls of the list.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long the platform may take to answer.
-const WITHIN: Duration = Duration::from_secs(2);
+/// Timeout of one poll.
+const POLL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The largest list, in bytes.
-const CAP: usize = 4 * 1024 * 1024;
+/// Maximum size of the list in bytes.
+const MAX_LIST: usize = 4 * 1024 * 1024;
 
 #[derive(Deserialize)]
 struct List {
@@ -39,32 +39,32 @@
     Leaving,
 }
 
-/// Polls the list for as long as the process lives. One that cannot be had changes nothing.
+/// Polls the list at `url` until the process ends and applies it. If a poll fails, the last list remains.
 pub async fn watch(app: Rc<App>, url: String) {
-    let mut reached = true;
+    let mut reachable = true;
     loop {
         match fetch(&app, &url).await {
             Some(list) => {
-                reached = true;
+                reachable = true;
                 app.observe_vms(&list);
             }
-            None if reached => {
-                reached = false;
+            None if reachable => {
+                reachable = false;
                 emit!(Event::PlatformLost, url = url);
             }
             None => {}
         }
-        sleep(EVERY).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
 async fn fetch(app: &App, url: &str) -> Option<BTreeMap<String, ListedState>> {
-    let mut response = app.client.get(url).timeout(WITHIN).send().await.ok()?;
-    let bytes = response.body().limit(CAP).await.ok()?;
+    let mut response = app.client.get(url).timeout(POLL_TIMEOUT).send().await.ok()?;
+    let bytes = response.body().limit(MAX_LIST).await.ok()?;
     let list: List = serde_json::from_slice(&bytes).ok()?;
-    let listed = |s: State| match s {
+    let listed_state = |s: State| match s {
         State::Live => ListedState::Live,
         State::Leaving => ListedState::Leaving,
     };
-    Some(list.vms.into_iter().map(|v| (v.name, listed(v.state))).collect())
+    Some(list.vms.into_iter().map(|v| (v.name, listed_state(v.state))).collect())
 }
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -11,40 +11,40 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct File {
-    /// What every process has.
+    /// Settings common to all processes.
     pub common: Common,
-    /// Where callers connect.
+    /// Address for callers.
     pub listen: String,
-    /// The address that entry answers name; `listen` if not given.
+    /// Address that is returned to clients by `/v1/entry`; `listen` if not given.
     #[serde(default)]
     pub public: Option<String>,
-    /// Where operators read health and metrics.
+    /// Address for health checks and metrics.
     pub operators: String,
-    /// The control process of this data centre that keeps its reserve.
+    /// Address of the control process that keeps the reserve of this data centre.
     #[serde(default)]
     pub reserve: Option<String>,
-    /// Where the platform lists its VMs, as http://ADDRESS/PATH.
+    /// URL of the platform's list of VMs, as http://ADDRESS/PATH.
     #[serde(default)]
     pub platform: Option<String>,
-    /// File that traces are appended to, as OTLP JSON lines.
+    /// File to which traces are appended as OTLP JSON lines.
     #[serde(default)]
     pub trace_file: Option<String>,
-    /// The largest body of a request, in bytes.
+    /// Maximum size of a request body in bytes.
     #[serde(default = "body_default")]
     pub body_cap: u64,
-    /// The largest headers of a request, in bytes.
+    /// Maximum size of request headers in bytes.
     #[serde(default = "head_default")]
     pub head_cap: u64,
-    /// Seconds that callers keep an entry answer.
+    /// Seconds for which clients may cache a response of `/v1/entry`.
     #[serde(default = "keep_default")]
     pub entry_keep_s: u64,
-    /// Milliseconds that a request may take if it names no deadline.
+    /// Deadline in milliseconds of a request without one of its own.
     #[serde(default = "deadline_default")]
     pub deadline_ms: u64,
-    /// Milliseconds between tallies to the control group.
+    /// Milliseconds between reports to the control group.
     #[serde(default = "tally_default")]
     pub tally_ms: u64,
-    /// Seconds that a planned stop waits for open streams at most.
+    /// Maximum seconds for which a planned stop waits for open streams.
     #[serde(default = "drain_default")]
     pub drain_s: u64,
 }
@@ -73,34 +73,34 @@
     300
 }
 
-/// The settings, checked.
+/// The checked settings.
 #[derive(Clone)]
 pub struct Settings {
-    /// What every process has.
+    /// Settings common to all processes.
     pub base: Base,
-    /// Where callers connect.
+    /// Address for callers.
     pub listen: SocketAddr,
-    /// The address that entry answers name.
+    /// Address that is returned to clients by `/v1/entry`.
     pub public: SocketAddr,
-    /// Where operators connect.
+    /// Address for health checks and metrics.
     pub operators: SocketAddr,
-    /// Who keeps the reserve of this data centre.
+    /// Address of the control process that keeps the reserve of this data centre.
     pub reserve: Option<SocketAddr>,
-    /// Where the platform lists its VMs.
+    /// URL of the platform's list of VMs.
     pub platform: Option<String>,
-    /// File that traces are appended to.
+    /// File to which traces are appended.
     pub trace_file: Option<PathBuf>,
-    /// The largest body of a request, in bytes.
+    /// Maximum size of a request body in bytes.
     pub body_cap: usize,
-    /// The largest headers of a request, in bytes.
+    /// Maximum size of request headers in bytes.
     pub head_cap: usize,
-    /// How long callers keep an entry answer.
+    /// How long clients may cache a response of `/v1/entry`.
     pub entry_keep: Duration,
-    /// How long a request may take if it names no deadline.
+    /// Deadline of a request without one of its own.
     pub deadline: Duration,
-    /// Time between tallies.
+    /// Interval between reports to the control group.
     pub tally: Duration,
-    /// How long a planned stop waits for open streams at most.
+    /// Maximum time for which a planned stop waits for open streams.
     pub drain: Duration,
 }
 
@@ -123,7 +123,7 @@
             public,
             operators: address("operators", &self.operators)?,
             reserve: self.reserve.as_deref().map(|a| address("reserve", a)).transpose()?,
-            platform: self.platform.map(platform).transpose()?,
+            platform: self.platform.map(check_platform).transpose()?,
             trace_file: self.trace_file.map(PathBuf::from),
             body_cap: range("body_cap", self.body_cap, 1024, 64 * 1024 * 1024)? as usize,
             head_cap: range("head_cap", self.head_cap, 1024, 64 * 1024)? as usize,
@@ -135,7 +135,7 @@
     }
 }
 
-fn platform(url: String) -> Result<String, Error> {
+fn check_platform(url: String) -> Result<String, Error> {
     let rest = url.strip_prefix("http://").unwrap_or_default();
     let host = rest.split('/').next().unwrap_or_default();
     if host.parse::<SocketAddr>().is_ok() {
--- a/crates/router/src/sse.rs
+++ b/crates/router/src/sse.rs
@@ -1,22 +1,22 @@
-//! Server-sent events, as engines send them.
+//! Incremental parser of server-sent events.
 
-/// The largest event, in bytes.
-pub const EVENT_CAP: usize = 1024 * 1024;
+/// Maximum size of an event in bytes.
+pub const MAX_EVENT: usize = 1024 * 1024;
 
-/// Cuts a stream of bytes into the `data` of its events.
+/// Splits a byte stream into events and extracts their `data`.
 #[derive(Debug, Default)]
 pub struct Parser {
     line: Vec<u8>,
     data: Vec<u8>,
-    any: bool,
+    has_data: bool,
 }
 
-/// An event that is too large.
+/// Error for an event larger than [`MAX_EVENT`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TooLarge;
 
 impl Parser {
-    /// Takes more bytes; returns the events that they complete.
+    /// Processes more bytes of the stream. Returns the data of the events that they complete.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<Vec<Vec<u8>>, TooLarge> {
         let mut events = Vec::new();
         for &b in bytes {
@@ -25,7 +25,7 @@
             } else {
                 events.extend(self.end_line());
             }
-            if self.line.len() + self.data.len() > EVENT_CAP {
+            if self.line.len() + self.data.len() > MAX_EVENT {
                 return Err(TooLarge);
             }
         }
@@ -38,15 +38,15 @@
             line.pop();
         }
         if line.is_empty() {
-            let whole = std::mem::take(&mut self.any);
-            return whole.then(|| std::mem::take(&mut self.data));
+            let is_complete = std::mem::take(&mut self.has_data);
+            return is_complete.then(|| std::mem::take(&mut self.data));
         }
         if let Some(rest) = line.strip_prefix(b"data:") {
-            if self.any {
+            if self.has_data {
                 self.data.push(b'\n');
             }
             self.data.extend_from_slice(rest.strip_prefix(b" ").unwrap_or(rest));
-            self.any = true;
+            self.has_data = true;
         }
         None
     }
