--- a/crates/router/src/oneshot.rs
+++ b/crates/router/src/oneshot.rs
@@ -1,7 +1,7 @@
 //! One HTTP/1.1 exchange on a new connection.
 //!
-//! The pooled client takes an early close for the end of a response, and cannot detect whether a kept
-//! connection was closed before a request was written to it. Here nothing is sent before the
+//! The pooled client takes an early close for the end of a response, and cannot detect whether a
+//! kept connection was closed before a request was written to it. Here nothing is sent before the
 //! connection is established, and an incomplete response is an error.
 
 use std::net::SocketAddr;
@@ -72,7 +72,8 @@
     }
 }
 
-/// Sends a request to `address` and returns the complete response, with a body of at most `cap` bytes.
+/// Sends a request to `address` and returns the complete response, with a body of at most `cap`
+/// bytes.
 pub async fn exchange(address: SocketAddr, r: Request, cap: usize) -> Result<Answer, Failed> {
     let head = request_head(address, &r)?;
     let stream = connect(address).await?;
--- a/crates/router/src/plain.rs
+++ b/crates/router/src/plain.rs
@@ -60,8 +60,8 @@
     deadline: Instant,
 }
 
-/// Serves a call to a plain service. Returns the response of a replica or the stored one of a claimed
-/// request, or the refusal for the caller.
+/// Serves a call to a plain service. Returns the response of a replica or the stored one of a
+/// claimed request, or the refusal for the caller.
 pub async fn plain(
     app: &Rc<App>,
     head: &Head,
--- a/crates/router/src/platform.rs
+++ b/crates/router/src/platform.rs
@@ -39,7 +39,8 @@
     Leaving,
 }
 
-/// Polls the list at `url` until the process ends and applies it. If a poll fails, the last list remains.
+/// Polls the list at `url` until the process ends and applies it. If a poll fails, the last list
+/// remains.
 pub async fn watch(app: Rc<App>, url: String) {
     let mut reachable = true;
     loop {
--- a/crates/router/src/queue.rs
+++ b/crates/router/src/queue.rs
@@ -38,8 +38,8 @@
     since: Time,
 }
 
-/// A queued request, removed from the queue when dropped. A permit that was granted but not received
-/// is released.
+/// A queued request, removed from the queue when dropped. A permit that was granted but not
+/// received is released.
 struct QueueEntry<'a> {
     queue: &'a Queue,
     ticket: Ticket,
@@ -79,11 +79,11 @@
         self.start_waiting();
     }
 
-    /// Acquires a permit, waiting until `deadline` at most. At most `concurrency` requests of the client
-    /// account run at once.
+    /// Acquires a permit, waiting until `deadline` at most. At most `concurrency` requests of the
+    /// client account run at once.
     ///
-    /// Returns the refusal for the caller if the queue is full, the request would miss its deadline, or
-    /// another request evicts it.
+    /// Returns the refusal for the caller if the queue is full, the request would miss its
+    /// deadline, or another request evicts it.
     pub async fn enter(
         self: &Rc<Self>,
         client_account: &str,
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -30,7 +30,10 @@
         let mut parser = Parser::default();
         loop {
             let next = tokio::select! {
-                p = timeout_at(self.plan.deadline, timeout(KEEP_ALIVE_INTERVAL, a.response.next())) => p,
+                p = timeout_at(
+                    self.plan.deadline,
+                    timeout(KEEP_ALIVE_INTERVAL, a.response.next()),
+                ) => p,
                 () = self.caller.gone() => return Err(Failed::Left),
             };
             let bytes = match next {
@@ -109,8 +112,8 @@
         first.and_then(|l| l.engine_id()).unwrap_or_default()
     }
 
-    /// Returns the events that end a complete stream: the billed usage, if the caller requested it, and
-    /// `[DONE]`.
+    /// Returns the events that end a complete stream: the billed usage, if the caller requested it,
+    /// and `[DONE]`.
     pub(crate) fn end_mark(&self) -> String {
         if !self.plan.ask.usage {
             return END_OF_STREAM.to_owned();
@@ -121,8 +124,8 @@
         format!("id: {}\ndata: {v}\n\n{END_OF_STREAM}", self.events + 1)
     }
 
-    /// Returns the outcome to store for a claimed request. It has the body only if the request is not
-    /// streamed and the body is at most `MAX_STORED_BODY` bytes.
+    /// Returns the outcome to store for a claimed request. It has the body only if the request is
+    /// not streamed and the body is at most `MAX_STORED_BODY` bytes.
     pub(crate) fn outcome(&self) -> Outcome {
         let body = self.whole().to_string().into_bytes();
         let is_storable = !self.plan.ask.stream && body.len() <= MAX_STORED_BODY;
--- a/crates/router/src/run.rs
+++ b/crates/router/src/run.rs
@@ -35,8 +35,8 @@
     })
 }
 
-/// Serves until a stop signal, then drains. A second signal ends the drain. `file` is the settings file,
-/// whose control addresses can be reloaded.
+/// Serves until a stop signal, then drains. A second signal ends the drain. `file` is the settings
+/// file, whose control addresses can be reloaded.
 pub async fn run(s: Settings, file: PathBuf) -> Result<(), Failure> {
     logging::start(s.base.log_level, s.base.log_form);
     let metrics = operators::start_metrics()
--- a/crates/router/src/serve.rs
+++ b/crates/router/src/serve.rs
@@ -141,8 +141,8 @@
     Ok(json_response(StatusCode::OK, &json!({ "object": "list", "data": data })))
 }
 
-/// Reads a body of at most `cap` bytes. Fails with `BodyTooLarge` or, if it does not arrive whole in
-/// time, `BodyCut`.
+/// Reads a body of at most `cap` bytes. Fails with `BodyTooLarge` or, if it does not arrive whole
+/// in time, `BodyCut`.
 async fn read_body(req: Request, cap: usize) -> Result<Bytes, Refusal> {
     let too_large = || Refusal::from(Code::BodyTooLarge).detail(format!("the cap is {cap} bytes"));
     let content_length = req.headers().get(header::CONTENT_LENGTH);
--- a/crates/router/src/token_store.rs
+++ b/crates/router/src/token_store.rs
@@ -1,5 +1,5 @@
-//! Leased budget slices and unsent bills of one registration, with their requests and reports to the
-//! control group and the data centre's reserve.
+//! Leased budget slices and unsent bills of one registration, with their requests and reports to
+//! the control group and the data centre's reserve.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -88,15 +88,15 @@
         self.holder
     }
 
-    /// Retires the store because another registration has replaced it. It returns its idle tokens and
-    /// keeps reporting what its running requests spend.
+    /// Retires the store because another registration has replaced it. It returns its idle tokens
+    /// and keeps reporting what its running requests spend.
     pub fn retire(&self) {
         self.retired.set(true);
         self.recall_all();
     }
 
-    /// Records whether the control group is unreachable. Once it is reachable again, idle tokens of the
-    /// reserve are returned.
+    /// Records whether the control group is unreachable. Once it is reachable again, idle tokens of
+    /// the reserve are returned.
     pub fn set_away(&self, unreachable: bool) {
         if self.group_unreachable.replace(unreachable) && !unreachable {
             // The reserve is only for times when the group is unreachable.
@@ -105,8 +105,8 @@
         }
     }
 
-    /// Reserves `n` tokens of a budget. Requests more from the control group if too few are idle, or from
-    /// the reserve if the group is unreachable, and waits no longer than `deadline`.
+    /// Reserves `n` tokens of a budget. Requests more from the control group if too few are idle,
+    /// or from the reserve if the group is unreachable, and waits no longer than `deadline`.
     ///
     /// Returns the reservation and its grantor, or the refusal for the caller.
     pub async fn reserve(
@@ -174,8 +174,8 @@
     }
 
     /// Requests a limit that allows `n` more tokens and waits for the grantor to accept it, until
-    /// `allows` at most, when the current limit allows them. Without `allows`, returns `BudgetBusy` at
-    /// `deadline`.
+    /// `allows` at most, when the current limit allows them. Without `allows`, returns `BudgetBusy`
+    /// at `deadline`.
     async fn wait_for_limit(
         &self,
         p: &BudgetSlices,
@@ -193,8 +193,8 @@
         Ok(())
     }
 
-    /// Reserves `n` tokens of the data centre's reserve. The reserve is asked only once: it cannot recall
-    /// tokens from other holders, so a later request would not get more.
+    /// Reserves `n` tokens of the data centre's reserve. The reserve is asked only once: it cannot
+    /// recall tokens from other holders, so a later request would not get more.
     async fn reserve_from_data_centre(
         &self,
         budget: &str,
@@ -223,8 +223,8 @@
         Err(unreachable())
     }
 
-    /// Requests a lease in the background. The answer reaches other waiting requests even if the one that
-    /// needed it has timed out.
+    /// Requests a lease in the background. The answer reaches other waiting requests even if the
+    /// one that needed it has timed out.
     fn start_lease_request(self: &Rc<Self>, budget: &str, p: &Rc<BudgetSlices>, need: Tokens) {
         p.asking.set(true);
         p.answer.set(None);
@@ -279,8 +279,8 @@
         }
     }
 
-    /// Reserves `n` tokens, waiting for them until `until`; if too few become available, reserves the idle
-    /// ones. Returns the reservation and the reason for a shortfall.
+    /// Reserves `n` tokens, waiting for them until `until`; if too few become available, reserves
+    /// the idle ones. Returns the reservation and the reason for a shortfall.
     pub async fn take(
         self: &Rc<Self>,
         budget: &str,
@@ -314,7 +314,8 @@
         Taken { part, short: (!is_whole).then_some(short) }
     }
 
-    /// Returns the idle tokens of the budgets for which `of` is true to the control group immediately.
+    /// Returns the idle tokens of the budgets for which `of` is true to the control group
+    /// immediately.
     pub fn recall_where(&self, of: impl Fn(&str) -> bool) {
         if self.group_slices.recall_where(of) {
             self.report_due.notify_one();
@@ -372,8 +373,9 @@
         all_sent && self.group_slices.is_empty() && self.reserve_slices.is_empty()
     }
 
-    /// Sends reports after each interval that `every` returns and whenever tokens are to be returned or a
-    /// higher limit is needed. Returns once the store is retired, settled and used by nothing else.
+    /// Sends reports after each interval that `every` returns and whenever tokens are to be
+    /// returned or a higher limit is needed. Returns once the store is retired, settled and used by
+    /// nothing else.
     pub async fn tally_forever(self: Rc<Self>, every: impl Fn() -> Duration) {
         loop {
             tokio::select! {
@@ -387,8 +389,8 @@
         }
     }
 
-    /// Sends reports, bills and bounds to the control group once. What is not acknowledged is sent again
-    /// the next time.
+    /// Sends reports, bills and bounds to the control group once. What is not acknowledged is sent
+    /// again the next time.
     pub async fn tally(&self) {
         // Only one report of bounds may be in progress.
         let _guard = self.report_lock.lock().await;
@@ -423,8 +425,9 @@
         }
     }
 
-    /// Returns the sequence numbers of the next report of bounds (0 without bounds) and of the last one
-    /// known to be accepted. A number is never reused: a report without an answer may have been accepted.
+    /// Returns the sequence numbers of the next report of bounds (0 without bounds) and of the last
+    /// one known to be accepted. A number is never reused: a report without an answer may have been
+    /// accepted.
     fn next_bound_seq(&self, bounds: &[Bound]) -> (u64, u64) {
         let (last, accepted) = self.bound_seq.get();
         if bounds.is_empty() {
--- a/crates/router/src/view.rs
+++ b/crates/router/src/view.rs
@@ -102,7 +102,8 @@
         self.plain.sort_by_key(|p| std::cmp::Reverse(p.service.prefix.len()));
     }
 
-    /// Returns the client account with the key of this digest. Fails if there is none or it is closed.
+    /// Returns the client account with the key of this digest. Fails if there is none or it is
+    /// closed.
     pub fn client(&self, digest: &str) -> Result<Rc<Client>, Code> {
         let client = self.by_key.get(digest).ok_or(Code::KeyUnknown)?;
         if client.account.closed { Err(Code::AccountClosed) } else { Ok(client.clone()) }
@@ -124,8 +125,8 @@
         all
     }
 
-    /// Returns the plain service with the longest prefix of a path. Fails if there is none or the client
-    /// account may not use it.
+    /// Returns the plain service with the longest prefix of a path. Fails if there is none or the
+    /// client account may not use it.
     pub fn plain(&self, client: &Client, path: &str) -> Result<Rc<Plain>, Code> {
         let p = self.plain.iter().find(|p| path.starts_with(&p.service.prefix));
         let p = p.ok_or(Code::PathUnknown)?;
@@ -133,8 +134,8 @@
         Ok(p.clone())
     }
 
-    /// Returns the name and settings of the budget that pays for a client account's use of a service.
-    /// Fails if there is none.
+    /// Returns the name and settings of the budget that pays for a client account's use of a
+    /// service. Fails if there is none.
     pub fn budget(&self, client: &Client, service: &str) -> Result<(&str, &Budget), Code> {
         let name = self.budgets.get(&(client.name.clone(), service.to_owned()));
         let name = name.ok_or(Code::BudgetNone)?;
