--- a/crates/router/src/oneshot.rs
+++ b/crates/router/src/oneshot.rs
@@ -21,7 +21,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Why an exchange failed, with a description.
-pub enum Failed {
+pub enum ExchangeError {
     /// No byte of the request was sent.
     NotSent(String),
     /// Some bytes of the request may have been sent.
@@ -48,12 +48,12 @@
     pub body: Bytes,
 }
 
-fn sent_error(e: impl ToString) -> Failed {
-    Failed::Sent(e.to_string())
+fn sent_error(e: impl ToString) -> ExchangeError {
+    ExchangeError::Sent(e.to_string())
 }
 
-fn request_head(address: SocketAddr, r: &Request) -> Result<RequestHead, Failed> {
-    let not_sent = |e: String| Failed::NotSent(e);
+fn request_head(address: SocketAddr, r: &Request) -> Result<RequestHead, ExchangeError> {
+    let not_sent = |e: String| ExchangeError::NotSent(e);
     let mut head = RequestHead::default();
     head.method = r.method.clone();
     head.uri = r.path.parse::<Uri>().map_err(|e| not_sent(e.to_string()))?;
@@ -64,17 +64,21 @@
     Ok(head)
 }
 
-async fn connect(address: SocketAddr) -> Result<TcpStream, Failed> {
+async fn connect(address: SocketAddr) -> Result<TcpStream, ExchangeError> {
     match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => Ok(stream),
-        Ok(Err(e)) => Err(Failed::NotSent(e.to_string())),
-        Err(_) => Err(Failed::NotSent("connect timed out".into())),
+        Ok(Err(e)) => Err(ExchangeError::NotSent(e.to_string())),
+        Err(_) => Err(ExchangeError::NotSent("connect timed out".into())),
     }
 }
 
 /// Sends a request to `address` and returns the complete response, with a body of at most `cap`
 /// bytes.
-pub async fn exchange(address: SocketAddr, r: Request, cap: usize) -> Result<Answer, Failed> {
+pub async fn exchange(
+    address: SocketAddr,
+    r: Request,
+    cap: usize,
+) -> Result<Answer, ExchangeError> {
     let head = request_head(address, &r)?;
     let stream = connect(address).await?;
     // An error here is harmless: it only delays small requests.
@@ -100,7 +104,10 @@
     Ok(Answer { head, body })
 }
 
-async fn read_body(framed: Framed<TcpStream, ClientCodec>, cap: usize) -> Result<Bytes, Failed> {
+async fn read_body(
+    framed: Framed<TcpStream, ClientCodec>,
+    cap: usize,
+) -> Result<Bytes, ExchangeError> {
     // Without a length or chunked encoding, the body ends when the connection is closed.
     let until_close = framed.codec_ref().message_type() == MessageType::Stream;
     let mut framed = framed.into_map_codec(ClientCodec::into_payload_codec);
--- a/crates/router/src/ops.rs
+++ b/crates/router/src/ops.rs
@@ -13,7 +13,7 @@
 use crate::reply::json_response;
 
 /// Serves one request on the operators' address.
-pub fn ops(app: &Rc<App>, metrics: &PrometheusHandle, req: &Request) -> Response<Body> {
+pub fn serve_operator(app: &Rc<App>, metrics: &PrometheusHandle, req: &Request) -> Response<Body> {
     match (req.method(), req.path()) {
         (&Method::GET, "/healthz") => json_response(StatusCode::OK, &json!({ "alive": true })),
         (&Method::GET, "/readyz") => readiness(app),
--- a/crates/router/src/plain.rs
+++ b/crates/router/src/plain.rs
@@ -21,12 +21,12 @@
 use crate::chat::replay;
 use crate::claim::{Claim, Claimed, claim};
 use crate::head::Head;
-use crate::oneshot::{Answer, Failed, Request, exchange};
+use crate::oneshot::{Answer, ExchangeError, Request, exchange};
 use crate::reply::{RAN, REQUEST_ID, Refusal};
 use crate::trace::{Span, Trace};
 
 /// Maximum size of a forwarded response body in bytes.
-const MAX_ANSWER: usize = 8 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 
 /// Maximum number of replicas that one call is sent to.
 const MAX_TRIES: usize = 3;
@@ -153,10 +153,10 @@
         match sent {
             Ok(Ok(answer)) => return Ok(answer),
             Err(_) => return Err(Refusal::from(Code::DeadlinePassed).ran(Ran::Unknown)),
-            Ok(Err(Failed::NotSent(why))) => {
+            Ok(Err(ExchangeError::NotSent(why))) => {
                 emit!(Event::UpstreamFailed, service = service, address = address, why = why);
             }
-            Ok(Err(Failed::Sent(why))) => {
+            Ok(Err(ExchangeError::Sent(why))) => {
                 emit!(Event::UpstreamFailed, service = service, address = address, why = why);
                 last = Refusal::from(Code::UpstreamFailed).ran(Ran::Unknown).detail(why);
                 if !s.can_resend {
@@ -168,7 +168,7 @@
     Err(last)
 }
 
-async fn send(address: SocketAddr, s: &PendingCall, span: &Span) -> Result<Answer, Failed> {
+async fn send(address: SocketAddr, s: &PendingCall, span: &Span) -> Result<Answer, ExchangeError> {
     let mut headers = HeaderMap::new();
     let mut set = |name: HeaderName, value: &str| {
         if let Ok(v) = HeaderValue::from_str(value) {
@@ -182,7 +182,7 @@
         headers.insert(header::CONTENT_TYPE, kind.clone());
     }
     let (method, path, body) = (s.call.method.clone(), s.call.path.clone(), s.call.body.clone());
-    exchange(address, Request { method, path, headers, body }, MAX_ANSWER).await
+    exchange(address, Request { method, path, headers, body }, MAX_RESPONSE_BYTES).await
 }
 
 fn stored_outcome(a: &Answer) -> Outcome {
--- a/crates/router/src/platform.rs
+++ b/crates/router/src/platform.rs
@@ -19,7 +19,7 @@
 const POLL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Maximum size of the list in bytes.
-const MAX_LIST: usize = 4 * 1024 * 1024;
+const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
 
 #[derive(Deserialize)]
 struct List {
@@ -41,7 +41,7 @@
 
 /// Polls the list at `url` until the process ends and applies it. If a poll fails, the last list
 /// remains.
-pub async fn watch(app: Rc<App>, url: String) {
+pub async fn poll_vms(app: Rc<App>, url: String) {
     let mut reachable = true;
     loop {
         match fetch(&app, &url).await {
@@ -61,7 +61,7 @@
 
 async fn fetch(app: &App, url: &str) -> Option<BTreeMap<String, ListedState>> {
     let mut response = app.client.get(url).timeout(POLL_TIMEOUT).send().await.ok()?;
-    let bytes = response.body().limit(MAX_LIST).await.ok()?;
+    let bytes = response.body().limit(MAX_LIST_BYTES).await.ok()?;
     let list: List = serde_json::from_slice(&bytes).ok()?;
     let listed_state = |s: State| match s {
         State::Live => ListedState::Live,
--- a/crates/router/src/run.rs
+++ b/crates/router/src/run.rs
@@ -16,8 +16,8 @@
 use crate::app::App;
 use crate::drain::drain;
 use crate::follow::follow;
-use crate::ops::ops;
-use crate::platform::watch;
+use crate::ops::serve_operator;
+use crate::platform::poll_vms;
 use crate::serve::serve;
 use crate::settings::{File, Settings};
 use crate::trace::Exporter;
@@ -57,11 +57,11 @@
     }));
     let a = app.clone();
     actix_rt::spawn(cypressfork_http::serve(operator_listener, move |req| {
-        let response = ops(&a, &metrics, &req);
+        let response = serve_operator(&a, &metrics, &req);
         async move { response }
     }));
     if let Some(url) = app.settings.platform.clone() {
-        actix_rt::spawn(watch(app.clone(), url));
+        actix_rt::spawn(poll_vms(app.clone(), url));
     }
     actix_rt::spawn(follow(app.clone()));
     let group = app.group.clone();
--- a/crates/router/src/sse.rs
+++ b/crates/router/src/sse.rs
@@ -1,7 +1,7 @@
 //! Incremental parser of server-sent events.
 
 /// Maximum size of an event in bytes.
-pub const MAX_EVENT: usize = 1024 * 1024;
+pub const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
 /// Splits a byte stream into events and extracts their `data`.
 #[derive(Debug, Default)]
@@ -11,7 +11,7 @@
     has_data: bool,
 }
 
-/// Error for an event larger than [`MAX_EVENT`].
+/// Error for an event larger than [`MAX_EVENT_BYTES`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TooLarge;
 
@@ -25,7 +25,7 @@
             } else {
                 events.extend(self.end_line());
             }
-            if self.line.len() + self.data.len() > MAX_EVENT {
+            if self.line.len() + self.data.len() > MAX_EVENT_BYTES {
                 return Err(TooLarge);
             }
         }
--- a/crates/router/src/taken.rs
+++ b/crates/router/src/taken.rs
@@ -11,7 +11,7 @@
 const SPENT_RETRY_AFTER: Millis = Millis::seconds(60);
 
 /// Retry delay while the control group is unreachable.
-pub const UNREACHABLE_AFTER: Millis = Millis::seconds(5);
+pub const UNREACHABLE_RETRY_AFTER: Millis = Millis::seconds(5);
 
 /// The grantor of a slice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,7 +40,7 @@
 }
 
 /// Returns how long to wait after a shortage, or the refusal for the caller.
-pub fn busy(s: Shortage) -> Result<Millis, Refusal> {
+pub fn wait_or_refusal(s: Shortage) -> Result<Millis, Refusal> {
     match s {
         Shortage::Busy(span) => Ok(span),
         Shortage::Away(span) => Err(Refusal::from(Code::BudgetBusy).after(span)),
@@ -49,12 +49,12 @@
 }
 
 /// Returns whether `code` means that the control group could not be reached.
-pub fn is_away(code: Code) -> bool {
+pub fn is_unreachable(code: Code) -> bool {
     matches!(code, Code::NoQuorum | Code::LinkBroken | Code::NotLeader | Code::QueueFull)
 }
 
 /// Returns the refusal for the caller whose lease request failed with `code`.
-pub fn refusal(code: Code) -> Refusal {
+pub fn lease_refusal(code: Code) -> Refusal {
     match code {
         Code::AccountClosed => Refusal::from(code),
         Code::BudgetUnknown => Refusal::from(Code::BudgetNone),
--- a/crates/router/src/token_store.rs
+++ b/crates/router/src/token_store.rs
@@ -26,7 +26,9 @@
 
 use crate::budget_slices::{BudgetSlices, SlicesByBudget};
 use crate::reply::Refusal;
-use crate::taken::{Asked, Source, Taken, UNREACHABLE_AFTER, busy, is_away, refusal};
+use crate::taken::{
+    Asked, Source, Taken, UNREACHABLE_RETRY_AFTER, is_unreachable, lease_refusal, wait_or_refusal,
+};
 
 /// Maximum number of bills in one report.
 const MAX_BATCH: usize = 512;
@@ -125,9 +127,9 @@
                 return Ok((Source::Group, r));
             }
             if self.is_limited(&p, now, n) {
-                let allows = self.limit_allows_at(&p, now, n, deadline);
-                if allows.is_some() || !self.group_unreachable.get() {
-                    self.wait_for_limit(&p, n, allows, deadline).await?;
+                let allowed_at = self.limit_allows_at(&p, now, n, deadline);
+                if allowed_at.is_some() || !self.group_unreachable.get() {
+                    self.wait_for_limit(&p, n, allowed_at, deadline).await?;
                     continue;
                 }
             }
@@ -140,8 +142,10 @@
             let changed = timeout_at(deadline, p.changed.notified()).await;
             changed.map_err(|_| Refusal::from(Code::BudgetBusy).after(Millis::seconds(1)))?;
             let wait = match p.answer.take() {
-                Some(Asked::Decided(Err(s))) => busy(s)?,
-                Some(Asked::Refused(code)) if !is_away(code) => return Err(refusal(code)),
+                Some(Asked::Decided(Err(s))) => wait_or_refusal(s)?,
+                Some(Asked::Refused(code)) if !is_unreachable(code) => {
+                    return Err(lease_refusal(code));
+                }
                 // Tokens became available, or another waiting request has taken the answer.
                 _ => continue,
             };
@@ -174,26 +178,26 @@
     }
 
     /// Requests a limit that allows `n` more tokens and waits for the grantor to accept it, until
-    /// `allows` at most, when the current limit allows them. Without `allows`, returns `BudgetBusy`
-    /// at `deadline`.
+    /// `allowed_at` at most, when the current limit allows them. Without `allowed_at`, returns
+    /// `BudgetBusy` at `deadline`.
     async fn wait_for_limit(
         &self,
         p: &BudgetSlices,
         n: Tokens,
-        allows: Option<Instant>,
+        allowed_at: Option<Instant>,
         deadline: Instant,
     ) -> Result<(), Refusal> {
         p.slices.borrow_mut().add_limit_demand(n);
         self.report_due.notify_one();
-        let accepted = timeout_at(allows.unwrap_or(deadline), p.changed.notified()).await;
+        let accepted = timeout_at(allowed_at.unwrap_or(deadline), p.changed.notified()).await;
         p.slices.borrow_mut().remove_limit_demand(n);
-        if accepted.is_err() && allows.is_none() {
+        if accepted.is_err() && allowed_at.is_none() {
             return Err(Refusal::from(Code::BudgetBusy).after(Millis::seconds(1)));
         }
         Ok(())
     }
 
-    /// Reserves `n` tokens of the data centre's reserve. The reserve is asked only once: it cannot
+    /// Reserves `n` tokens of the data centre's reserve. It receives only one request: it cannot
     /// recall tokens from other holders, so a later request would not get more.
     async fn reserve_from_data_centre(
         &self,
@@ -203,7 +207,7 @@
         deadline: Instant,
     ) -> Result<(Source, Reservation), Refusal> {
         let p = self.reserve_slices.get(budget, policy);
-        let unreachable = || Refusal::from(Code::BudgetUnreachable).after(UNREACHABLE_AFTER);
+        let unreachable = || Refusal::from(Code::BudgetUnreachable).after(UNREACHABLE_RETRY_AFTER);
         for _ in 0..2 {
             let now = self.clock.now();
             let found = p.slices.borrow_mut().reserve(now, n);
@@ -231,7 +235,7 @@
         let (me, p, budget) = (self.clone(), p.clone(), budget.to_owned());
         actix_rt::spawn(async move {
             let outcome = me.request_lease(&budget, &p, need).await;
-            if matches!(outcome, Asked::Refused(code) if is_away(code)) {
+            if matches!(outcome, Asked::Refused(code) if is_unreachable(code)) {
                 me.set_away(true);
             }
             p.answer.set(Some(outcome));
@@ -273,8 +277,8 @@
         if p.asking.get() || self.group_unreachable.get() {
             return;
         }
-        let low = p.slices.borrow_mut().is_low(self.clock.now());
-        if low {
+        let is_low = p.slices.borrow_mut().is_low(self.clock.now());
+        if is_low {
             self.start_lease_request(budget, p, 0);
         }
     }
--- a/crates/router/src/trace.rs
+++ b/crates/router/src/trace.rs
@@ -1,4 +1,4 @@
-//! Request traces: W3C trace contexts, one span per hop, one OTLP JSON line per request.
+//! Request traces: W3C trace contexts, one span per step, one OTLP JSON line per request.
 
 use std::cell::RefCell;
 use std::fs::File;
