--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,4 +1,4 @@
-//! What every cypressfork process has: settings, log events, links and the group client.
+//! Code that all cypressfork processes share: settings, logging, metrics, links and the control group client.
 
 pub mod digest;
 pub mod event;
--- a/crates/node/src/lines.rs
+++ b/crates/node/src/lines.rs
@@ -1,5 +1,5 @@
-//! A writer of log lines that never blocks: lines wait in a bounded queue for a thread of their
-//! own, and those that find it full are left out and counted.
+//! A log line writer that never blocks its caller. A thread writes the lines of a bounded queue; lines
+//! that do not fit are dropped and counted.
 
 use std::io::{self, Write};
 use std::sync::Arc;
@@ -8,78 +8,79 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Lines that may wait.
-pub const QUEUE: usize = 4_096;
+/// Maximum number of queued lines.
+pub const MAX_QUEUED_LINES: usize = 4_096;
 
-/// The queue's near end.
+/// Queues log lines for the writer thread. Each `write` call is one line.
 #[derive(Clone)]
-pub struct Lines {
+pub struct LineWriter {
     tx: SyncSender<Vec<u8>>,
-    count: Arc<Count>,
+    counts: Arc<LineCounts>,
 }
 
-/// Lines taken, written and left out.
+/// Numbers of lines queued, written and dropped.
 #[derive(Debug, Default)]
-pub struct Count {
-    taken: AtomicU64,
+pub struct LineCounts {
+    queued: AtomicU64,
     written: AtomicU64,
-    left_out: AtomicU64,
+    dropped: AtomicU64,
 }
 
-impl Count {
-    /// Lines that found the queue full.
-    pub fn left_out(&self) -> u64 {
-        self.left_out.load(Ordering::Relaxed)
+impl LineCounts {
+    /// Returns the number of lines dropped because the queue was full.
+    pub fn dropped(&self) -> u64 {
+        self.dropped.load(Ordering::Relaxed)
     }
 
-    /// Waits until all lines taken are written, for `within` at most.
-    pub fn settle(&self, within: Duration) {
-        let end = Instant::now() + within;
-        let open = || self.written.load(Ordering::Acquire) < self.taken.load(Ordering::Acquire);
-        while open() && Instant::now() < end {
+    /// Waits until all queued lines are written, at most `timeout`.
+    pub fn wait_written(&self, timeout: Duration) {
+        let end = Instant::now() + timeout;
+        let is_pending =
+            || self.written.load(Ordering::Acquire) < self.queued.load(Ordering::Acquire);
+        while is_pending() && Instant::now() < end {
             thread::sleep(Duration::from_millis(2));
         }
     }
 }
 
-impl Lines {
-    /// Starts the thread that writes to `out`.
-    pub fn new(out: impl Write + Send + 'static, queue: usize) -> Lines {
+impl LineWriter {
+    /// Starts a thread that writes to `out`, with a queue of `queue` lines.
+    pub fn new(out: impl Write + Send + 'static, queue: usize) -> LineWriter {
         let (tx, rx) = sync_channel(queue);
-        let count = Arc::<Count>::default();
-        let c = count.clone();
+        let counts = Arc::<LineCounts>::default();
+        let c = counts.clone();
         thread::spawn(move || write_all(out, &rx, &c));
-        Lines { tx, count }
+        LineWriter { tx, counts }
     }
 
-    /// The counts.
-    pub fn count(&self) -> Arc<Count> {
-        self.count.clone()
+    /// Returns the line counts, shared with the writer thread.
+    pub fn counts(&self) -> Arc<LineCounts> {
+        self.counts.clone()
     }
 }
 
-fn write_all(mut out: impl Write, rx: &Receiver<Vec<u8>>, count: &Count) {
-    let mut told = 0;
+fn write_all(mut out: impl Write, rx: &Receiver<Vec<u8>>, counts: &LineCounts) {
+    let mut reported = 0;
     while let Ok(line) = rx.recv() {
-        let left_out = count.left_out();
-        if left_out > told {
-            // A reader that is gone needs no word.
-            let _ = writeln!(out, "{{\"event\":107,\"lines_left_out\":{}}}", left_out - told);
-            told = left_out;
+        let dropped = counts.dropped();
+        if dropped > reported {
+            // Write errors are ignored: the reader has gone.
+            let _ = writeln!(out, "{{\"event\":107,\"lines_left_out\":{}}}", dropped - reported);
+            reported = dropped;
         }
         let _ = out.write_all(&line);
-        count.written.fetch_add(1, Ordering::Release);
+        counts.written.fetch_add(1, Ordering::Release);
     }
 }
 
-impl Write for Lines {
+impl Write for LineWriter {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        self.count.taken.fetch_add(1, Ordering::Release);
+        self.counts.queued.fetch_add(1, Ordering::Release);
         if let Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) =
             self.tx.try_send(line.to_vec())
         {
-            self.count.taken.fetch_sub(1, Ordering::Release);
-            self.count.left_out.fetch_add(1, Ordering::Relaxed);
+            self.counts.queued.fetch_sub(1, Ordering::Release);
+            self.counts.dropped.fetch_add(1, Ordering::Relaxed);
         }
         Ok(line.len())
     }
--- a/crates/node/src/logging.rs
+++ b/crates/node/src/logging.rs
@@ -1,4 +1,4 @@
-//! Log lines, as text for people or as JSON for programs.
+//! Logging to standard output, as text or as JSON.
 
 use std::io::Write;
 use std::sync::{Arc, OnceLock};
@@ -11,53 +11,54 @@
 
 use crate::emit;
 use crate::event::Event;
-use crate::lines::{Count, Lines, QUEUE};
+use crate::lines::{LineCounts, LineWriter, MAX_QUEUED_LINES};
 use crate::time::wall;
 
-/// The form of a log line.
+/// Format of the log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, serde::Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Form {
+pub enum LogFormat {
     /// `time LEVEL CFnnn text key=value`.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
+/// Key-value pairs of a record; the event number is kept apart.
 struct Fields {
     event: Option<String>,
-    rest: Vec<(String, String)>,
+    others: Vec<(String, String)>,
 }
 
 impl<'k> VisitSource<'k> for Fields {
     fn visit_pair(&mut self, key: Key<'k>, value: Value<'k>) -> Result<(), Error> {
         match key.as_str() {
             "event" => self.event = Some(value.to_string()),
-            k => self.rest.push((k.to_owned(), value.to_string())),
+            k => self.others.push((k.to_owned(), value.to_string())),
         }
         Ok(())
     }
 }
 
-fn fields(r: &Record) -> Fields {
-    let mut f = Fields { event: None, rest: Vec::new() };
-    // The visitor above never fails.
+fn collect_fields(r: &Record) -> Fields {
+    let mut f = Fields { event: None, others: Vec::new() };
+    // `visit_pair` never fails.
     let _ = r.key_values().visit(&mut f);
     f
 }
 
-fn text(r: &Record) -> String {
-    let f = fields(r);
+fn format_text(r: &Record) -> String {
+    let f = collect_fields(r);
     let event = f.event.map(|n| format!(" CFE{n}")).unwrap_or_default();
-    let rest: String = f.rest.iter().map(|(k, v)| format!(" {k}={v}")).collect();
-    format!("{} {}{event} {}{rest}", wall().0, r.level(), r.args())
+    let others: String = f.others.iter().map(|(k, v)| format!(" {k}={v}")).collect();
+    format!("{} {}{event} {}{others}", wall().0, r.level(), r.args())
 }
 
-fn json(r: &Record) -> String {
-    let f = fields(r);
+fn format_json(r: &Record) -> String {
+    let f = collect_fields(r);
     let quote = |s: &str| {
-        let escaped: String = s.chars().map(escape).collect();
+        let escaped: String = s.chars().map(escape_json).collect();
         format!("\"{escaped}\"")
     };
     let mut out = format!("{{\"ms\":{},\"level\":\"{}\"", wall().0, r.level());
@@ -65,13 +66,13 @@
         out += &format!(",\"event\":{n}");
     }
     out += &format!(",\"text\":{}", quote(&r.args().to_string()));
-    for (k, v) in &f.rest {
+    for (k, v) in &f.others {
         out += &format!(",{}:{}", quote(k), quote(v));
     }
     out + "}"
 }
 
-fn escape(c: char) -> String {
+fn escape_json(c: char) -> String {
     match c {
         '"' => "\\\"".to_owned(),
         '\\' => "\\\\".to_owned(),
@@ -80,39 +81,39 @@
     }
 }
 
-/// The counts of the lines, once logging has started.
-static COUNT: OnceLock<Arc<Count>> = OnceLock::new();
+/// Line counts of the log writer, set by [`start`].
+static COUNTS: OnceLock<Arc<LineCounts>> = OnceLock::new();
 
-/// How long the end of a process waits for its last lines to be read.
-const LAST_LINES: Duration = Duration::from_millis(300);
+/// Longest wait for queued lines when the process exits.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Waits for the last lines to be written.
-pub fn finish() {
-    if let Some(count) = COUNT.get() {
-        count.settle(LAST_LINES);
+/// Waits until the queued lines are written, at most 300 ms.
+pub fn flush() {
+    if let Some(counts) = COUNTS.get() {
+        counts.wait_written(FLUSH_TIMEOUT);
     }
 }
 
-/// Starts logging to standard output, without ever blocking on it; the environment variable `RUST_LOG` overrides `level`.
-pub fn start(level: LevelFilter, form: Form) {
+/// Starts logging to standard output without blocking the caller, and logs panics as events. The
+/// environment variable `RUST_LOG` overrides `level`.
+pub fn start(level: LevelFilter, format: LogFormat) {
     let mut b = Builder::new();
     b.filter_level(LevelFilter::Warn).filter_module("cypressfork", level).parse_default_env();
-    let lines = Lines::new(std::io::stdout(), QUEUE);
-    // A test may have started it before.
-    let _ = COUNT.set(lines.count());
+    let lines = LineWriter::new(std::io::stdout(), MAX_QUEUED_LINES);
+    // Both calls fail harmlessly if a test has already started logging.
+    let _ = COUNTS.set(lines.counts());
     b.target(Target::Pipe(Box::new(lines)));
-    b.format(move |out, r| match form {
-        Form::Text => writeln!(out, "{}", text(r)),
-        Form::Json => writeln!(out, "{}", json(r)),
+    b.format(move |out, r| match format {
+        LogFormat::Text => writeln!(out, "{}", format_text(r)),
+        LogFormat::Json => writeln!(out, "{}", format_json(r)),
     });
-    // The same.
     let _ = b.try_init();
-    // A task that panics ends alone, and its request with it: that must be seen.
+    // A panic ends only its task, so nothing else would report it.
     std::panic::set_hook(Box::new(|panic| {
-        let place = panic.location().map(ToString::to_string).unwrap_or_default();
-        let text = panic.payload().downcast_ref::<String>().map(String::as_str);
+        let location = panic.location().map(ToString::to_string).unwrap_or_default();
+        let formatted = panic.payload().downcast_ref::<String>().map(String::as_str);
         let literal = panic.payload().downcast_ref::<&str>().copied();
-        let why = text.or(literal).unwrap_or_default();
-        emit!(Event::Panicked, place = place, why = why);
+        let message = formatted.or(literal).unwrap_or_default();
+        emit!(Event::Panicked, place = location, why = message);
     }));
 }
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -1,4 +1,4 @@
-//! The outside of every daemon: its arguments, and how it ends.
+//! Command line, signals and exit status of the daemons.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -12,44 +12,45 @@
 use crate::event::Event;
 use crate::{emit, logging};
 
-/// Why a process cannot start or go on: the numbered code, and the line that says it.
+/// Why a process cannot start or continue: the result code and the message for standard error.
 pub type Failure = (Code, String);
 
-/// What a daemon's command line asks for.
+/// A daemon's parsed command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Args {
-    /// Serve with this settings file.
+    /// Run with this settings file.
     Serve(PathBuf),
-    /// Check this settings file and end.
+    /// Check this settings file and exit.
     Check(PathBuf),
-    /// Print this text and end.
+    /// Print this text (help or version) and exit.
     Print(String),
 }
 
-/// Reads a daemon's command line.
+/// Parses a daemon's command line. `about` is the first line of the help text.
 pub fn args(program: &str, about: &str, words: &[String]) -> Result<Args, String> {
     let mut o = Options::new();
     o.optopt("s", "settings", "settings file in YAML", "FILE");
-    o.optflag("", "check", "check the settings file and end");
+    o.optflag("", "check", "check the settings file and exit");
     o.optflag("h", "help", "show this help");
     o.optflag("V", "version", "show the version");
     let m = o.parse(words).map_err(|e| e.to_string())?;
     if m.opt_present("help") {
-        let brief = format!("{about}\n\nUsage: {program} --settings FILE [--check]");
-        return Ok(Args::Print(o.usage(&brief)));
+        let header = format!("{about}\n\nUsage: {program} --settings FILE [--check]");
+        return Ok(Args::Print(o.usage(&header)));
     }
     if m.opt_present("version") {
         return Ok(Args::Print(format!("{program} {}", env!("CARGO_PKG_VERSION"))));
     }
     if let Some(extra) = m.free.first() {
-        return Err(format!("'{extra}' is not expected"));
+        return Err(format!("unexpected argument '{extra}'"));
     }
     let file = m.opt_str("settings").ok_or("--settings FILE is missing")?.into();
     Ok(if m.opt_present("check") { Args::Check(file) } else { Args::Serve(file) })
 }
 
-/// Runs a daemon from its command line to its end: reads the arguments, checks the settings, and
-/// serves unless only the check was asked for. `run` gets the settings' file too, to read it anew.
+/// Runs a daemon: parses the command line, loads the settings with `settings`, and calls `run` unless
+/// `--check` was given. `run` also gets the path of the settings file, so that it can reload it.
+/// Returns the exit status of the process.
 pub fn daemon<S, R>(
     program: &str,
     about: &str,
@@ -67,25 +68,25 @@
         }
         Ok(Args::Check(file)) => (true, file),
         Ok(Args::Serve(file)) => (false, file),
-        Err(why) => return fail(&(Code::UsageBad, format!("CF3006: {why}"))),
+        Err(e) => return fail(&(Code::UsageBad, format!("CF3006: {e}"))),
     };
-    let done = settings(&file)
+    let result = settings(&file)
         .and_then(|s| if check { Ok(()) } else { actix_rt::System::new().block_on(run(s, file)) });
-    let code = done.map_or_else(|f| fail(&f), |()| ExitCode::SUCCESS);
-    logging::finish();
+    let code = result.map_or_else(|f| fail(&f), |()| ExitCode::SUCCESS);
+    logging::flush();
     code
 }
 
-/// Exit status for a command line that cannot be understood.
+/// Exit status for an invalid command line (`EX_USAGE`).
 pub const EXIT_USAGE: u8 = 64;
 
-/// Exit status for settings that cannot be used.
+/// Exit status for invalid settings (`EX_CONFIG`).
 pub const EXIT_SETTINGS: u8 = 78;
 
-/// Exit status for anything else that stops a process.
+/// Exit status for any other failure.
 pub const EXIT_FAILED: u8 = 1;
 
-/// The exit status for a result code.
+/// Returns the exit status for a result code.
 pub fn exit_status(code: Code) -> u8 {
     match code.number() {
         3006 => EXIT_USAGE,
@@ -94,31 +95,31 @@
     }
 }
 
-/// Says on standard error why the process ends, and gives its exit status.
-pub fn fail((code, why): &Failure) -> ExitCode {
-    eprintln!("{why}");
-    emit!(Event::StartFailed, code = code.number(), why = why);
+/// Prints a failure to standard error, logs it, and returns the exit status.
+pub fn fail((code, message): &Failure) -> ExitCode {
+    eprintln!("{message}");
+    emit!(Event::StartFailed, code = code.number(), why = message);
     ExitCode::from(exit_status(*code))
 }
 
-/// Listens on an address.
+/// Binds a listening socket to an address.
 pub async fn listen(address: SocketAddr) -> Result<TcpListener, Failure> {
     TcpListener::bind(address)
         .await
         .map_err(|e| (Code::AddressTaken, format!("CF3005: could not listen on {address}: {e}")))
 }
 
-/// The signal that asks to read the settings anew. It must be made before the process serves:
-/// without it the signal ends the process.
+/// Receives `SIGHUP`, which requests a reload of the settings. Create it before the process starts to
+/// serve: without a handler the signal terminates the process.
 pub struct Reload(Option<Signal>);
 
 impl Reload {
-    /// Begins to take the signal.
+    /// Installs the signal handler.
     pub fn new() -> Reload {
         Reload(signal(SignalKind::hangup()).ok())
     }
 
-    /// Waits for the signal.
+    /// Waits for the next signal. Never returns if the handler could not be installed.
     pub async fn asked(&mut self) {
         let Some(signals) = &mut self.0 else { return std::future::pending().await };
         if signals.recv().await.is_none() {
@@ -133,15 +134,15 @@
     }
 }
 
-/// Reads settings anew at each signal, for as long as the process runs; settings that cannot be
-/// used are said in the log and change nothing.
-pub async fn reload_forever<S>(read: impl Fn() -> Result<S, Failure>, take: impl Fn(S)) {
+/// Reloads the settings at each `SIGHUP` and passes them to `apply`. If `read` fails, the failure is
+/// logged and the current settings stay in force. Never returns.
+pub async fn reload_forever<S>(read: impl Fn() -> Result<S, Failure>, apply: impl Fn(S)) {
     let mut reload = Reload::new();
     loop {
         reload.asked().await;
         match read() {
             Ok(s) => {
-                take(s);
+                apply(s);
                 emit!(Event::SettingsReloaded);
             }
             Err((code, why)) => emit!(Event::SettingsKept, code = code.number(), why = why),
@@ -149,12 +150,12 @@
     }
 }
 
-/// Waits for a signal that asks for a planned stop.
+/// Waits for `SIGTERM` or `SIGINT`, which request a graceful shutdown.
 pub async fn stop_signal() {
     let (Ok(mut term), Ok(mut int)) =
         (signal(SignalKind::terminate()), signal(SignalKind::interrupt()))
     else {
-        // Without handlers the signals end the process by themselves.
+        // Without handlers these signals terminate the process.
         return std::future::pending().await;
     };
     tokio::select! {
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files: read in one place, checked once, typed after.
+//! Settings files: reading, validation, and the settings that all processes share.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -15,36 +15,36 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-use crate::logging::Form;
+use crate::logging::LogFormat;
 
-/// The least length of a cluster's key, in bytes.
-const KEY_LEAST: usize = 32;
+/// Minimum length of a cluster key, in bytes.
+const MIN_KEY_BYTES: usize = 32;
 
 quick_error! {
-    /// Why a process cannot start.
+    /// Why a settings file is rejected.
     #[derive(Debug, PartialEq, Eq)]
     pub enum Error {
         /// The file cannot be read.
-        Unreadable(path: String, why: String) {
-            display("CF3001: could not read settings file {}: {}", path, why)
+        Unreadable(path: String, reason: String) {
+            display("CF3001: could not read settings file {}: {}", path, reason)
         }
-        /// It is not YAML of the expected shape.
-        Syntax(path: String, why: String) {
-            display("CF3002: settings file {} is not as expected: {}", path, why)
+        /// The file is not YAML, or has unknown or missing keys or values of the wrong type.
+        Syntax(path: String, reason: String) {
+            display("CF3002: settings file {} is invalid: {}", path, reason)
         }
-        /// A value cannot be used.
-        Value(key: String, value: String, want: String) {
-            display("CF3003: setting {} cannot be '{}': {}", key, value, want)
+        /// A value is invalid.
+        Value(key: String, value: String, expected: String) {
+            display("CF3003: setting {} cannot be '{}': {}", key, value, expected)
         }
-        /// A secret is readable by others.
+        /// A secret file is accessible to other users.
         Exposed(key: String, path: String) {
-            display("CF3004: setting {} names {}, which others can read: take away their rights with chmod 600", key, path)
+            display("CF3004: setting {} names {}, which other users can access: restrict it with chmod 600", key, path)
         }
     }
 }
 
 impl Error {
-    /// The numbered code.
+    /// Returns the result code.
     pub fn code(&self) -> Code {
         match self {
             Error::Unreadable(..) => Code::SettingsUnreadable,
@@ -54,80 +54,79 @@
         }
     }
 
-    /// A value that cannot be used, and what could.
-    pub fn value(key: &str, value: impl ToString, want: &str) -> Error {
-        Error::Value(key.to_owned(), value.to_string(), want.to_owned())
+    /// Creates an error for an invalid value; `expected` says which values are valid.
+    pub fn value(key: &str, value: impl ToString, expected: &str) -> Error {
+        Error::Value(key.to_owned(), value.to_string(), expected.to_owned())
     }
 }
 
-/// A settings file as written, and what it is once checked.
+/// A settings file as deserialized, before validation.
 pub trait Raw: DeserializeOwned {
-    /// What it is once checked.
+    /// The validated settings.
     type Checked;
 
-    /// Checks every value.
+    /// Validates all values.
     fn check(self) -> Result<Self::Checked, Error>;
 }
 
-/// Reads and checks a settings file.
+/// Reads and validates a settings file.
 pub fn load<R: Raw>(path: &Path) -> Result<R::Checked, Error> {
-    let shown = path.display().to_string();
+    let name = path.display().to_string();
     let text =
-        fs::read_to_string(path).map_err(|e| Error::Unreadable(shown.clone(), e.to_string()))?;
-    let raw: R = serde_yaml_ng::from_str(&text).map_err(|e| Error::Syntax(shown, e.to_string()))?;
+        fs::read_to_string(path).map_err(|e| Error::Unreadable(name.clone(), e.to_string()))?;
+    let raw: R = serde_yaml_ng::from_str(&text).map_err(|e| Error::Syntax(name, e.to_string()))?;
     raw.check()
 }
 
-/// The settings that every process has.
+/// The settings that all processes share, as deserialized.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Common {
-    /// Name of the cluster; processes of another are refused.
+    /// Name of the cluster. Links from processes of another cluster are refused.
     pub cluster: String,
-    /// The region.
+    /// Region of this process.
     pub region: String,
-    /// The data centre.
+    /// Data centre of this process.
     pub data_centre: String,
-    /// The region of each data centre, where the cluster spans several.
+    /// Region of each data centre, for clusters that span several regions.
     #[serde(default)]
     pub regions: BTreeMap<String, String>,
     /// Name of this `Vm`.
     pub vm: String,
-    /// File with the cluster's key.
+    /// Path of the file with the cluster's key.
     #[serde(default)]
     pub key_file: Option<String>,
-    /// Links are proved with the cluster's name alone, in place of a key: only for networks on
-    /// which nobody else can connect.
+    /// Authenticates links with the cluster's name in place of a key. Only for closed networks.
     #[serde(default)]
     pub open_links: bool,
     /// Addresses of the region's control processes.
     #[serde(default)]
     pub control: Vec<String>,
-    /// The port for links of the control processes, where `control` names another of theirs.
+    /// Link port of the control processes, if `control` lists them with another port.
     #[serde(default)]
     pub control_port: Option<u16>,
-    /// Least level of log lines.
+    /// Minimum level of log lines.
     #[serde(default = "level_default")]
     pub log_level: String,
-    /// Form of log lines.
+    /// Format of log lines.
     #[serde(default)]
-    pub log_form: Form,
+    pub log_form: LogFormat,
 }
 
 fn level_default() -> String {
     "info".to_owned()
 }
 
-/// [`Common`], checked.
+/// [`Common`] after validation.
 #[derive(Clone)]
 pub struct Base {
     /// Name of the cluster.
     pub cluster: String,
-    /// The region.
+    /// Region of this process.
     pub region: String,
-    /// The data centre.
+    /// Data centre of this process.
     pub data_centre: String,
-    /// The region of each data centre.
+    /// Region of each data centre.
     pub regions: Regions,
     /// Name of this `Vm`.
     pub vm: String,
@@ -135,32 +134,32 @@
     pub key: Key,
     /// Addresses of the region's control processes.
     pub control: Vec<SocketAddr>,
-    /// Least level of log lines.
+    /// Minimum level of log lines.
     pub log_level: LevelFilter,
-    /// Form of log lines.
-    pub log_form: Form,
+    /// Format of log lines.
+    pub log_form: LogFormat,
 }
 
 impl Common {
-    /// Checks every value.
+    /// Validates all values.
     pub fn check(self) -> Result<Base, Error> {
         let port = self.control_port;
-        let place = |mut a: SocketAddr| {
+        let set_port = |mut a: SocketAddr| {
             a.set_port(port.unwrap_or(a.port()));
             a
         };
-        let control = self.control.iter().map(|a| address("common.control", a).map(place));
+        let control = self.control.iter().map(|a| address("common.control", a).map(set_port));
         let key = match &self.key_file {
             Some(path) => key("common.key_file", path)?,
             None if self.open_links => Key::new(self.cluster.as_bytes()),
             None => {
-                let want = "name a file, or set common.open_links on a closed network";
-                return Err(Error::value("common.key_file", "", want));
+                let expected = "name a file, or set common.open_links on a closed network";
+                return Err(Error::value("common.key_file", "", expected));
             }
         };
-        let named =
+        let checked =
             |(dc, region)| Ok((name("common.regions", dc)?, name("common.regions", region)?));
-        let regions = self.regions.into_iter().map(named).collect::<Result<_, Error>>()?;
+        let regions = self.regions.into_iter().map(checked).collect::<Result<_, Error>>()?;
         Ok(Base {
             cluster: name("common.cluster", self.cluster)?,
             region: name("common.region", self.region)?,
@@ -169,44 +168,45 @@
             vm: name("common.vm", self.vm)?,
             key,
             control: control.collect::<Result<_, _>>()?,
-            log_level: level("common.log_level", &self.log_level)?,
+            log_level: parse_level("common.log_level", &self.log_level)?,
             log_form: self.log_form,
         })
     }
 }
 
-fn level(key: &str, s: &str) -> Result<LevelFilter, Error> {
+fn parse_level(key: &str, s: &str) -> Result<LevelFilter, Error> {
     s.parse().map_err(|_| Error::value(key, s, "take off, error, warn, info, debug or trace"))
 }
 
-/// A name of letters, digits, `-`, `_` and `.`.
+/// Returns a name. Fails unless it has 1 to 64 letters, digits, `-`, `_` or `.`. `key` is the name of
+/// the setting, for the error.
 pub fn name(key: &str, s: String) -> Result<String, Error> {
-    let fits = |b: u8| b.is_ascii_alphanumeric() || b"-_.".contains(&b);
-    if s.is_empty() || s.len() > 64 || !s.bytes().all(fits) {
+    let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b"-_.".contains(&b);
+    if s.is_empty() || s.len() > 64 || !s.bytes().all(is_allowed) {
         return Err(Error::value(key, s, "take 1 to 64 letters, digits, '-', '_' or '.'"));
     }
     Ok(s)
 }
 
-/// An IP address with a port.
+/// Parses an IP address with a port.
 pub fn address(key: &str, s: &str) -> Result<SocketAddr, Error> {
     s.parse()
         .map_err(|_| Error::value(key, s, "take an IP address and a port, such as 10.0.0.7:7001"))
 }
 
-/// A number in a range.
-pub fn range(key: &str, n: u64, least: u64, most: u64) -> Result<u64, Error> {
-    if (least..=most).contains(&n) {
+/// Returns `n`. Fails if it is not between `min` and `max`, both included.
+pub fn range(key: &str, n: u64, min: u64, max: u64) -> Result<u64, Error> {
+    if (min..=max).contains(&n) {
         return Ok(n);
     }
-    Err(Error::value(key, n, &format!("take a number from {least} to {most}")))
+    Err(Error::value(key, n, &format!("take a number from {min} to {max}")))
 }
 
-/// A number that may have a fraction, or be left empty where a platform that fills in the file has
-/// none to give.
+/// A number that may have a fraction. `None` if the value is empty, as in files that a platform
+/// generates from a template.
 pub type Quantity = Option<f64>;
 
-/// A quantity in a range, `default` where it is left empty.
+/// Returns a quantity, or `default` if it is empty. Fails if the result is outside `range`.
 pub fn quantity(
     key: &str,
     n: Quantity,
@@ -217,11 +217,11 @@
     if range.contains(&n) {
         return Ok(n);
     }
-    let (least, most) = range.into_inner();
-    Err(Error::value(key, n, &format!("take a number from {least} to {most}")))
+    let (min, max) = range.into_inner();
+    Err(Error::value(key, n, &format!("take a number from {min} to {max}")))
 }
 
-/// A folder that exists.
+/// Returns the path of a folder. Fails if it does not exist.
 pub fn folder(key: &str, s: &str) -> Result<PathBuf, Error> {
     let path = PathBuf::from(s);
     if path.is_dir() {
@@ -230,18 +230,18 @@
     Err(Error::value(key, s, "name a folder that exists"))
 }
 
-/// The cluster's key, from a file that only its owner may read.
+/// Reads the cluster's key from a file that only its owner may access. It must have at least 32 bytes.
 pub fn key(key: &str, path: &str) -> Result<Key, Error> {
     let bytes = secret(key, path)?;
-    if bytes.len() < KEY_LEAST {
+    if bytes.len() < MIN_KEY_BYTES {
         return Err(Error::value(key, path, "the key must have at least 32 bytes"));
     }
     Ok(Key::new(&bytes))
 }
 
-/// The content of a file that only its owner may read, without white space round it.
+/// Reads a file that only its owner may access, without leading and trailing ASCII white space.
 pub fn secret(key: &str, path: &str) -> Result<Vec<u8>, Error> {
-    let unreadable = |_| Error::value(key, path, "name a file that can be read");
+    let unreadable = |_| Error::value(key, path, "name a readable file");
     let mode = fs::metadata(path).map_err(unreadable)?.permissions().mode();
     if mode & 0o077 != 0 {
         return Err(Error::Exposed(key.to_owned(), path.to_owned()));
