--- a/crates/node/src/group.rs
+++ b/crates/node/src/group.rs
@@ -1,6 +1,6 @@
-//! The client of a control group: finds the leader, resends, gives up at a deadline.
+//! The client of a control group. It finds the leader and retries calls until a deadline.
 //!
-//! Every command can be sent again without harm, so a call whose answer is lost is repeated.
+//! All commands are idempotent, so a call whose response is lost is sent again.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -21,80 +21,85 @@
 use crate::event::Event;
 use crate::link::{self, Credentials, Link};
 
-/// Messages that may wait for a link.
-const QUEUE: usize = 1024;
+/// Maximum number of calls queued for a link.
+const MAX_QUEUED_CALLS: usize = 1024;
 
-/// How long one try may take before another replica is asked.
-const TRY: Duration = Duration::from_secs(2);
+/// Timeout of one try. The next one opens a new link.
+const TRY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long a replica may take to open a link before another is asked. A frozen one accepts
-/// connections and says nothing.
-const OPEN_WITHIN: Duration = Duration::from_millis(500);
+/// Timeout for opening a link before another control process is tried. A suspended process still accepts
+/// connections but does not complete the handshake.
+const OPEN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The waits between tries: from the first, doubled up to the second.
-const WAIT: (Duration, Duration) = (Duration::from_millis(20), Duration::from_millis(200));
+/// Initial and maximum backoff between tries, before jitter. It doubles with each try.
+const BACKOFF: (Duration, Duration) = (Duration::from_millis(20), Duration::from_millis(200));
 
-/// Addresses kept at most beside those of the settings: more than the control processes of a region.
-const LEARNED: usize = 64;
+/// Maximum number of addresses kept besides those of the settings. A region has fewer control
+/// processes.
+const MAX_LEARNED: usize = 64;
 
-type Waiting = Rc<RefCell<HashMap<i64, oneshot::Sender<Return>>>>;
+/// Senders for the responses of calls in flight, by call id.
+type PendingCalls = Rc<RefCell<HashMap<i64, oneshot::Sender<Return>>>>;
 
+/// An open link to a control process.
 #[derive(Clone)]
-struct Live {
+struct OpenLink {
     address: SocketAddr,
     tx: mpsc::Sender<Frame>,
-    waiting: Waiting,
+    pending: PendingCalls,
 }
 
 struct Inner {
-    me: Credentials,
+    credentials: Credentials,
     addresses: RefCell<Vec<SocketAddr>>,
-    /// Addresses that other processes have told of.
+    /// Addresses received from other processes, oldest first.
     learned: RefCell<VecDeque<SocketAddr>>,
-    turn: Cell<usize>,
-    hint: Cell<Option<SocketAddr>>,
-    /// The newest term of which the leader is known.
+    next_index: Cell<usize>,
+    /// Address of the leader, if known, for the next link.
+    leader_hint: Cell<Option<SocketAddr>>,
+    /// Newest term whose leader is known.
     term: Cell<Term>,
-    ids: Cell<i64>,
-    live: RefCell<Option<Live>>,
+    last_id: Cell<i64>,
+    link: RefCell<Option<OpenLink>>,
+    /// Held while a link is opened, so that concurrent calls share it.
     opening: Mutex<()>,
-    /// How often it was said that the group answers again.
-    wakes: Cell<u64>,
+    /// Number of calls of [`Group::wake`].
+    wake_count: Cell<u64>,
     woken: Notify,
 }
 
-/// The client of one control group; clones share a link.
+/// The client of one control group. Clones share one link.
 #[derive(Clone)]
 pub struct Group {
     inner: Rc<Inner>,
 }
 
 impl Group {
-    /// A client that knows some of the group's addresses.
-    pub fn new(me: Credentials, addresses: Vec<SocketAddr>) -> Group {
+    /// Creates a client that starts with some addresses of the group.
+    pub fn new(credentials: Credentials, addresses: Vec<SocketAddr>) -> Group {
         let inner = Inner {
-            me,
+            credentials,
             addresses: RefCell::new(addresses),
             learned: RefCell::default(),
-            turn: Cell::new(0),
-            hint: Cell::new(None),
+            next_index: Cell::new(0),
+            leader_hint: Cell::new(None),
             term: Cell::new(0),
-            ids: Cell::new(0),
-            live: RefCell::new(None),
+            last_id: Cell::new(0),
+            link: RefCell::new(None),
             opening: Mutex::new(()),
-            wakes: Cell::new(0),
+            wake_count: Cell::new(0),
             woken: Notify::new(),
         };
         Group { inner: Rc::new(inner) }
     }
 
-    /// Takes other addresses of the group into use.
+    /// Replaces the addresses of the settings.
     pub fn set_addresses(&self, addresses: Vec<SocketAddr>) {
         *self.inner.addresses.borrow_mut() = addresses;
     }
 
-    /// Takes addresses into use, besides those of the settings, that other processes tell of: the
-    /// group may have none of the settings' addresses left.
+    /// Adds addresses received from other processes. They matter once none of the addresses in the
+    /// settings belongs to the group any more. Only the newest 64 are kept.
     pub fn learn(&self, addresses: impl IntoIterator<Item = SocketAddr>) {
         let mut learned = self.inner.learned.borrow_mut();
         for a in addresses {
@@ -102,128 +107,135 @@
                 learned.push_back(a);
             }
         }
-        while learned.len() > LEARNED {
+        while learned.len() > MAX_LEARNED {
             learned.pop_front();
         }
     }
 
-    /// Says who leads the group in `term`. A link to another process is given up if the word is newer
-    /// than those before, and the calls that wait on it go on at the leader: one that has lost power
-    /// says nothing, and they would wait for the rest of their tries.
+    /// Sets the leader of `term`. If the term is newer than the last one set, a link to another process is
+    /// dropped and its pending calls are retried at the leader at once. A process that lost power sends
+    /// no error, so they would otherwise wait for their timeouts.
     pub fn point_to(&self, term: Term, leader: SocketAddr) {
         if term <= self.inner.term.get() {
             return;
         }
         self.inner.term.set(term);
-        let mut live = self.inner.live.borrow_mut();
-        if live.as_ref().is_some_and(|l| l.address == leader) {
+        let mut link = self.inner.link.borrow_mut();
+        if link.as_ref().is_some_and(|l| l.address == leader) {
             return;
         }
-        self.inner.hint.set(Some(leader));
-        if let Some(old) = live.take() {
-            // Who waits is told by that no answer can come any more.
-            old.waiting.borrow_mut().clear();
+        self.inner.leader_hint.set(Some(leader));
+        if let Some(old) = link.take() {
+            // Dropping the senders fails the pending calls, which then retry.
+            old.pending.borrow_mut().clear();
         }
     }
 
-    /// Says that the group answers again: calls that wait for their next try make it now.
+    /// Ends the backoff of all waiting calls: the group is known to respond again.
     pub fn wake(&self) {
-        self.inner.wakes.set(self.inner.wakes.get() + 1);
+        self.inner.wake_count.set(self.inner.wake_count.get() + 1);
         self.inner.woken.notify_waiters();
     }
 
-    /// Waits until the next try of a call that failed, unless the group was woken since that began.
-    /// Returns whether it was.
-    async fn pause(&self, wakes: u64, pause: Duration) -> bool {
-        if self.inner.wakes.get() == wakes {
+    /// Waits before the next try of a call, until [`Group::wake`] at the latest. Returns whether `wake`
+    /// was called since `wake_count` was read.
+    async fn pause(&self, wake_count: u64, pause: Duration) -> bool {
+        if self.inner.wake_count.get() == wake_count {
             tokio::select! {
                 () = sleep(pause) => {}
                 () = self.inner.woken.notified() => {}
             }
         }
-        self.inner.wakes.get() != wakes
+        self.inner.wake_count.get() != wake_count
     }
 
-    /// Has a command committed.
+    /// Sends a command and returns its answer once it is committed.
+    ///
+    /// Retries until `within` has passed, then fails with the code of the last try. Fails at once with an
+    /// error that a retry cannot change.
     pub async fn command(&self, c: &Command, within: Duration) -> Result<Answer, Code> {
         let bytes = self.call(Ask::Command(body::pack(c)), within).await?;
         body::unpack(&bytes).map_err(|_| Code::MessageBad)
     }
 
-    /// Has a command committed that is made anew for each try, as it tells the time.
+    /// Like [`Group::command`], but builds the command again for each try. For commands that contain the
+    /// current time.
     pub async fn command_anew(
         &self,
-        make: impl Fn() -> Command,
+        build: impl Fn() -> Command,
         within: Duration,
     ) -> Result<Answer, Code> {
-        let bytes = self.call_anew(|| Ask::Command(body::pack(&make())), within).await?;
+        let bytes = self.call_with(|| Ask::Command(body::pack(&build())), within).await?;
         body::unpack(&bytes).map_err(|_| Code::MessageBad)
     }
 
-    /// Has a query answered.
+    /// Sends a query and returns the reply. Fails like [`Group::command`].
     pub async fn query(&self, q: &Query, within: Duration) -> Result<Reply, Code> {
         let bytes = self.call(Ask::Query(body::pack(q)), within).await?;
         body::unpack(&bytes).map_err(|_| Code::MessageBad)
     }
 
-    /// Asks the leader, again and again until `within` has passed.
+    /// Sends a request to the leader and returns the body of the response. Retries until `within` has
+    /// passed.
     pub async fn call(&self, ask: Ask, within: Duration) -> Result<Vec<u8>, Code> {
-        self.call_anew(|| ask.clone(), within).await
+        self.call_with(|| ask.clone(), within).await
     }
 
-    async fn call_anew(&self, make: impl Fn() -> Ask, within: Duration) -> Result<Vec<u8>, Code> {
+    async fn call_with(&self, build: impl Fn() -> Ask, within: Duration) -> Result<Vec<u8>, Code> {
         let deadline = Instant::now() + within;
-        let mut wait = WAIT.0;
+        let mut backoff = BACKOFF.0;
         loop {
-            let end = deadline.min(Instant::now() + TRY);
-            let wakes = self.inner.wakes.get();
-            let code = match self.try_once(make(), end).await {
+            let end = deadline.min(Instant::now() + TRY_TIMEOUT);
+            let wake_count = self.inner.wake_count.get();
+            let code = match self.try_once(build(), end).await {
                 Ok(bytes) => return Ok(bytes),
                 Err(code) if is_final(code) => return Err(code),
                 Err(code) => code,
             };
-            let pause = wait.mul_f64(rand::rng().random_range(0.5..1.5));
+            let pause = backoff.mul_f64(rand::rng().random_range(0.5..1.5));
             if Instant::now() + pause >= deadline {
                 return Err(code);
             }
-            let woken = self.pause(wakes, pause).await;
-            wait = if woken { WAIT.0 } else { (wait * 2).min(WAIT.1) };
+            let woken = self.pause(wake_count, pause).await;
+            backoff = if woken { BACKOFF.0 } else { (backoff * 2).min(BACKOFF.1) };
         }
     }
 
+    /// Sends a request once, on the open link or a new one.
     async fn try_once(&self, ask: Ask, end: Instant) -> Result<Vec<u8>, Code> {
-        let live = self.live(end).await?;
-        let id = self.inner.ids.get() + 1;
-        self.inner.ids.set(id);
+        let link = self.open_link(end).await?;
+        let id = self.inner.last_id.get() + 1;
+        self.inner.last_id.set(id);
         let (tx, rx) = oneshot::channel();
-        live.waiting.borrow_mut().insert(id, tx);
+        link.pending.borrow_mut().insert(id, tx);
         let call = Frame::Call(Call::new(id, ask, None));
-        if live.tx.try_send(call).is_err() {
-            live.waiting.borrow_mut().remove(&id);
-            self.forget(&live);
+        if link.tx.try_send(call).is_err() {
+            link.pending.borrow_mut().remove(&id);
+            self.drop_link(&link);
             return Err(Code::LinkBroken);
         }
         match timeout_at(end, rx).await {
-            Ok(Ok(r)) => self.take(&live, r),
+            Ok(Ok(r)) => self.handle_return(&link, r),
             Ok(Err(_)) => {
-                self.forget(&live);
+                self.drop_link(&link);
                 Err(Code::LinkBroken)
             }
             Err(_) => {
-                live.waiting.borrow_mut().remove(&id);
-                self.forget(&live);
+                link.pending.borrow_mut().remove(&id);
+                self.drop_link(&link);
                 Err(Code::NoQuorum)
             }
         }
     }
 
-    fn take(&self, live: &Live, r: Return) -> Result<Vec<u8>, Code> {
+    /// Returns the body of a response, or its error. Drops the link if the process is not the leader.
+    fn handle_return(&self, link: &OpenLink, r: Return) -> Result<Vec<u8>, Code> {
         let code = Code::ALL.iter().find(|c| i32::from(c.number()) == r.code);
         match code {
             None if r.code == 0 => Ok(r.body.unwrap_or_default()),
             Some(Code::NotLeader) => {
-                self.inner.hint.set(r.leader.and_then(|a| a.parse().ok()));
-                self.forget(live);
+                self.inner.leader_hint.set(r.leader.and_then(|a| a.parse().ok()));
+                self.drop_link(link);
                 Err(Code::NotLeader)
             }
             Some(c) => Err(*c),
@@ -231,23 +243,24 @@
         }
     }
 
-    /// Drops the link unless another has taken its place.
-    fn forget(&self, old: &Live) {
-        let mut live = self.inner.live.borrow_mut();
-        if live.as_ref().is_some_and(|l| l.tx.same_channel(&old.tx)) {
-            *live = None;
+    /// Drops the link if it is still the current one.
+    fn drop_link(&self, old: &OpenLink) {
+        let mut link = self.inner.link.borrow_mut();
+        if link.as_ref().is_some_and(|l| l.tx.same_channel(&old.tx)) {
+            *link = None;
         }
     }
 
-    async fn live(&self, end: Instant) -> Result<Live, Code> {
-        let _one = self.inner.opening.lock().await;
-        if let Some(l) = &*self.inner.live.borrow() {
+    /// Returns the current link, or opens one to the next address.
+    async fn open_link(&self, end: Instant) -> Result<OpenLink, Code> {
+        let _guard = self.inner.opening.lock().await;
+        if let Some(l) = &*self.inner.link.borrow() {
             return Ok(l.clone());
         }
         let address = self.next_address().ok_or(Code::NoQuorum)?;
-        let end = end.min(Instant::now() + OPEN_WITHIN);
-        match timeout_at(end, link::connect(address, &self.inner.me)).await {
-            Ok(Ok(link)) => Ok(self.adopt(address, link)),
+        let end = end.min(Instant::now() + OPEN_TIMEOUT);
+        match timeout_at(end, link::connect(address, &self.inner.credentials)).await {
+            Ok(Ok(link)) => Ok(self.adopt_link(address, link)),
             Ok(Err(e)) => {
                 emit!(Event::LinkFailed, address = address, why = e);
                 Err(Code::LinkBroken)
@@ -256,40 +269,42 @@
         }
     }
 
+    /// Returns the leader if it is known, else the next of all known addresses in turn.
     fn next_address(&self) -> Option<SocketAddr> {
-        if let Some(a) = self.inner.hint.take() {
+        if let Some(a) = self.inner.leader_hint.take() {
             return Some(a);
         }
-        let own = self.inner.addresses.borrow();
+        let configured = self.inner.addresses.borrow();
         let learned = self.inner.learned.borrow();
-        let all = || own.iter().chain(learned.iter().filter(|a| !own.contains(a)));
-        let turn = self.inner.turn.get();
-        self.inner.turn.set(turn + 1);
-        all().nth(turn % all().count().max(1)).copied()
+        let all = || configured.iter().chain(learned.iter().filter(|a| !configured.contains(a)));
+        let index = self.inner.next_index.get();
+        self.inner.next_index.set(index + 1);
+        all().nth(index % all().count().max(1)).copied()
     }
 
-    fn adopt(&self, address: SocketAddr, link: Link) -> Live {
-        let (tx, rx) = mpsc::channel(QUEUE);
-        let waiting = Waiting::default();
-        let live = Live { address, tx, waiting: waiting.clone() };
-        *self.inner.live.borrow_mut() = Some(live.clone());
-        actix_rt::spawn(pump(link, rx, waiting));
-        live
+    /// Makes a link the current one and starts its task.
+    fn adopt_link(&self, address: SocketAddr, link: Link) -> OpenLink {
+        let (tx, rx) = mpsc::channel(MAX_QUEUED_CALLS);
+        let pending = PendingCalls::default();
+        let open = OpenLink { address, tx, pending: pending.clone() };
+        *self.inner.link.borrow_mut() = Some(open.clone());
+        actix_rt::spawn(run_link(link, rx, pending));
+        open
     }
 
-    /// The replica that is asked now.
+    /// Returns the address of the control process that the client has a link to, if any.
     pub fn address(&self) -> Option<SocketAddr> {
-        self.inner.live.borrow().as_ref().map(|l| l.address)
+        self.inner.link.borrow().as_ref().map(|l| l.address)
     }
 }
 
-/// Whether asking again would bring the same answer.
+/// Returns whether a retry would end with the same error.
 fn is_final(code: Code) -> bool {
     !matches!(code, Code::NotLeader | Code::NoQuorum | Code::LinkBroken | Code::QueueFull)
 }
 
-/// Sends what is queued and hands out the answers until the link breaks.
-async fn pump(link: Link, mut rx: mpsc::Receiver<Frame>, waiting: Waiting) {
+/// Sends queued calls and delivers the responses to their callers, until the link breaks.
+async fn run_link(link: Link, mut rx: mpsc::Receiver<Frame>, pending: PendingCalls) {
     let Link { mut reader, mut writer, .. } = link;
     let send = async {
         while let Some(f) = rx.recv().await {
@@ -300,9 +315,9 @@
     };
     let receive = async {
         while let Ok(Frame::Answer(r)) = reader.next().await {
-            let waiter = waiting.borrow_mut().remove(&r.id);
-            if let Some(tx) = waiter {
-                // The waiter may have given up.
+            let caller = pending.borrow_mut().remove(&r.id);
+            if let Some(tx) = caller {
+                // The caller may have timed out.
                 let _ = tx.send(r);
             }
         }
@@ -311,5 +326,5 @@
         () = send => {}
         () = receive => {}
     }
-    waiting.borrow_mut().clear();
+    pending.borrow_mut().clear();
 }
--- a/crates/node/src/time.rs
+++ b/crates/node/src/time.rs
@@ -8,53 +8,54 @@
 use crate::emit;
 use crate::event::Event;
 
-/// The clock that goes on while the machine is suspended. A lease, a registration or a word of the
-/// control group must not outlive its time because its holder slept; the steady clock stands still
-/// meanwhile.
+/// The clock that keeps running while the machine is suspended. `CLOCK_MONOTONIC` stops meanwhile, so
+/// leases and registrations would outlive their time.
 #[cfg(any(target_os = "linux", target_os = "android"))]
-const COUNTS_ALL: ClockId = ClockId::CLOCK_BOOTTIME;
+const BOOT_CLOCK: ClockId = ClockId::CLOCK_BOOTTIME;
 
-/// Other systems name no such clock.
+/// Other systems have no such clock.
 #[cfg(not(any(target_os = "linux", target_os = "android")))]
-const COUNTS_ALL: ClockId = ClockId::CLOCK_MONOTONIC;
+const BOOT_CLOCK: ClockId = ClockId::CLOCK_MONOTONIC;
 
-/// A clock that never goes back and counts suspensions, with its origin at the start of the process.
+/// A monotonic clock that counts suspensions and starts at zero.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     id: ClockId,
     origin: Duration,
 }
 
-fn read(id: ClockId) -> Option<Duration> {
+/// Reads a system clock. Returns `None` if the system does not have it.
+fn read_clock(id: ClockId) -> Option<Duration> {
     clock_gettime(id).ok().map(Duration::from)
 }
 
 impl Clock {
-    /// Starts at zero. Where the system has no clock that counts suspensions, it is the steady one.
+    /// Starts a clock at zero. Falls back to `CLOCK_MONOTONIC` where the system has no clock that counts
+    /// suspensions.
     pub fn start() -> Clock {
-        if let Some(origin) = read(COUNTS_ALL) {
-            return Clock { id: COUNTS_ALL, origin };
+        if let Some(origin) = read_clock(BOOT_CLOCK) {
+            return Clock { id: BOOT_CLOCK, origin };
         }
         emit!(Event::ClockSteady);
         let id = ClockId::CLOCK_MONOTONIC;
-        Clock { id, origin: read(id).unwrap_or_default() }
+        Clock { id, origin: read_clock(id).unwrap_or_default() }
     }
 
-    /// Whether it goes on while the machine is suspended.
+    /// Returns whether the clock keeps running while the machine is suspended.
     pub fn counts_suspensions(&self) -> bool {
-        cfg!(any(target_os = "linux", target_os = "android")) && self.id == COUNTS_ALL
+        cfg!(any(target_os = "linux", target_os = "android")) && self.id == BOOT_CLOCK
     }
 
-    /// The present time.
+    /// Returns the time since the start, in milliseconds.
     pub fn now(&self) -> Time {
-        // A clock that was read once can be read again.
-        let now = read(self.id).unwrap_or(self.origin);
+        // Reading cannot fail here: `start` has read this clock.
+        let now = read_clock(self.id).unwrap_or(self.origin);
         Time(now.saturating_sub(self.origin).as_millis() as u64)
     }
 }
 
-/// The time of day, in milliseconds since 1970, for stamps that outlive the process.
+/// Returns the milliseconds since the Unix epoch, for timestamps that outlive the process.
 pub fn wall() -> Time {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    Time(since.as_millis() as u64)
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    Time(elapsed.as_millis() as u64)
 }
--- a/crates/node/src/urge.rs
+++ b/crates/node/src/urge.rs
@@ -1,31 +1,31 @@
-//! A wish that a standing question be put anew at once, though its answer is not due yet.
+//! A signal to repeat a watch request (long poll) before its response has arrived.
 
 use std::cell::Cell;
 
 use tokio::sync::Notify;
 
-/// The wish, from those that have it to the task that puts the question.
+/// The signal, from the code that needs newer data to the task that sends the watch requests.
 #[derive(Debug, Default)]
 pub struct Urge {
-    wished: Cell<bool>,
+    triggered: Cell<bool>,
     notify: Notify,
 }
 
 impl Urge {
-    /// Wishes that the question be put.
+    /// Sets the signal and wakes the waiting task.
     pub fn wish(&self) {
-        self.wished.set(true);
+        self.triggered.set(true);
         self.notify.notify_one();
     }
 
-    /// Notes that the question is being put, with all that was wished for.
+    /// Resets the signal. The task calls this when it sends the next request.
     pub fn clear(&self) {
-        self.wished.set(false);
+        self.triggered.set(false);
     }
 
-    /// Waits for a wish that has not been cleared.
+    /// Waits until the signal is set. Returns at once if it is set already.
     pub async fn wished(&self) {
-        while !self.wished.get() {
+        while !self.triggered.get() {
             self.notify.notified().await;
         }
     }
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -1,4 +1,5 @@
-//! Following one control process: what it knows of replicas, routers and the document in force.
+//! The client side of watch requests (long polls): follows the replicas, routers and document version
+//! that one control process reports.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,67 +10,68 @@
 
 use crate::link::{self, Credentials, Link};
 
-/// How long a link may take to open. One that was cut off needs no longer than a fresh one.
-const OPEN_WITHIN: Duration = Duration::from_millis(600);
+/// Timeout for opening a link.
+const OPEN_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// How long an answer may take; a control process answers within a second.
-const ANSWER_WITHIN: Duration = Duration::from_millis(1_700);
+/// Timeout for a response. A control process responds within a second, even without news.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_700);
 
-/// How long to wait after a failed try.
-const PAUSE: Duration = Duration::from_millis(250);
+/// Delay before a new connection after a failure.
+const RECONNECT_DELAY: Duration = Duration::from_millis(250);
 
-/// What follows a control process.
+/// Supplies the requests of a watch and handles its responses.
 pub trait Watcher {
-    /// The question to put next; `None` ends the watch.
+    /// Returns the next request to the control process at `to`. `None` ends the watch.
     fn question(&self, to: SocketAddr) -> Option<Watch>;
-    /// Takes an answer.
-    fn seen(&self, from: SocketAddr, seen: WatchResponse);
-    /// The control process is out of reach.
+    /// Handles a response.
+    fn seen(&self, from: SocketAddr, response: WatchResponse);
+    /// Handles a failed connection or a broken link.
     fn lost(&self, from: SocketAddr);
-    /// Waits until the next question is to be put though the last is not answered yet.
+    /// Waits until the next request is to be sent before the last one has its response.
     fn urged(&self) -> impl Future<Output = ()>;
 }
 
-/// Follows the control process at `address` until there is no question left.
-pub async fn watch(address: SocketAddr, me: Credentials, watcher: impl Watcher) {
+/// Watches the control process at `address` until [`Watcher::question`] returns `None`. Reconnects
+/// after failures.
+pub async fn watch(address: SocketAddr, credentials: Credentials, watcher: impl Watcher) {
     while watcher.question(address).is_some() {
-        if let Ok(Ok(link)) = timeout(OPEN_WITHIN, link::connect(address, &me)).await {
-            ask_on(link, address, &watcher).await;
+        if let Ok(Ok(link)) = timeout(OPEN_TIMEOUT, link::connect(address, &credentials)).await {
+            poll(link, address, &watcher).await;
         }
         watcher.lost(address);
-        sleep(PAUSE).await;
+        sleep(RECONNECT_DELAY).await;
     }
 }
 
-/// Asks again and again until the link breaks. Answers come in the order of the questions. One to a
-/// question that a later one has overtaken is taken as well: its sender counts the news as told.
-async fn ask_on(link: Link, address: SocketAddr, watcher: &impl Watcher) {
+/// Sends requests on a link until it breaks. Responses arrive in the order of the requests. A response to
+/// a superseded request is handled too, because its sender will not repeat the changes in it.
+async fn poll(link: Link, address: SocketAddr, watcher: &impl Watcher) {
     let Link { mut reader, mut writer, .. } = link;
     let mut id = 0;
     let mut due = true;
-    let mut until = Instant::now() + ANSWER_WITHIN;
+    let mut deadline = Instant::now() + RESPONSE_TIMEOUT;
     loop {
-        let answer = reader.next();
-        tokio::pin!(answer);
-        let answer = loop {
+        let response = reader.next();
+        tokio::pin!(response);
+        let result = loop {
             if due {
-                let Some(question) = watcher.question(address) else { return };
+                let Some(request) = watcher.question(address) else { return };
                 id += 1;
-                let call = Frame::Call(Call::new(id, Ask::Watch(body::pack(&question)), None));
+                let call = Frame::Call(Call::new(id, Ask::Watch(body::pack(&request)), None));
                 if writer.send(&call).await.is_err() {
                     return;
                 }
-                until = Instant::now() + ANSWER_WITHIN;
+                deadline = Instant::now() + RESPONSE_TIMEOUT;
             }
             tokio::select! {
-                answer = timeout_at(until, &mut answer) => break answer,
+                result = timeout_at(deadline, &mut response) => break result,
                 () = watcher.urged() => due = true,
             }
         };
-        let Ok(Ok(Frame::Answer(r))) = answer else { return };
-        let seen = r.body.as_deref().and_then(|b| body::unpack::<WatchResponse>(b).ok());
-        let Some(seen) = seen.filter(|_| r.code == 0) else { return };
-        watcher.seen(address, seen);
+        let Ok(Ok(Frame::Answer(r))) = result else { return };
+        let response = r.body.as_deref().and_then(|b| body::unpack::<WatchResponse>(b).ok());
+        let Some(response) = response.filter(|_| r.code == 0) else { return };
+        watcher.seen(address, response);
         due = r.id == id;
     }
 }
--- a/crates/node/tests/group.rs
+++ b/crates/node/tests/group.rs
@@ -1,4 +1,4 @@
-//! The client of a control group, against a replica that is scripted here.
+//! The client of a control group, against scripted members.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -14,25 +14,26 @@
 use tokio::net::TcpListener;
 use tokio::time::sleep;
 
-/// Tries after which a caller's pause has grown to its longest.
-const MANY: usize = 7;
+/// Number of tries after which the backoff has reached its maximum.
+const TRIES_TO_MAX_BACKOFF: usize = 7;
 
-fn me() -> Credentials {
+fn credentials() -> Credentials {
     Credentials { key: Key::new(&[7; 32]), cluster: "c".into(), name: "entry-1".into() }
 }
 
-/// When a call came, and what it asked.
-type Came = (Instant, Ask);
+/// Arrival time and content of a call.
+type ReceivedCall = (Instant, Ask);
 
-/// Answers every call with "this replica does not lead", and notes when each came.
-async fn follower(listener: TcpListener, came: Rc<RefCell<Vec<Came>>>) {
+/// Answers every call with `NotLeader`, and records the calls.
+async fn follower(listener: TcpListener, calls: Rc<RefCell<Vec<ReceivedCall>>>) {
     loop {
         let (stream, _) = listener.accept().await.unwrap();
-        let came = came.clone();
+        let calls = calls.clone();
         actix_rt::spawn(async move {
-            let Link { mut reader, mut writer, .. } = link::accept(stream, &me()).await.unwrap();
+            let Link { mut reader, mut writer, .. } =
+                link::accept(stream, &credentials()).await.unwrap();
             while let Ok(Frame::Call(c)) = reader.next().await {
-                came.borrow_mut().push((Instant::now(), c.ask));
+                calls.borrow_mut().push((Instant::now(), c.ask));
                 let code = i32::from(Code::NotLeader.number());
                 let answer = Frame::Answer(Return::new(c.id, code, None, None));
                 writer.send(&answer).await.unwrap();
@@ -41,42 +42,42 @@
     }
 }
 
-/// The shortest pause at its longest is 100 ms; a try that is woken comes at once.
+/// `wake` ends a backoff. With jitter, the longest backoff is at least 100 ms.
 #[test]
 fn a_call_that_waits_for_its_next_try_makes_it_when_the_group_answers_again() {
     actix_rt::System::new().block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let group = Group::new(me(), vec![listener.local_addr().unwrap()]);
-        let came = Rc::new(RefCell::new(Vec::new()));
-        actix_rt::spawn(follower(listener, came.clone()));
-        let calling = group.clone();
+        let group = Group::new(credentials(), vec![listener.local_addr().unwrap()]);
+        let calls = Rc::new(RefCell::new(Vec::new()));
+        actix_rt::spawn(follower(listener, calls.clone()));
+        let client = group.clone();
         actix_rt::spawn(async move {
-            // It ends with the test.
-            let _ = calling.call(Ask::Command(Vec::new()), Duration::from_secs(30)).await;
+            // Runs until the test ends.
+            let _ = client.call(Ask::Command(Vec::new()), Duration::from_secs(30)).await;
         });
-        while came.borrow().len() < MANY {
+        while calls.borrow().len() < TRIES_TO_MAX_BACKOFF {
             sleep(Duration::from_millis(5)).await;
         }
-        // The answer to that try has come, and the pause after it has begun.
+        // Lets the response arrive and the backoff start.
         sleep(Duration::from_millis(30)).await;
         let woken = Instant::now();
         group.wake();
-        while came.borrow().len() == MANY {
+        while calls.borrow().len() == TRIES_TO_MAX_BACKOFF {
             sleep(Duration::from_millis(1)).await;
         }
-        let took = came.borrow()[MANY].0.duration_since(woken);
-        assert!(took < Duration::from_millis(60), "{took:?}: it slept on");
+        let took = calls.borrow()[TRIES_TO_MAX_BACKOFF].0.duration_since(woken);
+        assert!(took < Duration::from_millis(60), "{took:?}: wake did not end the backoff");
     });
 }
 
-/// How long a process has been running grows between the tries of its registration.
+/// A registration contains the age of the process, which grows between the tries.
 #[test]
-fn a_command_that_tells_the_time_is_made_anew_for_each_try() {
+fn a_command_that_contains_the_time_is_built_again_for_each_try() {
     actix_rt::System::new().block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let group = Group::new(me(), vec![listener.local_addr().unwrap()]);
-        let came = Rc::new(RefCell::new(Vec::new()));
-        actix_rt::spawn(follower(listener, came.clone()));
+        let group = Group::new(credentials(), vec![listener.local_addr().unwrap()]);
+        let calls = Rc::new(RefCell::new(Vec::new()));
+        actix_rt::spawn(follower(listener, calls.clone()));
         let ages = Cell::new(0);
         let register = || {
             ages.set(ages.get() + 1);
@@ -91,24 +92,25 @@
         };
         let answer = group.command_anew(register, Duration::from_millis(200)).await;
         assert_eq!(answer, Err(Code::NotLeader));
-        let told = |(_, ask): &Came| match ask {
+        let sent_age = |(_, ask): &ReceivedCall| match ask {
             Ask::Command(bytes) => match body::unpack(bytes).unwrap() {
                 Command::Register { age, .. } => age.0,
                 other => panic!("{other:?}"),
             },
             other => panic!("{other:?}"),
         };
-        let told: Vec<u64> = came.borrow().iter().map(told).collect();
-        assert!(told.len() > 1 && told.is_sorted_by(|a, b| a < b), "{told:?}");
+        let sent: Vec<u64> = calls.borrow().iter().map(sent_age).collect();
+        assert!(sent.len() > 1 && sent.is_sorted_by(|a, b| a < b), "{sent:?}");
     });
 }
 
-/// Opens links, and answers calls or keeps silent, as a process without power does.
+/// Accepts links. Answers calls if `answers`, else stays silent like a process that lost power.
 async fn serve(listener: TcpListener, answers: bool) {
     loop {
         let (stream, _) = listener.accept().await.unwrap();
         actix_rt::spawn(async move {
-            let Link { mut reader, mut writer, .. } = link::accept(stream, &me()).await.unwrap();
+            let Link { mut reader, mut writer, .. } =
+                link::accept(stream, &credentials()).await.unwrap();
             while let Ok(Frame::Call(c)) = reader.next().await {
                 if answers {
                     let answer = Frame::Answer(Return::new(c.id, 0, Some(Vec::new()), None));
@@ -119,8 +121,8 @@
     }
 }
 
-/// The leader loses power: a call waits for its answer until others tell of the next leader, and not
-/// until the try is given up after 2 s. An older word of the one before changes nothing.
+/// A pending call must move to the new leader at once, not after the timeout of its try (2 s). A leader
+/// of the same or an older term is ignored.
 #[test]
 fn a_call_that_waits_for_a_lost_leader_goes_on_at_the_next_one() {
     actix_rt::System::new().block_on(async {
@@ -131,17 +133,17 @@
         let (old, new) = (lost.local_addr().unwrap(), next.local_addr().unwrap());
         actix_rt::spawn(serve(lost, false));
         actix_rt::spawn(serve(next, true));
-        let group = Group::new(me(), vec![old]);
+        let group = Group::new(credentials(), vec![old]);
         group.point_to(3, old);
-        let calling = group.clone();
-        let begun = Instant::now();
+        let client = group.clone();
+        let start = Instant::now();
         let call = actix_rt::spawn(async move {
-            calling.call(Ask::Command(Vec::new()), Duration::from_secs(10)).await
+            client.call(Ask::Command(Vec::new()), Duration::from_secs(10)).await
         });
         sleep(Duration::from_millis(150)).await;
         group.point_to(4, new);
         assert_eq!(call.await.unwrap(), Ok(Vec::new()));
-        assert!(begun.elapsed() < Duration::from_millis(900), "{:?}", begun.elapsed());
+        assert!(start.elapsed() < Duration::from_millis(900), "{:?}", start.elapsed());
         assert_eq!(group.address(), Some(new));
         group.point_to(3, old);
         group.point_to(4, old);
