--- a/crates/node/src/event.rs
+++ b/crates/node/src/event.rs
@@ -1,6 +1,6 @@
-//! The numbered events that processes log.
+//! The events that processes log, with their numbers, levels and texts.
 //!
-//! `docs/EVENTS.md` lists them; a test keeps the page and this table in step.
+//! A test compares this table with `docs/EVENTS.md`.
 
 use log::Level;
 
@@ -13,20 +13,20 @@
         }
 
         impl Event {
-            /// Every event, in the order of its number.
+            /// All events, in the order of their numbers.
             pub const ALL: &[Event] = &[$(Event::$name,)*];
 
-            /// The number.
+            /// Returns the number.
             pub fn number(self) -> u16 {
                 match self { $(Event::$name => $num,)* }
             }
 
-            /// The level it is logged at.
+            /// Returns the log level.
             pub fn level(self) -> Level {
                 match self { $(Event::$name => Level::$level,)* }
             }
 
-            /// What it says.
+            /// Returns the text.
             pub fn text(self) -> &'static str {
                 match self { $(Event::$name => $text,)* }
             }
@@ -125,7 +125,7 @@
     FirstLookedAt = 444, Info, "the gateway that hands out a replica's permits is looked at by the one that stands in for it";
 }
 
-/// Logs an event with fields.
+/// Logs an event with fields, each written as `key = value`.
 #[macro_export]
 macro_rules! emit {
     ($event:expr $(, $key:ident = $value:expr)* $(,)?) => {{
--- a/crates/node/src/link.rs
+++ b/crates/node/src/link.rs
@@ -1,4 +1,4 @@
-//! Links between processes: a TCP connection on which both sides have proved themselves.
+//! Links between processes: mutually authenticated TCP connections.
 
 use std::cell::Cell;
 use std::io;
@@ -19,66 +19,65 @@
 
 use crate::metric;
 
-/// How long a peer may take to connect and prove itself.
+/// Timeout for a connection and its handshake.
 pub const OPEN_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How long the first try of a connection may take; each further one twice as long. The system
-/// sends a lost opening packet again only after a second, and a peer whose machine starts a moment
-/// after this one would be reached that much later.
-const FIRST_TRY: Duration = Duration::from_millis(150);
+/// Timeout of the first connection attempt; it doubles with each further one. The operating system
+/// retransmits a lost SYN only after a second, which delays links to a machine that starts slightly later.
+const FIRST_CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// How long a peer may take to read what it is sent.
+/// Timeout for sending one message; longer means that the peer does not read.
 pub const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
 quick_error! {
-    /// Why a link did not open, or broke.
+    /// Why a link could not be opened, or failed.
     #[derive(Debug)]
     pub enum Error {
         /// The connection failed.
         Io(err: io::Error) {
             from()
-            display("the connection failed: {}", err)
+            display("connection failed: {}", err)
         }
-        /// The peer is no peer, or sent what cannot be understood.
+        /// Authentication failed or a message was invalid.
         Wire(err: cypressfork_wire::Error) {
             from()
             display("{}", err)
         }
-        /// The peer took too long.
+        /// The peer did not respond or read in time.
         Slow {
-            display("the peer took too long")
+            display("the peer timed out")
         }
-        /// The peer closed the link and said why.
-        Goodbye(code: i32, why: String) {
-            display("the peer closed the link: CF{}: {}", code, why)
+        /// The peer closed the link with a result code and a reason.
+        Goodbye(code: i32, reason: String) {
+            display("the peer closed the link: CF{}: {}", code, reason)
         }
     }
 }
 
-/// Who this process is on its links.
+/// How this process authenticates itself on links.
 #[derive(Clone)]
 pub struct Credentials {
     /// The cluster's key.
     pub key: Key,
     /// The cluster's name.
     pub cluster: String,
-    /// This process's name.
+    /// Name of this process, sent to the peer.
     pub name: String,
 }
 
-/// Bytes that are read ahead of a message, so that one system call brings its head and the rest.
-const READ_AHEAD: usize = 4 * 1024;
+/// Read buffer in bytes, so that one system call reads the header and body of a short message.
+const READ_BUFFER: usize = 4 * 1024;
 
-type Receiving = BufReader<OwnedReadHalf>;
+type BufferedSocket = BufReader<OwnedReadHalf>;
 
-/// What the last call on a link was for; answers have the purpose of the call before them.
+/// The purpose of the last call on a link. Responses count for the purpose of the call before them.
 #[derive(Clone, Default)]
 struct Purpose(Rc<Cell<&'static str>>);
 
 impl Purpose {
-    /// The purpose of a frame, as the label of a metric.
-    fn of(&self, f: &Frame) -> &'static str {
-        let named = match f {
+    /// Returns the purpose of a frame as a metric label, and stores that of a call.
+    fn label(&self, f: &Frame) -> &'static str {
+        let label = match f {
             Frame::Call(c) => Some(match c.ask {
                 Ask::Watch(_) => "watch",
                 Ask::Command(_) => "command",
@@ -90,21 +89,21 @@
             Frame::Raft(_) => Some("log"),
             _ => None,
         };
-        if let Some(name) = named {
+        if let Some(name) = label {
             self.0.set(name);
         }
         self.0.get()
     }
 }
 
-/// The receiving half.
+/// The receiving half of a link.
 pub struct Reader {
-    io: Receiving,
+    io: BufferedSocket,
     opener: Opener,
     purpose: Purpose,
 }
 
-/// The sending half.
+/// The sending half of a link.
 pub struct Writer {
     io: OwnedWriteHalf,
     sealer: Sealer,
@@ -113,7 +112,7 @@
 
 /// An open link.
 pub struct Link {
-    /// The peer's name.
+    /// Name that the peer sent in the handshake.
     pub peer: String,
     /// The receiving half.
     pub reader: Reader,
@@ -121,7 +120,8 @@
     pub writer: Writer,
 }
 
-async fn read_payload(io: &mut Receiving, cap: usize) -> Result<Vec<u8>, Error> {
+/// Reads one frame of at most `cap` bytes, without its length prefix.
+async fn read_payload(io: &mut BufferedSocket, cap: usize) -> Result<Vec<u8>, Error> {
     let mut head = [0; HEAD];
     io.read_exact(&mut head).await?;
     let len = frame::length(head, cap)?;
@@ -130,46 +130,53 @@
     Ok(buf)
 }
 
-/// Connects and proves itself to the process at `address`.
-pub async fn connect(address: SocketAddr, me: &Credentials) -> Result<Link, Error> {
-    let opening = async {
-        let stream = connect_soon(address).await?;
-        open(stream, me, Side::Client).await
+/// Opens a link to the process at `address`.
+pub async fn connect(address: SocketAddr, credentials: &Credentials) -> Result<Link, Error> {
+    let opened = async {
+        let stream = connect_tcp(address).await?;
+        open(stream, credentials, Side::Client).await
     };
-    timeout(OPEN_TIMEOUT, opening).await.unwrap_or(Err(Error::Slow))
+    timeout(OPEN_TIMEOUT, opened).await.unwrap_or(Err(Error::Slow))
 }
 
-/// Connects, beginning anew whenever a try gets no answer in its time.
-async fn connect_soon(address: SocketAddr) -> io::Result<TcpStream> {
-    let mut within = FIRST_TRY;
+/// Opens a TCP connection, starting over with twice the timeout whenever an attempt times out.
+async fn connect_tcp(address: SocketAddr) -> io::Result<TcpStream> {
+    let mut limit = FIRST_CONNECT_TIMEOUT;
     loop {
-        match timeout(within, TcpStream::connect(address)).await {
-            Ok(done) => return done,
-            Err(_) => within *= 2,
+        match timeout(limit, TcpStream::connect(address)).await {
+            Ok(result) => return result,
+            Err(_) => limit *= 2,
         }
     }
 }
 
-/// Proves itself on a connection that was accepted.
-pub async fn accept(stream: TcpStream, me: &Credentials) -> Result<Link, Error> {
-    timeout(OPEN_TIMEOUT, open(stream, me, Side::Server)).await.unwrap_or(Err(Error::Slow))
+/// Opens a link on an accepted connection.
+pub async fn accept(stream: TcpStream, credentials: &Credentials) -> Result<Link, Error> {
+    timeout(OPEN_TIMEOUT, open(stream, credentials, Side::Server)).await.unwrap_or(Err(Error::Slow))
 }
 
-async fn open(stream: TcpStream, me: &Credentials, side: Side) -> Result<Link, Error> {
+/// Performs the handshake on a connection.
+async fn open(stream: TcpStream, credentials: &Credentials, side: Side) -> Result<Link, Error> {
     stream.set_nodelay(true)?;
     let (rx, mut tx) = stream.into_split();
-    let mut rx = BufReader::with_capacity(READ_AHEAD, rx);
+    let mut rx = BufReader::with_capacity(READ_BUFFER, rx);
     let nonce: [u8; NONCE] = rand::random();
-    let mut hs = Handshake::new(me.key.clone(), side, &me.cluster, &me.name, nonce);
+    let mut hs = Handshake::new(
+        credentials.key.clone(),
+        side,
+        &credentials.cluster,
+        &credentials.name,
+        nonce,
+    );
     tx.write_all(&frame::prefixed(&hs.hello())).await?;
-    let hello = stranger_payload(&mut rx).await?;
+    let hello = read_handshake(&mut rx).await?;
     let proof = match hs.on_hello(&hello) {
         Ok(p) => p,
         Err(e) => return refuse(&mut tx, e).await,
     };
     tx.write_all(&frame::prefixed(&proof)).await?;
-    let theirs = stranger_payload(&mut rx).await?;
-    match hs.on_proof(&theirs) {
+    let peer_proof = read_handshake(&mut rx).await?;
+    match hs.on_proof(&peer_proof) {
         Ok((peer, sealer, opener)) => {
             let purpose = Purpose::default();
             let reader = Reader { io: rx, opener, purpose: purpose.clone() };
@@ -179,7 +186,8 @@
     }
 }
 
-async fn stranger_payload(rx: &mut Receiving) -> Result<Vec<u8>, Error> {
+/// Reads a handshake message, or the reason why the peer closed the link.
+async fn read_handshake(rx: &mut BufferedSocket) -> Result<Vec<u8>, Error> {
     let payload = read_payload(rx, CAP_STRANGER).await?;
     match decode(&payload) {
         Ok(Frame::Goodbye(g)) => Err(Error::Goodbye(g.code, g.why)),
@@ -187,6 +195,7 @@
     }
 }
 
+/// Sends the reason to the peer and returns the error.
 async fn refuse(tx: &mut OwnedWriteHalf, e: cypressfork_wire::Error) -> Result<Link, Error> {
     let bye = Goodbye::new(i32::from(Code::LinkRefused.number()), e.to_string());
     tx.write_all(&frame::prefixed(&encode(&Frame::Goodbye(bye)))).await?;
@@ -194,12 +203,12 @@
 }
 
 impl Reader {
-    /// The next message.
+    /// Waits for the next message and returns it.
     pub async fn next(&mut self) -> Result<Frame, Error> {
         let sealed = read_payload(&mut self.io, CAP).await?;
         let payload = self.opener.open(&sealed)?;
         let f = decode(payload)?;
-        let purpose = self.purpose.of(&f);
+        let purpose = self.purpose.label(&f);
         let bytes = (HEAD + sealed.len()) as u64;
         counter!(metric::LINK_RECEIVED, "purpose" => purpose).increment(bytes);
         Ok(f)
@@ -207,13 +216,13 @@
 }
 
 impl Writer {
-    /// Sends a message; a peer that does not read it in time breaks the link.
+    /// Sends a message. Fails with [`Error::Slow`] if the peer does not read it in time.
     pub async fn send(&mut self, f: &Frame) -> Result<(), Error> {
         let bytes = frame::prefixed(&self.sealer.seal(encode(f)));
-        let purpose = self.purpose.of(f);
+        let purpose = self.purpose.label(f);
         counter!(metric::LINK_SENT, "purpose" => purpose).increment(bytes.len() as u64);
         match timeout(WRITE_TIMEOUT, self.io.write_all(&bytes)).await {
-            Ok(done) => Ok(done?),
+            Ok(result) => Ok(result?),
             Err(_) => Err(Error::Slow),
         }
     }
--- a/crates/node/src/metric.rs
+++ b/crates/node/src/metric.rs
@@ -1,16 +1,16 @@
-//! The names of all metrics.
+//! The metrics that processes export: names, kinds, labels and descriptions.
 //!
-//! `docs/METRICS.md` lists them; a test keeps the page and this table in step.
+//! A test compares this table with `docs/METRICS.md`.
 
-/// A metric's name, its kind, and what it counts.
+/// One metric.
 pub struct Metric {
     /// The name, with its unit at the end.
     pub name: &'static str,
     /// `counter`, `gauge` or `histogram`.
     pub kind: &'static str,
-    /// The labels, empty if it has none.
+    /// The label names, separated by commas; empty if it has none.
     pub labels: &'static str,
-    /// What it shows.
+    /// The description.
     pub about: &'static str,
 }
 
@@ -18,7 +18,7 @@
     ($($ident:ident = $name:literal, $kind:literal, $labels:literal, $about:literal;)*) => {
         $(#[doc = $about] pub const $ident: &str = $name;)*
 
-        /// Every metric.
+        /// All metrics.
         pub const ALL: &[Metric] = &[
             $(Metric { name: $name, kind: $kind, labels: $labels, about: $about },)*
         ];
