--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -150,7 +150,7 @@
     }
 }
 
-/// Waits for `SIGTERM` or `SIGINT`, which request a graceful shutdown.
+/// Waits for `SIGTERM` or `SIGINT`, which request a planned stop (graceful shutdown).
 pub async fn stop_signal() {
     let (Ok(mut term), Ok(mut int)) =
         (signal(SignalKind::terminate()), signal(SignalKind::interrupt()))
