--- a/crates/router/src/ask.rs
+++ b/crates/router/src/ask.rs
@@ -37,7 +37,7 @@
 
 /// A parsed model request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ask {
+pub struct ModelRequest {
     /// The API it uses.
     pub form: Form,
     /// The model's name.
@@ -46,7 +46,7 @@
     pub stream: bool,
     /// Whether the client requested a usage event at the end of the stream
     /// (`stream_options.include_usage`).
-    pub usage: bool,
+    pub include_usage: bool,
     /// Upper bound of the prompt's tokens. A tokenizer never produces more tokens than bytes.
     pub prompt_bound: Tokens,
     /// The client's limit for generated tokens, if given.
@@ -106,10 +106,10 @@
     Ok(prompt + extra + PROMPT_OVERHEAD)
 }
 
-impl Ask {
+impl ModelRequest {
     /// Parses a request body. Returns a refusal if it is not JSON, a field has the wrong type, or
     /// more than one completion is requested.
-    pub fn read(form: Form, bytes: &[u8]) -> Result<Ask, Refusal> {
+    pub fn parse(form: Form, bytes: &[u8]) -> Result<ModelRequest, Refusal> {
         let body: Value = serde_json::from_slice(bytes).map_err(|e| invalid_body(e.to_string()))?;
         let Value::Object(body) = body else { return Err(invalid_body("expected an object")) };
         let Some(Value::String(model)) = body.get("model") else {
@@ -122,11 +122,11 @@
         }
         let usage = body.get("stream_options").and_then(|o| o.get("include_usage"));
         let completion = positive_field(&body, "max_completion_tokens")?;
-        Ok(Ask {
+        Ok(ModelRequest {
             form,
             model: model.clone(),
             stream: bool_field(&body, "stream")?,
-            usage: usage == Some(&Value::Bool(true)),
+            include_usage: usage == Some(&Value::Bool(true)),
             prompt_bound: prompt_bound(form, &body)?,
             max_output: completion.or(positive_field(&body, "max_tokens")?),
             body,
@@ -134,7 +134,7 @@
     }
 
     /// Returns the prompt's prefixes, one per message or per fixed-length step of text.
-    pub fn trail(&self) -> PromptPrefixes {
+    pub fn prompt_prefixes(&self) -> PromptPrefixes {
         let messages = self.body.get("messages").and_then(Value::as_array);
         if let Some(messages) = messages {
             let parts: Vec<_> = messages.iter().map(Value::to_string).collect();
@@ -152,7 +152,7 @@
     /// Builds the body for an engine. It always requests a stream with at most `cap` tokens and
     /// with usage in every event, where the engine supports it. If `text` is not empty, the engine
     /// continues the response from that text.
-    pub fn for_engine(&self, cap: Tokens, text: &str) -> Vec<u8> {
+    pub fn engine_body(&self, cap: Tokens, text: &str) -> Vec<u8> {
         let mut body = self.body.clone();
         body.remove("max_completion_tokens");
         body.insert("max_tokens".into(), cap.into());
--- a/crates/router/src/chat.rs
+++ b/crates/router/src/chat.rs
@@ -17,7 +17,7 @@
 use tokio::time::Instant;
 
 use crate::app::{Active, App};
-use crate::ask::{Ask, Form};
+use crate::ask::{Form, ModelRequest};
 use crate::caller::Caller;
 use crate::claim::{Claim, Claimed, claim};
 use crate::exchange::Exchange;
@@ -36,7 +36,7 @@
     /// The request's id in claims and bills.
     pub id: RequestId,
     /// The parsed request.
-    pub ask: Ask,
+    pub request: ModelRequest,
     /// The service's name.
     pub service: String,
     /// The most tokens to generate.
@@ -63,7 +63,7 @@
 struct Target {
     client: Rc<Client>,
     model: Rc<Model>,
-    ask: Ask,
+    request: ModelRequest,
     budget: String,
     policy: Policy,
 }
@@ -71,11 +71,11 @@
 fn resolve_target(app: &App, form: Form, head: &Head, bytes: &[u8]) -> Result<Target, Refusal> {
     let view = app.view.borrow();
     let client = view.client(&head.key)?;
-    let ask = Ask::read(form, bytes)?;
-    let model = view.model(&client, &ask.model)?;
+    let request = ModelRequest::parse(form, bytes)?;
+    let model = view.model(&client, &request.model)?;
     let (name, b) = view.budget(&client, &model.name)?;
     let (budget, policy) = (name.to_owned(), b.policy());
-    Ok(Target { client, model, ask, budget, policy })
+    Ok(Target { client, model, request, budget, policy })
 }
 
 /// Serves a model request. Returns when the response has started or was refused.
@@ -87,10 +87,10 @@
     trace: &Rc<Trace>,
 ) -> Result<Response<Body>, Refusal> {
     let deadline = Instant::now() + head.deadline.unwrap_or(app.settings.deadline);
-    let Target { client, model, ask, budget, policy } = resolve_target(app, form, head, bytes)?;
+    let Target { client, model, request, budget, policy } = resolve_target(app, form, head, bytes)?;
     let id = request_id(&client.name, &head.id);
-    let cap = ask.output_cap(model.service.max_output);
-    let need = ask.prompt_bound + cap;
+    let cap = request.output_cap(model.service.max_output);
+    let need = request.prompt_bound + cap;
     let priority = head.priority.unwrap_or(model.service.priority);
     let queue = app.queue(&model.name).ok_or(Code::NotReady)?;
     let concurrency = client.account.concurrency;
@@ -114,8 +114,8 @@
         }
     };
     let (service, trace) = (model.name.clone(), trace.clone());
-    let work = RequestProfile { prefixes: ask.trail(), ..RequestProfile::default() };
-    let plan = Plan { id, ask, service, cap, deadline, trace, policy, work };
+    let work = RequestProfile { prefixes: request.prompt_prefixes(), ..RequestProfile::default() };
+    let plan = Plan { id, request, service, cap, deadline, trace, policy, work };
     start_exchange(app, plan, hold, claim, permit).await
 }
 
@@ -126,7 +126,7 @@
     claim: Option<Claim>,
     permit: Permit,
 ) -> Result<Response<Body>, Refusal> {
-    let stream = plan.ask.stream;
+    let stream = plan.request.stream;
     let (tx, rx) = mpsc::channel(MAX_BUFFERED_CHUNKS);
     let (first_tx, first_rx) = oneshot::channel();
     let caller = Caller::new(first_tx, tx, stream);
--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -86,7 +86,7 @@
         caller: Caller,
     ) -> Exchange {
         let run = app.next_run();
-        let attempt = Attempt::new(hold, plan.ask.prompt_bound, plan.cap, 0);
+        let attempt = Attempt::new(hold, plan.request.prompt_bound, plan.cap, 0);
         Exchange {
             app,
             plan,
@@ -139,7 +139,7 @@
         if !allowed || !progressed || cap == 0 || self.text.is_empty() || self.attempt.is_over() {
             return None;
         }
-        let prompt_bound = self.plan.ask.prompt_bound + self.text.len() as u64;
+        let prompt_bound = self.plan.request.prompt_bound + self.text.len() as u64;
         let (token_store, budget) =
             (self.attempt.hold().token_store().clone(), self.attempt.hold().budget());
         let policy = self.plan.policy;
@@ -208,7 +208,7 @@
 
     async fn send(&mut self, address: SocketAddr) -> Result<awc::ClientResponse, Failed> {
         let plan = &self.plan;
-        let url = format!("http://{address}{}", plan.ask.form.path());
+        let url = format!("http://{address}{}", plan.request.form.path());
         let client = if self.claim.is_some() { &self.app.once_client } else { &self.app.client };
         let mut req = client
             .post(url)
@@ -220,7 +220,7 @@
         if let Some(c) = &self.claim {
             c.start();
         }
-        let sending = req.send_body(plan.ask.for_engine(self.attempt.cap, &self.text));
+        let sending = req.send_body(plan.request.engine_body(self.attempt.cap, &self.text));
         self.attempt.mark_sent();
         let sent = tokio::select! {
             sent = timeout_at(plan.deadline, sending) => sent,
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -93,7 +93,7 @@
             self.finish = Some(f.to_owned());
         }
         let is_usage_only = v["choices"].as_array().is_some_and(Vec::is_empty);
-        if !self.plan.ask.stream || is_usage_only {
+        if !self.plan.request.stream || is_usage_only {
             return Ok(());
         }
         if let Some(o) = v.as_object_mut() {
@@ -115,7 +115,7 @@
     /// Returns the events that end a complete stream: the billed usage, if the caller requested it,
     /// and `[DONE]`.
     pub(crate) fn end_mark(&self) -> String {
-        if !self.plan.ask.usage {
+        if !self.plan.request.include_usage {
             return END_OF_STREAM.to_owned();
         }
         let mut v = self.whole();
@@ -128,14 +128,14 @@
     /// not streamed and the body is at most `MAX_STORED_BODY` bytes.
     pub(crate) fn outcome(&self) -> Outcome {
         let body = self.whole().to_string().into_bytes();
-        let is_storable = !self.plan.ask.stream && body.len() <= MAX_STORED_BODY;
+        let is_storable = !self.plan.request.stream && body.len() <= MAX_STORED_BODY;
         Outcome { status: 200, kind: "application/json".into(), body: is_storable.then_some(body) }
     }
 
     /// Returns the complete answer as a response body that is not streamed.
     pub(crate) fn whole(&self) -> Value {
         let usage = self.usage();
-        let (object, choice) = match self.plan.ask.form {
+        let (object, choice) = match self.plan.request.form {
             Form::Chat => (
                 "chat.completion",
                 json!({ "index": 0, "finish_reason": self.finish,
@@ -149,7 +149,7 @@
         json!({
             "id": self.answer_id(),
             "object": object,
-            "model": self.plan.ask.model,
+            "model": self.plan.request.model,
             "choices": [choice],
             "usage": {
                 "prompt_tokens": usage.prompt,
