--- a/crates/router/src/attempt.rs
+++ b/crates/router/src/attempt.rs
@@ -7,11 +7,11 @@
 use tokio::time::Instant;
 
 use crate::count::{Counter, Usage};
-use crate::hold::Hold;
+use crate::hold::ReservationGuard;
 
 /// One run of a request on one engine, with the tokens reserved for it.
 pub struct Attempt {
-    hold: Hold,
+    reservation: ReservationGuard,
     counter: Counter,
     /// The most tokens that the engine may generate.
     pub cap: Tokens,
@@ -26,9 +26,14 @@
 
 impl Attempt {
     /// Creates an attempt that has not been sent yet.
-    pub fn new(hold: Hold, prompt_bound: Tokens, cap: Tokens, earlier_text_len: usize) -> Attempt {
+    pub fn new(
+        reservation: ReservationGuard,
+        prompt_bound: Tokens,
+        cap: Tokens,
+        earlier_text_len: usize,
+    ) -> Attempt {
         Attempt {
-            hold,
+            reservation,
             counter: Counter::new(prompt_bound, cap),
             cap,
             earlier_text_len,
@@ -40,8 +45,8 @@
     }
 
     /// Returns the reservation of this attempt.
-    pub fn hold(&self) -> &Hold {
-        &self.hold
+    pub fn reservation(&self) -> &ReservationGuard {
+        &self.reservation
     }
 
     /// Records the time at which the request is sent.
@@ -59,7 +64,7 @@
     /// Counts an event of `text` bytes and the usage it reports, and updates the reservation.
     pub fn add(&mut self, text: usize, usage: Option<Usage>) {
         self.counter.add(text, usage);
-        self.hold.charge(self.counter.charge().total());
+        self.reservation.set_used(self.counter.charge().total());
     }
 
     /// Returns whether the engine generated more tokens than the cap.
@@ -90,7 +95,7 @@
 
     /// Charges the final usage to the reservation.
     pub fn charge_final_usage(&mut self) {
-        self.hold.charge(self.usage().total());
+        self.reservation.set_used(self.usage().total());
     }
 }
 
--- a/crates/router/src/chat.rs
+++ b/crates/router/src/chat.rs
@@ -22,7 +22,7 @@
 use crate::claim::{Claim, Claimed, claim};
 use crate::exchange::Exchange;
 use crate::head::Head;
-use crate::hold::Hold;
+use crate::hold::ReservationGuard;
 use crate::queue::Permit;
 use crate::reply::{Refusal, json_response};
 use crate::trace::Trace;
@@ -102,7 +102,7 @@
     let reservation = token_store.reserve(&budget, policy, need, deadline).await?;
     budgeting.note(format!("{need} tokens of {budget}"));
     drop(budgeting);
-    let hold = Hold::new(token_store, budget, reservation);
+    let guard = ReservationGuard::new(token_store, budget, reservation);
     let claim = match head.once {
         false => None,
         true => {
@@ -116,13 +116,13 @@
     let (service, trace) = (model.name.clone(), trace.clone());
     let work = RequestProfile { prefixes: request.prompt_prefixes(), ..RequestProfile::default() };
     let plan = Plan { id, request, service, cap, deadline, trace, policy, work };
-    start_exchange(app, plan, hold, claim, permit).await
+    start_exchange(app, plan, guard, claim, permit).await
 }
 
 async fn start_exchange(
     app: &Rc<App>,
     plan: Plan,
-    hold: Hold,
+    guard: ReservationGuard,
     claim: Option<Claim>,
     permit: Permit,
 ) -> Result<Response<Body>, Refusal> {
@@ -130,7 +130,7 @@
     let (tx, rx) = mpsc::channel(MAX_BUFFERED_CHUNKS);
     let (first_tx, first_rx) = oneshot::channel();
     let caller = Caller::new(first_tx, tx, stream);
-    let exchange = Exchange::new(app.clone(), plan, hold, claim, caller);
+    let exchange = Exchange::new(app.clone(), plan, guard, claim, caller);
     let active = Active::new(app);
     // A separate task, so that tokens are settled even if the client disconnects.
     actix_rt::spawn(async move {
--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -21,7 +21,7 @@
 use crate::chat::{Plan, Started};
 use crate::claim::Claim;
 use crate::count::Usage;
-use crate::hold::Hold;
+use crate::hold::ReservationGuard;
 use crate::reply::Refusal;
 
 /// The most engines that one attempt is tried on.
@@ -81,12 +81,12 @@
     pub fn new(
         app: Rc<App>,
         plan: Plan,
-        hold: Hold,
+        reservation: ReservationGuard,
         claim: Option<Claim>,
         caller: Caller,
     ) -> Exchange {
         let run = app.next_run();
-        let attempt = Attempt::new(hold, plan.request.prompt_bound, plan.cap, 0);
+        let attempt = Attempt::new(reservation, plan.request.prompt_bound, plan.cap, 0);
         Exchange {
             app,
             plan,
@@ -141,14 +141,14 @@
         }
         let prompt_bound = self.plan.request.prompt_bound + self.text.len() as u64;
         let (token_store, budget) =
-            (self.attempt.hold().token_store().clone(), self.attempt.hold().budget());
+            (self.attempt.reservation().token_store().clone(), self.attempt.reservation().budget());
         let policy = self.plan.policy;
         let reserved = token_store
             .reserve(budget, policy, prompt_bound + cap, self.plan.deadline)
             .await
             .ok()?;
-        let hold = Hold::new(token_store.clone(), budget.to_owned(), reserved);
-        let next = Attempt::new(hold, prompt_bound, cap, self.text.len());
+        let reservation = ReservationGuard::new(token_store.clone(), budget.to_owned(), reserved);
+        let next = Attempt::new(reservation, prompt_bound, cap, self.text.len());
         let mut failed = std::mem::replace(&mut self.attempt, next);
         failed.charge_final_usage();
         self.before.push(failed);
@@ -283,11 +283,11 @@
         if self.attempt.dispatched || !self.before.is_empty() {
             counter!(metric::TOKENS, "kind" => "prompt").increment(usage.prompt);
             counter!(metric::TOKENS, "kind" => "output").increment(usage.output);
-            let hold = self.attempt.hold();
-            hold.token_store().bill(Bill {
+            let reservation = self.attempt.reservation();
+            reservation.token_store().bill(Bill {
                 id: self.plan.id,
                 run: self.run,
-                budget: hold.budget().to_owned(),
+                budget: reservation.budget().to_owned(),
                 prompt: usage.prompt,
                 output: usage.output,
                 whole,
--- a/crates/router/src/hold.rs
+++ b/crates/router/src/hold.rs
@@ -10,21 +10,25 @@
 
 /// A reservation that settles itself when dropped: the last charged amount is spent, the rest is
 /// released.
-pub struct Hold {
+pub struct ReservationGuard {
     token_store: Rc<TokenStore>,
     budget: String,
     reservation: Option<(Source, Reservation)>,
     used: Tokens,
 }
 
-impl Hold {
+impl ReservationGuard {
     /// Wraps a reservation of which nothing is spent yet.
-    pub fn new(token_store: Rc<TokenStore>, budget: String, r: (Source, Reservation)) -> Hold {
-        Hold { token_store, budget, reservation: Some(r), used: 0 }
+    pub fn new(
+        token_store: Rc<TokenStore>,
+        budget: String,
+        r: (Source, Reservation),
+    ) -> ReservationGuard {
+        ReservationGuard { token_store, budget, reservation: Some(r), used: 0 }
     }
 
     /// Sets the number of tokens that the request has spent so far.
-    pub fn charge(&mut self, used: Tokens) {
+    pub fn set_used(&mut self, used: Tokens) {
         self.used = used;
     }
 
@@ -39,7 +43,7 @@
     }
 }
 
-impl Drop for Hold {
+impl Drop for ReservationGuard {
     fn drop(&mut self) {
         if let Some((from, r)) = self.reservation.take() {
             self.token_store.settle(from, &self.budget, r, self.used);
