--- a/crates/router/src/app.rs
+++ b/crates/router/src/app.rs
@@ -119,14 +119,14 @@
 
     /// Returns a run number that is unique across the requests of this registration: the holder's
     /// id in the upper half, a counter in the lower.
-    pub fn next_run(&self) -> u64 {
+    pub fn next_run_id(&self) -> u64 {
         self.runs.set(self.runs.get() + 1);
         let holder = self.token_store().map_or(0, |store| store.holder().0);
         (holder << 32) | self.runs.get()
     }
 
     /// Returns a random number, for example for a request id.
-    pub fn draw(&self) -> u128 {
+    pub fn random_u128(&self) -> u128 {
         self.rng.borrow_mut().random()
     }
 
@@ -178,7 +178,7 @@
     }
 
     /// Chooses a replica of a service that is not in `tried`. Each choice must be completed by
-    /// [`App::done`]. Returns `None` if no replica is available.
+    /// [`App::record_end`]. Returns `None` if no replica is available.
     pub fn choose(
         &self,
         service: &str,
@@ -193,7 +193,7 @@
 
     /// Returns whether a request may be sent after `tries` earlier tries. The first try is always
     /// allowed, further ones only within the service's retry budget, from which they are taken.
-    pub fn may_try(&self, service: &str, tries: usize) -> bool {
+    pub fn allow_send(&self, service: &str, tries: usize) -> bool {
         let mut all = self.retries.borrow_mut();
         let budget = all.entry(service.to_owned()).or_default();
         if tries > 0 {
@@ -204,14 +204,14 @@
     }
 
     /// Records the time to the first token of a request, for the choice of replicas.
-    pub fn learn(&self, service: &str, c: &Choice, first: Duration) {
+    pub fn record_first_token(&self, service: &str, c: &Choice, first: Duration) {
         if let Some(pool) = self.pools.borrow_mut().get_mut(service) {
             pool.record_first_event(self.clock.now(), c, first.as_micros() as u64);
         }
     }
 
     /// Records the end of a request on the replica chosen for it. A failure may eject the replica.
-    pub fn done(&self, service: &str, c: &Choice, failed: bool) {
+    pub fn record_end(&self, service: &str, c: &Choice, failed: bool) {
         let mut pools = self.pools.borrow_mut();
         let Some(pool) = pools.get_mut(service) else { return };
         if pool.finish(self.clock.now(), c, failed) {
--- a/crates/router/src/claim.rs
+++ b/crates/router/src/claim.rs
@@ -58,7 +58,7 @@
     deadline: Instant,
 ) -> Result<Claimed, Refusal> {
     let token_store = app.token_store().ok_or(Code::NotReady)?;
-    let seq = app.next_run();
+    let seq = app.next_run_id();
     let holder = token_store.holder();
     let claim = Claim {
         app: app.clone(),
--- a/crates/router/src/entry.rs
+++ b/crates/router/src/entry.rs
@@ -31,7 +31,7 @@
 /// router if there is no other usable one and it is not draining.
 pub fn entry(app: &App) -> Response<Body> {
     let sites = app.sites.borrow();
-    let rotation = app.draw() as usize;
+    let rotation = app.random_u128() as usize;
     let ordered = order_sites(&sites, &app.settings.base.data_centre, rotation);
     let own = app.settings.public.to_string();
     let mut addresses: Vec<_> = ordered
--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -85,7 +85,7 @@
         claim: Option<Claim>,
         caller: Caller,
     ) -> Exchange {
-        let run = app.next_run();
+        let run = app.next_run_id();
         let attempt = Attempt::new(reservation, plan.request.prompt_bound, plan.cap, 0);
         Exchange {
             app,
@@ -115,7 +115,7 @@
             let ended = self.relay(&mut answering).await;
             drop(stream);
             let failed = matches!(ended, Err(Failed::Sent(_)));
-            self.app.done(&self.plan.service, &answering.choice, failed);
+            self.app.record_end(&self.plan.service, &answering.choice, failed);
             if let Err(Failed::Sent(why)) = &ended {
                 let (service, address) = (&self.plan.service, answering.choice.address);
                 emit!(Event::UpstreamFailed, service = service, address = address, why = why);
@@ -169,7 +169,7 @@
     async fn dispatch(&mut self) -> Result<Answering, Refusal> {
         let mut why = String::new();
         for n in 0..MAX_TRIES {
-            if !self.app.may_try(&self.plan.service, n) {
+            if !self.app.allow_send(&self.plan.service, n) {
                 break;
             }
             let chosen = self.app.choose(&self.plan.service, &self.plan.work, &self.tried);
@@ -180,7 +180,7 @@
                 Err(f) => f,
             };
             let is_fault = !matches!(failed, Failed::Late | Failed::Left);
-            self.app.done(&self.plan.service, &choice, is_fault);
+            self.app.record_end(&self.plan.service, &choice, is_fault);
             match failed {
                 Failed::NotSent => {}
                 Failed::Late => return Err(deadline_refusal(self.ran_so_far())),
--- a/crates/router/src/plain.rs
+++ b/crates/router/src/plain.rs
@@ -140,7 +140,7 @@
 ) -> Result<Answer, Refusal> {
     let mut tried = Vec::new();
     let mut last = Refusal::from(Code::NoUpstream).after(NO_UPSTREAM_RETRY_AFTER);
-    while tried.len() < MAX_TRIES && app.may_try(service, tried.len()) {
+    while tried.len() < MAX_TRIES && app.allow_send(service, tried.len()) {
         let Some(choice) = app.choose(service, &RequestProfile::default(), &tried) else { break };
         let address = choice.address;
         tried.push(address);
@@ -149,7 +149,7 @@
         let sent = timeout_at(s.deadline, send(address, s, &span)).await;
         drop(span);
         let failed = matches!(sent, Ok(Err(_)));
-        app.done(service, &choice, failed);
+        app.record_end(service, &choice, failed);
         match sent {
             Ok(Ok(answer)) => return Ok(answer),
             Err(_) => return Err(Refusal::from(Code::DeadlinePassed).ran(Ran::Unknown)),
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -64,7 +64,7 @@
         if let Some(span) = self.attempt.begin() {
             let service = self.plan.service.clone();
             histogram!(metric::FIRST_TOKEN, "service" => service).record(span);
-            self.app.learn(&self.plan.service, &a.choice, span);
+            self.app.record_first_token(&self.plan.service, &a.choice, span);
         }
     }
 
--- a/crates/router/src/serve.rs
+++ b/crates/router/src/serve.rs
@@ -34,7 +34,7 @@
 
 /// Serves one request of a caller. Counts and logs its result and returns the response.
 pub async fn serve(app: Rc<App>, req: Request) -> Response<Body> {
-    let new_id = app.draw();
+    let new_id = app.random_u128();
     let head = head::read(req.headers(), app.settings.head_cap, new_id);
     let id = head.as_ref().map_or_else(|_| format!("{new_id:032x}"), |h| h.id.clone());
     let path = req.path().to_owned();
