--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -54,24 +54,24 @@
 }
 
 /// Why a try on one engine failed.
-pub(crate) enum Failed {
+pub(crate) enum AttemptError {
     /// No byte of the request was sent to the engine.
     NotSent,
     /// The engine rejected the request and used no tokens.
-    Refused(String),
+    Rejected(String),
     /// The request may have run and failed.
-    Sent(String),
+    Failed(String),
     /// The deadline has passed.
-    Late,
+    DeadlinePassed,
     /// The client has disconnected.
-    Left,
+    CallerDisconnected,
 }
 
-impl From<Undelivered> for Failed {
-    fn from(u: Undelivered) -> Failed {
+impl From<Undelivered> for AttemptError {
+    fn from(u: Undelivered) -> AttemptError {
         match u {
-            Undelivered::Left => Failed::Left,
-            Undelivered::Late => Failed::Late,
+            Undelivered::Left => AttemptError::CallerDisconnected,
+            Undelivered::Late => AttemptError::DeadlinePassed,
         }
     }
 }
@@ -114,9 +114,9 @@
             let stream = self.plan.trace.span("stream");
             let ended = self.relay(&mut answering).await;
             drop(stream);
-            let failed = matches!(ended, Err(Failed::Sent(_)));
+            let failed = matches!(ended, Err(AttemptError::Failed(_)));
             self.app.record_end(&self.plan.service, &answering.choice, failed);
-            if let Err(Failed::Sent(why)) = &ended {
+            if let Err(AttemptError::Failed(why)) = &ended {
                 let (service, address) = (&self.plan.service, answering.choice.address);
                 emit!(Event::UpstreamFailed, service = service, address = address, why = why);
                 if let Some(next) = self.resume().await {
@@ -179,19 +179,22 @@
                 Ok(response) => return Ok(Answering { choice, response }),
                 Err(f) => f,
             };
-            let is_fault = !matches!(failed, Failed::Late | Failed::Left);
+            let is_fault =
+                !matches!(failed, AttemptError::DeadlinePassed | AttemptError::CallerDisconnected);
             self.app.record_end(&self.plan.service, &choice, is_fault);
             match failed {
-                Failed::NotSent => {}
-                Failed::Late => return Err(deadline_refusal(self.ran_so_far())),
-                Failed::Left => {
+                AttemptError::NotSent => {}
+                AttemptError::DeadlinePassed => return Err(deadline_refusal(self.ran_so_far())),
+                AttemptError::CallerDisconnected => {
                     return Err(upstream_failure(Code::UpstreamFailed, "the caller has gone"));
                 }
                 // A claimed request is sent to one engine only, as it may run at most once.
-                Failed::Refused(text) | Failed::Sent(text) if self.claim.is_some() => {
+                AttemptError::Rejected(text) | AttemptError::Failed(text)
+                    if self.claim.is_some() =>
+                {
                     return Err(upstream_failure(Code::UpstreamFailed, text));
                 }
-                Failed::Refused(text) | Failed::Sent(text) => why = text,
+                AttemptError::Rejected(text) | AttemptError::Failed(text) => why = text,
             }
             let (service, address) = (&self.plan.service, choice.address);
             emit!(Event::UpstreamFailed, service = service, address = address, why = why);
@@ -206,7 +209,7 @@
         if self.attempt.dispatched { Ran::Unknown } else { Ran::No }
     }
 
-    async fn send(&mut self, address: SocketAddr) -> Result<awc::ClientResponse, Failed> {
+    async fn send(&mut self, address: SocketAddr) -> Result<awc::ClientResponse, AttemptError> {
         let plan = &self.plan;
         let url = format!("http://{address}{}", plan.request.form.path());
         let client = if self.claim.is_some() { &self.app.once_client } else { &self.app.client };
@@ -226,20 +229,24 @@
             sent = timeout_at(plan.deadline, sending) => sent,
             () = self.caller.gone() => {
                 self.attempt.dispatched = true;
-                return Err(Failed::Left);
+                return Err(AttemptError::CallerDisconnected);
             }
         };
         let not_sent = matches!(&sent, Ok(Err(e)) if is_not_sent(e));
         let rejected = matches!(&sent, Ok(Ok(r)) if is_rejection(r.status()));
         self.attempt.dispatched |= !not_sent && !rejected;
         match sent {
-            Err(_) => Err(Failed::Late),
-            Ok(Err(_)) if not_sent => Err(Failed::NotSent),
-            Ok(Err(e)) => Err(Failed::Sent(e.to_string())),
+            Err(_) => Err(AttemptError::DeadlinePassed),
+            Ok(Err(_)) if not_sent => Err(AttemptError::NotSent),
+            Ok(Err(e)) => Err(AttemptError::Failed(e.to_string())),
             Ok(Ok(r)) if r.status().is_success() => Ok(r),
             Ok(Ok(r)) => {
                 let text = format!("the engine answered {}", r.status());
-                Err(if rejected { Failed::Refused(text) } else { Failed::Sent(text) })
+                Err(if rejected {
+                    AttemptError::Rejected(text)
+                } else {
+                    AttemptError::Failed(text)
+                })
             }
         }
     }
@@ -250,7 +257,7 @@
         self.caller.answer(Err(refusal));
     }
 
-    async fn finish(mut self, ended: Result<(), Failed>, address: SocketAddr) {
+    async fn finish(mut self, ended: Result<(), AttemptError>, address: SocketAddr) {
         if self.attempt.is_odd() && ended.is_ok() {
             emit!(Event::UpstreamMiscounted, service = self.plan.service, address = address);
         }
@@ -310,14 +317,16 @@
     Refusal::from(Code::DeadlinePassed).ran(ran).after(DEADLINE_RETRY_AFTER)
 }
 
-fn refusal_for(f: Failed) -> Refusal {
+fn refusal_for(f: AttemptError) -> Refusal {
     match f {
-        Failed::Late => deadline_refusal(Ran::Unknown),
-        Failed::Left => upstream_failure(Code::UpstreamFailed, "the caller has gone"),
-        Failed::Sent(why) | Failed::Refused(why) => {
+        AttemptError::DeadlinePassed => deadline_refusal(Ran::Unknown),
+        AttemptError::CallerDisconnected => {
+            upstream_failure(Code::UpstreamFailed, "the caller has gone")
+        }
+        AttemptError::Failed(why) | AttemptError::Rejected(why) => {
             upstream_failure(Code::UpstreamFailed, why).after(NO_UPSTREAM_RETRY_AFTER)
         }
-        Failed::NotSent => Refusal::from(Code::NoUpstream).after(NO_UPSTREAM_RETRY_AFTER),
+        AttemptError::NotSent => Refusal::from(Code::NoUpstream).after(NO_UPSTREAM_RETRY_AFTER),
     }
 }
 
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -15,7 +15,7 @@
 use crate::ask::Form;
 use crate::attempt::Answering;
 use crate::count::{text_of, usage_of};
-use crate::exchange::{Exchange, Failed};
+use crate::exchange::{AttemptError, Exchange};
 use crate::sse::Parser;
 
 /// Interval at which comments are sent on an idle stream to keep connections alive.
@@ -26,7 +26,7 @@
 
 impl Exchange {
     /// Relays the engine's events until the end of its stream. Returns why if it fails before.
-    pub(crate) async fn relay(&mut self, a: &mut Answering) -> Result<(), Failed> {
+    pub(crate) async fn relay(&mut self, a: &mut Answering) -> Result<(), AttemptError> {
         let mut parser = Parser::default();
         loop {
             let next = tokio::select! {
@@ -34,24 +34,26 @@
                     self.plan.deadline,
                     timeout(KEEP_ALIVE_INTERVAL, a.response.next()),
                 ) => p,
-                () = self.caller.gone() => return Err(Failed::Left),
+                () = self.caller.gone() => return Err(AttemptError::CallerDisconnected),
             };
             let bytes = match next {
-                Err(_) => return Err(Failed::Late),
+                Err(_) => return Err(AttemptError::DeadlinePassed),
                 Ok(Err(_)) => {
                     let comment = Bytes::from_static(b": keep-alive\n\n");
                     self.caller.pass(comment, self.plan.deadline).await?;
                     continue;
                 }
                 Ok(Ok(None)) => {
-                    return Err(Failed::Sent("the stream ended before its end mark".into()));
+                    return Err(AttemptError::Failed(
+                        "the stream ended before its end mark".into(),
+                    ));
                 }
-                Ok(Ok(Some(Err(e)))) => return Err(Failed::Sent(e.to_string())),
+                Ok(Ok(Some(Err(e)))) => return Err(AttemptError::Failed(e.to_string())),
                 Ok(Ok(Some(Ok(bytes)))) => bytes,
             };
             self.record_first_chunk(a);
             let events = parser.feed(&bytes);
-            for event in events.map_err(|_| Failed::Sent("an event is too large".into()))? {
+            for event in events.map_err(|_| AttemptError::Failed("an event is too large".into()))? {
                 if event == b"[DONE]" {
                     return self.check_finish();
                 }
@@ -68,25 +70,27 @@
         }
     }
 
-    fn check_finish(&self) -> Result<(), Failed> {
+    fn check_finish(&self) -> Result<(), AttemptError> {
         match self.finish {
             Some(_) => Ok(()),
-            None => Err(Failed::Sent("the stream ended without a finish reason".into())),
+            None => Err(AttemptError::Failed("the stream ended without a finish reason".into())),
         }
     }
 
-    async fn process_event(&mut self, event: &[u8]) -> Result<(), Failed> {
+    async fn process_event(&mut self, event: &[u8]) -> Result<(), AttemptError> {
         let mut v: Value = serde_json::from_slice(event)
-            .map_err(|e| Failed::Sent(format!("an event is not JSON: {e}")))?;
+            .map_err(|e| AttemptError::Failed(format!("an event is not JSON: {e}")))?;
         if !self.attempt.is_own(v["id"].as_str().unwrap_or_default()) {
-            return Err(Failed::Sent("an event belongs to another answer".into()));
+            return Err(AttemptError::Failed("an event belongs to another answer".into()));
         }
         let usage = usage_of(&v);
         let (text, finish) = text_of(&v);
         self.attempt.add(text.len(), usage);
         if self.attempt.is_over() {
             emit!(Event::UpstreamOverCap, service = self.plan.service, cap = self.attempt.cap);
-            return Err(Failed::Sent("the engine generates more than was asked for".into()));
+            return Err(AttemptError::Failed(
+                "the engine generates more than was asked for".into(),
+            ));
         }
         self.text.push_str(text);
         if let Some(f) = finish {
