--- a/crates/router/src/attempt.rs
+++ b/crates/router/src/attempt.rs
@@ -100,7 +100,7 @@
 }
 
 /// A response of an engine whose headers have arrived.
-pub struct Answering {
+pub struct EngineResponse {
     /// The chosen replica.
     pub choice: Choice,
     /// The response, with its body still unread.
--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -16,7 +16,7 @@
 use tokio::time::timeout_at;
 
 use crate::app::App;
-use crate::attempt::{Answering, Attempt};
+use crate::attempt::{Attempt, EngineResponse};
 use crate::caller::{Caller, Undelivered};
 use crate::chat::{Plan, Started};
 use crate::claim::Claim;
@@ -105,32 +105,32 @@
     /// Runs the exchange: sends the request, relays the response, and bills the usage. A response
     /// that breaks off is continued by another attempt where possible.
     pub async fn run(mut self) {
-        let mut answering = match self.dispatch().await {
+        let mut engine_response = match self.dispatch().await {
             Ok(a) => a,
             Err(refusal) => return self.finish_refused(refusal),
         };
         self.caller.begin();
         loop {
             let stream = self.plan.trace.span("stream");
-            let ended = self.relay(&mut answering).await;
+            let ended = self.relay(&mut engine_response).await;
             drop(stream);
             let failed = matches!(ended, Err(AttemptError::Failed(_)));
-            self.app.record_end(&self.plan.service, &answering.choice, failed);
+            self.app.record_end(&self.plan.service, &engine_response.choice, failed);
             if let Err(AttemptError::Failed(why)) = &ended {
-                let (service, address) = (&self.plan.service, answering.choice.address);
+                let (service, address) = (&self.plan.service, engine_response.choice.address);
                 emit!(Event::UpstreamFailed, service = service, address = address, why = why);
                 if let Some(next) = self.resume().await {
-                    answering = next;
+                    engine_response = next;
                     continue;
                 }
             }
-            return self.finish(ended, answering.choice.address).await;
+            return self.finish(ended, engine_response.choice.address).await;
         }
     }
 
     /// Starts another attempt that continues from the text generated so far. Returns `None` if the
     /// response may not be continued or no engine responds.
-    async fn resume(&mut self) -> Option<Answering> {
+    async fn resume(&mut self) -> Option<EngineResponse> {
         let generated = self.attempt.usage().output;
         let cap = self.attempt.cap.saturating_sub(generated);
         let allowed =
@@ -166,7 +166,7 @@
     }
 
     /// Sends the request to one engine after the other until one responds.
-    async fn dispatch(&mut self) -> Result<Answering, Refusal> {
+    async fn dispatch(&mut self) -> Result<EngineResponse, Refusal> {
         let mut why = String::new();
         for n in 0..MAX_TRIES {
             if !self.app.allow_send(&self.plan.service, n) {
@@ -176,7 +176,7 @@
             let Some(choice) = chosen else { break };
             self.tried.push(choice.address);
             let failed = match self.send(choice.address).await {
-                Ok(response) => return Ok(Answering { choice, response }),
+                Ok(response) => return Ok(EngineResponse { choice, response }),
                 Err(f) => f,
             };
             let is_fault =
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -13,7 +13,7 @@
 use tokio::time::{timeout, timeout_at};
 
 use crate::ask::Form;
-use crate::attempt::Answering;
+use crate::attempt::EngineResponse;
 use crate::count::{text_of, usage_of};
 use crate::exchange::{AttemptError, Exchange};
 use crate::sse::Parser;
@@ -26,7 +26,7 @@
 
 impl Exchange {
     /// Relays the engine's events until the end of its stream. Returns why if it fails before.
-    pub(crate) async fn relay(&mut self, a: &mut Answering) -> Result<(), AttemptError> {
+    pub(crate) async fn relay(&mut self, a: &mut EngineResponse) -> Result<(), AttemptError> {
         let mut parser = Parser::default();
         loop {
             let next = tokio::select! {
@@ -62,7 +62,7 @@
         }
     }
 
-    fn record_first_chunk(&mut self, a: &Answering) {
+    fn record_first_chunk(&mut self, a: &EngineResponse) {
         if let Some(span) = self.attempt.begin() {
             let service = self.plan.service.clone();
             histogram!(metric::FIRST_TOKEN, "service" => service).record(span);
