--- a/crates/router/src/caller.rs
+++ b/crates/router/src/caller.rs
@@ -8,11 +8,11 @@
 use crate::reply::Refusal;
 
 /// Why a chunk could not be sent to the client.
-pub enum Undelivered {
+pub enum SendError {
     /// The client has disconnected.
-    Left,
+    Disconnected,
     /// The client did not read it before the deadline.
-    Late,
+    DeadlinePassed,
 }
 
 /// Sends the response of one model request to its handler.
@@ -35,7 +35,7 @@
     }
 
     /// Completes when the client has disconnected.
-    pub async fn gone(&mut self) {
+    pub async fn closed(&mut self) {
         match &mut self.response_tx {
             Some(f) => f.closed().await,
             None => self.chunk_tx.closed().await,
@@ -43,7 +43,7 @@
     }
 
     /// Starts the streamed response, if the client requested one.
-    pub fn begin(&mut self) {
+    pub fn start_stream(&mut self) {
         if self.stream
             && let Some(response_tx) = self.response_tx.take()
         {
@@ -53,19 +53,19 @@
     }
 
     /// Sends a chunk of a streamed response. Does nothing if the client requested no stream.
-    pub async fn pass(&self, chunk: Bytes, deadline: Instant) -> Result<(), Undelivered> {
+    pub async fn send(&self, chunk: Bytes, deadline: Instant) -> Result<(), SendError> {
         if !self.stream {
             return Ok(());
         }
         match timeout_at(deadline, self.chunk_tx.send(chunk)).await {
             Ok(Ok(())) => Ok(()),
-            Ok(Err(_)) => Err(Undelivered::Left),
-            Err(_) => Err(Undelivered::Late),
+            Ok(Err(_)) => Err(SendError::Disconnected),
+            Err(_) => Err(SendError::DeadlinePassed),
         }
     }
 
     /// Sends the initial response. Returns false if it was sent before.
-    pub fn answer(&mut self, response: Result<Started, Refusal>) -> bool {
+    pub fn respond(&mut self, response: Result<Started, Refusal>) -> bool {
         let Some(response_tx) = self.response_tx.take() else { return false };
         // Fails only if the client has disconnected.
         let _ = response_tx.send(response);
--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -17,7 +17,7 @@
 
 use crate::app::App;
 use crate::attempt::{Attempt, EngineResponse};
-use crate::caller::{Caller, Undelivered};
+use crate::caller::{Caller, SendError};
 use crate::chat::{Plan, Started};
 use crate::claim::Claim;
 use crate::count::Usage;
@@ -67,11 +67,11 @@
     CallerDisconnected,
 }
 
-impl From<Undelivered> for AttemptError {
-    fn from(u: Undelivered) -> AttemptError {
+impl From<SendError> for AttemptError {
+    fn from(u: SendError) -> AttemptError {
         match u {
-            Undelivered::Left => AttemptError::CallerDisconnected,
-            Undelivered::Late => AttemptError::DeadlinePassed,
+            SendError::Disconnected => AttemptError::CallerDisconnected,
+            SendError::DeadlinePassed => AttemptError::DeadlinePassed,
         }
     }
 }
@@ -109,7 +109,7 @@
             Ok(a) => a,
             Err(refusal) => return self.finish_refused(refusal),
         };
-        self.caller.begin();
+        self.caller.start_stream();
         loop {
             let stream = self.plan.trace.span("stream");
             let ended = self.relay(&mut engine_response).await;
@@ -227,7 +227,7 @@
         self.attempt.mark_sent();
         let sent = tokio::select! {
             sent = timeout_at(plan.deadline, sending) => sent,
-            () = self.caller.gone() => {
+            () = self.caller.closed() => {
                 self.attempt.dispatched = true;
                 return Err(AttemptError::CallerDisconnected);
             }
@@ -254,7 +254,7 @@
     /// Settles an exchange without a response and sends the refusal.
     fn finish_refused(mut self, refusal: Refusal) {
         self.settle(false, refusal.ran);
-        self.caller.answer(Err(refusal));
+        self.caller.respond(Err(refusal));
     }
 
     async fn finish(mut self, ended: Result<(), AttemptError>, address: SocketAddr) {
@@ -270,9 +270,9 @@
                 (Err(refusal), event)
             }
         };
-        if !self.caller.answer(response) {
+        if !self.caller.respond(response) {
             // Fails only if the client has disconnected or the deadline has passed.
-            let _ = self.caller.pass(last.into(), self.plan.deadline).await;
+            let _ = self.caller.send(last.into(), self.plan.deadline).await;
         }
     }
 
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -34,13 +34,13 @@
                     self.plan.deadline,
                     timeout(KEEP_ALIVE_INTERVAL, a.response.next()),
                 ) => p,
-                () = self.caller.gone() => return Err(AttemptError::CallerDisconnected),
+                () = self.caller.closed() => return Err(AttemptError::CallerDisconnected),
             };
             let bytes = match next {
                 Err(_) => return Err(AttemptError::DeadlinePassed),
                 Ok(Err(_)) => {
                     let comment = Bytes::from_static(b": keep-alive\n\n");
-                    self.caller.pass(comment, self.plan.deadline).await?;
+                    self.caller.send(comment, self.plan.deadline).await?;
                     continue;
                 }
                 Ok(Ok(None)) => {
@@ -106,7 +106,7 @@
         }
         self.events += 1;
         let chunk = Bytes::from(format!("id: {}\ndata: {v}\n\n", self.events));
-        Ok(self.caller.pass(chunk, self.plan.deadline).await?)
+        Ok(self.caller.send(chunk, self.plan.deadline).await?)
     }
 
     /// Returns the answer's id for the caller: that of the first attempt, also if another engine
