--- a/crates/router/src/chat.rs
+++ b/crates/router/src/chat.rs
@@ -19,7 +19,7 @@
 use crate::app::{Active, App};
 use crate::ask::{Form, ModelRequest};
 use crate::caller::Caller;
-use crate::claim::{Claim, Claimed, claim};
+use crate::claim::{Claim, ClaimResult, claim};
 use crate::exchange::Exchange;
 use crate::head::Head;
 use crate::hold::ReservationGuard;
@@ -108,8 +108,8 @@
         true => {
             let _claiming = trace.span("claim");
             match claim(app, id, body_digest("POST", form.path(), bytes), deadline).await? {
-                Claimed::Run(c) => Some(c),
-                Claimed::Done(o) => return Ok(replay(&o)),
+                ClaimResult::Run(c) => Some(c),
+                ClaimResult::Done(o) => return Ok(replay(&o)),
             }
         }
     };
--- a/crates/router/src/claim.rs
+++ b/crates/router/src/claim.rs
@@ -41,7 +41,7 @@
 }
 
 /// The result of a claim that was not refused.
-pub enum Claimed {
+pub enum ClaimResult {
     /// The request may be sent, once.
     Run(Claim),
     /// The request has run, with this outcome.
@@ -56,7 +56,7 @@
     id: RequestId,
     body: BodyDigest,
     deadline: Instant,
-) -> Result<Claimed, Refusal> {
+) -> Result<ClaimResult, Refusal> {
     let token_store = app.token_store().ok_or(Code::NotReady)?;
     let seq = app.next_run_id();
     let holder = token_store.holder();
@@ -75,7 +75,7 @@
         Ok(Answer::Claimed(v)) => v,
         _ => {
             // The claim may still be committed, and must then not block a retry.
-            claim.tell(ClaimEnd::NotRun);
+            claim.report_end(ClaimEnd::NotRun);
             return Err(Refusal::from(Code::ClaimUnreachable).after(UNREACHABLE_RETRY_AFTER));
         }
     };
@@ -83,8 +83,8 @@
         claim.reported.set(true);
     }
     match decision {
-        ClaimDecision::Run => Ok(Claimed::Run(claim)),
-        ClaimDecision::Done(o) => Ok(Claimed::Done(o)),
+        ClaimDecision::Run => Ok(ClaimResult::Run(claim)),
+        ClaimDecision::Done(o) => Ok(ClaimResult::Done(o)),
         ClaimDecision::Running => {
             Err(Refusal::from(Code::ClaimRunning).ran(Ran::Unknown).after(RUNNING_RETRY_AFTER))
         }
@@ -96,13 +96,13 @@
 
 impl Claim {
     /// Marks the request as started: bytes of it may have been sent upstream.
-    pub fn start(&self) {
+    pub fn mark_started(&self) {
         self.started.set(true);
     }
 
     /// Reports how the request ended. A background task retries until the report is committed. Only
     /// the first call has an effect.
-    pub fn tell(&self, end: ClaimEnd) {
+    pub fn report_end(&self, end: ClaimEnd) {
         if self.reported.replace(true) {
             return;
         }
@@ -120,6 +120,6 @@
 
 impl Drop for Claim {
     fn drop(&mut self) {
-        self.tell(if self.started.get() { ClaimEnd::Unknown } else { ClaimEnd::NotRun });
+        self.report_end(if self.started.get() { ClaimEnd::Unknown } else { ClaimEnd::NotRun });
     }
 }
--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -221,7 +221,7 @@
         hop.note(address.to_string());
         req = req.insert_header(("traceparent", hop.traceparent()));
         if let Some(c) = &self.claim {
-            c.start();
+            c.mark_started();
         }
         let sending = req.send_body(plan.request.engine_body(self.attempt.cap, &self.text));
         self.attempt.mark_sent();
@@ -301,7 +301,7 @@
             });
         }
         let Some(claim) = self.claim.take() else { return };
-        claim.tell(match (whole, ran) {
+        claim.report_end(match (whole, ran) {
             (true, _) => ClaimEnd::Answered(self.outcome()),
             (false, Ran::No) => ClaimEnd::NotRun,
             (false, _) => ClaimEnd::Unknown,
--- a/crates/router/src/plain.rs
+++ b/crates/router/src/plain.rs
@@ -19,7 +19,7 @@
 
 use crate::app::{Active, App};
 use crate::chat::replay;
-use crate::claim::{Claim, Claimed, claim};
+use crate::claim::{Claim, ClaimResult, claim};
 use crate::head::Head;
 use crate::oneshot::{Answer, ExchangeError, Request, exchange};
 use crate::reply::{RAN, REQUEST_ID, Refusal};
@@ -90,8 +90,8 @@
             let digest = body_digest(call.method.as_str(), &call.path, &call.body);
             let _claiming = trace.span("claim");
             match claim(app, id, digest, deadline).await? {
-                Claimed::Run(c) => Some(c),
-                Claimed::Done(o) => return Ok(replay(&o)),
+                ClaimResult::Run(c) => Some(c),
+                ClaimResult::Done(o) => return Ok(replay(&o)),
             }
         }
     };
@@ -118,7 +118,7 @@
     trace: &Rc<Trace>,
 ) -> Result<Response<Body>, Refusal> {
     if let Some(c) = &claim {
-        c.start();
+        c.mark_started();
     }
     let result = try_replicas(app, service, pending, trace).await;
     let end = match &result {
@@ -127,7 +127,7 @@
         Err(_) => ClaimEnd::Unknown,
     };
     if let Some(c) = claim {
-        c.tell(end);
+        c.report_end(end);
     }
     result.map(response)
 }
