--- a/crates/router/src/attempt.rs
+++ b/crates/router/src/attempt.rs
@@ -64,17 +64,17 @@
     /// Counts an event of `text` bytes and the usage it reports, and updates the reservation.
     pub fn add(&mut self, text: usize, usage: Option<Usage>) {
         self.counter.add(text, usage);
-        self.reservation.set_used(self.counter.charge().total());
+        self.reservation.set_used(self.counter.charged_usage().total());
     }
 
     /// Returns whether the engine generated more tokens than the cap.
-    pub fn is_over(&self) -> bool {
-        self.counter.is_over()
+    pub fn exceeds_cap(&self) -> bool {
+        self.counter.exceeds_cap()
     }
 
     /// Returns whether the engine reported no usage or an implausible one.
-    pub fn is_odd(&self) -> bool {
-        self.counter.is_odd()
+    pub fn is_implausible(&self) -> bool {
+        self.counter.is_implausible()
     }
 
     /// Returns whether an event with this id belongs to this attempt's response. The first event
@@ -90,7 +90,7 @@
 
     /// Returns the usage to charge, which is zero unless the request was dispatched.
     pub fn usage(&self) -> Usage {
-        if self.dispatched { self.counter.charge() } else { Usage::default() }
+        if self.dispatched { self.counter.charged_usage() } else { Usage::default() }
     }
 
     /// Charges the final usage to the reservation.
--- a/crates/router/src/count.rs
+++ b/crates/router/src/count.rs
@@ -58,20 +58,20 @@
     }
 
     /// Returns whether more tokens were generated than the output cap.
-    pub fn is_over(&self) -> bool {
+    pub fn exceeds_cap(&self) -> bool {
         self.text_events > self.output_cap
             || self.reported.is_some_and(|u| u.output > self.output_cap)
     }
 
     /// Returns whether the engine reported no usage, fewer output tokens than events with text, or
     /// more prompt tokens than the bound.
-    pub fn is_odd(&self) -> bool {
+    pub fn is_implausible(&self) -> bool {
         self.reported.is_none_or(|u| u.output < self.text_events || u.prompt > self.prompt_bound)
     }
 
     /// Returns the usage to charge: the engine's count, at least the number of events with text and
     /// at most the reserved amount. Text without a later reported usage is charged by its bytes.
-    pub fn charge(&self) -> Usage {
+    pub fn charged_usage(&self) -> Usage {
         let (prompt, reported_output) = match self.reported {
             Some(u) => (u.prompt, u.output),
             None => (self.prompt_bound, 0),
@@ -82,14 +82,14 @@
 }
 
 /// Returns the text of an event of either API, and its finish reason.
-pub fn text_of(event: &Value) -> (&str, Option<&str>) {
+pub fn event_text(event: &Value) -> (&str, Option<&str>) {
     let Some(choice) = event["choices"].get(0) else { return ("", None) };
     let text = choice["delta"]["content"].as_str().or(choice["text"].as_str()).unwrap_or("");
     (text, choice["finish_reason"].as_str())
 }
 
 /// Returns the usage that an event reports, if any.
-pub fn usage_of(event: &Value) -> Option<Usage> {
+pub fn event_usage(event: &Value) -> Option<Usage> {
     let u = event.get("usage")?;
     Some(Usage { prompt: u["prompt_tokens"].as_u64()?, output: u["completion_tokens"].as_u64()? })
 }
--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -136,7 +136,8 @@
         let allowed =
             self.claim.is_none() && self.before.len() + 1 < MAX_ATTEMPTS && self.finish.is_none();
         let progressed = self.text.len() > self.attempt.earlier_text_len || self.before.is_empty();
-        if !allowed || !progressed || cap == 0 || self.text.is_empty() || self.attempt.is_over() {
+        if !allowed || !progressed || cap == 0 || self.text.is_empty() || self.attempt.exceeds_cap()
+        {
             return None;
         }
         let prompt_bound = self.plan.request.prompt_bound + self.text.len() as u64;
@@ -258,7 +259,7 @@
     }
 
     async fn finish(mut self, ended: Result<(), AttemptError>, address: SocketAddr) {
-        if self.attempt.is_odd() && ended.is_ok() {
+        if self.attempt.is_implausible() && ended.is_ok() {
             emit!(Event::UpstreamMiscounted, service = self.plan.service, address = address);
         }
         self.settle(ended.is_ok(), Ran::Unknown);
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -14,7 +14,7 @@
 
 use crate::ask::Form;
 use crate::attempt::EngineResponse;
-use crate::count::{text_of, usage_of};
+use crate::count::{event_text, event_usage};
 use crate::exchange::{AttemptError, Exchange};
 use crate::sse::Parser;
 
@@ -83,10 +83,10 @@
         if !self.attempt.is_own(v["id"].as_str().unwrap_or_default()) {
             return Err(AttemptError::Failed("an event belongs to another answer".into()));
         }
-        let usage = usage_of(&v);
-        let (text, finish) = text_of(&v);
+        let usage = event_usage(&v);
+        let (text, finish) = event_text(&v);
         self.attempt.add(text.len(), usage);
-        if self.attempt.is_over() {
+        if self.attempt.exceeds_cap() {
             emit!(Event::UpstreamOverCap, service = self.plan.service, cap = self.attempt.cap);
             return Err(AttemptError::Failed(
                 "the engine generates more than was asked for".into(),
