--- a/crates/router/src/caller.rs
+++ b/crates/router/src/caller.rs
@@ -4,7 +4,7 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, timeout_at};
 
-use crate::chat::Started;
+use crate::chat::ResponseStart;
 use crate::reply::Refusal;
 
 /// Why a chunk could not be sent to the client.
@@ -18,7 +18,7 @@
 /// Sends the response of one model request to its handler.
 pub struct Caller {
     /// Sends the initial response; `None` once it is sent.
-    response_tx: Option<oneshot::Sender<Result<Started, Refusal>>>,
+    response_tx: Option<oneshot::Sender<Result<ResponseStart, Refusal>>>,
     chunk_tx: mpsc::Sender<Bytes>,
     stream: bool,
 }
@@ -27,7 +27,7 @@
     /// Creates a channel that sends the initial response through `response_tx` and, if `stream` is
     /// set, the chunks through `chunk_tx`.
     pub fn new(
-        response_tx: oneshot::Sender<Result<Started, Refusal>>,
+        response_tx: oneshot::Sender<Result<ResponseStart, Refusal>>,
         chunk_tx: mpsc::Sender<Bytes>,
         stream: bool,
     ) -> Caller {
@@ -48,7 +48,7 @@
             && let Some(response_tx) = self.response_tx.take()
         {
             // If the client has disconnected, sending the first chunk fails.
-            let _ = response_tx.send(Ok(Started::Streaming));
+            let _ = response_tx.send(Ok(ResponseStart::Streaming));
         }
     }
 
@@ -65,7 +65,7 @@
     }
 
     /// Sends the initial response. Returns false if it was sent before.
-    pub fn respond(&mut self, response: Result<Started, Refusal>) -> bool {
+    pub fn respond(&mut self, response: Result<ResponseStart, Refusal>) -> bool {
         let Some(response_tx) = self.response_tx.take() else { return false };
         // Fails only if the client has disconnected.
         let _ = response_tx.send(response);
--- a/crates/router/src/chat.rs
+++ b/crates/router/src/chat.rs
@@ -32,7 +32,7 @@
 const MAX_BUFFERED_CHUNKS: usize = 32;
 
 /// An admitted request with the limits for its exchange with engines.
-pub struct Plan {
+pub struct ExchangePlan {
     /// The request's id in claims and bills.
     pub id: RequestId,
     /// The parsed request.
@@ -48,11 +48,11 @@
     /// The slice policy of the charged budget.
     pub policy: Policy,
     /// The properties by which an engine is chosen.
-    pub work: RequestProfile,
+    pub profile: RequestProfile,
 }
 
 /// The start of a response, which the handler waits for.
-pub enum Started {
+pub enum ResponseStart {
     /// An engine has responded; chunks follow.
     Streaming,
     /// The complete response, for a client that requested no stream.
@@ -114,14 +114,15 @@
         }
     };
     let (service, trace) = (model.name.clone(), trace.clone());
-    let work = RequestProfile { prefixes: request.prompt_prefixes(), ..RequestProfile::default() };
-    let plan = Plan { id, request, service, cap, deadline, trace, policy, work };
+    let profile =
+        RequestProfile { prefixes: request.prompt_prefixes(), ..RequestProfile::default() };
+    let plan = ExchangePlan { id, request, service, cap, deadline, trace, policy, profile };
     start_exchange(app, plan, guard, claim, permit).await
 }
 
 async fn start_exchange(
     app: &Rc<App>,
-    plan: Plan,
+    plan: ExchangePlan,
     guard: ReservationGuard,
     claim: Option<Claim>,
     permit: Permit,
@@ -139,11 +140,11 @@
         drop(active);
     });
     match first_rx.await {
-        Ok(Ok(Started::Streaming)) => {
+        Ok(Ok(ResponseStart::Streaming)) => {
             debug_assert!(stream);
             Ok(streaming_response(rx))
         }
-        Ok(Ok(Started::Whole(v))) => Ok(json_response(StatusCode::OK, &v)),
+        Ok(Ok(ResponseStart::Whole(v))) => Ok(json_response(StatusCode::OK, &v)),
         Ok(Err(refusal)) => Err(refusal),
         Err(_) => Err(Code::UpstreamFailed.into()),
     }
--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -18,7 +18,7 @@
 use crate::app::App;
 use crate::attempt::{Attempt, EngineResponse};
 use crate::caller::{Caller, SendError};
-use crate::chat::{Plan, Started};
+use crate::chat::{ExchangePlan, ResponseStart};
 use crate::claim::Claim;
 use crate::count::Usage;
 use crate::hold::ReservationGuard;
@@ -39,7 +39,7 @@
 /// A model request in progress.
 pub struct Exchange {
     pub(crate) app: Rc<App>,
-    pub(crate) plan: Plan,
+    pub(crate) plan: ExchangePlan,
     pub(crate) claim: Option<Claim>,
     pub(crate) caller: Caller,
     pub(crate) attempt: Attempt,
@@ -80,7 +80,7 @@
     /// Creates an exchange with its first attempt, not sent yet.
     pub fn new(
         app: Rc<App>,
-        plan: Plan,
+        plan: ExchangePlan,
         reservation: ReservationGuard,
         claim: Option<Claim>,
         caller: Caller,
@@ -173,7 +173,7 @@
             if !self.app.allow_send(&self.plan.service, n) {
                 break;
             }
-            let chosen = self.app.choose(&self.plan.service, &self.plan.work, &self.tried);
+            let chosen = self.app.choose(&self.plan.service, &self.plan.profile, &self.tried);
             let Some(choice) = chosen else { break };
             self.tried.push(choice.address);
             let failed = match self.send(choice.address).await {
@@ -264,7 +264,7 @@
         }
         self.settle(ended.is_ok(), Ran::Unknown);
         let (response, last) = match ended {
-            Ok(()) => (Ok(Started::Whole(self.whole())), self.end_mark()),
+            Ok(()) => (Ok(ResponseStart::Whole(self.whole())), self.end_mark()),
             Err(f) => {
                 let refusal = refusal_for(f);
                 let event = format!("event: error\ndata: {}\n\n", refusal.json());
