--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -44,11 +44,11 @@
     pub(crate) caller: Caller,
     pub(crate) attempt: Attempt,
     /// Earlier attempts that broke off; the client has received their text.
-    pub(crate) before: Vec<Attempt>,
-    pub(crate) text: String,
-    pub(crate) finish: Option<String>,
+    pub(crate) earlier_attempts: Vec<Attempt>,
+    pub(crate) generated_text: String,
+    pub(crate) finish_reason: Option<String>,
     /// Number of events sent to the client.
-    pub(crate) events: u64,
+    pub(crate) sent_events: u64,
     run: u64,
     tried: Vec<SocketAddr>,
 }
@@ -93,10 +93,10 @@
             claim,
             caller,
             attempt,
-            before: Vec::new(),
-            text: String::new(),
-            finish: None,
-            events: 0,
+            earlier_attempts: Vec::new(),
+            generated_text: String::new(),
+            finish_reason: None,
+            sent_events: 0,
             run,
             tried: Vec::new(),
         }
@@ -133,14 +133,20 @@
     async fn resume(&mut self) -> Option<EngineResponse> {
         let generated = self.attempt.usage().output;
         let cap = self.attempt.cap.saturating_sub(generated);
-        let allowed =
-            self.claim.is_none() && self.before.len() + 1 < MAX_ATTEMPTS && self.finish.is_none();
-        let progressed = self.text.len() > self.attempt.earlier_text_len || self.before.is_empty();
-        if !allowed || !progressed || cap == 0 || self.text.is_empty() || self.attempt.exceeds_cap()
+        let allowed = self.claim.is_none()
+            && self.earlier_attempts.len() + 1 < MAX_ATTEMPTS
+            && self.finish_reason.is_none();
+        let progressed = self.generated_text.len() > self.attempt.earlier_text_len
+            || self.earlier_attempts.is_empty();
+        if !allowed
+            || !progressed
+            || cap == 0
+            || self.generated_text.is_empty()
+            || self.attempt.exceeds_cap()
         {
             return None;
         }
-        let prompt_bound = self.plan.request.prompt_bound + self.text.len() as u64;
+        let prompt_bound = self.plan.request.prompt_bound + self.generated_text.len() as u64;
         let (token_store, budget) =
             (self.attempt.reservation().token_store().clone(), self.attempt.reservation().budget());
         let policy = self.plan.policy;
@@ -149,10 +155,10 @@
             .await
             .ok()?;
         let reservation = ReservationGuard::new(token_store.clone(), budget.to_owned(), reserved);
-        let next = Attempt::new(reservation, prompt_bound, cap, self.text.len());
+        let next = Attempt::new(reservation, prompt_bound, cap, self.generated_text.len());
         let mut failed = std::mem::replace(&mut self.attempt, next);
         failed.charge_final_usage();
-        self.before.push(failed);
+        self.earlier_attempts.push(failed);
         // Prefer another engine; use the same one only if there is no other.
         let last = self.tried.last().copied();
         self.tried = last.into_iter().collect();
@@ -224,7 +230,8 @@
         if let Some(c) = &self.claim {
             c.mark_started();
         }
-        let sending = req.send_body(plan.request.engine_body(self.attempt.cap, &self.text));
+        let sending =
+            req.send_body(plan.request.engine_body(self.attempt.cap, &self.generated_text));
         self.attempt.mark_sent();
         let sent = tokio::select! {
             sent = timeout_at(plan.deadline, sending) => sent,
@@ -279,7 +286,7 @@
 
     /// Returns the total usage of all attempts.
     pub(crate) fn usage(&self) -> Usage {
-        let attempts = self.before.iter().chain([&self.attempt]);
+        let attempts = self.earlier_attempts.iter().chain([&self.attempt]);
         attempts.map(Attempt::usage).fold(Usage::default(), Usage::plus)
     }
 
@@ -288,7 +295,7 @@
         let _settling = self.plan.trace.span("settlement");
         self.attempt.charge_final_usage();
         let usage = self.usage();
-        if self.attempt.dispatched || !self.before.is_empty() {
+        if self.attempt.dispatched || !self.earlier_attempts.is_empty() {
             counter!(metric::TOKENS, "kind" => "prompt").increment(usage.prompt);
             counter!(metric::TOKENS, "kind" => "output").increment(usage.output);
             let reservation = self.attempt.reservation();
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -71,7 +71,7 @@
     }
 
     fn check_finish(&self) -> Result<(), AttemptError> {
-        match self.finish {
+        match self.finish_reason {
             Some(_) => Ok(()),
             None => Err(AttemptError::Failed("the stream ended without a finish reason".into())),
         }
@@ -92,9 +92,9 @@
                 "the engine generates more than was asked for".into(),
             ));
         }
-        self.text.push_str(text);
+        self.generated_text.push_str(text);
         if let Some(f) = finish {
-            self.finish = Some(f.to_owned());
+            self.finish_reason = Some(f.to_owned());
         }
         let is_usage_only = v["choices"].as_array().is_some_and(Vec::is_empty);
         if !self.plan.request.stream || is_usage_only {
@@ -104,15 +104,15 @@
             o.remove("usage");
             o.insert("id".into(), self.answer_id().into());
         }
-        self.events += 1;
-        let chunk = Bytes::from(format!("id: {}\ndata: {v}\n\n", self.events));
+        self.sent_events += 1;
+        let chunk = Bytes::from(format!("id: {}\ndata: {v}\n\n", self.sent_events));
         Ok(self.caller.send(chunk, self.plan.deadline).await?)
     }
 
     /// Returns the answer's id for the caller: that of the first attempt, also if another engine
     /// continues the answer.
     fn answer_id(&self) -> &str {
-        let first = self.before.iter().chain([&self.attempt]).next();
+        let first = self.earlier_attempts.iter().chain([&self.attempt]).next();
         first.and_then(|l| l.engine_id()).unwrap_or_default()
     }
 
@@ -125,7 +125,7 @@
         let mut v = self.whole();
         v["object"] = "chat.completion.chunk".into();
         v["choices"] = json!([]);
-        format!("id: {}\ndata: {v}\n\n{END_OF_STREAM}", self.events + 1)
+        format!("id: {}\ndata: {v}\n\n{END_OF_STREAM}", self.sent_events + 1)
     }
 
     /// Returns the outcome to store for a claimed request. It has the body only if the request is
@@ -142,12 +142,12 @@
         let (object, choice) = match self.plan.request.form {
             Form::Chat => (
                 "chat.completion",
-                json!({ "index": 0, "finish_reason": self.finish,
-                    "message": { "role": "assistant", "content": self.text } }),
+                json!({ "index": 0, "finish_reason": self.finish_reason,
+                    "message": { "role": "assistant", "content": self.generated_text } }),
             ),
             Form::Text => (
                 "text_completion",
-                json!({ "index": 0, "finish_reason": self.finish, "text": self.text }),
+                json!({ "index": 0, "finish_reason": self.finish_reason, "text": self.generated_text }),
             ),
         };
         json!({
