--- a/crates/router/src/app.rs
+++ b/crates/router/src/app.rs
@@ -221,17 +221,17 @@
 }
 
 /// Guard that counts a request as active until it is dropped.
-pub struct Active(Rc<App>);
+pub struct ActiveRequest(Rc<App>);
 
-impl Active {
+impl ActiveRequest {
     /// Increments the number of active requests.
-    pub fn new(app: &Rc<App>) -> Active {
+    pub fn new(app: &Rc<App>) -> ActiveRequest {
         app.active.set(app.active.get() + 1);
-        Active(app.clone())
+        ActiveRequest(app.clone())
     }
 }
 
-impl Drop for Active {
+impl Drop for ActiveRequest {
     fn drop(&mut self) {
         self.0.active.set(self.0.active.get() - 1);
     }
--- a/crates/router/src/chat.rs
+++ b/crates/router/src/chat.rs
@@ -16,7 +16,7 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-use crate::app::{Active, App};
+use crate::app::{ActiveRequest, App};
 use crate::ask::{Form, ModelRequest};
 use crate::caller::Caller;
 use crate::claim::{Claim, ClaimResult, claim};
@@ -132,7 +132,7 @@
     let (first_tx, first_rx) = oneshot::channel();
     let caller = Caller::new(first_tx, tx, stream);
     let exchange = Exchange::new(app.clone(), plan, guard, claim, caller);
-    let active = Active::new(app);
+    let active = ActiveRequest::new(app);
     // A separate task, so that tokens are settled even if the client disconnects.
     actix_rt::spawn(async move {
         exchange.run().await;
--- a/crates/router/src/plain.rs
+++ b/crates/router/src/plain.rs
@@ -17,7 +17,7 @@
 use cypressfork_node::event::Event;
 use tokio::time::{Instant, timeout_at};
 
-use crate::app::{Active, App};
+use crate::app::{ActiveRequest, App};
 use crate::chat::replay;
 use crate::claim::{Claim, ClaimResult, claim};
 use crate::head::Head;
@@ -100,7 +100,7 @@
     let pending = PendingCall { id: head.id.clone(), call, can_resend, deadline };
     let trace = trace.clone();
     // Runs in its own task, so that the outcome is recorded even if the caller disconnects.
-    let active = Active::new(&app);
+    let active = ActiveRequest::new(&app);
     let running = actix_rt::spawn(async move {
         let result = run_and_record(&app, &service, &pending, claim, &trace).await;
         drop(permit);
