--- a/crates/router/src/budget_slices.rs
+++ b/crates/router/src/budget_slices.rs
@@ -51,7 +51,7 @@
     }
 
     /// Returns the idle tokens of a budget to the grantor.
-    pub fn recall(&self, budget: &str) {
+    pub fn return_idle(&self, budget: &str) {
         if let Some(p) = self.by_budget.borrow().get(budget) {
             p.slices.borrow_mut().return_idle();
         }
@@ -59,7 +59,7 @@
 
     /// Returns the idle tokens of all budgets that `matches` selects to the grantor. Returns
     /// whether any of them has slices.
-    pub fn recall_where(&self, matches: impl Fn(&str) -> bool) -> bool {
+    pub fn return_idle_where(&self, matches: impl Fn(&str) -> bool) -> bool {
         let all = self.by_budget.borrow();
         let matching =
             all.iter().filter(|(budget, p)| matches(budget) && !p.slices.borrow().is_empty());
@@ -67,7 +67,7 @@
     }
 
     /// Returns the idle tokens of all budgets to the grantor.
-    pub fn recall_all(&self) {
+    pub fn return_all_idle(&self) {
         self.by_budget.borrow().values().for_each(|p| p.slices.borrow_mut().return_idle());
     }
 
@@ -95,7 +95,7 @@
     }
 
     /// Records that the grantor has accepted `bounds`.
-    pub fn bounds_taken(&self, now: Time, bounds: &[Bound]) {
+    pub fn confirm_bounds(&self, now: Time, bounds: &[Bound]) {
         let all = self.by_budget.borrow();
         for b in bounds {
             if let Some(p) = all.get(&b.budget) {
--- a/crates/router/src/token_store.rs
+++ b/crates/router/src/token_store.rs
@@ -424,7 +424,7 @@
             self.batch.borrow_mut().1.clear();
             if seq > 0 {
                 self.bound_seq.set((seq, seq));
-                self.group_slices.bounds_taken(self.clock.now(), &bounds);
+                self.group_slices.confirm_bounds(self.clock.now(), &bounds);
             }
         }
     }
