--- a/crates/router/src/gateway/budget.rs
+++ b/crates/router/src/gateway/budget.rs
@@ -17,7 +17,7 @@
 use super::share::BorrowedTokens;
 use super::state::Gateway;
 use crate::reply::Refusal;
-use crate::taken::{Source, Taken};
+use crate::taken::{PartialReservation, Source};
 use crate::token_store::TokenStore;
 
 /// How long a request waits for more tokens before other gateways are asked.
@@ -206,7 +206,7 @@
     let Some(token_store) = gw.wait_for_token_store(until).await else {
         return (None, Some(Shortfall::Closed));
     };
-    let Taken { part, short } =
+    let PartialReservation { reserved: part, shortfall: short } =
         token_store.take(&demand.budget, demand.policy, tokens, until).await;
     let own = |(source, reservation)| {
         Part::Own(OwnReservation {
--- a/crates/router/src/gateway/share.rs
+++ b/crates/router/src/gateway/share.rs
@@ -28,7 +28,7 @@
 
 use super::homes::Homes;
 use super::state::Gateway;
-use crate::taken::{Source, Taken};
+use crate::taken::{PartialReservation, Source};
 use crate::token_store::TokenStore;
 
 /// Timeout of a lender's response.
@@ -365,18 +365,18 @@
         }
         let (budget, policy) = (budget_name(account), Policy::for_prepaid(prepaid));
         let within = Duration::from_millis(within.0.min(MAX_HOME_WAIT.0));
-        let Taken { part, short } = match within {
+        let PartialReservation { reserved, shortfall } = match within {
             Duration::ZERO => token_store.take_at_hand(&budget, policy, tokens),
             within => token_store.take(&budget, policy, tokens, Instant::now() + within).await,
         };
-        let Some((source, reservation)) = part else { return PeerReply::Held(0, short) };
+        let Some((source, reservation)) = reserved else { return PeerReply::Held(0, shortfall) };
         let mut loans = self.loans.borrow_mut();
         let loan = Loan { token_store, source, budget, reservation };
         // The borrower may have settled the loan meanwhile, or sent the request twice.
         if let Err(loan) = loans.open_once(gw.now(), id, loan) {
             loan.settle(0);
         }
-        PeerReply::Held(loans.get(id).map_or(0, |loan| loan.reservation.amount()), short)
+        PeerReply::Held(loans.get(id).map_or(0, |loan| loan.reservation.amount()), shortfall)
     }
 
     /// Reserves as many of the tokens as this gateway can spare for another gateway. A repeated request
--- a/crates/router/src/taken.rs
+++ b/crates/router/src/taken.rs
@@ -23,11 +23,11 @@
 }
 
 /// A reservation of all or some of the requested tokens.
-pub struct Taken {
+pub struct PartialReservation {
     /// The reserved tokens and their grantor, if any.
-    pub part: Option<(Source, Reservation)>,
+    pub reserved: Option<(Source, Reservation)>,
     /// Why some are missing; `None` if all are reserved.
-    pub short: Option<Shortfall>,
+    pub shortfall: Option<Shortfall>,
 }
 
 /// The result of a lease request to the control group.
--- a/crates/router/src/token_store.rs
+++ b/crates/router/src/token_store.rs
@@ -27,7 +27,8 @@
 use crate::budget_slices::{BudgetSlices, SlicesByBudget};
 use crate::reply::Refusal;
 use crate::taken::{
-    Asked, Source, Taken, UNREACHABLE_RETRY_AFTER, is_unreachable, lease_refusal, wait_or_refusal,
+    Asked, PartialReservation, Source, UNREACHABLE_RETRY_AFTER, is_unreachable, lease_refusal,
+    wait_or_refusal,
 };
 
 /// Maximum number of bills in one report.
@@ -291,31 +292,31 @@
         policy: Policy,
         n: Tokens,
         until: Instant,
-    ) -> Taken {
+    ) -> PartialReservation {
         let refusal = match self.reserve(budget, policy, n, until).await {
-            Ok(part) => return Taken { part: Some(part), short: None },
+            Ok(part) => return PartialReservation { reserved: Some(part), shortfall: None },
             Err(refusal) => refusal,
         };
         let available = self.take_at_hand(budget, policy, n);
-        let short = match (refusal.code, available.short) {
+        let shortfall = match (refusal.code, available.shortfall) {
             (Code::BudgetSpent, _) => Some(Shortfall::Spent),
             (_, Some(Shortfall::Busy(_))) => {
                 Some(Shortfall::Busy(refusal.after.unwrap_or(BUSY_RETRY_AFTER)))
             }
-            (_, short) => short,
+            (_, shortfall) => shortfall,
         };
-        Taken { short, ..available }
+        PartialReservation { shortfall, ..available }
     }
 
     /// Reserves up to `n` idle tokens without waiting. Returns the reservation and the reason for a
     /// shortfall.
-    pub fn take_at_hand(&self, budget: &str, policy: Policy, n: Tokens) -> Taken {
+    pub fn take_at_hand(&self, budget: &str, policy: Policy, n: Tokens) -> PartialReservation {
         let p = self.group_slices.get(budget, policy);
         let wait = p.slices.borrow().limit_wait(self.clock.now(), n);
-        let part = self.reserve_part(budget, policy, n).map(|r| (Source::Group, r));
-        let is_whole = part.as_ref().is_some_and(|(_, r)| r.amount() == n);
-        let short = wait.map_or(Shortfall::Busy(BUSY_RETRY_AFTER), Shortfall::Limited);
-        Taken { part, short: (!is_whole).then_some(short) }
+        let reserved = self.reserve_part(budget, policy, n).map(|r| (Source::Group, r));
+        let is_whole = reserved.as_ref().is_some_and(|(_, r)| r.amount() == n);
+        let shortfall = wait.map_or(Shortfall::Busy(BUSY_RETRY_AFTER), Shortfall::Limited);
+        PartialReservation { reserved, shortfall: (!is_whole).then_some(shortfall) }
     }
 
     /// Returns the idle tokens of the budgets for which `of` is true to the control group
