--- a/crates/router/src/budget_slices.rs
+++ b/crates/router/src/budget_slices.rs
@@ -8,7 +8,7 @@
 use cypressfork_core::unit::{Time, Tokens};
 use tokio::sync::Notify;
 
-use crate::taken::Asked;
+use crate::taken::LeaseOutcome;
 
 /// The slice store of one budget, with the state of lease requests to its grantor.
 pub struct BudgetSlices {
@@ -17,7 +17,7 @@
     /// Whether a lease request is in flight.
     pub asking: Cell<bool>,
     /// The result of the last lease request, until it is taken.
-    pub answer: Cell<Option<Asked>>,
+    pub answer: Cell<Option<LeaseOutcome>>,
     /// Notified when tokens may have become available.
     pub changed: Notify,
 }
--- a/crates/router/src/taken.rs
+++ b/crates/router/src/taken.rs
@@ -32,7 +32,7 @@
 
 /// The result of a lease request to the control group.
 #[derive(Clone, Copy, Debug)]
-pub enum Asked {
+pub enum LeaseOutcome {
     /// The group granted a lease or reported a shortage.
     Decided(Decision),
     /// The request failed or was invalid.
--- a/crates/router/src/token_store.rs
+++ b/crates/router/src/token_store.rs
@@ -27,8 +27,8 @@
 use crate::budget_slices::{BudgetSlices, SlicesByBudget};
 use crate::reply::Refusal;
 use crate::taken::{
-    Asked, PartialReservation, Source, UNREACHABLE_RETRY_AFTER, is_unreachable, lease_refusal,
-    wait_or_refusal,
+    LeaseOutcome, PartialReservation, Source, UNREACHABLE_RETRY_AFTER, is_unreachable,
+    lease_refusal, wait_or_refusal,
 };
 
 /// Maximum number of bills in one report.
@@ -143,8 +143,8 @@
             let changed = timeout_at(deadline, p.changed.notified()).await;
             changed.map_err(|_| Refusal::from(Code::BudgetBusy).after(Millis::seconds(1)))?;
             let wait = match p.answer.take() {
-                Some(Asked::Decided(Err(s))) => wait_or_refusal(s)?,
-                Some(Asked::Refused(code)) if !is_unreachable(code) => {
+                Some(LeaseOutcome::Decided(Err(s))) => wait_or_refusal(s)?,
+                Some(LeaseOutcome::Refused(code)) if !is_unreachable(code) => {
                     return Err(lease_refusal(code));
                 }
                 // Tokens became available, or another waiting request has taken the answer.
@@ -236,7 +236,7 @@
         let (me, p, budget) = (self.clone(), p.clone(), budget.to_owned());
         actix_rt::spawn(async move {
             let outcome = me.request_lease(&budget, &p, need).await;
-            if matches!(outcome, Asked::Refused(code) if is_unreachable(code)) {
+            if matches!(outcome, LeaseOutcome::Refused(code) if is_unreachable(code)) {
                 me.set_away(true);
             }
             p.answer.set(Some(outcome));
@@ -245,10 +245,12 @@
         });
     }
 
-    async fn request_lease(&self, budget: &str, p: &BudgetSlices, need: Tokens) -> Asked {
+    async fn request_lease(&self, budget: &str, p: &BudgetSlices, need: Tokens) -> LeaseOutcome {
         let now = self.clock.now();
         let request = p.slices.borrow_mut().next_request(now, self.holder, budget, need);
-        let Some(request) = request else { return Asked::Decided(Err(Shortage::Busy(Millis(1)))) };
+        let Some(request) = request else {
+            return LeaseOutcome::Decided(Err(Shortage::Busy(Millis(1))));
+        };
         self.send_lease_request(p, request, LEASE_TIMEOUT).await
     }
 
@@ -257,19 +259,19 @@
         p: &BudgetSlices,
         request: LeaseRequest,
         timeout: Duration,
-    ) -> Asked {
+    ) -> LeaseOutcome {
         let seq = request.seq;
         match self.group.command(&Command::Ask(request), timeout).await {
             Ok(Answer::Decided(d)) => {
                 p.slices.borrow_mut().apply_decision(seq, &d);
-                Asked::Decided(d)
+                LeaseOutcome::Decided(d)
             }
             Ok(Answer::Refused(code)) => {
                 p.slices.borrow_mut().apply_decision(seq, &Err(Shortage::Spent));
-                Asked::Refused(code)
+                LeaseOutcome::Refused(code)
             }
-            Ok(_) => Asked::Refused(Code::MessageBad),
-            Err(code) => Asked::Refused(code),
+            Ok(_) => LeaseOutcome::Refused(Code::MessageBad),
+            Err(code) => LeaseOutcome::Refused(code),
         }
     }
 
