--- a/crates/router/src/gateway/budget.rs
+++ b/crates/router/src/gateway/budget.rs
@@ -207,7 +207,7 @@
         return (None, Some(Shortfall::Closed));
     };
     let PartialReservation { reserved: part, shortfall: short } =
-        token_store.take(&demand.budget, demand.policy, tokens, until).await;
+        token_store.reserve_up_to(&demand.budget, demand.policy, tokens, until).await;
     let own = |(source, reservation)| {
         Part::Own(OwnReservation {
             token_store,
@@ -272,7 +272,7 @@
     let until = deadline.min(Instant::now() + RECALL_WAIT);
     match token_store.reserve(budget, policy, max_tokens, until).await {
         Ok((source, r)) => Ok(vec![own(source, r)]),
-        Err(r) => Err(local_refusal(r, account, max_tokens, token_store.at_hand(budget, policy))),
+        Err(r) => Err(local_refusal(r, account, max_tokens, token_store.available(budget, policy))),
     }
 }
 
--- a/crates/router/src/gateway/share.rs
+++ b/crates/router/src/gateway/share.rs
@@ -366,8 +366,10 @@
         let (budget, policy) = (budget_name(account), Policy::for_prepaid(prepaid));
         let within = Duration::from_millis(within.0.min(MAX_HOME_WAIT.0));
         let PartialReservation { reserved, shortfall } = match within {
-            Duration::ZERO => token_store.take_at_hand(&budget, policy, tokens),
-            within => token_store.take(&budget, policy, tokens, Instant::now() + within).await,
+            Duration::ZERO => token_store.reserve_available(&budget, policy, tokens),
+            within => {
+                token_store.reserve_up_to(&budget, policy, tokens, Instant::now() + within).await
+            }
         };
         let Some((source, reservation)) = reserved else { return PeerReply::Held(0, shortfall) };
         let mut loans = self.loans.borrow_mut();
--- a/crates/router/src/token_store.rs
+++ b/crates/router/src/token_store.rs
@@ -288,7 +288,7 @@
 
     /// Reserves `n` tokens, waiting for them until `until`; if too few become available, reserves
     /// the idle ones. Returns the reservation and the reason for a shortfall.
-    pub async fn take(
+    pub async fn reserve_up_to(
         self: &Rc<Self>,
         budget: &str,
         policy: Policy,
@@ -299,7 +299,7 @@
             Ok(part) => return PartialReservation { reserved: Some(part), shortfall: None },
             Err(refusal) => refusal,
         };
-        let available = self.take_at_hand(budget, policy, n);
+        let available = self.reserve_available(budget, policy, n);
         let shortfall = match (refusal.code, available.shortfall) {
             (Code::BudgetSpent, _) => Some(Shortfall::Spent),
             (_, Some(Shortfall::Busy(_))) => {
@@ -312,7 +312,7 @@
 
     /// Reserves up to `n` idle tokens without waiting. Returns the reservation and the reason for a
     /// shortfall.
-    pub fn take_at_hand(&self, budget: &str, policy: Policy, n: Tokens) -> PartialReservation {
+    pub fn reserve_available(&self, budget: &str, policy: Policy, n: Tokens) -> PartialReservation {
         let p = self.group_slices.get(budget, policy);
         let wait = p.slices.borrow().limit_wait(self.clock.now(), n);
         let reserved = self.reserve_part(budget, policy, n).map(|r| (Source::Group, r));
@@ -337,7 +337,7 @@
     }
 
     /// Returns the idle tokens of a budget and how many more the spending limit allows.
-    pub fn at_hand(&self, budget: &str, policy: Policy) -> (Tokens, Tokens) {
+    pub fn available(&self, budget: &str, policy: Policy) -> (Tokens, Tokens) {
         let now = self.clock.now();
         let p = self.group_slices.get(budget, policy);
         let slices = p.slices.borrow();
