--- a/crates/router/src/follow.rs
+++ b/crates/router/src/follow.rs
@@ -92,7 +92,7 @@
 
 fn set_group_unreachable(app: &App, unreachable: bool) {
     if let Some(store) = app.token_store() {
-        store.set_away(unreachable);
+        store.set_group_unreachable(unreachable);
     }
 }
 
--- a/crates/router/src/gateway/follow.rs
+++ b/crates/router/src/gateway/follow.rs
@@ -261,7 +261,7 @@
         }
         is_reachable = answered;
         let Some(token_store) = gw.token_store() else { return };
-        token_store.set_away(!is_reachable);
+        token_store.set_group_unreachable(!is_reachable);
         match answer {
             Ok(Reply::News(news)) if news.stranger => return,
             Ok(Reply::News(news)) => {
--- a/crates/router/src/token_store.rs
+++ b/crates/router/src/token_store.rs
@@ -100,7 +100,7 @@
 
     /// Records whether the control group is unreachable. Once it is reachable again, idle tokens of
     /// the reserve are returned.
-    pub fn set_away(&self, unreachable: bool) {
+    pub fn set_group_unreachable(&self, unreachable: bool) {
         if self.group_unreachable.replace(unreachable) && !unreachable {
             // The reserve is only for times when the group is unreachable.
             self.reserve_slices.recall_all();
@@ -237,7 +237,7 @@
         actix_rt::spawn(async move {
             let outcome = me.request_lease(&budget, &p, need).await;
             if matches!(outcome, LeaseOutcome::Refused(code) if is_unreachable(code)) {
-                me.set_away(true);
+                me.set_group_unreachable(true);
             }
             p.answer.set(Some(outcome));
             p.asking.set(false);
