--- a/crates/router/src/drain.rs
+++ b/crates/router/src/drain.rs
@@ -57,7 +57,7 @@
 
 async fn return_slices(token_store: &TokenStore, until: Instant) {
     while Instant::now() < until {
-        token_store.recall_all();
+        token_store.return_all_idle();
         token_store.tally().await;
         token_store.tally_spare().await;
         if token_store.is_settled() {
--- a/crates/router/src/follow.rs
+++ b/crates/router/src/follow.rs
@@ -109,6 +109,6 @@
         emit!(Event::RouterReady);
     }
     if let Some(store) = app.token_store() {
-        update.recalls.iter().for_each(|b| store.recall(b));
+        update.recalls.iter().for_each(|b| store.return_idle(b));
     }
 }
--- a/crates/router/src/gateway/drain.rs
+++ b/crates/router/src/gateway/drain.rs
@@ -48,7 +48,7 @@
 async fn return_tokens(gw: &Gateway, end: Instant) {
     let Some(token_store) = gw.token_store() else { return };
     while Instant::now() < end {
-        token_store.recall_all();
+        token_store.return_all_idle();
         // A failed report is sent again in the next iteration.
         let _ = timeout_at(end, token_store.tally()).await;
         if token_store.is_settled() {
--- a/crates/router/src/gateway/follow.rs
+++ b/crates/router/src/gateway/follow.rs
@@ -195,7 +195,7 @@
         !all.is_empty() && !all.contains(&own)
     };
     if let Some(token_store) = gw.token_store() {
-        token_store.recall_where(is_elsewhere);
+        token_store.return_idle_where(is_elsewhere);
     }
 }
 
@@ -265,7 +265,7 @@
         match answer {
             Ok(Reply::News(news)) if news.stranger => return,
             Ok(Reply::News(news)) => {
-                news.recalls.iter().for_each(|b| token_store.recall(b));
+                news.recalls.iter().for_each(|b| token_store.return_idle(b));
             }
             _ => sleep(RETRY_DELAY).await,
         }
--- a/crates/router/src/token_store.rs
+++ b/crates/router/src/token_store.rs
@@ -95,7 +95,7 @@
     /// and keeps reporting what its running requests spend.
     pub fn retire(&self) {
         self.retired.set(true);
-        self.recall_all();
+        self.return_all_idle();
     }
 
     /// Records whether the control group is unreachable. Once it is reachable again, idle tokens of
@@ -323,7 +323,7 @@
 
     /// Returns the idle tokens of the budgets for which `of` is true to the control group
     /// immediately.
-    pub fn recall_where(&self, of: impl Fn(&str) -> bool) {
+    pub fn return_idle_where(&self, of: impl Fn(&str) -> bool) {
         if self.group_slices.recall_where(of) {
             self.report_due.notify_one();
         }
@@ -362,13 +362,13 @@
     }
 
     /// Returns the idle tokens of a budget to the control group immediately.
-    pub fn recall(&self, budget: &str) {
+    pub fn return_idle(&self, budget: &str) {
         self.group_slices.recall(budget);
         self.report_due.notify_one();
     }
 
     /// Returns all idle tokens to the control group and the reserve immediately.
-    pub fn recall_all(&self) {
+    pub fn return_all_idle(&self) {
         self.group_slices.recall_all();
         self.reserve_slices.recall_all();
         self.report_due.notify_one();
