--- a/crates/router/src/drain.rs
+++ b/crates/router/src/drain.rs
@@ -58,8 +58,8 @@
 async fn return_slices(token_store: &TokenStore, until: Instant) {
     while Instant::now() < until {
         token_store.return_all_idle();
-        token_store.tally().await;
-        token_store.tally_spare().await;
+        token_store.send_reports().await;
+        token_store.send_reserve_reports().await;
         if token_store.is_settled() {
             return emit!(Event::SlicesReturned);
         }
--- a/crates/router/src/follow.rs
+++ b/crates/router/src/follow.rs
@@ -31,7 +31,7 @@
         let token_store =
             Rc::new(TokenStore::new(holder, app.group.clone(), app.reserve.clone(), app.clock));
         let every = app.settings.tally;
-        actix_rt::spawn(token_store.clone().tally_forever(move || every));
+        actix_rt::spawn(token_store.clone().send_reports_forever(move || every));
         if let Some(old) = app.set_token_store(token_store) {
             old.retire();
         }
--- a/crates/router/src/gateway/drain.rs
+++ b/crates/router/src/gateway/drain.rs
@@ -50,7 +50,7 @@
     while Instant::now() < end {
         token_store.return_all_idle();
         // A failed report is sent again in the next iteration.
-        let _ = timeout_at(end, token_store.tally()).await;
+        let _ = timeout_at(end, token_store.send_reports()).await;
         if token_store.is_settled() {
             return emit!(Event::SlicesReturned);
         }
--- a/crates/router/src/gateway/follow.rs
+++ b/crates/router/src/gateway/follow.rs
@@ -217,7 +217,7 @@
             let gw = gw.clone();
             move || gw.report_every()
         };
-        actix_rt::spawn(token_store.clone().tally_forever(report_interval));
+        actix_rt::spawn(token_store.clone().send_reports_forever(report_interval));
         gw.set_token_store(token_store);
         process_recalls(&gw, holder).await;
     }
--- a/crates/router/src/token_store.rs
+++ b/crates/router/src/token_store.rs
@@ -383,13 +383,13 @@
     /// Sends reports after each interval that `every` returns and whenever tokens are to be
     /// returned or a higher limit is needed. Returns once the store is retired, settled and used by
     /// nothing else.
-    pub async fn tally_forever(self: Rc<Self>, every: impl Fn() -> Duration) {
+    pub async fn send_reports_forever(self: Rc<Self>, every: impl Fn() -> Duration) {
         loop {
             tokio::select! {
                 () = sleep(every()) => {}
                 () = self.report_due.notified() => {}
             }
-            tokio::join!(self.tally(), self.tally_spare());
+            tokio::join!(self.send_reports(), self.send_reserve_reports());
             if self.retired.get() && self.is_settled() && Rc::strong_count(&self) == 1 {
                 return;
             }
@@ -398,7 +398,7 @@
 
     /// Sends reports, bills and bounds to the control group once. What is not acknowledged is sent
     /// again the next time.
-    pub async fn tally(&self) {
+    pub async fn send_reports(&self) {
         // Only one report of bounds may be in progress.
         let _guard = self.report_lock.lock().await;
         let now = self.clock.now();
@@ -445,7 +445,7 @@
     }
 
     /// Sends reports to the data centre's reserve once.
-    pub async fn tally_spare(&self) {
+    pub async fn send_reserve_reports(&self) {
         let now: Time = self.clock.now();
         let reports = self.reserve_slices.reports(now);
         let Some(group) = self.reserve.as_ref().filter(|_| !reports.is_empty()) else { return };
