--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -299,7 +299,7 @@
             counter!(metric::TOKENS, "kind" => "prompt").increment(usage.prompt);
             counter!(metric::TOKENS, "kind" => "output").increment(usage.output);
             let reservation = self.attempt.reservation();
-            reservation.token_store().bill(Bill {
+            reservation.token_store().add_bill(Bill {
                 id: self.plan.id,
                 run: self.run,
                 budget: reservation.budget().to_owned(),
--- a/crates/router/src/token_store.rs
+++ b/crates/router/src/token_store.rs
@@ -357,7 +357,7 @@
     }
 
     /// Queues a bill for the next reports.
-    pub fn bill(&self, b: Bill) {
+    pub fn add_bill(&self, b: Bill) {
         self.bills.borrow_mut().push_back(b);
     }
 
