--- a/crates/router/src/app.rs
+++ b/crates/router/src/app.rs
@@ -148,7 +148,7 @@
             pool.set_upstreams(now, s.upstreams(), slots);
             let limit = slots.saturating_mul(s.upstreams().len() as u32);
             let new_queue = || Rc::new(Queue::new(self.clock, limit, queue_limit));
-            queues.entry(name.to_owned()).or_insert_with(new_queue).set(limit, queue_limit);
+            queues.entry(name.to_owned()).or_insert_with(new_queue).set_limits(limit, queue_limit);
             self.update_leaving(pool);
         }
     }
--- a/crates/router/src/chat.rs
+++ b/crates/router/src/chat.rs
@@ -95,7 +95,7 @@
     let queue = app.queue(&model.name).ok_or(Code::NotReady)?;
     let concurrency = client.account.concurrency;
     let admission = trace.span("admission");
-    let permit = queue.enter(&client.name, concurrency, priority, deadline).await?;
+    let permit = queue.acquire(&client.name, concurrency, priority, deadline).await?;
     drop(admission);
     let token_store = app.token_store().ok_or(Code::NotReady)?;
     let mut budgeting = trace.span("budget");
--- a/crates/router/src/plain.rs
+++ b/crates/router/src/plain.rs
@@ -82,7 +82,7 @@
     let queue = app.queue(&service.name).ok_or(Code::NotReady)?;
     let concurrency = client.account.concurrency;
     let admission = trace.span("admission");
-    let permit = queue.enter(&client.name, concurrency, priority, deadline).await?;
+    let permit = queue.acquire(&client.name, concurrency, priority, deadline).await?;
     drop(admission);
     let claim = match needs_claim {
         false => None,
--- a/crates/router/src/queue.rs
+++ b/crates/router/src/queue.rs
@@ -74,7 +74,7 @@
     }
 
     /// Changes the limits and starts waiting requests that they allow.
-    pub fn set(&self, limit: u32, queue_capacity: u32) {
+    pub fn set_limits(&self, limit: u32, queue_capacity: u32) {
         self.limiter.borrow_mut().set_limits(limit, queue_capacity);
         self.start_waiting();
     }
@@ -84,7 +84,7 @@
     ///
     /// Returns the refusal for the caller if the queue is full, the request would miss its
     /// deadline, or another request evicts it.
-    pub async fn enter(
+    pub async fn acquire(
         self: &Rc<Self>,
         client_account: &str,
         concurrency: u32,
