--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -271,7 +271,7 @@
         }
         self.settle(ended.is_ok(), Ran::Unknown);
         let (response, last) = match ended {
-            Ok(()) => (Ok(ResponseStart::Whole(self.whole())), self.end_mark()),
+            Ok(()) => (Ok(ResponseStart::Whole(self.completion())), self.stream_end()),
             Err(f) => {
                 let refusal = refusal_for(f);
                 let event = format!("event: error\ndata: {}\n\n", refusal.json());
@@ -310,7 +310,7 @@
         }
         let Some(claim) = self.claim.take() else { return };
         claim.report_end(match (whole, ran) {
-            (true, _) => ClaimEnd::Answered(self.outcome()),
+            (true, _) => ClaimEnd::Answered(self.stored_outcome()),
             (false, Ran::No) => ClaimEnd::NotRun,
             (false, _) => ClaimEnd::Unknown,
         });
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -118,11 +118,11 @@
 
     /// Returns the events that end a complete stream: the billed usage, if the caller requested it,
     /// and `[DONE]`.
-    pub(crate) fn end_mark(&self) -> String {
+    pub(crate) fn stream_end(&self) -> String {
         if !self.plan.request.include_usage {
             return END_OF_STREAM.to_owned();
         }
-        let mut v = self.whole();
+        let mut v = self.completion();
         v["object"] = "chat.completion.chunk".into();
         v["choices"] = json!([]);
         format!("id: {}\ndata: {v}\n\n{END_OF_STREAM}", self.sent_events + 1)
@@ -130,14 +130,14 @@
 
     /// Returns the outcome to store for a claimed request. It has the body only if the request is
     /// not streamed and the body is at most `MAX_STORED_BODY` bytes.
-    pub(crate) fn outcome(&self) -> Outcome {
-        let body = self.whole().to_string().into_bytes();
+    pub(crate) fn stored_outcome(&self) -> Outcome {
+        let body = self.completion().to_string().into_bytes();
         let is_storable = !self.plan.request.stream && body.len() <= MAX_STORED_BODY;
         Outcome { status: 200, kind: "application/json".into(), body: is_storable.then_some(body) }
     }
 
     /// Returns the complete answer as a response body that is not streamed.
-    pub(crate) fn whole(&self) -> Value {
+    pub(crate) fn completion(&self) -> Value {
         let usage = self.usage();
         let (object, choice) = match self.plan.request.form {
             Form::Chat => (
