--- a/crates/router/src/claim.rs
+++ b/crates/router/src/claim.rs
@@ -76,7 +76,7 @@
         _ => {
             // The claim may still be committed, and must then not block a retry.
             claim.report_end(ClaimEnd::NotRun);
-            return Err(Refusal::from(Code::ClaimUnreachable).after(UNREACHABLE_RETRY_AFTER));
+            return Err(Refusal::from(Code::ClaimUnreachable).retry_after(UNREACHABLE_RETRY_AFTER));
         }
     };
     if decision != ClaimDecision::Run {
@@ -85,9 +85,9 @@
     match decision {
         ClaimDecision::Run => Ok(ClaimResult::Run(claim)),
         ClaimDecision::Done(o) => Ok(ClaimResult::Done(o)),
-        ClaimDecision::Running => {
-            Err(Refusal::from(Code::ClaimRunning).ran(Ran::Unknown).after(RUNNING_RETRY_AFTER))
-        }
+        ClaimDecision::Running => Err(Refusal::from(Code::ClaimRunning)
+            .ran(Ran::Unknown)
+            .retry_after(RUNNING_RETRY_AFTER)),
         ClaimDecision::Unknown => Err(Refusal::from(Code::ClaimUnknown).ran(Ran::Unknown)),
         ClaimDecision::Expired => Err(Refusal::from(Code::ClaimExpired).ran(Ran::Yes)),
         ClaimDecision::OtherBody => Err(Refusal::from(Code::ClaimOtherBody)),
--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -207,9 +207,11 @@
             emit!(Event::UpstreamFailed, service = service, address = address, why = why);
         }
         if self.attempt.dispatched || !why.is_empty() {
-            return Err(upstream_failure(Code::UpstreamFailed, why).after(NO_UPSTREAM_RETRY_AFTER));
+            return Err(
+                upstream_failure(Code::UpstreamFailed, why).retry_after(NO_UPSTREAM_RETRY_AFTER)
+            );
         }
-        Err(Refusal::from(Code::NoUpstream).after(NO_UPSTREAM_RETRY_AFTER))
+        Err(Refusal::from(Code::NoUpstream).retry_after(NO_UPSTREAM_RETRY_AFTER))
     }
 
     fn ran_so_far(&self) -> Ran {
@@ -322,7 +324,7 @@
 }
 
 fn deadline_refusal(ran: Ran) -> Refusal {
-    Refusal::from(Code::DeadlinePassed).ran(ran).after(DEADLINE_RETRY_AFTER)
+    Refusal::from(Code::DeadlinePassed).ran(ran).retry_after(DEADLINE_RETRY_AFTER)
 }
 
 fn refusal_for(f: AttemptError) -> Refusal {
@@ -332,9 +334,11 @@
             upstream_failure(Code::UpstreamFailed, "the caller has gone")
         }
         AttemptError::Failed(why) | AttemptError::Rejected(why) => {
-            upstream_failure(Code::UpstreamFailed, why).after(NO_UPSTREAM_RETRY_AFTER)
+            upstream_failure(Code::UpstreamFailed, why).retry_after(NO_UPSTREAM_RETRY_AFTER)
+        }
+        AttemptError::NotSent => {
+            Refusal::from(Code::NoUpstream).retry_after(NO_UPSTREAM_RETRY_AFTER)
         }
-        AttemptError::NotSent => Refusal::from(Code::NoUpstream).after(NO_UPSTREAM_RETRY_AFTER),
     }
 }
 
--- a/crates/router/src/gateway/budget.rs
+++ b/crates/router/src/gateway/budget.rs
@@ -242,12 +242,12 @@
         }
         _ => DEFAULT_RETRY_AFTER,
     };
-    Refusal::from(Code::BudgetUnreachable).after(after).detail(why)
+    Refusal::from(Code::BudgetUnreachable).retry_after(after).detail(why)
 }
 
 /// Reserves tokens in this gateway's own slices and, if those do not suffice, in those of other gateways.
 async fn reserve_locally(gw: &Gateway, demand: &TokenDemand<'_>) -> Result<Vec<Part>, Refusal> {
-    let not_ready = || Refusal::from(Code::BudgetUnreachable).after(DEFAULT_RETRY_AFTER);
+    let not_ready = || Refusal::from(Code::BudgetUnreachable).retry_after(DEFAULT_RETRY_AFTER);
     let TokenDemand { account, budget, policy, max_tokens, deadline } = demand;
     let (policy, max_tokens, deadline) = (*policy, *max_tokens, *deadline);
     let registered = deadline.min(Instant::now() + RECALL_WAIT);
@@ -290,7 +290,7 @@
         format!("{text}; account {account}, {max_tokens} wanted, {idle} idle, {allowed} allowed");
     match r.code {
         Code::BudgetSpent => Refusal::from(Code::BudgetTooSmall).detail(why),
-        _ => Refusal::from(Code::BudgetUnreachable).after(DEFAULT_RETRY_AFTER).detail(why),
+        _ => Refusal::from(Code::BudgetUnreachable).retry_after(DEFAULT_RETRY_AFTER).detail(why),
     }
 }
 
--- a/crates/router/src/gateway/native.rs
+++ b/crates/router/src/gateway/native.rs
@@ -184,7 +184,7 @@
     }
 
     fn set_refusal_headers(r: &Refusal, h: &mut HeaderMap) -> u16 {
-        if let Some(span) = r.after {
+        if let Some(span) = r.retry_after {
             set_number(h, RETRY_AFTER, span.as_retry_after_secs());
         }
         match r.code.status() {
--- a/crates/router/src/gateway/request.rs
+++ b/crates/router/src/gateway/request.rs
@@ -137,12 +137,14 @@
 ) -> Outcome {
     let arrived = Instant::now();
     if gw.is_overloaded().await {
-        return Outcome::Refused(Refusal::from(Code::Overloaded).after(OVERLOADED_RETRY_AFTER));
+        return Outcome::Refused(
+            Refusal::from(Code::Overloaded).retry_after(OVERLOADED_RETRY_AFTER),
+        );
     }
     let wait = patience::first_document_wait(gw.now(), inbound.deadline);
     let until = Instant::now() + Duration::from_millis(wait.0);
     let Some(routes) = gw.wait_for_routes(until).await else {
-        return Outcome::Refused(Refusal::from(Code::NotReady).after(NOT_READY_RETRY_AFTER));
+        return Outcome::Refused(Refusal::from(Code::NotReady).retry_after(NOT_READY_RETRY_AFTER));
     };
     let routes = match check_routable(&routes, req, &inbound) {
         Err(code) if depends_on_document(code) => match newest_routes(gw, &inbound).await {
@@ -167,7 +169,9 @@
         gw.settings.max_active_requests,
         request.priority,
     ) {
-        return Outcome::Refused(Refusal::from(Code::Overloaded).after(OVERLOADED_RETRY_AFTER));
+        return Outcome::Refused(
+            Refusal::from(Code::Overloaded).retry_after(OVERLOADED_RETRY_AFTER),
+        );
     }
     let started = Instant::now();
     let reservation = reserve(&request, prepaid).await;
@@ -204,7 +208,7 @@
 /// Returns a refusal to be retried, for a gateway whose document may be outdated.
 fn not_ready(gw: &Gateway) -> Refusal {
     let detail = gw.documents.describe(gw.now());
-    Refusal::from(Code::NotReady).after(NOT_READY_RETRY_AFTER).detail(detail)
+    Refusal::from(Code::NotReady).retry_after(NOT_READY_RETRY_AFTER).detail(detail)
 }
 
 /// Returns the refusal of a quarantined request, without `Retry-After` because copies of it are refused too.
@@ -516,7 +520,7 @@
             (0, false) => Code::NoRegion,
             _ => Code::RetriesSpent,
         };
-        Outcome::Refused(Refusal::from(code).after(NO_CAPACITY_RETRY_AFTER).detail(why))
+        Outcome::Refused(Refusal::from(code).retry_after(NO_CAPACITY_RETRY_AFTER).detail(why))
     }
 
     /// Returns the refusal when replicas are available but rate-limited or backing off.
@@ -535,7 +539,7 @@
                 (Code::UpstreamsResting, gw.retry_delay(service, blocked.retry_after), why)
             }
         };
-        Refusal::from(code).after(after).detail(why)
+        Refusal::from(code).retry_after(after).detail(why)
     }
 
     /// Returns the outcome when the deadline passes before the next attempt.
--- a/crates/router/src/plain.rs
+++ b/crates/router/src/plain.rs
@@ -139,7 +139,7 @@
     trace: &Rc<Trace>,
 ) -> Result<Answer, Refusal> {
     let mut tried = Vec::new();
-    let mut last = Refusal::from(Code::NoUpstream).after(NO_UPSTREAM_RETRY_AFTER);
+    let mut last = Refusal::from(Code::NoUpstream).retry_after(NO_UPSTREAM_RETRY_AFTER);
     while tried.len() < MAX_TRIES && app.allow_send(service, tried.len()) {
         let Some(choice) = app.choose(service, &RequestProfile::default(), &tried) else { break };
         let address = choice.address;
--- a/crates/router/src/queue.rs
+++ b/crates/router/src/queue.rs
@@ -59,7 +59,7 @@
 }
 
 fn refusal(code: Code, wait: Millis) -> Refusal {
-    Refusal::from(code).after(wait.max(MIN_RETRY_AFTER))
+    Refusal::from(code).retry_after(wait.max(MIN_RETRY_AFTER))
 }
 
 impl Queue {
--- a/crates/router/src/reply.rs
+++ b/crates/router/src/reply.rs
@@ -24,18 +24,18 @@
     /// Additional text for the error message.
     pub detail: Option<String>,
     /// Delay after which the caller may retry.
-    pub after: Option<Millis>,
+    pub retry_after: Option<Millis>,
 }
 
 impl Refusal {
     /// Creates a refusal of a request that was not executed.
     pub fn not_run(code: Code) -> Refusal {
-        Refusal { code, ran: Ran::No, detail: None, after: None }
+        Refusal { code, ran: Ran::No, detail: None, retry_after: None }
     }
 
     /// Sets the delay after which the caller may retry.
-    pub fn after(self, span: Millis) -> Refusal {
-        Refusal { after: Some(span), ..self }
+    pub fn retry_after(self, span: Millis) -> Refusal {
+        Refusal { retry_after: Some(span), ..self }
     }
 
     /// Sets the additional text for the error message.
@@ -60,7 +60,7 @@
             "code": format!("CF{}", self.code.number()),
             "ran": self.ran.as_str(),
         });
-        if let Some(span) = self.after {
+        if let Some(span) = self.retry_after {
             error["retry_after_ms"] = span.0.into();
         }
         json!({ "error": error })
@@ -72,7 +72,7 @@
         let mut r = json_response(status, &self.json());
         let h = r.headers_mut();
         h.insert(RAN, HeaderValue::from_static(self.ran.as_str()));
-        if let Some(span) = self.after {
+        if let Some(span) = self.retry_after {
             h.insert(header::RETRY_AFTER, HeaderValue::from(span.as_retry_after_secs()));
         }
         r
--- a/crates/router/src/serve.rs
+++ b/crates/router/src/serve.rs
@@ -92,7 +92,7 @@
     if app.ready.get() {
         return Ok(());
     }
-    Err(Refusal::from(Code::NotReady).after(NOT_READY_RETRY_AFTER))
+    Err(Refusal::from(Code::NotReady).retry_after(NOT_READY_RETRY_AFTER))
 }
 
 async fn serve_model(
--- a/crates/router/src/taken.rs
+++ b/crates/router/src/taken.rs
@@ -43,8 +43,8 @@
 pub fn wait_or_refusal(s: Shortage) -> Result<Millis, Refusal> {
     match s {
         Shortage::Busy(span) => Ok(span),
-        Shortage::Away(span) => Err(Refusal::from(Code::BudgetBusy).after(span)),
-        Shortage::Spent => Err(Refusal::from(Code::BudgetSpent).after(SPENT_RETRY_AFTER)),
+        Shortage::Away(span) => Err(Refusal::from(Code::BudgetBusy).retry_after(span)),
+        Shortage::Spent => Err(Refusal::from(Code::BudgetSpent).retry_after(SPENT_RETRY_AFTER)),
     }
 }
 
@@ -58,6 +58,6 @@
     match code {
         Code::AccountClosed => Refusal::from(code),
         Code::BudgetUnknown => Refusal::from(Code::BudgetNone),
-        _ => Refusal::from(Code::NotReady).after(Millis::seconds(1)),
+        _ => Refusal::from(Code::NotReady).retry_after(Millis::seconds(1)),
     }
 }
--- a/crates/router/src/token_store.rs
+++ b/crates/router/src/token_store.rs
@@ -141,7 +141,7 @@
                 self.start_lease_request(budget, &p, n);
             }
             let changed = timeout_at(deadline, p.changed.notified()).await;
-            changed.map_err(|_| Refusal::from(Code::BudgetBusy).after(Millis::seconds(1)))?;
+            changed.map_err(|_| Refusal::from(Code::BudgetBusy).retry_after(Millis::seconds(1)))?;
             let wait = match p.answer.take() {
                 Some(LeaseOutcome::Decided(Err(s))) => wait_or_refusal(s)?,
                 Some(LeaseOutcome::Refused(code)) if !is_unreachable(code) => {
@@ -152,7 +152,7 @@
             };
             let until = Instant::now() + Duration::from_millis(wait.0);
             if until >= deadline {
-                return Err(Refusal::from(Code::BudgetBusy).after(wait));
+                return Err(Refusal::from(Code::BudgetBusy).retry_after(wait));
             }
             // The wait ends early when running requests return tokens.
             let _ = timeout_at(until, p.changed.notified()).await;
@@ -193,7 +193,7 @@
         let accepted = timeout_at(allowed_at.unwrap_or(deadline), p.changed.notified()).await;
         p.slices.borrow_mut().remove_limit_demand(n);
         if accepted.is_err() && allowed_at.is_none() {
-            return Err(Refusal::from(Code::BudgetBusy).after(Millis::seconds(1)));
+            return Err(Refusal::from(Code::BudgetBusy).retry_after(Millis::seconds(1)));
         }
         Ok(())
     }
@@ -208,7 +208,8 @@
         deadline: Instant,
     ) -> Result<(Source, Reservation), Refusal> {
         let p = self.reserve_slices.get(budget, policy);
-        let unreachable = || Refusal::from(Code::BudgetUnreachable).after(UNREACHABLE_RETRY_AFTER);
+        let unreachable =
+            || Refusal::from(Code::BudgetUnreachable).retry_after(UNREACHABLE_RETRY_AFTER);
         for _ in 0..2 {
             let now = self.clock.now();
             let found = p.slices.borrow_mut().reserve(now, n);
@@ -303,7 +304,7 @@
         let shortfall = match (refusal.code, available.shortfall) {
             (Code::BudgetSpent, _) => Some(Shortfall::Spent),
             (_, Some(Shortfall::Busy(_))) => {
-                Some(Shortfall::Busy(refusal.after.unwrap_or(BUSY_RETRY_AFTER)))
+                Some(Shortfall::Busy(refusal.retry_after.unwrap_or(BUSY_RETRY_AFTER)))
             }
             (_, shortfall) => shortfall,
         };
