--- a/crates/node/src/urge.rs
+++ b/crates/node/src/urge.rs
@@ -6,14 +6,14 @@
 
 /// The signal, from the code that needs newer data to the task that sends the watch requests.
 #[derive(Debug, Default)]
-pub struct Urge {
+pub struct PollTrigger {
     triggered: Cell<bool>,
     notify: Notify,
 }
 
-impl Urge {
+impl PollTrigger {
     /// Sets the signal and wakes the waiting task.
-    pub fn wish(&self) {
+    pub fn trigger(&self) {
         self.triggered.set(true);
         self.notify.notify_one();
     }
@@ -24,7 +24,7 @@
     }
 
     /// Waits until the signal is set. Returns at once if it is set already.
-    pub async fn wished(&self) {
+    pub async fn triggered(&self) {
         while !self.triggered.get() {
             self.notify.notified().await;
         }
--- a/crates/router/src/gateway/follow.rs
+++ b/crates/router/src/gateway/follow.rs
@@ -17,7 +17,7 @@
 use cypressfork_node::emit;
 use cypressfork_node::event::Event;
 use cypressfork_node::metric;
-use cypressfork_node::urge::Urge;
+use cypressfork_node::urge::PollTrigger;
 use cypressfork_node::watch::{Watcher, watch};
 use cypressfork_wire::packed;
 use metrics::counter;
@@ -44,7 +44,7 @@
         if gw.watches.borrow().contains_key(&address) {
             continue;
         }
-        let poll_trigger = Rc::new(Urge::default());
+        let poll_trigger = Rc::new(PollTrigger::default());
         gw.sources.borrow_mut().add(gw.now(), address);
         gw.watches.borrow_mut().insert(address, poll_trigger.clone());
         let watcher =
@@ -57,7 +57,7 @@
 struct ControlWatcher<D> {
     gw: Rc<Gateway>,
     /// Triggers the next watch request before the current response arrives.
-    poll_trigger: Rc<Urge>,
+    poll_trigger: Rc<PollTrigger>,
     dialect: std::marker::PhantomData<D>,
 }
 
@@ -159,7 +159,7 @@
     }
 
     async fn urged(&self) {
-        self.poll_trigger.wished().await;
+        self.poll_trigger.triggered().await;
     }
 }
 
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -29,7 +29,7 @@
 use cypressfork_node::link::Credentials;
 use cypressfork_node::metric;
 use cypressfork_node::time::Clock;
-use cypressfork_node::urge::Urge;
+use cypressfork_node::urge::PollTrigger;
 use metrics::{counter, gauge, histogram};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -107,7 +107,7 @@
     /// Other gateways, and the loans of tokens between them and this one.
     pub peers: Peers,
     /// The watched control processes, each with the trigger that repeats its watch request at once.
-    pub watches: RefCell<BTreeMap<SocketAddr, Rc<Urge>>>,
+    pub watches: RefCell<BTreeMap<SocketAddr, Rc<PollTrigger>>>,
     /// Highest number of routers in the fleet that a control process has reported.
     pub router_count: Cell<u32>,
     /// Queue delay of this process and utilisation of its link.
@@ -252,7 +252,7 @@
     /// Repeats the watch request to the control process at `address` at once.
     pub fn poll_now(&self, address: SocketAddr) {
         if let Some(u) = self.watches.borrow().get(&address) {
-            u.wish();
+            u.trigger();
         }
     }
 
@@ -260,12 +260,12 @@
     pub fn poll_sources_now(&self) {
         let sources = self.sources.borrow();
         let all = self.watches.borrow();
-        all.iter().filter(|(a, _)| sources.is_selected(**a)).for_each(|(_, u)| u.wish());
+        all.iter().filter(|(a, _)| sources.is_selected(**a)).for_each(|(_, u)| u.trigger());
     }
 
     /// Repeats the watch requests to all control processes at once.
     pub fn poll_all_now(&self) {
-        self.watches.borrow().values().for_each(|u| u.wish());
+        self.watches.borrow().values().for_each(|u| u.trigger());
     }
 
     /// Returns the routes in force, waiting for the first document until `until`. Returns `None` if
