--- a/crates/control/src/server/fleet.rs
+++ b/crates/control/src/server/fleet.rs
@@ -217,7 +217,7 @@
 }
 
 impl Watcher for PeerWatch {
-    fn question(&self, to: SocketAddr) -> Option<Watch> {
+    fn next_request(&self, to: SocketAddr) -> Option<Watch> {
         let feed = self.feeds.borrow().get(&to).copied().unwrap_or_default();
         let is_wanted = !self.tx.is_closed() && self.watched.borrow().contains(&to);
         is_wanted.then(|| Watch {
@@ -238,7 +238,7 @@
         })
     }
 
-    fn seen(&self, from: SocketAddr, seen: WatchResponse) {
+    fn handle_response(&self, from: SocketAddr, seen: WatchResponse) {
         let feed = seen.feed;
         // If the queue is full, the next request asks for the same update again.
         if self.tx.try_send(Input::PeerUpdate(from, Box::new(seen))).is_ok() {
@@ -246,11 +246,11 @@
         }
     }
 
-    fn lost(&self, from: SocketAddr) {
+    fn handle_disconnect(&self, from: SocketAddr) {
         emit!(Event::LinkClosed, peer = from);
     }
 
-    async fn urged(&self) {
+    async fn poll_requested(&self) {
         std::future::pending().await
     }
 }
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -22,23 +22,23 @@
 /// Supplies the requests of a watch and handles its responses.
 pub trait Watcher {
     /// Returns the next request to the control process at `to`. `None` ends the watch.
-    fn question(&self, to: SocketAddr) -> Option<Watch>;
+    fn next_request(&self, to: SocketAddr) -> Option<Watch>;
     /// Handles a response.
-    fn seen(&self, from: SocketAddr, response: WatchResponse);
+    fn handle_response(&self, from: SocketAddr, response: WatchResponse);
     /// Handles a failed connection or a broken link.
-    fn lost(&self, from: SocketAddr);
+    fn handle_disconnect(&self, from: SocketAddr);
     /// Waits until the next request is to be sent before the last one has its response.
-    fn urged(&self) -> impl Future<Output = ()>;
+    fn poll_requested(&self) -> impl Future<Output = ()>;
 }
 
-/// Watches the control process at `address` until [`Watcher::question`] returns `None`. Reconnects
+/// Watches the control process at `address` until [`Watcher::next_request`] returns `None`. Reconnects
 /// after failures.
 pub async fn watch(address: SocketAddr, credentials: Credentials, watcher: impl Watcher) {
-    while watcher.question(address).is_some() {
+    while watcher.next_request(address).is_some() {
         if let Ok(Ok(link)) = timeout(OPEN_TIMEOUT, link::connect(address, &credentials)).await {
             poll(link, address, &watcher).await;
         }
-        watcher.lost(address);
+        watcher.handle_disconnect(address);
         sleep(RECONNECT_DELAY).await;
     }
 }
@@ -55,7 +55,7 @@
         tokio::pin!(response);
         let result = loop {
             if due {
-                let Some(request) = watcher.question(address) else { return };
+                let Some(request) = watcher.next_request(address) else { return };
                 id += 1;
                 let call = Frame::Call(Call::new(id, Ask::Watch(body::pack(&request)), None));
                 if writer.send(&call).await.is_err() {
@@ -65,13 +65,13 @@
             }
             tokio::select! {
                 result = timeout_at(deadline, &mut response) => break result,
-                () = watcher.urged() => due = true,
+                () = watcher.poll_requested() => due = true,
             }
         };
         let Ok(Ok(Frame::Answer(r))) = result else { return };
         let response = r.body.as_deref().and_then(|b| body::unpack::<WatchResponse>(b).ok());
         let Some(response) = response.filter(|_| r.code == 0) else { return };
-        watcher.seen(address, response);
+        watcher.handle_response(address, response);
         due = r.id == id;
     }
 }
--- a/crates/router/src/gateway/follow.rs
+++ b/crates/router/src/gateway/follow.rs
@@ -62,7 +62,7 @@
 }
 
 impl<D: Dialect> Watcher for ControlWatcher<D> {
-    fn question(&self, to: SocketAddr) -> Option<Watch> {
+    fn next_request(&self, to: SocketAddr) -> Option<Watch> {
         let gw = &self.gw;
         self.poll_trigger.clear();
         let router = RouterStatus {
@@ -99,7 +99,7 @@
         })
     }
 
-    fn seen(&self, from: SocketAddr, response: WatchResponse) {
+    fn handle_response(&self, from: SocketAddr, response: WatchResponse) {
         let gw = &self.gw;
         gw.sources.borrow_mut().record_response(gw.now(), from, response.lead.is_some());
         if !response.data_centre.is_empty() {
@@ -151,14 +151,14 @@
         watch_all::<D>(gw, controls());
     }
 
-    fn lost(&self, from: SocketAddr) {
+    fn handle_disconnect(&self, from: SocketAddr) {
         self.gw.sources.borrow_mut().record_failure(self.gw.now(), from);
         documents::record_failure(&self.gw, from);
         self.gw.peers.homes.record_failure(from);
         emit!(Event::LinkFailed, address = from);
     }
 
-    async fn urged(&self) {
+    async fn poll_requested(&self) {
         self.poll_trigger.triggered().await;
     }
 }
