--- a/crates/cli/src/cmd/init.rs
+++ b/crates/cli/src/cmd/init.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use cypressfork_core::query::Identity;
-use cypressfork_node::group::Group;
+use cypressfork_node::group::GroupClient;
 use cypressfork_node::link::Credentials;
 use cypressfork_node::settings::address;
 use cypressfork_wire::{Ask, Founders, Peer, body};
@@ -42,7 +42,7 @@
     }
     for a in addresses {
         let founders = Founders::new(peers.clone());
-        Group::new(me.clone(), vec![*a]).call(Ask::Founders(founders), WITHIN).await?;
+        GroupClient::new(me.clone(), vec![*a]).call(Ask::Founders(founders), WITHIN).await?;
     }
     let line = |p: &Peer| format!("{:016x}  {}\n", p.node, p.address);
     Ok(peers.iter().map(line).collect())
@@ -50,6 +50,7 @@
 
 /// Asks the process at `address` for its identity.
 pub async fn identify(me: &Credentials, address: SocketAddr) -> Result<Identity, Error> {
-    let bytes = Group::new(me.clone(), vec![address]).call(Ask::Identify(true), WITHIN).await?;
+    let bytes =
+        GroupClient::new(me.clone(), vec![address]).call(Ask::Identify(true), WITHIN).await?;
     body::unpack(&bytes).map_err(|_| Error::Unexpected)
 }
--- a/crates/cli/src/context.rs
+++ b/crates/cli/src/context.rs
@@ -5,7 +5,7 @@
 
 use cypressfork_core::command::{Answer, Command};
 use cypressfork_core::query::{Query, Reply};
-use cypressfork_node::group::Group;
+use cypressfork_node::group::GroupClient;
 use cypressfork_node::link::Credentials;
 use cypressfork_node::settings::load;
 use getopts::Matches;
@@ -60,8 +60,8 @@
     }
 
     /// The control group.
-    pub fn group(&self) -> Result<Group, Error> {
-        Ok(Group::new(self.credentials()?, self.settings()?.control))
+    pub fn group(&self) -> Result<GroupClient, Error> {
+        Ok(GroupClient::new(self.credentials()?, self.settings()?.control))
     }
 
     /// Has a command committed.
--- a/crates/control/src/api.rs
+++ b/crates/control/src/api.rs
@@ -10,7 +10,7 @@
 use cypressfork_core::query::{Query, Reply};
 use cypressfork_http::Body;
 use cypressfork_node::event::Event;
-use cypressfork_node::group::Group;
+use cypressfork_node::group::GroupClient;
 use cypressfork_node::{emit, metric};
 use futures_util::StreamExt;
 use metrics::counter;
@@ -45,7 +45,7 @@
 /// State shared by all requests.
 pub struct Api {
     /// The control group.
-    pub group: Group,
+    pub group: GroupClient,
     /// Calls to be answered from the process's own state.
     pub local: mpsc::Sender<LocalCall>,
 }
--- a/crates/control/src/founding.rs
+++ b/crates/control/src/founding.rs
@@ -15,7 +15,7 @@
 use cypressfork_core::unit::Millis;
 use cypressfork_node::emit;
 use cypressfork_node::event::Event;
-use cypressfork_node::group::Group;
+use cypressfork_node::group::GroupClient;
 use cypressfork_node::link::Credentials;
 use cypressfork_wire::{Ask, Founders, Peer, body};
 use tokio::sync::{mpsc, watch};
@@ -35,7 +35,7 @@
 pub async fn maintain_membership(
     me: Credentials,
     own_address: SocketAddr,
-    group: Group,
+    group: GroupClient,
     founders: Option<Vec<SocketAddr>>,
     group_status: watch::Receiver<GroupStatus>,
     rejoin_members: mpsc::Sender<Members>,
@@ -64,7 +64,7 @@
 /// Announces this process to the leader. A process that is rejoining also asks for the current members,
 /// because those in its own log may all have been replaced.
 async fn announce(
-    group: &Group,
+    group: &GroupClient,
     own_address: SocketAddr,
     status: &GroupStatus,
     rejoin_members: &mpsc::Sender<Members>,
@@ -86,7 +86,7 @@
 async fn found_group(me: &Credentials, seeds: &[SocketAddr]) {
     let mut peers = Vec::new();
     for seed in seeds {
-        let group = Group::new(me.clone(), vec![*seed]);
+        let group = GroupClient::new(me.clone(), vec![*seed]);
         let Ok(bytes) = group.call(Ask::Identify(true), SEED_TIMEOUT).await else { return };
         let Ok(i) = body::unpack::<Identity>(&bytes) else { return };
         if !i.members.voters.is_empty() {
@@ -107,7 +107,7 @@
 async fn send_founding(me: &Credentials, peers: Vec<Peer>) {
     let founders = Founders::new(peers.clone());
     for address in peers.iter().filter_map(|p| p.address.parse().ok()) {
-        let group = Group::new(me.clone(), vec![address]);
+        let group = GroupClient::new(me.clone(), vec![address]);
         // An unreachable member gets the request again at the next check.
         let _ = group.call(Ask::Founders(founders.clone()), SEED_TIMEOUT).await;
     }
--- a/crates/control/src/run.rs
+++ b/crates/control/src/run.rs
@@ -12,7 +12,7 @@
 use cypressfork_core::raft::Restored;
 use cypressfork_http::operators;
 use cypressfork_node::event::Event;
-use cypressfork_node::group::Group;
+use cypressfork_node::group::GroupClient;
 use cypressfork_node::link::Credentials;
 use cypressfork_node::process::{Failure, listen, reload_forever, stop_signal};
 use cypressfork_node::settings::load;
@@ -74,7 +74,7 @@
     me: &Credentials,
     own: SocketAddr,
     seeds: &[SocketAddr],
-    group: Group,
+    group: GroupClient,
 ) -> Result<FleetContext, Failure> {
     let (local, calls) = mpsc::channel(MAX_QUEUED_CALLS);
     let (group_status, status_updates) = watch::channel(GroupStatus::default());
@@ -147,7 +147,7 @@
     let reserve = open_reserve(&s).map_err(disk_failed)?;
     let me = Credentials { key: s.base.key, cluster: s.base.cluster, name: s.base.vm };
     let seeds = s.base.control;
-    let group = Group::new(me.clone(), seeds.clone());
+    let group = GroupClient::new(me.clone(), seeds.clone());
     let fleet = match &s.fleet {
         Some(f) => {
             let location = (s.base.data_centre, s.base.regions);
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -19,7 +19,7 @@
 use cypressfork_core::unit::{Millis, NodeId, Time};
 use cypressfork_node::emit;
 use cypressfork_node::event::Event;
-use cypressfork_node::group::Group;
+use cypressfork_node::group::GroupClient;
 use cypressfork_node::link::Credentials;
 use cypressfork_node::metric;
 use cypressfork_node::process::{Failure, stop_signal};
@@ -122,7 +122,7 @@
     address: String,
     peers: BTreeMap<NodeId, Peer>,
     reserve: Option<Reserve<ReplyTo>>,
-    group: Group,
+    group: GroupClient,
     /// Number of commands of the reserve that the group has not answered yet.
     pending_reserve_commands: usize,
     next_reserve_command: Time,
@@ -158,7 +158,7 @@
         credentials: Credentials,
         advertise: SocketAddr,
         reserve: Option<Reserve<ReplyTo>>,
-        group: Group,
+        group: GroupClient,
         fleet: Option<FleetContext>,
     ) -> Server {
         Server {
--- a/crates/cypressfork/benches/fleet.rs
+++ b/crates/cypressfork/benches/fleet.rs
@@ -18,7 +18,7 @@
 use cypressfork_core::fleet::fingerprint::Identity;
 use cypressfork_core::unit::RequestId;
 use cypressfork_node::digest::fingerprint;
-use cypressfork_node::group::Group;
+use cypressfork_node::group::GroupClient;
 use cypressfork_node::link::Credentials;
 use cypressfork_wire::auth::Key;
 use futures_util::future::join_all;
@@ -332,11 +332,11 @@
     }
 }
 
-fn in_group<F: AsyncFnOnce(Group)>(addresses: &[String], run: F) {
+fn in_group<F: AsyncFnOnce(GroupClient)>(addresses: &[String], run: F) {
     let key = Key::new(b"0123456789abcdef0123456789abcdef");
     let me = Credentials { key, cluster: "test".into(), name: "bench".into() };
     let addresses = addresses.iter().map(|a| a.parse().unwrap()).collect();
-    actix_rt::System::new().block_on(run(Group::new(me, addresses)));
+    actix_rt::System::new().block_on(run(GroupClient::new(me, addresses)));
 }
 
 /// Commits a second, the disk's size, restart time and memory of the control processes.
--- a/crates/cypressfork/tests/crashing_requests.rs
+++ b/crates/cypressfork/tests/crashing_requests.rs
@@ -22,7 +22,7 @@
 
 use cypressfork_core::command::{Answer, Command};
 use cypressfork_core::query::{Query, Reply};
-use cypressfork_node::group::Group;
+use cypressfork_node::group::GroupClient;
 use cypressfork_node::link::Credentials;
 use cypressfork_wire::auth::Key;
 use rstest::rstest;
@@ -339,7 +339,7 @@
     let name = "operator".to_owned();
     let me = Credentials { key: Key::new(b"test"), cluster: "test".to_owned(), name };
     let system = actix_rt::System::new();
-    let group = Group::new(me, controls);
+    let group = GroupClient::new(me, controls);
     let within = Duration::from_secs(10);
     let mut all = Vec::new();
     until("both in the list", || {
--- a/crates/node/src/group.rs
+++ b/crates/node/src/group.rs
@@ -63,20 +63,20 @@
     link: RefCell<Option<OpenLink>>,
     /// Held while a link is opened, so that concurrent calls share it.
     opening: Mutex<()>,
-    /// Number of calls of [`Group::wake`].
+    /// Number of calls of [`GroupClient::wake`].
     wake_count: Cell<u64>,
     woken: Notify,
 }
 
 /// The client of one control group. Clones share one link.
 #[derive(Clone)]
-pub struct Group {
+pub struct GroupClient {
     inner: Rc<Inner>,
 }
 
-impl Group {
+impl GroupClient {
     /// Creates a client that starts with some addresses of the group.
-    pub fn new(credentials: Credentials, addresses: Vec<SocketAddr>) -> Group {
+    pub fn new(credentials: Credentials, addresses: Vec<SocketAddr>) -> GroupClient {
         let inner = Inner {
             credentials,
             addresses: RefCell::new(addresses),
@@ -90,7 +90,7 @@
             wake_count: Cell::new(0),
             woken: Notify::new(),
         };
-        Group { inner: Rc::new(inner) }
+        GroupClient { inner: Rc::new(inner) }
     }
 
     /// Replaces the addresses of the settings.
@@ -137,7 +137,7 @@
         self.inner.woken.notify_waiters();
     }
 
-    /// Waits before the next try of a call, until [`Group::wake`] at the latest. Returns whether `wake`
+    /// Waits before the next try of a call, until [`GroupClient::wake`] at the latest. Returns whether `wake`
     /// was called since `wake_count` was read.
     async fn pause(&self, wake_count: u64, pause: Duration) -> bool {
         if self.inner.wake_count.get() == wake_count {
@@ -158,7 +158,7 @@
         body::unpack(&bytes).map_err(|_| Code::MessageBad)
     }
 
-    /// Like [`Group::command`], but builds the command again for each try. For commands that contain the
+    /// Like [`GroupClient::command`], but builds the command again for each try. For commands that contain the
     /// current time.
     pub async fn command_anew(
         &self,
@@ -169,7 +169,7 @@
         body::unpack(&bytes).map_err(|_| Code::MessageBad)
     }
 
-    /// Sends a query and returns the reply. Fails like [`Group::command`].
+    /// Sends a query and returns the reply. Fails like [`GroupClient::command`].
     pub async fn query(&self, q: &Query, within: Duration) -> Result<Reply, Code> {
         let bytes = self.call(Ask::Query(body::pack(q)), within).await?;
         body::unpack(&bytes).map_err(|_| Code::MessageBad)
--- a/crates/node/tests/group.rs
+++ b/crates/node/tests/group.rs
@@ -7,7 +7,7 @@
 use cypressfork_core::code::Code;
 use cypressfork_core::command::Command;
 use cypressfork_core::unit::Millis;
-use cypressfork_node::group::Group;
+use cypressfork_node::group::GroupClient;
 use cypressfork_node::link::{self, Credentials, Link};
 use cypressfork_wire::auth::Key;
 use cypressfork_wire::{Ask, Frame, Return, body};
@@ -47,7 +47,7 @@
 fn a_call_that_waits_for_its_next_try_makes_it_when_the_group_answers_again() {
     actix_rt::System::new().block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let group = Group::new(credentials(), vec![listener.local_addr().unwrap()]);
+        let group = GroupClient::new(credentials(), vec![listener.local_addr().unwrap()]);
         let calls = Rc::new(RefCell::new(Vec::new()));
         actix_rt::spawn(follower(listener, calls.clone()));
         let client = group.clone();
@@ -75,7 +75,7 @@
 fn a_command_that_contains_the_time_is_built_again_for_each_try() {
     actix_rt::System::new().block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let group = Group::new(credentials(), vec![listener.local_addr().unwrap()]);
+        let group = GroupClient::new(credentials(), vec![listener.local_addr().unwrap()]);
         let calls = Rc::new(RefCell::new(Vec::new()));
         actix_rt::spawn(follower(listener, calls.clone()));
         let ages = Cell::new(0);
@@ -133,7 +133,7 @@
         let (old, new) = (lost.local_addr().unwrap(), next.local_addr().unwrap());
         actix_rt::spawn(serve(lost, false));
         actix_rt::spawn(serve(next, true));
-        let group = Group::new(credentials(), vec![old]);
+        let group = GroupClient::new(credentials(), vec![old]);
         group.point_to(3, old);
         let client = group.clone();
         let start = Instant::now();
--- a/crates/router/src/app.rs
+++ b/crates/router/src/app.rs
@@ -12,7 +12,7 @@
 use cypressfork_core::route::{Choice, ListedState, Pool, RequestProfile, RetryBudget, VmTracker};
 use cypressfork_node::emit;
 use cypressfork_node::event::Event;
-use cypressfork_node::group::Group;
+use cypressfork_node::group::GroupClient;
 use cypressfork_node::time::Clock;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -39,9 +39,9 @@
     /// The monotonic clock of this process.
     pub clock: Clock,
     /// Client of the control group.
-    pub group: Group,
+    pub group: GroupClient,
     /// Client of the process that keeps the data centre's budget reserve, if one is configured.
-    pub reserve: Option<Group>,
+    pub reserve: Option<GroupClient>,
     /// Writes traces, if enabled.
     pub exporter: Option<Exporter>,
     /// The current configuration.
@@ -80,8 +80,8 @@
     pub fn new(
         settings: Settings,
         clock: Clock,
-        group: Group,
-        reserve: Option<Group>,
+        group: GroupClient,
+        reserve: Option<GroupClient>,
         exporter: Option<Exporter>,
     ) -> App {
         App {
--- a/crates/router/src/gateway/run.rs
+++ b/crates/router/src/gateway/run.rs
@@ -8,7 +8,7 @@
 use cypressfork_core::code::Code;
 use cypressfork_http::{Body, operators};
 use cypressfork_node::event::Event;
-use cypressfork_node::group::Group;
+use cypressfork_node::group::GroupClient;
 use cypressfork_node::link::Credentials;
 use cypressfork_node::process::{Failure, listen, reload_forever, stop_signal};
 use cypressfork_node::settings::load;
@@ -59,7 +59,7 @@
     let for_operators = listen(s.operators).await?;
     let base = s.base.clone();
     let credentials = Credentials { key: base.key, cluster: base.cluster, name: base.vm };
-    let group = Group::new(credentials.clone(), base.control.clone());
+    let group = GroupClient::new(credentials.clone(), base.control.clone());
     emit!(Event::Started, listen = s.listen, operators = s.operators);
     let gw = Rc::new(Gateway::new(s, Clock::start(), credentials, group));
     let (closed_tx, closed) = watch::channel(false);
--- a/crates/router/src/gateway/share.rs
+++ b/crates/router/src/gateway/share.rs
@@ -17,7 +17,7 @@
 use cypressfork_core::unit::{Millis, Time, Tokens};
 use cypressfork_node::emit;
 use cypressfork_node::event::Event;
-use cypressfork_node::group::Group;
+use cypressfork_node::group::GroupClient;
 use cypressfork_node::link::{self, Credentials, Link};
 use cypressfork_node::metric;
 use cypressfork_wire::{Ask, Frame, Return, body};
@@ -80,7 +80,7 @@
 #[derive(Default)]
 pub struct Peers {
     /// Clients for requests to other gateways, by address.
-    clients: RefCell<BTreeMap<SocketAddr, Group>>,
+    clients: RefCell<BTreeMap<SocketAddr, GroupClient>>,
     /// The gateways that receive announcements of prompts, and that lend tokens where budgets have no
     /// homes.
     addresses: RefCell<BTreeSet<SocketAddr>>,
@@ -98,7 +98,7 @@
 
 /// Tokens that another gateway has reserved for a request of this one.
 pub struct BorrowedTokens {
-    lender: Group,
+    lender: GroupClient,
     id: u64,
     tokens: Tokens,
     unsettled: Rc<Cell<usize>>,
@@ -130,9 +130,9 @@
     }
 
     /// Returns the client for the gateway at `address`, and creates it on first use.
-    fn client(&self, credentials: &Credentials, address: SocketAddr) -> Group {
+    fn client(&self, credentials: &Credentials, address: SocketAddr) -> GroupClient {
         let mut all = self.clients.borrow_mut();
-        let create = || Group::new(credentials.clone(), vec![address]);
+        let create = || GroupClient::new(credentials.clone(), vec![address]);
         all.entry(address).or_insert_with(create).clone()
     }
 
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -25,7 +25,7 @@
 use cypressfork_http::client::Connection;
 use cypressfork_node::emit;
 use cypressfork_node::event::Event;
-use cypressfork_node::group::Group;
+use cypressfork_node::group::GroupClient;
 use cypressfork_node::link::Credentials;
 use cypressfork_node::metric;
 use cypressfork_node::time::Clock;
@@ -83,7 +83,7 @@
     /// The credentials of this process on its links.
     pub credentials: Credentials,
     /// Client of the control group.
-    pub group: Group,
+    pub group: GroupClient,
     /// The document in force and the fetch of a newer one.
     pub documents: Documents,
     /// Connections to replicas.
@@ -136,7 +136,7 @@
         settings: Settings,
         clock: Clock,
         credentials: Credentials,
-        group: Group,
+        group: GroupClient,
     ) -> Gateway {
         Gateway {
             settings,
--- a/crates/router/src/token_store.rs
+++ b/crates/router/src/token_store.rs
@@ -16,7 +16,7 @@
 use cypressfork_core::unit::{HolderId, Millis, Time, Tokens};
 use cypressfork_node::emit;
 use cypressfork_node::event::Event;
-use cypressfork_node::group::Group;
+use cypressfork_node::group::GroupClient;
 use cypressfork_node::metric;
 use cypressfork_node::time::Clock;
 use cypressfork_wire::{Ask as WireAsk, body};
@@ -49,8 +49,8 @@
 /// The leased tokens and unsent bills of one registration.
 pub struct TokenStore {
     holder: HolderId,
-    group: Group,
-    reserve: Option<Group>,
+    group: GroupClient,
+    reserve: Option<GroupClient>,
     clock: Clock,
     group_slices: SlicesByBudget,
     reserve_slices: SlicesByBudget,
@@ -68,7 +68,12 @@
 
 impl TokenStore {
     /// Creates an empty token store for a new registration.
-    pub fn new(holder: HolderId, group: Group, reserve: Option<Group>, clock: Clock) -> TokenStore {
+    pub fn new(
+        holder: HolderId,
+        group: GroupClient,
+        reserve: Option<GroupClient>,
+        clock: Clock,
+    ) -> TokenStore {
         TokenStore {
             holder,
             group,
@@ -477,7 +482,7 @@
 
 /// Sends a command to the reserve and returns its answer.
 async fn send_to_reserve(
-    group: &Group,
+    group: &GroupClient,
     c: &ReserveCommand,
     timeout: Duration,
 ) -> Result<ReserveAnswer, Code> {
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -8,7 +8,7 @@
 
 use cypressfork_core::fleet::document::budget_name;
 use cypressfork_core::query::{Query, Reply};
-use cypressfork_node::group::Group;
+use cypressfork_node::group::GroupClient;
 use cypressfork_node::link::Credentials;
 use cypressfork_wire::auth::Key;
 use tokio::task::AbortHandle;
@@ -617,7 +617,7 @@
             cluster: "soak".to_owned(),
             name: "soak".to_owned(),
         };
-        let group = Group::new(me, self.fleet.links());
+        let group = GroupClient::new(me, self.fleet.links());
         let Ok(Reply::Budgets(all)) = group.query(&Query::Budgets(None), TELL_WITHIN).await else {
             return BTreeMap::new();
         };
