--- a/crates/control/src/server/fleet.rs
+++ b/crates/control/src/server/fleet.rs
@@ -144,12 +144,12 @@
         let reported = self.contacts.addresses().filter_map(|a| a.parse().ok());
         let all = members.into_iter().chain(f.seeds.iter().copied()).chain(reported);
         let all: BTreeSet<_> = all.filter(|a| a.to_string() != self.address).collect();
-        self.group.learn(all.iter().copied());
+        self.group.add_addresses(all.iter().copied());
         let lead = self.machine.known_leader().or_else(|| self.contacts.leader(at.now).cloned());
         if let Some(lead) = &lead
             && let Ok(leader) = lead.address.parse()
         {
-            self.group.point_to(lead.term, leader);
+            self.group.set_leader(lead.term, leader);
         }
         let before = self.watched.replace(all.clone());
         for address in all.into_iter().filter(|a| !before.contains(a)) {
--- a/crates/node/src/group.rs
+++ b/crates/node/src/group.rs
@@ -63,7 +63,7 @@
     link: RefCell<Option<OpenLink>>,
     /// Held while a link is opened, so that concurrent calls share it.
     opening: Mutex<()>,
-    /// Number of calls of [`GroupClient::wake`].
+    /// Number of calls of [`GroupClient::retry_now`].
     wake_count: Cell<u64>,
     woken: Notify,
 }
@@ -100,7 +100,7 @@
 
     /// Adds addresses received from other processes. They matter once none of the addresses in the
     /// settings belongs to the group any more. Only the newest 64 are kept.
-    pub fn learn(&self, addresses: impl IntoIterator<Item = SocketAddr>) {
+    pub fn add_addresses(&self, addresses: impl IntoIterator<Item = SocketAddr>) {
         let mut learned = self.inner.learned.borrow_mut();
         for a in addresses {
             if !learned.contains(&a) {
@@ -115,7 +115,7 @@
     /// Sets the leader of `term`. If the term is newer than the last one set, a link to another process is
     /// dropped and its pending calls are retried at the leader at once. A process that lost power sends
     /// no error, so they would otherwise wait for their timeouts.
-    pub fn point_to(&self, term: Term, leader: SocketAddr) {
+    pub fn set_leader(&self, term: Term, leader: SocketAddr) {
         if term <= self.inner.term.get() {
             return;
         }
@@ -132,12 +132,12 @@
     }
 
     /// Ends the backoff of all waiting calls: the group is known to respond again.
-    pub fn wake(&self) {
+    pub fn retry_now(&self) {
         self.inner.wake_count.set(self.inner.wake_count.get() + 1);
         self.inner.woken.notify_waiters();
     }
 
-    /// Waits before the next try of a call, until [`GroupClient::wake`] at the latest. Returns whether `wake`
+    /// Waits before the next try of a call, until [`GroupClient::retry_now`] at the latest. Returns whether `retry_now`
     /// was called since `wake_count` was read.
     async fn pause(&self, wake_count: u64, pause: Duration) -> bool {
         if self.inner.wake_count.get() == wake_count {
@@ -160,7 +160,7 @@
 
     /// Like [`GroupClient::command`], but builds the command again for each try. For commands that contain the
     /// current time.
-    pub async fn command_anew(
+    pub async fn command_with(
         &self,
         build: impl Fn() -> Command,
         within: Duration,
@@ -293,7 +293,7 @@
     }
 
     /// Returns the address of the control process that the client has a link to, if any.
-    pub fn address(&self) -> Option<SocketAddr> {
+    pub fn connected_address(&self) -> Option<SocketAddr> {
         self.inner.link.borrow().as_ref().map(|l| l.address)
     }
 }
--- a/crates/node/tests/group.rs
+++ b/crates/node/tests/group.rs
@@ -42,7 +42,7 @@
     }
 }
 
-/// `wake` ends a backoff. With jitter, the longest backoff is at least 100 ms.
+/// `retry_now` ends a backoff. With jitter, the longest backoff is at least 100 ms.
 #[test]
 fn a_call_that_waits_for_its_next_try_makes_it_when_the_group_answers_again() {
     actix_rt::System::new().block_on(async {
@@ -61,12 +61,12 @@
         // Lets the response arrive and the backoff start.
         sleep(Duration::from_millis(30)).await;
         let woken = Instant::now();
-        group.wake();
+        group.retry_now();
         while calls.borrow().len() == TRIES_TO_MAX_BACKOFF {
             sleep(Duration::from_millis(1)).await;
         }
         let took = calls.borrow()[TRIES_TO_MAX_BACKOFF].0.duration_since(woken);
-        assert!(took < Duration::from_millis(60), "{took:?}: wake did not end the backoff");
+        assert!(took < Duration::from_millis(60), "{took:?}: retry_now did not end the backoff");
     });
 }
 
@@ -90,7 +90,7 @@
                 link: String::new(),
             }
         };
-        let answer = group.command_anew(register, Duration::from_millis(200)).await;
+        let answer = group.command_with(register, Duration::from_millis(200)).await;
         assert_eq!(answer, Err(Code::NotLeader));
         let sent_age = |(_, ask): &ReceivedCall| match ask {
             Ask::Command(bytes) => match body::unpack(bytes).unwrap() {
@@ -134,19 +134,19 @@
         actix_rt::spawn(serve(lost, false));
         actix_rt::spawn(serve(next, true));
         let group = GroupClient::new(credentials(), vec![old]);
-        group.point_to(3, old);
+        group.set_leader(3, old);
         let client = group.clone();
         let start = Instant::now();
         let call = actix_rt::spawn(async move {
             client.call(Ask::Command(Vec::new()), Duration::from_secs(10)).await
         });
         sleep(Duration::from_millis(150)).await;
-        group.point_to(4, new);
+        group.set_leader(4, new);
         assert_eq!(call.await.unwrap(), Ok(Vec::new()));
         assert!(start.elapsed() < Duration::from_millis(900), "{:?}", start.elapsed());
-        assert_eq!(group.address(), Some(new));
-        group.point_to(3, old);
-        group.point_to(4, old);
-        assert_eq!(group.address(), Some(new), "nobody has been elected since");
+        assert_eq!(group.connected_address(), Some(new));
+        group.set_leader(3, old);
+        group.set_leader(4, old);
+        assert_eq!(group.connected_address(), Some(new), "nobody has been elected since");
     });
 }
--- a/crates/router/src/gateway/follow.rs
+++ b/crates/router/src/gateway/follow.rs
@@ -113,7 +113,7 @@
         gw.router_count.set(gw.router_count.get().max(response.routers));
         if response.part.is_some() {
             // A document has been committed, so there is a leader to register with.
-            gw.group.wake();
+            gw.group.retry_now();
         }
         // These precede the document, because the first document opens the gateway to callers.
         if let Some(evacuations) = &response.evacuations {
@@ -142,11 +142,11 @@
         }
         gw.limits.apply_reports(gw, &response.limits);
         let controls = || response.controls.iter().filter_map(|a| a.parse().ok());
-        gw.group.learn(controls());
+        gw.group.add_addresses(controls());
         if let Some(lead) = &response.lead
             && let Ok(leader) = lead.address.parse()
         {
-            gw.group.point_to(lead.term, leader);
+            gw.group.set_leader(lead.term, leader);
         }
         watch_all::<D>(gw, controls());
     }
@@ -238,7 +238,7 @@
     };
     loop {
         if let Ok(Answer::Registered(holder)) =
-            gw.group.command_anew(register, REGISTER_TIMEOUT).await
+            gw.group.command_with(register, REGISTER_TIMEOUT).await
         {
             emit!(Event::RouterRegistered, holder = holder);
             return holder;
--- a/crates/router/src/gateway/quarantine.rs
+++ b/crates/router/src/gateway/quarantine.rs
@@ -219,7 +219,7 @@
         if quarantines.report_started.get().is_none() {
             quarantines.report_started.set(Some(Instant::now()));
         }
-        match gw.group.command_anew(|| report_command(gw.now(), &pending), REPORT_TIMEOUT).await {
+        match gw.group.command_with(|| report_command(gw.now(), &pending), REPORT_TIMEOUT).await {
             Ok(_) => quarantines.report_started.set(None),
             Err(code) => {
                 emit!(Event::EndsUnreported, replicas = pending.len(), why = code);
