--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -6,7 +6,7 @@
 use cypressfork_core::raft::Settings as RaftSettings;
 use cypressfork_core::unit::Millis;
 use cypressfork_node::settings::{
-    Base, Common, Error, Quantity, Raw, address, folder, quantity, range,
+    CheckedCommon, Common, Error, Quantity, Raw, address, folder, quantity, range,
 };
 use serde::{Deserialize, Serialize};
 
@@ -154,7 +154,7 @@
 /// The validated settings.
 pub struct Settings {
     /// Settings that every process has.
-    pub base: Base,
+    pub base: CheckedCommon,
     /// Listening address for routers, operators and the other members.
     pub listen: SocketAddr,
     /// Address under which they reach this process.
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -119,7 +119,7 @@
 
 /// [`Common`] after validation.
 #[derive(Clone)]
-pub struct Base {
+pub struct CheckedCommon {
     /// Name of the cluster.
     pub cluster: String,
     /// Region of this process.
@@ -142,7 +142,7 @@
 
 impl Common {
     /// Validates all values.
-    pub fn check(self) -> Result<Base, Error> {
+    pub fn check(self) -> Result<CheckedCommon, Error> {
         let port = self.control_port;
         let set_port = |mut a: SocketAddr| {
             a.set_port(port.unwrap_or(a.port()));
@@ -160,7 +160,7 @@
         let checked =
             |(dc, region)| Ok((name("common.regions", dc)?, name("common.regions", region)?));
         let regions = self.regions.into_iter().map(checked).collect::<Result<_, Error>>()?;
-        Ok(Base {
+        Ok(CheckedCommon {
             cluster: name("common.cluster", self.cluster)?,
             region: name("common.region", self.region)?,
             data_centre: name("common.data_centre", self.data_centre)?,
--- a/crates/router/src/gateway/settings.rs
+++ b/crates/router/src/gateway/settings.rs
@@ -6,7 +6,9 @@
 use cypressfork_core::fleet::admission;
 use cypressfork_core::fleet::retry::RetryLimit;
 use cypressfork_core::unit::Millis;
-use cypressfork_node::settings::{Base, Common, Error, Quantity, Raw, address, quantity, range};
+use cypressfork_node::settings::{
+    CheckedCommon, Common, Error, Quantity, Raw, address, quantity, range,
+};
 use serde::{Deserialize, Serialize};
 
 /// The settings file.
@@ -84,7 +86,7 @@
 #[derive(Clone)]
 pub struct Settings {
     /// Settings common to all processes.
-    pub base: Base,
+    pub base: CheckedCommon,
     /// Address that callers connect to.
     pub listen: SocketAddr,
     /// Address on which to listen for other gateways.
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use cypressfork_node::settings::{Base, Common, Error, Raw, address, range};
+use cypressfork_node::settings::{CheckedCommon, Common, Error, Raw, address, range};
 use serde::{Deserialize, Serialize};
 
 /// The settings file.
@@ -77,7 +77,7 @@
 #[derive(Clone)]
 pub struct Settings {
     /// Settings common to all processes.
-    pub base: Base,
+    pub base: CheckedCommon,
     /// Address for callers.
     pub listen: SocketAddr,
     /// Address that is returned to clients by `/v1/entry`.
