--- a/crates/cli/src/cmd/init.rs
+++ b/crates/cli/src/cmd/init.rs
@@ -6,7 +6,7 @@
 use cypressfork_core::query::Identity;
 use cypressfork_node::group::GroupClient;
 use cypressfork_node::link::Credentials;
-use cypressfork_node::settings::address;
+use cypressfork_node::settings::parse_address;
 use cypressfork_wire::{Ask, Founders, Peer, body};
 
 use super::Subcommand;
@@ -26,7 +26,7 @@
 
 fn run(cx: &Context) -> Result<String, Error> {
     cx.word(0, "the address of a control process")?;
-    let addresses = cx.words.iter().map(|a| address("ADDRESS", a));
+    let addresses = cx.words.iter().map(|a| parse_address("ADDRESS", a));
     let addresses: Vec<SocketAddr> = addresses.collect::<Result<_, _>>()?;
     let me = cx.credentials()?;
     actix_rt::System::new().block_on(found(&me, &addresses))
--- a/crates/cli/src/cmd/member.rs
+++ b/crates/cli/src/cmd/member.rs
@@ -5,7 +5,7 @@
 use cypressfork_core::code::Code;
 use cypressfork_core::raft::MemberChange;
 use cypressfork_core::unit::NodeId;
-use cypressfork_node::settings::address;
+use cypressfork_node::settings::parse_address;
 use cypressfork_wire::{Ask, member_order};
 
 use super::Subcommand;
@@ -28,7 +28,7 @@
     let verb = cx.word(0, "add, promote or remove")?;
     let change = match verb {
         "add" => {
-            let a = address("ADDRESS", cx.word(1, "the new replica's address")?)?;
+            let a = parse_address("ADDRESS", cx.word(1, "the new replica's address")?)?;
             let me = cx.credentials()?;
             let id = actix_rt::System::new().block_on(identify(&me, a))?;
             if !id.members.voters.is_empty() {
--- a/crates/cli/src/settings.rs
+++ b/crates/cli/src/settings.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use cypressfork_node::settings::{Error, Raw, address, key, name};
+use cypressfork_node::settings::{Error, Raw, load_key, parse_address, parse_name};
 use cypressfork_wire::auth::Key;
 use serde::{Deserialize, Serialize};
 
@@ -39,12 +39,12 @@
         if self.control.is_empty() {
             return Err(Error::value("control", "[]", "name at least one control process"));
         }
-        let control = self.control.iter().map(|a| address("control", a));
+        let control = self.control.iter().map(|a| parse_address("control", a));
         Ok(Settings {
-            cluster: name("cluster", self.cluster)?,
-            key: key("key_file", &self.key_file)?,
+            cluster: parse_name("cluster", self.cluster)?,
+            key: load_key("key_file", &self.key_file)?,
             control: control.collect::<Result<_, _>>()?,
-            operator: name("operator", self.operator)?,
+            operator: parse_name("operator", self.operator)?,
         })
     }
 }
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -6,7 +6,8 @@
 use cypressfork_core::raft::Settings as RaftSettings;
 use cypressfork_core::unit::Millis;
 use cypressfork_node::settings::{
-    CheckedCommon, Common, Error, Quantity, Raw, address, folder, quantity, range,
+    CheckedCommon, Common, Error, Quantity, Raw, check_quantity, check_range, existing_folder,
+    parse_address,
 };
 use serde::{Deserialize, Serialize};
 
@@ -110,24 +111,28 @@
 
 impl FleetFile {
     fn check(self) -> Result<FleetSettings, Error> {
-        let entry_keep = range("fleet.entry_keep_ms", self.entry_keep_ms, 100, 600_000)?;
+        let entry_keep = check_range("fleet.entry_keep_ms", self.entry_keep_ms, 100, 600_000)?;
         let key = "fleet.replica_heartbeat_ms";
-        let heartbeat = quantity(
+        let heartbeat = check_quantity(
             key,
             self.replica_heartbeat_ms,
             DEFAULT_REPLICA_HEARTBEAT_MS,
             10.0..=600_000.0,
         )?;
-        let share =
-            quantity("fleet.rollout_share", self.rollout_share, DEFAULT_ROLLOUT_SHARE, 0.0..=1.0)?;
+        let share = check_quantity(
+            "fleet.rollout_share",
+            self.rollout_share,
+            DEFAULT_ROLLOUT_SHARE,
+            0.0..=1.0,
+        )?;
         Ok(FleetSettings {
-            listen: address("fleet.listen", &self.listen)?,
-            entry: address("fleet.entry", &self.entry)?,
+            listen: parse_address("fleet.listen", &self.listen)?,
+            entry: parse_address("fleet.entry", &self.entry)?,
             entry_keep: Millis(entry_keep),
             // Rounded up, so that a heartbeat in time is never late.
             replica_heartbeat: Millis(heartbeat.ceil() as u64),
             found: self.found.unwrap_or(false),
-            voters: range("fleet.voters", self.voters, 1, 9)? as usize,
+            voters: check_range("fleet.voters", self.voters, 1, 9)? as usize,
             data_centres: self.data_centres,
             // Rounded down, because it is an upper bound.
             rollout_allowed: (share * 1_000.0) as u64,
@@ -175,20 +180,20 @@
     type Checked = Settings;
 
     fn check(self) -> Result<Settings, Error> {
-        let heartbeat = range("heartbeat_ms", self.heartbeat_ms, 5, 10_000)?;
-        let election = range("election_ms", self.election_ms, heartbeat * 3, 60_000)?;
+        let heartbeat = check_range("heartbeat_ms", self.heartbeat_ms, 5, 10_000)?;
+        let election = check_range("election_ms", self.election_ms, heartbeat * 3, 60_000)?;
         let raft = RaftSettings {
             heartbeat: Millis(heartbeat),
             election: Millis(election),
             ..RaftSettings::default()
         };
-        let snapshot_every = range("snapshot_every", self.snapshot_every, 16, 10_000_000)?;
+        let snapshot_every = check_range("snapshot_every", self.snapshot_every, 16, 10_000_000)?;
         Ok(Settings {
             base: self.common.check()?,
-            advertise: address("advertise", self.advertise.as_ref().unwrap_or(&self.listen))?,
-            listen: address("listen", &self.listen)?,
-            data_folder: folder("data_folder", &self.data_folder)?,
-            metrics: self.metrics.map(|a| address("metrics", &a)).transpose()?,
+            advertise: parse_address("advertise", self.advertise.as_ref().unwrap_or(&self.listen))?,
+            listen: parse_address("listen", &self.listen)?,
+            data_folder: existing_folder("data_folder", &self.data_folder)?,
+            metrics: self.metrics.map(|a| parse_address("metrics", &a)).transpose()?,
             reserve: self.reserve,
             machine: machine::Settings { raft, snapshot_every },
             fleet: self.fleet.map(FleetFile::check).transpose()?,
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -148,24 +148,25 @@
             a.set_port(port.unwrap_or(a.port()));
             a
         };
-        let control = self.control.iter().map(|a| address("common.control", a).map(set_port));
+        let control = self.control.iter().map(|a| parse_address("common.control", a).map(set_port));
         let key = match &self.key_file {
-            Some(path) => key("common.key_file", path)?,
+            Some(path) => load_key("common.key_file", path)?,
             None if self.open_links => Key::new(self.cluster.as_bytes()),
             None => {
                 let expected = "name a file, or set common.open_links on a closed network";
                 return Err(Error::value("common.key_file", "", expected));
             }
         };
-        let checked =
-            |(dc, region)| Ok((name("common.regions", dc)?, name("common.regions", region)?));
+        let checked = |(dc, region)| {
+            Ok((parse_name("common.regions", dc)?, parse_name("common.regions", region)?))
+        };
         let regions = self.regions.into_iter().map(checked).collect::<Result<_, Error>>()?;
         Ok(CheckedCommon {
-            cluster: name("common.cluster", self.cluster)?,
-            region: name("common.region", self.region)?,
-            data_centre: name("common.data_centre", self.data_centre)?,
+            cluster: parse_name("common.cluster", self.cluster)?,
+            region: parse_name("common.region", self.region)?,
+            data_centre: parse_name("common.data_centre", self.data_centre)?,
             regions: Regions::new(regions),
-            vm: name("common.vm", self.vm)?,
+            vm: parse_name("common.vm", self.vm)?,
             key,
             control: control.collect::<Result<_, _>>()?,
             log_level: parse_level("common.log_level", &self.log_level)?,
@@ -180,7 +181,7 @@
 
 /// Returns a name. Fails unless it has 1 to 64 letters, digits, `-`, `_` or `.`. `key` is the name of
 /// the setting, for the error.
-pub fn name(key: &str, s: String) -> Result<String, Error> {
+pub fn parse_name(key: &str, s: String) -> Result<String, Error> {
     let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b"-_.".contains(&b);
     if s.is_empty() || s.len() > 64 || !s.bytes().all(is_allowed) {
         return Err(Error::value(key, s, "take 1 to 64 letters, digits, '-', '_' or '.'"));
@@ -189,13 +190,13 @@
 }
 
 /// Parses an IP address with a port.
-pub fn address(key: &str, s: &str) -> Result<SocketAddr, Error> {
+pub fn parse_address(key: &str, s: &str) -> Result<SocketAddr, Error> {
     s.parse()
         .map_err(|_| Error::value(key, s, "take an IP address and a port, such as 10.0.0.7:7001"))
 }
 
 /// Returns `n`. Fails if it is not between `min` and `max`, both included.
-pub fn range(key: &str, n: u64, min: u64, max: u64) -> Result<u64, Error> {
+pub fn check_range(key: &str, n: u64, min: u64, max: u64) -> Result<u64, Error> {
     if (min..=max).contains(&n) {
         return Ok(n);
     }
@@ -207,7 +208,7 @@
 pub type Quantity = Option<f64>;
 
 /// Returns a quantity, or `default` if it is empty. Fails if the result is outside `range`.
-pub fn quantity(
+pub fn check_quantity(
     key: &str,
     n: Quantity,
     default: f64,
@@ -222,7 +223,7 @@
 }
 
 /// Returns the path of a folder. Fails if it does not exist.
-pub fn folder(key: &str, s: &str) -> Result<PathBuf, Error> {
+pub fn existing_folder(key: &str, s: &str) -> Result<PathBuf, Error> {
     let path = PathBuf::from(s);
     if path.is_dir() {
         return Ok(path);
@@ -231,8 +232,8 @@
 }
 
 /// Reads the cluster's key from a file that only its owner may access. It must have at least 32 bytes.
-pub fn key(key: &str, path: &str) -> Result<Key, Error> {
-    let bytes = secret(key, path)?;
+pub fn load_key(key: &str, path: &str) -> Result<Key, Error> {
+    let bytes = read_secret(key, path)?;
     if bytes.len() < MIN_KEY_BYTES {
         return Err(Error::value(key, path, "the key must have at least 32 bytes"));
     }
@@ -240,7 +241,7 @@
 }
 
 /// Reads a file that only its owner may access, without leading and trailing ASCII white space.
-pub fn secret(key: &str, path: &str) -> Result<Vec<u8>, Error> {
+pub fn read_secret(key: &str, path: &str) -> Result<Vec<u8>, Error> {
     let unreadable = |_| Error::value(key, path, "name a readable file");
     let mode = fs::metadata(path).map_err(unreadable)?.permissions().mode();
     if mode & 0o077 != 0 {
--- a/crates/router/src/gateway/settings.rs
+++ b/crates/router/src/gateway/settings.rs
@@ -7,7 +7,7 @@
 use cypressfork_core::fleet::retry::RetryLimit;
 use cypressfork_core::unit::Millis;
 use cypressfork_node::settings::{
-    CheckedCommon, Common, Error, Quantity, Raw, address, quantity, range,
+    CheckedCommon, Common, Error, Quantity, Raw, check_quantity, check_range, parse_address,
 };
 use serde::{Deserialize, Serialize};
 
@@ -121,25 +121,35 @@
         if base.control.is_empty() {
             return Err(Error::value("common.control", "[]", "name at least one control process"));
         }
-        let ratio =
-            quantity("retry_ratio", self.retry_ratio, default::RETRY_RATIO, 0.0..=MAX_QUANTITY)?;
-        let extra = quantity("retry_extra", self.retry_extra, default::RETRY_EXTRA, 0.0..=1e9)?;
-        let window = quantity(
+        let ratio = check_quantity(
+            "retry_ratio",
+            self.retry_ratio,
+            default::RETRY_RATIO,
+            0.0..=MAX_QUANTITY,
+        )?;
+        let extra =
+            check_quantity("retry_extra", self.retry_extra, default::RETRY_EXTRA, 0.0..=1e9)?;
+        let window = check_quantity(
             "retry_window_s",
             self.retry_window_s,
             default::RETRY_WINDOW_S,
             1.0..=3_600.0,
         )?;
-        let memory = quantity("memory_mb", self.memory_mb, default::MEMORY_MB, 16.0..=1_048_576.0)?;
-        let link = quantity("link_mbps", self.link_mbps, default::LINK_MBPS, 0.0..=1e9)?;
-        let stop = quantity(
+        let memory =
+            check_quantity("memory_mb", self.memory_mb, default::MEMORY_MB, 16.0..=1_048_576.0)?;
+        let link = check_quantity("link_mbps", self.link_mbps, default::LINK_MBPS, 0.0..=1e9)?;
+        let stop = check_quantity(
             "stop_within_s",
             self.stop_within_s,
             default::STOP_WITHIN_S,
             0.0..=MAX_QUANTITY,
         )?;
-        let serve =
-            quantity("stop_serve_s", self.stop_serve_s, default::STOP_SERVE_S, 0.0..=MAX_QUANTITY)?;
+        let serve = check_quantity(
+            "stop_serve_s",
+            self.stop_serve_s,
+            default::STOP_SERVE_S,
+            0.0..=MAX_QUANTITY,
+        )?;
         // Rounded towards the stricter limit: fewer retries, a longer window, less memory, a shorter
         // shutdown.
         let retry = RetryLimit {
@@ -149,13 +159,21 @@
         };
         Ok(Settings {
             base,
-            listen: address("listen", &self.listen)?,
-            link: address("link_advertise", self.link_advertise.as_ref().unwrap_or(&self.link))?,
-            link_listen: address("link", &self.link)?,
-            operators: address("operators", &self.operators)?,
-            metrics: self.metrics.map(|a| address("metrics", &a)).transpose()?,
+            listen: parse_address("listen", &self.listen)?,
+            link: parse_address(
+                "link_advertise",
+                self.link_advertise.as_ref().unwrap_or(&self.link),
+            )?,
+            link_listen: parse_address("link", &self.link)?,
+            operators: parse_address("operators", &self.operators)?,
+            metrics: self.metrics.map(|a| parse_address("metrics", &a)).transpose()?,
             ready_path: self.ready_path,
-            report_interval: Duration::from_millis(range("report_ms", self.report_ms, 10, 60_000)?),
+            report_interval: Duration::from_millis(check_range(
+                "report_ms",
+                self.report_ms,
+                10,
+                60_000,
+            )?),
             retry,
             max_active_requests: admission::max_active_requests(
                 (memory * BYTES_PER_MEBIBYTE).floor() as u64,
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use cypressfork_node::settings::{CheckedCommon, Common, Error, Raw, address, range};
+use cypressfork_node::settings::{CheckedCommon, Common, Error, Raw, check_range, parse_address};
 use serde::{Deserialize, Serialize};
 
 /// The settings file.
@@ -108,9 +108,9 @@
     type Checked = Settings;
 
     fn check(self) -> Result<Settings, Error> {
-        let listen = address("listen", &self.listen)?;
+        let listen = parse_address("listen", &self.listen)?;
         let public = match &self.public {
-            Some(a) => address("public", a)?,
+            Some(a) => parse_address("public", a)?,
             None => listen,
         };
         let base = self.common.check()?;
@@ -121,16 +121,26 @@
             base,
             listen,
             public,
-            operators: address("operators", &self.operators)?,
-            reserve: self.reserve.as_deref().map(|a| address("reserve", a)).transpose()?,
+            operators: parse_address("operators", &self.operators)?,
+            reserve: self.reserve.as_deref().map(|a| parse_address("reserve", a)).transpose()?,
             platform: self.platform.map(check_platform).transpose()?,
             trace_file: self.trace_file.map(PathBuf::from),
-            body_cap: range("body_cap", self.body_cap, 1024, 64 * 1024 * 1024)? as usize,
-            head_cap: range("head_cap", self.head_cap, 1024, 64 * 1024)? as usize,
-            entry_keep: Duration::from_secs(range("entry_keep_s", self.entry_keep_s, 1, 3600)?),
-            deadline: Duration::from_millis(range("deadline_ms", self.deadline_ms, 10, 3_600_000)?),
-            tally: Duration::from_millis(range("tally_ms", self.tally_ms, 10, 10_000)?),
-            drain: Duration::from_secs(range("drain_s", self.drain_s, 1, 86_400)?),
+            body_cap: check_range("body_cap", self.body_cap, 1024, 64 * 1024 * 1024)? as usize,
+            head_cap: check_range("head_cap", self.head_cap, 1024, 64 * 1024)? as usize,
+            entry_keep: Duration::from_secs(check_range(
+                "entry_keep_s",
+                self.entry_keep_s,
+                1,
+                3600,
+            )?),
+            deadline: Duration::from_millis(check_range(
+                "deadline_ms",
+                self.deadline_ms,
+                10,
+                3_600_000,
+            )?),
+            tally: Duration::from_millis(check_range("tally_ms", self.tally_ms, 10, 10_000)?),
+            drain: Duration::from_secs(check_range("drain_s", self.drain_s, 1, 86_400)?),
         })
     }
 }
