--- a/crates/control/src/run.rs
+++ b/crates/control/src/run.rs
@@ -16,7 +16,7 @@
 use cypressfork_node::link::Credentials;
 use cypressfork_node::process::{Failure, listen, reload_forever, stop_signal};
 use cypressfork_node::settings::load;
-use cypressfork_node::time::{Clock, wall};
+use cypressfork_node::time::{Clock, unix_time};
 use cypressfork_node::{emit, logging};
 use cypressfork_store::{Error, Folder, set_aside};
 use tokio::sync::{mpsc, watch};
@@ -135,7 +135,7 @@
     let (disk, found) = opened.map_err(disk_failed)?;
     let node = disk.node();
     let clock = Clock::start();
-    let at = Moment { now: clock.now(), wall: wall() };
+    let at = Moment { now: clock.now(), wall: unix_time() };
     let mut machine =
         Machine::start(at, &s.base.region, s.machine, disk, (node, found), rand::random())
             .map_err(disk_failed)?;
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -23,7 +23,7 @@
 use cypressfork_node::link::Credentials;
 use cypressfork_node::metric;
 use cypressfork_node::process::{Failure, stop_signal};
-use cypressfork_node::time::{Clock, wall};
+use cypressfork_node::time::{Clock, unix_time};
 use cypressfork_store::Error;
 use cypressfork_wire::{Ask, Frame, Return, body};
 use metrics::{counter, gauge};
@@ -231,7 +231,7 @@
 
     fn moment(&self) -> Moment {
         let now = self.clock.now();
-        Moment { now, wall: self.clocks.agreed(now, wall()) }
+        Moment { now, wall: self.clocks.agreed(now, unix_time()) }
     }
 
     fn handle_batch(&mut self, first: Input, rx: &mut mpsc::Receiver<Input>) {
--- a/crates/control/src/server/fleet.rs
+++ b/crates/control/src/server/fleet.rs
@@ -14,7 +14,7 @@
 use cypressfork_core::raft::Members;
 use cypressfork_core::unit::Millis;
 use cypressfork_node::event::Event;
-use cypressfork_node::time::wall;
+use cypressfork_node::time::unix_time;
 use cypressfork_node::watch::{Watcher, watch};
 use cypressfork_node::{emit, metric};
 use cypressfork_wire::body;
@@ -127,7 +127,7 @@
         f.group_status.send_if_modified(|s| std::mem::replace(s, status.clone()) != status);
         self.machine.repair_group(at, &f.view.candidates, f.voters);
         let quorum = self.machine.members().quorum();
-        let margin = self.clocks.margin(at.now, wall(), quorum);
+        let margin = self.clocks.margin(at.now, unix_time(), quorum);
         self.machine.write_off_dead_holders(at, margin);
         self.machine.step_rollouts(at, &mut f.view, f.rollout_allowed);
         if at.now >= self.next_watch {
@@ -175,7 +175,7 @@
             version,
             source,
             controls,
-            wall: wall(),
+            wall: unix_time(),
             registered,
             lead,
             data_centre: &f.data_centre,
--- a/crates/node/src/logging.rs
+++ b/crates/node/src/logging.rs
@@ -12,7 +12,7 @@
 use crate::emit;
 use crate::event::Event;
 use crate::lines::{LineCounts, LineWriter, MAX_QUEUED_LINES};
-use crate::time::wall;
+use crate::time::unix_time;
 
 /// Format of the log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, serde::Serialize)]
@@ -52,7 +52,7 @@
     let f = collect_fields(r);
     let event = f.event.map(|n| format!(" CFE{n}")).unwrap_or_default();
     let others: String = f.others.iter().map(|(k, v)| format!(" {k}={v}")).collect();
-    format!("{} {}{event} {}{others}", wall().0, r.level(), r.args())
+    format!("{} {}{event} {}{others}", unix_time().0, r.level(), r.args())
 }
 
 fn format_json(r: &Record) -> String {
@@ -61,7 +61,7 @@
         let escaped: String = s.chars().map(escape_json).collect();
         format!("\"{escaped}\"")
     };
-    let mut out = format!("{{\"ms\":{},\"level\":\"{}\"", wall().0, r.level());
+    let mut out = format!("{{\"ms\":{},\"level\":\"{}\"", unix_time().0, r.level());
     if let Some(n) = f.event {
         out += &format!(",\"event\":{n}");
     }
--- a/crates/node/src/time.rs
+++ b/crates/node/src/time.rs
@@ -55,7 +55,7 @@
 }
 
 /// Returns the milliseconds since the Unix epoch, for timestamps that outlive the process.
-pub fn wall() -> Time {
+pub fn unix_time() -> Time {
     let elapsed = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     Time(elapsed.as_millis() as u64)
 }
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -3,7 +3,7 @@
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 
-use cypressfork_node::time::wall;
+use cypressfork_node::time::unix_time;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use tokio::time::Instant;
@@ -68,7 +68,7 @@
 
     /// When a replica that starts now has started: later than any before.
     pub fn next_born(&self) -> u64 {
-        let born = wall().0.max(self.born.get() + 1);
+        let born = unix_time().0.max(self.born.get() + 1);
         self.born.set(born);
         born
     }
