--- a/crates/cypressfork/src/bin/cypressfork-control.rs
+++ b/crates/cypressfork/src/bin/cypressfork-control.rs
@@ -3,10 +3,10 @@
 use std::process::ExitCode;
 
 use cypressfork_control::run::{run, settings};
-use cypressfork_node::process::daemon;
+use cypressfork_node::process::run_daemon;
 
 const ABOUT: &str = "A replica of a region's control group: accounts, budgets, claims and bills.";
 
 fn main() -> ExitCode {
-    daemon("cypressfork-control", ABOUT, settings, run)
+    run_daemon("cypressfork-control", ABOUT, settings, run)
 }
--- a/crates/cypressfork/src/bin/cypressfork-gateway.rs
+++ b/crates/cypressfork/src/bin/cypressfork-gateway.rs
@@ -2,11 +2,11 @@
 
 use std::process::ExitCode;
 
-use cypressfork_node::process::daemon;
+use cypressfork_node::process::run_daemon;
 use cypressfork_router::gateway::run::{run, settings};
 
 const ABOUT: &str = "The gateway: forwards callers' requests by host and path.";
 
 fn main() -> ExitCode {
-    daemon("cypressfork-gateway", ABOUT, settings, run)
+    run_daemon("cypressfork-gateway", ABOUT, settings, run)
 }
--- a/crates/cypressfork/src/bin/cypressfork-router.rs
+++ b/crates/cypressfork/src/bin/cypressfork-router.rs
@@ -2,11 +2,11 @@
 
 use std::process::ExitCode;
 
-use cypressfork_node::process::daemon;
+use cypressfork_node::process::run_daemon;
 use cypressfork_router::run::{run, settings};
 
 const ABOUT: &str = "The entry router: admits, bills and routes the requests of callers.";
 
 fn main() -> ExitCode {
-    daemon("cypressfork-router", ABOUT, settings, run)
+    run_daemon("cypressfork-router", ABOUT, settings, run)
 }
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -27,7 +27,7 @@
 }
 
 /// Parses a daemon's command line. `about` is the first line of the help text.
-pub fn args(program: &str, about: &str, words: &[String]) -> Result<Args, String> {
+pub fn parse_args(program: &str, about: &str, words: &[String]) -> Result<Args, String> {
     let mut o = Options::new();
     o.optopt("s", "settings", "settings file in YAML", "FILE");
     o.optflag("", "check", "check the settings file and exit");
@@ -51,7 +51,7 @@
 /// Runs a daemon: parses the command line, loads the settings with `settings`, and calls `run` unless
 /// `--check` was given. `run` also gets the path of the settings file, so that it can reload it.
 /// Returns the exit status of the process.
-pub fn daemon<S, R>(
+pub fn run_daemon<S, R>(
     program: &str,
     about: &str,
     settings: impl FnOnce(&Path) -> Result<S, Failure>,
@@ -61,7 +61,7 @@
     R: Future<Output = Result<(), Failure>>,
 {
     let words: Vec<String> = std::env::args().skip(1).collect();
-    let (check, file) = match args(program, about, &words) {
+    let (check, file) = match parse_args(program, about, &words) {
         Ok(Args::Print(text)) => {
             println!("{text}");
             return ExitCode::SUCCESS;
@@ -120,7 +120,7 @@
     }
 
     /// Waits for the next signal. Never returns if the handler could not be installed.
-    pub async fn asked(&mut self) {
+    pub async fn requested(&mut self) {
         let Some(signals) = &mut self.0 else { return std::future::pending().await };
         if signals.recv().await.is_none() {
             std::future::pending().await
@@ -139,7 +139,7 @@
 pub async fn reload_forever<S>(read: impl Fn() -> Result<S, Failure>, apply: impl Fn(S)) {
     let mut reload = Reload::new();
     loop {
-        reload.asked().await;
+        reload.requested().await;
         match read() {
             Ok(s) => {
                 apply(s);
