--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -365,7 +365,7 @@
         match self.machine.restart(at, rand::random()) {
             Ok(()) => {
                 self.disk_retry_at = None;
-                emit!(Event::DiskBack);
+                emit!(Event::DiskRecovered);
             }
             Err(e @ (Error::Io(..) | Error::Poisoned)) => {
                 self.disk_retry_at = Some(at.now.after(DISK_RETRY_DELAY));
--- a/crates/control/src/turns.rs
+++ b/crates/control/src/turns.rs
@@ -106,7 +106,7 @@
         histogram!(metric::TICK).record(since);
         if since >= LATE_TICK {
             emit!(
-                Event::HeldUp,
+                Event::LoopStalled,
                 ms = since.as_millis(),
                 turns = self.iterations,
                 busy_ms = self.busy.as_millis(),
--- a/crates/node/src/event.rs
+++ b/crates/node/src/event.rs
@@ -70,7 +70,7 @@
     GroupSought = 319, Info, "this process belongs to no group and announced itself";
     HolderWrittenOff = 320, Info, "a dead holder was written off; the tokens that it cannot have spent are free";
     BudgetShort = 321, Info, "a lease request was refused because the budget has too few tokens";
-    DiskBack = 322, Info, "the disk is writable again; this process takes part in the group again";
+    DiskRecovered = 322, Info, "the disk is writable again; this process takes part in the group again";
     DocumentKnown = 323, Info, "a control process reported a newer document";
     DocumentAsked = 324, Info, "a newer document was requested";
     DocumentGivenUp = 325, Info, "a control process did not send a document in time";
@@ -79,7 +79,7 @@
     QuarantineChanged = 328, Info, "a request was quarantined, or its quarantine changed";
     ServiceUnnamed = 329, Info, "a replica of a service that no document names was ignored";
     RolloutChanged = 330, Info, "a rollout was ordered, moved to another stage or was aborted";
-    HeldUp = 331, Warn, "the event loop was blocked for a while";
+    LoopStalled = 331, Warn, "the event loop was blocked for a while";
     LeaderKnown = 332, Info, "a leader of the group is known again";
     RouterRegistered = 401, Info, "this router registered with the control group";
     RouterReady = 402, Info, "this router is ready to serve callers";
@@ -87,10 +87,10 @@
     ControlFound = 404, Info, "the control group is in reach again";
     RequestRefused = 405, Debug, "a request is refused";
     UpstreamFailed = 406, Warn, "an upstream failed";
-    UpstreamOverCap = 407, Warn, "an engine sent more tokens than were requested; the stream was cut";
+    OutputLimitExceeded = 407, Warn, "an engine sent more tokens than were requested; the stream was cut";
     UpstreamMiscounted = 408, Warn, "an engine's token count does not match its output";
     UpstreamEjected = 409, Warn, "an upstream was ejected for a while";
-    DrainWaits = 411, Info, "a planned stop is waiting";
+    DrainWaiting = 411, Info, "a planned stop is waiting";
     SlicesReturned = 412, Info, "all slices were returned";
     ReserveUsed = 414, Warn, "the control group is out of reach; the data centre's reserve is used";
     RequestDone = 415, Debug, "a request was answered";
@@ -103,14 +103,14 @@
     SettingsKept = 422, Warn, "the settings could not be reloaded; the previous ones stay in force";
     TokensBorrowed = 423, Info, "another gateway reserved tokens for a request";
     StreamLate = 424, Info, "a stream was answered later than its route's objective";
-    NeighboursSeen = 425, Info, "the list of this data centre's gateways changed";
+    RoutersChanged = 425, Info, "the list of this data centre's gateways changed";
     HomeLost = 426, Info, "a gateway that holds tokens of a budget did not respond";
     EvacuationsSeen = 427, Info, "the list of evacuated data centres changed";
     ReplicasChanged = 428, Info, "several replicas registered, changed, stopped sending heartbeats or left";
     ReplicaReplaced = 429, Info, "another replica responds at a replica's address";
     ReplicaEnded = 430, Info, "a replica ended while a request to it was in flight";
     QuarantineSeen = 431, Info, "the list of quarantined requests changed";
-    EndsUnreported = 432, Warn, "a report on ended replicas did not reach the control group";
+    TerminationsUnreported = 432, Warn, "a report on ended replicas did not reach the control group";
     RolloutSeen = 433, Info, "a rollout reached another stage";
     RolloutStopped = 434, Warn, "this gateway stopped sending requests to a rollout's new version because of a fault that it observed";
     GatewayBehind = 435, Warn, "the gateway is overloaded";
@@ -119,10 +119,10 @@
     LimitChanged = 438, Info, "a replica set, changed or removed its rate limit";
     LimitUnreadable = 439, Warn, "a replica sent an invalid rate limit; the previous one stays in force";
     PermitUnanswered = 440, Info, "no gateway answered a request for permits of a rate-limited replica";
-    RestBegun = 441, Info, "a replica rejected a request and asked this gateway to back off";
-    RestUnreadable = 442, Warn, "a replica sent an invalid retry delay; it still gets requests";
-    LeavingHeard = 443, Info, "a replica reported in a response that it is draining";
-    FirstLookedAt = 444, Info, "the gateway that issues a replica's permits was probed by its standby";
+    BackoffStarted = 441, Info, "a replica rejected a request and asked this gateway to back off";
+    RetryAfterInvalid = 442, Warn, "a replica sent an invalid retry delay; it still gets requests";
+    DrainingReported = 443, Info, "a replica reported in a response that it is draining";
+    IssuerProbed = 444, Info, "the gateway that issues a replica's permits was probed by its standby";
 }
 
 /// Logs an event with fields, each written as `key = value`.
--- a/crates/router/src/drain.rs
+++ b/crates/router/src/drain.rs
@@ -28,7 +28,7 @@
     app.draining.set(true);
     let Some(token_store) = app.token_store() else { return };
     announce_leaving(&app, &token_store).await;
-    emit!(Event::DrainWaits, why = "cached entry answers have not expired");
+    emit!(Event::DrainWaiting, why = "cached entry answers have not expired");
     sleep(app.settings.entry_keep).await;
     let until = Instant::now() + app.settings.drain;
     wait_for_requests(&app, until).await;
@@ -48,7 +48,7 @@
     let mut next_log = Instant::now();
     while app.active.get() > 0 && Instant::now() < until {
         if Instant::now() >= next_log {
-            emit!(Event::DrainWaits, why = "requests are active", active = app.active.get());
+            emit!(Event::DrainWaiting, why = "requests are active", active = app.active.get());
             next_log += LOG_INTERVAL;
         }
         sleep(POLL_INTERVAL).await;
--- a/crates/router/src/gateway/drain.rs
+++ b/crates/router/src/gateway/drain.rs
@@ -27,7 +27,7 @@
     gw.stopping.set(true);
     actix_rt::spawn(announce_leave(gw.clone()));
     sleep(gw.settings.stop_serve).await;
-    emit!(Event::DrainWaits, active = gw.active_connections.get());
+    emit!(Event::DrainWaiting, active = gw.active_connections.get());
     // Fails only if no receiver is left.
     let _ = closed.send(true);
     let end = start + within * DRAIN_PERCENT / 100;
--- a/crates/router/src/gateway/homes.rs
+++ b/crates/router/src/gateway/homes.rs
@@ -73,7 +73,7 @@
             remote.into_iter().map(|a| (in_other_region(a), addresses(a))).collect();
         self.candidates.borrow_mut().clear();
         let routers = self.local.borrow().len();
-        emit!(Event::NeighboursSeen, from = from, routers = routers, areas = areas.len());
+        emit!(Event::RoutersChanged, from = from, routers = routers, areas = areas.len());
     }
 
     /// Records that a control process is unreachable. If the lists come from it, the next ones may come
--- a/crates/router/src/gateway/notices.rs
+++ b/crates/router/src/gateway/notices.rs
@@ -115,7 +115,7 @@
                 let outstanding = request.gw.back_off(&request.service, to.address, span);
                 counter!(metric::RESTS, "service" => request.service.clone()).increment(1);
                 emit!(
-                    Event::RestBegun,
+                    Event::BackoffStarted,
                     replica = to.replica,
                     span_ms = span.0,
                     under_way = outstanding,
@@ -131,7 +131,7 @@
         if !request.gw.mark_draining(to.replica) {
             return;
         }
-        emit!(Event::LeavingHeard, replica = to.replica, id = request.inbound.id);
+        emit!(Event::DrainingReported, replica = to.replica, id = request.inbound.id);
         self.set_leaving(to.replica, to.born, true);
         request.gw.poll_sources_now();
     }
@@ -161,7 +161,7 @@
             logged.clear();
         }
         if logged.insert(replica.to_owned()) {
-            emit!(Event::RestUnreadable, replica = replica, id = id);
+            emit!(Event::RetryAfterInvalid, replica = replica, id = id);
         }
     }
 
--- a/crates/router/src/gateway/quarantine.rs
+++ b/crates/router/src/gateway/quarantine.rs
@@ -177,7 +177,7 @@
         if pending.len() >= MAX_PENDING {
             let dropped = pending.remove(0);
             emit!(
-                Event::EndsUnreported,
+                Event::TerminationsUnreported,
                 replica = dropped.replica,
                 requests = dropped.under_way.len()
             );
@@ -206,7 +206,7 @@
             let command = Command::Survived(survived.into_iter().collect());
             // Not retried: the next copy that is answered completely is reported again.
             if let Err(code) = gw.group.command(&command, REPORT_TIMEOUT).await {
-                emit!(Event::EndsUnreported, why = code);
+                emit!(Event::TerminationsUnreported, why = code);
             }
         }
         let pending = std::mem::take(&mut *quarantines.pending.borrow_mut());
@@ -222,7 +222,7 @@
         match gw.group.command_with(|| report_command(gw.now(), &pending), REPORT_TIMEOUT).await {
             Ok(_) => quarantines.report_started.set(None),
             Err(code) => {
-                emit!(Event::EndsUnreported, replicas = pending.len(), why = code);
+                emit!(Event::TerminationsUnreported, replicas = pending.len(), why = code);
                 requeue(quarantines, pending);
                 sleep(RETRY_DELAY).await;
             }
--- a/crates/router/src/gateway/stand_in.rs
+++ b/crates/router/src/gateway/stand_in.rs
@@ -69,7 +69,7 @@
         gw.limits.record_reduced(start, replica, *gateway, until);
     }
     let stands_in_ms = until.unwrap_or(start).since(start).0;
-    emit!(Event::FirstLookedAt, address = gateway, replica = replica, stands_in_ms = stands_in_ms);
+    emit!(Event::IssuerProbed, address = gateway, replica = replica, stands_in_ms = stands_in_ms);
 }
 
 /// Returns whether no process listens at a gateway's address.
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -87,7 +87,7 @@
         let (text, finish) = event_text(&v);
         self.attempt.add(text.len(), usage);
         if self.attempt.exceeds_cap() {
-            emit!(Event::UpstreamOverCap, service = self.plan.service, cap = self.attempt.cap);
+            emit!(Event::OutputLimitExceeded, service = self.plan.service, cap = self.attempt.cap);
             return Err(AttemptError::Failed(
                 "the engine generates more than was asked for".into(),
             ));
