--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -300,7 +300,7 @@
         let now = self.moment().now;
         let raft = self.machine.raft();
         self.leaderless.update(now, raft.leader().is_some());
-        gauge!(metric::LEADS).set(f64::from(u8::from(raft.is_leader())));
+        gauge!(metric::IS_LEADER).set(f64::from(u8::from(raft.is_leader())));
         gauge!(metric::TERM).set(raft.term() as f64);
         gauge!(metric::COMMITTED).set(raft.committed() as f64);
     }
--- a/crates/control/src/server/fleet.rs
+++ b/crates/control/src/server/fleet.rs
@@ -89,7 +89,7 @@
             }
             // Acknowledged, because a document that names the service may follow soon.
             Call::Heartbeat(r) if !self.machine.state().names_service(&r.registration.service) => {
-                counter!(metric::UNNAMED).increment(1);
+                counter!(metric::UNKNOWN_SERVICES).increment(1);
                 let Registration { id, service, .. } = &r.registration;
                 emit!(Event::ServiceUnnamed, replica = id, service = service);
                 CallAnswer::Accepted
--- a/crates/router/src/gateway/follow.rs
+++ b/crates/router/src/gateway/follow.rs
@@ -73,7 +73,7 @@
             open: gw.is_open(),
             busy: gw.is_busy(),
         };
-        counter!(metric::QUESTIONS).increment(1);
+        counter!(metric::WATCH_REQUESTS).increment(1);
         let feed = gw.feeds.borrow().get(&to).copied().unwrap_or_default();
         let version = gw.documents.version_at(to);
         let fetch = gw.documents.part_request(to);
--- a/crates/router/src/gateway/notices.rs
+++ b/crates/router/src/gateway/notices.rs
@@ -113,7 +113,7 @@
             rest::RetryAfter::Invalid => self.log_invalid(to.replica, &request.inbound.id),
             rest::RetryAfter::Delay(span) => {
                 let outstanding = request.gw.back_off(&request.service, to.address, span);
-                counter!(metric::RESTS, "service" => request.service.clone()).increment(1);
+                counter!(metric::BACKOFFS, "service" => request.service.clone()).increment(1);
                 emit!(
                     Event::BackoffStarted,
                     replica = to.replica,
@@ -168,7 +168,7 @@
     /// Counts a send to a replica that is backing off or leaving.
     pub fn count_unwanted_send(&self, request: &RoutedRequest, to: &SendTarget, kind: SendKind) {
         if request.gw.is_backing_off(&request.service, to.address) {
-            counter!(metric::SENT_IN_REST, "try" => kind.label()).increment(1);
+            counter!(metric::SENT_IN_BACKOFF, "try" => kind.label()).increment(1);
         }
         if self.leaving.borrow().get(to.replica).is_some_and(|l| l.born == to.born) {
             counter!(metric::SENT_TO_LEAVING, "try" => kind.label()).increment(1);
--- a/crates/router/src/gateway/run.rs
+++ b/crates/router/src/gateway/run.rs
@@ -103,7 +103,7 @@
         gw.connections.remove_expired(Instant::now());
         gw.limits.remove_expired(&gw);
         gw.notices.remove_expired(&gw);
-        gauge!(metric::RESTING).set(gw.backing_off().len() as f64);
+        gauge!(metric::BACKING_OFF).set(gw.backing_off().len() as f64);
     }
 }
 
--- a/crates/router/src/gateway/server.rs
+++ b/crates/router/src/gateway/server.rs
@@ -68,7 +68,7 @@
             continue;
         }
         drop(listener);
-        counter!(metric::DOOR_CLOSED).increment(1);
+        counter!(metric::ACCEPT_PAUSES).increment(1);
         emit!(
             Event::LinkFull,
             used = gw.load_monitor.borrow().link_utilisation(),
--- a/crates/router/src/gateway/share.rs
+++ b/crates/router/src/gateway/share.rs
@@ -303,7 +303,7 @@
         let (now, clock) = (gw.now(), gw.clock);
         let addresses = self.addresses.borrow();
         if !self.announcement_limit.borrow_mut().try_take(now, addresses.len() as u64) {
-            return counter!(metric::UNTOLD).increment(1);
+            return counter!(metric::UNSHARED_PROMPTS).increment(1);
         }
         let ask = Ask::Share(body::pack(&PeerRequest::Placed(p)));
         for address in addresses.iter().copied() {
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -194,7 +194,7 @@
         let start = Instant::now();
         yield_now().await;
         let took = start.elapsed();
-        histogram!(metric::PASS).record(took);
+        histogram!(metric::QUEUE_DELAY).record(took);
         let now = self.now();
         let mut load_monitor = self.load_monitor.borrow_mut();
         load_monitor.record_pass(now, took.as_micros() as u64);
