--- a/crates/node/src/group.rs
+++ b/crates/node/src/group.rs
@@ -137,8 +137,8 @@
         self.inner.woken.notify_waiters();
     }
 
-    /// Waits before the next try of a call, until [`GroupClient::retry_now`] at the latest. Returns whether `retry_now`
-    /// was called since `wake_count` was read.
+    /// Waits before the next try of a call, at most until [`GroupClient::retry_now`] is called. Returns
+    /// whether it was called since `wake_count` was read.
     async fn pause(&self, wake_count: u64, pause: Duration) -> bool {
         if self.inner.wake_count.get() == wake_count {
             tokio::select! {
@@ -158,8 +158,8 @@
         body::unpack(&bytes).map_err(|_| Code::MessageBad)
     }
 
-    /// Like [`GroupClient::command`], but builds the command again for each try. For commands that contain the
-    /// current time.
+    /// Like [`GroupClient::command`], but builds the command again for each try. For commands that
+    /// contain the current time.
     pub async fn command_with(
         &self,
         build: impl Fn() -> Command,
