--- a/crates/router/src/token_store.rs
+++ b/crates/router/src/token_store.rs
@@ -108,7 +108,7 @@
     pub fn set_group_unreachable(&self, unreachable: bool) {
         if self.group_unreachable.replace(unreachable) && !unreachable {
             // The reserve is only for times when the group is unreachable.
-            self.reserve_slices.recall_all();
+            self.reserve_slices.return_all_idle();
             self.report_due.notify_one();
         }
     }
@@ -330,7 +330,7 @@
     /// Returns the idle tokens of the budgets for which `of` is true to the control group
     /// immediately.
     pub fn return_idle_where(&self, of: impl Fn(&str) -> bool) {
-        if self.group_slices.recall_where(of) {
+        if self.group_slices.return_idle_where(of) {
             self.report_due.notify_one();
         }
     }
@@ -369,14 +369,14 @@
 
     /// Returns the idle tokens of a budget to the control group immediately.
     pub fn return_idle(&self, budget: &str) {
-        self.group_slices.recall(budget);
+        self.group_slices.return_idle(budget);
         self.report_due.notify_one();
     }
 
     /// Returns all idle tokens to the control group and the reserve immediately.
     pub fn return_all_idle(&self) {
-        self.group_slices.recall_all();
-        self.reserve_slices.recall_all();
+        self.group_slices.return_all_idle();
+        self.reserve_slices.return_all_idle();
         self.report_due.notify_one();
     }
 
