--- a/crates/core/tests/escrow.rs
+++ b/crates/core/tests/escrow.rs
@@ -1,4 +1,5 @@
-//! The escrow between one ledger and its slice stores, under every fault of their exchange.
+//! Tests escrow between one ledger and its slice stores under message faults, pauses, restarts and
+//! clock drift.
 
 mod support;
 
@@ -9,41 +10,40 @@
 
 const TOTAL: u64 = 10_000;
 
-/// A router asks, spends and reports, and one thing goes wrong at one step. Whatever it is, what
-/// was consumed never exceeds the budget, and once the router is heard again the ledger knows
-/// exactly what was consumed.
+/// Guards against overspending and stranded tokens when a message of the exchange is lost.
 #[rstest]
 fn a_lost_message_costs_nothing(
     #[values(Step::AskSent, Step::AskAnswered, Step::ReportSent, Step::ReportAnswered)] step: Step,
     #[values(1, 3)] times: u32,
 ) {
     let mut e = Escrow::new(TOTAL, 2);
-    e.lose(step, times);
+    e.drop_messages(step, times);
     for n in 0..40 {
         e.spend(n % 2, 100, 90);
         e.exchange();
-        e.pass(Millis(300));
-        e.check();
+        e.advance(Millis(300));
+        e.assert_invariants();
     }
-    e.settle_all();
+    e.return_all();
     assert_eq!(e.ledger_spent(), e.consumed());
-    assert_eq!(e.ledger_open(), 0, "nothing is stranded once everybody was heard");
+    assert_eq!(e.ledger_open(), 0, "tokens are stranded after all routers reported");
 }
 
+/// Guards against counting a duplicate or reordered message.
 #[rstest]
 fn a_doubled_or_late_message_changes_nothing(
     #[values(Step::AskSent, Step::AskAnswered, Step::ReportSent, Step::ReportAnswered)] step: Step,
 ) {
     let mut e = Escrow::new(TOTAL, 2);
-    e.double(step);
+    e.duplicate_messages(step);
     for n in 0..40 {
         e.spend(n % 2, 100, 90);
         e.exchange();
-        e.pass(Millis(300));
-        e.replay_doubled();
-        e.check();
+        e.advance(Millis(300));
+        e.replay_duplicates();
+        e.assert_invariants();
     }
-    e.settle_all();
+    e.return_all();
     assert_eq!(e.ledger_spent(), e.consumed());
     assert_eq!(e.ledger_open(), 0);
 }
@@ -51,13 +51,13 @@
 #[test]
 fn a_grant_that_is_asked_for_again_is_one_lease() {
     let mut e = Escrow::new(TOTAL, 1);
-    e.lose(Step::AskAnswered, 1);
+    e.drop_messages(Step::AskAnswered, 1);
     e.spend(0, 500, 500);
     e.exchange();
     let open = e.ledger_open();
-    assert!(open > 0, "the grant was committed and its answer lost");
+    assert!(open > 0, "the grant is committed although its answer is lost");
     e.exchange();
-    assert_eq!(e.ledger_open() + e.ledger_spent(), open, "the resend found the same lease");
+    assert_eq!(e.ledger_open() + e.ledger_spent(), open, "the resend created another lease");
     assert_eq!(e.ledger_spent(), 500);
 }
 
@@ -72,17 +72,17 @@
     e.kill(1);
     e.drain_others(1);
     assert!(e.consumed() <= TOTAL);
-    assert!(e.ledger_spent() + held >= TOTAL - 200, "the rest was usable by the others");
-    e.pass(Millis::seconds(100_000));
-    assert_eq!(e.stranded(), held, "it counts as spent until somebody vouches for it");
+    assert!(e.ledger_spent() + held >= TOTAL - 200, "the others cannot spend the rest");
+    e.advance(Millis::seconds(100_000));
+    assert_eq!(e.stranded(), held, "expiry alone must not free it");
     let freed = e.release(1);
     assert_eq!(freed, held);
     e.drain_others(1);
     assert!(e.consumed() <= TOTAL);
 }
 
-/// A restarted router has the same address and another registration: its predecessor's lease is
-/// not its own, neither to spend nor to report on.
+/// Guards against a restarted router, which has another registration, spending or reporting on its
+/// predecessor's lease.
 #[test]
 fn a_restarted_router_owns_nothing_of_its_predecessors() {
     let mut e = Escrow::new(TOTAL, 2);
@@ -91,36 +91,36 @@
     let held = e.held_by(0);
     let old = e.restart(0);
     assert_eq!(e.idle(0), 0);
-    assert!(!e.report_as_other(0, old), "a report on another's lease is refused");
+    assert!(!e.report_as(0, old), "a report on another holder's lease is refused");
     e.spend(0, 100, 100);
     e.exchange();
-    e.settle_all();
-    e.check();
+    e.return_all();
+    e.assert_invariants();
     assert_eq!(e.stranded_or_open(), held);
 }
 
-/// A router is paused with a stream open, its lease ends, and it is resumed: what it had reserved
-/// may still be spent, nothing new starts, and its report brings the rest back.
+/// Guards against new reservations on leases that ended while the router was paused; a running
+/// request may still spend its reservation.
 #[test]
 fn a_router_paused_past_its_leases_end_spends_only_what_it_had_reserved() {
     let mut e = Escrow::new(TOTAL, 2);
     let open = e.reserve(0, 400).expect("fits");
     e.exchange();
     e.pause(0);
-    e.pass(Millis::seconds(100_000));
+    e.advance(Millis::seconds(100_000));
     e.drain_others(0);
-    e.check();
+    e.assert_invariants();
     e.settle(0, open, 400);
-    assert!(e.reserve_without_asking(0, 1).is_none(), "its slices have ended");
-    e.check();
+    assert!(e.try_reserve(0, 1).is_none(), "its slices have ended");
+    e.assert_invariants();
     e.resume(0);
-    e.settle_all();
+    e.return_all();
     assert_eq!(e.ledger_spent(), e.consumed());
     assert_eq!(e.ledger_open(), 0);
 }
 
-/// Clocks that run 10 in 100 fast or slow: no holder starts on a lease that its grantor takes for
-/// ended.
+/// Guards against a holder that starts requests on a lease that has ended at its grantor, with
+/// clocks up to 10% fast or slow.
 #[rstest]
 fn a_holder_stops_before_its_grantor_gives_up(
     #[values(90, 100, 110)] holder: u64,
@@ -131,19 +131,22 @@
     e.exchange();
     e.pause(0);
     for _ in 0..400 {
-        e.pass(Millis::seconds(30));
-        let starts = e.reserve_without_asking(0, 1).is_some();
-        assert!(!(starts && e.stranded() > 0), "started on an ended lease at {:?}", e.now());
+        e.advance(Millis::seconds(30));
+        let starts = e.try_reserve(0, 1).is_some();
+        assert!(
+            !(starts && e.stranded() > 0),
+            "a request started on an ended lease at {:?}",
+            e.now()
+        );
     }
 }
 
-/// An old leader that still thinks it leads decides on a copy of the ledger; without a quorum its
-/// decisions are never committed, so no slice store ever sees them.
+/// Guards against spending on a grant of a deposed leader, which has no quorum to commit it.
 #[test]
 fn an_uncommitted_grant_is_no_grant() {
     let mut e = Escrow::new(TOTAL, 1);
     let copy = e.ledger_copy();
-    e.ask_on(copy, 0, 5_000);
+    e.request_lease_from(copy, 0, 5_000);
     assert_eq!(e.idle(0), 0);
     assert_eq!(e.ledger_open(), 0);
 }
@@ -152,7 +155,7 @@
 #[case::used_above_keep(700, 600, 600)]
 #[case::keep_above_grant(10, 1_000_000, 10)]
 #[case::keep_below_used(600, 0, 600)]
-fn a_report_out_of_bounds_is_bounded(#[case] used: u64, #[case] keep: u64, #[case] spent: u64) {
+fn an_out_of_range_report_is_clamped(#[case] used: u64, #[case] keep: u64, #[case] spent: u64) {
     let mut e = Escrow::new(TOTAL, 1);
     let lease = e.grant_exactly(0, 600);
     e.report(0, lease, used, keep);
@@ -160,7 +163,7 @@
     assert!(e.is_consistent());
 }
 
-/// The last 1,000 tokens lie scattered over 8 routers and one request needs 900.
+/// Guards against refusing a request of 900 tokens while 8 routers hold 1,000 idle ones.
 #[test]
 fn scattered_tokens_are_called_back_before_a_refusal() {
     let mut e = Escrow::new(1_000, 8);
@@ -168,9 +171,9 @@
         e.force_slice(n, 125);
     }
     assert_eq!(e.ledger_free(), 0);
-    let (_, waited) = e.reserve_with_recalls(3, 900, Millis(1_000)).expect("they are there");
-    assert!(waited <= Millis(100), "it took {waited:?}");
-    e.check();
+    let (_, waited) = e.reserve_with_recalls(3, 900, Millis(1_000)).expect("idle tokens suffice");
+    assert!(waited <= Millis(100), "the recall took {waited:?}");
+    e.assert_invariants();
 }
 
 #[test]
@@ -179,21 +182,23 @@
     for n in 0..4 {
         e.force_slice(n, 250);
     }
-    let busy = e.reserve(0, 200).expect("own slice");
-    let patience = Millis(3_000);
-    let waiting = e.reserve_with_recalls(1, 900, patience).map(|_| ());
-    assert_eq!(waiting, Err(Shortage::Busy(Millis(250))), "a running request may leave some");
+    let busy = e.reserve(0, 200).expect("fits its slice");
+    let timeout = Millis(3_000);
+    let waiting = e.reserve_with_recalls(1, 900, timeout).map(|_| ());
+    assert_eq!(waiting, Err(Shortage::Busy(Millis(250))), "a running request may return tokens");
     e.settle(0, busy, 0);
     e.exchange();
-    assert!(e.reserve_with_recalls(1, 900, patience).is_ok(), "what was reserved came back");
+    assert!(
+        e.reserve_with_recalls(1, 900, timeout).is_ok(),
+        "the unspent reservation is available again"
+    );
     let mut e = Escrow::new(1_000, 4);
     e.spend(0, 200, 200);
     e.exchange();
-    assert_eq!(e.reserve_with_recalls(1, 900, patience).map(|_| ()), Err(Shortage::Spent));
+    assert_eq!(e.reserve_with_recalls(1, 900, timeout).map(|_| ()), Err(Shortage::Spent));
 }
 
-/// What a dead router holds cannot be called back: the caller is told so after the time that an
-/// answer may take, and not held to its deadline.
+/// Guards against waiting until the caller's deadline for a recall that a dead router cannot answer.
 #[test]
 fn a_holder_that_does_not_answer_is_not_waited_for() {
     let mut e = Escrow::new(1_000, 2);
@@ -203,57 +208,59 @@
     let refused = e.reserve_with_recalls(1, 900, Millis::seconds(60)).map(|_| ());
     assert_eq!(refused, Err(Shortage::Away(Millis(10_000))));
     assert!(e.now().since(start) <= Millis(1_100), "{:?}", e.now().since(start));
-    assert!(e.reserve_with_recalls(1, 400, Millis(1_000)).is_ok(), "what is free is still given");
+    assert!(e.reserve_with_recalls(1, 400, Millis(1_000)).is_ok(), "free tokens are still granted");
 }
 
-/// A large request that waits for running ones does not keep small ones from what is free.
+/// Guards against a large request that blocks small ones for longer than the recall timeout.
 #[test]
 fn a_recall_keeps_others_out_for_a_second_only() {
     let mut e = Escrow::new(1_000, 3);
     e.force_slice(0, 600);
-    let running = e.reserve(0, 600).expect("own slice");
+    let running = e.reserve(0, 600).expect("fits its slice");
     assert!(e.reserve_with_recalls(1, 900, Millis(500)).is_err());
-    assert_eq!(e.ask(2, 100), Err(Shortage::Busy(Millis(50))), "the recall goes first");
+    assert_eq!(
+        e.request_lease(2, 100),
+        Err(Shortage::Busy(Millis(50))),
+        "the recall blocks other requests"
+    );
     assert!(e.reserve_with_recalls(1, 900, Millis(2_000)).is_err());
-    assert!(e.ask(2, 100).is_ok());
+    assert!(e.request_lease(2, 100).is_ok());
     e.settle(0, running, 600);
-    e.check();
+    e.assert_invariants();
 }
 
-/// While one ask has tokens called back, another that all open tokens together could not meet is
-/// told so at once: it does not wait for the other's turn.
+/// Guards against a request that exceeds all open tokens waiting for another request's recall
+/// instead of being refused at once.
 #[test]
 fn an_ask_that_nothing_can_meet_does_not_wait_for_a_recall() {
     let mut e = Escrow::new(1_000, 3);
     e.force_slice(0, 600);
-    e.reserve(0, 600).expect("own slice");
-    assert_eq!(e.ask(1, 900), Err(Shortage::Busy(Millis(50))), "the recall begins");
-    assert_eq!(e.ask(2, 1_001), Err(Shortage::Spent));
+    e.reserve(0, 600).expect("fits its slice");
+    assert_eq!(e.request_lease(1, 900), Err(Shortage::Busy(Millis(50))), "the recall starts");
+    assert_eq!(e.request_lease(2, 1_001), Err(Shortage::Spent));
 }
 
-/// Once what was called back is known to be too little, its asker has been told so, and nobody
-/// waits for its turn any more. Seen as one gateway's requests that were refused as spent while
-/// the next gateway's were told to come back.
+/// Guards against a recall that still blocks other requests after its own request was refused.
 #[test]
 fn a_recall_ends_with_its_refusal() {
     let mut e = Escrow::new(1_000, 3);
     e.force_slice(0, 600);
-    let running = e.reserve(0, 600).expect("own slice");
-    assert_eq!(e.ask(1, 900), Err(Shortage::Busy(Millis(50))), "the recall begins");
+    let running = e.reserve(0, 600).expect("fits its slice");
+    assert_eq!(e.request_lease(1, 900), Err(Shortage::Busy(Millis(50))), "the recall starts");
     e.settle(0, running, 600);
     e.report_all(0);
-    assert_eq!(e.ask(1, 900), Err(Shortage::Spent));
-    assert!(e.ask(2, 100).is_ok(), "what is free is given at once");
-    e.check();
+    assert_eq!(e.request_lease(1, 900), Err(Shortage::Spent));
+    assert!(e.request_lease(2, 100).is_ok(), "free tokens are granted at once");
+    e.assert_invariants();
 }
 
 #[test]
 fn a_top_up_in_the_moment_of_refusal_lets_the_next_ask_through() {
     let mut e = Escrow::new(100, 1);
-    let patience = Millis(1_000);
-    assert_eq!(e.reserve_with_recalls(0, 500, patience).map(|_| ()), Err(Shortage::Spent));
+    let timeout = Millis(1_000);
+    assert_eq!(e.reserve_with_recalls(0, 500, timeout).map(|_| ()), Err(Shortage::Spent));
     e.fund(1_000);
-    assert!(e.reserve_with_recalls(0, 500, patience).is_ok());
+    assert!(e.reserve_with_recalls(0, 500, timeout).is_ok());
 }
 
 #[test]
@@ -264,16 +271,16 @@
     }
     e.spend(0, 500, 500);
     e.fund(1_000);
-    assert!(e.ask(1, 100).is_err(), "nothing is free");
+    assert!(e.request_lease(1, 100).is_err(), "nothing is free");
     e.exchange();
-    assert!(e.ledger_open() == 0, "idle tokens went back: {}", e.ledger_open());
+    assert!(e.ledger_open() == 0, "idle tokens are not returned: {}", e.ledger_open());
     assert_eq!(e.ledger_free(), 500);
     e.drain_others(9);
     assert!(e.consumed() <= 1_000);
 }
 
 #[test]
-fn slices_shrink_as_the_rest_does() {
+fn slice_size_shrinks_with_the_free_tokens() {
     let mut e = Escrow::new(64_000, 8);
     let mut last = u64::MAX;
     for budget in [4_000, 1_000, 400] {
@@ -281,22 +288,22 @@
         for n in 0..8 {
             e.force_slice(n, 10);
         }
-        let got = e.ask(0, 10).map(|g| g.amount).unwrap();
+        let got = e.request_lease(0, 10).map(|g| g.amount).unwrap();
         assert!(got < last, "{got} of {budget}");
         assert!(got <= budget / 8, "{got} of {budget}");
         last = got;
     }
-    e.check();
+    e.assert_invariants();
 }
 
 #[test]
-fn idle_slices_go_back_by_themselves() {
+fn idle_slices_are_returned_when_unused() {
     let mut e = Escrow::new(TOTAL, 2);
     e.spend(0, 100, 100);
     e.exchange();
     assert!(e.ledger_open() > 0);
     for _ in 0..60 {
-        e.pass(Millis::seconds(4));
+        e.advance(Millis::seconds(4));
         e.exchange();
     }
     assert_eq!(e.ledger_open(), 0);
@@ -304,7 +311,7 @@
     assert!(e.now() > Time(0));
 }
 
-/// Reports that overtake each other: the newest word counts, whatever comes after it.
+/// Guards against an older report that arrives late and overwrites a newer one.
 #[test]
 fn an_older_report_changes_nothing_after_a_newer_one() {
     let mut e = Escrow::new(TOTAL, 1);
@@ -314,5 +321,9 @@
     e.report(0, lease, 20, 600);
     assert_eq!((e.ledger_spent(), e.ledger_open()), (spent, open));
     assert!(e.is_consistent());
-    assert_eq!(e.ledger_free(), TOTAL - 100, "what was handed back may be with another by now");
+    assert_eq!(
+        e.ledger_free(),
+        TOTAL - 100,
+        "returned tokens may already be leased to another holder"
+    );
 }
--- a/crates/core/tests/support/escrow.rs
+++ b/crates/core/tests/support/escrow.rs
@@ -1,4 +1,4 @@
-//! One ledger and its slice stores, with an exchange whose steps can fail.
+//! Simulates one ledger and its routers' slice stores, with message faults, pauses and restarts.
 
 use cypressfork_core::budget::{
     Decision, Grant, LeaseRequest, Ledger, Policy, Report, Reservation, Shortage, SliceStore,
@@ -7,7 +7,7 @@
 
 pub const BUDGET: &str = "club-talk";
 
-/// A step of the exchange.
+/// A message of the exchange between a router and the ledger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     AskSent,
@@ -16,35 +16,39 @@
     ReportAnswered,
 }
 
-/// A message that is kept to be delivered a second time.
-enum Copy {
-    Ask(LeaseRequest),
+/// A copy of a delivered message, for a second delivery.
+enum Duplicate {
+    Request(LeaseRequest),
     Answer(usize, u64, Decision),
     Report(usize, Vec<Report>),
     Ack(usize, Time, Vec<(Report, bool)>),
 }
 
+/// A router's process.
 struct Node {
     holder: HolderId,
     slices: SliceStore,
     alive: bool,
     paused: bool,
-    /// What a request waits for.
+    /// The waiting request: the tokens it reserves and the tokens it then spends.
     waiting: Option<(u64, u64)>,
 }
 
+/// One budget's ledger and the routers that lease from it.
 pub struct Escrow {
     ledger: Ledger,
     nodes: Vec<Node>,
     now: Time,
-    /// Percent of true time that the holders' and the grantor's clocks show.
+    /// Clock speeds of the holders and the grantor, in percent of true time.
     clocks: (u64, u64),
     index: u64,
     holders: u64,
     consumed: u64,
-    lose: Option<(Step, u32)>,
-    double: Option<Step>,
-    copies: Vec<Copy>,
+    /// The message to lose, and how many more times.
+    drop_rule: Option<(Step, u32)>,
+    /// The message to record for a second delivery.
+    duplicate_step: Option<Step>,
+    duplicates: Vec<Duplicate>,
 }
 
 impl Escrow {
@@ -52,6 +56,8 @@
         Escrow::start(total, routers, (100, 100))
     }
 
+    /// Creates one router whose clock and whose grantor's clock run at these percentages of true
+    /// time.
     pub fn with_clocks(total: u64, holder: u64, grantor: u64) -> Escrow {
         Escrow::start(total, 1, (holder, grantor))
     }
@@ -67,24 +73,24 @@
             index: 0,
             holders: 0,
             consumed: 0,
-            lose: None,
-            double: None,
-            copies: Vec::new(),
+            drop_rule: None,
+            duplicate_step: None,
+            duplicates: Vec::new(),
         };
         for _ in 0..routers {
-            let n = e.node();
+            let n = e.new_node();
             e.nodes.push(n);
         }
         e
     }
 
-    fn node(&mut self) -> Node {
+    fn new_node(&mut self) -> Node {
         self.holders += 1;
         let slices = SliceStore::new(policy(), 0);
         Node { holder: HolderId(self.holders), slices, alive: true, paused: false, waiting: None }
     }
 
-    fn id(&mut self) -> LeaseId {
+    fn next_lease_id(&mut self) -> LeaseId {
         self.index += 1;
         LeaseId { term: 1, index: self.index }
     }
@@ -101,20 +107,23 @@
         self.now
     }
 
-    pub fn pass(&mut self, span: Millis) {
+    /// Advances true time.
+    pub fn advance(&mut self, span: Millis) {
         self.now = self.now.after(span);
     }
 
-    pub fn lose(&mut self, step: Step, times: u32) {
-        self.lose = Some((step, times));
+    /// Loses the next `times` messages of this step.
+    pub fn drop_messages(&mut self, step: Step, times: u32) {
+        self.drop_rule = Some((step, times));
     }
 
-    pub fn double(&mut self, step: Step) {
-        self.double = Some(step);
+    /// Records every message of this step for [`Escrow::replay_duplicates`].
+    pub fn duplicate_messages(&mut self, step: Step) {
+        self.duplicate_step = Some(step);
     }
 
-    fn lost(&mut self, step: Step) -> bool {
-        match &mut self.lose {
+    fn should_drop(&mut self, step: Step) -> bool {
+        match &mut self.drop_rule {
             Some((s, n)) if *s == step && *n > 0 => {
                 *n -= 1;
                 true
@@ -123,32 +132,34 @@
         }
     }
 
-    /// A request on router `n` that reserves `bound` and uses `used`; it waits if it must.
+    /// Starts a request on router `n` that reserves `bound` tokens and spends `used`. Without enough
+    /// idle tokens it waits for the next exchange.
     pub fn spend(&mut self, n: usize, bound: u64, used: u64) {
         self.nodes[n].waiting = Some((bound, used));
-        self.start_waiting(n);
+        self.retry_waiting(n);
     }
 
-    fn start_waiting(&mut self, n: usize) {
+    fn retry_waiting(&mut self, n: usize) {
         let Some((bound, used)) = self.nodes[n].waiting else { return };
-        if let Some(r) = self.reserve_without_asking(n, bound) {
+        if let Some(r) = self.try_reserve(n, bound) {
             self.nodes[n].waiting = None;
             self.settle(n, r, used);
         }
     }
 
-    pub fn reserve_without_asking(&mut self, n: usize, bound: u64) -> Option<Reservation> {
+    /// Reserves from the slices that router `n` holds, without requesting a lease.
+    pub fn try_reserve(&mut self, n: usize, bound: u64) -> Option<Reservation> {
         let now = self.holder_now();
         self.nodes[n].slices.reserve(now, bound)
     }
 
-    /// Reserves, with one ask if it must.
+    /// Reserves, after one lease request if the slices do not suffice.
     pub fn reserve(&mut self, n: usize, bound: u64) -> Option<Reservation> {
-        if let Some(r) = self.reserve_without_asking(n, bound) {
+        if let Some(r) = self.try_reserve(n, bound) {
             return Some(r);
         }
-        self.ask(n, bound).ok()?;
-        self.reserve_without_asking(n, bound)
+        self.request_lease(n, bound).ok()?;
+        self.try_reserve(n, bound)
     }
 
     pub fn settle(&mut self, n: usize, r: Reservation, used: u64) {
@@ -156,48 +167,49 @@
         self.consumed += self.nodes[n].slices.settle(now, r, used);
     }
 
-    /// One ask without faults.
-    pub fn ask(&mut self, n: usize, need: u64) -> Decision {
+    /// Requests a lease, without message faults.
+    pub fn request_lease(&mut self, n: usize, need: u64) -> Decision {
         let now = self.holder_now();
         let holder = self.nodes[n].holder;
-        let Some(ask) = self.nodes[n].slices.next_request(now, holder, BUDGET, need) else {
+        let Some(request) = self.nodes[n].slices.next_request(now, holder, BUDGET, need) else {
             return Err(Shortage::Busy(Millis(1)));
         };
-        let id = self.id();
-        let decision = self.ledger.request_lease(self.grantor_now(), id, &ask).unwrap();
-        self.nodes[n].slices.apply_decision(ask.seq, &decision);
+        let id = self.next_lease_id();
+        let decision = self.ledger.request_lease(self.grantor_now(), id, &request).unwrap();
+        self.nodes[n].slices.apply_decision(request.seq, &decision);
         decision
     }
 
-    /// An ask decided on another ledger, whose answer never arrives.
-    pub fn ask_on(&mut self, mut other: Ledger, n: usize, need: u64) {
+    /// Requests a lease from another ledger; the granted answer never arrives.
+    pub fn request_lease_from(&mut self, mut other: Ledger, n: usize, need: u64) {
         let now = self.holder_now();
         let holder = self.nodes[n].holder;
-        let ask = self.nodes[n].slices.next_request(now, holder, BUDGET, need).unwrap();
-        let id = self.id();
-        assert!(other.request_lease(self.grantor_now(), id, &ask).unwrap().is_ok());
+        let request = self.nodes[n].slices.next_request(now, holder, BUDGET, need).unwrap();
+        let id = self.next_lease_id();
+        assert!(other.request_lease(self.grantor_now(), id, &request).unwrap().is_ok());
     }
 
     pub fn ledger_copy(&self) -> Ledger {
         self.ledger.clone()
     }
 
-    /// Asks, recalls and asks again until it fits or is refused. Returns how long it took.
+    /// Requests leases and answers recalls until the reservation succeeds, is refused, or has waited
+    /// for `timeout`. Returns the reservation and the time it took.
     pub fn reserve_with_recalls(
         &mut self,
         n: usize,
         bound: u64,
-        patience: Millis,
+        timeout: Millis,
     ) -> Result<(Reservation, Millis), Shortage> {
         let start = self.now;
         loop {
-            if let Some(r) = self.reserve_without_asking(n, bound) {
+            if let Some(r) = self.try_reserve(n, bound) {
                 return Ok((r, self.now.since(start)));
             }
-            match self.ask(n, bound) {
+            match self.request_lease(n, bound) {
                 Ok(_) => {}
-                Err(Shortage::Busy(span)) if self.now.since(start) < patience => {
-                    self.pass(span);
+                Err(Shortage::Busy(span)) if self.now.since(start) < timeout => {
+                    self.advance(span);
                     self.recall_all();
                 }
                 Err(s) => return Err(s),
@@ -205,23 +217,24 @@
         }
     }
 
+    /// Lets every live router that has a recall pending return its idle tokens.
     fn recall_all(&mut self) {
         for n in 0..self.nodes.len() {
             let holder = self.nodes[n].holder;
-            let due = self.ledger.recalls(self.grantor_now(), holder).count() > 0;
-            if due && self.nodes[n].alive && !self.nodes[n].paused {
+            let recalled = self.ledger.recalls(self.grantor_now(), holder).count() > 0;
+            if recalled && self.nodes[n].alive && !self.nodes[n].paused {
                 self.nodes[n].slices.return_idle();
                 self.report_all(n);
             }
         }
     }
 
-    /// One round between every live router and the ledger.
+    /// Runs one round of lease requests, reports and recalls for every live router.
     pub fn exchange(&mut self) {
         for n in 0..self.nodes.len() {
             if self.nodes[n].alive && !self.nodes[n].paused {
-                self.ask_with_faults(n);
-                self.start_waiting(n);
+                self.request_lease_with_faults(n);
+                self.retry_waiting(n);
             }
         }
         for n in 0..self.nodes.len() {
@@ -234,49 +247,49 @@
         self.recall_all();
     }
 
-    fn ask_with_faults(&mut self, n: usize) {
+    fn request_lease_with_faults(&mut self, n: usize) {
         let now = self.holder_now();
         let need = self.nodes[n].waiting.map_or(0, |w| w.0);
         let holder = self.nodes[n].holder;
         if need == 0 && !self.nodes[n].slices.is_low(now) {
             return;
         }
-        let Some(ask) = self.nodes[n].slices.next_request(now, holder, BUDGET, need) else {
+        let Some(request) = self.nodes[n].slices.next_request(now, holder, BUDGET, need) else {
             return;
         };
-        if self.lost(Step::AskSent) {
+        if self.should_drop(Step::AskSent) {
             return;
         }
-        if self.double == Some(Step::AskSent) {
-            self.copies.push(Copy::Ask(ask.clone()));
+        if self.duplicate_step == Some(Step::AskSent) {
+            self.duplicates.push(Duplicate::Request(request.clone()));
         }
-        let id = self.id();
-        let decision = self.ledger.request_lease(self.grantor_now(), id, &ask).unwrap();
-        if self.lost(Step::AskAnswered) {
+        let id = self.next_lease_id();
+        let decision = self.ledger.request_lease(self.grantor_now(), id, &request).unwrap();
+        if self.should_drop(Step::AskAnswered) {
             return;
         }
-        if self.double == Some(Step::AskAnswered) {
-            self.copies.push(Copy::Answer(n, ask.seq, decision));
+        if self.duplicate_step == Some(Step::AskAnswered) {
+            self.duplicates.push(Duplicate::Answer(n, request.seq, decision));
         }
-        self.nodes[n].slices.apply_decision(ask.seq, &decision);
+        self.nodes[n].slices.apply_decision(request.seq, &decision);
     }
 
-    /// Router `n` reports on all that has changed.
+    /// Sends the pending reports of router `n`.
     pub fn report_all(&mut self, n: usize) {
         let now = self.holder_now();
         let reports = self.nodes[n].slices.reports(now);
-        if reports.is_empty() || self.lost(Step::ReportSent) {
+        if reports.is_empty() || self.should_drop(Step::ReportSent) {
             return;
         }
-        if self.double == Some(Step::ReportSent) {
-            self.copies.push(Copy::Report(n, reports.clone()));
+        if self.duplicate_step == Some(Step::ReportSent) {
+            self.duplicates.push(Duplicate::Report(n, reports.clone()));
         }
         let acks = self.deliver(n, &reports);
-        if self.lost(Step::ReportAnswered) {
+        if self.should_drop(Step::ReportAnswered) {
             return;
         }
-        if self.double == Some(Step::ReportAnswered) {
-            self.copies.push(Copy::Ack(n, now, acks.clone()));
+        if self.duplicate_step == Some(Step::ReportAnswered) {
+            self.duplicates.push(Duplicate::Ack(n, now, acks.clone()));
         }
         for (r, known) in acks {
             self.nodes[n].slices.acknowledge(now, &r, known);
@@ -288,21 +301,22 @@
         reports.iter().map(|r| (*r, self.ledger.report(now, holder, r))).collect()
     }
 
-    /// Delivers every kept message a second time, the newest first.
-    pub fn replay_doubled(&mut self) {
-        for c in std::mem::take(&mut self.copies).into_iter().rev() {
+    /// Delivers every recorded message a second time, newest first.
+    pub fn replay_duplicates(&mut self) {
+        for c in std::mem::take(&mut self.duplicates).into_iter().rev() {
             match c {
-                Copy::Ask(ask) => {
-                    let id = self.id();
-                    let decision = self.ledger.request_lease(self.grantor_now(), id, &ask).unwrap();
-                    let n = self.nodes.iter().position(|n| n.holder == ask.holder).unwrap();
-                    self.nodes[n].slices.apply_decision(ask.seq, &decision);
+                Duplicate::Request(request) => {
+                    let id = self.next_lease_id();
+                    let decision =
+                        self.ledger.request_lease(self.grantor_now(), id, &request).unwrap();
+                    let n = self.nodes.iter().position(|n| n.holder == request.holder).unwrap();
+                    self.nodes[n].slices.apply_decision(request.seq, &decision);
                 }
-                Copy::Answer(n, seq, d) => self.nodes[n].slices.apply_decision(seq, &d),
-                Copy::Report(n, reports) => {
+                Duplicate::Answer(n, seq, d) => self.nodes[n].slices.apply_decision(seq, &d),
+                Duplicate::Report(n, reports) => {
                     self.deliver(n, &reports);
                 }
-                Copy::Ack(n, sent, acks) => {
+                Duplicate::Ack(n, sent, acks) => {
                     for (r, known) in acks {
                         self.nodes[n].slices.acknowledge(sent, &r, known);
                     }
@@ -311,12 +325,12 @@
         }
     }
 
-    /// Lets every live router hand everything back.
-    pub fn settle_all(&mut self) {
+    /// Lets every live router report and return all idle tokens.
+    pub fn return_all(&mut self) {
         for _ in 0..8 {
             for n in 0..self.nodes.len() {
                 if self.nodes[n].alive && !self.nodes[n].paused {
-                    self.ask_with_faults(n);
+                    self.request_lease_with_faults(n);
                     self.nodes[n].waiting = None;
                     self.nodes[n].slices.return_idle();
                     self.report_all(n);
@@ -325,12 +339,12 @@
         }
     }
 
-    /// Everybody but `except` spends as much as can be had, in requests of 50.
+    /// Spends as much as possible on all routers but `except`, in requests of 50 tokens.
     pub fn drain_others(&mut self, except: usize) {
         for n in (0..self.nodes.len()).filter(|n| *n != except) {
             while let Ok((r, _)) = self.reserve_with_recalls(n, 50, Millis(5_000)) {
                 self.settle(n, r, 50);
-                self.check();
+                self.assert_invariants();
             }
             self.report_all(n);
         }
@@ -348,18 +362,21 @@
         self.nodes[n].paused = false;
     }
 
-    /// Replaces a router's process; returns a report that the old one would make.
+    /// Replaces the process of router `n`. Returns a report of the old process.
     pub fn restart(&mut self, n: usize) -> Report {
         let old = self.nodes[n].slices.reports(Time(u64::MAX))[0];
-        self.nodes[n] = self.node();
+        self.nodes[n] = self.new_node();
         old
     }
 
-    pub fn report_as_other(&mut self, n: usize, r: Report) -> bool {
+    /// Sends a report under the registration of router `n`. Returns whether the ledger knows the
+    /// lease as its own.
+    pub fn report_as(&mut self, n: usize, r: Report) -> bool {
         let (now, holder) = (self.grantor_now(), self.nodes[n].holder);
         self.ledger.report(now, holder, &r)
     }
 
+    /// Releases all leases of router `n`. Returns the freed tokens.
     pub fn release(&mut self, n: usize) -> u64 {
         let holder = self.nodes[n].holder;
         let f = self.ledger.get(BUDGET).unwrap();
@@ -368,17 +385,18 @@
         ids.into_iter().filter_map(|id| self.ledger.release(id)).sum()
     }
 
-    /// A lease of exactly this size, not in any slice store.
+    /// Grants a lease of exactly this size that no slice store receives.
     pub fn grant_exactly(&mut self, n: usize, amount: u64) -> LeaseId {
-        let ask = LeaseRequest {
+        let request = LeaseRequest {
             holder: self.nodes[n].holder,
             budget: BUDGET.to_owned(),
             seq: 1_000_000 + self.index,
             need: amount,
             want: amount,
         };
-        let id = self.id();
-        let g: Grant = self.ledger.request_lease(self.grantor_now(), id, &ask).unwrap().unwrap();
+        let id = self.next_lease_id();
+        let g: Grant =
+            self.ledger.request_lease(self.grantor_now(), id, &request).unwrap().unwrap();
         assert_eq!(g.amount, amount);
         g.lease
     }
@@ -387,12 +405,12 @@
     pub fn force_slice(&mut self, n: usize, amount: u64) {
         let now = self.holder_now();
         let holder = self.nodes[n].holder;
-        let mut ask = self.nodes[n].slices.next_request(now, holder, BUDGET, amount).unwrap();
-        ask.need = amount;
-        ask.want = amount;
-        let id = self.id();
-        let d = self.ledger.request_lease(self.grantor_now(), id, &ask).unwrap();
-        self.nodes[n].slices.apply_decision(ask.seq, &d);
+        let mut request = self.nodes[n].slices.next_request(now, holder, BUDGET, amount).unwrap();
+        request.need = amount;
+        request.want = amount;
+        let id = self.next_lease_id();
+        let d = self.ledger.request_lease(self.grantor_now(), id, &request).unwrap();
+        self.nodes[n].slices.apply_decision(request.seq, &d);
         assert_eq!(d.unwrap().amount, amount);
     }
 
@@ -443,12 +461,12 @@
         self.ledger.consistent()
     }
 
-    /// What must hold at every moment.
-    pub fn check(&self) {
+    /// Asserts that the ledger is consistent and covers all consumption.
+    pub fn assert_invariants(&self) {
         assert!(self.is_consistent());
         let f = self.ledger.get(BUDGET).unwrap();
-        assert!(f.spent() <= self.consumed, "the ledger shows more than was consumed");
-        assert!(self.consumed <= f.spent() + f.open(), "consumed beyond what was leased");
+        assert!(f.spent() <= self.consumed, "the ledger counts more than was consumed");
+        assert!(self.consumed <= f.spent() + f.open(), "more was consumed than was leased");
     }
 }
 
--- a/crates/core/tests/support/golden.rs
+++ b/crates/core/tests/support/golden.rs
@@ -1,25 +1,28 @@
-//! Golden files of whole sessions: what was done and what came of it, line by line.
+//! Transcripts of test sessions and their comparison with golden files.
 
 use std::fmt::Debug;
 use std::path::Path;
 use std::{env, fs};
 
-/// A transcript that is compared with a file under `tests/golden`.
+/// A transcript of inputs and outputs that is compared with a file under `tests/golden`.
 #[derive(Default)]
 pub struct Session {
     text: String,
 }
 
 impl Session {
+    /// Appends a comment line.
     pub fn say(&mut self, line: &str) {
         self.text += &format!("# {line}\n");
     }
 
-    pub fn note<A: Debug, B: Debug>(&mut self, did: A, came: B) {
-        self.text += &format!("{did:?}\n    => {came:?}\n");
+    /// Appends an input and its output.
+    pub fn note<A: Debug, B: Debug>(&mut self, input: A, output: B) {
+        self.text += &format!("{input:?}\n    => {output:?}\n");
     }
 
-    /// Compares with the file; with `UPDATE_GOLDEN` set, writes it instead.
+    /// Asserts that the transcript equals the golden file. If `UPDATE_GOLDEN` is set, overwrites the
+    /// file first.
     pub fn check(self, name: &str) {
         let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
         if env::var_os("UPDATE_GOLDEN").is_some() {
@@ -27,6 +30,6 @@
             fs::write(&path, &self.text).unwrap();
         }
         let want = fs::read_to_string(&path).unwrap_or_default();
-        assert!(want == self.text, "the session differs from {name}:\n{}", self.text);
+        assert!(want == self.text, "the transcript differs from {name}:\n{}", self.text);
     }
 }
--- a/crates/core/tests/support/mod.rs
+++ b/crates/core/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Helpers of the core's tests.
+//! Helpers shared by the tests of the core crate.
 
 #![allow(dead_code, missing_docs)]
 
