--- a/crates/core/tests/bound.rs
+++ b/crates/core/tests/bound.rs
@@ -1,4 +1,4 @@
-//! A holder that binds itself: what its death leaves free was never spent.
+//! Tests spending bounds: writing off a dead holder never frees tokens that it may have spent.
 
 use std::collections::BTreeMap;
 
@@ -23,7 +23,8 @@
     Some(Millis(ms))
 }
 
-/// Reports as (seq, after, bound); then how long ago the last two were taken.
+/// Guards against a write-off that underestimates unreported spending. Reports are (seq, after,
+/// bound); `last` and `before` are the ages of the last two.
 #[rstest]
 #[case::nothing_told(&[], (span(0), span(0)), 0)]
 #[case::one_told(&[(1, 0, bound(10, 100, 0))], (span(5_000), span(9_000)), 90)]
@@ -47,56 +48,59 @@
     #[case] unreported: Tokens,
 ) {
     let mut b = Bounds::default();
-    for (seq, after, word) in reports {
-        b.record(HolderId(1), Time(1), *seq, *after, std::slice::from_ref(word));
+    for (seq, after, reported) in reports {
+        b.record(HolderId(1), Time(1), *seq, *after, std::slice::from_ref(reported));
     }
     assert_eq!(b.unreported(HolderId(1), BUDGET, &Elapsed { last, before }), unreported);
 }
 
+/// Guards against spending before the grantor has recorded the holder's bound.
 #[test]
-fn a_bound_holder_waits_for_its_word_to_be_taken() {
-    let mut w = World::new();
-    assert!(w.reserve(0, 5_000).is_none(), "nothing was told yet");
-    w.want(0, 5_000);
-    w.tell(0, Fate::Answered);
-    let r = w.reserve(0, 5_000).unwrap();
-    w.settle(0, r, 5_000);
+fn a_holder_spends_only_after_its_bound_is_acknowledged() {
+    let mut sim = Simulation::new();
+    assert!(sim.reserve(0, 5_000).is_none(), "no bound was reported yet");
+    sim.wait_for_limit(0, 5_000);
+    sim.send_report(0, Delivery::Answered);
+    let r = sim.reserve(0, 5_000).unwrap();
+    sim.settle(0, r, 5_000);
 }
 
+/// Guards against a waiting request that drops out of the bound when another report is acknowledged.
 #[test]
 fn a_request_that_waits_is_in_every_report_until_it_stops() {
-    let mut w = World::new();
-    w.ask(0, 100_000);
-    let now = w.now;
-    let limit = |w: &mut World| w.slices(0).bound(now, BUDGET).unwrap().limit;
-    let before = w.slices(0).bound(now, BUDGET).unwrap();
-    // It begins to wait while a report is under way that does not ask for it.
-    w.want(0, 40_000);
-    w.slices(0).confirm_bound(now, &before);
-    assert!(limit(&mut w) >= 40_000, "the answer to that report made it forgotten");
-    // A second one waits too, and smaller requests come in between.
-    w.want(0, 30_000);
-    assert!(limit(&mut w) >= 70_000, "only the largest was asked for");
-    [40_000, 30_000].iter().for_each(|n| w.slices(0).remove_limit_demand(*n));
-    assert_eq!(limit(&mut w), before.limit);
+    let mut sim = Simulation::new();
+    sim.request_lease(0, 100_000);
+    let now = sim.now;
+    let limit = |sim: &mut Simulation| sim.slices(0).bound(now, BUDGET).unwrap().limit;
+    let before = sim.slices(0).bound(now, BUDGET).unwrap();
+    // It starts to wait after a report without its demand was sent.
+    sim.wait_for_limit(0, 40_000);
+    sim.slices(0).confirm_bound(now, &before);
+    assert!(limit(&mut sim) >= 40_000, "the acknowledgement dropped the waiting demand");
+    // Demands of several waiting requests add up.
+    sim.wait_for_limit(0, 30_000);
+    assert!(limit(&mut sim) >= 70_000, "only the largest demand counts");
+    [40_000, 30_000].iter().for_each(|n| sim.slices(0).remove_limit_demand(*n));
+    assert_eq!(limit(&mut sim), before.limit);
 }
 
+/// Guards against a partial reservation that exceeds the limit.
 #[test]
 fn a_part_is_set_aside_where_the_whole_does_not_fit() {
-    let mut w = World::new();
-    w.ask(0, 50_000);
-    w.want(0, 8_000);
-    w.tell(0, Fate::Answered);
-    let now = w.now;
-    let allowed = w.slices(0).limit_remaining(now);
+    let mut sim = Simulation::new();
+    sim.request_lease(0, 50_000);
+    sim.wait_for_limit(0, 8_000);
+    sim.send_report(0, Delivery::Answered);
+    let now = sim.now;
+    let allowed = sim.slices(0).limit_remaining(now);
     assert!(allowed > 0 && allowed < 50_000);
-    assert!(w.reserve(0, 50_000).is_none());
-    let part = w.slices(0).reserve_part(now, 50_000).unwrap();
+    assert!(sim.reserve(0, 50_000).is_none());
+    let part = sim.slices(0).reserve_part(now, 50_000).unwrap();
     assert_eq!(part.amount(), allowed);
-    assert!(w.slices(0).reserve_part(now, 1).is_none(), "the limit is used up");
+    assert!(sim.slices(0).reserve_part(now, 1).is_none(), "the limit is used up");
 }
 
-/// A holder that served one large request has no higher rate than its usual spending.
+/// Guards against one large request that raises the bound far above the usual spending.
 #[test]
 fn one_large_request_hardly_raises_what_a_death_strands() {
     let policy = policy();
@@ -105,97 +109,103 @@
         rate.record(Time(second * 1_000), 500);
     }
     rate.close_sample(Time(20_000));
-    let (room, growth) = policy.unreported_allowance(&rate, 0);
+    let (allowance, growth) = policy.unreported_allowance(&rate, 0);
     rate.record(Time(20_000), 17_000);
-    let (room_after, growth_after) = policy.unreported_allowance(&rate, 0);
-    assert_eq!((room, growth), (room_after, growth_after), "one sample is not closed yet");
+    let (allowance_after, growth_after) = policy.unreported_allowance(&rate, 0);
+    assert_eq!(
+        (allowance, growth),
+        (allowance_after, growth_after),
+        "an open sample changes the allowance"
+    );
     rate.close_sample(Time(21_000));
-    let (room_after, growth_after) = policy.unreported_allowance(&rate, 0);
-    assert!(room_after < 5_000 && growth_after < 6_000, "{room_after} {growth_after}");
+    let (allowance_after, growth_after) = policy.unreported_allowance(&rate, 0);
+    assert!(allowance_after < 5_000 && growth_after < 6_000, "{allowance_after} {growth_after}");
 }
 
-/// What is idle and what all holders spend usually decide, not the size of the whole budget.
+/// Guards against an allowance that grows with the budget instead of with idle tokens and spending.
 #[test]
 fn a_holder_with_little_idle_binds_itself_to_little() {
     let huge = Policy::for_prepaid(1_000_000_000);
     assert_eq!(huge.unreported_allowance(&Rate::default(), 1_600), (100, 100));
 }
 
-/// What can have been spent unreported counts, and the rest comes free, as the event says.
+/// Guards against a write-off that differs from the amounts announced in its event.
 #[test]
 fn a_write_off_is_told_beforehand() {
-    let mut w = World::new();
-    w.ask(0, 100_000);
-    w.tell(0, Fate::Answered);
-    let holder = w.holders[0].id;
+    let mut sim = Simulation::new();
+    sim.request_lease(0, 100_000);
+    sim.send_report(0, Delivery::Answered);
+    let holder = sim.holders[0].id;
     let elapsed = Elapsed { last: span(1_000), before: span(1_000) };
-    let open = w.held(0);
-    let told = w.ledger.write_off_amounts(holder, &elapsed);
-    assert_eq!(told.counted + told.freed, open);
-    let spent = w.ledger.get(BUDGET).unwrap().spent();
-    w.ledger.write_off(holder, &elapsed);
-    assert_eq!(w.ledger.get(BUDGET).unwrap().spent() - spent, told.counted);
-    assert_eq!(w.held(0), 0);
+    let open = sim.open_tokens(0);
+    let announced = sim.ledger.write_off_amounts(holder, &elapsed);
+    assert_eq!(announced.counted + announced.freed, open);
+    let spent = sim.ledger.get(BUDGET).unwrap().spent();
+    sim.ledger.write_off(holder, &elapsed);
+    assert_eq!(sim.ledger.get(BUDGET).unwrap().spent() - spent, announced.counted);
+    assert_eq!(sim.open_tokens(0), 0);
 }
 
+/// Guards against a holder without acknowledgements that stops, or exceeds its reported rate.
 #[test]
 fn an_unanswered_holder_spends_at_its_rate_only() {
-    let mut w = World::new();
-    w.tell(0, Fate::Answered);
-    let now = w.now;
-    let first = w.slices(0).limit_remaining(now);
-    w.pass(4_000);
-    let now = w.now;
-    let later = w.slices(0).limit_remaining(now);
-    assert!(later > first, "it may go on without an answer");
-    assert!(w.reserve(0, later + 1).is_none(), "but no faster than it said");
-    assert!(w.reserve(0, later).is_some());
+    let mut sim = Simulation::new();
+    sim.send_report(0, Delivery::Answered);
+    let now = sim.now;
+    let first = sim.slices(0).limit_remaining(now);
+    sim.advance(4_000);
+    let now = sim.now;
+    let later = sim.slices(0).limit_remaining(now);
+    assert!(later > first, "the limit does not grow without an answer");
+    assert!(sim.reserve(0, later + 1).is_none(), "the limit grows faster than the reported rate");
+    assert!(sim.reserve(0, later).is_some());
 }
 
-/// It is known when the limit allows a request by itself, and never too early.
+/// Guards against a wait that ends before the growing limit allows the request.
 #[test]
-fn it_is_known_when_an_unanswered_holder_may_spend_more() {
-    let mut w = World::new();
-    w.tell(0, Fate::Answered);
-    let now = w.now;
-    let allowed = w.slices(0).limit_remaining(now);
-    assert_eq!(w.slices(0).limit_wait(now, allowed), Some(Millis(0)));
-    let span = w.slices(0).limit_wait(now, allowed + 2_000).unwrap();
+fn limit_wait_returns_when_the_growing_limit_allows_a_request() {
+    let mut sim = Simulation::new();
+    sim.send_report(0, Delivery::Answered);
+    let now = sim.now;
+    let allowed = sim.slices(0).limit_remaining(now);
+    assert_eq!(sim.slices(0).limit_wait(now, allowed), Some(Millis(0)));
+    let span = sim.slices(0).limit_wait(now, allowed + 2_000).unwrap();
     assert!(span > Millis(0));
-    w.pass(span.0 - 2);
-    assert!(w.reserve(0, allowed + 2_000).is_none(), "it is too early");
-    w.pass(2);
-    assert!(w.reserve(0, allowed + 2_000).is_some());
-    let (now, idle) = (w.now, w.held(0));
-    assert_eq!(w.slices(0).limit_wait(now, idle + 1), None, "tokens are missing");
+    sim.advance(span.0 - 2);
+    assert!(sim.reserve(0, allowed + 2_000).is_none(), "the limit allows the request too early");
+    sim.advance(2);
+    assert!(sim.reserve(0, allowed + 2_000).is_some());
+    let (now, idle) = (sim.now, sim.open_tokens(0));
+    assert_eq!(sim.slices(0).limit_wait(now, idle + 1), None, "too few tokens are idle");
 }
 
 #[test]
-fn a_holder_that_was_never_answered_waits_for_a_report() {
-    let mut w = World::new();
-    let now = w.now;
-    assert_eq!(w.slices(0).limit_wait(now, 10), None);
+fn a_holder_without_an_acknowledgement_has_no_limit_wait() {
+    let mut sim = Simulation::new();
+    let now = sim.now;
+    assert_eq!(sim.slices(0).limit_wait(now, 10), None);
 }
 
+/// Guards against stranding a dead holder's tokens above its bound.
 #[test]
-fn a_death_frees_what_was_not_allowed() {
-    let mut w = World::new();
-    w.want(0, 5_000);
-    w.tell(0, Fate::Answered);
-    let r = w.reserve(0, 5_000).unwrap();
-    w.settle(0, r, 3_000);
-    w.tell(0, Fate::Answered);
-    let held = w.held(0);
-    w.pass(500);
-    w.replace(0);
-    let f = w.ledger.get(BUDGET).unwrap();
-    assert_eq!(f.open(), w.held(1), "nothing of the dead one's is open");
+fn a_write_off_frees_tokens_above_the_bound() {
+    let mut sim = Simulation::new();
+    sim.wait_for_limit(0, 5_000);
+    sim.send_report(0, Delivery::Answered);
+    let r = sim.reserve(0, 5_000).unwrap();
+    sim.settle(0, r, 3_000);
+    sim.send_report(0, Delivery::Answered);
+    let held = sim.open_tokens(0);
+    sim.advance(500);
+    sim.replace(0);
+    let f = sim.ledger.get(BUDGET).unwrap();
+    assert_eq!(f.open(), sim.open_tokens(1), "tokens of the dead holder are still open");
     assert!(f.spent() >= 3_000);
-    assert!(f.spent() < held / 2, "most of its {held} tokens came free");
+    assert!(f.spent() < held / 2, "too few of its {held} tokens were freed");
 }
 
-/// Through the commands of the log: a successor's registration, then the leader's word for how
-/// long its predecessor may have gone on.
+/// Guards against a repeated registration or write-off command that frees a predecessor's tokens
+/// twice.
 #[test]
 fn a_successor_frees_its_predecessors_slices_once() {
     let mut state = State::default();
@@ -216,9 +226,9 @@
     };
     let Answer::Registered(old) = apply(&register(1, 0)) else { panic!() };
     let budget = BUDGET.to_owned();
-    let ask = LeaseRequest { holder: old, budget, seq: 1, need: 90_000, want: 90_000 };
-    assert!(matches!(apply(&Command::Ask(ask)), Answer::Decided(Ok(_))));
-    let told = Command::Tally {
+    let request = LeaseRequest { holder: old, budget, seq: 1, need: 90_000, want: 90_000 };
+    assert!(matches!(apply(&Command::Ask(request)), Answer::Decided(Ok(_))));
+    let tally = Command::Tally {
         holder: old,
         reports: Vec::new(),
         batch: 0,
@@ -227,7 +237,7 @@
         after: 0,
         bounds: vec![bound(0, 20_000, 1_000)],
     };
-    apply(&told);
+    apply(&tally);
     let Answer::Registered(new) = apply(&register(2, 700)) else { panic!() };
     assert_ne!(old, new);
     assert_eq!(apply(&register(2, 700)), Answer::Registered(new), "a resend");
@@ -240,6 +250,7 @@
     assert_eq!((f.spent(), f.open(), f.free()), (23_000, 0, TOTAL - 23_000));
 }
 
+/// Guards against losing the successor's age, which bounds how long its predecessor ran.
 #[test]
 fn it_is_known_how_long_a_successor_had_been_running() {
     let mut state = State::default();
@@ -257,17 +268,19 @@
     assert_eq!(state.unsettled_holders().collect::<Vec<_>>(), [(HolderId(1), Millis(700))]);
 }
 
-/// What becomes of a report.
+/// Whether a report and its answer arrive.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
+enum Delivery {
     Lost,
-    Taken,
+    /// The report arrives and its answer is lost.
+    Unanswered,
     Answered,
-    /// It arrives when the next step of this kind comes.
-    Late,
+    /// The report arrives at the next [`Step::DeliverDelayed`].
+    Delayed,
 }
 
-struct Sent {
+/// A message with a holder's reports and bounds.
+struct SentReport {
     holder: HolderId,
     seq: u64,
     after: u64,
@@ -275,60 +288,62 @@
     bounds: Vec<Bound>,
 }
 
+/// A holder's process.
 struct Holder {
     id: HolderId,
     slices: SliceStore,
-    /// Numbers of the last report and of the last one known to be taken.
-    told: (u64, u64),
+    /// Sequence numbers of the last report and of the last acknowledged one.
+    report_seqs: (u64, u64),
+    /// Reservations of running requests.
     open: Vec<Reservation>,
-    /// What requests wait for a limit with.
+    /// Tokens that each request waiting for a higher limit needs.
     waiting: Vec<Tokens>,
 }
 
 /// Two holders and their grantor.
-struct World {
+struct Simulation {
     now: Time,
     ledger: Ledger,
     holders: Vec<Holder>,
     ids: u64,
     consumed: Tokens,
-    /// When a report first came, by holder and number.
-    came: BTreeMap<(HolderId, u64), Time>,
-    late: Vec<Sent>,
+    /// When a report first arrived, by holder and sequence number.
+    received_at: BTreeMap<(HolderId, u64), Time>,
+    delayed: Vec<SentReport>,
 }
 
 fn policy() -> Policy {
     Policy::for_prepaid(TOTAL)
 }
 
-impl World {
-    fn new() -> World {
+impl Simulation {
+    fn new() -> Simulation {
         let mut ledger = Ledger::default();
         ledger.fund(BUDGET, TOTAL, policy());
-        let mut w = World {
+        let mut sim = Simulation {
             now: Time(1_000),
             ledger,
             holders: Vec::new(),
             ids: 0,
             consumed: 0,
-            came: BTreeMap::new(),
-            late: Vec::new(),
+            received_at: BTreeMap::new(),
+            delayed: Vec::new(),
         };
         for _ in 0..2 {
-            let h = w.fresh();
-            w.holders.push(h);
+            let h = sim.new_holder();
+            sim.holders.push(h);
         }
-        (0..2).for_each(|n| w.ask(n, 50_000));
-        w
+        (0..2).for_each(|n| sim.request_lease(n, 50_000));
+        sim
     }
 
-    fn fresh(&mut self) -> Holder {
+    fn new_holder(&mut self) -> Holder {
         self.ids += 1;
         let id = HolderId(self.ids);
         Holder {
             id,
             slices: SliceStore::new(policy(), 0),
-            told: (0, 0),
+            report_seqs: (0, 0),
             open: Vec::new(),
             waiting: Vec::new(),
         }
@@ -338,29 +353,32 @@
         &mut self.holders[n].slices
     }
 
-    fn pass(&mut self, ms: u64) {
+    fn advance(&mut self, ms: u64) {
         self.now = self.now.after(Millis(ms));
     }
 
-    fn held(&self, n: usize) -> Tokens {
+    /// Returns the tokens of the holder's leases that are not reported as spent.
+    fn open_tokens(&self, n: usize) -> Tokens {
         let f = self.ledger.get(BUDGET).unwrap();
         let own = f.leases().filter(|(_, l)| l.holder == self.holders[n].id);
         own.map(|(_, l)| l.open()).sum()
     }
 
-    fn ask(&mut self, n: usize, need: Tokens) {
+    fn request_lease(&mut self, n: usize, need: Tokens) {
         let (now, id) = (self.now, self.holders[n].id);
-        let Some(ask): Option<LeaseRequest> = self.slices(n).next_request(now, id, BUDGET, need)
+        let Some(request): Option<LeaseRequest> =
+            self.slices(n).next_request(now, id, BUDGET, need)
         else {
             return;
         };
         self.ids += 1;
         let lease = LeaseId { term: 1, index: self.ids };
-        let decision = self.ledger.request_lease(now, lease, &ask).unwrap();
-        self.slices(n).apply_decision(ask.seq, &decision);
+        let decision = self.ledger.request_lease(now, lease, &request).unwrap();
+        self.slices(n).apply_decision(request.seq, &decision);
     }
 
-    fn want(&mut self, n: usize, tokens: Tokens) {
+    /// Registers a request that waits for a higher limit.
+    fn wait_for_limit(&mut self, n: usize, tokens: Tokens) {
         self.slices(n).add_limit_demand(tokens);
         self.holders[n].waiting.push(tokens);
     }
@@ -375,68 +393,76 @@
         self.consumed += self.slices(n).settle(now, r, used);
     }
 
-    fn tell(&mut self, n: usize, fate: Fate) {
+    /// Sends the holder's reports and bounds.
+    fn send_report(&mut self, n: usize, delivery: Delivery) {
         let now = self.now;
         let h = &mut self.holders[n];
         let reports = h.slices.reports(now);
         let bounds: Vec<Bound> = h.slices.bound(now, BUDGET).into_iter().collect();
-        h.told.0 += 1;
-        let sent = Sent { holder: h.id, seq: h.told.0, after: h.told.1, reports, bounds };
-        match fate {
-            Fate::Lost => {}
-            Fate::Late => self.late.push(sent),
-            Fate::Taken => {
-                self.take(&sent);
+        h.report_seqs.0 += 1;
+        let sent = SentReport {
+            holder: h.id,
+            seq: h.report_seqs.0,
+            after: h.report_seqs.1,
+            reports,
+            bounds,
+        };
+        match delivery {
+            Delivery::Lost => {}
+            Delivery::Delayed => self.delayed.push(sent),
+            Delivery::Unanswered => {
+                self.receive(&sent);
             }
-            Fate::Answered => {
-                let known = self.take(&sent);
-                self.pass(15);
+            Delivery::Answered => {
+                let known = self.receive(&sent);
+                self.advance(15);
                 let now = self.now;
                 let h = &mut self.holders[n];
                 for (r, k) in sent.reports.iter().zip(known) {
                     h.slices.acknowledge(now, r, k);
                 }
-                h.told.1 = sent.seq;
+                h.report_seqs.1 = sent.seq;
                 sent.bounds.iter().for_each(|b| h.slices.confirm_bound(now, b));
                 h.waiting.drain(..).for_each(|n| h.slices.remove_limit_demand(n));
             }
         }
     }
 
-    fn take(&mut self, s: &Sent) -> Vec<bool> {
-        self.came.entry((s.holder, s.seq)).or_insert(self.now);
+    /// Delivers a message to the grantor. Returns whether it knows each reported lease.
+    fn receive(&mut self, s: &SentReport) -> Vec<bool> {
+        self.received_at.entry((s.holder, s.seq)).or_insert(self.now);
         let known = s.reports.iter().map(|r| self.ledger.report(self.now, s.holder, r)).collect();
         self.ledger.record_bounds(s.holder, self.now, s.seq, s.after, &s.bounds);
         known
     }
 
-    fn deliver_late(&mut self) {
-        for s in std::mem::take(&mut self.late) {
-            self.take(&s);
+    fn deliver_delayed(&mut self) {
+        for s in std::mem::take(&mut self.delayed) {
+            self.receive(&s);
         }
     }
 
-    /// Kills a holder's process, with all it had reserved spent in full, and buries it as its
-    /// successor registers.
+    /// Kills a holder's process after it spent all its reservations in full, writes off its leases
+    /// and registers a successor.
     fn replace(&mut self, n: usize) {
         let open = std::mem::take(&mut self.holders[n].open);
         for r in open {
-            let all = r.amount();
-            self.settle(n, r, all);
+            let amount = r.amount();
+            self.settle(n, r, amount);
         }
         let id = self.holders[n].id;
         let chain = self.ledger.last_reports(id);
         let since = |seq| match seq {
             0 => Some(Millis(0)),
-            seq => self.came.get(&(id, seq)).map(|at| self.now.since(*at)),
+            seq => self.received_at.get(&(id, seq)).map(|at| self.now.since(*at)),
         };
         let elapsed = Elapsed { last: since(chain.last.seq), before: since(chain.before.seq) };
         self.ledger.write_off(id, &elapsed);
-        self.holders[n] = self.fresh();
+        self.holders[n] = self.new_holder();
     }
 
-    /// What is spent, what may still be spent and what is free come to no more than is prepaid.
-    fn check(&self) {
+    /// Asserts that the ledger stays within the budget and covers all consumed and reserved tokens.
+    fn assert_invariants(&self) {
         let f = self.ledger.get(BUDGET).unwrap();
         assert!(self.ledger.consistent());
         assert!(f.spent() + f.open() + f.free() <= TOTAL);
@@ -444,7 +470,7 @@
             self.holders.iter().flat_map(|h| &h.open).map(Reservation::amount).sum();
         assert!(
             self.consumed + outstanding <= f.spent() + f.open(),
-            "{} consumed and {outstanding} set aside, {} spent and {} open",
+            "{} consumed and {outstanding} reserved, {} spent and {} open",
             self.consumed,
             f.spent(),
             f.open()
@@ -456,29 +482,29 @@
 enum Step {
     Reserve(usize, Tokens),
     Settle(usize, u8),
-    Ask(usize, Tokens),
-    Tell(usize, Fate),
-    Pass(u64),
-    DeliverLate,
+    RequestLease(usize, Tokens),
+    SendReport(usize, Delivery),
+    Advance(u64),
+    DeliverDelayed,
     Recall(usize),
     Replace(usize),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     let n = 0..2usize;
-    let fate = prop_oneof![
-        1 => Just(Fate::Lost),
-        1 => Just(Fate::Taken),
-        1 => Just(Fate::Late),
-        4 => Just(Fate::Answered),
+    let delivery = prop_oneof![
+        1 => Just(Delivery::Lost),
+        1 => Just(Delivery::Unanswered),
+        1 => Just(Delivery::Delayed),
+        4 => Just(Delivery::Answered),
     ];
     prop_oneof![
         4 => (n.clone(), 1..60_000u64).prop_map(|(n, t)| Step::Reserve(n, t)),
         3 => (n.clone(), any::<u8>()).prop_map(|(n, part)| Step::Settle(n, part)),
-        1 => (n.clone(), 1..80_000u64).prop_map(|(n, t)| Step::Ask(n, t)),
-        4 => (n.clone(), fate).prop_map(|(n, f)| Step::Tell(n, f)),
-        2 => (1..6_000u64).prop_map(Step::Pass),
-        1 => Just(Step::DeliverLate),
+        1 => (n.clone(), 1..80_000u64).prop_map(|(n, t)| Step::RequestLease(n, t)),
+        4 => (n.clone(), delivery).prop_map(|(n, f)| Step::SendReport(n, f)),
+        2 => (1..6_000u64).prop_map(Step::Advance),
+        1 => Just(Step::DeliverDelayed),
         1 => n.clone().prop_map(Step::Recall),
         1 => n.prop_map(Step::Replace),
     ]
@@ -488,35 +514,35 @@
     #![proptest_config(ProptestConfig { cases: 600, failure_persistence: None,
         rng_seed: prop::test_runner::RngSeed::Fixed(20_261_202), ..ProptestConfig::default() })]
 
-    /// Whatever is lost, late, killed or silent.
+    /// Guards against overspending under lost and late reports, restarts and silent holders.
     #[test]
     fn no_order_of_events_spends_more_than_is_prepaid(steps in prop::collection::vec(step(), 1..120)) {
-        let mut w = World::new();
+        let mut sim = Simulation::new();
         for s in steps {
             match s {
-                Step::Reserve(n, tokens) => match w.reserve(n, tokens) {
-                    Some(r) => w.holders[n].open.push(r),
-                    None => w.want(n, tokens),
+                Step::Reserve(n, tokens) => match sim.reserve(n, tokens) {
+                    Some(r) => sim.holders[n].open.push(r),
+                    None => sim.wait_for_limit(n, tokens),
                 },
                 Step::Settle(n, part) => {
-                    if let Some(r) = w.holders[n].open.pop() {
+                    if let Some(r) = sim.holders[n].open.pop() {
                         let used = r.amount() * u64::from(part) / 255;
-                        w.settle(n, r, used);
+                        sim.settle(n, r, used);
                     }
                 }
-                Step::Ask(n, need) => w.ask(n, need),
-                Step::Tell(n, fate) => w.tell(n, fate),
-                Step::Pass(ms) => w.pass(ms),
-                Step::DeliverLate => w.deliver_late(),
-                Step::Recall(n) => w.slices(n).return_idle(),
-                Step::Replace(n) => w.replace(n),
+                Step::RequestLease(n, need) => sim.request_lease(n, need),
+                Step::SendReport(n, delivery) => sim.send_report(n, delivery),
+                Step::Advance(ms) => sim.advance(ms),
+                Step::DeliverDelayed => sim.deliver_delayed(),
+                Step::Recall(n) => sim.slices(n).return_idle(),
+                Step::Replace(n) => sim.replace(n),
             }
-            w.check();
+            sim.assert_invariants();
         }
     }
 }
 
-/// Holders, the longest time set, and the time between two reports of each, in milliseconds.
+/// Guards against a report rate that overloads the grantor. Times are in milliseconds.
 #[rstest]
 #[case::few(7, 1_000, 250)]
 #[case::some_seventy(70, 1_000, 250)]
@@ -524,10 +550,10 @@
 #[case::many(691, 1_000, 1_000)]
 #[case::none_known_yet(0, 1_000, 250)]
 #[case::a_setting_that_is_shorter_stands(7, 50, 50)]
-fn the_fewer_holders_there_are_the_more_often_each_reports(
+fn fewer_holders_report_more_often(
     #[case] holders: u64,
-    #[case] most: u64,
-    #[case] every: u64,
+    #[case] max_interval: u64,
+    #[case] expected: u64,
 ) {
-    assert_eq!(report_interval(holders, Millis(most)), Millis(every));
+    assert_eq!(report_interval(holders, Millis(max_interval)), Millis(expected));
 }
--- a/crates/core/tests/ends.rs
+++ b/crates/core/tests/ends.rs
@@ -1,4 +1,4 @@
-//! What shows that a replica whose connections ended has ended itself, in tables of signs.
+//! Tests which events prove that a replica with lost connections has ended.
 
 use std::net::SocketAddr;
 
@@ -12,19 +12,20 @@
     SocketAddr::from(([10, 0, 0, 1], port))
 }
 
-/// A loss of the requests "a" and "b" on replica "r" at port 80, and of "c" on "other" at port 81.
-fn lost() -> ConnectionLosses<&'static str> {
-    let mut ends = ConnectionLosses::default();
-    assert!(ends.record_loss(Time(1_000), address(80), "r", "a"));
-    assert!(!ends.record_loss(Time(1_005), address(80), "r", "b"));
-    assert!(ends.record_loss(Time(1_010), address(81), "other", "c"));
-    ends
+/// Returns losses of requests "a" and "b" on replica "r" at port 80, and "c" on "other" at port 81.
+fn recorded_losses() -> ConnectionLosses<&'static str> {
+    let mut tracker = ConnectionLosses::default();
+    assert!(tracker.record_loss(Time(1_000), address(80), "r", "a"));
+    assert!(!tracker.record_loss(Time(1_005), address(80), "r", "b"));
+    assert!(tracker.record_loss(Time(1_010), address(81), "other", "c"));
+    tracker
 }
 
 fn requests(losses: &[Loss<&'static str>]) -> Vec<&'static str> {
     losses.iter().flat_map(|l| l.requests.iter().copied()).collect()
 }
 
+/// Guards against blaming a replica without evidence, and against missing evidence.
 #[rstest]
 #[case::another_replica(
     ReplicaEvent::Registered(address(80), "new"),
@@ -37,71 +38,75 @@
 #[case::a_later_life_of_another(ReplicaEvent::Restarted("x"), None)]
 #[case::silence(ReplicaEvent::Silent("r"), Some(EndEvidence::Silent))]
 #[case::a_planned_end(ReplicaEvent::Leaving("r"), None)]
-fn news_show_an_end(#[case] event: ReplicaEvent<'_>, #[case] shown: Option<EndEvidence>) {
-    let mut ends = lost();
-    ends.end_probe(address(80), "r");
-    let found = ends.apply(event);
-    assert_eq!(found.as_ref().map(|(s, _)| *s), shown);
+fn events_are_evidence_of_an_end(
+    #[case] event: ReplicaEvent<'_>,
+    #[case] evidence: Option<EndEvidence>,
+) {
+    let mut tracker = recorded_losses();
+    tracker.end_probe(address(80), "r");
+    let found = tracker.apply(event);
+    assert_eq!(found.as_ref().map(|(s, _)| *s), evidence);
     if let Some((_, losses)) = found {
         assert_eq!(requests(&losses), ["a", "b"]);
         assert_eq!(losses[0].since, Time(1_000));
     }
 }
 
+/// Guards against counting a loss twice.
 #[test]
 fn each_loss_is_explained_once() {
-    let mut ends = lost();
-    assert_eq!(requests(&ends.confirm_ended(address(80), "r")), ["a", "b"]);
-    assert!(!ends.is_open(address(80), "r"));
-    assert!(ends.confirm_ended(address(80), "r").is_empty());
-    assert_eq!(ends.apply(ReplicaEvent::Restarted("r")), None);
-    assert!(ends.is_open(address(81), "other"));
+    let mut tracker = recorded_losses();
+    assert_eq!(requests(&tracker.confirm_ended(address(80), "r")), ["a", "b"]);
+    assert!(!tracker.is_open(address(80), "r"));
+    assert!(tracker.confirm_ended(address(80), "r").is_empty());
+    assert_eq!(tracker.apply(ReplicaEvent::Restarted("r")), None);
+    assert!(tracker.is_open(address(81), "other"));
 }
 
+/// Guards against taking a planned shutdown for a crash.
 #[test]
-fn a_planned_end_blames_nobody_afterwards() {
-    let mut ends = lost();
-    assert_eq!(ends.apply(ReplicaEvent::Leaving("r")), None);
-    assert_eq!(ends.apply(ReplicaEvent::Registered(address(80), "new")), None);
+fn a_planned_end_closes_the_losses() {
+    let mut tracker = recorded_losses();
+    assert_eq!(tracker.apply(ReplicaEvent::Leaving("r")), None);
+    assert_eq!(tracker.apply(ReplicaEvent::Registered(address(80), "new")), None);
 }
 
+/// Guards against reporting a replica as ended that still serves earlier connections.
 #[test]
-fn a_connection_from_before_shows_that_it_lives() {
-    let mut ends = lost();
-    assert_eq!(requests(&ends.confirm_alive(address(80), "r")), ["a", "b"]);
-    assert_eq!(ends.apply(ReplicaEvent::Silent("r")), None);
+fn confirming_a_replica_alive_closes_its_losses() {
+    let mut tracker = recorded_losses();
+    assert_eq!(requests(&tracker.confirm_alive(address(80), "r")), ["a", "b"]);
+    assert_eq!(tracker.apply(ReplicaEvent::Silent("r")), None);
 }
 
+/// Guards against a loss that is never probed because an earlier probe has ended.
 #[test]
-fn a_loss_after_the_looks_is_looked_at_anew() {
-    let mut ends = lost();
-    ends.end_probe(address(80), "r");
-    assert!(ends.record_loss(Time(3_000), address(80), "r", "d"));
-    let (_, losses) = ends.apply(ReplicaEvent::Restarted("r")).unwrap();
+fn a_loss_after_a_probe_needs_another_probe() {
+    let mut tracker = recorded_losses();
+    tracker.end_probe(address(80), "r");
+    assert!(tracker.record_loss(Time(3_000), address(80), "r", "d"));
+    let (_, losses) = tracker.apply(ReplicaEvent::Restarted("r")).unwrap();
     let since: Vec<_> = losses.iter().map(|l| l.since).collect();
     assert_eq!(since, [Time(1_000), Time(3_000)]);
 }
 
+/// Guards against cases that stay open for ever.
 #[rstest]
 #[case::in_time(CASE_TIMEOUT.0 - 1, 0, true)]
 #[case::too_late(CASE_TIMEOUT.0, 2, false)]
-fn what_nothing_is_heard_of_lives(
-    #[case] after: u64,
-    #[case] forgotten: usize,
-    #[case] open: bool,
-) {
-    let mut ends = lost();
-    assert_eq!(ends.expire(Time(1_000 + after)), forgotten);
-    assert_eq!(ends.is_open(address(80), "r"), open);
+fn open_cases_expire(#[case] after: u64, #[case] expired: usize, #[case] open: bool) {
+    let mut tracker = recorded_losses();
+    assert_eq!(tracker.expire(Time(1_000 + after)), expired);
+    assert_eq!(tracker.is_open(address(80), "r"), open);
 }
 
-/// Connections that a link resets by the thousand hold no more memory than a few hundred cases.
+/// Guards against unbounded memory when a link resets thousands of connections.
 #[test]
 fn open_cases_are_bounded() {
-    let mut ends = ConnectionLosses::default();
+    let mut tracker = ConnectionLosses::default();
     for port in 1..=10_000 {
-        ends.record_loss(Time(0), address(port), "r", ());
+        tracker.record_loss(Time(0), address(port), "r", ());
     }
-    let open = (1..=10_000).filter(|p| ends.is_open(address(*p), "r")).count();
+    let open = (1..=10_000).filter(|p| tracker.is_open(address(*p), "r")).count();
     assert_eq!(open, 256);
 }
--- a/crates/core/tests/escrow_levels.rs
+++ b/crates/core/tests/escrow_levels.rs
@@ -1,4 +1,4 @@
-//! The escrow over two levels, home group to regions to routers, in random orders of events.
+//! Tests escrow over two levels (home group, regions, routers) under random sequences of events.
 
 use std::collections::VecDeque;
 
@@ -24,77 +24,78 @@
     slices: SliceStore,
 }
 
-/// A region's group as a holder of the home's leases.
-struct Site {
+/// A region: a holder of home leases that grants leases to its routers.
+struct Region {
     holder: HolderId,
     region: RegionLedger,
     routers: Vec<Router>,
     seq: u64,
-    /// Out of reach of the home.
-    cut: bool,
+    /// Whether the region cannot reach the home group.
+    disconnected: bool,
 }
 
-/// A message on its way, delivered in any order, twice, or never.
-enum Post {
-    Ask(usize, usize, LeaseRequest),
+/// A message between a router and its region; may be delivered out of order, twice or never.
+enum Message {
+    Request(usize, usize, LeaseRequest),
     Answer(usize, usize, u64, Decision),
     Report(usize, usize, HolderId, Time, Vec<Report>),
     Ack(usize, usize, HolderId, Time, Vec<(Report, bool)>),
 }
 
-struct World {
+/// The home group's ledger, the regions and the messages in flight.
+struct Simulation {
     home: Ledger,
-    sites: Vec<Site>,
+    sites: Vec<Region>,
     now: Time,
     index: u64,
     holders: u64,
     funded: u64,
     consumed: u64,
-    post: VecDeque<Post>,
+    in_flight: VecDeque<Message>,
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    Pass(u64),
+    Advance(u64),
     Request { site: usize, router: usize, bound: u64, used: u64 },
     Report { site: usize, router: usize },
     Recall { site: usize, router: usize },
-    Allot { site: usize, want: u64 },
-    GiveBack { site: usize, tokens: u64 },
-    ReportUp { site: usize, lost: bool },
-    Cut { site: usize, cut: bool },
+    RequestAllotment { site: usize, want: u64 },
+    ReturnTokens { site: usize, tokens: u64 },
+    ReportToHome { site: usize, lost: bool },
+    Disconnect { site: usize, disconnected: bool },
     Restart { site: usize, router: usize },
     TopUp(u64),
-    Deliver { pick: usize, again: bool },
-    Drop { pick: usize },
+    Deliver { index: usize, duplicate: bool },
+    Drop { index: usize },
 }
 
 fn step() -> impl Strategy<Value = Step> {
     let site = || 0..REGIONS;
     let router = || 0..ROUTERS;
     prop_oneof![
-        2 => (1u64..20_000).prop_map(Step::Pass),
+        2 => (1u64..20_000).prop_map(Step::Advance),
         8 => (site(), router(), 1u64..400, 0u64..500)
             .prop_map(|(site, router, bound, used)| Step::Request { site, router, bound, used }),
         4 => (site(), router()).prop_map(|(site, router)| Step::Report { site, router }),
         1 => (site(), router()).prop_map(|(site, router)| Step::Recall { site, router }),
-        3 => (site(), 1u64..3_000).prop_map(|(site, want)| Step::Allot { site, want }),
-        1 => (site(), 1u64..3_000).prop_map(|(site, tokens)| Step::GiveBack { site, tokens }),
-        2 => (site(), any::<bool>()).prop_map(|(site, lost)| Step::ReportUp { site, lost }),
-        1 => (site(), any::<bool>()).prop_map(|(site, cut)| Step::Cut { site, cut }),
+        3 => (site(), 1u64..3_000).prop_map(|(site, want)| Step::RequestAllotment { site, want }),
+        1 => (site(), 1u64..3_000).prop_map(|(site, tokens)| Step::ReturnTokens { site, tokens }),
+        2 => (site(), any::<bool>()).prop_map(|(site, lost)| Step::ReportToHome { site, lost }),
+        1 => (site(), any::<bool>()).prop_map(|(site, disconnected)| Step::Disconnect { site, disconnected }),
         1 => (site(), router()).prop_map(|(site, router)| Step::Restart { site, router }),
         1 => (1u64..500).prop_map(Step::TopUp),
         12 => (any::<usize>(), prop::bool::weighted(0.2))
-            .prop_map(|(pick, again)| Step::Deliver { pick, again }),
-        2 => any::<usize>().prop_map(|pick| Step::Drop { pick }),
+            .prop_map(|(index, duplicate)| Step::Deliver { index, duplicate }),
+        2 => any::<usize>().prop_map(|index| Step::Drop { index }),
     ]
 }
 
-impl World {
-    fn new(funded: u64) -> World {
+impl Simulation {
+    fn new(funded: u64) -> Simulation {
         let mut home = Ledger::default();
         home.fund(BUDGET, funded, policy());
-        let mut w = World {
+        let mut sim = Simulation {
             home,
             sites: Vec::new(),
             now: Time(1_000),
@@ -102,66 +103,72 @@
             holders: 0,
             funded,
             consumed: 0,
-            post: VecDeque::new(),
+            in_flight: VecDeque::new(),
         };
         for _ in 0..REGIONS {
-            let holder = w.holder();
-            let routers = (0..ROUTERS).map(|_| w.router()).collect();
+            let holder = sim.new_holder();
+            let routers = (0..ROUTERS).map(|_| sim.new_router()).collect();
             let region = RegionLedger::default();
-            w.sites.push(Site { holder, region, routers, seq: 0, cut: false });
+            sim.sites.push(Region { holder, region, routers, seq: 0, disconnected: false });
         }
-        w
+        sim
     }
 
-    fn holder(&mut self) -> HolderId {
+    /// Returns an unused holder id.
+    fn new_holder(&mut self) -> HolderId {
         self.holders += 1;
         HolderId(self.holders)
     }
 
-    fn router(&mut self) -> Router {
-        Router { holder: self.holder(), slices: SliceStore::new(policy(), 0) }
+    fn new_router(&mut self) -> Router {
+        Router { holder: self.new_holder(), slices: SliceStore::new(policy(), 0) }
     }
 
-    fn lease(&mut self) -> LeaseId {
+    /// Returns an unused lease id.
+    fn next_lease_id(&mut self) -> LeaseId {
         self.index += 1;
         LeaseId { term: 1, index: self.index }
     }
 
-    fn take(&mut self, s: Step) {
+    /// Applies a step and checks the invariants.
+    fn apply(&mut self, s: Step) {
         match s {
-            Step::Pass(ms) => self.now = self.now.after(Millis(ms)),
+            Step::Advance(ms) => self.now = self.now.after(Millis(ms)),
             Step::Request { site, router, bound, used } => self.request(site, router, bound, used),
             Step::Report { site, router } => self.send_report(site, router),
             Step::Recall { site, router } => {
                 self.sites[site].routers[router].slices.return_idle();
                 self.send_report(site, router);
             }
-            Step::Allot { site, want } => self.allot(site, want),
-            Step::GiveBack { site, tokens } => self.sites[site].region.give_back(BUDGET, tokens),
-            Step::ReportUp { site, lost } => self.report_up(site, lost),
-            Step::Cut { site, cut } => self.sites[site].cut = cut,
-            Step::Restart { site, router } => self.sites[site].routers[router] = self.router(),
+            Step::RequestAllotment { site, want } => self.request_allotment(site, want),
+            Step::ReturnTokens { site, tokens } => {
+                self.sites[site].region.give_back(BUDGET, tokens)
+            }
+            Step::ReportToHome { site, lost } => self.report_to_home(site, lost),
+            Step::Disconnect { site, disconnected } => self.sites[site].disconnected = disconnected,
+            Step::Restart { site, router } => self.sites[site].routers[router] = self.new_router(),
             Step::TopUp(n) => {
                 self.funded += n;
                 self.home.fund(BUDGET, self.funded, policy());
             }
-            Step::Deliver { pick, again } => self.deliver(pick, again),
-            Step::Drop { pick } => {
-                let n = self.post.len().max(1);
-                self.post.remove(pick % n);
+            Step::Deliver { index, duplicate } => self.deliver(index, duplicate),
+            Step::Drop { index } => {
+                let n = self.in_flight.len().max(1);
+                self.in_flight.remove(index % n);
             }
         }
-        self.check();
+        self.assert_invariants();
     }
 
+    /// Serves a request from the router's slices, or requests a lease if they do not suffice.
     fn request(&mut self, site: usize, router: usize, bound: u64, used: u64) {
         let now = self.now;
         let r = &mut self.sites[site].routers[router];
         if let Some(held) = r.slices.reserve(now, bound) {
-            // An engine that sends more than was reserved is cut at the reservation.
+            // Settling caps the used tokens at the reservation.
             self.consumed += r.slices.settle(now, held, used);
-        } else if let Some(ask) = r.slices.next_request(now, r.holder, BUDGET, bound) {
-            self.post.push_back(Post::Ask(site, router, ask));
+        } else if let Some(request) = r.slices.next_request(now, r.holder, BUDGET, bound) {
+            self.in_flight.push_back(Message::Request(site, router, request));
         }
     }
 
@@ -169,26 +176,28 @@
         let r = &mut self.sites[site].routers[router];
         r.slices.return_excess(self.now);
         let reports = r.slices.reports(self.now);
-        self.post.push_back(Post::Report(site, router, r.holder, self.now, reports));
+        self.in_flight.push_back(Message::Report(site, router, r.holder, self.now, reports));
     }
 
-    fn allot(&mut self, site: usize, want: u64) {
+    /// Requests an allotment from the home group.
+    fn request_allotment(&mut self, site: usize, want: u64) {
         let s = &mut self.sites[site];
-        if s.cut {
+        if s.disconnected {
             return;
         }
-        let ask =
+        let request =
             LeaseRequest { holder: s.holder, budget: BUDGET.into(), seq: s.seq + 1, need: 1, want };
-        let id = self.lease();
-        if let Some(Ok(g)) = self.home.request_lease(self.now, id, &ask) {
+        let id = self.next_lease_id();
+        if let Some(Ok(g)) = self.home.request_lease(self.now, id, &request) {
             let s = &mut self.sites[site];
             s.seq += 1;
             s.region.add_allotment(BUDGET, &g, policy());
         }
     }
 
-    fn report_up(&mut self, site: usize, lost: bool) {
-        if self.sites[site].cut {
+    /// Reports the region's spending to the home group; `lost` loses the answer.
+    fn report_to_home(&mut self, site: usize, lost: bool) {
+        if self.sites[site].disconnected {
             return;
         }
         let (now, s) = (self.now, &mut self.sites[site]);
@@ -200,29 +209,31 @@
         }
     }
 
-    fn deliver(&mut self, pick: usize, again: bool) {
-        if self.post.is_empty() {
+    /// Delivers a message in flight; `duplicate` also keeps a copy of it.
+    fn deliver(&mut self, index: usize, duplicate: bool) {
+        if self.in_flight.is_empty() {
             return;
         }
-        let at = pick % self.post.len();
-        let Some(p) = self.post.remove(at) else { return };
+        let at = index % self.in_flight.len();
+        let Some(p) = self.in_flight.remove(at) else { return };
         let answer = self.handle(&p);
-        self.post.extend(answer);
-        if again {
-            self.post.push_back(p);
+        self.in_flight.extend(answer);
+        if duplicate {
+            self.in_flight.push_back(p);
         }
     }
 
-    fn handle(&mut self, p: &Post) -> Option<Post> {
+    /// Processes a message. Returns the answer.
+    fn handle(&mut self, p: &Message) -> Option<Message> {
         let now = self.now;
         match p {
-            Post::Ask(site, router, ask) => {
-                let id = self.lease();
-                let d = self.sites[*site].region.request_lease(now, id, ask)?;
-                Some(Post::Answer(*site, *router, ask.seq, d))
+            Message::Request(site, router, request) => {
+                let id = self.next_lease_id();
+                let d = self.sites[*site].region.request_lease(now, id, request)?;
+                Some(Message::Answer(*site, *router, request.seq, d))
             }
-            Post::Answer(site, router, seq, d) => {
-                // An answer to a process that is no more reaches nobody.
+            Message::Answer(site, router, seq, d) => {
+                // An answer to a replaced process is dropped.
                 let holder = self.sites[*site].routers[*router].holder;
                 let lease = d.ok().map(|g| g.lease);
                 if lease.is_none_or(|l| self.leased_to(*site, l) == Some(holder)) {
@@ -230,12 +241,12 @@
                 }
                 None
             }
-            Post::Report(site, router, holder, sent, reports) => {
+            Message::Report(site, router, holder, sent, reports) => {
                 let region = &mut self.sites[*site].region;
                 let acks = reports.iter().map(|r| (*r, region.report(now, *holder, r))).collect();
-                Some(Post::Ack(*site, *router, *holder, *sent, acks))
+                Some(Message::Ack(*site, *router, *holder, *sent, acks))
             }
-            Post::Ack(site, router, holder, sent, acks) => {
+            Message::Ack(site, router, holder, sent, acks) => {
                 let r = &mut self.sites[*site].routers[*router];
                 if r.holder == *holder {
                     acks.iter().for_each(|(rep, known)| r.slices.acknowledge(*sent, rep, *known));
@@ -250,40 +261,42 @@
         f.leases().find(|(id, _)| **id == lease).map(|(_, l)| l.holder)
     }
 
-    fn check(&self) {
+    /// Asserts that nothing is overspent and all ledgers are consistent.
+    fn assert_invariants(&self) {
         assert!(self.consumed <= self.funded, "{} of {}", self.consumed, self.funded);
         assert!(self.home.consistent());
         let home = self.home.get(BUDGET).unwrap();
-        assert!(home.spent() <= self.consumed, "billed more than was consumed");
+        assert!(home.spent() <= self.consumed, "the home ledger counts more than was consumed");
         for s in &self.sites {
             assert!(s.region.ledger().consistent());
         }
     }
 
-    /// Heals everything and lets everybody hand back.
-    fn settle(&mut self) {
-        self.post.clear();
+    /// Reconnects all regions, and lets routers and regions return their tokens.
+    fn return_all(&mut self) {
+        self.in_flight.clear();
         for site in 0..REGIONS {
-            self.sites[site].cut = false;
+            self.sites[site].disconnected = false;
             for _ in 0..4 {
                 for router in 0..ROUTERS {
                     self.sites[site].routers[router].slices.return_idle();
                     self.send_report(site, router);
                 }
-                while !self.post.is_empty() {
+                while !self.in_flight.is_empty() {
                     self.deliver(0, false);
                 }
             }
             self.sites[site].region.give_back(BUDGET, u64::MAX);
-            self.report_up(site, false);
+            self.report_to_home(site, false);
         }
-        self.check();
+        self.assert_invariants();
     }
 }
 
-/// The seed of the runs; CI always takes the same one.
+/// Fixed seed, so that every run tests the same sequences.
 const SEED: [u8; 32] = *b"cypressfork escrow levels seed 1";
 
+/// Guards against overspending and lost tokens under lost, late and duplicate messages.
 #[test]
 fn no_order_of_events_overspends() {
     eprintln!("seed: {}", String::from_utf8_lossy(&SEED));
@@ -293,41 +306,44 @@
     let steps = prop::collection::vec(step(), 1..250);
     let result = runner.run(&(500u64..8_000, steps), |(funded, steps)| {
         let restarted = steps.iter().any(|s| matches!(s, Step::Restart { .. }));
-        let mut w = World::new(funded);
-        steps.into_iter().for_each(|s| w.take(s));
-        w.settle();
-        let home = w.home.get(BUDGET).unwrap();
+        let mut sim = Simulation::new(funded);
+        steps.into_iter().for_each(|s| sim.apply(s));
+        sim.return_all();
+        let home = sim.home.get(BUDGET).unwrap();
         if !restarted {
             let open: Vec<_> = home.leases().collect();
-            prop_assert_eq!(home.spent(), w.consumed, "open: {:?}", open);
+            prop_assert_eq!(home.spent(), sim.consumed, "open: {:?}", open);
         }
         Ok(())
     });
     result.unwrap();
 }
 
+/// Guards against a disconnected region that stops early or spends more than its allotment.
 #[test]
 fn a_region_cut_off_lives_on_its_allotment_and_no_longer() {
-    let mut w = World::new(10_000);
-    w.take(Step::Allot { site: 0, want: 2_000 });
-    w.take(Step::Allot { site: 1, want: 2_000 });
-    w.take(Step::Cut { site: 0, cut: true });
+    let mut sim = Simulation::new(10_000);
+    sim.apply(Step::RequestAllotment { site: 0, want: 2_000 });
+    sim.apply(Step::RequestAllotment { site: 1, want: 2_000 });
+    sim.apply(Step::Disconnect { site: 0, disconnected: true });
     for n in 0..400 {
-        w.take(Step::Pass(60_000));
+        sim.apply(Step::Advance(60_000));
         for site in 0..REGIONS {
             let router = n % ROUTERS;
-            w.take(Step::Request { site, router, bound: 50, used: 50 });
-            w.take(Step::Recall { site, router });
-            while !w.post.is_empty() {
-                w.take(Step::Deliver { pick: 0, again: false });
+            sim.apply(Step::Request { site, router, bound: 50, used: 50 });
+            sim.apply(Step::Recall { site, router });
+            while !sim.in_flight.is_empty() {
+                sim.apply(Step::Deliver { index: 0, duplicate: false });
             }
         }
-        w.take(Step::Allot { site: 1, want: 2_000 });
+        sim.apply(Step::RequestAllotment { site: 1, want: 2_000 });
     }
-    let spent = |w: &World, site: usize| w.sites[site].region.ledger().get(BUDGET).unwrap().spent();
+    let spent = |sim: &Simulation, site: usize| {
+        sim.sites[site].region.ledger().get(BUDGET).unwrap().spent()
+    };
     let allotted = 2_000;
-    assert!(spent(&w, 0) <= allotted && spent(&w, 0) > allotted - 100, "{}", spent(&w, 0));
-    assert!(w.consumed <= 10_000);
-    w.settle();
-    assert_eq!(w.home.get(BUDGET).unwrap().spent(), w.consumed);
+    assert!(spent(&sim, 0) <= allotted && spent(&sim, 0) > allotted - 100, "{}", spent(&sim, 0));
+    assert!(sim.consumed <= 10_000);
+    sim.return_all();
+    assert_eq!(sim.home.get(BUDGET).unwrap().spent(), sim.consumed);
 }
--- a/crates/core/tests/evacuation.rs
+++ b/crates/core/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! Evacuated data centres: what orders in any order come to, and where requests go meanwhile.
+//! Tests evacuation orders of data centres and the routing of requests meanwhile.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -17,6 +17,7 @@
     all.iter().map(|n| (*n).to_owned()).collect()
 }
 
+/// Guards against a wrong set of evacuated data centres after repeated and withdrawn orders.
 #[rstest]
 #[case::none(&[], 0, &[])]
 #[case::one(&[("a", true)], 1, &["a"])]
@@ -28,27 +29,27 @@
 fn orders_in_the_log(
     #[case] orders: &[(&str, bool)],
     #[case] revision: u64,
-    #[case] left: &[&str],
+    #[case] evacuated: &[&str],
 ) {
     let mut state = State::default();
     for (i, (name, evacuate)) in orders.iter().enumerate() {
         let c = Command::Evacuate { data_centre: (*name).to_owned(), evacuate: *evacuate };
         let at = LeaseId { term: 1, index: i as u64 + 1 };
-        assert_eq!(state.apply(Time(0), at, &c), Answer::Done, "the same answer each time");
+        assert_eq!(state.apply(Time(0), at, &c), Answer::Done, "the answer depends on the state");
     }
-    let expected = Evacuations { revision, data_centres: names(left) };
+    let expected = Evacuations { revision, data_centres: names(evacuated) };
     assert_eq!(*state.evacuations(), expected);
 }
 
-/// A gateway hears of them from several control processes, some of which lag.
+/// Guards against an older revision from a lagging control process that replaces a newer one.
 #[test]
 fn a_follower_keeps_the_newest_word() {
     let old = Evacuations { revision: 4, data_centres: names(&["a"]) };
     let new = Evacuations { revision: 9, data_centres: names(&[]) };
-    let mut held = Evacuations::default();
-    assert!(held.merge(&old) && held.merge(&new));
-    assert!(!held.merge(&old) && !held.merge(&new));
-    assert_eq!(held, new);
+    let mut current = Evacuations::default();
+    assert!(current.merge(&old) && current.merge(&new));
+    assert!(!current.merge(&old) && !current.merge(&new));
+    assert_eq!(current, new);
 }
 
 fn upstream(n: u8, data_centre: &str) -> Upstream {
@@ -57,7 +58,7 @@
     Upstream { vm, address, checks_orders: false }
 }
 
-/// Where 400 requests go whose prompts begin with one of 40 shared parts.
+/// Returns the data centres that serve 400 requests with 40 shared prompt prefixes.
 fn data_centres_used(pool: &mut Pool) -> BTreeSet<String> {
     let mut rng = SmallRng::seed_from_u64(7);
     let mut used = BTreeSet::new();
@@ -71,15 +72,16 @@
     used
 }
 
+/// Guards against routing new requests to an evacuated data centre.
 #[test]
-fn an_evacuated_data_centre_gets_no_new_work_until_it_is_taken_back() {
+fn an_evacuated_data_centre_gets_no_requests_until_it_is_reopened() {
     let all: Vec<_> = (0..9).map(|n| upstream(n, ["a", "b", "c"][usize::from(n) % 3])).collect();
     let mut pool = Pool::default();
     pool.set_upstreams(Time(0), &all, 8);
     assert_eq!(data_centres_used(&mut pool), names(&["a", "b", "c"]));
     pool.set_closed_data_centres(Time(0), &names(&["b"]));
     assert_eq!(data_centres_used(&mut pool), names(&["a", "c"]));
-    // One that registers meanwhile is in it too.
+    // The evacuation covers replicas that register later.
     let more: Vec<_> = all.iter().cloned().chain([upstream(9, "b")]).collect();
     pool.set_upstreams(Time(0), &more, 8);
     assert_eq!(data_centres_used(&mut pool), names(&["a", "c"]));
--- a/crates/core/tests/unseen.rs
+++ b/crates/core/tests/unseen.rs
@@ -1,4 +1,4 @@
-//! What an engine may have made of a stream that broke off, unseen.
+//! Tests the estimate of events that an engine may have produced unread before a stream broke off.
 
 #![allow(missing_docs)]
 
@@ -11,7 +11,7 @@
     Duration::from_millis(n)
 }
 
-/// Events that came, over what time, how long nothing was read, and the most that may have been made unseen.
+/// Guards against underestimating unread events. Times are in milliseconds.
 #[rstest]
 #[case::none_came(0, 0, 0, 5)]
 #[case::one_came(1, 0, 0, 5)]
@@ -20,14 +20,14 @@
 #[case::a_caller_that_took_nothing_at_last(11, 300, 200, 50)]
 #[case::a_caller_that_took_little(11, 200, 200, 500_000)]
 #[case::all_at_once(11, 0, 0, 100_000)]
-fn what_may_have_been_made(
+fn max_unread_depends_on_pace_and_stalls(
     #[case] events: u64,
     #[case] span: u64,
-    #[case] unread: u64,
-    #[case] unseen: u64,
+    #[case] stall: u64,
+    #[case] max_unread: u64,
 ) {
-    let mut pace = UnreadEstimate::default();
-    pace.record_events(events, ms(span));
-    pace.record_stall(ms(unread));
-    assert_eq!(pace.max_unread(), unseen);
+    let mut estimate = UnreadEstimate::default();
+    estimate.record_events(events, ms(span));
+    estimate.record_stall(ms(stall));
+    assert_eq!(estimate.max_unread(), max_unread);
 }
