--- a/crates/core/tests/bound.rs
+++ b/crates/core/tests/bound.rs
@@ -179,6 +179,7 @@
     assert_eq!(sim.slices(0).limit_wait(now, idle + 1), None, "too few tokens are idle");
 }
 
+/// Guards against a wait for a limit that grows only after the first acknowledgement.
 #[test]
 fn a_holder_without_an_acknowledgement_has_no_limit_wait() {
     let mut sim = Simulation::new();
@@ -502,7 +503,7 @@
         4 => (n.clone(), 1..60_000u64).prop_map(|(n, t)| Step::Reserve(n, t)),
         3 => (n.clone(), any::<u8>()).prop_map(|(n, part)| Step::Settle(n, part)),
         1 => (n.clone(), 1..80_000u64).prop_map(|(n, t)| Step::RequestLease(n, t)),
-        4 => (n.clone(), delivery).prop_map(|(n, f)| Step::SendReport(n, f)),
+        4 => (n.clone(), delivery).prop_map(|(n, d)| Step::SendReport(n, d)),
         2 => (1..6_000u64).prop_map(Step::Advance),
         1 => Just(Step::DeliverDelayed),
         1 => n.clone().prop_map(Step::Recall),
--- a/crates/core/tests/escrow.rs
+++ b/crates/core/tests/escrow.rs
@@ -48,6 +48,7 @@
     assert_eq!(e.ledger_open(), 0);
 }
 
+/// Guards against a second lease when a request is resent after its answer was lost.
 #[test]
 fn a_grant_that_is_asked_for_again_is_one_lease() {
     let mut e = Escrow::new(TOTAL, 1);
@@ -61,6 +62,7 @@
     assert_eq!(e.ledger_spent(), 500);
 }
 
+/// Guards against reusing a dead router's slice before it is released.
 #[test]
 fn a_killed_router_strands_at_most_its_slice_and_spends_no_more() {
     let mut e = Escrow::new(TOTAL, 3);
@@ -151,6 +153,7 @@
     assert_eq!(e.ledger_open(), 0);
 }
 
+/// Guards against counting figures outside the grant.
 #[rstest]
 #[case::used_above_keep(700, 600, 600)]
 #[case::keep_above_grant(10, 1_000_000, 10)]
@@ -176,6 +179,7 @@
     e.assert_invariants();
 }
 
+/// Guards against a final refusal while running requests may return enough tokens.
 #[test]
 fn a_refusal_comes_only_when_what_is_reachable_is_too_little() {
     let mut e = Escrow::new(1_000, 4);
@@ -254,6 +258,7 @@
     e.assert_invariants();
 }
 
+/// Guards against a refusal that outlasts a top-up.
 #[test]
 fn a_top_up_in_the_moment_of_refusal_lets_the_next_ask_through() {
     let mut e = Escrow::new(100, 1);
@@ -263,6 +268,7 @@
     assert!(e.reserve_with_recalls(0, 500, timeout).is_ok());
 }
 
+/// Guards against granting from a budget that was cut below its open leases.
 #[test]
 fn a_budget_cut_below_what_is_leased_grants_no_more_and_calls_back() {
     let mut e = Escrow::new(TOTAL, 4);
@@ -279,6 +285,7 @@
     assert!(e.consumed() <= 1_000);
 }
 
+/// Guards against one router holding most of a nearly spent budget.
 #[test]
 fn slice_size_shrinks_with_the_free_tokens() {
     let mut e = Escrow::new(64_000, 8);
@@ -296,6 +303,7 @@
     e.assert_invariants();
 }
 
+/// Guards against unused slices that stay leased.
 #[test]
 fn idle_slices_are_returned_when_unused() {
     let mut e = Escrow::new(TOTAL, 2);
--- a/crates/core/tests/escrow_levels.rs
+++ b/crates/core/tests/escrow_levels.rs
@@ -82,7 +82,8 @@
         3 => (site(), 1u64..3_000).prop_map(|(site, want)| Step::RequestAllotment { site, want }),
         1 => (site(), 1u64..3_000).prop_map(|(site, tokens)| Step::ReturnTokens { site, tokens }),
         2 => (site(), any::<bool>()).prop_map(|(site, lost)| Step::ReportToHome { site, lost }),
-        1 => (site(), any::<bool>()).prop_map(|(site, disconnected)| Step::Disconnect { site, disconnected }),
+        1 => (site(), any::<bool>())
+            .prop_map(|(site, disconnected)| Step::Disconnect { site, disconnected }),
         1 => (site(), router()).prop_map(|(site, router)| Step::Restart { site, router }),
         1 => (1u64..500).prop_map(Step::TopUp),
         12 => (any::<usize>(), prop::bool::weighted(0.2))
