--- a/crates/core/tests/sessions.rs
+++ b/crates/core/tests/sessions.rs
@@ -28,7 +28,7 @@
 
     fn pass(&mut self, seconds: u64) {
         self.now += seconds * 1000;
-        self.session.say(&format!("{seconds} s pass"));
+        self.session.comment(&format!("{seconds} s pass"));
     }
 
     fn quietly(&mut self, c: &Command) -> Answer {
@@ -38,7 +38,7 @@
 
     fn send(&mut self, c: Command) -> Answer {
         let a = self.quietly(&c);
-        self.session.note(&c, &a);
+        self.session.record(&c, &a);
         a
     }
 
@@ -55,7 +55,7 @@
 
     fn budget(&mut self) {
         let b = self.state.budgets(Time(self.now), None);
-        self.session.note("budgets", b);
+        self.session.record("budgets", b);
     }
 }
 
@@ -124,22 +124,22 @@
     start(&mut g);
     let h = g.register("entry-1");
     let Answer::Decided(Ok(grant)) = g.send(ask(h, 1, 100, 400)) else { panic!() };
-    g.session.say("the same ask again gets the same lease");
+    g.session.comment("the same ask again gets the same lease");
     g.send(ask(h, 1, 100, 400));
     g.send(tally(h, vec![report(grant.lease, 60, grant.amount)], 1, vec![bill(1, 1, 50)]));
     g.budget();
-    g.session.say("a top-up, and its resend");
+    g.session.comment("a top-up, and its resend");
     let top_up = |n| Command::TopUp { op: "t1".into(), budget: "club-talk".into(), tokens: n };
     g.send(top_up(500));
     g.send(top_up(500));
     g.send(top_up(700));
-    g.session.say("a cut below what is spent is refused, one below what is leased is taken");
+    g.session.comment("a cut below what is spent is refused, one below what is leased is taken");
     g.send(set("cut-1", 1, json!({ "account": "club", "tokens": 0 })));
     g.send(Command::Release { op: "r0".into(), lease: LeaseId { term: 9, index: 9 } });
     g.send(set("cut-2", 1, json!({ "account": "club", "tokens": 1 })));
     g.send(ask(h, 2, 1, 1));
     g.budget();
-    g.session.say("the account is closed: no grant, but reports are taken");
+    g.session.comment("the account is closed: no grant, but reports are taken");
     g.send(set("close", 2, json!({ "account": "club", "tokens": 1000, "closed": true })));
     g.send(ask(h, 2, 1, 1));
     g.send(tally(h, vec![report(grant.lease, 90, 90)], 0, vec![]));
@@ -155,22 +155,22 @@
     g.send(set("ann-1", 1, tokens(2000)));
     g.send(set("bob-1", 1, tokens(3000)));
     g.send(set("cid-1", 1, tokens(4000)));
-    g.session.say("ann's answer was lost: she sends it again");
+    g.session.comment("ann's answer was lost: she sends it again");
     g.send(set("ann-1", 1, tokens(2000)));
-    g.session.say("bob makes his change again from the version in force");
+    g.session.comment("bob makes his change again from the version in force");
     g.send(set("bob-2", 2, tokens(3000)));
-    g.session.say("ann's third copy still gets her first answer, and reverts nothing");
+    g.session.comment("ann's third copy still gets her first answer, and reverts nothing");
     g.send(set("ann-1", 1, tokens(2000)));
-    g.session.say("an operation's id with other content");
+    g.session.comment("an operation's id with other content");
     g.send(set("ann-1", 3, tokens(9)));
-    g.session.say("faults: nothing of them is in force");
+    g.session.comment("faults: nothing of them is in force");
     g.send(set("bad-1", 3, json!({ "account": "club", "tokens": "many" })));
     g.send(set("bad-2", 3, json!({ "account": "club" })));
     g.send(set("bad-3", 3, json!({ "account": "club", "tokens": 5, "colour": "red" })));
     g.send(change("bad-4", 3, vec![Item::RemoveTemplate("club".into())]));
     g.budget();
     let back = g.state.config().rollback_items(2);
-    g.session.note("back to version 2", back);
+    g.session.record("back to version 2", back);
     g.session.check("racing_operators.txt");
 }
 
@@ -183,22 +183,22 @@
     let claim = |holder, seq, body| Command::Claim { holder, seq, id, body };
     let end = |holder, seq, end| Command::Conclude { holder, seq, id, end };
     let answer = Outcome { status: 200, kind: "text/plain".into(), body: Some(b"lot 4".to_vec()) };
-    g.session.say("three routers race; one may run it");
+    g.session.comment("three routers race; one may run it");
     g.send(claim(a, 1, body));
     g.send(claim(b, 1, body));
     g.send(claim(c, 1, body));
-    g.session.say("the winner's claim again, its answer was lost");
+    g.session.comment("the winner's claim again, its answer was lost");
     g.send(claim(a, 1, body));
-    g.session.say("nobody else ends it; it could not connect, so it has not run");
+    g.session.comment("nobody else ends it; it could not connect, so it has not run");
     g.send(end(b, 1, ClaimEnd::Unknown));
     g.send(end(a, 1, ClaimEnd::NotRun));
-    g.session.say("the next copy runs and is answered");
+    g.session.comment("the next copy runs and is answered");
     g.send(claim(b, 2, body));
     g.send(end(b, 2, ClaimEnd::Answered(answer)));
     g.send(claim(c, 2, body));
-    g.session.say("the same id with another body");
+    g.session.comment("the same id with another body");
     g.send(claim(c, 3, [2; 16]));
-    g.session.say("just before the outcome's retention ends, just after, and after a month");
+    g.session.comment("just before the outcome's retention ends, just after, and after a month");
     g.pass(24 * 3600);
     g.send(claim(c, 4, body));
     g.pass(1);
@@ -217,21 +217,21 @@
     let claim = |holder, seq, n| Command::Claim { holder, seq, id: id(n), body: [1; 16] };
     g.send(claim(a, 1, 1));
     g.send(claim(a, 2, 2));
-    g.session.say("entry-1 is silent: its claims are of unknown outcome and run no more");
+    g.session.comment("entry-1 is silent: its claims are of unknown outcome and run no more");
     g.send(Command::Lapse(a));
     g.send(claim(b, 1, 1));
-    g.session.say("it was only cut off: its late word is still taken");
+    g.session.comment("it was only cut off: its late word is still taken");
     let done = Outcome { status: 200, kind: String::new(), body: None };
     g.send(Command::Conclude { holder: a, seq: 1, id: id(1), end: ClaimEnd::Answered(done) });
     g.send(claim(b, 2, 1));
-    g.session.say("its late 'not run' is not: a copy may have been refused as unknown already");
+    g.session.comment("its late 'not run' is not: a copy may have been refused as unknown already");
     g.send(Command::Conclude { holder: a, seq: 2, id: id(2), end: ClaimEnd::NotRun });
     g.send(claim(b, 3, 2));
-    g.session.say("a claim given up before it came must not start");
+    g.session.comment("a claim given up before it came must not start");
     g.send(Command::Conclude { holder: b, seq: 4, id: id(3), end: ClaimEnd::NotRun });
     g.send(claim(b, 4, 3));
     g.send(claim(a, 3, 3));
-    g.session.say("the machine is replaced: the old registration claims nothing more");
+    g.session.comment("the machine is replaced: the old registration claims nothing more");
     g.register("entry-1");
     g.send(claim(a, 4, 4));
     g.send(claim(b, 5, 3));
@@ -244,26 +244,27 @@
     start(&mut g);
     let [a, b] = ["entry-1", "entry-2"].map(|vm| g.register(vm));
     g.send(tally(a, vec![], 1, vec![bill(1, 11, 50), bill(2, 12, 60)]));
-    g.session.say("its answer was lost: the same batch again, then the next");
+    g.session.comment("its answer was lost: the same batch again, then the next");
     g.send(tally(a, vec![], 1, vec![bill(1, 11, 50), bill(2, 12, 60)]));
     g.send(tally(a, vec![], 2, vec![bill(3, 13, 70)]));
-    g.session.say("a caller's retry ran on another router while the first still ran");
+    g.session.comment("a caller's retry ran on another router while the first still ran");
     g.send(tally(b, vec![], 1, vec![bill(3, 21, 70)]));
     g.send(tally(b, vec![], 1, vec![bill(3, 21, 70)]));
-    g.session.say("a run that was cut short gives way to the one that was whole");
+    g.session.comment("a run that was cut short gives way to the one that was whole");
     g.send(tally(a, vec![], 3, vec![Bill { whole: false, ..bill(5, 16, 7) }]));
     g.send(tally(b, vec![], 2, vec![bill(5, 23, 90)]));
     g.send(tally(a, vec![], 4, vec![Bill { whole: false, ..bill(5, 17, 7) }]));
-    g.session.say("an old batch arrives late");
+    g.session.comment("an old batch arrives late");
     g.send(tally(a, vec![], 1, vec![bill(1, 11, 50), bill(2, 12, 60)]));
     g.budget();
-    g.session
-        .say("just before the end of the ids' retention, and just after: a batch is still known");
+    g.session.comment(
+        "just before the end of the ids' retention, and just after: a batch is still known",
+    );
     g.pass(24 * 3600);
     g.send(tally(a, vec![], 2, vec![bill(3, 13, 70)]));
     g.pass(1);
     g.send(tally(a, vec![], 2, vec![bill(3, 13, 70)]));
-    g.session.say("a caller's retry by another router, just before and just after");
+    g.session.comment("a caller's retry by another router, just before and just after");
     g.send(tally(b, vec![], 3, vec![bill(4, 22, 5)]));
     g.pass(24 * 3600);
     g.send(tally(a, vec![], 5, vec![bill(4, 14, 5)]));
--- a/crates/core/tests/support/golden.rs
+++ b/crates/core/tests/support/golden.rs
@@ -12,12 +12,12 @@
 
 impl Session {
     /// Appends a comment line.
-    pub fn say(&mut self, line: &str) {
+    pub fn comment(&mut self, line: &str) {
         self.text += &format!("# {line}\n");
     }
 
     /// Appends an input and its output.
-    pub fn note<A: Debug, B: Debug>(&mut self, input: A, output: B) {
+    pub fn record<A: Debug, B: Debug>(&mut self, input: A, output: B) {
         self.text += &format!("{input:?}\n    => {output:?}\n");
     }
 
