--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! What a fleet of gateways works from: documents, repair, retries, entry answers,
-//! clocks and loans.
+//! Tests of the fleet model: documents, routes, group repair, retry budgets, entry responses, clocks,
+//! loans and admission.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -41,7 +41,7 @@
     }
 }
 
-fn tenant(name: &str, keys: &[&str]) -> ClientAccount {
+fn client_account(name: &str, keys: &[&str]) -> ClientAccount {
     let keys = keys.iter().map(|k| (*k).to_owned()).collect();
     let regions = BTreeSet::new();
     ClientAccount { name: name.to_owned(), keys, priority: None, prepaid: Some(1_000), regions }
@@ -58,7 +58,7 @@
         routes: vec![route("club.example", "/", "talk"), route("club.example", "/board/", "board")],
         services: vec![backend("talk"), backend("board")],
         limits: Limits { head: 16_384, body: 65_536, head_within, idle },
-        accounts: Some(vec![tenant("club", &["a", "b"]), tenant("mill", &["c"])]),
+        accounts: Some(vec![client_account("club", &["a", "b"]), client_account("mill", &["c"])]),
     }
 }
 
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn budgets_of_a_document_cannot_meet_those_of_templates() {
+fn budget_names_of_a_document_cannot_collide_with_those_of_templates() {
     let named: Vec<_> = document().budgets().collect();
     assert_eq!(named, [("account/club".into(), 1_000), ("account/mill".into(), 1_000)]);
     assert!(budget_name("club").contains('/'));
@@ -142,8 +142,8 @@
 
 const ADDRESSES: [&str; 7] = ["a:1", "b:1", "c:1", "d:1", "e:1", "f:1", "g:1"];
 
-/// A group of these voters, node 1 leading, with those that are silent and those that announce
-/// themselves; members are their node's address unless told otherwise.
+/// Returns the next membership change for a group led by node 1. `silent` are the members without
+/// contact, `candidates` the processes that announce themselves and their addresses.
 fn repair(
     voters: &[NodeId],
     learners: &[NodeId],
@@ -155,15 +155,15 @@
     for n in learners {
         members = members.with(&MemberChange::AddLearner(*n, address(*n))).unwrap();
     }
-    let mut heard = Candidates::default();
+    let mut announced = Candidates::default();
     for (node, address) in candidates {
-        heard.record(Time(0), Announce { node: *node, address: (*address).to_owned() });
+        announced.record(Time(0), Announce { node: *node, address: (*address).to_owned() });
     }
     let health = |n: NodeId| {
         let lost = silent.contains(&n);
         Health { silent: Millis(if lost { 10_000 } else { 0 }), caught_up: !lost }
     };
-    next_change(&members, 1, health, &heard, 5)
+    next_change(&members, 1, health, &announced, 5)
 }
 
 #[rstest]
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn silent_candidates_are_forgotten() {
+fn silent_candidates_expire() {
     let mut c = Candidates::default();
     c.record(Time(0), Announce { node: 4, address: "d:1".into() });
     c.tick(Time(3_000));
@@ -203,15 +203,15 @@
 #[case::eight_routers(8, 54)]
 #[case::seventy_routers(70, 204)]
 fn the_fleet_keeps_its_budget_of_retries_in_every_window(#[case] routers: u64, #[case] extra: u64) {
-    let bound = RetryLimit { percent: 20, extra, window: Millis(10_000) };
+    let limit = RetryLimit { percent: 20, extra, window: Millis(10_000) };
     let mut windows: Vec<RetryWindow> = (0..routers).map(|_| RetryWindow::new(Time(0))).collect();
     let (mut requests, mut retries) = (Vec::new(), Vec::new());
     for ms in (0..60_000).step_by(50) {
         let w = &mut windows[(ms / 50) as usize % routers as usize];
-        w.record_request(Time(ms), &bound);
+        w.record_request(Time(ms), &limit);
         requests.push(ms);
         for _ in 0..5 {
-            if w.try_take(Time(ms), &bound, routers) {
+            if w.try_take(Time(ms), &limit, routers) {
                 retries.push(ms);
             }
         }
@@ -229,7 +229,7 @@
     assert!(!retries.is_empty());
 }
 
-fn sign(vm: &str, data_centre: &str, open: bool) -> RouterStatus {
+fn status(vm: &str, data_centre: &str, open: bool) -> RouterStatus {
     RouterStatus {
         vm: vm.to_owned(),
         data_centre: data_centre.to_owned(),
@@ -240,7 +240,8 @@
     }
 }
 
-/// Routers as (name, data centre, open, last heard of at), for a caller in tamar-a at 10 s.
+/// Routers as (name, data centre, open, time of the last heartbeat in ms) and the addresses that a
+/// caller in tamar-a gets at 10 s.
 #[rstest]
 #[case::near_ones_are_enough(&[("1", "tamar-a", true, 9_900), ("2", "tamar-a", true, 9_900), ("3", "esk-c", true, 9_900)], &["1:80", "2:80"])]
 #[case::one_near_is_not(&[("1", "tamar-a", true, 9_900), ("3", "esk-c", true, 9_900)], &["1:80", "3:80"])]
@@ -248,32 +249,34 @@
 #[case::a_silent_one_is_left_out(&[("1", "tamar-a", true, 9_900), ("2", "tamar-a", true, 5_000), ("3", "esk-c", true, 9_900)], &["1:80", "3:80"])]
 #[case::all_silent_stay(&[("1", "tamar-a", true, 5_000), ("2", "tamar-a", true, 5_000)], &["1:80", "2:80"])]
 #[case::none_known(&[], &[])]
-fn a_caller_is_told_where_to_go(
+fn a_caller_gets_the_addresses_of_usable_routers(
     #[case] routers: &[(&str, &str, bool, u64)],
     #[case] addresses: &[&str],
 ) {
     let mut r = RouterHeartbeats::default();
     for (vm, data_centre, open, at) in routers {
-        r.record(Time(*at), &sign(vm, data_centre, *open));
+        r.record(Time(*at), &status(vm, data_centre, *open));
     }
     assert_eq!(r.addresses(Time(10_000), "tamar-a", &Regions::default(), 64), addresses);
 }
 
-/// When all clocks are heard, and the time of day then.
-const HEARD: Time = Time(50_000);
-const WALL: i64 = 1_000_000;
+/// Local time at which all clock samples are recorded, and the wall clock in milliseconds then.
+const SAMPLED_AT: Time = Time(50_000);
+const WALL_CLOCK_MS: i64 = 1_000_000;
 
-/// What was heard of clocks with these leads, and what the own one shows that has stepped.
-fn heard(leads: &[i64], step: i64) -> (Clocks, Time) {
+/// Records samples of clocks that are ahead by `leads` milliseconds. Returns them and the local wall
+/// clock after a step of `step` milliseconds.
+fn clocks(leads: &[i64], step: i64) -> (Clocks, Time) {
     let mut w = Clocks::default();
     for (n, lead) in leads.iter().enumerate() {
         let from = format!("10.0.0.{n}:1").parse().unwrap();
-        w.record(HEARD, from, Time((WALL + lead) as u64));
+        w.record(SAMPLED_AT, from, Time((WALL_CLOCK_MS + lead) as u64));
     }
-    (w, Time((WALL + step) as u64))
+    (w, Time((WALL_CLOCK_MS + step) as u64))
 }
 
-/// Other clocks' lead over this one's, this one's own step, and the lead of what is agreed.
+/// Lead of the other clocks over the local one, step of the local clock, and lead of the agreed time,
+/// in milliseconds.
 #[rstest]
 #[case::alone(&[], 0, 0)]
 #[case::all_agree(&[0, 0, 0, 0], 0, 0)]
@@ -282,14 +285,14 @@
 #[case::two_of_five_stepped(&[2_400, -2_400, 0, 0], 0, 0)]
 #[case::an_even_number_takes_the_lower(&[0, 2_400, 2_400], 0, 0)]
 fn most_clocks_decide(#[case] others: &[i64], #[case] step: i64, #[case] agreed: i64) {
-    let (w, own) = heard(others, step);
-    assert_eq!(w.agreed(HEARD, own), Time((WALL + agreed) as u64));
-    assert_eq!(w.has_quorum(HEARD, 3), others.len() >= 2);
-    assert!(!w.has_quorum(Time(60_000), 3), "clocks that fell silent do not count");
+    let (w, own) = clocks(others, step);
+    assert_eq!(w.agreed(SAMPLED_AT, own), Time((WALL_CLOCK_MS + agreed) as u64));
+    assert_eq!(w.has_quorum(SAMPLED_AT, 3), others.len() >= 2);
+    assert!(!w.has_quorum(Time(60_000), 3), "outdated samples must not count");
 }
 
-/// Other clocks' lead over this one's, this one's own step, and the margin of what is agreed, where
-/// three clocks are a quorum.
+/// Lead of the other clocks over the local one, step of the local clock, and margin of the agreed
+/// time, in milliseconds; three clocks are a quorum.
 #[rstest]
 #[case::too_few(&[0], 0, None)]
 #[case::all_agree(&[0, 0, 0, 0], 0, Some(150))]
@@ -303,8 +306,8 @@
     #[case] step: i64,
     #[case] margin: Option<u64>,
 ) {
-    let (w, own) = heard(others, step);
-    assert_eq!(w.margin(HEARD, own, 3), margin.map(Millis));
+    let (w, own) = clocks(others, step);
+    assert_eq!(w.margin(SAMPLED_AT, own, 3), margin.map(Millis));
 }
 
 #[test]
@@ -314,10 +317,10 @@
     l.open(Time(0), 1, "held");
     assert!(l.get(1).is_some());
     assert_eq!(l.settle(Time(10), 1), Some("held"));
-    assert_eq!(l.settle(Time(10), 1), None, "a resent word changes nothing");
-    assert!(!l.can_open(1), "a request that comes after its end");
+    assert_eq!(l.settle(Time(10), 1), None, "a repeated settlement changes nothing");
+    assert!(!l.can_open(1), "a request that arrives after its settlement");
     assert_eq!(l.settle(Time(10), 2), None);
-    assert!(!l.can_open(2), "settled before its request came");
+    assert!(!l.can_open(2), "settled before its request arrived");
 }
 
 #[test]
@@ -330,23 +333,24 @@
     assert!(l.get(2).is_some());
 }
 
-/// Among many equal peers the order is drawn: a sort whose keys change while it runs panics.
+/// Equal peers are ordered at random. Guards against a sort whose keys change while it runs, which
+/// panics.
 #[rstest]
 #[case::few(3)]
 #[case::many(500)]
 fn lenders_are_those_that_can_spare_most(#[case] peers: u64) {
     let mut rng = SmallRng::seed_from_u64(1);
-    let hope = |n: u64| if n == 2 { 900 } else { 10 };
-    let mut seconds = BTreeMap::new();
+    let available = |n: u64| if n == 2 { 900 } else { 10 };
+    let mut second_choices = BTreeMap::new();
     for _ in 0..50 {
-        let asked = choose_lenders((0..peers).map(|n| (n, hope(n))), 2, &mut rng);
+        let asked = choose_lenders((0..peers).map(|n| (n, available(n))), 2, &mut rng);
         assert_eq!((asked.len(), asked[0]), (2, 2));
-        *seconds.entry(asked[1]).or_insert(0) += 1;
+        *second_choices.entry(asked[1]).or_insert(0) += 1;
     }
-    assert!(seconds.len() > 1, "not always the same one comes next");
+    assert!(second_choices.len() > 1, "the second lender must vary among equal peers");
 }
 
-/// Parts of a reservation, and what was used of it; then what each part is charged.
+/// Tokens in each part of a reservation, tokens used, and tokens charged to each part.
 #[rstest]
 #[case::nothing_used(&[5, 7], 0, &[0, 0])]
 #[case::within_the_first(&[5, 7], 4, &[4, 0])]
@@ -378,7 +382,8 @@
     assert_eq!(wait, Millis(waits));
 }
 
-/// Requests under way of 352 places, and the priority of the one that comes.
+/// Active requests of at most 352, including the new one, the priority of the new one, and whether it
+/// is admitted.
 #[rstest]
 #[case::the_only_one(1, 2, true)]
 #[case::the_last_of_the_least_urgent(264, 2, true)]
@@ -391,11 +396,11 @@
 fn a_gateway_takes_what_it_can_bear(
     #[case] active: u64,
     #[case] priority: u8,
-    #[case] taken: bool,
+    #[case] admitted: bool,
 ) {
-    let places = admission::max_active_requests(88 * 1024 * 1024);
-    assert_eq!(places, 352);
-    assert_eq!(admission::admits(active, places, priority), taken);
+    let max_active = admission::max_active_requests(88 * 1024 * 1024);
+    assert_eq!(max_active, 352);
+    assert_eq!(admission::admits(active, max_active, priority), admitted);
 }
 
 #[test]
@@ -404,14 +409,13 @@
     assert!(!admission::admits(2, admission::max_active_requests(0), 0));
 }
 
-/// Guards against more retries than the fleet allows while routers are killed: one that starts again has
-/// forgotten those that it made before.
+/// Guards against exceeding the fleet's retry budget while routers restart and lose their counts.
 #[rstest]
-fn retries_stay_within_the_budget_while_routers_start_again(
+fn retries_stay_within_the_budget_while_routers_restart(
     #[values(1_000, 5_000, 9_900, 10_100)] killed: u64,
     #[values(1, 4, 8)] of_eight: usize,
 ) {
-    let bound = RetryLimit { percent: 20, extra: 56, window: Millis(10_000) };
+    let limit = RetryLimit { percent: 20, extra: 56, window: Millis(10_000) };
     let mut windows: Vec<_> = (0..8).map(|_| RetryWindow::new(Time(0))).collect();
     let (mut requests, mut retries) = (Vec::new(), Vec::new());
     for now in (20_000..50_000).step_by(20) {
@@ -419,10 +423,10 @@
             windows[..of_eight].fill_with(|| RetryWindow::new(Time(now)));
         }
         let w = &mut windows[(now / 20 % 8) as usize];
-        w.record_request(Time(now), &bound);
+        w.record_request(Time(now), &limit);
         requests.push(now);
-        // All of what is allowed is used at once.
-        while w.try_take(Time(now), &bound, 9) {
+        // Uses the whole allowance at once.
+        while w.try_take(Time(now), &limit, 9) {
             retries.push(now);
         }
     }
--- a/crates/core/tests/homes.rs
+++ b/crates/core/tests/homes.rs
@@ -1,4 +1,4 @@
-//! The homes of budgets in a data centre with many routers, and the lists that these choose from.
+//! Tests of the assignment of budgets to home routers, and of the router lists that it is based on.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -25,17 +25,17 @@
     format!("account/{n}")
 }
 
-fn nobody(_: &SocketAddr) -> bool {
+fn none_out(_: &SocketAddr) -> bool {
     false
 }
 
 #[test]
 fn all_routers_name_the_same_homes_whatever_the_order_of_their_lists() {
     let all = routers(58);
-    let mut turned = all.clone();
-    turned.reverse();
+    let mut reversed = all.clone();
+    reversed.reverse();
     for n in 0..40 {
-        assert_eq!(home_candidates(&budget(n), &all), home_candidates(&budget(n), &turned));
+        assert_eq!(home_candidates(&budget(n), &all), home_candidates(&budget(n), &reversed));
     }
 }
 
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_router_that_goes_moves_only_the_budgets_that_it_kept() {
+fn removing_a_router_moves_only_the_budgets_homed_there() {
     let all = routers(58);
     let left: Vec<_> = all.iter().copied().filter(|a| *a != address(7)).collect();
     let mut moved = 0;
@@ -74,12 +74,12 @@
 }
 
 #[test]
-fn the_asking_routers_of_a_budget_are_spread_over_its_homes() {
+fn routers_that_use_a_budget_are_spread_over_its_homes() {
     let all = routers(58);
     let ranked = home_candidates(&budget(1), &all);
     let mut first: BTreeMap<SocketAddr, usize> = BTreeMap::new();
     for own in &all {
-        *first.entry(ask_order(&ranked, *own, nobody)[0]).or_default() += 1;
+        *first.entry(ask_order(&ranked, *own, none_out)[0]).or_default() += 1;
     }
     assert_eq!(
         first.keys().copied().collect::<BTreeSet<_>>(),
@@ -88,8 +88,8 @@
     assert!(first.values().all(|n| *n > 58 / 4), "{first:?}");
 }
 
-/// Positions in the ranking of those that do not answer, the asking router's own position, and the
-/// positions of the homes that it asks.
+/// Ranks of the routers that do not answer, rank of the asking router, and ranks of the homes that it
+/// asks.
 #[rstest]
 #[case::it_is_the_first_home(&[], Some(0), &[0, 1])]
 #[case::it_is_the_second_home(&[], Some(1), &[1, 0])]
@@ -97,7 +97,7 @@
 #[case::it_is_the_next_in_line(&[0], Some(2), &[2, 1])]
 #[case::two_are_out(&[0, 1], Some(3), &[3, 2])]
 #[case::nobody_answers(&[0, 1, 2, 3], Some(0), &[0, 1, 2, 3])]
-fn a_home_that_does_not_answer_is_passed_over(
+fn a_home_that_does_not_answer_is_skipped(
     #[case] out: &[usize],
     #[case] own: Option<usize>,
     #[case] asked: &[usize],
@@ -112,7 +112,7 @@
 
 #[test]
 fn a_data_centre_without_routers_has_no_homes() {
-    assert_eq!(ask_order(&home_candidates(&budget(1), &[]), address(1), nobody), []);
+    assert_eq!(ask_order(&home_candidates(&budget(1), &[]), address(1), none_out), []);
 }
 
 fn router(n: usize, leaving: bool) -> Router {
@@ -127,7 +127,7 @@
     }
 }
 
-fn sign(n: usize) -> RouterStatus {
+fn status(n: usize) -> RouterStatus {
     RouterStatus {
         vm: format!("entry-{n}"),
         data_centre: "tamar-a".into(),
@@ -138,24 +138,25 @@
     }
 }
 
-/// A directory of routers 1 to `n`, heard of at their times, at `now`.
-fn listed(now: u64, n: usize, heard: &[(usize, u64)], leaving: &[usize]) -> Vec<String> {
+/// Returns the links that a directory lists for tamar-a at `now`. Routers 1 to `n` are registered;
+/// `heartbeats` holds routers and the times of their last heartbeats.
+fn listed_links(now: u64, n: usize, heartbeats: &[(usize, u64)], leaving: &[usize]) -> Vec<String> {
     let mut known = RouterHeartbeats::default();
-    for (n, at) in heard {
-        known.record(Time(*at), &sign(*n));
+    for (n, at) in heartbeats {
+        known.record(Time(*at), &status(*n));
     }
     let all: Vec<_> = (1..=n).map(|n| router(n, leaving.contains(&n))).collect();
     let mut directory = RouterDirectory::default();
     directory.refresh(Time(now), all.iter(), &known);
     assert_eq!(directory.with_homes_digest(), digest(directory.with_homes()));
-    of(&directory, "tamar-a")
+    links_of(&directory, "tamar-a")
 }
 
-/// The list of one data centre; empty if budgets have no homes there.
-fn of(directory: &RouterDirectory, data_centre: &str) -> Vec<String> {
-    let area = directory.with_homes().iter().find(|a| a.data_centre == data_centre);
-    assert_eq!(area.is_some(), directory.has_homes(data_centre));
-    area.map(|a| a.links.clone()).unwrap_or_default()
+/// Returns the links of the routers of one data centre; empty if budgets have no homes there.
+fn links_of(directory: &RouterDirectory, data_centre: &str) -> Vec<String> {
+    let routers = directory.with_homes().iter().find(|a| a.data_centre == data_centre);
+    assert_eq!(routers.is_some(), directory.has_homes(data_centre));
+    routers.map(|a| a.links.clone()).unwrap_or_default()
 }
 
 fn links(n: impl IntoIterator<Item = usize>) -> Vec<String> {
@@ -163,47 +164,51 @@
 }
 
 #[test]
-fn a_control_process_that_has_just_started_lists_who_is_registered() {
-    assert_eq!(listed(10, MIN_ROUTERS_FOR_HOMES, &[], &[]), links(1..=MIN_ROUTERS_FOR_HOMES));
+fn a_control_process_that_has_just_started_lists_all_registered_routers() {
+    assert_eq!(listed_links(10, MIN_ROUTERS_FOR_HOMES, &[], &[]), links(1..=MIN_ROUTERS_FOR_HOMES));
 }
 
 #[test]
 fn few_routers_have_no_homes() {
-    assert_eq!(listed(10, MIN_ROUTERS_FOR_HOMES - 1, &[], &[]), links([]));
+    assert_eq!(listed_links(10, MIN_ROUTERS_FOR_HOMES - 1, &[], &[]), links([]));
 }
 
 #[test]
-fn those_that_leave_or_fall_silent_are_not_listed_and_the_others_keep_their_homes() {
-    let heard: Vec<_> =
+fn leaving_and_silent_routers_are_not_listed_and_the_others_keep_their_homes() {
+    let heartbeats: Vec<_> =
         (1..=MIN_ROUTERS_FOR_HOMES).map(|n| (n, if n == 2 { 5_000 } else { 9_000 })).collect();
     assert_eq!(
-        listed(9_500, MIN_ROUTERS_FOR_HOMES, &heard, &[1]),
+        listed_links(9_500, MIN_ROUTERS_FOR_HOMES, &heartbeats, &[1]),
         links(3..=MIN_ROUTERS_FOR_HOMES)
     );
 }
 
 #[test]
-fn while_most_are_silent_all_are_listed() {
-    let heard: Vec<_> =
+fn while_most_routers_are_silent_all_are_listed() {
+    let heartbeats: Vec<_> =
         (1..=MIN_ROUTERS_FOR_HOMES).map(|n| (n, if n < 8 { 5_000 } else { 9_000 })).collect();
     assert_eq!(
-        listed(9_500, MIN_ROUTERS_FOR_HOMES, &heard, &[1]),
+        listed_links(9_500, MIN_ROUTERS_FOR_HOMES, &heartbeats, &[1]),
         links(2..=MIN_ROUTERS_FOR_HOMES)
     );
 }
 
 #[test]
-fn each_data_centre_has_a_list_of_its_own_made_anew_now_and_then() {
+fn each_data_centre_has_its_own_list_that_is_rebuilt_periodically() {
     let all: Vec<_> = (1..=MIN_ROUTERS_FOR_HOMES)
         .chain(101..=100 + MIN_ROUTERS_FOR_HOMES)
         .map(|n| router(n, false))
         .collect();
     let mut directory = RouterDirectory::default();
     directory.refresh(Time(0), all.iter(), &RouterHeartbeats::default());
-    assert_eq!(of(&directory, "tamar-b"), links(101..=100 + MIN_ROUTERS_FOR_HOMES));
-    assert_eq!(of(&directory, "esk-c"), links([]));
+    assert_eq!(links_of(&directory, "tamar-b"), links(101..=100 + MIN_ROUTERS_FOR_HOMES));
+    assert_eq!(links_of(&directory, "esk-c"), links([]));
     directory.refresh(Time(100), all[1..].iter(), &RouterHeartbeats::default());
-    assert_eq!(of(&directory, "tamar-a"), links(1..=MIN_ROUTERS_FOR_HOMES), "it is too early");
+    assert_eq!(
+        links_of(&directory, "tamar-a"),
+        links(1..=MIN_ROUTERS_FOR_HOMES),
+        "the list must not be rebuilt yet"
+    );
     directory.refresh(
         Time(250),
         all[..MIN_ROUTERS_FOR_HOMES - 1].iter(),
--- a/crates/core/tests/lateness.rs
+++ b/crates/core/tests/lateness.rs
@@ -1,4 +1,4 @@
-//! Why a stream was late.
+//! Tests of the cause that a late stream is attributed to.
 
 use std::time::Duration;
 
@@ -7,8 +7,8 @@
 };
 use rstest::rstest;
 
-/// Milliseconds for tokens, at the gateway, until the first event, in the longest pause and in
-/// passing an event on, where the first event should come within 500 and the next within 400.
+/// Milliseconds waited for the reservation, in the gateway, for the first event, in the longest pause
+/// and in forwarding. The objective is 500 ms to the first event and 400 ms between events.
 #[rstest]
 #[case::in_time([0, 0, 500, 400, 0], None)]
 #[case::waited_for_tokens([400, 50, 100, 0, 0], Some(LateCause::Reservation))]
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn any_pause_is_in_time_where_the_route_names_none() {
+fn a_route_without_a_pause_objective_accepts_any_pause() {
     let spans = LatencyBreakdown { pause: Duration::from_secs(9), ..LatencyBreakdown::default() };
     assert_eq!(
         late_cause(
