--- a/crates/core/tests/lives.rs
+++ b/crates/core/tests/lives.rs
@@ -1,5 +1,5 @@
-//! Replicas that start again under the id that they had: whatever the order in which words of several
-//! lives come, control processes and routers agree on the last life.
+//! Tests of replicas that restart under the same id: control processes and routers must agree on the
+//! last incarnation in whatever order the reports of several incarnations arrive.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,10 +15,10 @@
 use rand::rngs::SmallRng;
 use rstest::rstest;
 
-/// Of which life, at which port, with which number, and how it stands.
-type Word = (u64, u16, u64, ReplicaStatus);
+/// A report of a replica: incarnation, port, sequence number and status.
+type Report = (u64, u16, u64, ReplicaStatus);
 
-fn record((born, port, sequence, standing): Word) -> Record {
+fn record((born, port, sequence, standing): Report) -> Record {
     let registration = Registration {
         id: "i-1".to_owned(),
         service: "talk".to_owned(),
@@ -33,40 +33,41 @@
     Record { registration, standing }
 }
 
-/// Every order of some words.
-fn orders(words: &[Word]) -> Vec<Vec<Word>> {
-    if words.len() < 2 {
-        return vec![words.to_vec()];
+/// Returns all permutations of `reports`.
+fn permutations(reports: &[Report]) -> Vec<Vec<Report>> {
+    if reports.len() < 2 {
+        return vec![reports.to_vec()];
     }
     let mut all = Vec::new();
-    for n in 0..words.len() {
-        let mut rest = words.to_vec();
+    for n in 0..reports.len() {
+        let mut rest = reports.to_vec();
         let first = rest.remove(n);
-        all.extend(orders(&rest).into_iter().map(|o| [vec![first], o].concat()));
+        all.extend(permutations(&rest).into_iter().map(|o| [vec![first], o].concat()));
     }
     all
 }
 
-fn at_control(words: &[Word]) -> Record {
+/// Returns a control process's record of the replica after `reports`.
+fn record_at_control(reports: &[Report]) -> Record {
     let mut r = Registry::default();
-    for (n, w) in words.iter().enumerate() {
+    for (n, w) in reports.iter().enumerate() {
         let source = if n % 2 == 0 { RecordSource::Replica } else { RecordSource::Peer };
         r.apply(Time(1_000 + n as u64), record(*w), source);
     }
     r.iter().next().unwrap().clone()
 }
 
-/// The ports at which a router has the replica.
-fn at_router(words: &[Word]) -> Vec<u16> {
+/// Returns the ports at which a router has the replica after `reports`.
+fn ports_at_router(reports: &[Report]) -> Vec<u16> {
     let mut replicas = ReplicaTable::default();
-    let mut there = BTreeMap::new();
-    for (n, w) in words.iter().enumerate() {
+    let mut ports = BTreeMap::new();
+    for (n, w) in reports.iter().enumerate() {
         let Some((_, changes)) = replicas.apply(Time(n as u64), record(*w)) else { continue };
         for c in changes {
-            there.insert(c.address.port(), c.upstream.is_some());
+            ports.insert(c.address.port(), c.upstream.is_some());
         }
     }
-    there.into_iter().filter(|(_, is_there)| *is_there).map(|(port, _)| port).collect()
+    ports.into_iter().filter(|(_, present)| *present).map(|(port, _)| port).collect()
 }
 
 use ReplicaStatus::{Draining, Left, Ready};
@@ -85,49 +86,49 @@
     (30, 2, Ready), &[82])]
 #[case::does_not_say(&[(0, 80, 1, Ready), (0, 80, 2, Ready)], (0, 2, Ready), &[80])]
 fn all_orders_come_to_the_same(
-    #[case] words: &[Word],
+    #[case] reports: &[Report],
     #[case] (born, sequence, standing): (u64, u64, ReplicaStatus),
     #[case] ports: &[u16],
 ) {
-    for order in orders(words) {
-        let r = at_control(&order);
+    for order in permutations(reports) {
+        let r = record_at_control(&order);
         let known = (r.registration.born, r.registration.sequence, r.standing);
         assert_eq!(known, (born, sequence, standing), "at a control process: {order:?}");
-        assert_eq!(at_router(&order), ports, "at a router: {order:?}");
+        assert_eq!(ports_at_router(&order), ports, "at a router: {order:?}");
     }
 }
 
-/// A heartbeat that another control process passes on counts for its own life only.
+/// Guards against a relayed heartbeat of an earlier incarnation that keeps the current one ready.
 #[test]
-fn a_relayed_heartbeat_is_of_one_life() {
+fn a_relayed_heartbeat_applies_only_to_its_incarnation() {
     let mut r = Registry::default();
     r.apply(Time(0), record((20, 80, 1, Ready)), RecordSource::Peer);
     r.tick(Time(10_000), Millis(1_000));
     let beat = |born, sequence| Heartbeat { id: "i-1".to_owned(), sequence, born };
-    assert!(!r.apply_heartbeat(Time(10_000), &beat(10, 99)), "of the life before");
+    assert!(!r.apply_heartbeat(Time(10_000), &beat(10, 99)), "of the earlier incarnation");
     assert_eq!(r.iter().next().unwrap().standing, ReplicaStatus::Silent);
     assert!(r.apply_heartbeat(Time(10_000), &beat(20, 2)));
     assert_eq!(r.iter().next().unwrap().standing, Ready);
 }
 
-/// A life that began is remembered, also when the one before would be forgotten.
+/// Guards against dropping a running incarnation when the record of the one that left expires.
 #[test]
-fn a_later_life_outlasts_the_memory_of_the_one_that_left() {
+fn a_new_incarnation_outlasts_the_record_of_the_one_that_left() {
     let mut replicas = ReplicaTable::default();
     replicas.apply(Time(0), record((10, 80, 5, Left)));
     replicas.apply(Time(1_000), record((20, 80, 1, Ready)));
     let (standing, changes) = replicas.apply(Time(200_000), record((20, 81, 2, Ready))).unwrap();
-    let there: Vec<_> = changes.iter().map(|c| (c.address.port(), c.upstream.is_some())).collect();
-    assert_eq!((standing, there), (Ready, vec![(80, false), (81, true)]));
+    let ports: Vec<_> = changes.iter().map(|c| (c.address.port(), c.upstream.is_some())).collect();
+    assert_eq!((standing, ports), (Ready, vec![(80, false), (81, true)]));
 }
 
-/// What a router learned of the former life goes with it: it is left out no longer, and has no request.
+/// Guards against carrying ejection and outstanding requests over to a restarted replica.
 #[test]
 fn nothing_is_left_of_the_former_life() {
     let mut replicas = ReplicaTable::default();
     let mut pool = Pool::default();
     let mut rng = SmallRng::seed_from_u64(7);
-    let mut take = |pool: &mut Pool, now: Time, w: Word| {
+    let mut apply = |pool: &mut Pool, now: Time, w: Report| {
         for c in replicas.apply(now, record(w)).unwrap().1 {
             match c.upstream {
                 Some((u, condition)) => pool.upsert(now, &u, &condition),
@@ -135,7 +136,7 @@
             }
         }
     };
-    take(&mut pool, Time(0), (10, 80, 1, Ready));
+    apply(&mut pool, Time(0), (10, 80, 1, Ready));
     let other = SocketAddr::from(([10, 0, 0, 2], 80));
     let vm = Vm { name: "i-2".to_owned(), data_centre: "a".to_owned() };
     let upstream = Upstream { vm, address: other, checks_orders: false };
@@ -149,7 +150,7 @@
     pool.choose(Time(400), "a", &work, &[other], &mut rng);
     assert!(pool.get(first).unwrap().is_out(Time(400)));
     assert_eq!(pool.get(first).unwrap().outstanding, 1);
-    take(&mut pool, Time(700), (20, 80, 1, Ready));
+    apply(&mut pool, Time(700), (20, 80, 1, Ready));
     assert!(!pool.get(first).unwrap().is_out(Time(700)));
     assert_eq!(pool.get(first).unwrap().outstanding, 0);
 }
--- a/crates/core/tests/loans.rs
+++ b/crates/core/tests/loans.rs
@@ -1,5 +1,5 @@
-//! Loans between routers: whatever becomes of their messages, and whoever dies, what borrowers use
-//! was set aside before, and nothing that was set aside is lost or counted twice.
+//! Property tests of loans between routers: with lost, duplicated and reordered messages and crashed
+//! borrowers, no more tokens are used than were reserved, and none are lost or counted twice.
 
 use std::collections::BTreeMap;
 
@@ -9,24 +9,24 @@
 
 const HOMES: usize = 3;
 
-/// What each home has at first.
+/// Tokens of each home at the start.
 const TOTAL: Tokens = 10_000;
 
-/// The longest that a request runs, in milliseconds.
-const RUN_MOST: u64 = 15_000;
+/// Deadline of a request, in milliseconds.
+const MAX_RUN_MS: u64 = 15_000;
 
-/// A home: tokens that are idle, set aside in loans, and spent.
+/// A home router: its idle tokens, those reserved in loans, and those spent.
 #[derive(Default)]
 struct Home {
     idle: Tokens,
     loans: Loans<Tokens>,
-    /// What is set aside in each open loan.
+    /// Tokens reserved in each open loan.
     open: BTreeMap<u64, Tokens>,
     spent: Tokens,
 }
 
 impl Home {
-    /// Serves a request for a loan, which may be a copy.
+    /// Handles a request for a loan, possibly a duplicate. Returns the tokens reserved under `id`.
     fn hold(&mut self, now: Time, id: u64, wanted: Tokens) -> Tokens {
         let part = wanted.min(self.idle);
         self.idle -= part;
@@ -49,8 +49,8 @@
     }
 
     fn expire(&mut self, now: Time) {
-        let late: Tokens = self.loans.expire(now).into_iter().sum();
-        self.spent += late;
+        let expired: Tokens = self.loans.expire(now).into_iter().sum();
+        self.spent += expired;
         self.open.retain(|id, _| self.loans.get(*id).is_some());
     }
 }
@@ -61,7 +61,7 @@
     Settle { id: u64, used: Tokens },
 }
 
-/// A request of a borrower that runs with tokens of one home.
+/// A running request of a borrower that uses tokens of one home.
 #[derive(Clone, Copy, Debug)]
 struct Run {
     home: usize,
@@ -72,56 +72,56 @@
 }
 
 #[derive(Default)]
-struct World {
+struct Simulation {
     now: Time,
     homes: Vec<Home>,
-    /// Messages that were sent and may yet arrive, in any order, more than once.
+    /// Messages sent. Each may arrive any number of times, in any order.
     sent: Vec<(usize, Message)>,
     running: Vec<Run>,
-    /// What requests have used in truth, by home.
+    /// Tokens that requests have actually used, by home.
     used: Vec<Tokens>,
     ids: u64,
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// A borrower asks; whether its answer comes.
+    /// A borrower requests a loan; `answered` is whether it gets the response.
     Borrow {
         home: usize,
         wanted: Tokens,
         answered: bool,
     },
-    /// A request goes on.
+    /// A request uses a part of its remaining tokens, in 255ths.
     Use {
         run: usize,
         part: u8,
     },
-    /// It ends, and the home is told; whether that arrives at once.
+    /// A request ends and settles its loan; `arrives` is whether the settlement arrives at once.
     End {
         run: usize,
         arrives: bool,
     },
-    /// The borrower dies, and its requests with it.
-    Die {
+    /// The borrower of a request crashes without settling.
+    Crash {
         run: usize,
     },
-    /// A message that was sent arrives, late or once more.
-    Arrive {
+    /// A message arrives late or again.
+    Deliver {
         message: usize,
     },
-    Pass {
+    Advance {
         ms: u64,
     },
 }
 
-impl World {
-    fn new() -> World {
+impl Simulation {
+    fn new() -> Simulation {
         let home = || Home { idle: TOTAL, ..Home::default() };
         let homes = (0..HOMES).map(|_| home()).collect();
-        World { homes, used: vec![0; HOMES], ..World::default() }
+        Simulation { homes, used: vec![0; HOMES], ..Simulation::default() }
     }
 
-    fn arrive(&mut self, home: usize, m: Message) -> Tokens {
+    fn deliver(&mut self, home: usize, m: Message) -> Tokens {
         match m {
             Message::Hold { id, wanted } => self.homes[home].hold(self.now, id, wanted),
             Message::Settle { id, used } => {
@@ -134,13 +134,13 @@
     fn borrow(&mut self, home: usize, wanted: Tokens, answered: bool) {
         self.ids += 1;
         let id = self.ids;
-        let ask = Message::Hold { id, wanted };
-        self.sent.push((home, ask));
+        let request = Message::Hold { id, wanted };
+        self.sent.push((home, request));
         if !answered {
-            // It gives up, and says so; both may arrive yet, in any order.
+            // The borrower gives up and settles; both messages may still arrive, in any order.
             return self.sent.push((home, Message::Settle { id, used: 0 }));
         }
-        let held = self.arrive(home, ask);
+        let held = self.deliver(home, request);
         if held > 0 {
             self.running.push(Run { home, id, held, used: 0, since: self.now });
         }
@@ -151,7 +151,7 @@
         let settle = Message::Settle { id: r.id, used: r.used };
         self.sent.push((r.home, settle));
         if arrives {
-            self.arrive(r.home, settle);
+            self.deliver(r.home, settle);
         }
     }
 
@@ -166,22 +166,23 @@
                 self.used[r.home] += more;
             }
             Step::End { run, arrives } if running > 0 => self.end(run % running, *arrives),
-            Step::Die { run } if running > 0 => {
+            Step::Crash { run } if running > 0 => {
                 self.running.remove(run % running);
             }
-            Step::Arrive { message } if !self.sent.is_empty() => {
+            Step::Deliver { message } if !self.sent.is_empty() => {
                 let (home, m) = self.sent[message % self.sent.len()];
-                self.arrive(home, m);
+                self.deliver(home, m);
             }
-            Step::Pass { ms } => self.pass(*ms),
+            Step::Advance { ms } => self.advance(*ms),
             _ => {}
         }
     }
 
-    fn pass(&mut self, ms: u64) {
+    fn advance(&mut self, ms: u64) {
         self.now = self.now.after(Millis(ms));
-        // A request has a deadline; whoever runs it stops then, and says so as long as it lives.
-        while let Some(n) = self.running.iter().position(|r| self.now.since(r.since).0 > RUN_MOST) {
+        // A borrower that has not crashed stops a request at its deadline and settles.
+        while let Some(n) = self.running.iter().position(|r| self.now.since(r.since).0 > MAX_RUN_MS)
+        {
             self.end(n, true);
         }
         for h in &mut self.homes {
@@ -189,11 +190,11 @@
         }
     }
 
-    fn check(&self) {
+    fn check_invariants(&self) {
         for (h, used) in self.homes.iter().zip(&self.used) {
             let open: Tokens = h.open.values().sum();
             assert_eq!(h.idle + open + h.spent, TOTAL, "tokens are conserved");
-            assert!(*used <= h.spent + open, "{used} used, {} spent, {open} set aside", h.spent);
+            assert!(*used <= h.spent + open, "{used} used, {} spent, {open} reserved", h.spent);
         }
     }
 }
@@ -205,9 +206,9 @@
             .prop_map(|(home, wanted, answered)| Step::Borrow { home, wanted, answered }),
         3 => (run.clone(), any::<u8>()).prop_map(|(run, part)| Step::Use { run, part }),
         3 => (run.clone(), any::<bool>()).prop_map(|(run, arrives)| Step::End { run, arrives }),
-        1 => run.clone().prop_map(|run| Step::Die { run }),
-        3 => run.prop_map(|message| Step::Arrive { message }),
-        1 => (1..12_000u64).prop_map(|ms| Step::Pass { ms }),
+        1 => run.clone().prop_map(|run| Step::Crash { run }),
+        3 => run.prop_map(|message| Step::Deliver { message }),
+        1 => (1..12_000u64).prop_map(|ms| Step::Advance { ms }),
     ]
 }
 
@@ -215,24 +216,24 @@
     #![proptest_config(ProptestConfig { cases: 600, failure_persistence: None,
         rng_seed: prop::test_runner::RngSeed::Fixed(20_261_203), ..ProptestConfig::default() })]
 
-    /// Whatever is lost, doubled, late or crossed, and whoever dies.
+    /// Guards against overspending and lost tokens under message faults and crashes.
     #[test]
     fn no_order_of_messages_uses_more_than_was_set_aside(steps in prop::collection::vec(step(), 1..150)) {
-        let mut w = World::new();
+        let mut w = Simulation::new();
         for s in &steps {
             w.step(s);
-            w.check();
+            w.check_invariants();
         }
     }
 }
 
 #[test]
-fn a_copy_of_a_request_for_a_loan_sets_nothing_more_aside() {
+fn a_duplicate_request_for_a_loan_reserves_nothing_more() {
     let mut h = Home { idle: 100, ..Home::default() };
     assert_eq!(h.hold(Time(0), 1, 60), 60);
-    assert_eq!(h.hold(Time(5), 1, 60), 60, "it is told of the first");
+    assert_eq!(h.hold(Time(5), 1, 60), 60, "a duplicate gets the first response");
     assert_eq!((h.idle, h.spent), (40, 0));
     h.settle(Time(9), 1, 10);
-    assert_eq!(h.hold(Time(10), 1, 60), 0, "a copy that comes after the end");
+    assert_eq!(h.hold(Time(10), 1, 60), 0, "a duplicate after the settlement");
     assert_eq!((h.idle, h.spent), (90, 10));
 }
