--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -1,5 +1,4 @@
-//! Requests that end the replicas that run them: which of those that were there are quarantined, in
-//! tables of events and in storms.
+//! Tests of the quarantine of requests that terminate the replicas that run them.
 
 use cypressfork_core::fleet::fingerprint::{Fingerprint, Identity};
 use cypressfork_core::fleet::quarantine::{
@@ -11,15 +10,15 @@
 
 const HOUR: u64 = 3_600_000;
 
-fn named(name: &str) -> Fingerprint {
+fn fingerprint(name: &str) -> Fingerprint {
     let account = Some("club");
     let identity = Identity { account, method: "GET", host: "h", path: name, body: b"" };
     Fingerprint { brief: identity.brief(), digest: 7 }
 }
 
-fn ended(replica: &str, ago: u64, under_way: &[(&str, u64)]) -> TerminationReport {
+fn termination(replica: &str, ago: u64, under_way: &[(&str, u64)]) -> TerminationReport {
     let request = |(name, age): &(&str, u64)| InFlightRequest {
-        fingerprint: named(name),
+        fingerprint: fingerprint(name),
         account: "club".to_owned(),
         age: Millis(*age),
     };
@@ -27,29 +26,29 @@
     TerminationReport { replica: replica.to_owned(), ago: Millis(ago), under_way }
 }
 
-/// What is known after ends of replicas, divided by slashes: when, which replica, and the requests
-/// there, each with the milliseconds since it was sent.
-fn after(ends: &str) -> Quarantine {
+/// Returns the quarantine after terminations of replicas. Terminations are separated by slashes; each
+/// is a time, a replica and its in-flight requests, as `name:age`, in milliseconds.
+fn replay(terminations: &str) -> Quarantine {
     let mut q = Quarantine::default();
-    for (n, end) in ends.split('/').enumerate() {
-        let mut words = end.split_whitespace();
-        let (at, replica) = (words.next().unwrap(), words.next().unwrap());
-        let under_way: Vec<_> = words
+    for (n, text) in terminations.split('/').enumerate() {
+        let mut fields = text.split_whitespace();
+        let (at, replica) = (fields.next().unwrap(), fields.next().unwrap());
+        let under_way: Vec<_> = fields
             .map(|w| w.split_once(':').unwrap())
             .map(|(name, age)| (name, age.parse().unwrap()))
             .collect();
         q.record_terminations(
             Time(at.parse().unwrap()),
             n as u64 + 1,
-            &[ended(replica, 0, &under_way)],
+            &[termination(replica, 0, &under_way)],
         );
     }
     q
 }
 
-/// The names of `all` that are quarantined.
-fn held<'a>(q: &Quarantine, all: &[&'a str]) -> Vec<&'a str> {
-    all.iter().copied().filter(|n| q.contains(&named(n))).collect()
+/// Returns the names of `all` that are quarantined.
+fn quarantined_of<'a>(q: &Quarantine, all: &[&'a str]) -> Vec<&'a str> {
+    all.iter().copied().filter(|n| q.contains(&fingerprint(n))).collect()
 }
 
 #[rstest]
@@ -128,73 +127,82 @@
     "1000 r1 k:50 / 2000 r2 k:50 / 603000 r3 k:50",
     &[],
 )]
-fn what_ends_of_replicas_come_to(#[case] ends: &str, #[case] expected: &[&str]) {
-    assert_eq!(held(&after(ends), &["a", "b", "c", "d", "hot", "k", "l"]), expected);
+fn terminations_quarantine_the_requests_that_explain_them(
+    #[case] terminations: &str,
+    #[case] expected: &[&str],
+) {
+    assert_eq!(
+        quarantined_of(&replay(terminations), &["a", "b", "c", "d", "hot", "k", "l"]),
+        expected
+    );
 }
 
-const THREE: &str = "1000 r1 k:50 / 2000 r2 k:50 / 3000 r3 k:50";
+const THREE_TERMINATIONS: &str = "1000 r1 k:50 / 2000 r2 k:50 / 3000 r3 k:50";
 
-/// A report that was held up by a cut counts for the time that it is of.
+/// Guards against counting terminations whose reports were delayed together as one strike.
 #[test]
-fn a_late_report_is_of_its_time() {
+fn a_late_report_counts_at_the_time_of_its_termination() {
     let mut q = Quarantine::default();
     let all = [("r1", 9_000), ("r2", 8_000), ("r3", 7_000)];
-    let all: Vec<_> = all.into_iter().map(|(r, ago)| ended(r, ago, &[("k", 50)])).collect();
+    let all: Vec<_> = all.into_iter().map(|(r, ago)| termination(r, ago, &[("k", 50)])).collect();
     assert_eq!(
         q.record_terminations(Time(10_000), 1, &all),
-        [(named("k"), QuarantineChange::Quarantined)]
+        [(fingerprint("k"), QuarantineChange::Quarantined)]
     );
-    // Sent again, as its answer was lost, it changes nothing.
+    // A repeated report, after a lost response, changes nothing.
     assert_eq!(q.record_terminations(Time(10_050), 2, &all), []);
     assert_eq!(q.iter().next().unwrap().1.strikes, 3);
 }
 
 #[test]
-fn one_that_is_answered_whole_is_free_and_gets_no_strikes_for_a_while() {
-    let mut q = after(THREE);
-    let k = named("k");
+fn a_completed_request_is_released_and_gets_no_strikes_for_a_while() {
+    let mut q = replay(THREE_TERMINATIONS);
+    let k = fingerprint("k");
     assert_eq!(q.record_completions(Time(4_000), 4, &[k]), [(k, QuarantineChange::Completed)]);
     for n in 0..9 {
         q.record_terminations(
             Time(5_000 + n * 1_000),
             5 + n,
-            &[ended(&format!("s{n}"), 0, &[("k", 50)])],
+            &[termination(&format!("s{n}"), 0, &[("k", 50)])],
         );
     }
     assert!(!q.contains(&k));
 }
 
 #[test]
-fn a_term_ends_and_one_more_end_begins_a_longer_one() {
-    let mut q = after(THREE);
-    let k = named("k");
+fn after_a_quarantine_expires_one_more_termination_starts_a_longer_one() {
+    let mut q = replay(THREE_TERMINATIONS);
+    let k = fingerprint("k");
     assert!(!q.has_expired(Time(HOUR)));
-    let over = 3_000 + HOUR;
-    assert!(q.has_expired(Time(over)));
-    assert_eq!(q.expire_terms(Time(over), 9), [(k, QuarantineChange::Expired)]);
+    let expiry = 3_000 + HOUR;
+    assert!(q.has_expired(Time(expiry)));
+    assert_eq!(q.expire_terms(Time(expiry), 9), [(k, QuarantineChange::Expired)]);
     assert!(!q.contains(&k) && q.list().quarantined.is_empty());
-    let again =
-        q.record_terminations(Time(over + 500), 10, &[ended("r9", 0, &[("k", 50), ("a", 20)])]);
+    let again = q.record_terminations(
+        Time(expiry + 500),
+        10,
+        &[termination("r9", 0, &[("k", 50), ("a", 20)])],
+    );
     assert_eq!(again, [(k, QuarantineChange::Quarantined)]);
     assert!(
-        !q.has_expired(Time(over + 500 + 2 * HOUR - 1))
-            && q.has_expired(Time(over + 500 + 2 * HOUR))
+        !q.has_expired(Time(expiry + 500 + 2 * HOUR - 1))
+            && q.has_expired(Time(expiry + 500 + 2 * HOUR))
     );
 }
 
 #[test]
-fn an_operator_lifts_it_and_strikes_count_anew() {
-    let mut q = after(THREE);
-    let k = named("k");
+fn lifting_a_quarantine_resets_the_strikes() {
+    let mut q = replay(THREE_TERMINATIONS);
+    let k = fingerprint("k");
     assert_eq!(q.lift(Time(4_000), 4, k), [(k, QuarantineChange::Lifted)]);
-    q.record_terminations(Time(5_000), 5, &[ended("r5", 0, &[("k", 50)])]);
-    q.record_terminations(Time(6_000), 6, &[ended("r6", 0, &[("k", 50)])]);
+    q.record_terminations(Time(5_000), 5, &[termination("r5", 0, &[("k", 50)])]);
+    q.record_terminations(Time(6_000), 6, &[termination("r6", 0, &[("k", 50)])]);
     assert!(!q.contains(&k));
-    q.record_terminations(Time(7_000), 7, &[ended("r7", 0, &[("k", 50)])]);
+    q.record_terminations(Time(7_000), 7, &[termination("r7", 0, &[("k", 50)])]);
     assert!(q.contains(&k));
 }
 
-/// An account cannot fill the list for others: its own oldest go.
+/// Guards against a client account that fills the list: its own oldest requests are evicted.
 #[test]
 fn the_list_is_bounded_for_each_account() {
     let mut q = Quarantine::default();
@@ -202,26 +210,27 @@
     for n in 0..40 {
         for round in 0..3 {
             let at = Time(1_000 * n + 200 * round + 1_000);
-            let e = ended(&format!("r{n}-{round}"), 0, &[(&format!("k{n}"), 50)]);
+            let e = termination(&format!("r{n}-{round}"), 0, &[(&format!("k{n}"), 50)]);
             let changes = q.record_terminations(at, n * 3 + round + 1, &[e]);
             dropped += changes.iter().filter(|(_, c)| *c == QuarantineChange::Evicted).count();
         }
     }
     assert_eq!((q.iter().count(), dropped), (32, 8));
-    assert!(q.contains(&named("k39")) && !q.contains(&named("k0")));
+    assert!(q.contains(&fingerprint("k39")) && !q.contains(&fingerprint("k0")));
 }
 
-/// Gateways hear of all, and at once of those that are quarantined.
+/// Guards against changes that do not reach gateways: each change advances the revision, and each
+/// change of the quarantined requests advances the quarantined revision.
 #[test]
-fn what_gateways_are_told() {
-    let mut q = after("1000 r1 k:50 a:700");
+fn gateways_get_suspects_and_quarantined_requests() {
+    let mut q = replay("1000 r1 k:50 a:700");
     assert_eq!((q.revision(), q.quarantined_revision(), q.list().struck.len()), (1, 0, 2));
-    q.record_terminations(Time(2_000), 2, &[ended("r2", 0, &[("k", 50), ("b", 100)])]);
+    q.record_terminations(Time(2_000), 2, &[termination("r2", 0, &[("k", 50), ("b", 100)])]);
     assert_eq!((q.revision(), q.quarantined_revision()), (2, 0));
-    assert_eq!((q.list().suspects, q.list().struck.len()), (vec![named("k")], 2));
-    q.record_terminations(Time(3_000), 3, &[ended("r3", 0, &[("k", 50)])]);
+    assert_eq!((q.list().suspects, q.list().struck.len()), (vec![fingerprint("k")], 2));
+    q.record_terminations(Time(3_000), 3, &[termination("r3", 0, &[("k", 50)])]);
     assert_eq!((q.revision(), q.quarantined_revision()), (3, 3));
-    assert_eq!((q.list().quarantined, q.list().suspects), (vec![named("k")], Vec::new()));
+    assert_eq!((q.list().quarantined, q.list().suspects), (vec![fingerprint("k")], Vec::new()));
 }
 
 #[rstest]
@@ -232,7 +241,7 @@
 #[case::another_path(Some("club"), "GET", "h", "/y", "b")]
 #[case::another_length(Some("club"), "GET", "h", "/x", "bb")]
 #[case::the_same_text_divided_otherwise(Some("clu"), "bGET", "h", "/x", "b")]
-fn what_tells_requests_apart(
+fn requests_that_differ_have_different_fingerprints(
     #[case] account: Option<&str>,
     #[case] method: &str,
     #[case] host: &str,
@@ -245,11 +254,11 @@
 }
 
 #[test]
-fn what_was_answered_lately_is_remembered_within_bounds() {
+fn recently_completed_requests_are_remembered_within_bounds() {
     let mut s = CompletedRequests::default();
     s.record(1);
     (10..1_500).for_each(|n| s.record(n));
     assert!(s.contains(1) && s.contains(1_499) && !s.contains(2));
     (2_000..3_500).for_each(|n| s.record(n));
-    assert!(!s.contains(1), "it was answered long ago");
+    assert!(!s.contains(1), "the oldest entry must be evicted");
 }
--- a/crates/core/tests/quarantine_cost.rs
+++ b/crates/core/tests/quarantine_cost.rs
@@ -1,11 +1,5 @@
-//! What it costs to judge requests under which replicas have ended.
-//!
-//! Seen: on a day on which replicas crash under load, all nine control processes of a group stood still at
-//! the same time, first for 250 ms, in the end for 5.9 s, each with a few messages of the log; nothing was
-//! committed any more, as no leader was heard in time.
-//! Cause: for each suspect that could not be told apart from others, the strikes of all suspects were counted
-//! anew, several times: with the square of the suspects, at each report, in the thread that hears the leader.
-//! Proof: 159 ms and more for one report on the code before, and the test had not ended after ten minutes.
+//! Test of the processor time per termination report. Guards against a cost that grows with the square of
+//! the suspects and blocks the thread that receives the leader's heartbeats.
 
 use std::time::Duration;
 
@@ -14,20 +8,21 @@
 use cypressfork_core::unit::{Millis, Time};
 use nix::time::{ClockId, clock_gettime};
 
-/// Replicas that end, over and over, and requests that each takes with it.
+/// Replicas that terminate in turn.
 const REPLICAS: u64 = 60;
-const UNDER_WAY: u64 = 40;
 
-/// Ends that are reported in all.
-const ENDS: u64 = 600;
+/// Requests in flight on each replica when it terminates.
+const IN_FLIGHT: u64 = 40;
 
-/// Requests that are there again and again, as many callers ask the same.
-const COMMON: u64 = 1_500;
+/// Terminations reported in total.
+const TERMINATIONS: u64 = 600;
 
-/// The most of a processor's time that one report may take. A control process has a seventh of a core, and hears nobody
-/// meanwhile; followers miss their leader after half a second of that, 75 ms of a whole core. A fifth is left for
-/// it.
-const MOST: Duration = Duration::from_millis(15);
+/// Distinct requests, from which those in flight are drawn.
+const DISTINCT_REQUESTS: u64 = 1_500;
+
+/// Maximum processor time per report: a fifth of the 75 ms that a control process with a seventh of a core
+/// gets in the half second after which followers miss their leader.
+const MAX_REPORT_TIME: Duration = Duration::from_millis(15);
 
 fn request(n: u64) -> InFlightRequest {
     let path = format!("/{n}");
@@ -37,37 +32,38 @@
     InFlightRequest { fingerprint, account: "club".to_owned(), age: Millis(50) }
 }
 
-/// A cheap draw that is the same in every run.
+/// Returns a number below `below` from a linear congruential generator.
 fn draw(seed: &mut u64, below: u64) -> u64 {
     *seed = seed.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
     (*seed >> 33) % below
 }
 
-/// The processor's time that this thread has had: others may use the processor meanwhile.
+/// Returns the processor time of this thread, which excludes the time of other threads.
 fn processor_time() -> Duration {
     Duration::from(clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID).unwrap())
 }
 
 #[test]
-fn a_report_is_judged_in_time_however_many_are_suspected() {
-    // The best of several plays: what others do to the processor's caches counts as well.
-    let plays = (0..3).map(|_| {
+fn a_report_is_processed_in_time_with_many_suspects() {
+    // Takes the best of several runs, because other processes disturb the processor caches.
+    let runs = (0..3).map(|_| {
         let (mut seed, mut longest) = (7, Duration::ZERO);
         let mut q = Quarantine::default();
-        for n in 0..ENDS {
+        for n in 0..TERMINATIONS {
             let replica = format!("r-{}", n % REPLICAS);
-            let under_way = (0..UNDER_WAY).map(|_| request(draw(&mut seed, COMMON))).collect();
-            let ended = TerminationReport { replica, ago: Millis(0), under_way };
-            let begun = processor_time();
-            q.record_terminations(Time(10_000 + 400 * n), n + 1, &[ended]);
-            longest = longest.max(processor_time() - begun);
-            if longest > MOST * 10 {
-                // It gets no better.
+            let under_way =
+                (0..IN_FLIGHT).map(|_| request(draw(&mut seed, DISTINCT_REQUESTS))).collect();
+            let report = TerminationReport { replica, ago: Millis(0), under_way };
+            let started = processor_time();
+            q.record_terminations(Time(10_000 + 400 * n), n + 1, &[report]);
+            longest = longest.max(processor_time() - started);
+            if longest > MAX_REPORT_TIME * 10 {
+                // Later reports take at least as long.
                 break;
             }
         }
         longest
     });
-    let longest = plays.min().unwrap();
-    assert!(longest <= MOST, "{longest:?}");
+    let longest = runs.min().unwrap();
+    assert!(longest <= MAX_REPORT_TIME, "{longest:?}");
 }
--- a/crates/core/tests/quarantine_storm.rs
+++ b/crates/core/tests/quarantine_storm.rs
@@ -1,11 +1,8 @@
-//! Storms of requests that end their replicas, beside sound work: how much sound work is refused for
-//! what others did, and how many replicas each such request ends.
+//! Simulation of poison requests, which terminate the replicas that run them, among harmless requests:
+//! no harmless request may be refused, and each poison request may terminate only a few replicas.
 //!
-//! The load is that of a fleet that was seen: 12 replicas, 46 requests a second that take one to three
-//! seconds, retried once elsewhere when their replica ends; copies of each killer five times a second
-//! at any gateway, 100 ms of work before the replica ends, two to five seconds until it is back. Beside
-//! that, twenty copies a second of one short request, as a page asks for its state. A report takes 30 to
-//! 60 ms to the group, its verdict 50 ms more to the gateways.
+//! The load: 12 replicas and 46 requests per second of one to three seconds, retried once on another
+//! replica; each poison request is sent five times per second; 20 copies per second of one short request.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,20 +16,20 @@
 use rstest::rstest;
 
 const REPLICAS: usize = 12;
-const SPAN: u64 = 20_000;
-const STEP: u64 = 10;
-const WORK: u64 = 100;
-const TOLD_AFTER: u64 = 50;
-const HOT: u64 = 1_000_000;
+const DURATION_MS: u64 = 20_000;
+const STEP_MS: u64 = 10;
+const POISON_WORK_MS: u64 = 100;
+const PUBLISH_DELAY_MS: u64 = 50;
+const SHORT_REQUEST: u64 = 1_000_000;
 const SEEDS: u64 = 20;
 
-/// How requests are judged.
+/// How requests are quarantined.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Policy {
-    /// Each end counts against all that was under way, and three are enough.
-    Plain,
-    /// As the fleet does it.
-    Explained,
+    /// Each termination is a strike for all requests in flight; three strikes quarantine a request.
+    CountStrikes,
+    /// The fleet's policy.
+    Fleet,
 }
 
 #[derive(Clone, Copy)]
@@ -52,87 +49,89 @@
 struct Storm {
     rng: SmallRng,
     policy: Policy,
-    killers: u64,
+    poison_requests: u64,
     replicas: Vec<Replica>,
     group: Quarantine,
-    plain: BTreeMap<u64, BTreeSet<u64>>,
-    /// Reports and verdicts on their way, by when they arrive.
+    strikes: BTreeMap<u64, BTreeSet<u64>>,
+    /// Reports in transit, as (time of arrival, number of the termination, report).
     reports: Vec<(u64, u64, TerminationReport)>,
-    told: Vec<(u64, QuarantineList)>,
+    /// Lists in transit to the gateways, by time of arrival.
+    lists: Vec<(u64, QuarantineList)>,
     quarantined: BTreeSet<u64>,
     suspects: BTreeSet<u64>,
-    /// Suspects of one strike, and how often each was answered whole since.
+    /// Suspects with one strike, and how often each was completed since.
     struck: BTreeMap<u64, u64>,
     position: u64,
-    ends: u64,
-    ended_by: BTreeMap<u64, u64>,
+    terminations: u64,
+    terminated_by: BTreeMap<u64, u64>,
     refused: BTreeMap<u64, u64>,
-    next: u64,
+    next_request: u64,
 }
 
-/// What came of a storm.
+/// The result of a simulation.
 #[derive(Debug, Default)]
 struct Outcome {
-    /// Sound requests that were refused, copies of the short one included.
+    /// Harmless requests that were refused, including copies of the short one.
     refused: u64,
-    /// Replicas that killers ended.
+    /// Replicas that poison requests terminated.
     ended: u64,
 }
 
-fn name(request: u64) -> Fingerprint {
+fn fingerprint(request: u64) -> Fingerprint {
     Fingerprint { brief: request, digest: 0 }
 }
 
 impl Storm {
-    fn new(seed: u64, policy: Policy, killers: u64) -> Storm {
+    fn new(seed: u64, policy: Policy, poison_requests: u64) -> Storm {
         Storm {
             rng: SmallRng::seed_from_u64(seed),
             policy,
-            killers,
+            poison_requests,
             replicas: (0..REPLICAS).map(|_| Replica::default()).collect(),
             group: Quarantine::default(),
-            plain: BTreeMap::new(),
+            strikes: BTreeMap::new(),
             reports: Vec::new(),
-            told: Vec::new(),
+            lists: Vec::new(),
             quarantined: BTreeSet::new(),
             suspects: BTreeSet::new(),
             struck: BTreeMap::new(),
             position: 0,
-            ends: 0,
-            ended_by: BTreeMap::new(),
+            terminations: 0,
+            terminated_by: BTreeMap::new(),
             refused: BTreeMap::new(),
-            next: HOT + 1,
+            next_request: SHORT_REQUEST + 1,
         }
     }
 
-    fn play(mut self) -> Outcome {
-        for now in (0..SPAN).step_by(STEP as usize) {
-            self.hear(now);
-            self.arrive(now);
-            self.finish(now);
+    fn run(mut self) -> Outcome {
+        for now in (0..DURATION_MS).step_by(STEP_MS as usize) {
+            self.deliver(now);
+            self.generate_load(now);
+            self.finish_due(now);
         }
-        let sound = self.refused.iter().filter(|(request, _)| **request >= HOT);
-        let refused = sound.map(|(_, n)| n).sum();
-        Outcome { refused, ended: self.ended_by.values().sum() }
+        let harmless = self.refused.iter().filter(|(request, _)| **request >= SHORT_REQUEST);
+        let refused = harmless.map(|(_, n)| n).sum();
+        Outcome { refused, ended: self.terminated_by.values().sum() }
     }
 
-    fn happens(&mut self, per_second: u64) -> bool {
-        self.rng.random_range(0..1_000 / STEP) < per_second
+    /// Returns whether an event of this rate happens in the current step.
+    fn draw(&mut self, per_second: u64) -> bool {
+        self.rng.random_range(0..1_000 / STEP_MS) < per_second
     }
 
-    fn arrive(&mut self, now: u64) {
-        for killer in 0..self.killers {
-            if self.happens(5) {
-                self.send(now, killer, now + WORK, false);
+    fn generate_load(&mut self, now: u64) {
+        for poison in 0..self.poison_requests {
+            if self.draw(5) {
+                self.send(now, poison, now + POISON_WORK_MS, false);
             }
         }
-        if self.happens(46) {
-            self.next += 1;
+        if self.draw(46) {
+            self.next_request += 1;
             let until = now + self.rng.random_range(1_000..3_000);
-            self.send(now, self.next, until, false);
+            self.send(now, self.next_request, until, false);
         }
-        if self.happens(20) {
-            self.send(now, HOT, now + 60, false);
+        if self.draw(20) {
+            self.send(now, SHORT_REQUEST, now + 60, false);
         }
     }
 
@@ -149,91 +148,92 @@
         self.replicas[n].running.push(Running { request, sent: now, until, retried });
     }
 
-    /// Ends what is over: replicas under killers, and requests.
-    fn finish(&mut self, now: u64) {
+    /// Terminates replicas whose poison requests are due, and completes the other requests that are due.
+    fn finish_due(&mut self, now: u64) {
         for n in 0..REPLICAS {
             let is_due = |r: &Running| r.until <= now;
-            let killer = |r: &&Running| r.request < self.killers && is_due(r);
-            if let Some(killer) = self.replicas[n].running.iter().find(killer).copied() {
-                self.end(now, n, killer.request);
+            let is_due_poison = |r: &&Running| r.request < self.poison_requests && is_due(r);
+            if let Some(poison) = self.replicas[n].running.iter().find(is_due_poison).copied() {
+                self.terminate(now, n, poison.request);
                 continue;
             }
             let (done, rest): (Vec<_>, Vec<_>) =
                 self.replicas[n].running.drain(..).partition(is_due);
             self.replicas[n].running = rest;
             for r in done {
-                self.answered(now, r.request);
+                self.complete(now, r.request);
             }
         }
     }
 
-    fn end(&mut self, now: u64, n: usize, killer: u64) {
-        *self.ended_by.entry(killer).or_default() += 1;
-        self.ends += 1;
+    fn terminate(&mut self, now: u64, n: usize, poison: u64) {
+        *self.terminated_by.entry(poison).or_default() += 1;
+        self.terminations += 1;
         let victims = std::mem::take(&mut self.replicas[n].running);
         self.replicas[n].down_until = now + self.rng.random_range(2_000..5_000);
         let under_way = victims.iter().map(|r| InFlightRequest {
-            fingerprint: name(r.request),
+            fingerprint: fingerprint(r.request),
             account: String::new(),
             age: Millis(now - r.sent),
         });
-        let replica = format!("r{n}-{}", self.ends);
+        let replica = format!("r{n}-{}", self.terminations);
         let report = TerminationReport { replica, ago: Millis(0), under_way: under_way.collect() };
         let arrives = now + self.rng.random_range(30..60);
-        self.reports.push((arrives, self.ends, report));
+        self.reports.push((arrives, self.terminations, report));
         for r in victims.into_iter().filter(|r| !r.retried) {
             let left = r.until.saturating_sub(r.sent);
             self.send(now, r.request, now + left, true);
         }
     }
 
-    fn answered(&mut self, now: u64, request: u64) {
+    fn complete(&mut self, now: u64, request: u64) {
         let again = self.struck.get_mut(&request).is_some_and(|n| {
             *n += 1;
             *n > 1
         });
-        let told = self.suspects.contains(&request) || self.quarantined.contains(&request);
-        if self.policy == Policy::Explained && (told || again) {
+        let listed = self.suspects.contains(&request) || self.quarantined.contains(&request);
+        if self.policy == Policy::Fleet && (listed || again) {
             self.position += 1;
-            self.group.record_completions(Time(now), self.position, &[name(request)]);
-            self.tell(now);
+            self.group.record_completions(Time(now), self.position, &[fingerprint(request)]);
+            self.publish(now);
         }
     }
 
-    fn hear(&mut self, now: u64) {
+    fn deliver(&mut self, now: u64) {
         let (due, rest): (Vec<_>, Vec<_>) = self.reports.drain(..).partition(|(at, ..)| *at <= now);
         self.reports = rest;
         for (_, number, report) in due {
             self.position += 1;
             for u in &report.under_way {
-                self.plain.entry(u.fingerprint.brief).or_default().insert(number);
+                self.strikes.entry(u.fingerprint.brief).or_default().insert(number);
             }
             self.group.record_terminations(Time(now), self.position, &[report]);
-            self.tell(now);
+            self.publish(now);
         }
-        let (due, rest): (Vec<_>, Vec<_>) = self.told.drain(..).partition(|(at, ..)| *at <= now);
-        self.told = rest;
-        let Some((_, told)) = due.into_iter().next_back() else { return };
+        let (due, rest): (Vec<_>, Vec<_>) = self.lists.drain(..).partition(|(at, ..)| *at <= now);
+        self.lists = rest;
+        let Some((_, list)) = due.into_iter().next_back() else { return };
         let briefs = |all: Vec<Fingerprint>| all.into_iter().map(|f| f.brief);
-        self.quarantined = briefs(told.quarantined).collect();
-        self.suspects = briefs(told.suspects).collect();
+        self.quarantined = briefs(list.quarantined).collect();
+        self.suspects = briefs(list.suspects).collect();
         let before = std::mem::take(&mut self.struck);
         let count = |f| (f, before.get(&f).copied().unwrap_or_default());
-        self.struck = briefs(told.struck).map(count).collect();
+        self.struck = briefs(list.struck).map(count).collect();
     }
 
-    fn tell(&mut self, now: u64) {
-        let mut told = self.group.list();
-        if self.policy == Policy::Plain {
-            let plain = self.plain.iter().filter(|(_, ends)| ends.len() >= 3);
-            told.quarantined = plain.map(|(r, _)| name(*r)).collect();
+    fn publish(&mut self, now: u64) {
+        let mut list = self.group.list();
+        if self.policy == Policy::CountStrikes {
+            let strikes = self.strikes.iter().filter(|(_, terminations)| terminations.len() >= 3);
+            list.quarantined = strikes.map(|(r, _)| fingerprint(*r)).collect();
         }
-        self.told.push((now + TOLD_AFTER, told));
+        self.lists.push((now + PUBLISH_DELAY_MS, list));
     }
 }
 
-fn storms(policy: Policy, killers: u64) -> Outcome {
-    let each = (0..SEEDS).map(|seed| Storm::new(seed, policy, killers).play());
+/// Sums the results of the simulations with all seeds.
+fn run_all_seeds(policy: Policy, poison_requests: u64) -> Outcome {
+    let each = (0..SEEDS).map(|seed| Storm::new(seed, policy, poison_requests).run());
     each.fold(Outcome::default(), |all, o| Outcome {
         refused: all.refused + o.refused,
         ended: all.ended + o.ended,
@@ -244,11 +244,11 @@
 #[case::one(1)]
 #[case::two(2)]
 #[case::four(4)]
-fn sound_work_is_not_refused_for_what_others_did(#[case] killers: u64) {
-    let plain = storms(Policy::Plain, killers);
-    let fleet = storms(Policy::Explained, killers);
-    eprintln!("{killers} killers: plain {plain:?}, as the fleet does it {fleet:?}");
+fn sound_work_is_not_refused_for_what_others_did(#[case] poison_requests: u64) {
+    let baseline = run_all_seeds(Policy::CountStrikes, poison_requests);
+    let fleet = run_all_seeds(Policy::Fleet, poison_requests);
+    eprintln!("{poison_requests} poison requests: count strikes {baseline:?}, fleet {fleet:?}");
     assert_eq!(fleet.refused, 0);
-    let each = fleet.ended as f64 / (killers * SEEDS) as f64;
-    assert!(each <= 6.0, "each killer ended {each} replicas");
+    let each = fleet.ended as f64 / (poison_requests * SEEDS) as f64;
+    assert!(each <= 6.0, "each poison request terminated {each} replicas");
 }
