--- a/crates/core/tests/overload.rs
+++ b/crates/core/tests/overload.rs
@@ -10,8 +10,8 @@
 use cypressfork_core::unit::Time;
 use rstest::rstest;
 
-/// Passes over the work queue as (time, duration) in milliseconds, and whether a request is refused at
-/// 10 s.
+/// Passes through the run queue as (end, duration) in milliseconds, and whether a request is refused
+/// at 10 s.
 #[rstest]
 #[case::none(&[], false)]
 #[case::short_ones(&[(9_900, 20), (9_950, 200)], false)]
