--- a/crates/core/tests/raft.rs
+++ b/crates/core/tests/raft.rs
@@ -1,4 +1,5 @@
-//! One replica at a time, message by message: the rules that rare schedules alone would show.
+//! Raft rules of a single member, message by message. Simulations reach these cases only on rare
+//! schedules.
 
 use std::sync::Arc;
 
@@ -22,13 +23,14 @@
     Message { from, to: 1, term, body }
 }
 
-/// Replica 1 of three, in this term, with entries of these terms, welcomed back.
-fn replica(term: Term, terms: &[Term]) -> Raft {
+/// Member 1 of three, in term `term`, with log entries of `terms`, after both peers accepted its
+/// rejoin.
+fn member(term: Term, terms: &[Term]) -> Raft {
     let entries = terms.iter().enumerate().map(|(n, t)| entry(*t, n as u64 + 1)).collect();
     let snapshot = SnapshotMeta { members: members(), ..SnapshotMeta::default() };
     let hard = HardState { term, vote: None };
-    let found = Restored { incarnation: 1, hard, snapshot, entries, ..Restored::default() };
-    let mut r = Raft::new(Time(0), 1, Settings::default(), found, 1);
+    let restored = Restored { incarnation: 1, hard, snapshot, entries, ..Restored::default() };
+    let mut r = Raft::new(Time(0), 1, Settings::default(), restored, 1);
     let boot = r.take_actions().iter().find_map(|a| match a {
         Action::Send(Message { body: Body::Rejoin(PeerState { boot, .. }), .. }) => Some(*boot),
         _ => None,
@@ -42,9 +44,9 @@
     r
 }
 
-/// Makes replica 1 the leader of the next term, with replica 2's vote.
+/// Returns member 1 as leader of `term + 1`, elected with the vote of member 2.
 fn leader(term: Term, terms: &[Term]) -> Raft {
-    let mut r = replica(term, terms);
+    let mut r = member(term, terms);
     r.tick(Time(5_000));
     r.step(Time(5_000), message(2, term + 1, Body::PreVoteReply(true)));
     r.step(Time(5_000), message(2, term + 1, Body::VoteReply(true)));
@@ -52,7 +54,8 @@
     r
 }
 
-fn sent(r: &mut Raft) -> Vec<Body> {
+/// Returns the bodies of the messages that `r` sends.
+fn sent_bodies(r: &mut Raft) -> Vec<Body> {
     let actions = r.take_actions().into_iter();
     let bodies = actions.filter_map(|a| match a {
         Action::Send(m) => Some(m.body),
@@ -61,7 +64,7 @@
     bodies.collect()
 }
 
-/// A candidate whose log lacks what this replica has gets no vote, whatever its term.
+/// Guards against a vote for a candidate whose log is behind the voter's, whatever its term.
 #[rstest]
 #[case::same(Position { index: 3, term: 2 }, true)]
 #[case::longer(Position { index: 9, term: 2 }, true)]
@@ -69,41 +72,46 @@
 #[case::shorter(Position { index: 2, term: 2 }, false)]
 #[case::older_term(Position { index: 9, term: 1 }, false)]
 fn a_vote_needs_a_log_that_is_as_good(#[case] last: Position, #[case] granted: bool) {
-    let mut r = replica(2, &[1, 2, 2]);
+    let mut r = member(2, &[1, 2, 2]);
     r.step(Time(5_000), message(2, 5, Body::PreVote(last)));
-    assert_eq!(sent(&mut r), [Body::PreVoteReply(granted)]);
+    assert_eq!(sent_bodies(&mut r), [Body::PreVoteReply(granted)]);
     r.step(Time(5_000), message(2, 5, Body::Vote(last)));
-    assert!(sent(&mut r).contains(&Body::VoteReply(granted)));
+    assert!(sent_bodies(&mut r).contains(&Body::VoteReply(granted)));
 }
 
+/// Guards against two votes in one term, and against a vote sent before it is stored.
 #[test]
-fn one_vote_a_term_and_it_is_stored_first() {
-    let mut r = replica(2, &[1]);
+fn a_member_votes_once_per_term_and_stores_its_vote_first() {
+    let mut r = member(2, &[1]);
     let last = Position { index: 9, term: 2 };
     r.step(Time(5_000), message(2, 3, Body::Vote(last)));
     let actions = r.take_actions();
     let saved = actions.iter().rposition(|a| matches!(a, Action::Save(h) if h.vote == Some(2)));
-    let told = actions.iter().position(|a| matches!(a, Action::Send(_)));
-    assert!(saved.unwrap() < told.unwrap());
+    let replied = actions.iter().position(|a| matches!(a, Action::Send(_)));
+    assert!(saved.unwrap() < replied.unwrap());
     r.step(Time(5_000), message(3, 3, Body::Vote(last)));
-    assert_eq!(sent(&mut r), [Body::VoteReply(false)]);
+    assert_eq!(sent_bodies(&mut r), [Body::VoteReply(false)]);
     r.step(Time(5_000), message(2, 3, Body::Vote(last)));
-    assert_eq!(sent(&mut r), [Body::VoteReply(true)], "the same candidate again");
+    assert_eq!(
+        sent_bodies(&mut r),
+        [Body::VoteReply(true)],
+        "a repeated request of the same candidate"
+    );
 }
 
-/// Entries of an earlier term are not committed by counting copies, only with one of the leader's
-/// own term after them: another leader might still replace them.
+/// Guards against committing an entry of an earlier term by counting its copies: another leader
+/// could still replace it. It is committed with a later entry of the leader's own term.
 #[test]
 fn an_earlier_terms_entry_is_committed_only_with_one_of_its_own() {
     let mut r = leader(3, &[1, 2]);
     r.synced(Time(5_000), 3);
     r.step(Time(5_001), message(2, 4, Body::Appended { matched: 2, round: 0 }));
-    assert_eq!(r.committed(), 0, "entry 2 is on a quorum, but of term 2");
+    assert_eq!(r.committed(), 0, "entry 2 is on a quorum but has term 2");
     r.step(Time(5_002), message(2, 4, Body::Appended { matched: 3, round: 0 }));
     assert_eq!(r.committed(), 3);
 }
 
-/// The leader's own copy counts once it is on its disk, not before.
+/// Guards against counting the leader's own copy before it is synced to disk.
 #[test]
 fn a_leader_counts_its_own_entry_once_it_is_synced() {
     let mut r = leader(0, &[]);
@@ -112,16 +120,18 @@
     assert_eq!(r.committed(), 1);
     let index = r.propose(Time(5_002), entry(1, 2).payload).unwrap();
     r.step(Time(5_003), message(2, 1, Body::Appended { matched: index, round: 0 }));
-    assert_eq!(r.committed(), 1, "one synced copy of three");
+    assert_eq!(r.committed(), 1, "one synced copy out of three");
     r.synced(Time(5_004), index);
     assert_eq!(r.committed(), index);
 }
 
+/// Returns whether the read `token` is ready. Discards all other actions.
 fn read_is_ready(r: &mut Raft, token: u64) -> bool {
     r.take_actions().iter().any(|a| matches!(a, Action::ReadReady(t, _) if *t == token))
 }
 
-/// A read is answered only after a quorum has answered a round that began after the read came.
+/// Guards against a stale read: a read is ready only after a quorum has answered a heartbeat round
+/// that began after the read arrived.
 #[test]
 fn a_read_waits_for_a_quorums_word_given_after_it() {
     let mut r = leader(0, &[]);
@@ -129,7 +139,7 @@
     r.step(Time(5_001), message(2, 1, Body::Appended { matched: 1, round: 0 }));
     r.take_actions();
     r.read(7).unwrap();
-    assert!(!read_is_ready(&mut r, 7), "nobody was asked yet");
+    assert!(!read_is_ready(&mut r, 7), "no round has begun");
     r.step(Time(5_002), message(2, 1, Body::Appended { matched: 1, round: 0 }));
     assert!(!read_is_ready(&mut r, 7), "an answer to an earlier round");
     r.step(Time(5_003), message(2, 1, Body::Appended { matched: 1, round: 1 }));
@@ -145,13 +155,14 @@
             _ => None,
         })
         .collect();
-    assert_eq!(ready, [8], "9 came after that round had begun");
+    assert_eq!(ready, [8], "read 9 arrived after round 2 began");
     r.step(Time(5_005), message(2, 1, Body::Appended { matched: 1, round: 3 }));
     assert!(read_is_ready(&mut r, 9));
 }
 
+/// Guards against reads by a new leader whose commit index may be behind.
 #[test]
-fn a_new_leader_answers_no_read_before_it_has_committed_in_its_term() {
+fn a_new_leader_serves_no_read_before_it_has_committed_in_its_term() {
     let mut r = leader(3, &[1, 2]);
     r.read(7).unwrap();
     r.step(Time(5_001), message(2, 4, Body::Appended { matched: 0, round: 1 }));
@@ -161,8 +172,9 @@
     assert!(read_is_ready(&mut r, 7));
 }
 
+/// Guards against pending reads that are never answered after their leader steps down.
 #[test]
-fn a_deposed_leaders_reads_fail() {
+fn the_reads_of_a_deposed_leader_fail() {
     let mut r = leader(0, &[]);
     r.read(7).unwrap();
     r.take_actions();
@@ -180,36 +192,38 @@
     Body::Append(Append { prev, entries, commit, round: 0 })
 }
 
-/// Each row: the follower's terms, what the leader of term 5 sends, and the answer.
+/// Each case: the terms of the follower's log, the entries that the leader of term 5 appends after
+/// `prev`, and the reply.
 #[rstest]
 #[case::next(&[1, 1], Position { index: 2, term: 1 }, &[5], Body::Appended { matched: 3, round: 0 })]
 #[case::gap(&[1], Position { index: 4, term: 1 }, &[5], Body::Rejected { hint: 1, round: 0 })]
 #[case::differs(&[1, 2], Position { index: 2, term: 3 }, &[5], Body::Rejected { hint: 1, round: 0 })]
 #[case::replaces(&[1, 2, 2], Position { index: 1, term: 1 }, &[5], Body::Appended { matched: 2, round: 0 })]
 #[case::again(&[1, 1], Position { index: 0, term: 0 }, &[1, 1], Body::Appended { matched: 2, round: 0 })]
-fn a_follower_takes_only_what_follows_its_log(
-    #[case] has: &[Term],
+fn a_follower_appends_only_entries_that_continue_its_log(
+    #[case] log: &[Term],
     #[case] prev: Position,
     #[case] terms: &[Term],
-    #[case] answer: Body,
+    #[case] reply: Body,
 ) {
-    let mut r = replica(4, has);
+    let mut r = member(4, log);
     let entries = terms.iter().zip(prev.index + 1..).map(|(t, i)| entry(*t, i)).collect();
     r.step(Time(10), message(2, 5, append(prev, entries, 0)));
-    assert_eq!(sent(&mut r), [answer]);
+    assert_eq!(sent_bodies(&mut r), [reply]);
 }
 
-/// A heartbeat's commit does not reach beyond what it has proved to be the leader's.
+/// Guards against committing entries that the heartbeat has not matched with the leader's log.
 #[test]
-fn a_commit_covers_only_entries_known_to_be_the_leaders() {
-    let mut r = replica(4, &[1, 2, 2]);
+fn a_heartbeat_commits_only_matched_entries() {
+    let mut r = member(4, &[1, 2, 2]);
     r.step(Time(10), message(2, 5, append(Position { index: 1, term: 1 }, Vec::new(), 9)));
     assert_eq!(r.committed(), 1);
 }
 
+/// Guards against a deposed leader that never learns of the newer term.
 #[test]
-fn a_message_of_an_earlier_term_is_answered_with_the_newer_one() {
-    let mut r = replica(6, &[1]);
+fn a_message_of_an_earlier_term_is_answered_with_the_current_term() {
+    let mut r = member(6, &[1]);
     r.step(Time(10), message(2, 5, append(Position::default(), Vec::new(), 0)));
     let actions = r.take_actions();
     let newer = |a: &Action| matches!(a, Action::Send(m) if m.term == 6);
@@ -217,8 +231,8 @@
     assert_eq!(r.leader(), None);
 }
 
-/// Rejections answer messages that were sent before the first of them came: were each to bring
-/// the missing entries again, a follower that is far behind would get them many times over.
+/// Guards against sending the missing entries once per rejection: late rejections answer messages
+/// that were sent before the first rejection arrived.
 #[test]
 fn stale_rejections_do_not_bring_the_same_entries_again() {
     let mut r = leader(1, &[1; 40]);
@@ -227,14 +241,14 @@
     for _ in 0..5 {
         r.step(Time(5_020), message(2, 2, Body::Rejected { hint: 3, round: 0 }));
     }
-    let entries = |bodies: Vec<Body>| -> usize {
+    let entry_count = |bodies: Vec<Body>| -> usize {
         let appends = bodies.iter().filter_map(|b| match b {
             Body::Append(a) => Some(a.entries.len()),
             _ => None,
         });
         appends.sum()
     };
-    assert_eq!(entries(sent(&mut r)), 0, "a bare heartbeat finds out first");
+    assert_eq!(entry_count(sent_bodies(&mut r)), 0, "only heartbeats until one matches");
     r.step(Time(5_030), message(2, 2, Body::Appended { matched: 3, round: 0 }));
-    assert_eq!(entries(sent(&mut r)), 38, "then they come once");
+    assert_eq!(entry_count(sent_bodies(&mut r)), 38, "the entries are sent once");
 }
--- a/crates/core/tests/regions.rs
+++ b/crates/core/tests/regions.rs
@@ -1,4 +1,4 @@
-//! Regions: where callers are sent, where work goes, and where it may go.
+//! Regions: which routers callers are sent to, and which replicas requests may use.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -32,20 +32,24 @@
 #[case::another(&["north"], "s1", false)]
 #[case::one_of_two(&["north", "south"], "s1", true)]
 #[case::nobody_knows_where(&["north"], "elsewhere", false)]
-fn what_is_bound_to_regions(#[case] allowed: &[&str], #[case] dc: &str, #[case] may: bool) {
-    assert_eq!(regions().allows(&names(allowed), dc), may);
+fn a_request_is_allowed_in_its_regions_only(
+    #[case] allowed: &[&str],
+    #[case] dc: &str,
+    #[case] expected: bool,
+) {
+    assert_eq!(regions().allows(&names(allowed), dc), expected);
 }
 
-/// Routers by their data centres, for a caller in `n1`.
+/// Each case: the data centres of the routers, and of those returned to a caller in `n1`.
 #[rstest]
 #[case::its_own(&["n1", "n1", "n2", "s1"], &["n1", "n1"])]
 #[case::too_few_of_its_own(&["n1", "n2", "s1", "s2"], &["n1", "n2"])]
 #[case::none_in_its_region(&["s1", "s2"], &["s1", "s2"])]
 #[case::one_in_its_region(&["n2", "s1"], &["n2", "s1"])]
-fn callers_stay_in_their_region(#[case] routers: &[&str], #[case] named: &[&str]) {
+fn callers_get_routers_of_their_region_first(#[case] routers: &[&str], #[case] want: &[&str]) {
     let mut all = RouterHeartbeats::default();
     for (n, dc) in routers.iter().enumerate() {
-        let sign = RouterStatus {
+        let status = RouterStatus {
             vm: format!("vm-{n}"),
             data_centre: (*dc).to_owned(),
             address: (*dc).to_owned(),
@@ -53,19 +57,20 @@
             open: true,
             busy: false,
         };
-        all.record(Time(9_900), &sign);
+        all.record(Time(9_900), &status);
     }
-    assert_eq!(all.addresses(Time(10_000), "n1", &regions(), 64), named);
+    assert_eq!(all.addresses(Time(10_000), "n1", &regions(), 64), want);
 }
 
-const CENTRES: [&str; 4] = ["n1", "n2", "s1", "s2"];
+const DATA_CENTRES: [&str; 4] = ["n1", "n2", "s1", "s2"];
 
-/// A router in `n1` with `each` replicas of 8 places in every data centre.
+/// The pool of a router in `n1`, with `each` replicas of 8 slots in every data centre, and the data
+/// centre of each replica address.
 fn pool(each: u8) -> (Pool, BTreeMap<SocketAddr, &'static str>) {
     let mut pool = Pool::default();
     pool.set_location("n1", &regions());
     let mut at = BTreeMap::new();
-    for (c, dc) in CENTRES.into_iter().enumerate() {
+    for (c, dc) in DATA_CENTRES.into_iter().enumerate() {
         for n in 0..each {
             let address = SocketAddr::from(([10, c as u8, 0, n], 80));
             let vm = Vm { name: format!("{dc}-{n}"), data_centre: dc.to_owned() };
@@ -87,17 +92,17 @@
     }
 }
 
-/// Requests that come evenly and stay within what the region bears all stay there, also where
-/// another region's replicas hold their prompts.
+/// Guards against sending work to another region, even where its replicas hold the prompts, while
+/// the own region has the capacity to answer in time.
 #[test]
-fn work_stays_in_its_region_as_long_as_it_is_in_time_there() {
+fn requests_stay_in_their_region_while_its_replicas_meet_the_objective() {
     let (mut pool, at) = pool(6);
     let mut rng = SmallRng::seed_from_u64(1);
-    let abroad: Vec<_> = at.iter().filter(|(_, dc)| dc.starts_with('s')).map(|(a, _)| *a).collect();
+    let remote: Vec<_> = at.iter().filter(|(_, dc)| dc.starts_with('s')).map(|(a, _)| *a).collect();
     for n in 0..50 {
         pool.record_peer_placement(
             Time(0),
-            abroad[n as usize % abroad.len()],
+            remote[n as usize % remote.len()],
             2_000,
             &prompt(n).prefixes,
         );
@@ -115,34 +120,35 @@
     }
 }
 
-/// A crowd that its region cannot bear in time is helped by the other one.
+/// Guards against overload of one region while another has free capacity.
 #[test]
-fn what_would_be_late_goes_to_another_region() {
+fn requests_that_would_be_late_go_to_another_region() {
     let (mut pool, at) = pool(2);
     let mut rng = SmallRng::seed_from_u64(2);
-    let mut abroad = 0;
+    let mut remote = 0;
     for n in 0..200 {
         let choice = pool.choose(Time(1_000 + n), "n1", &prompt(n), &[], &mut rng).unwrap();
-        abroad += u64::from(at[&choice.address].starts_with('s'));
+        remote += u64::from(at[&choice.address].starts_with('s'));
     }
-    assert!((40..=140).contains(&abroad), "{abroad} of 200");
+    assert!((40..=140).contains(&remote), "{remote} of 200");
 }
 
 proptest! {
-    /// No request is ever sent outside its regions, whichever replicas are tried, closed or gone.
+    /// Guards against sending a request outside its regions, whichever replicas were tried, closed
+    /// or removed.
     #[test]
     fn no_request_leaves_its_regions(
         seed: u64,
         allowed in proptest::sample::subsequence(vec!["north", "south"], 1..=2),
-        closed in proptest::sample::subsequence(CENTRES.to_vec(), 0..=4),
-        gone in proptest::collection::vec(0usize..12, 0..8),
+        closed in proptest::sample::subsequence(DATA_CENTRES.to_vec(), 0..=4),
+        removed in proptest::collection::vec(0usize..12, 0..8),
         requests in 1u64..60,
     ) {
         let (mut pool, at) = pool(3);
         let mut rng = SmallRng::seed_from_u64(seed);
         pool.set_closed_data_centres(Time(1), &names(&closed));
         let all: Vec<_> = at.keys().copied().collect();
-        for n in gone {
+        for n in removed {
             pool.remove(Time(2), all[n]);
         }
         let allowed = names(&allowed);
--- a/crates/core/tests/registry.rs
+++ b/crates/core/tests/registry.rs
@@ -1,4 +1,4 @@
-//! The replicas that register, as a control process hears of them and tells others.
+//! The registry of replicas: registrations, heartbeats, and how control processes relay them.
 
 use cypressfork_core::fleet::registry::{
     Heartbeat, Leaving, Record, RecordSource, Registration, Registry, ReplicaStatus,
@@ -6,8 +6,8 @@
 use cypressfork_core::unit::{Millis, Time};
 use rstest::rstest;
 
-/// Records that one answer may hold, more than there are here.
-const MOST: usize = 1_000;
+/// Limit of records per batch, larger than any registry here.
+const MAX_RECORDS: usize = 1_000;
 
 fn record(id: &str, sequence: u64, standing: ReplicaStatus) -> Record {
     let registration = Registration {
@@ -24,13 +24,14 @@
     Record { registration, standing }
 }
 
-fn lives(id: &str, born: u64, sequence: u64) -> Record {
+/// A ready record of the incarnation that started at `born`.
+fn incarnation(id: &str, born: u64, sequence: u64) -> Record {
     let mut r = record(id, sequence, ReplicaStatus::Ready);
     r.registration.born = born;
     r
 }
 
-/// What is said of a replica, in this order, and how it stands then.
+/// Each case: the records received for one replica, in order, and its final status.
 #[rstest]
 #[case::ready(&[(1, ReplicaStatus::Ready)], ReplicaStatus::Ready)]
 #[case::draining_is_for_good(&[(1, ReplicaStatus::Ready), (2, ReplicaStatus::Draining), (3, ReplicaStatus::Ready)], ReplicaStatus::Draining)]
@@ -40,50 +41,55 @@
 #[case::left_beats_draining(&[(5, ReplicaStatus::Left), (6, ReplicaStatus::Draining)], ReplicaStatus::Left)]
 #[case::silent_until_it_speaks(&[(5, ReplicaStatus::Silent), (6, ReplicaStatus::Ready)], ReplicaStatus::Ready)]
 #[case::old_news_of_silence(&[(6, ReplicaStatus::Ready), (5, ReplicaStatus::Silent)], ReplicaStatus::Ready)]
-fn what_a_replica_says(#[case] said: &[(u64, ReplicaStatus)], #[case] stands: ReplicaStatus) {
+fn what_a_replica_says(#[case] received: &[(u64, ReplicaStatus)], #[case] want: ReplicaStatus) {
     let mut r = Registry::default();
-    for (sequence, standing) in said {
+    for (sequence, standing) in received {
         r.apply(Time(1_000), record("i-1", *sequence, *standing), RecordSource::Replica);
     }
-    assert_eq!(r.iter().next().unwrap().standing, stands);
+    assert_eq!(r.iter().next().unwrap().standing, want);
 }
 
+/// Guards against a change feed that grows with every heartbeat.
 #[test]
-fn routers_hear_of_changes_and_not_of_heartbeats() {
+fn the_change_feed_holds_changes_but_no_heartbeats() {
     let mut r = Registry::default();
     assert!(r.apply(Time(0), record("i-1", 1, ReplicaStatus::Ready), RecordSource::Replica));
     let since = r.position();
     assert!(!r.apply(Time(900), record("i-1", 2, ReplicaStatus::Ready), RecordSource::Replica));
-    assert_eq!(r.changes(since, MOST).records.len(), 0);
+    assert_eq!(r.changes(since, MAX_RECORDS).records.len(), 0);
     let beats = vec![Heartbeat { id: "i-1".to_owned(), sequence: 2, born: 0 }];
-    assert_eq!(r.relay_batch(since, MOST, MOST).heartbeats, beats, "other control processes do");
+    assert_eq!(
+        r.relay_batch(since, MAX_RECORDS, MAX_RECORDS).heartbeats,
+        beats,
+        "heartbeats are relayed to control processes"
+    );
     r.tick(Time(4_800), Millis(1_000));
-    assert_eq!(r.changes(since, MOST).records.len(), 0, "it spoke 3.9 s ago");
+    assert_eq!(r.changes(since, MAX_RECORDS).records.len(), 0, "its last heartbeat is 3.9 s old");
     r.tick(Time(4_900), Millis(1_000));
-    assert_eq!(r.changes(since, MOST).records[0].standing, ReplicaStatus::Silent);
+    assert_eq!(r.changes(since, MAX_RECORDS).records[0].standing, ReplicaStatus::Silent);
     assert!(r.mark_left(Time(5_000), "i-1"));
-    assert!(!r.mark_left(Time(5_000), "i-2"), "nobody knows it");
+    assert!(!r.mark_left(Time(5_000), "i-2"), "unknown replica");
 }
 
-/// Three control processes, of which the first alone is in reach of a replica, and the third in reach
-/// of the second alone: it takes the replica for alive, and goes on to do so once it has fallen silent.
+/// Guards against a replica that is reported as silent by a control process which receives its
+/// heartbeats over two hops. One of the heartbeats is lost.
 #[test]
-fn heartbeats_reach_those_at_second_hand() {
+fn heartbeats_are_relayed_over_two_hops() {
     let every = Millis(1_000);
     let mut all = [Registry::default(), Registry::default(), Registry::default()];
     let mut since = [0; 2];
-    let mut passed_on = 0;
+    let mut relayed = 0;
     for n in 1..=60 {
         let now = Time(n * 500);
         if n % 2 == 0 && n != 30 && n != 31 {
             all[0].apply(now, record("i-1", n, ReplicaStatus::Ready), RecordSource::Replica);
         }
         for to in 1..3 {
-            let told = all[to - 1].relay_batch(since[to - 1], MOST, MOST);
-            since[to - 1] = told.position;
-            passed_on += told.heartbeats.len() * to.saturating_sub(1);
-            told.records.into_iter().for_each(|r| _ = all[to].apply(now, r, RecordSource::Peer));
-            told.heartbeats.iter().for_each(|b| _ = all[to].apply_heartbeat(now, b));
+            let batch = all[to - 1].relay_batch(since[to - 1], MAX_RECORDS, MAX_RECORDS);
+            since[to - 1] = batch.position;
+            relayed += batch.heartbeats.len() * to.saturating_sub(1);
+            batch.records.into_iter().for_each(|r| _ = all[to].apply(now, r, RecordSource::Peer));
+            batch.heartbeats.iter().for_each(|b| _ = all[to].apply_heartbeat(now, b));
         }
         all.iter_mut().for_each(|r| r.tick(now, every));
         assert!(
@@ -91,16 +97,17 @@
             "at {now:?}"
         );
     }
-    assert!(passed_on < 15, "{passed_on} of 29 were passed on at second hand");
+    assert!(relayed < 15, "{relayed} of 29 heartbeats were relayed twice");
 }
 
-/// What a heartbeat without its record changes.
+/// Each case: the stored status, the sequence of a heartbeat without record, whether it is a change,
+/// and the status after it.
 #[rstest]
 #[case::newer(ReplicaStatus::Ready, 6, false, ReplicaStatus::Ready)]
 #[case::old(ReplicaStatus::Silent, 5, false, ReplicaStatus::Silent)]
 #[case::it_speaks_again(ReplicaStatus::Silent, 6, true, ReplicaStatus::Ready)]
 #[case::it_drains(ReplicaStatus::Draining, 6, false, ReplicaStatus::Draining)]
-fn a_heartbeat_alone(
+fn a_heartbeat_without_a_record(
     #[case] standing: ReplicaStatus,
     #[case] sequence: u64,
     #[case] changes: bool,
@@ -111,12 +118,12 @@
     let since = r.position();
     let beat = |id: &str| Heartbeat { id: id.to_owned(), sequence, born: 0 };
     assert_eq!(r.apply_heartbeat(Time(9), &beat("i-1")), changes);
-    assert!(!r.apply_heartbeat(Time(9), &beat("i-2")), "nobody knows it");
+    assert!(!r.apply_heartbeat(Time(9), &beat("i-2")), "unknown replica");
     assert_eq!(r.iter().next().unwrap().standing, after);
-    assert_eq!(r.changes(since, MOST).records.len(), usize::from(changes));
+    assert_eq!(r.changes(since, MAX_RECORDS).records.len(), usize::from(changes));
 }
 
-/// A follower that takes few records at a time is told of every replica, whatever comes meanwhile.
+/// Guards against replicas missing at a peer that reads small batches while the registry changes.
 #[test]
 fn no_replica_is_left_out_of_parts() {
     let (mut from, mut to) = (Registry::default(), Registry::default());
@@ -125,25 +132,27 @@
         let id = format!("i-{}", n % 50);
         from.apply(Time(n), record(&id, n + 1, ReplicaStatus::Ready), RecordSource::Replica);
         if n % 10 == 0 {
-            let told = from.relay_batch(since, 3, 5);
-            since = told.position;
-            told.records.into_iter().for_each(|r| _ = to.apply(Time(n), r, RecordSource::Peer));
-            told.heartbeats.iter().for_each(|b| _ = to.apply_heartbeat(Time(n), b));
+            let batch = from.relay_batch(since, 3, 5);
+            since = batch.position;
+            batch.records.into_iter().for_each(|r| _ = to.apply(Time(n), r, RecordSource::Peer));
+            batch.heartbeats.iter().for_each(|b| _ = to.apply_heartbeat(Time(n), b));
         }
     }
     while since < from.position() {
-        let told = from.relay_batch(since, 3, 5);
-        assert!(told.position > since);
-        since = told.position;
-        told.records.into_iter().for_each(|r| _ = to.apply(Time(400), r, RecordSource::Peer));
-        told.heartbeats.iter().for_each(|b| _ = to.apply_heartbeat(Time(400), b));
+        let batch = from.relay_batch(since, 3, 5);
+        assert!(batch.position > since);
+        since = batch.position;
+        batch.records.into_iter().for_each(|r| _ = to.apply(Time(400), r, RecordSource::Peer));
+        batch.heartbeats.iter().for_each(|b| _ = to.apply_heartbeat(Time(400), b));
     }
-    let of = |r: &Registry| -> Vec<_> {
+    let sequences = |r: &Registry| -> Vec<_> {
         r.iter().map(|r| (r.registration.id.clone(), r.registration.sequence)).collect()
     };
-    assert_eq!(of(&from), of(&to));
+    assert_eq!(sequences(&from), sequences(&to));
 }
 
+/// Guards against a late heartbeat that brings back a replica that left, and against keeping such
+/// replicas forever.
 #[test]
 fn one_that_has_left_is_remembered_against_late_heartbeats() {
     let mut r = Registry::default();
@@ -155,18 +164,18 @@
     assert_eq!(r.iter().count(), 0);
 }
 
-/// What an answer tells of a replica counts for the life in which it was said, and for good.
+/// Guards against a leaving notice that ends too early or applies to another incarnation.
 #[test]
-fn a_word_that_a_replica_leaves_counts_for_its_life() {
+fn a_leaving_notice_applies_to_one_incarnation() {
     let mut r = Registry::default();
     let leaving = |born| Leaving { replica: "a".to_owned(), born };
-    assert!(!r.apply_leaving(Time(0), &leaving(5)), "it is not known yet");
-    r.apply(Time(0), lives("a", 7, 1), RecordSource::Replica);
-    assert!(!r.apply_leaving(Time(1), &leaving(5)), "of a former life");
+    assert!(!r.apply_leaving(Time(0), &leaving(5)), "unknown replica");
+    r.apply(Time(0), incarnation("a", 7, 1), RecordSource::Replica);
+    assert!(!r.apply_leaving(Time(1), &leaving(5)), "an earlier incarnation");
     assert!(r.apply_leaving(Time(1), &leaving(7)));
-    assert!(!r.apply_leaving(Time(2), &leaving(7)), "it is known");
-    r.apply(Time(3), lives("a", 7, 2), RecordSource::Replica);
+    assert!(!r.apply_leaving(Time(2), &leaving(7)), "already recorded");
+    r.apply(Time(3), incarnation("a", 7, 2), RecordSource::Replica);
     assert_eq!(r.get("a").unwrap().standing, ReplicaStatus::Draining);
-    r.apply(Time(4), lives("a", 9, 1), RecordSource::Replica);
+    r.apply(Time(4), incarnation("a", 9, 1), RecordSource::Replica);
     assert_eq!(r.get("a").unwrap().standing, ReplicaStatus::Ready);
 }
