--- a/crates/core/tests/replicas.rs
+++ b/crates/core/tests/replicas.rs
@@ -1,5 +1,5 @@
-//! What a router makes of the words about replicas, whatever their order, and how its choice grows
-//! with them.
+//! The replica table of a router, for records in any order, and how the homes of prompts depend on
+//! the set of replicas.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -29,27 +29,27 @@
     Record { registration, standing }
 }
 
-/// What is at each address after all changes.
-fn at_end(said: &[Record]) -> BTreeMap<u16, String> {
+/// Returns the replica at each port after applying all `records` in order.
+fn replicas_by_port(records: &[Record]) -> BTreeMap<u16, String> {
     let mut replicas = ReplicaTable::default();
-    let mut there = BTreeMap::new();
-    for (n, r) in said.iter().enumerate() {
+    let mut by_port = BTreeMap::new();
+    for (n, r) in records.iter().enumerate() {
         let (_, changes) =
             replicas.apply(Time(n as u64), r.clone()).unwrap_or((r.standing, vec![]));
         for c in changes {
-            apply(&mut there, &c);
+            apply(&mut by_port, &c);
         }
     }
-    there
+    by_port
 }
 
-fn apply(there: &mut BTreeMap<u16, String>, c: &AddressChange) {
+fn apply(by_port: &mut BTreeMap<u16, String>, c: &AddressChange) {
     match &c.upstream {
-        Some((u, condition)) => {
-            let silent = if condition.leaving { "silent " } else { "" };
-            there.insert(c.address.port(), format!("{silent}{}", u.vm.name))
+        Some((u, info)) => {
+            let silent = if info.leaving { "silent " } else { "" };
+            by_port.insert(c.address.port(), format!("{silent}{}", u.vm.name))
         }
-        None => there.remove(&c.address.port()),
+        None => by_port.remove(&c.address.port()),
     };
 }
 
@@ -70,40 +70,39 @@
 #[case::the_newer_one_leaves(
     &[("a", 80, 7, Ready), ("b", 80, 1, Ready), ("b", 80, 2, Left)], &[(80, "a")])]
 fn who_is_at_an_address(
-    #[case] said: &[(&str, u16, u64, ReplicaStatus)],
-    #[case] there: &[(u16, &str)],
+    #[case] records: &[(&str, u16, u64, ReplicaStatus)],
+    #[case] want: &[(u16, &str)],
 ) {
-    let said: Vec<_> = said.iter().map(|(id, p, seq, s)| record(id, *p, *seq, *s)).collect();
-    let there: BTreeMap<_, _> = there.iter().map(|(p, id)| (*p, (*id).to_owned())).collect();
-    assert_eq!(at_end(&said), there);
+    let records: Vec<_> = records.iter().map(|(id, p, seq, s)| record(id, *p, *seq, *s)).collect();
+    let want: BTreeMap<_, _> = want.iter().map(|(p, id)| (*p, (*id).to_owned())).collect();
+    assert_eq!(replicas_by_port(&records), want);
 }
 
-/// A heartbeat that a cut held up arrives after its sender has crashed and another has registered
-/// there: the first answer from the address decides.
+/// Guards against a delayed heartbeat of a crashed replica that takes an address back from its
+/// successor, after a response has identified the successor.
 #[test]
 fn one_that_was_found_replaced_is_not_taken_for_alive_again() {
     let mut replicas = ReplicaTable::default();
-    let mut there = BTreeMap::new();
-    let said = [record("new", 80, 1, Ready), record("old", 80, 9, Ready)];
-    for r in said {
+    let mut by_port = BTreeMap::new();
+    let records = [record("new", 80, 1, Ready), record("old", 80, 9, Ready)];
+    for r in records {
         let (_, changes) = replicas.apply(Time(0), r).unwrap();
-        changes.iter().for_each(|c| apply(&mut there, c));
+        changes.iter().for_each(|c| apply(&mut by_port, c));
     }
-    assert_eq!(there[&80], "old", "it was heard of last");
-    apply(&mut there, &replicas.mark_replaced("old").unwrap());
-    assert_eq!(there[&80], "new");
-    let (_, changes) =
-        replicas.apply(Time(5), record("old", 80, 10, Ready)).unwrap_or_default_left();
-    changes.iter().for_each(|c| apply(&mut there, c));
-    assert_eq!(there[&80], "new");
+    assert_eq!(by_port[&80], "old", "the last record wins");
+    apply(&mut by_port, &replicas.mark_replaced("old").unwrap());
+    assert_eq!(by_port[&80], "new");
+    let (_, changes) = replicas.apply(Time(5), record("old", 80, 10, Ready)).unwrap_or_left();
+    changes.iter().for_each(|c| apply(&mut by_port, c));
+    assert_eq!(by_port[&80], "new");
 }
 
-trait OrNone {
-    fn unwrap_or_default_left(self) -> (ReplicaStatus, Vec<AddressChange>);
+trait OrLeft {
+    fn unwrap_or_left(self) -> (ReplicaStatus, Vec<AddressChange>);
 }
 
-impl OrNone for Option<(ReplicaStatus, Vec<AddressChange>)> {
-    fn unwrap_or_default_left(self) -> (ReplicaStatus, Vec<AddressChange>) {
+impl OrLeft for Option<(ReplicaStatus, Vec<AddressChange>)> {
+    fn unwrap_or_left(self) -> (ReplicaStatus, Vec<AddressChange>) {
         self.unwrap_or((Left, Vec::new()))
     }
 }
@@ -117,8 +116,8 @@
 const READY: ReplicaInfo =
     ReplicaInfo { version: String::new(), slots: 8, leaving: false, cold_for: Millis(0) };
 
-/// Where each of some prompts goes first at a router that knows nothing but the replicas: their
-/// shared part is large enough that reading it at another replica is never cheaper.
+/// Returns the home of each of `prompts` prompts: the replica that a router with no cache data
+/// selects. The shared prefix is large enough that no other replica is cheaper.
 fn homes(pool: &mut Pool, prompts: u64) -> Vec<SocketAddr> {
     let mut rng = SmallRng::seed_from_u64(3);
     (0..prompts)
@@ -132,10 +131,9 @@
         .collect()
 }
 
-/// Routers that heard of the replicas in different orders, some of which have left since, agree on
-/// every home.
+/// Guards against homes that depend on the order in which replicas were added or removed.
 #[test]
-fn all_routers_find_the_same_homes_whatever_the_order_of_news() {
+fn homes_do_not_depend_on_the_order_of_records() {
     let mut rng = SmallRng::seed_from_u64(9);
     let mut order: Vec<u32> = (0..200).collect();
     let mut pools = Vec::new();
@@ -150,9 +148,9 @@
     assert_eq!(all.len(), 1);
 }
 
-/// One of 200 replicas goes: only its own keys find another home.
+/// Guards against prompts that change their home when another replica is removed.
 #[test]
-fn a_replica_that_goes_moves_its_own_keys_alone() {
+fn removing_a_replica_moves_only_its_own_keys() {
     let mut pool = Pool::default();
     (0..200).for_each(|n| pool.upsert(Time(0), &upstream(n), &READY));
     let before = homes(&mut pool, 2_000);
@@ -164,13 +162,13 @@
     assert!(moved.count() > 0);
 }
 
-/// No replica is the home of much more than its part. 20,000 keys over 12, 140 and 1,000 replicas;
-/// with so few keys each, some of the spread is the keys' own.
+/// Guards against a replica that is the home of far more keys than the mean. With few keys per
+/// replica, part of the variation is random.
 #[rstest]
 #[case::small_fleet(12, 130)]
 #[case::today(140, 150)]
 #[case::large(1_000, 240)]
-fn homes_are_spread_evenly(#[case] replicas: u32, #[case] most_percent: u64) {
+fn homes_are_spread_evenly(#[case] replicas: u32, #[case] max_percent: u64) {
     const KEYS: u64 = 20_000;
     let mut pool = Pool::default();
     (0..replicas).for_each(|n| pool.upsert(Time(0), &upstream(n), &READY));
@@ -178,18 +176,21 @@
     homes(&mut pool, KEYS).into_iter().for_each(|a| *count.entry(a).or_default() += 1);
     let busiest = *count.values().max().unwrap();
     let mean = KEYS / u64::from(replicas);
-    assert!(busiest * 100 <= mean * most_percent, "{busiest} of {mean}");
+    assert!(
+        busiest * 100 <= mean * max_percent,
+        "the busiest replica has {busiest} keys, the mean is {mean}"
+    );
 }
 
-/// Guards against a replica that leaves and is taken for ready once its word is some minutes old: its
-/// heartbeats go on, and a control process that has started again says that it is ready.
+/// Guards against a draining replica that becomes ready again minutes later: it still sends
+/// heartbeats, and a restarted control process reports it as ready.
 #[test]
-fn a_replica_that_leaves_is_not_ready_again_in_that_life() {
+fn a_draining_replica_stays_draining_in_its_incarnation() {
     let mut replicas = ReplicaTable::default();
     replicas.apply(Time(0), record("a", 80, 1, Ready));
-    let leaves = replicas.draining_record("a").unwrap();
-    replicas.apply(Time(1), leaves);
-    assert!(replicas.draining_record("a").is_none(), "it is known");
+    let draining = replicas.draining_record("a").unwrap();
+    replicas.apply(Time(1), draining);
+    assert!(replicas.draining_record("a").is_none(), "already recorded");
     for minutes in [1, 3, 30] {
         let (standing, changes) =
             replicas.apply(Time(minutes * 60_000), record("a", 80, 1 + minutes, Ready)).unwrap();
--- a/crates/core/tests/rests.rs
+++ b/crates/core/tests/rests.rs
@@ -1,4 +1,5 @@
-//! Replicas that ask for rest: how the word is read, what a router sends meanwhile, and how it comes back.
+//! Backoff requested by replicas: parsing `Retry-After`, what a router sends during a backoff, and
+//! the slow start after it.
 
 #![allow(missing_docs)]
 
@@ -18,7 +19,7 @@
 use rstest::rstest;
 
 const SLOTS: u32 = 8;
-const REST: Millis = Millis::seconds(3);
+const BACKOFF: Millis = Millis::seconds(3);
 
 fn rng() -> SmallRng {
     SmallRng::seed_from_u64(1)
@@ -44,6 +45,7 @@
     p.choose(Time(now), "here", work, &[], &mut rng())
 }
 
+/// Returns the replicas selected for `times` requests, each finished before the next.
 fn chosen(p: &mut Pool, now: u64, work: &RequestProfile, times: usize) -> BTreeSet<SocketAddr> {
     let mut all = BTreeSet::new();
     for _ in 0..times {
@@ -64,8 +66,8 @@
 #[case::text("soon", RetryAfter::Invalid)]
 #[case::list("1, 2", RetryAfter::Invalid)]
 #[case::empty("", RetryAfter::Invalid)]
-fn a_rest_is_read_or_refused(#[case] text: &str, #[case] said: RetryAfter) {
-    assert_eq!(RetryAfter::parse(text), said);
+fn retry_after_is_parsed(#[case] text: &str, #[case] want: RetryAfter) {
+    assert_eq!(RetryAfter::parse(text), want);
 }
 
 #[rstest]
@@ -74,46 +76,48 @@
 #[case::the_same_the_other_way(&["2", "soon"], RetryAfter::Delay(Millis(2_000)))]
 #[case::none_of_them(&["soon", "later"], RetryAfter::Invalid)]
 #[case::no_word(&[], RetryAfter::Absent)]
-fn of_several_words_the_longer_rest_holds(#[case] words: &[&str], #[case] said: RetryAfter) {
-    let all = words.iter().map(|w| RetryAfter::parse(w));
-    assert_eq!(all.fold(RetryAfter::Absent, RetryAfter::or_later), said);
+fn the_longest_of_several_headers_wins(#[case] headers: &[&str], #[case] want: RetryAfter) {
+    let all = headers.iter().map(|h| RetryAfter::parse(h));
+    assert_eq!(all.fold(RetryAfter::Absent, RetryAfter::or_later), want);
 }
 
-/// Guards against a way of choosing that passes the rest by.
+/// Guards against a selection rule that ignores the backoff.
 #[rstest]
 #[case::plain(RequestProfile::default())]
 #[case::a_prompt_whose_home_it_is(RequestProfile { prefixes: PromptPrefixes::from_sized_parts(vec![(7, 9_000)]), ..RequestProfile::default() })]
 #[case::the_most_urgent(RequestProfile { priority: 0, ..RequestProfile::default() })]
-fn a_resting_replica_is_not_chosen(#[case] work: RequestProfile) {
-    for resting in 0..4 {
+fn a_replica_in_backoff_is_not_chosen(#[case] work: RequestProfile) {
+    for backing_off in 0..4 {
         let mut p = pool(4);
-        // It holds the prompt, and is idle besides.
-        p.record_peer_placement(Time(0), address(resting), 0, &work.prefixes);
-        p.back_off(Time(0), address(resting), REST);
-        assert!(!chosen(&mut p, 2_999, &work, 50).contains(&address(resting)));
+        // It has the prompt cached and is idle.
+        p.record_peer_placement(Time(0), address(backing_off), 0, &work.prefixes);
+        p.back_off(Time(0), address(backing_off), BACKOFF);
+        assert!(!chosen(&mut p, 2_999, &work, 50).contains(&address(backing_off)));
     }
 }
 
-/// Guards against the last resort for replicas that fail: one that rests is not tried in their place.
+/// Guards against the fallback to unusable replicas, taken when all others fail, that selects a
+/// replica in backoff.
 #[test]
-fn a_resting_replica_is_not_tried_as_all_others_fail() {
+fn a_replica_in_backoff_is_not_chosen_when_all_others_fail() {
     let mut p = pool(2);
     let others = [address(0)];
     let c = p.choose(Time(0), "here", &RequestProfile::default(), &others, &mut rng()).unwrap();
-    p.back_off(Time(0), address(0), REST);
+    p.back_off(Time(0), address(0), BACKOFF);
     for _ in 0..4 {
         p.finish(Time(0), &c, true);
     }
     assert_eq!(chosen(&mut p, 100, &RequestProfile::default(), 20), BTreeSet::from([address(1)]));
 }
 
+/// Guards against sending a request during a backoff that began after the replica was selected.
 #[test]
-fn what_was_chosen_before_the_rest_is_not_sent_in_it() {
+fn a_request_chosen_before_a_backoff_is_not_sent_during_it() {
     let mut p = pool(2);
     let c = choose(&mut p, 0, &RequestProfile::default()).unwrap();
     let name = p.get(c.address).unwrap().upstream.vm.name.clone();
     assert!(p.may_send(Time(0), c.address, &name));
-    p.back_off(Time(10), c.address, REST);
+    p.back_off(Time(10), c.address, BACKOFF);
     assert!(!p.may_send(Time(3_009), c.address, &name));
     assert!(p.may_send(Time(3_010), c.address, &name));
     assert!(!p.may_send(Time(3_010), c.address, "another"));
@@ -121,8 +125,9 @@
     assert!(!p.may_send(Time(3_010), c.address, &name));
 }
 
+/// Guards against a shorter backoff that cuts a longer one short.
 #[test]
-fn the_later_end_of_two_rests_holds() {
+fn the_later_end_of_two_backoffs_wins() {
     let mut p = pool(1);
     p.back_off(Time(0), address(0), Millis::seconds(5));
     p.back_off(Time(100), address(0), Millis::seconds(1));
@@ -130,22 +135,23 @@
     assert!(!p.is_backing_off(Time(5_000), address(0)));
 }
 
-/// An answer to an earlier request ends no rest.
+/// Guards against a backoff that ends when a request sent before it is accepted.
 #[test]
-fn a_request_let_in_during_a_rest_ends_nothing() {
+fn a_request_accepted_during_a_backoff_does_not_end_it() {
     let mut p = pool(1);
     let c = choose(&mut p, 0, &RequestProfile::default()).unwrap();
-    p.back_off(Time(10), address(0), REST);
+    p.back_off(Time(10), address(0), BACKOFF);
     p.record_accepted(Time(20), &c);
     p.finish(Time(20), &c, false);
     assert!(choose(&mut p, 2_000, &RequestProfile::default()).is_none());
 }
 
-/// What changes of a replica's record leaves its rest; another replica at the address has none.
+/// Guards against losing the backoff when a replica's record changes, and against applying it to
+/// another replica at the same address.
 #[test]
-fn a_rest_belongs_to_one_replica() {
+fn a_backoff_belongs_to_one_replica() {
     let mut p = pool(1);
-    p.back_off(Time(0), address(0), REST);
+    p.back_off(Time(0), address(0), BACKOFF);
     p.upsert(Time(10), &upstream(0), &ReplicaInfo { slots: 3, ..ReplicaInfo::default() });
     assert!(p.is_backing_off(Time(10), address(0)));
     let mut other = upstream(0);
@@ -154,87 +160,94 @@
     assert!(!p.is_backing_off(Time(20), address(0)));
 }
 
-/// Guards against all of a router's requests coming back at once.
+/// Guards against a burst of requests from one router when a backoff ends.
 #[test]
-fn after_a_rest_one_request_goes_first_and_more_as_they_are_let_in() {
+fn slow_start_sends_one_request_and_more_as_they_are_accepted() {
     let mut p = pool(1);
-    // Eight are there when it asks for rest.
+    // Eight requests are outstanding when the backoff begins.
     let before: Vec<_> =
         (0..8).map(|_| choose(&mut p, 0, &RequestProfile::default()).unwrap()).collect();
-    p.back_off(Time(10), address(0), REST);
+    p.back_off(Time(10), address(0), BACKOFF);
     let first = choose(&mut p, 3_010, &RequestProfile::default()).unwrap();
     assert!(
         choose(&mut p, 3_011, &RequestProfile::default()).is_none(),
-        "its answer is waited for"
+        "the first request is not accepted yet"
     );
-    // Those of before neither take the place of new ones nor speak for them.
+    // Requests sent before the backoff count neither as in flight nor as accepted.
     for c in &before {
         p.record_accepted(Time(3_012), c);
         p.finish(Time(3_012), c, false);
     }
     assert!(choose(&mut p, 3_013, &RequestProfile::default()).is_none());
     p.record_accepted(Time(3_020), &first);
-    let mut open = vec![first];
-    let mut at_once = Vec::new();
+    let mut in_flight = vec![first];
+    let mut in_flight_per_round = Vec::new();
     for now in 4..7 {
         while let Some(c) = choose(&mut p, now * 1_000, &RequestProfile::default()) {
-            open.push(c);
+            in_flight.push(c);
         }
-        at_once.push(open.len());
-        for c in open.drain(..) {
+        in_flight_per_round.push(in_flight.len());
+        for c in in_flight.drain(..) {
             p.record_accepted(Time(now * 1_000 + 1), &c);
             p.finish(Time(now * 1_000 + 2), &c, false);
         }
     }
-    assert_eq!(at_once, [2, 4, 5], "doubled up to half of what it had, then one more at a time");
+    assert_eq!(
+        in_flight_per_round,
+        [2, 4, 5],
+        "doubles up to half of the earlier requests, then grows by one"
+    );
 }
 
+/// Guards against a slow start that limits a router after it has reached the replica's slots.
 #[test]
-fn once_as_many_run_as_it_has_places_nothing_binds_the_router() {
+fn slow_start_ends_at_the_slots_of_the_replica() {
     let mut backoff = Backoff::default();
-    backoff.start(Time(0), REST, 6, 0);
+    backoff.start(Time(0), BACKOFF, 6, 0);
     for number in 1..=100 {
         backoff.record_accepted(number, SLOTS);
     }
     assert!(!backoff.limits_requests());
 }
 
+/// Guards against a slow start after `Retry-After: 0`.
 #[test]
-fn a_rest_of_nothing_binds_nobody() {
+fn a_backoff_of_zero_limits_nothing() {
     let mut backoff = Backoff::default();
     backoff.start(Time(0), Millis(0), 6, 0);
     assert!(!backoff.limits_requests() && backoff.allows_request(Time(0)));
 }
 
-/// Work that nobody may be sent tells when, and by which replica.
+/// Guards against a blocked request without the earliest retry time and its replica.
 #[test]
-fn what_is_held_back_names_the_first_that_takes_some_again() {
+fn a_blocked_request_names_the_replica_that_is_available_first() {
     let mut p = pool(2);
     p.back_off(Time(0), address(0), Millis::seconds(5));
     p.back_off(Time(0), address(1), Millis::seconds(2));
-    let h = p.blocked(Time(500), &RequestProfile::default()).unwrap();
+    let b = p.blocked(Time(500), &RequestProfile::default()).unwrap();
     assert_eq!(
-        (h.reason, h.retry_after, h.replica.as_str()),
+        (b.reason, b.retry_after, b.replica.as_str()),
         (BlockReason::Backoff, Millis(1_500), "b-1")
     );
     assert!(pool(2).blocked(Time(0), &RequestProfile::default()).is_none());
 }
 
-/// Guards against less urgent requests that take the few places after a rest.
+/// Guards against less urgent requests that take the few slots of a slow start.
 #[test]
-fn the_more_urgent_go_first_after_a_rest() {
+fn more_urgent_requests_go_first_after_a_backoff() {
     let urgent = RequestProfile { priority: 0, ..RequestProfile::default() };
     let other = RequestProfile { priority: 5, ..RequestProfile::default() };
     let mut p = pool(1);
-    p.back_off(Time(0), address(0), REST);
+    p.back_off(Time(0), address(0), BACKOFF);
     assert!(choose(&mut p, 2_900, &urgent).is_none());
     p.blocked(Time(2_900), &urgent);
     assert!(choose(&mut p, 3_000, &other).is_none());
     assert!(choose(&mut p, 3_000, &urgent).is_some());
 }
 
+/// Guards against starvation of less urgent requests by more urgent ones.
 #[test]
-fn one_place_in_four_goes_to_whoever_asks() {
+fn one_slot_in_four_is_open_to_any_priority() {
     let mut p = PriorityGate::default();
     p.record_refused(Time(0), 0);
     let mut allowed = 0;
@@ -243,35 +256,37 @@
         p.record_admitted();
     }
     assert_eq!(allowed, 2);
-    assert!(p.admits(Time(500), 5), "it was long ago");
+    assert!(p.admits(Time(500), 5), "the refusal is too old to count");
 }
 
 #[rstest]
 #[case::half(3, 6, true)]
 #[case::fewer(2, 6, false)]
 #[case::none(0, 1, false)]
-fn a_service_is_overloaded_when_half_of_it_rests(
-    #[case] resting: u16,
+fn a_service_is_overloaded_when_half_of_its_replicas_back_off(
+    #[case] backing_off: u16,
     #[case] all: u16,
     #[case] overloaded: bool,
 ) {
     let mut p = pool(all);
-    (0..resting).for_each(|n| {
-        p.back_off(Time(0), address(n), REST);
+    (0..backing_off).for_each(|n| {
+        p.back_off(Time(0), address(n), BACKOFF);
     });
     assert_eq!(p.is_mostly_backing_off(Time(1)), overloaded);
     assert!(!p.is_mostly_backing_off(Time(3_000)));
 }
 
-/// Guards against callers that all come back at the end of the same rest.
+/// Guards against callers that all retry at the end of the same backoff.
 #[test]
-fn callers_come_back_one_after_the_other() {
-    let mut turns = RetrySchedule::default();
-    let back = RetrySpacing { earliest: Millis(1_000), interval: Millis(100), max: Millis(1_500) };
-    let mut told: Vec<_> = (0..20).map(|_| turns.next_delay(Time(0), &back, &mut rng())).collect();
-    assert_eq!(told[..5], [1_100, 1_200, 1_300, 1_400, 1_500].map(Millis));
-    assert!(told.iter().all(|t| (Millis(1_000)..=Millis(1_500)).contains(t)), "{told:?}");
-    told.dedup();
-    assert!(told.len() > 5);
-    assert!(!turns.is_idle(Time(1_499)) && turns.is_idle(Time(1_500)));
+fn retries_of_callers_are_spread_out() {
+    let mut schedule = RetrySchedule::default();
+    let spacing =
+        RetrySpacing { earliest: Millis(1_000), interval: Millis(100), max: Millis(1_500) };
+    let mut delays: Vec<_> =
+        (0..20).map(|_| schedule.next_delay(Time(0), &spacing, &mut rng())).collect();
+    assert_eq!(delays[..5], [1_100, 1_200, 1_300, 1_400, 1_500].map(Millis));
+    assert!(delays.iter().all(|t| (Millis(1_000)..=Millis(1_500)).contains(t)), "{delays:?}");
+    delays.dedup();
+    assert!(delays.len() > 5);
+    assert!(!schedule.is_idle(Time(1_499)) && schedule.is_idle(Time(1_500)));
 }
