--- a/crates/core/tests/rollout.rs
+++ b/crates/core/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! Roll-outs: orders, steps, what gateways do and what speaks against a version, in tables.
+//! Rollouts: orders, steps, the version a gateway selects, and the detection of bad versions.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,6 +16,7 @@
 
 const WITHIN: Millis = Millis::seconds(12);
 
+/// Rollouts with order 7, of version `v2` for service `talk`.
 fn ordered() -> Rollouts {
     let mut all = Rollouts::default();
     all.start(Time(1_000), 7, "talk", "v2", WITHIN).unwrap();
@@ -33,6 +34,7 @@
     }
 }
 
+/// The rollout of order 7 at `stage`.
 fn at(stage: Stage) -> Rollout {
     let mut all = ordered();
     if stage > Stage::Waiting {
@@ -47,22 +49,22 @@
 #[case::no_version("", 12_000, Err(Code::RolloutBad))]
 #[case::no_time("v2", 0, Err(Code::RolloutBad))]
 #[case::more_than_a_day("v2", 86_400_001, Err(Code::RolloutBad))]
-fn an_order_beside_one_under_way(
+fn a_second_order_during_a_rollout(
     #[case] version: &str,
     #[case] within: u64,
     #[case] want: Result<(), Code>,
 ) {
     let mut all = ordered();
     assert_eq!(all.start(Time(2_000), 9, "talk", version, Millis(within)), want);
-    assert_eq!(all, ordered(), "the one under way is as it was");
+    assert_eq!(all, ordered(), "the running rollout is unchanged");
 }
 
-/// An order whose acknowledgement was lost comes again seconds later; once that cannot be any more,
-/// the same words are a new order.
+/// Guards against a retried order that starts a second rollout, and against ignoring an equal order
+/// sent after the retry period.
 #[rstest]
 #[case::lately(Time(1_000 + 12_000 + 14_999), Stage::RolledBack)]
 #[case::long_ago(Time(1_000 + 12_000 + 15_000), Stage::Waiting)]
-fn the_same_order_after_its_end(#[case] now: Time, #[case] stage: Stage) {
+fn an_equal_order_after_the_end_of_a_rollout(#[case] now: Time, #[case] stage: Stage) {
     let mut all = ordered();
     assert!(all.advance(8, &step(7, Stage::RolledBack)));
     all.start(now, 9, "talk", "v2", WITHIN).unwrap();
@@ -75,18 +77,23 @@
 #[case::after_the_end(Stage::Completed, Stage::RolledBack, 7, false)]
 #[case::onwards(Stage::Trial, Stage::Moving, 7, true)]
 #[case::back(Stage::Moving, Stage::RolledBack, 7, true)]
-fn a_step(#[case] from: Stage, #[case] to: Stage, #[case] order: u64, #[case] taken: bool) {
+fn a_step_is_accepted_only_forward_and_for_its_order(
+    #[case] from: Stage,
+    #[case] to: Stage,
+    #[case] order: u64,
+    #[case] accepted: bool,
+) {
     let mut all = ordered();
     assert!(all.advance(8, &step(7, from)));
-    assert_eq!(all.advance(9, &step(order, to)), taken);
-    assert_eq!(all.get("talk").unwrap().stage, if taken { to } else { from });
+    assert_eq!(all.advance(9, &step(order, to)), accepted);
+    assert_eq!(all.get("talk").unwrap().stage, if accepted { to } else { from });
 }
 
 #[rstest]
 #[case::on_trial(Stage::Trial, Ok(()), Stage::RolledBack)]
 #[case::twice(Stage::RolledBack, Ok(()), Stage::RolledBack)]
 #[case::too_late(Stage::Completed, Err(Code::RolloutOver), Stage::Completed)]
-fn an_operator_takes_it_back(
+fn an_operator_aborts_a_rollout(
     #[case] from: Stage,
     #[case] want: Result<(), Code>,
     #[case] stage: Stage,
@@ -98,7 +105,7 @@
     assert_eq!(all.abort(9, "board"), Err(Code::RolloutUnknown));
 }
 
-/// Counts of answers: ended and bad of the old version, ended and bad of the new one.
+/// Evidence with response counts: `(ended, bad)` of the old and of the new version.
 fn counted(old: (u64, u64), new: (u64, u64)) -> Evidence {
     let mut e = Evidence::default();
     let sides = e.route_mut("play");
@@ -118,24 +125,20 @@
 #[case::a_third_where_a_seventh_is_usual((1_000, 140), (100, 34), true)]
 #[case::the_old_one_is_hardly_known((10, 0), (10, 4), false)]
 #[case::many_bad_and_somewhat_more_than_usual((2_000, 280), (180, 50), true)]
-fn failures_speak_against_a_version(
-    #[case] old: (u64, u64),
-    #[case] new: (u64, u64),
-    #[case] bad: bool,
-) {
+fn bad_responses_are_a_fault(#[case] old: (u64, u64), #[case] new: (u64, u64), #[case] bad: bool) {
     let found = find_fault(&counted(old, new));
     assert_eq!(found.is_some(), bad, "{found:?}");
 }
 
-/// Answers of both versions, the new one's so many hundredths of the old one's times.
-fn timed(n: u64, factor: u64) -> Evidence {
+/// Evidence with `n` response times per version, the new one's at `percent` percent of the old one's.
+fn timed(n: u64, percent: u64) -> Evidence {
     let mut e = Evidence::default();
     let sides = e.route_mut("talk");
     for i in 0..n {
-        // From 40 to 240 ms, where 60 ms were expected.
+        // 40 to 240 ms; the expected time is 60 ms.
         let us = 40_000 + i * 7_919 % 200_000;
         sides.old.record_response(us, 60_000);
-        sides.new.record_response(us * factor / 100, 60_000);
+        sides.new.record_response(us * percent / 100, 60_000);
     }
     e
 }
@@ -147,14 +150,14 @@
 #[case::three_times(80, 300, true)]
 #[case::twice(400, 200, true)]
 #[case::eight_times(40, 800, true)]
-fn times_speak_against_a_version(#[case] n: u64, #[case] factor: u64, #[case] bad: bool) {
-    let found = find_fault(&timed(n, factor));
+fn slow_responses_are_a_fault(#[case] n: u64, #[case] percent: u64, #[case] bad: bool) {
+    let found = find_fault(&timed(n, percent));
     assert_eq!(matches!(found, Some((_, Fault::Slow { .. }))), bad, "{found:?}");
 }
 
-/// One bad route among many good ones shows, though all together do not.
+/// Guards against missing one bad route when the totals over all routes look good.
 #[test]
-fn a_version_may_be_bad_on_one_route_only() {
+fn a_fault_on_one_route_is_found() {
     let mut e = counted((1_000, 0), (40, 12));
     for n in 0..10 {
         let sides = e.route_mut(&format!("other-{n}"));
@@ -168,13 +171,13 @@
 #[case::a_minute(60_000, 100)]
 #[case::ten_minutes(600_000, 100)]
 #[case::little_is_allowed(60_000, 50)]
-fn a_version_that_turns_out_bad_at_the_end_had_no_more_than_is_allowed(
+fn a_version_found_bad_at_the_end_had_at_most_the_allowed_share(
     #[case] within: u64,
     #[case] allowed: u64,
 ) {
     let Plan { trial, move_at } = plan(Millis(within), allowed);
-    let had = trial * move_at.0 / 1_000 + (within - move_at.0);
-    assert!(had * 1_000 <= within * allowed, "{had} ms of {within} ms");
+    let share_ms = trial * move_at.0 / 1_000 + (within - move_at.0);
+    assert!(share_ms * 1_000 <= within * allowed, "{share_ms} ms of {within} ms");
 }
 
 fn view<'a>(elapsed: u64, slots: &'a BTreeMap<String, u64>, e: &'a Evidence) -> View<'a> {
@@ -209,13 +212,13 @@
     assert_eq!(found.map(|s| s.stage), want);
 }
 
-/// It is not completed while a gateway in touch sends to the old version or has something there:
-/// the old replicas stop at once.
+/// Guards against completing a rollout, which stops the old replicas at once, while a connected
+/// gateway still sends requests to them or has some running there.
 #[rstest]
 #[case::one_has_not_heard(StepProgress { reporting: 3, moved: 2, at_old: 0 })]
 #[case::one_says_nothing(StepProgress { reporting: 2, moved: 2, at_old: 0 })]
 #[case::a_stream_runs(StepProgress { reporting: 3, moved: 3, at_old: 1 })]
-fn what_it_is_not_completed_before(#[case] progress: StepProgress) {
+fn a_rollout_is_not_completed_while_old_replicas_are_in_use(#[case] progress: StepProgress) {
     let (slots, e) = (slots(18, 18), Evidence::default());
     let v = View { progress, ..view(20_000, &slots, &e) };
     assert_eq!(next_step("talk", &at(Stage::Moving), &plan(WITHIN, 100), &v), None);
@@ -224,7 +227,7 @@
 #[rstest]
 #[case::on_trial(Stage::Trial)]
 #[case::while_all_moves(Stage::Moving)]
-fn a_bad_version_is_taken_back_at_once(#[case] stage: Stage) {
+fn a_bad_version_is_rolled_back_at_once(#[case] stage: Stage) {
     let (slots, e) = (slots(18, 18), counted((200, 0), (10, 6)));
     let found = next_step("talk", &at(stage), &plan(WITHIN, 100), &view(500, &slots, &e)).unwrap();
     assert_eq!(found.stage, Stage::RolledBack);
@@ -236,25 +239,30 @@
 #[case::while_all_moves(Stage::Moving, Side::Old, Side::New, Side::Old)]
 #[case::completed(Stage::Completed, Side::Old, Side::New, Side::Any)]
 #[case::rolled_back(Stage::RolledBack, Side::Any, Side::Excluded, Side::Any)]
-fn sides(#[case] stage: Stage, #[case] old: Side, #[case] new: Side, #[case] later: Side) {
+fn the_side_of_each_version(
+    #[case] stage: Stage,
+    #[case] old: Side,
+    #[case] new: Side,
+    #[case] later: Side,
+) {
     let r = at(stage);
     assert_eq!(["v1", "v2", "v3"].map(|v| side(&r, "i-1", v)), [old, new, later]);
 }
 
-const IN_TOUCH: GatewayView = GatewayView { connected: true, stopped: false };
-const CUT_OFF: GatewayView = GatewayView { connected: false, stopped: false };
+const CONNECTED: GatewayView = GatewayView { connected: true, stopped: false };
+const DISCONNECTED: GatewayView = GatewayView { connected: false, stopped: false };
 const STOPPED: GatewayView = GatewayView { connected: true, stopped: true };
 
 #[rstest]
-#[case::on_trial(Stage::Trial, 39, IN_TOUCH, VersionPreference::Trial)]
-#[case::beside_the_trial(Stage::Trial, 40, IN_TOUCH, VersionPreference::Old)]
-#[case::cut_off(Stage::Trial, 0, CUT_OFF, VersionPreference::Old)]
+#[case::on_trial(Stage::Trial, 39, CONNECTED, VersionPreference::Trial)]
+#[case::beside_the_trial(Stage::Trial, 40, CONNECTED, VersionPreference::Old)]
+#[case::cut_off(Stage::Trial, 0, DISCONNECTED, VersionPreference::Old)]
 #[case::by_what_it_saw(Stage::Trial, 0, STOPPED, VersionPreference::Old)]
-#[case::all_move(Stage::Moving, 999, IN_TOUCH, VersionPreference::New)]
-#[case::cut_off_as_all_move(Stage::Moving, 0, CUT_OFF, VersionPreference::Old)]
-#[case::completed_and_cut_off(Stage::Completed, 0, CUT_OFF, VersionPreference::New)]
-#[case::rolled_back(Stage::RolledBack, 0, IN_TOUCH, VersionPreference::Any)]
-fn where_a_request_goes(
+#[case::all_move(Stage::Moving, 999, CONNECTED, VersionPreference::New)]
+#[case::cut_off_as_all_move(Stage::Moving, 0, DISCONNECTED, VersionPreference::Old)]
+#[case::completed_and_cut_off(Stage::Completed, 0, DISCONNECTED, VersionPreference::New)]
+#[case::rolled_back(Stage::RolledBack, 0, CONNECTED, VersionPreference::Any)]
+fn the_version_that_a_request_prefers(
     #[case] stage: Stage,
     #[case] drawn: u64,
     #[case] local: GatewayView,
@@ -268,9 +276,10 @@
     Report { service: "talk".to_owned(), order: 7, revision, life, evidence, at_old }
 }
 
-/// Whatever the order in which reports come, and however often, each life of a gateway counts once.
+/// Guards against counting a gateway incarnation more than once when reports are repeated or arrive
+/// out of order.
 #[test]
-fn reports_count_once() {
+fn each_gateway_incarnation_counts_once() {
     let mut all = Reports::default();
     for r in [report(1, 7, 10, 2), report(1, 7, 30, 1), report(1, 7, 20, 9), report(1, 7, 30, 1)] {
         all.record(Time(1_000), "vm-1", r);
@@ -284,9 +293,10 @@
     assert_eq!(all.evidence(7).total().old.ended, 0);
 }
 
-/// What no route shows by itself shows in all of them together, beside one that always fails often.
+/// Guards against missing a fault that is too small on each route and shows only in their total,
+/// beside a route that fails often with both versions.
 #[test]
-fn a_version_that_fails_a_little_on_every_route_is_found() {
+fn a_small_fault_on_every_route_is_found() {
     let mut e = Evidence::default();
     for (route, old, new) in [("a", 0, 3), ("b", 3, 3), ("c", 4, 3), ("d", 110, 8)] {
         let sides = e.route_mut(route);
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Admission, choice of a replica, knowledge of caches and the platform's list, in tables.
+//! Admission control, replica selection, prompt cache tracking and the platform's VM list.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -44,29 +44,31 @@
     p.choose(Time(now), "here", work, &[], r).map(|c| c.address)
 }
 
-/// A choice of this replica, whatever the pool would prefer.
+/// Selects replica `n` by excluding all others.
 fn choice_of(p: &mut Pool, n: u16) -> Choice {
     let others: Vec<_> =
         p.iter().map(|r| r.upstream.address).filter(|a| *a != address(n)).collect();
     p.choose(Time(0), "here", &RequestProfile::default(), &others, &mut rng()).unwrap()
 }
 
-fn waiter(ticket: u64, account: &str, priority: Priority) -> QueuedRequest {
+fn queued(ticket: u64, account: &str, priority: Priority) -> QueuedRequest {
     let client_account = account.to_owned();
     QueuedRequest { ticket, client_account, priority, deadline: Time(1_000_000), concurrency: 9 }
 }
 
-/// A limiter with `run` requests of account `a` running.
-fn full(limit: u32, room: u32) -> Limiter {
-    let mut g = Limiter::new(limit, room);
+/// A limiter whose `limit` slots are taken by requests of account `a`, with an empty queue of
+/// `queue` places.
+fn full(limit: u32, queue: u32) -> Limiter {
+    let mut g = Limiter::new(limit, queue);
     for t in 0..u64::from(limit) {
-        assert_eq!(g.submit(Time(0), waiter(1_000 + t, "a", Priority::Normal)), Admission::Started);
+        assert_eq!(g.submit(Time(0), queued(1_000 + t, "a", Priority::Normal)), Admission::Started);
     }
     g
 }
 
+/// Guards against a queue that is not ordered by priority, then by age.
 #[test]
-fn the_most_urgent_class_goes_first_and_within_it_the_oldest() {
+fn the_highest_priority_starts_first_and_within_it_the_oldest() {
     let mut g = full(1, 9);
     let order = [
         (1, Priority::Bulk),
@@ -76,7 +78,7 @@
         (5, Priority::Live),
     ];
     for (t, p) in order {
-        assert_eq!(g.submit(Time(0), waiter(t, "b", p)), Admission::Queued);
+        assert_eq!(g.submit(Time(0), queued(t, "b", p)), Admission::Queued);
     }
     let mut started = Vec::new();
     g.release("a", Some(Millis(10)));
@@ -87,23 +89,24 @@
     assert_eq!(started, [3, 5, 4, 2, 1]);
 }
 
-/// Each row: who waits in a queue of two, who comes, and what becomes of them.
+/// Each case: the requests in a queue of two, the new request, and the one it displaces, if any.
+/// The new request is refused if it displaces none.
 #[rstest]
 #[case::bulk_gives_way_to_live(&[(1, "a", Priority::Normal), (2, "a", Priority::Bulk)], ("b", Priority::Live), Some(2))]
 #[case::newest_of_the_class_goes(&[(1, "a", Priority::Bulk), (2, "a", Priority::Bulk)], ("b", Priority::Live), Some(2))]
 #[case::live_does_not_give_way_to_bulk(&[(1, "a", Priority::Live), (2, "a", Priority::Live)], ("b", Priority::Bulk), None)]
 #[case::same_class_and_account(&[(1, "a", Priority::Bulk), (2, "a", Priority::Bulk)], ("a", Priority::Bulk), None)]
 #[case::large_account_gives_way_to_small(&[(1, "a", Priority::Bulk), (2, "a", Priority::Bulk)], ("b", Priority::Bulk), Some(2))]
-fn a_full_queue_refuses_what_is_worth_least(
-    #[case] queued: &[(u64, &str, Priority)],
-    #[case] comes: (&str, Priority),
-    #[case] victim: Option<u64>,
+fn a_full_queue_displaces_by_priority_and_account(
+    #[case] waiting: &[(u64, &str, Priority)],
+    #[case] new: (&str, Priority),
+    #[case] displaced: Option<u64>,
 ) {
     let mut g = full(1, 2);
-    for (t, a, p) in queued {
-        assert_eq!(g.submit(Time(0), waiter(*t, a, *p)), Admission::Queued);
+    for (t, a, p) in waiting {
+        assert_eq!(g.submit(Time(0), queued(*t, a, *p)), Admission::Queued);
     }
-    match (g.submit(Time(0), waiter(9, comes.0, comes.1)), victim) {
+    match (g.submit(Time(0), queued(9, new.0, new.1)), displaced) {
         (Admission::Displaced(t, _), Some(v)) => assert_eq!(t, v),
         (Admission::Refused(_), None) => {}
         other => panic!("{other:?}"),
@@ -111,59 +114,64 @@
     assert_eq!(g.waiting(), 2);
 }
 
+/// Guards against an account with many queued requests that delays all others.
 #[test]
 fn a_large_account_cannot_starve_a_small_one() {
     let mut g = full(4, 100);
     for t in 0..50 {
-        g.submit(Time(0), waiter(t, "large", Priority::Normal));
+        g.submit(Time(0), queued(t, "large", Priority::Normal));
     }
-    g.submit(Time(0), waiter(99, "small", Priority::Normal));
+    g.submit(Time(0), queued(99, "small", Priority::Normal));
     g.release("a", Some(Millis(10)));
     assert_eq!(g.start_next(), Some(0));
     g.release("a", Some(Millis(10)));
     assert_eq!(g.start_next(), Some(99), "the small account has nothing running");
 }
 
+/// Guards against a request over its account's concurrency limit that blocks the queue.
 #[test]
-fn an_account_at_its_limit_waits_while_others_go() {
+fn an_account_at_its_limit_does_not_block_others() {
     let mut g = Limiter::new(4, 10);
-    let limited = |t| QueuedRequest { concurrency: 1, ..waiter(t, "a", Priority::Live) };
+    let limited = |t| QueuedRequest { concurrency: 1, ..queued(t, "a", Priority::Live) };
     assert_eq!(g.submit(Time(0), limited(1)), Admission::Started);
     assert_eq!(g.submit(Time(0), limited(2)), Admission::Queued);
-    assert_eq!(g.submit(Time(0), waiter(3, "b", Priority::Bulk)), Admission::Queued);
+    assert_eq!(g.submit(Time(0), queued(3, "b", Priority::Bulk)), Admission::Queued);
     assert_eq!(g.start_next(), Some(3));
     assert_eq!(g.start_next(), None);
     g.release("a", Some(Millis(5)));
     assert_eq!(g.start_next(), Some(2));
 }
 
-/// A request that cannot be started before its deadline hears it at once, with when to come back.
+/// Guards against queueing a request that cannot start before its deadline. The refusal carries the
+/// time until a retry can succeed.
 #[test]
 fn what_cannot_meet_its_deadline_is_refused_at_once() {
     let mut g = full(2, 10);
     for _ in 0..60 {
         g.release("a", Some(Millis(1_000)));
-        g.submit(Time(0), waiter(1, "a", Priority::Normal));
+        g.submit(Time(0), queued(1, "a", Priority::Normal));
     }
-    let hurried = QueuedRequest { deadline: Time(100), ..waiter(7, "b", Priority::Live) };
-    match g.submit(Time(0), hurried) {
+    let urgent = QueuedRequest { deadline: Time(100), ..queued(7, "b", Priority::Live) };
+    match g.submit(Time(0), urgent) {
         Admission::Refused(wait) => assert!((400..=600).contains(&wait.0), "{wait:?}"),
         other => panic!("{other:?}"),
     }
-    assert_eq!(g.submit(Time(0), waiter(8, "b", Priority::Live)), Admission::Queued);
+    assert_eq!(g.submit(Time(0), queued(8, "b", Priority::Live)), Admission::Queued);
 }
 
+/// Guards against starting a queued request whose caller has disconnected.
 #[test]
-fn a_request_whose_caller_has_gone_gives_up_its_place() {
+fn a_removed_request_leaves_the_queue() {
     let mut g = full(1, 2);
-    g.submit(Time(0), waiter(1, "b", Priority::Live));
+    g.submit(Time(0), queued(1, "b", Priority::Live));
     g.remove(1);
     g.release("a", None);
     assert_eq!(g.start_next(), None);
     assert_eq!((g.running(), g.waiting()), (0, 0));
 }
 
-fn lesson(turns: usize) -> RequestProfile {
+/// A conversation of `turns` turns. Each conversation is a prefix of every longer one.
+fn conversation(turns: usize) -> RequestProfile {
     let parts: Vec<String> =
         (0..turns).map(|n| format!("turn {n} {}", "x".repeat(2_000))).collect();
     RequestProfile {
@@ -172,29 +180,32 @@
     }
 }
 
+/// Guards against losing the prompt cache between the turns of a conversation.
 #[test]
-fn a_lessons_next_turn_goes_to_the_engine_that_has_its_prefix() {
+fn the_next_turn_goes_to_the_replica_that_has_its_prefix_cached() {
     let (mut p, mut r) = (pool(50), rng());
-    let first = choice(&mut p, 0, &lesson(3), &mut r);
+    let first = choice(&mut p, 0, &conversation(3), &mut r);
     p.finish(Time(10), &first, false);
     for turns in 4..20 {
-        let next = choice(&mut p, turns as u64 * 1_000, &lesson(turns), &mut r);
+        let next = choice(&mut p, turns as u64 * 1_000, &conversation(turns), &mut r);
         assert_eq!(next.address, first.address);
         p.finish(Time(turns as u64 * 1_000 + 10), &next, false);
     }
 }
 
+/// Guards against waiting in a long queue for a cached prefix.
 #[test]
 fn a_long_queue_costs_more_than_a_prefill() {
     let (mut p, mut r) = (pool(50), rng());
-    let first = choose(&mut p, 0, &lesson(3), &mut r).unwrap();
+    let first = choose(&mut p, 0, &conversation(3), &mut r).unwrap();
     p.report(first, Time(5), 40, 40);
-    assert_ne!(choose(&mut p, 10, &lesson(4), &mut r), Some(first));
+    assert_ne!(choose(&mut p, 10, &conversation(4), &mut r), Some(first));
 }
 
+/// Guards against overestimating a cached prefix that is old, may be evicted or was cleared.
 #[test]
-fn an_old_a_dropped_or_a_doubtful_prefix_counts_less() {
-    let (mut p, work) = (pool(1), lesson(3));
+fn an_old_or_uncertain_prefix_counts_less() {
+    let (mut p, work) = (pool(1), conversation(3));
     let at = address(0);
     let whole = work.prefixes.size();
     let known = p.prefixes();
@@ -204,24 +215,25 @@
     known.record_gap(Time(10), at);
     assert_eq!(known.cached_size(Time(10), at, &work.prefixes), whole * 300_000 / 300_010 / 2);
     known.record_sent(Time(20), at, &work.prefixes);
-    assert_eq!(known.cached_size(Time(20), at, &work.prefixes), whole, "sent again after the gap");
+    assert_eq!(known.cached_size(Time(20), at, &work.prefixes), whole, "sent after the gap");
     known.clear(Time(20), at);
     assert_eq!(known.cached_size(Time(20), at, &work.prefixes), 0);
 }
 
+/// Guards against sending a burst to few replicas.
 #[test]
-fn work_is_spread_and_stays_near() {
+fn requests_are_spread_over_replicas() {
     let (mut p, mut r) = (pool(20), rng());
     for _ in 0..100 {
         choose(&mut p, 0, &RequestProfile::default(), &mut r).unwrap();
     }
     let most = p.iter().map(|u| u.outstanding).max().unwrap();
-    assert!(most <= 8, "{most} on one of 20 after 100");
+    assert!(most <= 8, "one of 20 replicas has {most} of 100 requests");
 }
 
-/// Routers with the same stale report do not all pile up on the replica that it shows as idle.
+/// Guards against routers with the same stale report that all select the replica shown as idle.
 #[test]
-fn a_stale_report_does_not_draw_everybody_to_one_replica() {
+fn a_stale_report_does_not_send_all_routers_to_one_replica() {
     let mut hits = BTreeMap::new();
     for seed in 0..200 {
         let (mut p, mut r) = (pool(50), SmallRng::seed_from_u64(seed));
@@ -231,7 +243,7 @@
         *hits.entry(choose(&mut p, 2, &RequestProfile::default(), &mut r).unwrap()).or_insert(0) +=
             1;
     }
-    assert!(hits[&address(7)] <= 40, "{} of 200", hits[&address(7)]);
+    assert!(hits[&address(7)] <= 40, "{} of 200 routers", hits[&address(7)]);
 }
 
 #[test]
@@ -242,10 +254,10 @@
     assert_eq!(choose(&mut p, 101, &RequestProfile::default(), &mut r), Some(address(1)));
 }
 
-/// A report that is late shows this router's requests as they were then; what it sent and what
-/// ended since is its own knowledge.
+/// Guards against counting this router's own requests by a late report: those that have ended since
+/// the report are subtracted from its load.
 #[test]
-fn a_late_report_is_told_apart_from_own_requests() {
+fn a_late_report_is_corrected_by_own_requests() {
     let (mut p, mut r) = (pool(2), rng());
     let own: Vec<_> = (0..6).map(|_| choice_of(&mut p, 0)).collect();
     for c in &own {
@@ -256,21 +268,21 @@
     assert_eq!(
         choose(&mut p, 6_000, &RequestProfile::default(), &mut r),
         Some(address(0)),
-        "its six have ended"
+        "the six requests have ended"
     );
     p.report(address(0), Time(4_000), 9, 0);
     assert_eq!(
         choose(&mut p, 6_001, &RequestProfile::default(), &mut r),
         Some(address(1)),
-        "nine of others"
+        "nine requests of other routers"
     );
 }
 
-/// Prompts that wait to be taken in hold up those after them.
+/// Guards against selecting a replica that still processes a long prompt.
 #[test]
-fn a_long_prompt_on_its_way_counts_until_its_first_token() {
+fn a_long_prompt_counts_until_its_first_event() {
     let (mut p, mut r) = (pool(2), rng());
-    let long = choice(&mut p, 0, &lesson(20), &mut r);
+    let long = choice(&mut p, 0, &conversation(20), &mut r);
     let other = RequestProfile {
         prefixes: PromptPrefixes::new([&[7u8; 4_000][..]]),
         ..RequestProfile::default()
@@ -280,25 +292,26 @@
     p.finish(Time(1), &next, false);
     p.record_first_event(Time(1), &long, 1_000);
     p.finish(Time(2), &long, false);
-    let again = choice(&mut p, 3, &lesson(20), &mut r);
+    let again = choice(&mut p, 3, &conversation(20), &mut r);
     assert_eq!(again.address, long.address);
 }
 
+/// Guards against an ejection that does not double with repeated failures, or never ends.
 #[test]
-fn a_failing_replica_is_left_out_for_longer_each_time_and_comes_back() {
+fn a_failing_replica_is_ejected_twice_as_long_each_time_and_returns() {
     let (mut p, mut r) = (pool(4), rng());
-    let bad = address(0);
+    let failing = address(0);
     let fail = |p: &mut Pool, now| {
         let c = choice_of(p, 0);
         p.finish(Time(now), &c, true)
     };
-    assert!(!fail(&mut p, 0), "one failure is none");
+    assert!(!fail(&mut p, 0), "one failure does not eject it");
     assert!(fail(&mut p, 0));
     let chosen = |p: &mut Pool, now, r: &mut SmallRng| {
         (0..40).any(|_| {
             let c = choice(p, now, &RequestProfile::default(), r);
             p.finish(Time(now), &c, false);
-            c.address == bad
+            c.address == failing
         })
     };
     assert!(!chosen(&mut p, 499, &mut r));
@@ -307,8 +320,9 @@
     assert!(chosen(&mut p, 1_500, &mut r));
 }
 
+/// Guards against ejecting so many replicas that the rest are overloaded.
 #[test]
-fn never_more_than_half_are_left_out() {
+fn at_most_half_of_the_replicas_are_ejected() {
     let (mut p, mut r) = (pool(6), rng());
     for n in 0..6 {
         for _ in 0..4 {
@@ -333,8 +347,9 @@
     assert_eq!(p.choose(Time(0), "here", &RequestProfile::default(), &[address(1)], &mut r), None);
 }
 
+/// Guards against losing the reported load of a replica when the upstream list changes.
 #[test]
-fn a_changed_list_keeps_what_is_known_of_those_that_stay() {
+fn a_changed_upstream_list_keeps_the_load_of_the_remaining_replicas() {
     let (mut p, mut r) = (pool(2), rng());
     p.report(address(0), Time(1), 90, 90);
     p.set_upstreams(Time(0), &[upstream(0), upstream(1), upstream(2)], 8);
@@ -343,8 +358,8 @@
     }
 }
 
-/// The state of a `Vm` in each poll, a second apart (`L` live, `G` leaving, `-` missing, `x` no
-/// list), and whether it is taken to be leaving after each.
+/// Each case: the state of a VM in each poll, one second apart (`L` live, `G` leaving, `-` missing,
+/// `x` no list), and whether it counts as leaving after each poll (`!`).
 #[rstest]
 #[case::stays("LLLL", "....")]
 #[case::leaves("LGGG", ".!!!")]
@@ -370,23 +385,24 @@
     }
 }
 
-/// When every upstream fails, each request would be sent three times: the budget keeps it to little
-/// more than once, after the twenty that a quiet time leaves.
+/// Guards against retries that triple the load when every upstream fails: the budget allows one
+/// retry per five requests, and a burst of twenty.
 #[test]
-fn retries_stay_within_a_part_of_the_requests() {
+fn the_retry_budget_limits_retries_to_a_share_of_requests() {
     let mut r = RetryBudget::default();
     let mut retries = 0;
     for _ in 0..1_000 {
         r.record_request();
         retries += (0..2).filter(|_| r.try_take()).count();
     }
-    assert!((200..=220).contains(&retries), "{retries} retries of 1,000 requests");
+    assert!((200..=220).contains(&retries), "{retries} retries for 1,000 requests");
     let quiet = (0..500).map(|_| r.record_request()).count();
     let burst = (0..100).filter(|_| r.try_take()).count();
     assert_eq!((quiet, burst), (500, 20));
 }
 
-/// A prompt of two parts, of which others may share the first, with the aims of a streaming route.
+/// A prompt of two parts, the first shared with other prompts, with the objective of a streaming
+/// route.
 fn prompt(shared: u64, own: u64, id: u64) -> RequestProfile {
     let objective = LatencyObjective {
         first_event: Duration::from_millis(800),
@@ -399,24 +415,25 @@
     }
 }
 
-/// Another router has sent a replica a prompt: it is spared while it reads that, and not after.
+/// Guards against ignoring a prompt that another router has sent to a replica, and against counting
+/// it after the replica has processed it.
 #[rstest]
 #[case::while_it_reads(100, 1)]
 #[case::when_it_has_read(5_000, 0)]
-fn a_prompt_that_another_router_has_sent_counts_until_it_is_read(
+fn a_prompt_of_another_router_counts_until_it_is_processed(
     #[case] now: u64,
     #[case] expected: u16,
 ) {
     let (mut p, mut r) = (pool(2), rng());
-    let theirs = prompt(1_000, 40_000, 9);
-    p.record_peer_placement(Time(0), address(0), 41_000, &theirs.prefixes);
+    let other = prompt(1_000, 40_000, 9);
+    p.record_peer_placement(Time(0), address(0), 41_000, &other.prefixes);
     let c = choice(&mut p, now, &prompt(1_000, 300, 2), &mut r);
     assert_eq!(c.address, address(expected));
 }
 
-/// What a router that sent it told of a prompt's parts makes others find them.
+/// Guards against ignoring prefixes that another router has reported as sent to a replica.
 #[test]
-fn a_shared_part_is_found_where_another_router_has_sent_it() {
+fn a_shared_prefix_sent_by_another_router_is_found() {
     for seed in 0..20 {
         let (mut p, mut r) = (pool(12), SmallRng::seed_from_u64(seed));
         p.record_peer_placement(Time(0), address(5), 8_000, &prompt(7_000, 1_000, 9).prefixes);
@@ -425,9 +442,9 @@
     }
 }
 
-/// Reading a long prompt makes the streams beside it pause too long, so it goes where few run.
+/// Guards against a long prompt that delays the events of many running streams.
 #[test]
-fn a_long_prompt_goes_where_it_holds_up_the_fewest_streams() {
+fn a_long_prompt_goes_to_the_replica_with_the_fewest_streams() {
     let (mut p, mut r) = (pool(2), rng());
     for _ in 0..6 {
         let c = choice_of(&mut p, 0);
@@ -437,9 +454,9 @@
     assert_eq!(c.address, address(1));
 }
 
-/// A first event that is overdue makes its replica look as slow as it is.
+/// Guards against selecting a replica that has not sent a first event in time.
 #[test]
-fn a_replica_that_owes_a_first_event_is_spared() {
+fn a_replica_with_an_overdue_first_event_is_avoided() {
     let (mut p, mut r) = (pool(2), rng());
     let stuck = choice(&mut p, 0, &prompt(0, 500, 2), &mut r);
     for _ in 0..3 {
