--- a/crates/store/src/file.rs
+++ b/crates/store/src/file.rs
@@ -1,4 +1,4 @@
-//! Files that are either wholly there or not at all.
+//! Atomic and durable file writes.
 
 use std::fs::{self, File};
 use std::io::Write;
@@ -6,13 +6,13 @@
 
 use crate::Error;
 
-/// Syncs a folder, so that names made or removed in it last.
+/// Syncs a folder, so that files created, renamed or removed in it survive a crash.
 pub(crate) fn sync_folder(path: &Path) -> Result<(), Error> {
     File::open(path).and_then(|f| f.sync_all()).map_err(Error::io(path))
 }
 
-/// Writes a file to a temporary name, syncs it, and renames it into place.
-pub(crate) fn write_whole(path: &Path, bytes: &[u8]) -> Result<(), Error> {
+/// Replaces a file atomically: writes a temporary file, syncs it and renames it into place.
+pub(crate) fn write_atomically(path: &Path, bytes: &[u8]) -> Result<(), Error> {
     let tmp = path.with_extension("tmp");
     let write = || {
         let mut f = File::create(&tmp)?;
@@ -23,7 +23,7 @@
     rename(&tmp, path)
 }
 
-/// Renames a synced file into place and makes that last.
+/// Renames a synced file and syncs the target folder.
 pub(crate) fn rename(from: &Path, to: &Path) -> Result<(), Error> {
     fs::rename(from, to).map_err(Error::io(to))?;
     sync_folder(to.parent().unwrap_or(Path::new(".")))
--- a/crates/store/src/folder.rs
+++ b/crates/store/src/folder.rs
@@ -1,31 +1,31 @@
-//! The folder as a whole: who may use it and whose it is.
+//! The data folder: its lock, its identity file, and access to its log and snapshots.
 
 use std::fs::{self, File, TryLockError};
 use std::path::{Path, PathBuf};
 
-use crate::file::{rename, write_whole};
+use crate::file::{rename, write_atomically};
 use crate::log::{Log, Record};
 use crate::{Error, snapshot};
 
-/// The file that is locked while a process uses the folder.
+/// File that is locked while a process uses the folder.
 const LOCK: &str = "LOCK";
 
-/// The file that says whose the folder is.
+/// File that stores the [`Identity`].
 const IDENTITY: &str = "IDENTITY";
 
-/// Whose a data folder is. It is drawn when the folder is first used; an emptied or new folder
-/// has another, and so nothing of its predecessor's.
+/// Identity of a data folder. It is created when the folder is first opened, so an emptied folder
+/// gets a new one and inherits nothing from the previous one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Identity {
-    /// The replica.
+    /// Id of the member that owns the folder.
     pub node: u64,
-    /// The group that it may serve.
+    /// Name of the group that the member may serve.
     pub group: String,
-    /// How often the folder was opened, this time included.
+    /// Number of times that the folder was opened, including this one.
     pub incarnation: u64,
 }
 
-/// A data folder, locked against other processes while this value lives.
+/// A data folder that stays locked against other processes until this value is dropped.
 #[derive(Debug)]
 pub struct Folder {
     path: PathBuf,
@@ -34,11 +34,13 @@
 }
 
 impl Folder {
-    /// Opens the folder for `group`. An empty one takes the identity `fresh`.
+    /// Opens and locks the folder, creates it if necessary, and increments its incarnation. A
+    /// folder without an identity gets the member id `fresh`. Fails if another process has
+    /// locked the folder or if it belongs to a group other than `group`.
     pub fn open(path: &Path, group: &str, fresh: u64) -> Result<Folder, Error> {
         let lock = lock(path)?;
-        let found = read_identity(path)?;
-        let mut identity = match found {
+        let stored = read_identity(path)?;
+        let mut identity = match stored {
             Some(i) => i,
             None => Identity { node: fresh, group: group.to_owned(), incarnation: 0 },
         };
@@ -50,7 +52,7 @@
         Ok(Folder { path: path.to_owned(), identity, _lock: lock })
     }
 
-    /// Opens the folder anew under the same lock, after its disk has failed.
+    /// Increments the incarnation under the same lock, for a restart after a disk error.
     pub fn renew(&mut self) -> Result<(), Error> {
         let next = Identity { incarnation: self.identity.incarnation + 1, ..self.identity.clone() };
         write_identity(&self.path, &next)?;
@@ -58,52 +60,53 @@
         Ok(())
     }
 
-    /// Whose it is.
+    /// Returns the identity, with the current incarnation.
     pub fn identity(&self) -> &Identity {
         &self.identity
     }
 
-    /// Opens the record log, cut where its last batch was torn. Returns it with its records.
+    /// Opens the record log, truncates a torn last batch, and returns the log with its records.
     pub fn log(&self) -> Result<(Log<File>, Vec<Record>), Error> {
         Log::open(&self.path)
     }
 
-    /// Stores a snapshot under a number of the caller's choice.
+    /// Stores a snapshot durably under a number that the caller chooses.
     pub fn save_snapshot(&self, number: u64, bytes: &[u8]) -> Result<(), Error> {
         snapshot::save(&self.path, number, bytes)
     }
 
-    /// Reads the snapshot with this number, and checks it.
+    /// Reads the snapshot with this number and verifies its checksum.
     pub fn load_snapshot(&self, number: u64) -> Result<Vec<u8>, Error> {
         snapshot::load(&self.path, number)
     }
 
-    /// Removes the snapshots with lower numbers.
+    /// Removes the snapshots with numbers below `number`.
     pub fn drop_snapshots_below(&self, number: u64) -> Result<(), Error> {
-        snapshot::drop_below(&self.path, number)
+        snapshot::remove_below(&self.path, number)
     }
 }
 
-/// What the names of files begin with that were set aside.
-const OUTDATED: &str = "outdated-";
+/// Prefix of the names of files that were set aside.
+const OUTDATED_PREFIX: &str = "outdated-";
 
-/// Sets everything in a folder aside that turned out to be an old copy, in place of what was set
-/// aside before, so that it is taken for a new one with another identity. The old identity goes
-/// last: whatever is left by a crash still belongs to it.
+/// Renames every file of a folder that turned out to be an old copy, so that the next open creates a
+/// new identity. Files that were set aside before are overwritten. The identity file is renamed last:
+/// after a crash midway the remaining files still belong to the old identity.
 pub fn set_aside(path: &Path) -> Result<(), Error> {
     let _lock = lock(path)?;
     let entries = fs::read_dir(path).map_err(Error::io(path))?;
     let names: Result<Vec<_>, _> = entries.map(|f| f.map(|f| f.file_name())).collect();
     let mut names = names.map_err(Error::io(path))?;
-    names.retain(|n| n != LOCK && !n.to_string_lossy().starts_with(OUTDATED));
+    names.retain(|n| n != LOCK && !n.to_string_lossy().starts_with(OUTDATED_PREFIX));
     names.sort_by_key(|n| n == IDENTITY);
     for name in names {
-        let aside = path.join(format!("{OUTDATED}{}", name.to_string_lossy()));
-        rename(&path.join(&name), &aside)?;
+        let target = path.join(format!("{OUTDATED_PREFIX}{}", name.to_string_lossy()));
+        rename(&path.join(&name), &target)?;
     }
     Ok(())
 }
 
+/// Creates the folder if necessary and locks it for this process.
 fn lock(path: &Path) -> Result<File, Error> {
     fs::create_dir_all(path).map_err(Error::io(path))?;
     let name = path.join(LOCK);
@@ -120,6 +123,7 @@
     }
 }
 
+/// Returns the stored identity, or `None` if the folder has none.
 fn read_identity(path: &Path) -> Result<Option<Identity>, Error> {
     let name = path.join(IDENTITY);
     if !name.exists() {
@@ -129,6 +133,7 @@
     parse_identity(&text).map(Some).ok_or(Error::Damaged(name, 0))
 }
 
+/// Parses an identity file; returns `None` if it is malformed or its checksum does not match.
 fn parse_identity(text: &str) -> Option<Identity> {
     let (body, sum) = text.trim_end().rsplit_once("\nsum: ")?;
     if format!("{:08x}", crc32fast::hash(body.as_bytes())) != sum {
@@ -145,5 +150,5 @@
 fn write_identity(path: &Path, i: &Identity) -> Result<(), Error> {
     let body = format!("node: {:016x}\ngroup: {}\nincarnation: {}", i.node, i.group, i.incarnation);
     let sum = crc32fast::hash(body.as_bytes());
-    write_whole(&path.join(IDENTITY), format!("{body}\nsum: {sum:08x}\n").as_bytes())
+    write_atomically(&path.join(IDENTITY), format!("{body}\nsum: {sum:08x}\n").as_bytes())
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,7 +1,7 @@
-//! The data folder: a lock, an identity, a record log and snapshots.
+//! Durable storage in a data folder: a lock, an identity, a record log and snapshots.
 //!
-//! What is acknowledged has been synced. A write or sync that fails poisons the log: nothing
-//! more is taken, since nobody can say what reached the disk.
+//! A write is acknowledged only after it was synced. A failed write or sync poisons the log, which then
+//! refuses further writes, because the state of the file on disk is unknown.
 
 mod error;
 mod file;
--- a/crates/store/src/log.rs
+++ b/crates/store/src/log.rs
@@ -1,9 +1,9 @@
-//! A log of checksummed records, in batches that are synced one after the other.
+//! An append-only log of checksummed records, written and synced in batches.
 //!
-//! A record is `magic, length, checksum, kind, payload`. Each batch begins with a record that
-//! carries the batch's number. Since a batch is begun only after the one before it was synced, a
-//! damaged record with a later batch behind it had been acknowledged: the log refuses to open.
-//! Damage in the last batch is what a crash leaves: it is cut off.
+//! A record is `magic, length, checksum, kind, payload`. Each batch starts with a record that holds
+//! the batch number. A batch is written only after the previous one was synced. A damaged record that
+//! is followed by a later batch was therefore acknowledged, and the log refuses to open. Damage in
+//! the last batch is a write torn by a crash, and is truncated.
 
 use std::fs::{self, File};
 use std::io::{self, Seek, SeekFrom, Write};
@@ -15,15 +15,15 @@
 /// First bytes of every record.
 const MAGIC: [u8; 4] = *b"CFR1";
 
-/// Bytes of a record before its payload.
+/// Length of a record header, in bytes.
 const HEAD: usize = 13;
 
-/// Kind of the record that begins a batch.
+/// Kind of the record that starts a batch.
 const BATCH: u8 = 0;
 
-/// Where a log is written to.
+/// Output that a log is written to.
 pub trait Medium: Write {
-    /// Makes all that was written last.
+    /// Makes everything written so far durable.
     fn sync(&mut self) -> io::Result<()>;
 }
 
@@ -33,16 +33,16 @@
     }
 }
 
-/// One record.
+/// A log record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// Its kind, from 1 on.
+    /// Kind of the record, chosen by the caller; 0 is reserved for batch headers.
     pub kind: u8,
-    /// Its content.
+    /// Content of the record.
     pub payload: Vec<u8>,
 }
 
-/// A log that is being written.
+/// An open log. After a failed write or sync it refuses further writes.
 #[derive(Debug)]
 pub struct Log<M> {
     folder: PathBuf,
@@ -55,11 +55,12 @@
     poisoned: bool,
 }
 
-fn name(folder: &Path, generation: u64) -> PathBuf {
+fn log_path(folder: &Path, generation: u64) -> PathBuf {
     folder.join(format!("log-{generation:020}"))
 }
 
-fn put(buf: &mut Vec<u8>, kind: u8, payload: &[u8]) {
+/// Appends an encoded record to `buf`.
+fn put_record(buf: &mut Vec<u8>, kind: u8, payload: &[u8]) {
     let mut h = crc32fast::Hasher::new();
     h.update(&[kind]);
     h.update(payload);
@@ -70,8 +71,9 @@
     buf.extend_from_slice(payload);
 }
 
-/// The record at the start of `bytes`, and its size there.
-fn take(bytes: &[u8]) -> Option<(u8, &[u8], usize)> {
+/// Parses the record at the start of `bytes`. Returns its kind, its payload and its whole length in
+/// bytes, or `None` if it is incomplete or damaged.
+fn parse_record(bytes: &[u8]) -> Option<(u8, &[u8], usize)> {
     let head = bytes.get(..HEAD)?;
     if head[..4] != MAGIC {
         return None;
@@ -85,29 +87,33 @@
     (h.finalize() == sum).then_some((head[12], payload, HEAD + len))
 }
 
+/// Returns the number in the payload of a batch header.
 fn batch_number(payload: &[u8]) -> Option<u64> {
     Some(u64::from_be_bytes(payload.try_into().ok()?))
 }
 
-/// Whether a batch after number `last` begins anywhere in `bytes`.
+/// Returns true if a batch with a number above `last` starts anywhere in `bytes`.
 fn has_later_batch(bytes: &[u8], last: u64) -> bool {
-    let later = |at: usize| match take(&bytes[at..]) {
+    let later = |at: usize| match parse_record(&bytes[at..]) {
         Some((BATCH, payload, _)) => batch_number(payload).is_some_and(|n| n > last),
         _ => false,
     };
     (0..bytes.len().saturating_sub(HEAD)).any(later)
 }
 
-/// What a file holds: whole records, the last batch's number, and the size of the whole part.
-struct Found {
+/// Contents of a log file.
+struct Contents {
     records: Vec<Record>,
+    /// Number of the last batch.
     batch: u64,
+    /// Length of the intact part, in bytes.
     size: usize,
 }
 
-fn read(path: &Path, bytes: &[u8]) -> Result<Found, Error> {
-    let mut f = Found { records: Vec::new(), batch: 0, size: 0 };
-    while let Some((kind, payload, len)) = take(&bytes[f.size..]) {
+/// Parses the intact part of a log file. Fails if the damaged part had been acknowledged.
+fn parse_log(path: &Path, bytes: &[u8]) -> Result<Contents, Error> {
+    let mut f = Contents { records: Vec::new(), batch: 0, size: 0 };
+    while let Some((kind, payload, len)) = parse_record(&bytes[f.size..]) {
         match (kind, batch_number(payload)) {
             (BATCH, Some(n)) if n == f.batch + 1 => f.batch = n,
             (BATCH, _) => return Err(Error::Damaged(path.to_owned(), f.size as u64)),
@@ -122,9 +128,11 @@
 }
 
 impl Log<File> {
+    /// Opens the newest log of the folder, truncates a torn last batch, and removes other log files.
+    /// Returns the log with its records.
     pub(crate) fn open(folder: &Path) -> Result<(Log<File>, Vec<Record>), Error> {
-        let generation = newest(folder)?;
-        let path = name(folder, generation);
+        let generation = newest_generation(folder)?;
+        let path = log_path(folder, generation);
         let mut file = File::options()
             .create(true)
             .truncate(false)
@@ -133,28 +141,28 @@
             .open(&path)
             .map_err(Error::io(&path))?;
         let bytes = fs::read(&path).map_err(Error::io(&path))?;
-        let found = read(&path, &bytes)?;
-        let size = found.size as u64;
-        let cut = |f: &mut File| {
+        let contents = parse_log(&path, &bytes)?;
+        let size = contents.size as u64;
+        let truncate = |f: &mut File| {
             f.set_len(size)?;
             f.seek(SeekFrom::Start(size))?;
             f.sync_all()
         };
-        cut(&mut file).map_err(Error::io(&path))?;
+        truncate(&mut file).map_err(Error::io(&path))?;
         sync_folder(folder)?;
-        drop_other(folder, generation)?;
-        let mut log = Log::on(file, folder, generation, found.batch);
+        remove_other_generations(folder, generation)?;
+        let mut log = Log::on(file, folder, generation, contents.batch);
         log.size = size;
-        Ok((log, found.records))
+        Ok((log, contents.records))
     }
 
-    /// Replaces the log by one that holds only `records`: written aside, synced, renamed.
+    /// Replaces the log atomically by a new generation that holds only `records`.
     pub fn replace(&mut self, records: &[Record]) -> Result<(), Error> {
         if self.poisoned {
             return Err(Error::Poisoned);
         }
         let generation = self.generation + 1;
-        let path = name(&self.folder, generation);
+        let path = log_path(&self.folder, generation);
         let tmp = path.with_extension("tmp");
         let file = File::create(&tmp).map_err(Error::io(&tmp))?;
         let mut next = Log::on(file, &self.folder, generation, 0);
@@ -169,11 +177,11 @@
 }
 
 impl<M: Medium> Log<M> {
-    /// A log on a medium that holds `batch` batches so far.
+    /// Returns a log that appends to a medium which already holds `batch` batches.
     pub fn on(medium: M, folder: &Path, generation: u64, batch: u64) -> Log<M> {
         Log {
             folder: folder.to_owned(),
-            path: name(folder, generation),
+            path: log_path(folder, generation),
             generation,
             medium,
             batch,
@@ -183,16 +191,17 @@
         }
     }
 
-    /// Adds a record to the batch that the next [`Log::sync`] writes.
+    /// Buffers a record for the batch that the next [`Log::sync`] writes.
     pub fn append(&mut self, kind: u8, payload: &[u8]) {
         debug_assert_ne!(kind, BATCH);
         if self.buf.is_empty() {
-            put(&mut self.buf, BATCH, &(self.batch + 1).to_be_bytes());
+            put_record(&mut self.buf, BATCH, &(self.batch + 1).to_be_bytes());
         }
-        put(&mut self.buf, kind, payload);
+        put_record(&mut self.buf, kind, payload);
     }
 
-    /// Writes and syncs what was added. After an error nothing more is taken.
+    /// Writes and syncs the buffered records as one batch. After an error every later call fails with
+    /// [`Error::Poisoned`].
     pub fn sync(&mut self) -> Result<(), Error> {
         if self.poisoned {
             return Err(Error::Poisoned);
@@ -212,12 +221,13 @@
         Ok(())
     }
 
-    /// Bytes on disk.
+    /// Returns the length of the synced log, in bytes.
     pub fn size(&self) -> u64 {
         self.size
     }
 }
 
+/// Returns the generations of all log files in the folder, unordered.
 fn generations(folder: &Path) -> Result<Vec<u64>, Error> {
     let mut found = Vec::new();
     for f in fs::read_dir(folder).map_err(Error::io(folder))? {
@@ -228,13 +238,15 @@
     Ok(found)
 }
 
-fn newest(folder: &Path) -> Result<u64, Error> {
+/// Returns the highest generation in the folder, or 1 if there is none.
+fn newest_generation(folder: &Path) -> Result<u64, Error> {
     Ok(generations(folder)?.into_iter().max().unwrap_or(1))
 }
 
-fn drop_other(folder: &Path, keep: u64) -> Result<(), Error> {
+/// Removes the log files of all generations but `keep`.
+fn remove_other_generations(folder: &Path, keep: u64) -> Result<(), Error> {
     for g in generations(folder)?.into_iter().filter(|g| *g != keep) {
-        let path = name(folder, g);
+        let path = log_path(folder, g);
         fs::remove_file(&path).map_err(Error::io(&path))?;
     }
     Ok(())
--- a/crates/store/src/snapshot.rs
+++ b/crates/store/src/snapshot.rs
@@ -1,49 +1,53 @@
-//! Snapshots: one checksummed file each.
+//! Snapshot files, each with a checksum.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
 use crate::Error;
-use crate::file::{sync_folder, write_whole};
+use crate::file::{sync_folder, write_atomically};
 
-/// First bytes of a snapshot.
+/// First bytes of a snapshot file.
 const MAGIC: &[u8; 8] = b"CFSNAP01";
 
-/// Bytes of the magic and the checksum.
+/// Length of the magic and the checksum, in bytes.
 const HEAD: usize = 12;
 
-fn name(folder: &Path, number: u64) -> PathBuf {
+fn snapshot_path(folder: &Path, number: u64) -> PathBuf {
     folder.join(format!("snapshot-{number:020}"))
 }
 
+/// Writes a snapshot atomically and durably.
 pub(crate) fn save(folder: &Path, number: u64, bytes: &[u8]) -> Result<(), Error> {
     let mut out = Vec::with_capacity(HEAD + bytes.len());
     out.extend_from_slice(MAGIC);
     out.extend_from_slice(&crc32fast::hash(bytes).to_be_bytes());
     out.extend_from_slice(bytes);
-    write_whole(&name(folder, number), &out)
+    write_atomically(&snapshot_path(folder, number), &out)
 }
 
+/// Reads a snapshot and verifies its checksum.
 pub(crate) fn load(folder: &Path, number: u64) -> Result<Vec<u8>, Error> {
-    let path = name(folder, number);
-    let bad = |why: &str| Error::Snapshot(path.clone(), why.to_owned());
-    let mut bytes = fs::read(&path).map_err(|e| bad(&e.to_string()))?;
+    let path = snapshot_path(folder, number);
+    let invalid = |why: &str| Error::Snapshot(path.clone(), why.to_owned());
+    let mut bytes = fs::read(&path).map_err(|e| invalid(&e.to_string()))?;
     if bytes.len() < HEAD || bytes[..8] != MAGIC[..] {
-        return Err(bad("it is not a snapshot"));
+        return Err(invalid("it is not a snapshot file"));
     }
     let sum = crc32fast::hash(&bytes[HEAD..]).to_be_bytes();
     if bytes[8..HEAD] != sum {
-        return Err(bad("its checksum does not match"));
+        return Err(invalid("its checksum does not match"));
     }
     Ok(bytes.split_off(HEAD))
 }
 
-pub(crate) fn drop_below(folder: &Path, number: u64) -> Result<(), Error> {
-    let limit = name(folder, number);
+/// Removes the snapshots with numbers below `number`.
+pub(crate) fn remove_below(folder: &Path, number: u64) -> Result<(), Error> {
+    let limit = snapshot_path(folder, number);
     for f in fs::read_dir(folder).map_err(Error::io(folder))? {
         let path = f.map_err(Error::io(folder))?.path();
-        let is = path.file_name().is_some_and(|n| n.to_string_lossy().starts_with("snapshot-"));
-        if is && path < limit {
+        let is_snapshot =
+            path.file_name().is_some_and(|n| n.to_string_lossy().starts_with("snapshot-"));
+        if is_snapshot && path < limit {
             fs::remove_file(&path).map_err(Error::io(&path))?;
         }
     }
--- a/crates/store/tests/folder.rs
+++ b/crates/store/tests/folder.rs
@@ -1,4 +1,4 @@
-//! The data folder after crashes, damage and misuse.
+//! Behaviour of the data folder after crashes, damaged files and misuse.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
@@ -19,7 +19,8 @@
     Record { kind: 1 + n % 3, payload: vec![n; usize::from(n)] }
 }
 
-/// A folder with three synced batches of two records; returns where each batch ends.
+/// Creates a folder with three synced batches of two records. Returns the offset of the end of each
+/// batch.
 fn three_batches() -> (TempDir, Vec<u64>) {
     let dir = tempfile::tempdir().unwrap();
     let folder = open(dir.path());
@@ -51,7 +52,7 @@
     assert_eq!(read(dir.path()).unwrap(), (1..=6).map(record).collect::<Vec<_>>());
 }
 
-/// A crash in the middle of the last write leaves any part of it.
+/// A crash during the last write may leave any prefix of it: the incomplete part is dropped.
 #[test]
 fn a_torn_tail_is_cut_at_every_byte() {
     let (dir, ends) = three_batches();
@@ -65,7 +66,7 @@
     }
 }
 
-/// A crash may write the later pages of the last batch and not the earlier ones.
+/// A crash may leave later pages of the last batch on disk without earlier ones.
 #[test]
 fn a_hole_in_the_last_batch_is_a_torn_tail() {
     let (dir, ends) = three_batches();
@@ -91,7 +92,8 @@
     assert_eq!(found.len(), 5);
 }
 
-/// Damage before the last batch had been acknowledged: no start, and the error says where.
+/// Damage before the last batch affects acknowledged records: the log must refuse to open and report
+/// the offset.
 #[test]
 fn damage_in_the_middle_refuses_to_start_at_every_byte() {
     let (dir, ends) = three_batches();
@@ -129,7 +131,7 @@
     assert_eq!(logs.count(), 1);
 }
 
-/// A crash while the log is replaced leaves the new one beside the old one, or unfinished.
+/// A crash during a replacement leaves both logs, or an unfinished temporary file.
 #[rstest]
 #[case::both_there(true)]
 #[case::not_renamed(false)]
@@ -147,7 +149,7 @@
     }
 }
 
-/// A medium that fails: out of space at a write, or at a sync.
+/// A medium whose writes or syncs fail after the given number of calls.
 struct Faulty {
     writes: u32,
     syncs: u32,
@@ -244,7 +246,7 @@
     assert!(matches!(folder.load_snapshot(9), Err(Error::Snapshot(..))));
 }
 
-/// What was set aside is kept, and nothing of it is found again under the new identity.
+/// Files that were set aside are kept, but the new identity must not read them.
 #[test]
 fn a_folder_that_is_set_aside_gets_another_identity() {
     let (dir, _) = three_batches();
--- a/crates/store/tests/fuzz.rs
+++ b/crates/store/tests/fuzz.rs
@@ -1,5 +1,5 @@
-//! Log files that were changed in several places at once: what is found is what was written, up to
-//! some batch, or the folder is refused. A longer run: `FUZZ_CASES=100000`.
+//! Fuzz test of log files with several changed bytes: opening one returns a prefix of the written
+//! records or an error. `FUZZ_CASES=100000` sets a longer run.
 
 #![allow(missing_docs)]
 
