--- a/crates/wire/src/auth.rs
+++ b/crates/wire/src/auth.rs
@@ -1,9 +1,9 @@
-//! Proof that both ends of a link hold the cluster's key, and codes on every frame after it.
+//! Mutual authentication of a link by a shared cluster key, and of each frame by a MAC.
 //!
-//! Both sides send a [`Hello`] with a fresh nonce, then a [`Proof`] over both hellos. Each
-//! direction then has a key of its own, and each frame a code over its number and payload: a
-//! frame that is changed, dropped, doubled or reordered breaks the link. Frames are not
-//! encrypted; they carry digests of keys, not keys.
+//! Each side sends a [`Hello`] with a fresh nonce, then a [`Proof`]: a MAC over both hellos. Each
+//! direction then uses its own session key, and each frame carries a truncated HMAC-SHA-256 over
+//! its sequence number and payload, so that a changed, dropped, duplicated or reordered frame is
+//! detected and ends the link. Frames are not encrypted; they carry digests of API keys, not keys.
 
 use hmac::{Hmac, Mac};
 use sha2::Sha256;
@@ -11,25 +11,25 @@
 use crate::frame::{decode, encode};
 use crate::{Error, Frame, Hello, Proof};
 
-/// The protocol's version; peers of another are refused.
+/// Protocol version; the handshake fails with a peer of another version.
 pub const VERSION: i32 = 1;
 
-/// Bytes of a frame's code.
+/// Length of the authentication code of a frame, in bytes.
 pub const CODE: usize = 16;
 
-/// Bytes of a nonce.
+/// Length of a handshake nonce, in bytes.
 pub const NONCE: usize = 32;
 
-/// The cluster's key.
+/// A secret key for HMAC-SHA-256: the cluster's key or a session key.
 #[derive(Clone)]
 pub struct Key(Vec<u8>);
 
 /// Which end of a link this is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
-    /// It connected.
+    /// The side that opened the connection.
     Client,
-    /// It accepted.
+    /// The side that accepted the connection.
     Server,
 }
 
@@ -50,11 +50,12 @@
 }
 
 impl Key {
-    /// A key from the bytes of a secret file.
+    /// Returns a key from the contents of a secret file.
     pub fn new(bytes: &[u8]) -> Key {
         Key(bytes.to_vec())
     }
 
+    /// Returns an HMAC over the parts, each prefixed with its length.
     fn mac(&self, parts: &[&[u8]]) -> Hmac<Sha256> {
         let mut m =
             <Hmac<Sha256>>::new_from_slice(&self.0).expect("HMAC takes a key of any length");
@@ -66,7 +67,7 @@
     }
 }
 
-/// A link that is being opened.
+/// An unfinished handshake.
 pub struct Handshake {
     key: Key,
     side: Side,
@@ -75,18 +76,19 @@
 }
 
 impl Handshake {
-    /// Begins with a fresh nonce.
+    /// Starts a handshake. The caller provides a fresh random nonce.
     pub fn new(key: Key, side: Side, cluster: &str, name: &str, nonce: [u8; NONCE]) -> Handshake {
         let mine = Hello::new(VERSION, cluster.to_owned(), name.to_owned(), nonce.to_vec());
         Handshake { key, side, mine, theirs: None }
     }
 
-    /// The first payload to send.
+    /// Returns the first payload to send.
     pub fn hello(&self) -> Vec<u8> {
         encode(&Frame::Hello(self.mine.clone()))
     }
 
-    /// Takes the peer's first payload; returns the second one to send.
+    /// Handles the first payload of the peer and returns the second one to send. Fails on another
+    /// protocol version, another cluster, or an invalid or reflected nonce.
     pub fn on_hello(&mut self, payload: &[u8]) -> Result<Vec<u8>, Error> {
         let Frame::Hello(h) = decode(payload)? else {
             return Err(Error::Malformed("expected a hello".into()));
@@ -101,23 +103,25 @@
             return Err(Error::Forged);
         }
         self.theirs = Some(h);
-        let mac = self.proof(self.side)?.finalize().into_bytes().to_vec();
+        let mac = self.proof_mac(self.side)?.finalize().into_bytes().to_vec();
         Ok(encode(&Frame::Proof(Proof::new(mac))))
     }
 
-    /// Takes the peer's second payload; returns its name and the keys of the open link.
+    /// Handles the second payload of the peer. Returns the peer's name and the authenticators of both
+    /// directions, or [`Error::Forged`] if the peer does not hold the key.
     pub fn on_proof(self, payload: &[u8]) -> Result<(String, Sealer, Opener), Error> {
         let Frame::Proof(p) = decode(payload)? else {
             return Err(Error::Malformed("expected a proof".into()));
         };
-        self.proof(self.side.other())?.verify_slice(&p.mac).map_err(|_| Error::Forged)?;
-        let sealer = Sealer { key: self.session(self.side)?, seq: 0 };
-        let opener = Opener { key: self.session(self.side.other())?, seq: 0 };
+        self.proof_mac(self.side.other())?.verify_slice(&p.mac).map_err(|_| Error::Forged)?;
+        let sealer = Sealer { key: self.session_key(self.side)?, seq: 0 };
+        let opener = Opener { key: self.session_key(self.side.other())?, seq: 0 };
         let name = self.theirs.map(|h| h.name).unwrap_or_default();
         Ok((name, sealer, opener))
     }
 
-    fn mac_of(&self, label: &[u8], side: Side) -> Result<Hmac<Sha256>, Error> {
+    /// Returns a MAC of `side` over both hellos; `label` separates proofs from session keys.
+    fn transcript_mac(&self, label: &[u8], side: Side) -> Result<Hmac<Sha256>, Error> {
         let theirs = self.theirs.as_ref().ok_or(Error::Forged)?;
         let (client, server) = match self.side {
             Side::Client => (&self.mine, theirs),
@@ -127,29 +131,29 @@
         Ok(self.key.mac(&[label, side.label(), &hello(client), &hello(server)]))
     }
 
-    fn proof(&self, side: Side) -> Result<Hmac<Sha256>, Error> {
-        self.mac_of(b"proof", side)
+    fn proof_mac(&self, side: Side) -> Result<Hmac<Sha256>, Error> {
+        self.transcript_mac(b"proof", side)
     }
 
-    fn session(&self, side: Side) -> Result<Key, Error> {
-        Ok(Key(self.mac_of(b"session", side)?.finalize().into_bytes().to_vec()))
+    fn session_key(&self, side: Side) -> Result<Key, Error> {
+        Ok(Key(self.transcript_mac(b"session", side)?.finalize().into_bytes().to_vec()))
     }
 }
 
-/// Seals the frames of one direction.
+/// Adds authentication codes to the frames of the outgoing direction.
 pub struct Sealer {
     key: Key,
     seq: u64,
 }
 
-/// Opens the frames of one direction.
+/// Verifies the authentication codes of the frames of the incoming direction.
 pub struct Opener {
     key: Key,
     seq: u64,
 }
 
 impl Sealer {
-    /// The payload with its code.
+    /// Returns the payload with its authentication code appended.
     pub fn seal(&mut self, mut payload: Vec<u8>) -> Vec<u8> {
         let code = self.key.mac(&[&self.seq.to_be_bytes(), &payload]).finalize().into_bytes();
         self.seq += 1;
@@ -159,7 +163,7 @@
 }
 
 impl Opener {
-    /// The payload, if its code is right and it is the next one.
+    /// Returns the payload of the next frame, or [`Error::Forged`] if its code does not match.
     pub fn open<'a>(&mut self, sealed: &'a [u8]) -> Result<&'a [u8], Error> {
         let at = sealed.len().checked_sub(CODE).ok_or(Error::Forged)?;
         let (payload, code) = sealed.split_at(at);
--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -1,6 +1,6 @@
-//! Thrift structures and the core's types.
+//! Conversions between Thrift structures and the types of the core crate.
 //!
-//! Thrift has no unsigned numbers: identities, terms and positions keep their bits.
+//! Thrift has no unsigned integers, so ids, terms and indexes are cast to `i64` bit by bit.
 
 use std::sync::Arc;
 
@@ -12,13 +12,13 @@
 use crate::Error;
 use crate::generated::link as t;
 
-/// A raft message as it is sent by a replica that listens at `reply_to`.
+/// Converts a Raft message for sending. `reply_to` is the address that the sending member listens on.
 pub fn from_raft(m: &Message, reply_to: &str) -> t::RaftMessage {
     let (from, to, term) = (m.from as i64, m.to as i64, m.term as i64);
     t::RaftMessage::new(from, to, term, from_body(&m.body), reply_to.to_owned())
 }
 
-/// A raft message as it was received.
+/// Converts a received Raft message.
 pub fn into_raft(m: t::RaftMessage) -> Result<Message, Error> {
     let (from, to, term) = (m.sender as u64, m.receiver as u64, m.term as u64);
     Ok(Message { from, to, term, body: into_body(m.body) })
@@ -153,21 +153,22 @@
     }
 }
 
-/// An operator's order as a change of members.
+/// Converts an operator's order into a membership change. Fails if an added member has no address or
+/// the verb is unknown.
 pub fn member_change(o: &t::MemberOrder) -> Result<MemberChange, Error> {
     let node = o.node as u64;
     match (o.verb, &o.address) {
         (t::MemberVerb::ADD, Some(a)) => Ok(MemberChange::AddLearner(node, a.clone())),
         (t::MemberVerb::ADD, None) => {
-            Err(Error::Malformed("an added replica needs an address".into()))
+            Err(Error::Malformed("an added member needs an address".into()))
         }
         (t::MemberVerb::PROMOTE, _) => Ok(MemberChange::Promote(node)),
         (t::MemberVerb::REMOVE, _) => Ok(MemberChange::Remove(node)),
-        (v, _) => Err(Error::Malformed(format!("no order has the number {}", v.0))),
+        (v, _) => Err(Error::Malformed(format!("unknown member order {}", v.0))),
     }
 }
 
-/// A change of members as an order.
+/// Converts a membership change into an order.
 pub fn member_order(c: &MemberChange) -> t::MemberOrder {
     match c {
         MemberChange::AddLearner(n, a) => {
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,8 +1,7 @@
-//! Messages and framing between cypressfork processes.
+//! Messages between cypressfork processes and their framing.
 //!
-//! Messages are thrift structures, described in `idl/link.thrift`. A frame is a length, a
-//! message and, once both sides have proved that they hold the cluster's key, a code that
-//! authenticates it.
+//! Messages are Thrift structures, defined in `idl/link.thrift`. A frame is a length and a message,
+//! followed by an authentication code once the handshake is complete.
 
 pub mod auth;
 pub mod body;
@@ -21,14 +20,14 @@
 };
 
 quick_error! {
-    /// Why a frame was not taken.
+    /// Why a frame or message was rejected. The texts are sent to the peer when a link is refused.
     #[derive(Debug, PartialEq, Eq)]
     pub enum Error {
-        /// The bytes are no message, or not the expected one.
+        /// The bytes do not decode to the expected message.
         Malformed(why: String) {
             display("could not decode a message: {}", why)
         }
-        /// The frame is larger than the cap.
+        /// The frame or the decompressed data exceeds the size limit.
         TooLarge(len: usize, cap: usize) {
             display("a frame of {} bytes is over the cap of {}", len, cap)
         }
@@ -36,11 +35,11 @@
         Cluster(theirs: String) {
             display("the peer belongs to cluster '{}'", theirs)
         }
-        /// The peer speaks another version.
+        /// The peer uses another protocol version.
         Version(theirs: i32) {
             display("the peer speaks version {}", theirs)
         }
-        /// The peer does not hold the key, or a frame was changed on the way.
+        /// An authentication code or nonce is invalid: the peer does not hold the key, or a frame was changed.
         Forged {
             display("an authentication code does not match")
         }
