--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -1,10 +1,11 @@
-//! A model engine: `/v1/chat/completions` and `/v1/completions`, streamed; a token is a word.
+//! Fake model engine that streams `/v1/chat/completions` and `/v1/completions`; each word is a token.
 //!
-//! With `continue_final_message`, or a prompt that ends in its own words, it goes on after them.
+//! With `continue_final_message`, or a prompt that ends with words the engine generated, it continues
+//! after them.
 //!
-//! Faults: `overrun` generates twice what was asked for, `silent` reports no usage, `undercount`
-//! reports half, `break` ends every stream after three tokens, `mute` accepts and never answers,
-//! `cross` mixes an event of another answer in, `busy` answers 503.
+//! Faults: `overrun` generates twice as many tokens as requested, `silent` reports no usage,
+//! `undercount` reports half of it, `break` ends every stream after three tokens, `mute` accepts
+//! requests and never answers, `cross` inserts an event of another response, `busy` answers 503.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -19,9 +20,9 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-use crate::{body, json as answer, number};
+use crate::{json_response, number, read_body};
 
-/// What an engine has done.
+/// Settings and counters of an engine.
 pub struct Engine {
     tokens: u64,
     token_time: Duration,
@@ -34,7 +35,7 @@
 }
 
 impl Engine {
-    /// An engine with the options of the command line.
+    /// Returns an engine with the command-line options. Fails if a number is malformed.
     pub fn new(m: &Matches) -> Result<Engine, String> {
         Ok(Engine {
             tokens: number(m, "tokens", 24)?,
@@ -63,58 +64,64 @@
     cell.set(cell.get() + n);
 }
 
-fn words(v: &Value) -> u64 {
+/// Counts the words in a prompt or in the contents of messages.
+fn count_words(v: &Value) -> u64 {
     match v {
         Value::String(s) => s.split_whitespace().count() as u64,
-        Value::Array(a) => a.iter().map(words).sum(),
-        Value::Object(o) => o.get("content").map_or(0, words),
+        Value::Array(a) => a.iter().map(count_words).sum(),
+        Value::Object(o) => o.get("content").map_or(0, count_words),
         _ => 0,
     }
 }
 
-/// Serves one request.
+/// Answers a request to the engine.
 pub async fn handle(engine: Rc<Engine>, req: Request) -> Response<Body> {
     let chat = match req.path() {
         "/v1/chat/completions" => true,
         "/v1/completions" => false,
-        "/stats" => return answer(StatusCode::OK, &engine.stats()),
-        _ => return answer(StatusCode::NOT_FOUND, &json!({ "error": "no such path" })),
+        "/stats" => return json_response(StatusCode::OK, &engine.stats()),
+        _ => return json_response(StatusCode::NOT_FOUND, &json!({ "error": "no such path" })),
     };
-    let Ok(ask) = serde_json::from_slice::<Value>(&body(req).await) else {
-        return answer(StatusCode::BAD_REQUEST, &json!({ "error": "not JSON" }));
+    let Ok(request) = serde_json::from_slice::<Value>(&read_body(req).await) else {
+        return json_response(StatusCode::BAD_REQUEST, &json!({ "error": "not JSON" }));
     };
     match engine.fault.as_str() {
-        "busy" => return answer(StatusCode::SERVICE_UNAVAILABLE, &json!({ "error": "busy" })),
+        "busy" => {
+            return json_response(StatusCode::SERVICE_UNAVAILABLE, &json!({ "error": "busy" }));
+        }
         "mute" => std::future::pending().await,
         _ => {}
     }
     add(&engine.started, 1);
     let (tx, rx) = mpsc::channel(1);
-    actix_rt::spawn(generate(engine, ask, chat, tx));
+    actix_rt::spawn(generate(engine, request, chat, tx));
     let mut r = Response::with_body(StatusCode::OK, Body::Pieces(rx));
     r.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
     r
 }
 
-/// Tokens of its answer that the request already holds.
-fn made_before(ask: &Value) -> u64 {
-    let last = match ask["continue_final_message"] {
-        Value::Bool(true) => ask["messages"].as_array().and_then(|m| m.last()?["content"].as_str()),
-        _ => ask["prompt"].as_str(),
+/// Counts the generated tokens at the end of the prompt that the response continues.
+fn count_previous_tokens(request: &Value) -> u64 {
+    let last = match request["continue_final_message"] {
+        Value::Bool(true) => {
+            request["messages"].as_array().and_then(|m| m.last()?["content"].as_str())
+        }
+        _ => request["prompt"].as_str(),
     };
     let words = last.unwrap_or_default().split_whitespace().rev();
-    let own = |w: &str| w.strip_prefix('w').is_some_and(|n| n.parse::<u64>().is_ok());
-    words.take_while(|w| own(w)).count() as u64
+    let is_generated = |w: &str| w.strip_prefix('w').is_some_and(|n| n.parse::<u64>().is_ok());
+    words.take_while(|w| is_generated(w)).count() as u64
 }
 
-async fn generate(engine: Rc<Engine>, ask: Value, chat: bool, tx: mpsc::Sender<Bytes>) {
-    let prompt = words(&ask["messages"]) + words(&ask["prompt"]);
-    let made = made_before(&ask);
+/// Streams the tokens of a response and updates the counters.
+async fn generate(engine: Rc<Engine>, request: Value, chat: bool, tx: mpsc::Sender<Bytes>) {
+    let prompt = count_words(&request["messages"]) + count_words(&request["prompt"]);
+    let previous = count_previous_tokens(&request);
     add(&engine.prompted, prompt);
-    let asked = ask["max_tokens"].as_u64().unwrap_or(u64::MAX);
+    let max_tokens = request["max_tokens"].as_u64().unwrap_or(u64::MAX);
     let count = match engine.fault.as_str() {
-        "overrun" => asked.saturating_mul(2),
-        _ => engine.tokens.saturating_sub(made).min(asked),
+        "overrun" => max_tokens.saturating_mul(2),
+        _ => engine.tokens.saturating_sub(previous).min(max_tokens),
     };
     let id = format!("gen-{}", engine.started.get());
     for n in 1..=count {
@@ -125,29 +132,30 @@
         if engine.fault == "break" && n > 3 {
             return;
         }
-        let crossed = engine.fault == "cross" && n == 3;
-        let id = if crossed { "gen-of-another" } else { &id };
-        let finish = (n == count).then_some(if count == asked { "length" } else { "stop" });
-        let event = event(&engine, id, chat, (made, n), prompt, finish);
-        let piece = Bytes::from(format!("data: {event}\n\n"));
-        if tx.send(piece).await.is_err() {
+        let is_foreign = engine.fault == "cross" && n == 3;
+        let id = if is_foreign { "gen-of-another" } else { &id };
+        let finish = (n == count).then_some(if count == max_tokens { "length" } else { "stop" });
+        let event = event(&engine, id, chat, (previous, n), prompt, finish);
+        let chunk = Bytes::from(format!("data: {event}\n\n"));
+        if tx.send(chunk).await.is_err() {
             return add(&engine.cancelled, 1);
         }
     }
     add(&engine.finished, 1);
-    // A caller that has gone does not matter any more.
+    // The client may have disconnected after the last token.
     let _ = tx.send(Bytes::from_static(b"data: [DONE]\n\n")).await;
 }
 
+/// Returns the stream event for token `n` after `previous` tokens of an earlier response.
 fn event(
     engine: &Engine,
     id: &str,
     chat: bool,
-    (made, n): (u64, u64),
+    (previous, n): (u64, u64),
     prompt: u64,
     finish: Option<&str>,
 ) -> Value {
-    let text = format!("w{} ", made + n);
+    let text = format!("w{} ", previous + n);
     let choice = match chat {
         true => json!({ "index": 0, "delta": { "content": text }, "finish_reason": finish }),
         false => json!({ "index": 0, "text": text, "finish_reason": finish }),
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,5 +1,5 @@
-//! Development stand-ins, met by their published protocols: an engine, a plain service and the
-//! platform's list of VMs.
+//! Fake services for development and tests, reached by their public protocols: a model engine, a plain
+//! service and the platform's list of VMs.
 
 mod engine;
 mod plain;
@@ -16,8 +16,8 @@
 use serde_json::Value;
 use tokio::net::TcpListener;
 
-/// The largest body that a stand-in reads, in bytes.
-const BODY_CAP: usize = 8 * 1024 * 1024;
+/// Maximum size of a request body, in bytes; the rest is dropped.
+const MAX_BODY: usize = 8 * 1024 * 1024;
 
 fn options() -> Options {
     let mut o = Options::new();
@@ -34,9 +34,10 @@
     o
 }
 
-/// Runs `engine`, `plain` or `vms` until it is ended; `ports N` prints free addresses.
-pub fn run(words: &[String]) -> Result<(), String> {
-    let m = options().parse(words).map_err(|e| e.to_string())?;
+/// Runs the fake service `engine`, `plain` or `vms` until the process ends; `ports N` prints free
+/// addresses. `args` are the command-line arguments. Returns an error text for the user.
+pub fn run(args: &[String]) -> Result<(), String> {
+    let m = options().parse(args).map_err(|e| e.to_string())?;
     let name = m.free.first().map_or("", String::as_str);
     match name {
         "engine" | "plain" | "vms" => actix_rt::System::new().block_on(listen(name, &m)),
@@ -45,7 +46,7 @@
     }
 }
 
-/// Prints addresses that were free a moment ago.
+/// Prints `n` loopback addresses with ports that are currently free.
 fn ports(n: usize) -> Result<(), String> {
     let bound: Result<Vec<_>, _> = (0..n).map(|_| StdListener::bind("127.0.0.1:0")).collect();
     for l in bound.map_err(|e| e.to_string())? {
@@ -54,9 +55,11 @@
     Ok(())
 }
 
+/// Listens on the given address and serves the fake service `name`.
 async fn listen(name: &str, m: &Matches) -> Result<(), String> {
     let address = m.opt_str("listen").unwrap_or_else(|| "127.0.0.1:0".to_owned());
-    let address: SocketAddr = address.parse().map_err(|_| format!("'{address}' is no address"))?;
+    let address: SocketAddr =
+        address.parse().map_err(|_| format!("'{address}' is not an address"))?;
     let listener = TcpListener::bind(address).await.map_err(|e| e.to_string())?;
     println!("listening {}", listener.local_addr().map_err(|e| e.to_string())?);
     match name {
@@ -76,24 +79,27 @@
     Ok(())
 }
 
+/// Returns a numeric option, or `default` if it is not given.
 fn number(m: &Matches, name: &str, default: u64) -> Result<u64, String> {
     let given = m.opt_get::<u64>(name).map_err(|e| format!("--{name}: {e}"))?;
     Ok(given.unwrap_or(default))
 }
 
-async fn body(req: Request) -> Bytes {
+/// Reads a request body up to [`MAX_BODY`].
+async fn read_body(req: Request) -> Bytes {
     let mut payload = req.into_parts().1;
     let mut all = BytesMut::new();
-    while let Some(Ok(piece)) = payload.next().await {
-        if all.len() + piece.len() > BODY_CAP {
+    while let Some(Ok(chunk)) = payload.next().await {
+        if all.len() + chunk.len() > MAX_BODY {
             break;
         }
-        all.extend_from_slice(&piece);
+        all.extend_from_slice(&chunk);
     }
     all.freeze()
 }
 
-fn json(status: StatusCode, v: &Value) -> Response<Body> {
+/// Returns a JSON response.
+fn json_response(status: StatusCode, v: &Value) -> Response<Body> {
     let mut r = Response::with_body(status, Body::Whole(Bytes::from(v.to_string())));
     let kind = actix_http::header::HeaderValue::from_static("application/json");
     r.headers_mut().insert(actix_http::header::CONTENT_TYPE, kind);
--- a/crates/fakes/src/plain.rs
+++ b/crates/fakes/src/plain.rs
@@ -1,6 +1,6 @@
-//! A plain service: counts what it runs, by request id.
+//! Fake plain service that counts the requests it runs by request id.
 //!
-//! Faults: `mute` runs and never answers, `reset` runs and closes without an answer.
+//! The fault `mute` runs requests and never answers.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -11,29 +11,29 @@
 use getopts::Matches;
 use serde_json::json;
 
-use crate::{body, json as answer};
+use crate::{json_response, read_body};
 
-/// What a plain service has run.
+/// Fault and run counts of a plain service.
 pub struct Plain {
     fault: String,
     runs: RefCell<BTreeMap<String, u64>>,
 }
 
 impl Plain {
-    /// A service with the options of the command line.
+    /// Returns a service with the command-line options.
     pub fn new(m: &Matches) -> Plain {
         Plain { fault: m.opt_str("fault").unwrap_or_default(), runs: RefCell::default() }
     }
 }
 
-/// Serves one request.
+/// Counts a request and describes it in the response; `/stats` returns the counts.
 pub async fn handle(plain: Rc<Plain>, req: Request) -> Response<Body> {
     if req.path() == "/stats" {
-        return answer(StatusCode::OK, &json!({ "runs": *plain.runs.borrow() }));
+        return json_response(StatusCode::OK, &json!({ "runs": *plain.runs.borrow() }));
     }
     let id = req.headers().get("x-request-id").and_then(|v| v.to_str().ok()).unwrap_or("none");
     let (id, path, method) = (id.to_owned(), req.path().to_owned(), req.method().to_string());
-    let bytes = body(req).await.len();
+    let bytes = read_body(req).await.len();
     let run = {
         let mut runs = plain.runs.borrow_mut();
         let n = runs.entry(id.clone()).or_default();
@@ -43,7 +43,7 @@
     if plain.fault == "mute" {
         std::future::pending::<()>().await;
     }
-    answer(
+    json_response(
         StatusCode::OK,
         &json!({ "id": id, "path": path, "method": method, "bytes": bytes, "run": run }),
     )
--- a/crates/fakes/src/vms.rs
+++ b/crates/fakes/src/vms.rs
@@ -1,4 +1,4 @@
-//! The platform's list of VMs: the content of a file, read anew for each request.
+//! Fake platform endpoint for the list of VMs, which it reads from a file for each request.
 
 use std::fs;
 
@@ -6,16 +6,16 @@
 use cypressfork_http::Body;
 use serde_json::{Value, json};
 
-use crate::json as answer;
+use crate::json_response;
 
-/// Serves one request.
+/// Answers `/v1/vms` with the contents of `file`, or 503 if the file is not readable as JSON.
 pub async fn handle(file: String, req: Request) -> Response<Body> {
     if req.path() != "/v1/vms" {
-        return answer(StatusCode::NOT_FOUND, &json!({ "error": "no such path" }));
+        return json_response(StatusCode::NOT_FOUND, &json!({ "error": "no such path" }));
     }
     let list = fs::read_to_string(&file).ok().and_then(|t| serde_json::from_str::<Value>(&t).ok());
     match list {
-        Some(v) => answer(StatusCode::OK, &v),
-        None => answer(StatusCode::SERVICE_UNAVAILABLE, &json!({ "error": "no list" })),
+        Some(v) => json_response(StatusCode::OK, &v),
+        None => json_response(StatusCode::SERVICE_UNAVAILABLE, &json!({ "error": "no list" })),
     }
 }
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer.
+//! Response bodies.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -8,11 +8,11 @@
 use bytes::Bytes;
 use tokio::sync::mpsc;
 
-/// The body of an answer.
+/// The body of a response.
 pub enum Body {
-    /// All of it.
+    /// A complete body, sent with its length.
     Whole(Bytes),
-    /// Pieces as they come; the answer ends when the sender is dropped.
+    /// A streamed body; it ends when the sender is dropped.
     Pieces(mpsc::Receiver<Bytes>),
 }
 
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,8 +1,8 @@
-//! A connection to a server of HTTP/1.1.
+//! HTTP/1.1 client connections.
 //!
-//! One exchange at a time runs on it. It may be kept for the next only after an answer that was
-//! whole, with no byte behind it. The pooled client of the library takes an early close for the end
-//! of a body, so its codec is used directly.
+//! A connection carries one exchange at a time. It may be reused only after a complete response with
+//! no bytes following it. The pooled client of the library treats an early close as the end of the
+//! body, so this module uses its codec directly.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,37 +18,37 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout};
 
-/// How long a server may take to accept a connection.
-const CONNECT_WITHIN: Duration = Duration::from_millis(600);
+/// Timeout of connecting to a server.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// How long a connection may rest if the server does not say.
-const REST: Duration = Duration::from_secs(5);
+/// Maximum idle time of a connection whose server sends no `Keep-Alive` timeout.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long a connection may rest on which nothing was said yet: a server may give such a one less
-/// time than others, and has not told how much.
-const UNUSED_REST: Duration = Duration::from_secs(1);
+/// Maximum idle time of a connection without any exchange yet: servers may close such connections
+/// sooner, and have announced no timeout.
+const UNUSED_IDLE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long it is looked for bytes that have come already: the process learns of them when it next waits.
-const ARRIVED_WITHIN: Duration = Duration::from_millis(5);
+/// Time limit of reading bytes that have already arrived: the runtime reports them only at its next poll.
+const BUFFERED_READ_TIMEOUT: Duration = Duration::from_millis(5);
 
-/// The largest head of an answer.
-const HEAD_CAP: usize = 64 * 1024;
+/// Maximum size of a response head, in bytes.
+const MAX_HEAD: usize = 64 * 1024;
 
-/// Bytes read at a time.
-const READ: usize = 16 * 1024;
+/// Buffer space reserved for each read, in bytes.
+const READ_SIZE: usize = 16 * 1024;
 
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// Why there is no answer, or no whole one.
+/// Why an exchange ended without a complete response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Broken {
-    /// No byte of the request was sent.
+    /// No byte of the request was sent, so the server cannot have run it.
     NotSent(String),
-    /// The connection had rested, and ended without a byte of an answer.
+    /// A reused connection ended before any byte of the response.
     Stale,
-    /// Some of it may have been run: the connection ended.
+    /// The connection ended; the server may have run the request.
     Closed(String),
-    /// Some of it may have been run: what came is no answer.
+    /// The response is malformed; the server may have run the request.
     Sent(String),
 }
 
@@ -56,69 +56,72 @@
     Broken::Sent(e.to_string())
 }
 
-/// A request as it goes to a server.
+/// A request to send.
 pub struct Outbound<'a> {
-    /// The method.
+    /// HTTP method.
     pub method: &'a Method,
     /// Path and query.
     pub uri: &'a Uri,
-    /// Its headers.
+    /// Request headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Complete request body.
     pub body: &'a Bytes,
 }
 
-/// What reads the connection.
+/// Decoder for the current state of the connection.
 enum Codec {
-    Heads(ClientCodec),
-    Pieces(ClientPayloadCodec),
-    /// All that comes until the connection ends.
-    Rest,
+    /// Between messages, or reading a head.
+    Head(ClientCodec),
+    /// Reading a body with a length or in chunks.
+    Body(ClientPayloadCodec),
+    /// Reading a body that ends with the connection.
+    UntilClose,
 }
 
-/// What is found at a server's address.
+/// Result of probing an address.
 pub enum Presence {
-    /// A server that accepts connections.
+    /// A server accepted the connection.
     There(Connection),
-    /// Nobody: the machine answers that nothing listens there.
+    /// The host refused the connection: no process listens on the port.
     Nobody,
-    /// No answer, or none that tells anything of the server.
+    /// The connection timed out or failed otherwise, which does not show whether a server is running.
     Unknown(String),
 }
 
-/// A connection to a server.
+/// An HTTP/1.1 connection to a server.
 pub struct Connection {
     stream: TcpStream,
     buf: BytesMut,
     codec: Option<Codec>,
-    /// It carried an exchange before.
+    /// The connection has carried an earlier exchange.
     used: bool,
-    /// Bytes came since the last request was sent.
+    /// Bytes arrived since the last request was sent.
     answered: bool,
     /// The body ends with the connection.
     until_close: bool,
-    /// The server wants it closed after this answer.
-    last: bool,
-    rest: Duration,
-    resting_since: Instant,
+    /// The server closes the connection after this response.
+    closes_after: bool,
+    /// Maximum time between two exchanges.
+    idle_timeout: Duration,
+    idle_since: Instant,
 }
 
 impl Connection {
-    /// Opens a connection.
+    /// Connects to a server. Fails with [`Broken::NotSent`] after 600 ms or if the server is unreachable.
     pub async fn open(address: SocketAddr) -> Result<Connection, Broken> {
-        match timeout(CONNECT_WITHIN, TcpStream::connect(address)).await {
+        match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => Ok(Connection::new(stream)),
             Ok(Err(e)) => Err(Broken::NotSent(e.to_string())),
             Err(_) => Err(Broken::NotSent("no connection in time".to_owned())),
         }
     }
 
-    /// Looks whether anybody listens at an address.
+    /// Connects to `address` to find out whether a server is listening there.
     pub async fn probe(address: SocketAddr) -> Presence {
-        match timeout(CONNECT_WITHIN, TcpStream::connect(address)).await {
+        match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => {
-                let rest = UNUSED_REST;
-                Presence::There(Connection { rest, ..Connection::new(stream) })
+                let idle_timeout = UNUSED_IDLE_TIMEOUT;
+                Presence::There(Connection { idle_timeout, ..Connection::new(stream) })
             }
             Ok(Err(e)) if e.kind() == io::ErrorKind::ConnectionRefused => Presence::Nobody,
             Ok(Err(e)) => Presence::Unknown(e.to_string()),
@@ -132,29 +135,30 @@
         Connection {
             stream,
             buf: BytesMut::new(),
-            codec: Some(Codec::Heads(ClientCodec::default())),
+            codec: Some(Codec::Head(ClientCodec::default())),
             used: false,
             answered: false,
             until_close: false,
-            last: false,
-            rest: REST,
-            resting_since: Instant::now(),
+            closes_after: false,
+            idle_timeout: DEFAULT_IDLE_TIMEOUT,
+            idle_since: Instant::now(),
         }
     }
 
-    /// Whether nothing has come since it was laid aside, and it has not rested too long.
+    /// Returns true if an idle connection has received no bytes, was not closed, and is within its idle
+    /// timeout.
     pub fn is_fresh(&self, now: Instant) -> bool {
         let mut byte = [0];
-        let quiet = matches!(self.stream.try_read(&mut byte), Err(e) if e.kind() == io::ErrorKind::WouldBlock);
-        quiet && self.buf.is_empty() && now.duration_since(self.resting_since) < self.rest
+        let is_silent = matches!(self.stream.try_read(&mut byte), Err(e) if e.kind() == io::ErrorKind::WouldBlock);
+        is_silent && self.buf.is_empty() && now.duration_since(self.idle_since) < self.idle_timeout
     }
 
-    /// Waits until the server ends a connection on which nothing was said.
+    /// Waits until the server closes a connection on which no request was sent.
     pub async fn ended_unused(&mut self) {
         while matches!(self.fill().await, Ok(true)) {}
     }
 
-    /// Sends a request.
+    /// Sends a request. An error may leave the request partly or wholly sent.
     pub async fn send(&mut self, o: Outbound<'_>) -> Result<(), Broken> {
         let mut head = RequestHead::default();
         head.method = o.method.clone();
@@ -165,7 +169,7 @@
             _ => BodySize::Sized(o.body.len() as u64),
         };
         let mut out = BytesMut::with_capacity(1024 + o.body.len());
-        let Some(Codec::Heads(codec)) = &mut self.codec else { return Err(sent("out of step")) };
+        let Some(Codec::Head(codec)) = &mut self.codec else { return Err(sent("out of step")) };
         let item = Message::Item((RequestHeadType::Owned(head), size));
         codec.encode(item, &mut out).map_err(sent)?;
         if !o.body.is_empty() {
@@ -176,14 +180,14 @@
         self.stream.write_all(&out).await.map_err(|e| self.ended(&e.to_string()))
     }
 
-    /// How an exchange that ended without an answer is to be taken.
+    /// Classifies the end of the connection: stale if it was reused and no byte of the response arrived.
     fn ended(&self, why: &str) -> Broken {
         if self.used && !self.answered { Broken::Stale } else { Broken::Closed(why.to_owned()) }
     }
 
-    /// Reads more bytes; false at the end of the connection.
+    /// Reads more bytes into the buffer. Returns false at the end of the connection.
     async fn fill(&mut self) -> Result<bool, Broken> {
-        self.buf.reserve(READ);
+        self.buf.reserve(READ_SIZE);
         match self.stream.read_buf(&mut self.buf).await {
             Ok(0) => Ok(false),
             Ok(_) => {
@@ -194,17 +198,17 @@
         }
     }
 
-    /// The head of the next answer.
+    /// Reads the head of the next response.
     pub async fn head(&mut self) -> Result<ResponseHead, Broken> {
         loop {
-            let Some(Codec::Heads(codec)) = &mut self.codec else {
+            let Some(Codec::Head(codec)) = &mut self.codec else {
                 return Err(sent("out of step"));
             };
             if let Some(head) = codec.decode(&mut self.buf).map_err(sent)? {
                 self.begin_body(&head);
                 return Ok(head);
             }
-            if self.buf.len() > HEAD_CAP {
+            if self.buf.len() > MAX_HEAD {
                 return Err(sent("the head of the answer is too large"));
             }
             if !self.fill().await? {
@@ -213,37 +217,38 @@
         }
     }
 
+    /// Selects the decoder for the body that follows `head`.
     fn begin_body(&mut self, head: &ResponseHead) {
-        let Some(Codec::Heads(codec)) = self.codec.take() else { return };
-        self.last = !codec.keep_alive();
-        // The library takes an answer that does not tell its length for one without a body.
+        let Some(Codec::Head(codec)) = self.codec.take() else { return };
+        self.closes_after = !codec.keep_alive();
+        // The library treats a response without a length as one without a body.
         self.until_close = codec.message_type() == MessageType::None && may_have_body(head);
-        if let Some(rest) = rest(head) {
-            self.rest = rest;
+        if let Some(timeout) = idle_timeout(head) {
+            self.idle_timeout = timeout;
         }
         self.codec = Some(match codec.message_type() {
-            MessageType::None if self.until_close => Codec::Rest,
-            MessageType::None => Codec::Heads(codec),
-            _ => Codec::Pieces(codec.into_payload_codec()),
+            MessageType::None if self.until_close => Codec::UntilClose,
+            MessageType::None => Codec::Head(codec),
+            _ => Codec::Body(codec.into_payload_codec()),
         });
     }
 
-    /// The next piece of the answer's body; none at its end.
+    /// Reads the next chunk of the response body. Returns `None` at its end.
     pub async fn piece(&mut self) -> Result<Option<Bytes>, Broken> {
         loop {
             match &mut self.codec {
-                Some(Codec::Pieces(codec)) => match codec.decode(&mut self.buf).map_err(sent)? {
-                    Some(Some(piece)) => return Ok(Some(piece)),
+                Some(Codec::Body(codec)) => match codec.decode(&mut self.buf).map_err(sent)? {
+                    Some(Some(chunk)) => return Ok(Some(chunk)),
                     Some(None) => {
                         self.end_body();
                         return Ok(None);
                     }
                     None => {}
                 },
-                Some(Codec::Rest) if !self.buf.is_empty() => {
+                Some(Codec::UntilClose) if !self.buf.is_empty() => {
                     return Ok(Some(self.buf.split().freeze()));
                 }
-                Some(Codec::Rest) => {}
+                Some(Codec::UntilClose) => {}
                 _ => return Ok(None),
             }
             if !self.fill().await? {
@@ -255,66 +260,67 @@
         }
     }
 
-    /// Reads what has come already of the answer's body, at most `most` bytes. Returns its pieces, and whether
-    /// that was all.
-    pub async fn arrived(&mut self, most: usize) -> (Vec<Bytes>, bool) {
-        let mut pieces = Vec::new();
+    /// Reads the part of the response body that has already arrived, and stops once it has `max` bytes or
+    /// more. Returns its chunks, and false if it stopped at `max`.
+    pub async fn arrived(&mut self, max: usize) -> (Vec<Bytes>, bool) {
+        let mut chunks = Vec::new();
         let mut bytes = 0;
-        // Ends at the first moment at which there is nothing to read.
+        // The timeout below ends this at the first read that has to wait.
         let reading = async {
-            while let Ok(Some(piece)) = self.piece().await {
-                bytes += piece.len();
-                pieces.push(piece);
-                if bytes >= most {
+            while let Ok(Some(chunk)) = self.piece().await {
+                bytes += chunk.len();
+                chunks.push(chunk);
+                if bytes >= max {
                     return false;
                 }
             }
             true
         };
-        let all = timeout(ARRIVED_WITHIN, reading).await.unwrap_or(true);
-        (pieces, all)
+        let is_all = timeout(BUFFERED_READ_TIMEOUT, reading).await.unwrap_or(true);
+        (chunks, is_all)
     }
 
+    /// Returns to decoding heads after the end of a body.
     fn end_body(&mut self) {
-        if let Some(Codec::Pieces(codec)) = self.codec.take() {
-            self.codec = Some(Codec::Heads(codec.into_message_codec()));
+        if let Some(Codec::Body(codec)) = self.codec.take() {
+            self.codec = Some(Codec::Head(codec.into_message_codec()));
         }
     }
 
-    /// Whether the answer ends with the connection, so that it may have been cut short.
+    /// Returns true if the response ends with the connection, so that truncation cannot be detected.
     pub fn is_unframed(&self) -> bool {
         self.until_close
     }
 
-    /// Lays it aside until the next exchange.
+    /// Marks the connection as idle until the next exchange.
     pub fn lay_aside(&mut self, now: Instant) {
         self.used = true;
-        // Many rest, with many servers: their buffers are made anew when they are needed.
+        // Frees the buffer, because many connections may be idle at once.
         self.buf = BytesMut::new();
-        self.resting_since = now;
+        self.idle_since = now;
     }
 
-    /// Whether another exchange may run on it.
+    /// Returns true if the connection can carry another exchange.
     pub fn is_reusable(&self) -> bool {
-        let between = matches!(self.codec, Some(Codec::Heads(_)));
-        between && !self.last && !self.until_close && self.buf.is_empty()
+        let between = matches!(self.codec, Some(Codec::Head(_)));
+        between && !self.closes_after && !self.until_close && self.buf.is_empty()
     }
 }
 
-/// Whether an answer without a length has a body that ends with the connection.
+/// Returns true if a response without a length has a body that ends with the connection.
 fn may_have_body(head: &ResponseHead) -> bool {
     let bodiless = matches!(head.status.as_u16(), 100..=199 | 204 | 304);
     !bodiless && !head.headers.contains_key(CONTENT_LENGTH)
 }
 
-/// The part of the time a server keeps a connection in which it is used: the rest is a margin for
-/// what is under way.
-const REST_PART: f64 = 0.6;
+/// Fraction of the server's keep-alive timeout in which a connection is reused. The remainder is a
+/// margin for requests in transit.
+const IDLE_TIMEOUT_FRACTION: f64 = 0.6;
 
-/// How long the server keeps the connection.
-fn rest(head: &ResponseHead) -> Option<Duration> {
+/// Returns how long the connection may stay idle, from the `Keep-Alive` header of the response.
+fn idle_timeout(head: &ResponseHead) -> Option<Duration> {
     let value = head.headers.get(KEEP_ALIVE)?.to_str().ok()?;
     let seconds = value.split(',').find_map(|p| p.trim().strip_prefix("timeout="))?;
     let seconds: u64 = seconds.trim().parse().ok()?;
-    Some(Duration::from_secs(seconds).mul_f64(REST_PART))
+    Some(Duration::from_secs(seconds).mul_f64(IDLE_TIMEOUT_FRACTION))
 }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 on one thread: serving it, and connections to those that do.
+//! Single-threaded HTTP/1.1: a server, and client connections.
 
 mod body;
 pub mod client;
--- a/crates/http/src/operators.rs
+++ b/crates/http/src/operators.rs
@@ -1,4 +1,4 @@
-//! What every process tells operators over HTTP: that it lives, and its metrics.
+//! HTTP endpoints for operators in every process: liveness and metrics.
 
 use std::time::Duration;
 
@@ -11,22 +11,24 @@
 
 use crate::Body;
 
-/// The upper ends of the histograms' buckets, in seconds.
+/// Upper bounds of the histogram buckets, in seconds.
 const BUCKETS: [f64; 14] =
     [0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0];
 
-/// How often samples are put into their buckets, whether anybody reads them or not: until then
-/// each takes memory.
-const UPKEEP_EVERY: Duration = Duration::from_secs(5);
+/// Interval at which histogram samples are aggregated into buckets. Until then each sample takes
+/// memory, even if no client reads the metrics.
+const UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Starts the process's metrics. Call it once, on the thread that serves.
+/// Installs the metrics recorder of the process and starts its upkeep task. Returns the handle that
+/// renders the metrics. Call it once, on the thread that serves requests. Fails if a recorder is
+/// already installed.
 pub fn start_metrics() -> Result<PrometheusHandle, BuildError> {
     let handle = PrometheusBuilder::new().set_buckets(&BUCKETS)?.install_recorder()?;
-    let kept = handle.clone();
+    let upkeep = handle.clone();
     actix_rt::spawn(async move {
         loop {
-            sleep(UPKEEP_EVERY).await;
-            kept.run_upkeep();
+            sleep(UPKEEP_INTERVAL).await;
+            upkeep.run_upkeep();
         }
     });
     Ok(handle)
@@ -35,13 +37,13 @@
 /// Serves `/healthz` and `/metrics` until the process ends.
 pub async fn serve_metrics(listener: TcpListener, metrics: PrometheusHandle) {
     let handle = move |req: Request| {
-        let response = answer(&metrics, &req);
+        let response = respond(&metrics, &req);
         async move { response }
     };
     crate::serve(listener, handle).await;
 }
 
-fn answer(metrics: &PrometheusHandle, req: &Request) -> Response<Body> {
+fn respond(metrics: &PrometheusHandle, req: &Request) -> Response<Body> {
     match (req.method(), req.path()) {
         (&Method::GET, "/healthz") => text(StatusCode::OK, "alive\n".to_owned()),
         (&Method::GET, "/metrics") => text(StatusCode::OK, metrics.render()),
@@ -49,7 +51,7 @@
     }
 }
 
-/// An answer in plain text.
+/// Returns a response in the plain-text format of Prometheus.
 pub fn text(status: StatusCode, s: String) -> Response<Body> {
     let mut r = Response::with_body(status, Body::Whole(Bytes::from(s)));
     let kind = HeaderValue::from_static("text/plain; version=0.0.4");
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,4 +1,4 @@
-//! Accepting connections and serving them.
+//! HTTP/1.1 server.
 
 use std::convert::Infallible;
 use std::io;
@@ -12,27 +12,27 @@
 
 use crate::Body;
 
-/// How long a caller may take to send its headers.
-const HEAD_WITHIN: Duration = Duration::from_secs(10);
+/// Timeout of reading the headers of a request.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long an idle connection is kept open.
+/// Time after which an idle connection is closed.
 const KEEP_ALIVE: Duration = Duration::from_secs(75);
 
-/// How long to wait when no connection can be accepted.
+/// Pause after a failure to accept a connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Serves every connection with `handle`.
+/// Accepts connections until the process ends and answers every request with `handle`.
 pub async fn serve<F, R>(listener: TcpListener, handle: F)
 where
     F: Fn(Request) -> R + Clone + 'static,
     R: Future<Output = Response<Body>> + 'static,
 {
     let http = HttpService::build()
-        .client_request_timeout(HEAD_WITHIN)
+        .client_request_timeout(HEAD_TIMEOUT)
         .keep_alive(KeepAlive::Timeout(KEEP_ALIVE))
         .finish(move |req: Request| {
-            let answer = handle(req);
-            async move { Ok::<_, Infallible>(answer.await) }
+            let response = handle(req);
+            async move { Ok::<_, Infallible>(response.await) }
         })
         .tcp();
     let Ok(service) = http.new_service(()).await else { return };
@@ -40,15 +40,15 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                // Small pieces of a stream must not wait for each other.
+                // Small chunks of a stream must be sent without delay.
                 let _: io::Result<()> = stream.set_nodelay(true);
                 let service = service.clone();
                 actix_rt::spawn(async move {
-                    // A connection that fails concerns its caller alone.
+                    // An error of one connection does not affect the others.
                     let _ = service.call(stream).await;
                 });
             }
-            // Out of descriptors, most likely: those in use come free again.
+            // Usually out of file descriptors, which become free again.
             Err(_) => sleep(ACCEPT_PAUSE).await,
         }
     }
