--- a/crates/http/src/operators.rs
+++ b/crates/http/src/operators.rs
@@ -51,7 +51,7 @@
     }
 }
 
-/// Returns a response in the plain-text format of Prometheus.
+/// Returns a plain-text response, with the content type of the Prometheus text format.
 pub fn text(status: StatusCode, s: String) -> Response<Body> {
     let mut r = Response::with_body(status, Body::Whole(Bytes::from(s)));
     let kind = HeaderValue::from_static("text/plain; version=0.0.4");
--- a/crates/store/src/log.rs
+++ b/crates/store/src/log.rs
@@ -16,7 +16,7 @@
 const MAGIC: [u8; 4] = *b"CFR1";
 
 /// Length of a record header, in bytes.
-const HEAD: usize = 13;
+const HEADER_LEN: usize = 13;
 
 /// Kind of the record that starts a batch.
 const BATCH: u8 = 0;
@@ -74,17 +74,17 @@
 /// Parses the record at the start of `bytes`. Returns its kind, its payload and its whole length in
 /// bytes, or `None` if it is incomplete or damaged.
 fn parse_record(bytes: &[u8]) -> Option<(u8, &[u8], usize)> {
-    let head = bytes.get(..HEAD)?;
+    let head = bytes.get(..HEADER_LEN)?;
     if head[..4] != MAGIC {
         return None;
     }
     let len = u32::from_be_bytes(head[4..8].try_into().ok()?) as usize;
     let sum = u32::from_be_bytes(head[8..12].try_into().ok()?);
-    let payload = bytes.get(HEAD..HEAD.checked_add(len)?)?;
+    let payload = bytes.get(HEADER_LEN..HEADER_LEN.checked_add(len)?)?;
     let mut h = crc32fast::Hasher::new();
     h.update(&head[12..]);
     h.update(payload);
-    (h.finalize() == sum).then_some((head[12], payload, HEAD + len))
+    (h.finalize() == sum).then_some((head[12], payload, HEADER_LEN + len))
 }
 
 /// Returns the number in the payload of a batch header.
@@ -98,7 +98,7 @@
         Some((BATCH, payload, _)) => batch_number(payload).is_some_and(|n| n > last),
         _ => false,
     };
-    (0..bytes.len().saturating_sub(HEAD)).any(later)
+    (0..bytes.len().saturating_sub(HEADER_LEN)).any(later)
 }
 
 /// Contents of a log file.
--- a/crates/store/src/snapshot.rs
+++ b/crates/store/src/snapshot.rs
@@ -10,7 +10,7 @@
 const MAGIC: &[u8; 8] = b"CFSNAP01";
 
 /// Length of the magic and the checksum, in bytes.
-const HEAD: usize = 12;
+const HEADER_LEN: usize = 12;
 
 fn snapshot_path(folder: &Path, number: u64) -> PathBuf {
     folder.join(format!("snapshot-{number:020}"))
@@ -18,7 +18,7 @@
 
 /// Writes a snapshot atomically and durably.
 pub(crate) fn save(folder: &Path, number: u64, bytes: &[u8]) -> Result<(), Error> {
-    let mut out = Vec::with_capacity(HEAD + bytes.len());
+    let mut out = Vec::with_capacity(HEADER_LEN + bytes.len());
     out.extend_from_slice(MAGIC);
     out.extend_from_slice(&crc32fast::hash(bytes).to_be_bytes());
     out.extend_from_slice(bytes);
@@ -30,14 +30,14 @@
     let path = snapshot_path(folder, number);
     let invalid = |why: &str| Error::Snapshot(path.clone(), why.to_owned());
     let mut bytes = fs::read(&path).map_err(|e| invalid(&e.to_string()))?;
-    if bytes.len() < HEAD || bytes[..8] != MAGIC[..] {
+    if bytes.len() < HEADER_LEN || bytes[..8] != MAGIC[..] {
         return Err(invalid("it is not a snapshot file"));
     }
-    let sum = crc32fast::hash(&bytes[HEAD..]).to_be_bytes();
-    if bytes[8..HEAD] != sum {
+    let sum = crc32fast::hash(&bytes[HEADER_LEN..]).to_be_bytes();
+    if bytes[8..HEADER_LEN] != sum {
         return Err(invalid("its checksum does not match"));
     }
-    Ok(bytes.split_off(HEAD))
+    Ok(bytes.split_off(HEADER_LEN))
 }
 
 /// Removes the snapshots with numbers below `number`.
