--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -79,11 +79,11 @@
 }
 
 /// Result of probing an address.
-pub enum Presence {
+pub enum ProbeResult {
     /// A server accepted the connection.
-    There(Connection),
+    Listening(Connection),
     /// The host refused the connection: no process listens on the port.
-    Nobody,
+    Refused,
     /// The connection timed out or failed otherwise, which does not show whether a server is running.
     Unknown(String),
 }
@@ -117,15 +117,15 @@
     }
 
     /// Connects to `address` to find out whether a server is listening there.
-    pub async fn probe(address: SocketAddr) -> Presence {
+    pub async fn probe(address: SocketAddr) -> ProbeResult {
         match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => {
                 let idle_timeout = UNUSED_IDLE_TIMEOUT;
-                Presence::There(Connection { idle_timeout, ..Connection::new(stream) })
+                ProbeResult::Listening(Connection { idle_timeout, ..Connection::new(stream) })
             }
-            Ok(Err(e)) if e.kind() == io::ErrorKind::ConnectionRefused => Presence::Nobody,
-            Ok(Err(e)) => Presence::Unknown(e.to_string()),
-            Err(_) => Presence::Unknown("no connection in time".to_owned()),
+            Ok(Err(e)) if e.kind() == io::ErrorKind::ConnectionRefused => ProbeResult::Refused,
+            Ok(Err(e)) => ProbeResult::Unknown(e.to_string()),
+            Err(_) => ProbeResult::Unknown("no connection in time".to_owned()),
         }
     }
 
--- a/crates/router/src/gateway/stand_in.rs
+++ b/crates/router/src/gateway/stand_in.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use cypressfork_core::fleet::limit::homes::PROBE_VALIDITY;
-use cypressfork_http::client::{Connection, Presence};
+use cypressfork_http::client::{Connection, ProbeResult};
 use cypressfork_node::emit;
 use cypressfork_node::event::Event;
 use tokio::sync::Notify;
@@ -74,5 +74,5 @@
 
 /// Returns whether no process listens at a gateway's address.
 async fn is_dead(gateway: SocketAddr) -> bool {
-    matches!(Connection::probe(gateway).await, Presence::Nobody)
+    matches!(Connection::probe(gateway).await, ProbeResult::Refused)
 }
--- a/crates/router/src/gateway/witness.rs
+++ b/crates/router/src/gateway/witness.rs
@@ -12,7 +12,7 @@
 use cypressfork_core::fleet::ends::{ConnectionLosses, EndEvidence, Loss, ReplicaEvent};
 use cypressfork_core::fleet::fingerprint::Fingerprint;
 use cypressfork_core::unit::Millis;
-use cypressfork_http::client::{Connection, Presence};
+use cypressfork_http::client::{Connection, ProbeResult};
 use cypressfork_node::digest::fingerprint;
 use cypressfork_node::event::Event;
 use cypressfork_node::{emit, metric};
@@ -83,30 +83,30 @@
 /// Probes a replica's address to find out whether the replica has ended.
 async fn probe(gw: Rc<Gateway>, address: SocketAddr, replica: String) {
     let losses = &gw.lost_connections.losses;
-    let mut presence = Connection::probe(address).await;
+    let mut result = Connection::probe(address).await;
     sleep(GATHER_DELAY).await;
     if gw.connections.has_open(Instant::now(), address) {
         let closed = losses.borrow_mut().confirm_alive(address, &replica);
         return count_alive(closed.iter().map(|l| l.requests.len()).sum());
     }
     for n in 0..MAX_PROBES {
-        match presence {
-            Presence::Nobody => {
+        match result {
+            ProbeResult::Refused => {
                 let closed = losses.borrow_mut().confirm_ended(address, &replica);
                 return record_ended(&gw, EndEvidence::Refused, closed);
             }
-            Presence::There(mut c) => {
+            ProbeResult::Listening(mut c) => {
                 if timeout(PROBE_OPEN_FOR, c.ended_unused()).await.is_err() {
                     break;
                 }
             }
-            Presence::Unknown(_) => {}
+            ProbeResult::Unknown(_) => {}
         }
         sleep(PROBE_DELAY * 2u32.pow(n)).await;
         if !losses.borrow().is_open(address, &replica) {
             return;
         }
-        presence = Connection::probe(address).await;
+        result = Connection::probe(address).await;
     }
     losses.borrow_mut().end_probe(address, &replica);
 }
