--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -41,7 +41,7 @@
 
 /// Why an exchange ended without a complete response.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Broken {
+pub enum ExchangeError {
     /// No byte of the request was sent, so the server cannot have run it.
     NotSent(String),
     /// A reused connection ended before any byte of the response.
@@ -52,8 +52,8 @@
     Sent(String),
 }
 
-fn sent(e: impl ToString) -> Broken {
-    Broken::Sent(e.to_string())
+fn sent(e: impl ToString) -> ExchangeError {
+    ExchangeError::Sent(e.to_string())
 }
 
 /// A request to send.
@@ -107,12 +107,12 @@
 }
 
 impl Connection {
-    /// Connects to a server. Fails with [`Broken::NotSent`] after 600 ms or if the server is unreachable.
-    pub async fn open(address: SocketAddr) -> Result<Connection, Broken> {
+    /// Connects to a server. Fails with [`ExchangeError::NotSent`] after 600 ms or if the server is unreachable.
+    pub async fn open(address: SocketAddr) -> Result<Connection, ExchangeError> {
         match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => Ok(Connection::new(stream)),
-            Ok(Err(e)) => Err(Broken::NotSent(e.to_string())),
-            Err(_) => Err(Broken::NotSent("no connection in time".to_owned())),
+            Ok(Err(e)) => Err(ExchangeError::NotSent(e.to_string())),
+            Err(_) => Err(ExchangeError::NotSent("no connection in time".to_owned())),
         }
     }
 
@@ -159,7 +159,7 @@
     }
 
     /// Sends a request. An error may leave the request partly or wholly sent.
-    pub async fn send(&mut self, o: Outbound<'_>) -> Result<(), Broken> {
+    pub async fn send(&mut self, o: Outbound<'_>) -> Result<(), ExchangeError> {
         let mut head = RequestHead::default();
         head.method = o.method.clone();
         head.uri = o.uri.clone();
@@ -181,12 +181,16 @@
     }
 
     /// Classifies the end of the connection: stale if it was reused and no byte of the response arrived.
-    fn ended(&self, why: &str) -> Broken {
-        if self.used && !self.answered { Broken::Stale } else { Broken::Closed(why.to_owned()) }
+    fn ended(&self, why: &str) -> ExchangeError {
+        if self.used && !self.answered {
+            ExchangeError::Stale
+        } else {
+            ExchangeError::Closed(why.to_owned())
+        }
     }
 
     /// Reads more bytes into the buffer. Returns false at the end of the connection.
-    async fn fill(&mut self) -> Result<bool, Broken> {
+    async fn fill(&mut self) -> Result<bool, ExchangeError> {
         self.buf.reserve(READ_SIZE);
         match self.stream.read_buf(&mut self.buf).await {
             Ok(0) => Ok(false),
@@ -199,7 +203,7 @@
     }
 
     /// Reads the head of the next response.
-    pub async fn head(&mut self) -> Result<ResponseHead, Broken> {
+    pub async fn head(&mut self) -> Result<ResponseHead, ExchangeError> {
         loop {
             let Some(Codec::Head(codec)) = &mut self.codec else {
                 return Err(sent("out of step"));
@@ -234,7 +238,7 @@
     }
 
     /// Reads the next chunk of the response body. Returns `None` at its end.
-    pub async fn piece(&mut self) -> Result<Option<Bytes>, Broken> {
+    pub async fn piece(&mut self) -> Result<Option<Bytes>, ExchangeError> {
         loop {
             match &mut self.codec {
                 Some(Codec::Body(codec)) => match codec.decode(&mut self.buf).map_err(sent)? {
--- a/crates/router/src/gateway/attempt.rs
+++ b/crates/router/src/gateway/attempt.rs
@@ -8,7 +8,7 @@
 use cypressfork_core::fleet::document::Kind;
 use cypressfork_core::route::{Choice, rest};
 use cypressfork_core::unit::Millis;
-use cypressfork_http::client::{Broken, Connection, Outbound};
+use cypressfork_http::client::{Connection, ExchangeError, Outbound};
 use tokio::time::{Instant, timeout_at};
 
 use super::client::Client;
@@ -89,13 +89,15 @@
     }
 }
 
-impl From<Broken> for AttemptOutcome {
-    fn from(error: Broken) -> AttemptOutcome {
+impl From<ExchangeError> for AttemptOutcome {
+    fn from(error: ExchangeError) -> AttemptOutcome {
         match error {
-            Broken::NotSent(why) => AttemptOutcome::NotSent(why),
-            Broken::Stale => AttemptOutcome::Lost("the kept connection was closed".to_owned()),
-            Broken::Closed(why) => AttemptOutcome::Lost(why),
-            Broken::Sent(why) => AttemptOutcome::Broken(why),
+            ExchangeError::NotSent(why) => AttemptOutcome::NotSent(why),
+            ExchangeError::Stale => {
+                AttemptOutcome::Lost("the kept connection was closed".to_owned())
+            }
+            ExchangeError::Closed(why) => AttemptOutcome::Lost(why),
+            ExchangeError::Sent(why) => AttemptOutcome::Broken(why),
         }
     }
 }
@@ -184,7 +186,7 @@
         self.sent = Instant::now();
         gw.notices.count_unwanted_send(self.request, &self.send_target(), self.which);
         match self.send::<D>(&mut connection, last_event).await {
-            Err(Broken::Stale) if self.request.is_repeatable() => {
+            Err(ExchangeError::Stale) if self.request.is_repeatable() => {
                 self.acquire_second_permit().await?;
                 // The idle connection was closed without a response. A new one shows whether the replica
                 // is still running.
@@ -233,7 +235,7 @@
         &self,
         connection: &mut Connection,
         last_event: Option<u64>,
-    ) -> Result<(), Broken> {
+    ) -> Result<(), ExchangeError> {
         let request = self.request;
         let mut headers = request.headers.clone();
         let forwarded = ForwardHeaders {
@@ -353,11 +355,11 @@
 }
 
 /// Reads a whole body. Returns it with its connection.
-async fn read_body(mut connection: Connection) -> Result<(Connection, Bytes), Broken> {
+async fn read_body(mut connection: Connection) -> Result<(Connection, Bytes), ExchangeError> {
     let mut body = BytesMut::new();
     while let Some(chunk) = connection.piece().await? {
         if body.len() + chunk.len() > MAX_BODY_BYTES {
-            return Err(Broken::Sent("the answer is too large".to_owned()));
+            return Err(ExchangeError::Sent("the answer is too large".to_owned()));
         }
         body.extend_from_slice(&chunk);
     }
--- a/crates/router/src/gateway/stream.rs
+++ b/crates/router/src/gateway/stream.rs
@@ -3,7 +3,7 @@
 use actix_http::ResponseHead;
 use actix_http::body::BodySize;
 use bytes::Bytes;
-use cypressfork_http::client::{Broken, Connection};
+use cypressfork_http::client::{Connection, ExchangeError};
 use tokio::time::{Instant, timeout_at};
 
 use super::attempt::{Attempt, AttemptOutcome, end_to_end_headers};
@@ -121,9 +121,9 @@
     match timeout_at(until, connection.piece()).await {
         Ok(Ok(Some(bytes))) => ReadOutcome::Bytes(bytes),
         Ok(Ok(None)) => ReadOutcome::End,
-        Ok(Err(Broken::Sent(why) | Broken::NotSent(why))) => ReadOutcome::Broken(why),
-        Ok(Err(Broken::Closed(why))) => ReadOutcome::Lost(why),
-        Ok(Err(Broken::Stale)) => ReadOutcome::Lost("the connection was closed".to_owned()),
+        Ok(Err(ExchangeError::Sent(why) | ExchangeError::NotSent(why))) => ReadOutcome::Broken(why),
+        Ok(Err(ExchangeError::Closed(why))) => ReadOutcome::Lost(why),
+        Ok(Err(ExchangeError::Stale)) => ReadOutcome::Lost("the connection was closed".to_owned()),
         Err(_) => ReadOutcome::DeadlinePassed,
     }
 }
--- a/crates/router/src/gateway/upstream.rs
+++ b/crates/router/src/gateway/upstream.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-use cypressfork_http::client::{Broken, Connection};
+use cypressfork_http::client::{Connection, ExchangeError};
 use tokio::time::Instant;
 
 /// Maximum number of idle connections kept per replica.
@@ -18,7 +18,11 @@
 
 impl ConnectionPool {
     /// Returns an idle connection to a replica, or opens a new one.
-    pub async fn get(&self, now: Instant, address: SocketAddr) -> Result<Connection, Broken> {
+    pub async fn get(
+        &self,
+        now: Instant,
+        address: SocketAddr,
+    ) -> Result<Connection, ExchangeError> {
         match self.take_idle(now, address) {
             Some(c) => Ok(c),
             None => Connection::open(address).await,
@@ -26,7 +30,7 @@
     }
 
     /// Opens a new connection to a replica even if there are idle ones.
-    pub async fn open(&self, address: SocketAddr) -> Result<Connection, Broken> {
+    pub async fn open(&self, address: SocketAddr) -> Result<Connection, ExchangeError> {
         Connection::open(address).await
     }
 
--- a/crates/soak/src/caller.rs
+++ b/crates/soak/src/caller.rs
@@ -7,7 +7,7 @@
 use actix_http::header::HeaderMap;
 use actix_http::{Method, ResponseHead};
 use bytes::Bytes;
-use cypressfork_http::client::{Broken, Connection};
+use cypressfork_http::client::{Connection, ExchangeError};
 use serde_json::Value;
 use tokio::time::{sleep, timeout};
 
@@ -234,7 +234,12 @@
             Ok(None) => {
                 return Outcome::Answered { whole: sound && text.is_empty(), events };
             }
-            Err(Broken::NotSent(_) | Broken::Stale | Broken::Closed(_) | Broken::Sent(_)) => {
+            Err(
+                ExchangeError::NotSent(_)
+                | ExchangeError::Stale
+                | ExchangeError::Closed(_)
+                | ExchangeError::Sent(_),
+            ) => {
                 return Outcome::Cut { begun: true, events };
             }
         }
--- a/crates/soak/src/http.rs
+++ b/crates/soak/src/http.rs
@@ -6,7 +6,7 @@
 use actix_http::header::{HOST, HeaderMap, HeaderName, HeaderValue};
 use actix_http::{Method, ResponseHead, Uri};
 use bytes::{Bytes, BytesMut};
-use cypressfork_http::client::{Broken, Connection, Outbound};
+use cypressfork_http::client::{Connection, ExchangeError, Outbound};
 use tokio::time::timeout;
 
 /// The host that callers name.
@@ -33,19 +33,19 @@
     path: &str,
     headers: HeaderMap,
     body: &Bytes,
-) -> Result<ResponseHead, Broken> {
+) -> Result<ResponseHead, ExchangeError> {
     let uri: Uri = path.parse().expect("the soak writes plain paths");
     c.send(Outbound { method, uri: &uri, headers, body }).await?;
     c.head().await
 }
 
 /// The rest of an answer.
-pub async fn rest(c: &mut Connection) -> Result<Bytes, Broken> {
+pub async fn rest(c: &mut Connection) -> Result<Bytes, ExchangeError> {
     let mut all = BytesMut::new();
     while let Some(piece) = c.piece().await? {
         all.extend_from_slice(&piece);
         if all.len() > CAP {
-            return Err(Broken::Sent("the answer is too large".to_owned()));
+            return Err(ExchangeError::Sent("the answer is too large".to_owned()));
         }
     }
     Ok(all.freeze())
@@ -62,7 +62,7 @@
     let whole = async {
         let mut c = Connection::open(to).await?;
         let head = exchange(&mut c, &method, path, headers(&[]), &body).await?;
-        Ok::<_, Broken>((head.status.as_u16(), rest(&mut c).await?))
+        Ok::<_, ExchangeError>((head.status.as_u16(), rest(&mut c).await?))
     };
     timeout(within, whole).await.ok()?.ok()
 }
