--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -154,7 +154,7 @@
     }
 
     /// Waits until the server closes a connection on which no request was sent.
-    pub async fn ended_unused(&mut self) {
+    pub async fn wait_closed(&mut self) {
         while matches!(self.fill().await, Ok(true)) {}
     }
 
@@ -238,7 +238,7 @@
     }
 
     /// Reads the next chunk of the response body. Returns `None` at its end.
-    pub async fn piece(&mut self) -> Result<Option<Bytes>, ExchangeError> {
+    pub async fn read_chunk(&mut self) -> Result<Option<Bytes>, ExchangeError> {
         loop {
             match &mut self.codec {
                 Some(Codec::Body(codec)) => match codec.decode(&mut self.buf).map_err(sent)? {
@@ -266,12 +266,12 @@
 
     /// Reads the part of the response body that has already arrived, and stops once it has `max` bytes or
     /// more. Returns its chunks, and false if it stopped at `max`.
-    pub async fn arrived(&mut self, max: usize) -> (Vec<Bytes>, bool) {
+    pub async fn read_buffered(&mut self, max: usize) -> (Vec<Bytes>, bool) {
         let mut chunks = Vec::new();
         let mut bytes = 0;
         // The timeout below ends this at the first read that has to wait.
         let reading = async {
-            while let Ok(Some(chunk)) = self.piece().await {
+            while let Ok(Some(chunk)) = self.read_chunk().await {
                 bytes += chunk.len();
                 chunks.push(chunk);
                 if bytes >= max {
@@ -297,7 +297,7 @@
     }
 
     /// Marks the connection as idle until the next exchange.
-    pub fn lay_aside(&mut self, now: Instant) {
+    pub fn mark_idle(&mut self, now: Instant) {
         self.used = true;
         // Frees the buffer, because many connections may be idle at once.
         self.buf = BytesMut::new();
--- a/crates/router/src/gateway/attempt.rs
+++ b/crates/router/src/gateway/attempt.rs
@@ -275,7 +275,7 @@
             if response.wrong_replica && response.id.is_none() {
                 return Ok((connection, head));
             }
-            while connection.piece().await?.is_some() {}
+            while connection.read_chunk().await?.is_some() {}
         }
         Err(AttemptOutcome::Broken("the connection brings answers to other requests".to_owned()))
     }
@@ -357,7 +357,7 @@
 /// Reads a whole body. Returns it with its connection.
 async fn read_body(mut connection: Connection) -> Result<(Connection, Bytes), ExchangeError> {
     let mut body = BytesMut::new();
-    while let Some(chunk) = connection.piece().await? {
+    while let Some(chunk) = connection.read_chunk().await? {
         if body.len() + chunk.len() > MAX_BODY_BYTES {
             return Err(ExchangeError::Sent("the answer is too large".to_owned()));
         }
--- a/crates/router/src/gateway/stream.rs
+++ b/crates/router/src/gateway/stream.rs
@@ -48,7 +48,7 @@
 
 /// Counts the events that were received and not forwarded.
 async fn count_buffered(progress: &mut ResponseProgress, connection: &mut Connection) {
-    let (chunks, is_all) = connection.arrived(MAX_COUNTED_BYTES).await;
+    let (chunks, is_all) = connection.read_buffered(MAX_COUNTED_BYTES).await;
     let before = progress.events.count();
     // Events before a gap count.
     let is_valid = chunks.iter().all(|chunk| progress.events.feed(chunk).is_ok());
@@ -118,7 +118,7 @@
 }
 
 async fn read_next(connection: &mut Connection, until: Instant) -> ReadOutcome {
-    match timeout_at(until, connection.piece()).await {
+    match timeout_at(until, connection.read_chunk()).await {
         Ok(Ok(Some(bytes))) => ReadOutcome::Bytes(bytes),
         Ok(Ok(None)) => ReadOutcome::End,
         Ok(Err(ExchangeError::Sent(why) | ExchangeError::NotSent(why))) => ReadOutcome::Broken(why),
--- a/crates/router/src/gateway/upstream.rs
+++ b/crates/router/src/gateway/upstream.rs
@@ -51,7 +51,7 @@
         if !c.is_reusable() {
             return;
         }
-        c.lay_aside(now);
+        c.mark_idle(now);
         let mut idle = self.idle.borrow_mut();
         let connections = idle.entry(address).or_default();
         if connections.len() < MAX_IDLE_PER_REPLICA {
--- a/crates/router/src/gateway/witness.rs
+++ b/crates/router/src/gateway/witness.rs
@@ -96,7 +96,7 @@
                 return record_ended(&gw, EndEvidence::Refused, closed);
             }
             ProbeResult::Listening(mut c) => {
-                if timeout(PROBE_OPEN_FOR, c.ended_unused()).await.is_err() {
+                if timeout(PROBE_OPEN_FOR, c.wait_closed()).await.is_err() {
                     break;
                 }
             }
--- a/crates/soak/src/caller.rs
+++ b/crates/soak/src/caller.rs
@@ -204,7 +204,7 @@
     if !c.is_reusable() {
         return None;
     }
-    c.lay_aside(tokio::time::Instant::now());
+    c.mark_idle(tokio::time::Instant::now());
     Some(c)
 }
 
@@ -229,7 +229,7 @@
     let mut text = String::new();
     let (mut events, mut sound) = (Vec::new(), is_own(head, id));
     loop {
-        match c.piece().await {
+        match c.read_chunk().await {
             Ok(Some(bytes)) => text.push_str(&String::from_utf8_lossy(&bytes)),
             Ok(None) => {
                 return Outcome::Answered { whole: sound && text.is_empty(), events };
--- a/crates/soak/src/http.rs
+++ b/crates/soak/src/http.rs
@@ -42,7 +42,7 @@
 /// The rest of an answer.
 pub async fn rest(c: &mut Connection) -> Result<Bytes, ExchangeError> {
     let mut all = BytesMut::new();
-    while let Some(piece) = c.piece().await? {
+    while let Some(piece) = c.read_chunk().await? {
         all.extend_from_slice(&piece);
         if all.len() > CAP {
             return Err(ExchangeError::Sent("the answer is too large".to_owned()));
