--- a/crates/node/src/link.rs
+++ b/crates/node/src/link.rs
@@ -8,7 +8,7 @@
 
 use cypressfork_core::code::Code;
 use cypressfork_wire::auth::{Handshake, Key, NONCE, Opener, Sealer, Side};
-use cypressfork_wire::frame::{self, CAP, CAP_STRANGER, HEAD};
+use cypressfork_wire::frame::{self, LENGTH_PREFIX, MAX_FRAME, MAX_HANDSHAKE_FRAME};
 use cypressfork_wire::{Ask, Frame, Goodbye, decode, encode};
 use metrics::counter;
 use quick_error::quick_error;
@@ -122,7 +122,7 @@
 
 /// Reads one frame of at most `cap` bytes, without its length prefix.
 async fn read_payload(io: &mut BufferedSocket, cap: usize) -> Result<Vec<u8>, Error> {
-    let mut head = [0; HEAD];
+    let mut head = [0; LENGTH_PREFIX];
     io.read_exact(&mut head).await?;
     let len = frame::length(head, cap)?;
     let mut buf = vec![0; len];
@@ -188,7 +188,7 @@
 
 /// Reads a handshake message, or the reason why the peer closed the link.
 async fn read_handshake(rx: &mut BufferedSocket) -> Result<Vec<u8>, Error> {
-    let payload = read_payload(rx, CAP_STRANGER).await?;
+    let payload = read_payload(rx, MAX_HANDSHAKE_FRAME).await?;
     match decode(&payload) {
         Ok(Frame::Goodbye(g)) => Err(Error::Goodbye(g.code, g.why)),
         _ => Ok(payload),
@@ -205,11 +205,11 @@
 impl Reader {
     /// Waits for the next message and returns it.
     pub async fn next(&mut self) -> Result<Frame, Error> {
-        let sealed = read_payload(&mut self.io, CAP).await?;
+        let sealed = read_payload(&mut self.io, MAX_FRAME).await?;
         let payload = self.opener.open(&sealed)?;
         let f = decode(payload)?;
         let purpose = self.purpose.label(&f);
-        let bytes = (HEAD + sealed.len()) as u64;
+        let bytes = (LENGTH_PREFIX + sealed.len()) as u64;
         counter!(metric::LINK_RECEIVED, "purpose" => purpose).increment(bytes);
         Ok(f)
     }
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use cypressfork_wire::frame::{self, CAP_STRANGER, HEAD};
+use cypressfork_wire::frame::{self, LENGTH_PREFIX, MAX_HANDSHAKE_FRAME};
 use cypressfork_wire::{Frame, decode};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
@@ -116,9 +116,9 @@
 async fn pass(net: Rc<Net>, near: TcpStream, name: String, to: SocketAddr) -> io::Result<()> {
     near.set_nodelay(true)?;
     let (mut near_rx, near_tx) = near.into_split();
-    let mut head = [0; HEAD];
+    let mut head = [0; LENGTH_PREFIX];
     near_rx.read_exact(&mut head).await?;
-    let len = frame::length(head, CAP_STRANGER).map_err(io::Error::other)?;
+    let len = frame::length(head, MAX_HANDSHAKE_FRAME).map_err(io::Error::other)?;
     let mut hello = vec![0; len];
     near_rx.read_exact(&mut hello).await?;
     let from = match decode(&hello) {
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -5,13 +5,13 @@
 use crate::{Error, Frame};
 
 /// Length of the length prefix of a frame, in bytes.
-pub const HEAD: usize = 4;
+pub const LENGTH_PREFIX: usize = 4;
 
 /// Maximum size of a frame on an authenticated link, in bytes.
-pub const CAP: usize = 8 * 1024 * 1024;
+pub const MAX_FRAME: usize = 8 * 1024 * 1024;
 
 /// Maximum size of a frame before the peer is authenticated, in bytes.
-pub const CAP_STRANGER: usize = 1024;
+pub const MAX_HANDSHAKE_FRAME: usize = 1024;
 
 /// Encodes a message in the Thrift compact protocol.
 pub fn encode(f: &Frame) -> Vec<u8> {
@@ -29,7 +29,7 @@
 }
 
 /// Returns the frame length in the prefix `head`, or [`Error::TooLarge`] if it exceeds `cap`.
-pub fn length(head: [u8; HEAD], cap: usize) -> Result<usize, Error> {
+pub fn length(head: [u8; LENGTH_PREFIX], cap: usize) -> Result<usize, Error> {
     let len = u32::from_be_bytes(head) as usize;
     if len > cap { Err(Error::TooLarge(len, cap)) } else { Ok(len) }
 }
@@ -37,7 +37,7 @@
 /// Returns the payload with its length prefix.
 pub fn prefixed(payload: &[u8]) -> Vec<u8> {
     let len = u32::try_from(payload.len()).expect("a payload is far below 4 GiB");
-    let mut out = Vec::with_capacity(HEAD + payload.len());
+    let mut out = Vec::with_capacity(LENGTH_PREFIX + payload.len());
     out.extend_from_slice(&len.to_be_bytes());
     out.extend_from_slice(payload);
     out
--- a/crates/wire/tests/wire.rs
+++ b/crates/wire/tests/wire.rs
@@ -7,7 +7,7 @@
     SnapshotMeta,
 };
 use cypressfork_wire::auth::{Handshake, Key, NONCE, Opener, Sealer, Side};
-use cypressfork_wire::frame::{CAP, CAP_STRANGER, length, prefixed};
+use cypressfork_wire::frame::{MAX_FRAME, MAX_HANDSHAKE_FRAME, length, prefixed};
 use cypressfork_wire::{Error, Frame, decode, encode, from_raft, into_raft};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -96,9 +96,9 @@
 
 #[test]
 fn a_length_over_the_cap_is_refused_before_anything_is_read() {
-    let head = (CAP_STRANGER as u32 + 1).to_be_bytes();
-    assert!(matches!(length(head, CAP_STRANGER), Err(Error::TooLarge(..))));
-    assert!(length(head, CAP).is_ok());
+    let head = (MAX_HANDSHAKE_FRAME as u32 + 1).to_be_bytes();
+    assert!(matches!(length(head, MAX_HANDSHAKE_FRAME), Err(Error::TooLarge(..))));
+    assert!(length(head, MAX_FRAME).is_ok());
     assert_eq!(prefixed(b"abc"), [0, 0, 0, 3, b'a', b'b', b'c']);
 }
 
