--- a/crates/control/src/disk.rs
+++ b/crates/control/src/disk.rs
@@ -252,7 +252,7 @@
     }
 
     fn reopen(&mut self) -> Result<Restored, Error> {
-        self.folder.renew()?;
+        self.folder.increment_incarnation()?;
         let (mut log, records) = self.folder.log()?;
         let restored = replay_all(&self.folder, &records)?;
         // Records of a failed sync may be readable without being durable, so the log is rewritten.
--- a/crates/store/src/folder.rs
+++ b/crates/store/src/folder.rs
@@ -53,7 +53,7 @@
     }
 
     /// Increments the incarnation under the same lock, for a restart after a disk error.
-    pub fn renew(&mut self) -> Result<(), Error> {
+    pub fn increment_incarnation(&mut self) -> Result<(), Error> {
         let next = Identity { incarnation: self.identity.incarnation + 1, ..self.identity.clone() };
         write_identity(&self.path, &next)?;
         self.identity = next;
