--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -39,7 +39,7 @@
         Version(theirs: i32) {
             display("the peer speaks version {}", theirs)
         }
-        /// An authentication code or nonce is invalid: the peer does not hold the key, or a frame was changed.
+        /// An authentication code or nonce is invalid: the peer lacks the key, or a frame was changed.
         Forged {
             display("an authentication code does not match")
         }
