--- a/crates/core/examples/embed.rs
+++ b/crates/core/examples/embed.rs
@@ -1,4 +1,5 @@
-//! The parts of the library on their own: escrow, claims, routing, and a replicated log of one.
+//! Uses parts of the library on their own: budget leases, claims, a replicated log with one member,
+//! and routing.
 //!
 //! `cargo run -p cypressfork-core --example embed`
 
@@ -13,18 +14,18 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-/// A grantor gives a slice; a holder spends from it and reports.
+/// Leases a slice of a budget, spends from it and reports the use to the ledger.
 fn escrow() {
     let (now, holder) = (Time(0), HolderId(1));
     let mut ledger = Ledger::default();
     ledger.fund("orders", 10_000, Policy::default());
     let mut slices = SliceStore::new(Policy::default(), 0);
-    let ask = slices.next_request(now, holder, "orders", 500).expect("the slices is empty");
+    let request = slices.next_request(now, holder, "orders", 500).expect("the slices is empty");
     let decision =
-        ledger.request_lease(now, LeaseId { term: 1, index: 1 }, &ask).expect("funded above");
-    slices.apply_decision(ask.seq, &decision);
-    let held = slices.reserve(now, 500).expect("the slice covers the need");
-    let charged = slices.settle(now, held, 420);
+        ledger.request_lease(now, LeaseId { term: 1, index: 1 }, &request).expect("funded above");
+    slices.apply_decision(request.seq, &decision);
+    let reservation = slices.reserve(now, 500).expect("the slice covers the need");
+    let charged = slices.settle(now, reservation, 420);
     for report in slices.reports(now) {
         let known = ledger.report(now, holder, &report);
         slices.acknowledge(now, &report, known);
@@ -33,22 +34,22 @@
     println!("escrow: charged {charged}, the ledger knows of {spent:?}");
 }
 
-/// The first claim of an id may run; a copy gets the recorded outcome.
+/// Claims a request id twice: the first claim may run, the duplicate gets the recorded outcome.
 fn claims() {
     let (mut c, id, body) = (Claims::default(), RequestId([7; 16]), [0; 16]);
     let first = c.claim(Time(0), HolderId(1), 1, id, body);
     assert_eq!(first, ClaimDecision::Run);
-    let done = Outcome { status: 200, kind: "text/plain".into(), body: Some(b"lot 4".to_vec()) };
-    c.record_end(Time(1), HolderId(1), 1, id, ClaimEnd::Answered(done));
+    let outcome = Outcome { status: 200, kind: "text/plain".into(), body: Some(b"lot 4".to_vec()) };
+    c.record_end(Time(1), HolderId(1), 1, id, ClaimEnd::Answered(outcome));
     println!("claims: a copy gets {:?}", c.claim(Time(2), HolderId(2), 1, id, body));
 }
 
-/// A log of one replica: what is proposed is committed once it is stored.
+/// Commits a command to a log with a single member, as soon as the entry is stored.
 fn log() {
     let members = Members::from_voters([(1, "127.0.0.1:7001".to_owned())]);
     let snapshot = SnapshotMeta { members, ..SnapshotMeta::default() };
-    let found = Restored { snapshot, ..Restored::default() };
-    let mut raft = Raft::new(Time(0), 1, Settings::default(), found, 1);
+    let restored = Restored { snapshot, ..Restored::default() };
+    let mut raft = Raft::new(Time(0), 1, Settings::default(), restored, 1);
     raft.tick(Time(2_000));
     let index = raft.propose(Time(2_000), Payload::Command(Arc::from(&b"hello"[..])));
     let stored = raft.take_actions().iter().filter(|a| matches!(a, Action::Append(_))).count();
@@ -56,7 +57,7 @@
     println!("log: {stored} appends stored, {index:?} proposed, committed {}", raft.committed());
 }
 
-/// A replica is chosen, answers, and is learned from.
+/// Chooses a replica for a request and records how it responded.
 fn routing() {
     let upstream = |n: u8| Upstream {
         vm: Vm { name: format!("engine-{n}"), data_centre: "tamar-a".into() },
