--- a/crates/core/examples/policies/main.rs
+++ b/crates/core/examples/policies/main.rs
@@ -1,12 +1,12 @@
-//! Compares ways of sharing a budget among routers: overspend and false refusals, side by side
-//! over the same requests, in virtual time on the core's own ledger and slice stores.
+//! Compares rules for sharing a budget among routers by their overspend and false refusals, on the same
+//! requests, in virtual time with the core's ledger and slice stores.
 //!
 //! `cargo run --release -p cypressfork-core --example policies`
 //!
-//! Eight routers stand in three data centres and, for the region's cut, in two regions of four.
-//! Messages take no time and are only lost by a cut. A request holds its reservation while it
-//! runs; a killed router takes what it had not reported with it. The oracle knows every request's
-//! use beforehand and no walls: a refusal is false if the oracle lets the request run.
+//! Eight routers run in three data centres and, where a region is partitioned, in two regions of four.
+//! Messages take no time and are lost only in a partition. A request holds its reservation while it
+//! runs, and a killed router loses its unreported use. The oracle has the actual use of every request in
+//! advance and a single counter: a refusal is false if the oracle serves the request.
 
 mod world;
 
@@ -18,21 +18,21 @@
 
 const BUDGET: &str = "b";
 const ROUTERS: usize = 8;
-const CENTRES: usize = 3;
-const HOUR: u64 = 3_600_000;
-const RUN: u64 = 3 * HOUR;
-const TICK: u64 = 250;
+const DATA_CENTRES: usize = 3;
+const HOUR_MS: u64 = 3_600_000;
+const RUN_MS: u64 = 3 * HOUR_MS;
+const TICK_MS: u64 = 250;
 
-/// A way of sharing.
+/// A rule for sharing a budget.
 #[derive(Clone, Copy)]
 enum Rule {
-    /// Everybody gets the same part at the start.
-    Split,
-    /// The group is asked for each request.
-    Each,
-    /// Slices of a fixed size, never called back.
-    Fixed(u64),
-    /// The library's escrow.
+    /// Leases every router an equal part at the start.
+    EqualSplit,
+    /// Requests a lease for each client request.
+    PerRequest,
+    /// Leases slices of a fixed size that are never recalled.
+    FixedSlices(u64),
+    /// The library's rule.
     Escrow(Policy),
 }
 
@@ -40,7 +40,7 @@
     fn policy(self) -> Policy {
         match self {
             Rule::Escrow(p) => p,
-            _ => Policy { share: 0, offline: Millis(4 * HOUR), ..Policy::default() },
+            _ => Policy { share: 0, offline: Millis(4 * HOUR_MS), ..Policy::default() },
         }
     }
 }
@@ -48,35 +48,36 @@
 #[derive(Clone, Copy, PartialEq)]
 enum Fault {
     None,
-    KillEachMinute,
-    CentreCut,
-    RegionCut,
-    EndOfBudget,
+    RouterKills,
+    DataCentrePartition,
+    RegionPartition,
+    BudgetExhaustion,
 }
 
-/// A user's requests.
-struct Mix {
+/// The requests of a client account.
+struct Workload {
     name: &'static str,
-    /// Requests a second, all routers together.
+    /// Requests per second at all routers together.
     rate: f64,
-    /// Weight, bound of the prompt, most output, and milliseconds that it runs.
+    /// Kinds of requests: weight, bounds on prompt and output tokens, and duration in
+    /// milliseconds.
     kinds: &'static [(u32, u64, u64, u64)],
-    /// Milliseconds that a request may wait.
-    patience: u64,
+    /// Time for which a request waits for tokens, in milliseconds.
+    max_wait_ms: u64,
 }
 
-const MIXES: [Mix; 2] = [
-    Mix {
+const WORKLOADS: [Workload; 2] = [
+    Workload {
         name: "Kellaway",
         rate: 4.0,
         kinds: &[(2, 1_500, 2_000, 20_000), (5, 600, 400, 4_000), (3, 200, 100, 1_000)],
-        patience: 2_000,
+        max_wait_ms: 2_000,
     },
-    Mix {
+    Workload {
         name: "Asante",
         rate: 2.0,
         kinds: &[(3, 24_000, 800, 8_000), (3, 9_000, 300, 3_000), (4, 400, 150, 1_500)],
-        patience: 10_000,
+        max_wait_ms: 10_000,
     },
 ];
 
@@ -84,55 +85,66 @@
 struct Request {
     at: u64,
     router: usize,
+    /// Tokens to reserve.
     bound: u64,
+    /// Tokens actually used.
     used: u64,
-    runs: u64,
+    /// Duration in milliseconds.
+    duration_ms: u64,
 }
 
-fn requests(mix: &Mix, seed: u64) -> Vec<Request> {
+fn requests(workload: &Workload, seed: u64) -> Vec<Request> {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let weights: u32 = mix.kinds.iter().map(|k| k.0).sum();
+    let weights: u32 = workload.kinds.iter().map(|k| k.0).sum();
     let mut at = 0.0;
     let mut out = Vec::new();
     loop {
-        at += -rng.random_range(f64::MIN_POSITIVE..1.0).ln() / mix.rate * 1000.0;
-        if at >= RUN as f64 {
+        at += -rng.random_range(f64::MIN_POSITIVE..1.0).ln() / workload.rate * 1000.0;
+        if at >= RUN_MS as f64 {
             return out;
         }
         let mut pick = rng.random_range(0..weights);
-        let kind = mix.kinds.iter().find(|k| {
-            let hit = pick < k.0;
+        let kind = workload.kinds.iter().find(|k| {
+            let is_match = pick < k.0;
             pick = pick.saturating_sub(k.0);
-            hit
+            is_match
         });
-        let &(_, prompt, output, runs) = kind.unwrap();
-        // A prompt has a third to a half as many tokens as bytes; answers end before their cap.
+        let &(_, prompt, output, duration_ms) = kind.unwrap();
+        // The prompt is bounded by its bytes, two or three per token; the output ends before its bound.
         let used = prompt / rng.random_range(2..4) + rng.random_range(output / 4..output);
         let router = rng.random_range(0..ROUTERS);
-        out.push(Request { at: at as u64, router, bound: prompt + output, used, runs });
+        out.push(Request { at: at as u64, router, bound: prompt + output, used, duration_ms });
     }
 }
 
 #[derive(Default)]
-struct Score {
+struct Metrics {
     overspend: u64,
-    refused_falsely: u64,
-    allowed: u64,
+    false_refusals: u64,
+    /// Requests that the oracle serves.
+    served_by_oracle: u64,
     unused: u64,
 }
 
-fn play(rule: Rule, fault: Fault, mix: &Mix, all: &[Request], budget: u64) -> Score {
+/// Runs the requests under one rule and fault.
+fn simulate(
+    rule: Rule,
+    fault: Fault,
+    workload: &Workload,
+    all: &[Request],
+    budget: u64,
+) -> Metrics {
     let mut w = World::new(rule, fault, budget);
     let mut waiting: Vec<(usize, u64)> = Vec::new();
     let mut served = vec![false; all.len()];
     let mut next = 0;
-    while w.now < RUN {
-        let end = w.now + TICK;
+    while w.now < RUN_MS {
+        let end = w.now + TICK_MS;
         while next < all.len() && all[next].at < end {
             w.now = w.now.max(all[next].at);
             served[next] = w.start(&all[next]);
-            if !served[next] && w.alive(all[next].router) {
-                waiting.push((next, all[next].at + mix.patience));
+            if !served[next] && w.is_alive(all[next].router) {
+                waiting.push((next, all[next].at + workload.max_wait_ms));
             }
             next += 1;
         }
@@ -143,30 +155,32 @@
             !served[*n] && w.now < *until
         });
     }
-    score(&w, all, &served, budget)
+    metrics(&w, all, &served, budget)
 }
 
-fn score(w: &World, all: &[Request], served: &[bool], budget: u64) -> Score {
-    let mut s = Score { overspend: w.consumed.saturating_sub(budget), ..Score::default() };
+/// Compares the run with the oracle's.
+fn metrics(w: &World, all: &[Request], served: &[bool], budget: u64) -> Metrics {
+    let mut metrics =
+        Metrics { overspend: w.consumed.saturating_sub(budget), ..Metrics::default() };
     let mut oracle = 0;
     for (r, served) in all.iter().zip(served) {
         if oracle + r.used > budget {
             continue;
         }
         oracle += r.used;
-        s.allowed += 1;
-        s.refused_falsely += u64::from(!served);
+        metrics.served_by_oracle += 1;
+        metrics.false_refusals += u64::from(!served);
     }
-    s.unused = budget.saturating_sub(w.consumed);
-    s
+    metrics.unused = budget.saturating_sub(w.consumed);
+    metrics
 }
 
 const FAULTS: [(Fault, &str); 5] = [
     (Fault::None, "no fault"),
-    (Fault::KillEachMinute, "a router killed each minute"),
-    (Fault::CentreCut, "a data centre cut for an hour"),
-    (Fault::RegionCut, "a region cut for an hour"),
-    (Fault::EndOfBudget, "the end of a budget"),
+    (Fault::RouterKills, "a router killed each minute"),
+    (Fault::DataCentrePartition, "a data centre cut for an hour"),
+    (Fault::RegionPartition, "a region cut for an hour"),
+    (Fault::BudgetExhaustion, "the end of a budget"),
 ];
 
 fn escrow(horizon: u64, reserve: u64) -> Rule {
@@ -174,16 +188,16 @@
 }
 
 fn main() {
-    for mix in &MIXES {
-        let all = requests(mix, 1);
+    for workload in &WORKLOADS {
+        let all = requests(workload, 1);
         let demand: u64 = all.iter().map(|r| r.used).sum();
-        println!("\n{}: {} requests, {demand} tokens in 3 h", mix.name, all.len());
+        println!("\n{}: {} requests, {demand} tokens in 3 h", workload.name, all.len());
         println!("| policy | fault | overspend (tokens) | false refusals | unused tokens |");
         println!("|---|---|---|---|---|");
         let rules = [
-            ("equal split", Rule::Split),
-            ("ask for each request", Rule::Each),
-            ("fixed slices of 50,000", Rule::Fixed(50_000)),
+            ("equal split", Rule::EqualSplit),
+            ("ask for each request", Rule::PerRequest),
+            ("fixed slices of 50,000", Rule::FixedSlices(50_000)),
             ("escrow, horizon 10 s, no reserve", escrow(10, 0)),
             ("escrow, horizon 60 s, no reserve", escrow(60, 0)),
             ("escrow, horizon 600 s, no reserve", escrow(600, 0)),
@@ -191,15 +205,18 @@
             ("escrow, horizon 10 s, reserve 10%", escrow(10, 10)),
             ("escrow, horizon 10 s, reserve 20%", escrow(10, 20)),
         ];
-        for (fault, what) in FAULTS {
+        for (fault, fault_name) in FAULTS {
             let budget = match fault {
-                Fault::EndOfBudget => demand * 6 / 10,
+                Fault::BudgetExhaustion => demand * 6 / 10,
                 _ => demand * 3 / 2,
             };
             for (name, rule) in rules {
-                let s = play(rule, fault, mix, &all, budget);
-                let share = 100.0 * s.refused_falsely as f64 / s.allowed as f64;
-                println!("| {name} | {what} | {} | {share:.2}% | {} |", s.overspend, s.unused);
+                let metrics = simulate(rule, fault, workload, &all, budget);
+                let share = 100.0 * metrics.false_refusals as f64 / metrics.served_by_oracle as f64;
+                println!(
+                    "| {name} | {fault_name} | {} | {share:.2}% | {} |",
+                    metrics.overspend, metrics.unused
+                );
             }
         }
     }
--- a/crates/core/examples/policies/world.rs
+++ b/crates/core/examples/policies/world.rs
@@ -1,4 +1,4 @@
-//! The routers, ledgers and reserves that a policy is played on.
+//! The simulated routers, ledgers and reserves.
 
 use std::collections::VecDeque;
 
@@ -8,239 +8,253 @@
 };
 use cypressfork_core::unit::{HolderId, LeaseId, Time};
 
-use super::{BUDGET, CENTRES, Fault, HOUR, ROUTERS, Request, Rule};
+use super::{BUDGET, DATA_CENTRES, Fault, HOUR_MS, ROUTERS, Request, Rule};
 
+/// A running request.
 pub struct Running {
     end: u64,
-    held: Reservation,
+    reservation: Reservation,
     used: u64,
-    /// It is held from the data centre's reserve.
-    spare: bool,
+    /// Whether its tokens are from the data centre's reserve.
+    from_reserve: bool,
 }
 
-pub struct Node {
+/// A router.
+pub struct Router {
     holder: HolderId,
     slices: SliceStore,
     /// Slices of the data centre's reserve.
-    spare: SliceStore,
+    reserve_slices: SliceStore,
     running: VecDeque<Running>,
     dead_until: u64,
 }
 
+/// The state of a simulation.
 pub struct World {
     rule: Rule,
     fault: Fault,
-    home: Ledger,
-    /// The ledger of the second region, for the region's cut.
+    /// The control group's ledger.
+    group_ledger: Ledger,
+    /// The ledger of the second region, used with [`Fault::RegionPartition`].
     region: RegionLedger,
     region_seq: u64,
     /// The reserve of each data centre.
     reserves: Vec<ReserveLedger>,
-    nodes: Vec<Node>,
+    routers: Vec<Router>,
+    /// Time since the start, in milliseconds.
     pub now: u64,
-    index: u64,
-    holders: u64,
+    last_lease: u64,
+    last_holder: u64,
+    /// Tokens used by all ended requests.
     pub consumed: u64,
 }
 
 impl World {
     pub fn new(rule: Rule, fault: Fault, budget: u64) -> World {
-        let mut home = Ledger::default();
-        home.fund(BUDGET, budget, rule.policy());
+        let mut group_ledger = Ledger::default();
+        group_ledger.fund(BUDGET, budget, rule.policy());
         let mut w = World {
             rule,
             fault,
-            home,
+            group_ledger,
             region: RegionLedger::default(),
             region_seq: 0,
-            reserves: vec![ReserveLedger::default(); CENTRES],
-            nodes: Vec::new(),
+            reserves: vec![ReserveLedger::default(); DATA_CENTRES],
+            routers: Vec::new(),
             now: 0,
-            index: 0,
-            holders: 1_000,
+            last_lease: 0,
+            last_holder: 1_000,
             consumed: 0,
         };
         for _ in 0..ROUTERS {
-            let n = w.node();
-            w.nodes.push(n);
+            let n = w.new_router();
+            w.routers.push(n);
         }
-        if let Rule::Split = rule {
+        if let Rule::EqualSplit = rule {
             for n in 0..ROUTERS {
-                let part = budget / ROUTERS as u64;
-                w.ask(n, part, part);
+                let share = budget / ROUTERS as u64;
+                w.request_lease(n, share, share);
             }
         }
         w
     }
 
-    fn node(&mut self) -> Node {
-        self.holders += 1;
-        let [slices, spare] = [0; 2].map(|seq| SliceStore::new(self.rule.policy(), seq));
-        let holder = HolderId(self.holders);
-        Node { holder, slices, spare, running: VecDeque::new(), dead_until: 0 }
+    fn new_router(&mut self) -> Router {
+        self.last_holder += 1;
+        let [slices, reserve_slices] = [0; 2].map(|seq| SliceStore::new(self.rule.policy(), seq));
+        let holder = HolderId(self.last_holder);
+        Router { holder, slices, reserve_slices, running: VecDeque::new(), dead_until: 0 }
     }
 
-    fn is_cut_time(&self) -> bool {
-        (HOUR..2 * HOUR).contains(&self.now)
+    fn is_partition_time(&self) -> bool {
+        (HOUR_MS..2 * HOUR_MS).contains(&self.now)
     }
 
-    /// Whether router `n` reaches the ledger that it asks.
-    fn reaches(&self, n: usize) -> bool {
+    /// Returns whether router `n` can reach its ledger.
+    fn can_reach_ledger(&self, n: usize) -> bool {
         match self.fault {
-            Fault::CentreCut => !(self.is_cut_time() && n % CENTRES == 2),
-            Fault::RegionCut => !self.in_far_region(n) || self.has_region() || !self.is_cut_time(),
+            Fault::DataCentrePartition => !(self.is_partition_time() && n % DATA_CENTRES == 2),
+            Fault::RegionPartition => {
+                !self.in_second_region(n) || self.uses_region_ledger() || !self.is_partition_time()
+            }
             _ => true,
         }
     }
 
-    fn in_far_region(&self, n: usize) -> bool {
-        self.fault == Fault::RegionCut && n >= ROUTERS / 2
+    fn in_second_region(&self, n: usize) -> bool {
+        self.fault == Fault::RegionPartition && n >= ROUTERS / 2
     }
 
-    fn has_region(&self) -> bool {
+    fn uses_region_ledger(&self) -> bool {
         matches!(self.rule, Rule::Escrow(_))
     }
 
-    fn lease(&mut self) -> LeaseId {
-        self.index += 1;
-        LeaseId { term: 1, index: self.index }
+    fn next_lease_id(&mut self) -> LeaseId {
+        self.last_lease += 1;
+        LeaseId { term: 1, index: self.last_lease }
     }
 
-    fn decide(&mut self, n: usize, ask: &LeaseRequest) -> Decision {
-        let (now, id) = (Time(self.now), self.lease());
-        if self.in_far_region(n) && self.has_region() {
-            return self.region.request_lease(now, id, ask).unwrap_or(Err(Shortage::Spent));
+    /// Lets the router's ledger decide a lease request.
+    fn decide(&mut self, n: usize, request: &LeaseRequest) -> Decision {
+        let (now, id) = (Time(self.now), self.next_lease_id());
+        if self.in_second_region(n) && self.uses_region_ledger() {
+            return self.region.request_lease(now, id, request).unwrap_or(Err(Shortage::Spent));
         }
-        self.home.request_lease(now, id, ask).unwrap()
+        self.group_ledger.request_lease(now, id, request).unwrap()
     }
 
-    fn ask(&mut self, n: usize, need: u64, want: u64) -> bool {
-        if !self.reaches(n) {
+    /// Requests a lease, with a recall where tokens are short. Returns whether it was granted.
+    fn request_lease(&mut self, n: usize, need: u64, want: u64) -> bool {
+        if !self.can_reach_ledger(n) {
             return false;
         }
-        let (now, holder) = (Time(self.now), self.nodes[n].holder);
-        let Some(mut ask) = self.nodes[n].slices.next_request(now, holder, BUDGET, need) else {
+        let (now, holder) = (Time(self.now), self.routers[n].holder);
+        let Some(mut request) = self.routers[n].slices.next_request(now, holder, BUDGET, need)
+        else {
             return false;
         };
         if !matches!(self.rule, Rule::Escrow(_)) {
-            ask.want = want.max(ask.need);
+            request.want = want.max(request.need);
         }
-        let decision = self.decide(n, &ask);
-        self.nodes[n].slices.apply_decision(ask.seq, &decision);
+        let decision = self.decide(n, &request);
+        self.routers[n].slices.apply_decision(request.seq, &decision);
         if matches!(decision, Err(Shortage::Busy(_))) && matches!(self.rule, Rule::Escrow(_)) {
             self.recall();
-            if need > 0 && self.ask_again(n, need) {
+            if need > 0 && self.retry_lease(n, need) {
                 return true;
             }
         }
         decision.is_ok()
     }
 
-    fn ask_again(&mut self, n: usize, need: u64) -> bool {
-        let (now, holder) = (Time(self.now), self.nodes[n].holder);
-        let Some(ask) = self.nodes[n].slices.next_request(now, holder, BUDGET, need) else {
+    fn retry_lease(&mut self, n: usize, need: u64) -> bool {
+        let (now, holder) = (Time(self.now), self.routers[n].holder);
+        let Some(request) = self.routers[n].slices.next_request(now, holder, BUDGET, need) else {
             return false;
         };
-        let decision = self.decide(n, &ask);
-        self.nodes[n].slices.apply_decision(ask.seq, &decision);
+        let decision = self.decide(n, &request);
+        self.routers[n].slices.apply_decision(request.seq, &decision);
         decision.is_ok()
     }
 
+    /// Makes all reachable routers return their idle tokens.
     fn recall(&mut self) {
         for n in 0..ROUTERS {
-            if self.alive(n) && self.reaches(n) {
-                self.nodes[n].slices.return_idle();
+            if self.is_alive(n) && self.can_reach_ledger(n) {
+                self.routers[n].slices.return_idle();
                 self.report(n);
             }
         }
     }
 
-    pub fn alive(&self, n: usize) -> bool {
-        self.nodes[n].dead_until <= self.now
+    pub fn is_alive(&self, n: usize) -> bool {
+        self.routers[n].dead_until <= self.now
     }
 
     fn report(&mut self, n: usize) {
         let now = Time(self.now);
-        for r in self.nodes[n].slices.reports(now) {
-            let holder = self.nodes[n].holder;
-            let known = if self.in_far_region(n) && self.has_region() {
+        for r in self.routers[n].slices.reports(now) {
+            let holder = self.routers[n].holder;
+            let known = if self.in_second_region(n) && self.uses_region_ledger() {
                 self.region.report(now, holder, &r)
             } else {
-                self.home.report(now, holder, &r)
+                self.group_ledger.report(now, holder, &r)
             };
-            self.nodes[n].slices.acknowledge(now, &r, known);
+            self.routers[n].slices.acknowledge(now, &r, known);
         }
     }
 
-    /// Tries to start a request.
+    /// Starts a request if tokens can be reserved for it. Returns whether it started.
     pub fn start(&mut self, r: &Request) -> bool {
-        if !self.alive(r.router) {
+        if !self.is_alive(r.router) {
             return false;
         }
         let now = Time(self.now);
-        let mut held = self.nodes[r.router].slices.reserve(now, r.bound);
-        if held.is_none() {
+        let mut reservation = self.routers[r.router].slices.reserve(now, r.bound);
+        if reservation.is_none() {
             let want = match self.rule {
-                Rule::Fixed(size) => size,
+                Rule::FixedSlices(size) => size,
                 _ => r.bound,
             };
-            if !matches!(self.rule, Rule::Split) {
-                self.ask(r.router, r.bound, want);
+            if !matches!(self.rule, Rule::EqualSplit) {
+                self.request_lease(r.router, r.bound, want);
             }
-            held = self.nodes[r.router].slices.reserve(now, r.bound);
-        } else if matches!(self.rule, Rule::Escrow(_)) && self.nodes[r.router].slices.is_low(now) {
-            self.ask(r.router, 0, 0);
+            reservation = self.routers[r.router].slices.reserve(now, r.bound);
+        } else if matches!(self.rule, Rule::Escrow(_)) && self.routers[r.router].slices.is_low(now)
+        {
+            self.request_lease(r.router, 0, 0);
         }
-        let spare = held.is_none();
-        if spare {
-            held = self.reserve_spare(r.router, r.bound);
+        let from_reserve = reservation.is_none();
+        if from_reserve {
+            reservation = self.reserve_from_reserve(r.router, r.bound);
         }
-        let Some(held) = held else { return false };
-        let running = Running { end: self.now + r.runs, held, used: r.used, spare };
-        self.nodes[r.router].running.push_back(running);
+        let Some(reservation) = reservation else { return false };
+        let running =
+            Running { end: self.now + r.duration_ms, reservation, used: r.used, from_reserve };
+        self.routers[r.router].running.push_back(running);
         true
     }
 
-    /// Turns to the data centre's reserve, if the group is out of reach.
-    fn reserve_spare(&mut self, n: usize, bound: u64) -> Option<Reservation> {
-        if self.reaches(n) || !self.keeps_reserves() {
+    /// Reserves tokens from the data centre's reserve while the control group is unreachable.
+    fn reserve_from_reserve(&mut self, n: usize, bound: u64) -> Option<Reservation> {
+        if self.can_reach_ledger(n) || !self.has_reserves() {
             return None;
         }
-        let (now, holder) = (Time(self.now), self.nodes[n].holder);
-        if let Some(held) = self.nodes[n].spare.reserve(now, bound) {
-            return Some(held);
+        let (now, holder) = (Time(self.now), self.routers[n].holder);
+        if let Some(reservation) = self.routers[n].reserve_slices.reserve(now, bound) {
+            return Some(reservation);
         }
-        let ask = self.nodes[n].spare.next_request(now, holder, BUDGET, bound)?;
-        let seq = ask.seq;
-        let id = self.lease();
-        let done = self.reserves[n % CENTRES].apply(now, id, &ReserveCommand::Ask(ask));
+        let request = self.routers[n].reserve_slices.next_request(now, holder, BUDGET, bound)?;
+        let seq = request.seq;
+        let id = self.next_lease_id();
+        let done = self.reserves[n % DATA_CENTRES].apply(now, id, &ReserveCommand::Ask(request));
         let ReserveAnswer::Decided(decision) = done else { return None };
-        self.nodes[n].spare.apply_decision(seq, &decision);
-        self.nodes[n].spare.reserve(now, bound)
+        self.routers[n].reserve_slices.apply_decision(seq, &decision);
+        self.routers[n].reserve_slices.reserve(now, bound)
     }
 
-    fn keeps_reserves(&self) -> bool {
+    fn has_reserves(&self) -> bool {
         matches!(self.rule, Rule::Escrow(p) if p.reserve > 0)
     }
 
-    /// Every data centre in reach brings its reserve to its target and reports on it.
-    fn tend_reserves(&mut self) {
-        for c in 0..CENTRES {
-            if !self.reaches(c) {
+    /// Brings the reserve of every reachable data centre to its target, and reports its use.
+    fn adjust_reserves(&mut self) {
+        for c in 0..DATA_CENTRES {
+            if !self.can_reach_ledger(c) {
                 continue;
             }
             let (now, holder) = (Time(self.now), HolderId(10 + c as u64));
             self.report_reserve(c, holder);
-            let f = self.home.get(BUDGET).unwrap();
-            let calling = f.recalling(now);
-            let target = if calling { 0 } else { self.rule.policy().reserve_target(f.free()) };
+            let f = self.group_ledger.get(BUDGET).unwrap();
+            let is_recalling = f.recalling(now);
+            let target = if is_recalling { 0 } else { self.rule.policy().reserve_target(f.free()) };
             let excess = self.reserves[c].excess(BUDGET, target);
-            let id = self.lease();
+            let id = self.next_lease_id();
             if excess > 0 {
                 self.reserves[c].apply(now, id, &ReserveCommand::GiveBack(BUDGET.into(), excess));
                 self.report_reserve(c, holder);
-            } else if let Some(ask) = self.reserves[c].next_request(holder, BUDGET, target)
-                && let Some(Ok(g)) = self.home.request_lease(now, id, &ask)
+            } else if let Some(request) = self.reserves[c].next_request(holder, BUDGET, target)
+                && let Some(Ok(g)) = self.group_ledger.request_lease(now, id, &request)
             {
                 let policy = self.rule.policy();
                 self.reserves[c].apply(now, id, &ReserveCommand::Granted(BUDGET.into(), g, policy));
@@ -251,101 +265,108 @@
     fn report_reserve(&mut self, c: usize, holder: HolderId) {
         let now = Time(self.now);
         for r in self.reserves[c].reports(BUDGET) {
-            if self.home.report(now, holder, &r) {
-                let id = self.lease();
+            if self.group_ledger.report(now, holder, &r) {
+                let id = self.next_lease_id();
                 self.reserves[c].apply(now, id, &ReserveCommand::Acknowledged(BUDGET.into(), r));
             }
         }
     }
 
-    fn report_spare(&mut self, n: usize) {
-        let (now, holder, id) = (Time(self.now), self.nodes[n].holder, self.lease());
-        if self.reaches(n) {
-            self.nodes[n].spare.return_idle();
+    fn report_reserve_slices(&mut self, n: usize) {
+        let (now, holder, id) = (Time(self.now), self.routers[n].holder, self.next_lease_id());
+        if self.can_reach_ledger(n) {
+            self.routers[n].reserve_slices.return_idle();
         }
-        let reports = self.nodes[n].spare.reports(now);
+        let reports = self.routers[n].reserve_slices.reports(now);
         let command = ReserveCommand::Report(holder, reports.clone());
-        if let ReserveAnswer::Reported(known) = self.reserves[n % CENTRES].apply(now, id, &command)
+        if let ReserveAnswer::Reported(known) =
+            self.reserves[n % DATA_CENTRES].apply(now, id, &command)
         {
             for (r, known) in reports.iter().zip(known) {
-                self.nodes[n].spare.acknowledge(now, r, known);
+                self.routers[n].reserve_slices.acknowledge(now, r, known);
             }
         }
     }
 
+    /// Runs the periodic work of all processes, and injects router kills.
     pub fn tick(&mut self) {
         for n in 0..ROUTERS {
             self.end_requests(n);
-            if self.keeps_reserves() && self.alive(n) {
-                self.report_spare(n);
+            if self.has_reserves() && self.is_alive(n) {
+                self.report_reserve_slices(n);
             }
-            if !self.alive(n) || !self.reaches(n) {
+            if !self.is_alive(n) || !self.can_reach_ledger(n) {
                 continue;
             }
             match self.rule {
-                Rule::Escrow(_) => self.nodes[n].slices.return_excess(Time(self.now)),
-                Rule::Each => self.nodes[n].slices.return_idle(),
+                Rule::Escrow(_) => self.routers[n].slices.return_excess(Time(self.now)),
+                Rule::PerRequest => self.routers[n].slices.return_idle(),
                 _ => {}
             }
             self.report(n);
         }
-        if self.fault == Fault::RegionCut && self.has_region() && !self.is_cut_time() {
-            self.allot();
+        if self.fault == Fault::RegionPartition
+            && self.uses_region_ledger()
+            && !self.is_partition_time()
+        {
+            self.refill_region();
         }
-        if self.keeps_reserves() && self.fault != Fault::RegionCut {
-            self.tend_reserves();
+        if self.has_reserves() && self.fault != Fault::RegionPartition {
+            self.adjust_reserves();
         }
-        if self.fault == Fault::KillEachMinute && self.now.is_multiple_of(60_000) && self.now > 0 {
+        if self.fault == Fault::RouterKills && self.now.is_multiple_of(60_000) && self.now > 0 {
             self.kill((self.now / 60_000) as usize % ROUTERS);
         }
     }
 
     fn end_requests(&mut self, n: usize) {
         let now = self.now;
-        let mut rest = VecDeque::new();
-        while let Some(r) = self.nodes[n].running.pop_front() {
+        let mut running = VecDeque::new();
+        while let Some(r) = self.routers[n].running.pop_front() {
             if r.end > now {
-                rest.push_back(r);
+                running.push_back(r);
                 continue;
             }
-            let node = &mut self.nodes[n];
-            let slices = if r.spare { &mut node.spare } else { &mut node.slices };
-            self.consumed += slices.settle(Time(now), r.held, r.used);
+            let router = &mut self.routers[n];
+            let slices =
+                if r.from_reserve { &mut router.reserve_slices } else { &mut router.slices };
+            self.consumed += slices.settle(Time(now), r.reservation, r.used);
         }
-        self.nodes[n].running = rest;
+        self.routers[n].running = running;
     }
 
-    /// Kills a router: what it was running counts as consumed whole, and nobody reports it.
+    /// Kills a router and replaces it after five seconds. The use of its running requests counts as
+    /// consumed, but is not reported.
     fn kill(&mut self, n: usize) {
-        let running = std::mem::take(&mut self.nodes[n].running);
-        self.consumed += running.iter().map(|r| r.held.amount().min(r.used)).sum::<u64>();
-        self.nodes[n] = self.node();
-        self.nodes[n].dead_until = self.now + 5_000;
+        let running = std::mem::take(&mut self.routers[n].running);
+        self.consumed += running.iter().map(|r| r.reservation.amount().min(r.used)).sum::<u64>();
+        self.routers[n] = self.new_router();
+        self.routers[n].dead_until = self.now + 5_000;
     }
 
-    /// The far region keeps two hours of its spending in hand, as far as the budget allows.
-    fn allot(&mut self) {
-        let (now, id) = (Time(self.now), self.lease());
+    /// Refills the second region's ledger to a quarter of the free tokens once it is below half of that.
+    fn refill_region(&mut self) {
+        let (now, id) = (Time(self.now), self.next_lease_id());
         for r in self.region.reports(BUDGET) {
-            if self.home.report(now, HolderId(1), &r) {
+            if self.group_ledger.report(now, HolderId(1), &r) {
                 self.region.acknowledge(BUDGET, &r);
             }
         }
-        let f = self.home.get(BUDGET).unwrap();
+        let f = self.group_ledger.get(BUDGET).unwrap();
         let target = f.free() / 4;
         let have = self.region.ledger().get(BUDGET).map_or(0, |f| f.free());
         if have >= target / 2 {
             return;
         }
         let seq = self.region_seq + 1;
-        let ask = LeaseRequest {
+        let request = LeaseRequest {
             holder: HolderId(1),
             budget: BUDGET.into(),
             seq,
             need: 1,
             want: target - have,
         };
-        if let Some(Ok(g)) = self.home.request_lease(now, id, &ask) {
+        if let Some(Ok(g)) = self.group_ledger.request_lease(now, id, &request) {
             self.region_seq = seq;
             self.region.add_allotment(BUDGET, &g, self.rule.policy());
         }
