--- a/crates/core/examples/limits.rs
+++ b/crates/core/examples/limits.rs
@@ -26,7 +26,7 @@
 /// Offered load, in requests per second.
 const REQUESTS_PER_SECOND: u64 = 120;
 
-/// Percentage of the requests that arrive at the first router, besides its part of the rest.
+/// Percentage of the requests that arrive at router 0; the rest is spread evenly over all routers.
 const BUSY_ROUTER_PERCENT: u32 = 20;
 
 /// Simulated time.
@@ -126,7 +126,7 @@
         let routers: Vec<_> = (0..routers).map(address).collect();
         let routers_by_centre = BTreeMap::from([("a".to_owned(), routers.clone())]);
         let mut issuers = vec![PermitIssuers::default(); routers.len()];
-        issuers.iter_mut().for_each(|h| h.set_routers(Time(0), routers_by_centre.clone()));
+        issuers.iter_mut().for_each(|i| i.set_routers(Time(0), routers_by_centre.clone()));
         let permits = vec![PermitBuckets::default(); routers.len()];
         PermitProtocol {
             routers,
--- a/crates/core/examples/policies/main.rs
+++ b/crates/core/examples/policies/main.rs
@@ -45,12 +45,17 @@
     }
 }
 
+/// A fault that a run is subject to.
 #[derive(Clone, Copy, PartialEq)]
 enum Fault {
     None,
+    /// A router is killed each minute.
     RouterKills,
+    /// A data centre is cut off from the control group for an hour.
     DataCentrePartition,
+    /// The second region is cut off from the control group for an hour.
     RegionPartition,
+    /// The budget is smaller than the demand.
     BudgetExhaustion,
 }
 
--- a/crates/core/examples/policies/world.rs
+++ b/crates/core/examples/policies/world.rs
@@ -206,7 +206,7 @@
         }
         let from_reserve = reservation.is_none();
         if from_reserve {
-            reservation = self.reserve_from_reserve(r.router, r.bound);
+            reservation = self.reserve_from_data_centre(r.router, r.bound);
         }
         let Some(reservation) = reservation else { return false };
         let running =
@@ -216,7 +216,7 @@
     }
 
     /// Reserves tokens from the data centre's reserve while the control group is unreachable.
-    fn reserve_from_reserve(&mut self, n: usize, bound: u64) -> Option<Reservation> {
+    fn reserve_from_data_centre(&mut self, n: usize, bound: u64) -> Option<Reservation> {
         if self.can_reach_ledger(n) || !self.has_reserves() {
             return None;
         }
@@ -227,8 +227,8 @@
         let request = self.routers[n].reserve_slices.next_request(now, holder, BUDGET, bound)?;
         let seq = request.seq;
         let id = self.next_lease_id();
-        let done = self.reserves[n % DATA_CENTRES].apply(now, id, &ReserveCommand::Ask(request));
-        let ReserveAnswer::Decided(decision) = done else { return None };
+        let answer = self.reserves[n % DATA_CENTRES].apply(now, id, &ReserveCommand::Ask(request));
+        let ReserveAnswer::Decided(decision) = answer else { return None };
         self.routers[n].reserve_slices.apply_decision(seq, &decision);
         self.routers[n].reserve_slices.reserve(now, bound)
     }
--- a/crates/core/examples/rests.rs
+++ b/crates/core/examples/rests.rs
@@ -34,7 +34,7 @@
 /// Attempts count as sent during a backoff only after this time, which covers concurrent requests.
 const COUNT_AFTER_MS: u64 = 500;
 
-/// Percentage of the requests that arrive at the first router, besides its part of the rest.
+/// Percentage of the requests that arrive at router 0; the rest is spread evenly over all routers.
 const BUSY_ROUTER_PERCENT: u32 = 20;
 
 /// Simulated time.
--- a/crates/core/examples/rollouts.rs
+++ b/crates/core/examples/rollouts.rs
@@ -1,6 +1,6 @@
 //! Simulates rollouts of good and faulty versions with the core's decisions and with two simpler rules.
-//! Measures the requests that a faulty version receives, how long it receives any after its 50th bad
-//! answer, and how many rollouts complete in time.
+//! Measures how many requests a faulty version receives, for how long it receives them after its 50th
+//! bad answer, and how many rollouts complete in time.
 //!
 //! `cargo run --release -p cypressfork-core --example rollouts [SEEDS]`
 //!
@@ -77,7 +77,7 @@
     bad: u64,
     /// When the 50th bad answer was counted.
     fiftieth_bad_at: Option<u64>,
-    /// Time from then to the last request sent to the new version.
+    /// Time from then to the last request sent to the new version, in milliseconds.
     exposed_after: u64,
     stage: Option<Stage>,
     finished_at: u64,
@@ -91,6 +91,7 @@
     pending: Vec<(u64, Rollout)>,
     /// The last state that arrived.
     rollout: Option<Rollout>,
+    /// When the gateway was last connected to the control group.
     last_contact: u64,
     next_report: u64,
     partitioned: bool,
--- a/crates/cypressfork/benches/fleet.rs
+++ b/crates/cypressfork/benches/fleet.rs
@@ -1,5 +1,7 @@
-//! Measures of real processes on one machine. `cargo bench -p cypressfork --bench fleet [NAME]`
-//! prints one line for each figure.
+//! Benchmarks of real processes on one machine.
+//!
+//! `cargo bench -p cypressfork --bench fleet [NAME]` prints one line per figure, for all benchmarks or the
+//! named one.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -25,45 +27,45 @@
 use serde_json::json;
 use support::{Fleet, KEY, Plan, ask, until};
 
-/// Clock ticks a second of `/proc/PID/stat`.
-const TICKS: f64 = 100.0;
+/// Clock ticks per second in `/proc/PID/stat`.
+const TICKS_PER_SECOND: f64 = 100.0;
 
 fn main() {
-    let only = std::env::args().skip(1).find(|a| !a.starts_with('-'));
+    let filter = std::env::args().skip(1).find(|a| !a.starts_with('-'));
     let all: [(&str, fn()); 8] = [
-        ("control", control_cost),
+        ("control", control_overhead),
         ("latency", latency),
         ("capacity", capacity),
-        ("streams", streams),
-        ("config", config_in_force),
+        ("streams", stream_memory),
+        ("config", config_propagation),
         ("leaderless", leaderless),
-        ("log", log),
-        ("identity", identity),
+        ("log", commit_log),
+        ("identity", request_identity),
     ];
     for (name, run) in all {
-        if only.as_ref().is_none_or(|o| o == name) {
+        if filter.as_ref().is_none_or(|o| o == name) {
             run();
         }
     }
 }
 
-/// Repetitions of one measure of a few microseconds.
-const REPEATED: u32 = 20_000;
+/// Repetitions of an operation that takes at most some microseconds.
+const REPETITIONS: u32 = 20_000;
 
-/// What it costs a request to be told from others, by the length of its body.
-fn identity() {
+/// Measures the time to identify a request, by the length of its body.
+fn request_identity() {
     let hasher = RandomState::new();
     for length in [0, 800, 6_000, 60_000] {
         let body = vec![b'x'; length];
         let (account, method) = (Some("club"), "POST");
         let (host, path) = ("club.example", "/talk/annotate/whole");
         let one = Identity { account, method, host, path, body: &body };
-        let each = |what: &str, f: &dyn Fn() -> u64| {
-            let begun = Instant::now();
-            let sum = (0..REPEATED).fold(0u64, |sum, _| sum.wrapping_add(black_box(f())));
+        let each = |name: &str, f: &dyn Fn() -> u64| {
+            let begin = Instant::now();
+            let sum = (0..REPETITIONS).fold(0u64, |sum, _| sum.wrapping_add(black_box(f())));
             black_box(sum);
-            let ns = begun.elapsed().as_nanos() / u128::from(REPEATED);
-            show(&format!("{what}, {length} bytes"), format!("{ns} ns"));
+            let ns = begin.elapsed().as_nanos() / u128::from(REPETITIONS);
+            print_figure(&format!("{name}, {length} bytes"), format!("{ns} ns"));
         };
         each("brief", &|| black_box(&one).brief());
         each("hash of one that was answered", &|| hasher.hash_one(black_box(&one)));
@@ -71,25 +73,27 @@
     }
 }
 
-fn show(what: &str, figure: String) {
-    println!("{what}: {figure}");
+/// Prints one figure.
+fn print_figure(name: &str, figure: String) {
+    println!("{name}: {figure}");
 }
 
-/// Seconds of processor time that a process has used.
-fn cpu(pid: u32) -> f64 {
+/// Returns the CPU time that a process has used, in seconds.
+fn cpu_seconds(pid: u32) -> f64 {
     let text = fs::read_to_string(format!("/proc/{pid}/stat")).unwrap();
     let fields: Vec<&str> = text.rsplit(')').next().unwrap().split_whitespace().collect();
     let ticks = |n: usize| fields[n].parse::<f64>().unwrap();
-    (ticks(11) + ticks(12)) / TICKS
+    (ticks(11) + ticks(12)) / TICKS_PER_SECOND
 }
 
-/// Resident memory of a process, in KiB.
-fn resident(pid: u32) -> u64 {
+/// Returns the resident memory of a process, in KiB.
+fn resident_kib(pid: u32) -> u64 {
     let text = fs::read_to_string(format!("/proc/{pid}/status")).unwrap();
     let line = text.lines().find(|l| l.starts_with("VmRSS")).unwrap();
     line.split_whitespace().nth(1).unwrap().parse().unwrap()
 }
 
+/// Returns a metric of the process at the first ops address, summed over its labels.
 fn metric(f: &Fleet, name: &str) -> f64 {
     let text = support::text(&format!("http://{}/metrics", f.ops_addresses[0])).unwrap();
     let lines = text.lines().filter(|l| l.starts_with(name));
@@ -101,7 +105,7 @@
         + metric(f, "cypressfork_link_received_bytes_total")
 }
 
-/// One request on an open connection; returns false if it was not served.
+/// Sends one request on a reused connection. Returns whether it was served.
 fn send(agent: &ureq::Agent, url: &str, body: &str) -> bool {
     let r = agent.post(url).header("authorization", format!("Bearer {KEY}")).send(body);
     r.is_ok_and(|mut r| {
@@ -109,7 +113,7 @@
     })
 }
 
-/// Sends `rate` requests a second for `span`; returns how many were served and failed.
+/// Sends `rate` requests per second for `span`. Returns the numbers of served and failed requests.
 fn load(url: &str, rate: u64, span: Duration) -> (u64, u64) {
     const THREADS: u64 = 16;
     let (served, failed) = (AtomicU64::new(0), AtomicU64::new(0));
@@ -134,49 +138,51 @@
     (served.load(Ordering::Relaxed), failed.load(Ordering::Relaxed))
 }
 
-fn big(routers: usize) -> Plan {
+/// Plans a fleet whose budget and concurrency limit are never reached.
+fn large_plan(routers: usize) -> Plan {
     Plan { routers, tokens: 1_000_000_000, concurrency: 100_000, ..Plan::default() }
 }
 
-/// Bytes and processor time that a router spends on control, at rest and at 203 requests a second;
-/// the processor time from the slope over the tallies' frequency.
-fn control_cost() {
+/// Measures a router's control traffic and CPU time, idle and at 203 requests per second. The CPU time
+/// per report comes from the slope over two reporting rates.
+fn control_overhead() {
     const SPAN: Duration = Duration::from_secs(20);
-    let mut at = Vec::new();
-    for tally in [25, 250] {
-        let f = Fleet::start(Plan { router_extra: format!("tally_ms: {tally}"), ..big(1) });
+    let mut cpu_by_rate = Vec::new();
+    for report_ms in [25, 250] {
+        let f =
+            Fleet::start(Plan { router_extra: format!("tally_ms: {report_ms}"), ..large_plan(1) });
         let pid = f.routers[0].id();
         let url = format!("http://{}/v1/chat/completions", f.router_addresses[0]);
         load(&url, 203, Duration::from_secs(2));
         thread::sleep(Duration::from_secs(2));
-        let (c, b) = (cpu(pid), link_bytes(&f));
+        let (c, b) = (cpu_seconds(pid), link_bytes(&f));
         thread::sleep(SPAN);
-        let rest = (cpu(pid) - c, link_bytes(&f) - b);
-        let (c, b) = (cpu(pid), link_bytes(&f));
+        let idle = (cpu_seconds(pid) - c, link_bytes(&f) - b);
+        let (c, b) = (cpu_seconds(pid), link_bytes(&f));
         let (served, failed) = load(&url, 203, SPAN);
-        let busy = (cpu(pid) - c, link_bytes(&f) - b);
-        let secs = SPAN.as_secs_f64();
-        show(
-            &format!("router at rest, tally {tally} ms"),
+        let busy = (cpu_seconds(pid) - c, link_bytes(&f) - b);
+        let seconds = SPAN.as_secs_f64();
+        print_figure(
+            &format!("router at rest, tally {report_ms} ms"),
             format!(
                 "{:.2}% of a core, {:.0} control bytes/s",
-                rest.0 / secs * 100.0,
-                rest.1 / secs
+                idle.0 / seconds * 100.0,
+                idle.1 / seconds
             ),
         );
-        show(
-            &format!("router at 203 requests/s, tally {tally} ms"),
+        print_figure(
+            &format!("router at 203 requests/s, tally {report_ms} ms"),
             format!(
                 "{served} served, {failed} failed, {:.2}% of a core, {:.0} control bytes/s, {} KiB resident",
-                busy.0 / secs * 100.0,
-                busy.1 / secs,
-                resident(pid)
+                busy.0 / seconds * 100.0,
+                busy.1 / seconds,
+                resident_kib(pid)
             ),
         );
-        at.push((1000.0 / f64::from(tally), busy.0 / secs));
+        cpu_by_rate.push((1000.0 / f64::from(report_ms), busy.0 / seconds));
     }
-    let slope = (at[0].1 - at[1].1) / (at[0].0 - at[1].0);
-    show(
+    let slope = (cpu_by_rate[0].1 - cpu_by_rate[1].1) / (cpu_by_rate[0].0 - cpu_by_rate[1].0);
+    print_figure(
         "control's processor time at 203 requests/s, 4 tallies/s",
         format!("{:.0} us a tally, {:.2}% of a core", slope * 1e6, slope * 4.0 * 100.0),
     );
@@ -187,9 +193,9 @@
     all[(all.len() - 1) * p / 100]
 }
 
-/// Whole streamed requests through a router and straight to the engine, one after the other.
+/// Compares the latency of complete streamed requests through a router and directly to the engine.
 fn latency() {
-    let f = Fleet::start(big(1));
+    let f = Fleet::start(large_plan(1));
     let through = format!("http://{}/v1/chat/completions", f.router_addresses[0]);
     let direct = format!("http://{}/v1/chat/completions", f.engines[0].1);
     let agent: ureq::Agent = ureq::Agent::config_builder().build().into();
@@ -206,22 +212,22 @@
     }
     for p in [50, 99] {
         let [t, d] = [0, 1].map(|n| percentile(&mut times[n].clone(), p).as_secs_f64() * 1e6);
-        show(
+        print_figure(
             &format!("streamed request of 8 tokens, percentile {p}"),
             format!("{t:.0} us through the router, {d:.0} us direct, ratio {:.2}", t / d),
         );
     }
 }
 
-/// As many requests as one router serves.
+/// Measures the throughput of one router under saturating load.
 fn capacity() {
-    let f = Fleet::start(Plan { engines: vec![vec![]; 4], ..big(1) });
+    let f = Fleet::start(Plan { engines: vec![vec![]; 4], ..large_plan(1) });
     let url = format!("http://{}/v1/chat/completions", f.router_addresses[0]);
     load(&url, 500, Duration::from_secs(2));
-    let c = cpu(f.routers[0].id());
+    let c = cpu_seconds(f.routers[0].id());
     let (served, failed) = load(&url, 100_000, Duration::from_secs(10));
-    let used = cpu(f.routers[0].id()) - c;
-    show(
+    let used = cpu_seconds(f.routers[0].id()) - c;
+    print_figure(
         "most requests of 4 tokens, 16 callers",
         format!(
             "{:.0}/s, {failed} failed, {:.0} a second of processor time",
@@ -231,15 +237,15 @@
     );
 }
 
-/// Memory of a router for each open stream.
-fn streams() {
+/// Measures a router's memory per open stream.
+fn stream_memory() {
     let f = Fleet::start(Plan {
         engines: vec![vec!["--token-ms", "60000"]; 4],
         engine_extra: "            slots: 5000",
-        ..big(1)
+        ..large_plan(1)
     });
     let pid = f.routers[0].id();
-    let before = resident(pid);
+    let before = resident_kib(pid);
     let mut open: Vec<TcpStream> = Vec::new();
     for target in [1_000, 5_000] {
         while open.len() < target {
@@ -258,13 +264,13 @@
             active = metric(&f, "cypressfork_active_requests");
             thread::sleep(Duration::from_millis(100));
         }
-        let grown = resident(pid) - before;
-        show(
+        let growth = resident_kib(pid) - before;
+        print_figure(
             &format!("{target} open streams"),
             format!(
                 "{active} active, {:.1} KiB each, {} KiB resident",
-                grown as f64 / active,
-                resident(pid)
+                growth as f64 / active,
+                resident_kib(pid)
             ),
         );
     }
@@ -274,9 +280,9 @@
     });
 }
 
-/// From an accepted change to its being in force at every router.
-fn config_in_force() {
-    let f = Fleet::start(big(2));
+/// Measures the time from an accepted change until all routers apply it.
+fn config_propagation() {
+    let f = Fleet::start(large_plan(2));
     let mut times = Vec::new();
     for n in 0..40u64 {
         let text = f.example().replace("max_output: 64", &format!("max_output: {}", 65 + n));
@@ -288,41 +294,42 @@
         }
         times.push(begin.elapsed());
     }
-    show(
+    print_figure(
         "from the operator's answer to in force at both routers, 40 changes",
         format!("median {:?}, worst {:?}", percentile(&mut times, 50), percentile(&mut times, 100)),
     );
 }
 
-fn leader(f: &Fleet) -> Option<usize> {
+/// Returns the number of the control process that is the leader.
+fn leader_index(f: &Fleet) -> Option<usize> {
     let out = f.cli(&["status", "--json"]);
     let v: serde_json::Value = serde_json::from_slice(&out.stdout).ok()?;
     let address = v["nodes"].as_array()?.iter().find(|n| n["leader"] == true)?["address"].clone();
     f.control_addresses.iter().position(|a| address == a.as_str())
 }
 
-/// How long nothing is committed after the leader is killed, and after it is frozen.
+/// Measures the time until a command commits after the leader is killed or frozen.
 fn leaderless() {
-    for (what, signal) in [("killed", "KILL"), ("frozen", "STOP")] {
+    for (event, signal) in [("killed", "KILL"), ("frozen", "STOP")] {
         let mut times = Vec::new();
         for _ in 0..5 {
-            let f = Fleet::start(Plan { routers: 0, ..big(0) });
-            let old = leader(&f).unwrap();
-            let rest: Vec<_> =
-                (0..3).filter(|n| *n != old).map(|n| f.control_addresses[n].clone()).collect();
-            f.controls[old].signal(signal);
+            let f = Fleet::start(Plan { routers: 0, ..large_plan(0) });
+            let leader = leader_index(&f).unwrap();
+            let others: Vec<_> =
+                (0..3).filter(|n| *n != leader).map(|n| f.control_addresses[n].clone()).collect();
+            f.controls[leader].signal(signal);
             let begin = Instant::now();
-            in_group(&rest, async |group| {
+            with_group(&others, async |group| {
                 let c = Command::TopUp { op: "t".into(), budget: "club-talk".into(), tokens: 1 };
                 group.command(&c, Duration::from_secs(20)).await.unwrap();
             });
             times.push(begin.elapsed());
             if signal == "STOP" {
-                f.controls[old].signal("CONT");
+                f.controls[leader].signal("CONT");
             }
         }
-        show(
-            &format!("without a leader after it was {what}, 5 times"),
+        print_figure(
+            &format!("without a leader after it was {event}, 5 times"),
             format!(
                 "median {:?}, worst {:?}",
                 percentile(&mut times, 50),
@@ -332,23 +339,24 @@
     }
 }
 
-fn in_group<F: AsyncFnOnce(GroupClient)>(addresses: &[String], run: F) {
+/// Runs a task with a client of the control group.
+fn with_group<F: AsyncFnOnce(GroupClient)>(addresses: &[String], run: F) {
     let key = Key::new(b"0123456789abcdef0123456789abcdef");
     let me = Credentials { key, cluster: "test".into(), name: "bench".into() };
     let addresses = addresses.iter().map(|a| a.parse().unwrap()).collect();
     actix_rt::System::new().block_on(run(GroupClient::new(me, addresses)));
 }
 
-/// Commits a second, the disk's size, restart time and memory of the control processes.
-fn log() {
-    let mut f = Fleet::start(Plan { routers: 0, ..big(0) });
+/// Measures the control processes' commits per second, disk use, memory and restart time.
+fn commit_log() {
+    let mut f = Fleet::start(Plan { routers: 0, ..large_plan(0) });
     let mut done = 0u64;
     for (callers, changes) in [(1, 1_000u64), (16, 9_000), (256, 90_000)] {
         let begin = Instant::now();
         let mut times = Vec::new();
         let addresses = f.control_addresses.clone();
         let first = done;
-        in_group(&addresses, async |group| {
+        with_group(&addresses, async |group| {
             let one = async |n: u64| {
                 let mut times = Vec::new();
                 for k in 0..changes / callers {
@@ -369,7 +377,7 @@
         });
         done += changes;
         let rate = changes as f64 / begin.elapsed().as_secs_f64();
-        show(
+        print_figure(
             &format!("commits, {callers} callers at once"),
             format!(
                 "{rate:.0}/s, median {:?}, percentile 99 {:?}",
@@ -377,7 +385,7 @@
                 percentile(&mut times, 99)
             ),
         );
-        restart(&mut f, done);
+        measure_restart(&mut f, done);
     }
     many_budgets(&f);
 }
@@ -386,19 +394,20 @@
     Command::TopUp { op: format!("t{n}"), budget: "club-talk".into(), tokens: 1 }
 }
 
-fn restart(f: &mut Fleet, changes: u64) {
+/// Restarts all control processes, and prints their disk use, memory and time to a leader.
+fn measure_restart(f: &mut Fleet, changes: u64) {
     let disk: u64 = fs::read_dir(f.path("data-0"))
         .unwrap()
         .map(|e| e.unwrap().metadata().unwrap())
         .filter(|m| m.is_file())
         .map(|m| m.len())
         .sum();
-    let memory = resident(f.controls[0].id());
+    let memory = resident_kib(f.controls[0].id());
     f.controls.iter_mut().for_each(|c| c.kill());
     let begin = Instant::now();
     f.controls = (0..3).map(|n| f.start_control(n)).collect();
-    until("a leader", || leader(f).is_some());
-    show(
+    until("a leader", || leader_index(f).is_some());
+    print_figure(
         &format!("after {changes} changes"),
         format!(
             "{disk} bytes on disk, {memory} KiB resident, all restarted and led after {:?}",
@@ -407,7 +416,7 @@
     );
 }
 
-/// Memory and time with the budgets of the size that is designed for.
+/// Measures memory and commit time with 43,000 budgets, the design size.
 fn many_budgets(f: &Fleet) {
     let budgets: serde_json::Map<_, _> = (0..100)
         .map(|n| {
@@ -432,17 +441,17 @@
     items.extend(apps.map(Item::Application));
     let change = Change { op: "many".into(), base: 1, by: "bench".into(), items };
     let begin = Instant::now();
-    in_group(&f.control_addresses, async |group| {
+    with_group(&f.control_addresses, async |group| {
         let a = group.command(&Command::Apply(change), Duration::from_secs(60)).await.unwrap();
         assert!(matches!(a, Answer::Applied(Ok(_))), "{a:?}");
     });
-    show(
+    print_figure(
         "43,000 budgets in one change",
-        format!("{:?}, {} KiB resident", begin.elapsed(), resident(f.controls[0].id())),
+        format!("{:?}, {} KiB resident", begin.elapsed(), resident_kib(f.controls[0].id())),
     );
     let mut each = Duration::ZERO;
-    in_group(&f.control_addresses, async |group| {
-        // The first waits for the replicas that still take the large change in.
+    with_group(&f.control_addresses, async |group| {
+        // The first commits wait for members that are still applying the large change.
         for n in 0..50 {
             let begin = Instant::now();
             group.command(&top_up(900_000_000 + n), Duration::from_secs(20)).await.unwrap();
@@ -451,5 +460,5 @@
             }
         }
     });
-    show("a commit with 43,000 budgets", format!("{each:?}"));
+    print_figure("a commit with 43,000 budgets", format!("{each:?}"));
 }
