--- a/crates/cli/src/cmd/bill.rs
+++ b/crates/cli/src/cmd/bill.rs
@@ -1,4 +1,4 @@
-//! `cypressfork bill`: what one request cost.
+//! `cypressfork bill`: shows the tokens billed for one request.
 
 use cypressfork_core::query::{Query, Reply};
 use cypressfork_node::digest::request_id;
@@ -7,21 +7,21 @@
 use crate::context::Context;
 use crate::error::Error;
 
-/// The subcommand.
+/// `bill`: shows the bill of a request.
 pub const COMMAND: Subcommand = Subcommand {
     name: "bill",
-    takes: "CLIENT-ACCOUNT REQUEST-ID",
+    args: "CLIENT-ACCOUNT REQUEST-ID",
     about: "show what one request cost",
     run,
 };
 
 fn run(cx: &Context) -> Result<String, Error> {
-    let account = cx.word(0, "the client account")?;
-    let id = cx.word(1, "the request's id")?;
+    let account = cx.arg(0, "the client account")?;
+    let id = cx.arg(1, "the request's id")?;
     let Reply::Bill(bill) = cx.query(&Query::Bill(request_id(account, id)))? else {
         return Err(Error::Unexpected);
     };
-    Ok(cx.show(&bill, || match bill {
+    Ok(cx.render(&bill, || match bill {
         None => "no bill of this request is kept\n".to_owned(),
         Some(b) => {
             let whole = if b.whole { "whole" } else { "cut short" };
--- a/crates/cli/src/cmd/diff.rs
+++ b/crates/cli/src/cmd/diff.rs
@@ -1,4 +1,4 @@
-//! `cypressfork diff`: what files would change.
+//! `cypressfork diff`: compares files with the configuration in force.
 
 use cypressfork_core::config::Item;
 use cypressfork_core::query::{Query, Reply};
@@ -9,14 +9,15 @@
 use crate::document;
 use crate::error::Error;
 
-/// The subcommand.
+/// `diff`: shows the changes that applying files would make.
 pub const COMMAND: Subcommand = Subcommand {
     name: "diff",
-    takes: "FILE...",
+    args: "FILE...",
     about: "show what applying these files would change",
     run,
 };
 
+/// The difference of one object.
 #[derive(Serialize)]
 struct Row {
     what: String,
@@ -26,8 +27,8 @@
 }
 
 fn run(cx: &Context) -> Result<String, Error> {
-    cx.word(0, "a file to compare")?;
-    let items = document::read(&cx.words)?;
+    cx.arg(0, "a file to compare")?;
+    let items = document::read(&cx.args)?;
     let Reply::Config { version, templates, applications } = cx.query(&Query::Config)? else {
         return Err(Error::Unexpected);
     };
@@ -35,30 +36,32 @@
         .iter()
         .filter_map(|item| match item {
             Item::Template(t) => {
-                row("template", &t.name, templates.iter().find(|o| o.name == t.name), Some(t))
+                diff_row("template", &t.name, templates.iter().find(|o| o.name == t.name), Some(t))
             }
             Item::Application(a) => {
                 let old = applications.iter().find(|o| o.name == a.name);
-                row("application", &a.name, old, Some(a))
+                diff_row("application", &a.name, old, Some(a))
             }
             Item::RemoveTemplate(n) => {
-                row("template", n, templates.iter().find(|o| o.name == *n), None)
+                diff_row("template", n, templates.iter().find(|o| o.name == *n), None)
             }
             Item::RemoveApplication(n) => {
-                row("application", n, applications.iter().find(|o| o.name == *n), None)
+                diff_row("application", n, applications.iter().find(|o| o.name == *n), None)
             }
         })
         .collect();
-    Ok(cx.show(&rows, || text(version, &rows)))
+    Ok(cx.render(&rows, || render(version, &rows)))
 }
 
-fn yaml<T: Serialize>(v: Option<&T>) -> Vec<String> {
+/// Returns the lines of an object as YAML; none if there is no object.
+fn yaml_lines<T: Serialize>(v: Option<&T>) -> Vec<String> {
     let text = v.and_then(|v| serde_yaml_ng::to_string(v).ok()).unwrap_or_default();
     text.lines().map(str::to_owned).collect()
 }
 
-fn row<T: Serialize>(what: &str, name: &str, old: Option<&T>, new: Option<&T>) -> Option<Row> {
-    let (a, b) = (yaml(old), yaml(new));
+/// Compares two versions of an object line by line; returns `None` if they are equal.
+fn diff_row<T: Serialize>(what: &str, name: &str, old: Option<&T>, new: Option<&T>) -> Option<Row> {
+    let (a, b) = (yaml_lines(old), yaml_lines(new));
     if a == b {
         return None;
     }
@@ -67,13 +70,13 @@
         (_, None) => "removed",
         _ => "changed",
     };
-    let gone = a.iter().filter(|l| !b.contains(l)).map(|l| format!("- {l}"));
-    let come = b.iter().filter(|l| !a.contains(l)).map(|l| format!("+ {l}"));
-    let lines = gone.chain(come).collect();
+    let removed = a.iter().filter(|l| !b.contains(l)).map(|l| format!("- {l}"));
+    let added = b.iter().filter(|l| !a.contains(l)).map(|l| format!("+ {l}"));
+    let lines = removed.chain(added).collect();
     Some(Row { what: what.to_owned(), name: name.to_owned(), change, lines })
 }
 
-fn text(version: u64, rows: &[Row]) -> String {
+fn render(version: u64, rows: &[Row]) -> String {
     if rows.is_empty() {
         return format!("nothing differs from version {version}\n");
     }
--- a/crates/cli/src/cmd/evacuate.rs
+++ b/crates/cli/src/cmd/evacuate.rs
@@ -1,4 +1,4 @@
-//! `cypressfork evacuate`: keep new work from a data centre, or let it in again.
+//! `cypressfork evacuate`: starts or ends the evacuation of a data centre.
 
 use cypressfork_core::command::{Answer, Command};
 use serde_json::json;
@@ -7,21 +7,21 @@
 use crate::context::Context;
 use crate::error::Error;
 
-/// The subcommand.
+/// `evacuate`: starts or ends the evacuation of a data centre, whose replicas get no new requests meanwhile.
 pub const COMMAND: Subcommand = Subcommand {
     name: "evacuate",
-    takes: "begin DATA-CENTRE | end DATA-CENTRE",
+    args: "begin DATA-CENTRE | end DATA-CENTRE",
     about: "keep new work from the replicas of a data centre, or let it in again",
     run,
 };
 
 fn run(cx: &Context) -> Result<String, Error> {
-    let evacuate = match cx.word(0, "begin or end")? {
+    let evacuate = match cx.arg(0, "begin or end")? {
         "begin" => true,
         "end" => false,
         other => return Err(Error::Usage(format!("'{other}' is not begin or end"))),
     };
-    let data_centre = cx.word(1, "the data centre")?.to_owned();
+    let data_centre = cx.arg(1, "the data centre")?.to_owned();
     let command = Command::Evacuate { data_centre: data_centre.clone(), evacuate };
     match cx.command(&command)? {
         Answer::Done => {}
@@ -29,7 +29,7 @@
         _ => return Err(Error::Unexpected),
     }
     let shown = json!({ "data_centre": data_centre, "evacuated": evacuate });
-    Ok(cx.show(&shown, || match evacuate {
+    Ok(cx.render(&shown, || match evacuate {
         true => format!("{data_centre} gets no new work; what runs there goes on\n"),
         false => format!("{data_centre} gets work again\n"),
     }))
--- a/crates/cli/src/cmd/history.rs
+++ b/crates/cli/src/cmd/history.rs
@@ -1,4 +1,4 @@
-//! `cypressfork history` and `cypressfork rollback`.
+//! `cypressfork history` and `cypressfork rollback`: past versions of the configuration.
 
 use cypressfork_core::config::{Entry, Item};
 use cypressfork_core::query::{Query, Reply};
@@ -9,31 +9,31 @@
 use crate::error::Error;
 use crate::table::table;
 
-/// Changes that are shown.
-const SHOWN: usize = 30;
+/// Maximum number of changes shown.
+const MAX_ENTRIES: usize = 30;
 
-/// The subcommand that shows the accepted changes.
+/// `history`: shows the latest accepted changes.
 pub const COMMAND: Subcommand =
-    Subcommand { name: "history", takes: "", about: "show the accepted changes", run };
+    Subcommand { name: "history", args: "", about: "show the accepted changes", run };
 
-/// The subcommand that goes back to an earlier version, as a new one.
+/// `rollback`: submits the content of an earlier version as a new version.
 pub const ROLLBACK: Subcommand = Subcommand {
     name: "rollback",
-    takes: "VERSION",
+    args: "VERSION",
     about: "make a new version with the content of an earlier one",
     run: rollback,
 };
 
 fn run(cx: &Context) -> Result<String, Error> {
-    let Reply::History(entries) = cx.query(&Query::History(SHOWN))? else {
+    let Reply::History(entries) = cx.query(&Query::History(MAX_ENTRIES))? else {
         return Err(Error::Unexpected);
     };
-    Ok(cx.show(&entries, || text(&entries)))
+    Ok(cx.render(&entries, || render(&entries)))
 }
 
-fn text(entries: &[Entry]) -> String {
+fn render(entries: &[Entry]) -> String {
     let row = |e: &Entry| {
-        let items: Vec<_> = e.change.items.iter().map(item).collect();
+        let items: Vec<_> = e.change.items.iter().map(describe).collect();
         let (version, at) = (e.version.to_string(), e.at.0.to_string());
         [version, at, e.change.by.clone(), e.change.op.clone(), items.join(", ")]
     };
@@ -41,7 +41,7 @@
     table(["VERSION", "AT (MS)", "BY", "OPERATION", "CHANGES"], &rows)
 }
 
-fn item(i: &Item) -> String {
+fn describe(i: &Item) -> String {
     match i {
         Item::Template(t) => format!("template {}", t.name),
         Item::Application(a) => format!("application {}", a.name),
@@ -51,7 +51,7 @@
 }
 
 fn rollback(cx: &Context) -> Result<String, Error> {
-    let version = cx.number(0, "the version to go back to")?;
+    let version = cx.number_arg(0, "the version to go back to")?;
     match cx.query(&Query::BackTo(version))? {
         Reply::Items(_, Some(items)) => submit(cx, items),
         Reply::Items(now, None) => {
--- a/crates/cli/src/cmd/init.rs
+++ b/crates/cli/src/cmd/init.rs
@@ -1,4 +1,4 @@
-//! `cypressfork init`: makes fresh control processes a group.
+//! `cypressfork init`: founds the control group.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,44 +13,48 @@
 use crate::context::Context;
 use crate::error::Error;
 
-/// How long one process may take to answer.
-const WITHIN: Duration = Duration::from_secs(10);
+/// Timeout of a call to one control process.
+const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The subcommand.
+/// `init`: founds a control group of new control processes.
 pub const COMMAND: Subcommand = Subcommand {
     name: "init",
-    takes: "ADDRESS...",
+    args: "ADDRESS...",
     about: "make the fresh control processes at these addresses a group",
     run,
 };
 
 fn run(cx: &Context) -> Result<String, Error> {
-    cx.word(0, "the address of a control process")?;
-    let addresses = cx.words.iter().map(|a| parse_address("ADDRESS", a));
+    cx.arg(0, "the address of a control process")?;
+    let addresses = cx.args.iter().map(|a| parse_address("ADDRESS", a));
     let addresses: Vec<SocketAddr> = addresses.collect::<Result<_, _>>()?;
-    let me = cx.credentials()?;
-    actix_rt::System::new().block_on(found(&me, &addresses))
+    let credentials = cx.credentials()?;
+    actix_rt::System::new().block_on(found_group(&credentials, &addresses))
 }
 
-/// Asks every process for its identity, then tells all of them who the founders are. Sent again,
-/// it tells the same founders, or fails because one of them has changed.
-async fn found(me: &Credentials, addresses: &[SocketAddr]) -> Result<String, Error> {
+/// Collects the identities of all processes, then sends each of them the list of founders. Returns a line per founder.
+///
+/// A repeated call sends the same list; it fails if the identity of a process has changed since.
+async fn found_group(credentials: &Credentials, addresses: &[SocketAddr]) -> Result<String, Error> {
     let mut peers = Vec::new();
     for a in addresses {
-        let id = identify(me, *a).await?;
+        let id = identify(credentials, *a).await?;
         peers.push(Peer::new(id.node as i64, a.to_string()));
     }
     for a in addresses {
         let founders = Founders::new(peers.clone());
-        GroupClient::new(me.clone(), vec![*a]).call(Ask::Founders(founders), WITHIN).await?;
+        GroupClient::new(credentials.clone(), vec![*a])
+            .call(Ask::Founders(founders), TIMEOUT)
+            .await?;
     }
     let line = |p: &Peer| format!("{:016x}  {}\n", p.node, p.address);
     Ok(peers.iter().map(line).collect())
 }
 
-/// Asks the process at `address` for its identity.
-pub async fn identify(me: &Credentials, address: SocketAddr) -> Result<Identity, Error> {
-    let bytes =
-        GroupClient::new(me.clone(), vec![address]).call(Ask::Identify(true), WITHIN).await?;
+/// Returns the identity of the control process at `address`.
+pub async fn identify(credentials: &Credentials, address: SocketAddr) -> Result<Identity, Error> {
+    let bytes = GroupClient::new(credentials.clone(), vec![address])
+        .call(Ask::Identify(true), TIMEOUT)
+        .await?;
     body::unpack(&bytes).map_err(|_| Error::Unexpected)
 }
--- a/crates/cli/src/cmd/limits.rs
+++ b/crates/cli/src/cmd/limits.rs
@@ -1,4 +1,4 @@
-//! `cypressfork limits`: the limits that replicas name.
+//! `cypressfork limits`: shows the rate limits that replicas announce.
 
 use cypressfork_core::fleet::limit::DisplayLimit;
 use cypressfork_core::fleet::limit::known::LimitReport;
@@ -10,10 +10,10 @@
 use crate::error::Error;
 use crate::table::table;
 
-/// The subcommand.
+/// `limits`: shows the replicas that announce a rate limit.
 pub const COMMAND: Subcommand = Subcommand {
     name: "limits",
-    takes: "",
+    args: "",
     about: "show the replicas that take only so many requests a second, by their own word",
     run,
 };
@@ -22,14 +22,18 @@
     let Reply::Limits(all) = cx.query(&Query::Limits)? else { return Err(Error::Unexpected) };
     let shown: Vec<_> = all.iter().map(as_json).collect();
     let rows: Vec<_> = all.iter().map(row).collect();
-    Ok(cx.show(&shown, || table(["REPLICA", "REQUESTS A SECOND", "HEARD"], &rows)))
+    Ok(cx.render(&shown, || table(["REPLICA", "REQUESTS A SECOND", "HEARD"], &rows)))
 }
 
-fn as_json(w: &LimitReport) -> serde_json::Value {
-    let per_second = w.rate.map(|r| r.0 as f64 / 1_000.0);
-    json!({ "replica": w.replica, "per_second": per_second, "heard_ms": w.age.0 })
+fn as_json(report: &LimitReport) -> serde_json::Value {
+    let per_second = report.rate.map(|r| r.0 as f64 / 1_000.0);
+    json!({ "replica": report.replica, "per_second": per_second, "heard_ms": report.age.0 })
 }
 
-fn row(w: &LimitReport) -> [String; 3] {
-    [w.replica.clone(), DisplayLimit(w.rate).to_string(), format!("{} ms ago", w.age.0)]
+fn row(report: &LimitReport) -> [String; 3] {
+    [
+        report.replica.clone(),
+        DisplayLimit(report.rate).to_string(),
+        format!("{} ms ago", report.age.0),
+    ]
 }
--- a/crates/cli/src/cmd/member.rs
+++ b/crates/cli/src/cmd/member.rs
@@ -1,4 +1,4 @@
-//! `cypressfork members`: the replicas of the control group.
+//! `cypressfork members`: changes the members of the control group.
 
 use std::time::Duration;
 
@@ -13,38 +13,38 @@
 use crate::context::Context;
 use crate::error::Error;
 
-/// How long a change may take.
-const WITHIN: Duration = Duration::from_secs(10);
+/// Timeout of a membership change.
+const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The subcommand.
+/// `members`: adds, promotes or removes a member of the control group.
 pub const COMMAND: Subcommand = Subcommand {
     name: "members",
-    takes: "add ADDRESS | promote ID | remove ID",
+    args: "add ADDRESS | promote ID | remove ID",
     about: "change the replicas of the control group, one at a time",
     run,
 };
 
 fn run(cx: &Context) -> Result<String, Error> {
-    let verb = cx.word(0, "add, promote or remove")?;
-    let change = match verb {
+    let action = cx.arg(0, "add, promote or remove")?;
+    let change = match action {
         "add" => {
-            let a = parse_address("ADDRESS", cx.word(1, "the new replica's address")?)?;
-            let me = cx.credentials()?;
-            let id = actix_rt::System::new().block_on(identify(&me, a))?;
+            let a = parse_address("ADDRESS", cx.arg(1, "the new replica's address")?)?;
+            let credentials = cx.credentials()?;
+            let id = actix_rt::System::new().block_on(identify(&credentials, a))?;
             if !id.members.voters.is_empty() {
                 return Err(Code::MemberBad.into());
             }
             MemberChange::AddLearner(id.node, a.to_string())
         }
-        "promote" => MemberChange::Promote(node(cx)?),
-        "remove" => MemberChange::Remove(node(cx)?),
+        "promote" => MemberChange::Promote(node_id(cx)?),
+        "remove" => MemberChange::Remove(node_id(cx)?),
         other => {
             return Err(Error::Usage(format!("'{other}' is not add, promote or remove")));
         }
     };
     let group = cx.group()?;
     let ask = Ask::Members(member_order(&change));
-    actix_rt::System::new().block_on(group.call(ask, WITHIN))?;
+    actix_rt::System::new().block_on(group.call(ask, TIMEOUT))?;
     Ok(match change {
         MemberChange::AddLearner(n, _) => {
             format!(
@@ -56,9 +56,9 @@
     })
 }
 
-fn node(cx: &Context) -> Result<NodeId, Error> {
-    let word = cx.word(1, "the replica's id")?;
-    NodeId::from_str_radix(word, 16).map_err(|_| {
-        Error::Usage(format!("an id cannot be '{word}': take it from 'cypressfork status'"))
+fn node_id(cx: &Context) -> Result<NodeId, Error> {
+    let arg = cx.arg(1, "the replica's id")?;
+    NodeId::from_str_radix(arg, 16).map_err(|_| {
+        Error::Usage(format!("an id cannot be '{arg}': take it from 'cypressfork status'"))
     })
 }
--- a/crates/cli/src/cmd/mod.rs
+++ b/crates/cli/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! The subcommands: one file each, with what it accepts and what it does.
+//! The subcommands, one file each, and the entry point that dispatches to them.
 
 mod apply;
 mod bill;
@@ -21,18 +21,18 @@
 use crate::context::Context;
 use crate::error::Error;
 
-/// One subcommand.
+/// A subcommand.
 pub struct Subcommand {
-    /// Its name.
+    /// Name on the command line.
     pub name: &'static str,
-    /// The words it takes.
-    pub takes: &'static str,
-    /// What it does, in a line.
+    /// Synopsis of its positional arguments.
+    pub args: &'static str,
+    /// Description in one line, for the help text.
     pub about: &'static str,
     run: fn(&Context) -> Result<String, Error>,
 }
 
-/// All subcommands.
+/// All subcommands, in the order of the help text.
 pub const ALL: &[Subcommand] = &[
     init::COMMAND,
     apply::CHECK,
@@ -71,7 +71,7 @@
 
 fn help() -> String {
     let line =
-        |c: &Subcommand| format!("    {:<32} {}\n", format!("{} {}", c.name, c.takes), c.about);
+        |c: &Subcommand| format!("    {:<32} {}\n", format!("{} {}", c.name, c.args), c.about);
     let commands: String = ALL.iter().map(line).collect();
     let brief = format!(
         "Operates a cypressfork fleet.\n\nUsage: cypressfork SUBCOMMAND [WORDS] [OPTIONS]\n\nSubcommands:\n{commands}"
@@ -79,9 +79,9 @@
     options().usage(&brief)
 }
 
-/// Runs the command line; returns what to print.
-pub fn run(words: &[String]) -> Result<String, Error> {
-    let options = options().parse(words).map_err(|e| Error::Usage(e.to_string()))?;
+/// Parses and runs a command line, given without the program's name; returns the output to print.
+pub fn run(args: &[String]) -> Result<String, Error> {
+    let options = options().parse(args).map_err(|e| Error::Usage(e.to_string()))?;
     if options.opt_present("version") {
         return Ok(format!("cypressfork {}\n", env!("CARGO_PKG_VERSION")));
     }
@@ -91,6 +91,6 @@
     };
     let unknown = || Error::Usage(format!("there is no subcommand '{name}': see --help"));
     let command = ALL.iter().find(|c| c.name == name).ok_or_else(unknown)?;
-    let words = rest.to_vec();
-    (command.run)(&Context { options, words })
+    let args = rest.to_vec();
+    (command.run)(&Context { options, args })
 }
--- a/crates/cli/src/cmd/quarantine.rs
+++ b/crates/cli/src/cmd/quarantine.rs
@@ -1,4 +1,4 @@
-//! `cypressfork quarantine`: requests that are sent to no replica, and the word that one may be again.
+//! `cypressfork quarantine`: shows quarantined requests, or lifts the quarantine of one.
 
 use cypressfork_core::command::{Answer, Command};
 use cypressfork_core::fleet::fingerprint::Fingerprint;
@@ -10,16 +10,16 @@
 use crate::error::Error;
 use crate::table::table;
 
-/// The subcommand.
+/// `quarantine`: lists the quarantined requests, or lifts the quarantine of one.
 pub const COMMAND: Subcommand = Subcommand {
     name: "quarantine",
-    takes: "list | lift FINGERPRINT",
+    args: "list | lift FINGERPRINT",
     about: "show the requests that are sent to no replica, or let one be sent again",
     run,
 };
 
 fn run(cx: &Context) -> Result<String, Error> {
-    match cx.word(0, "list or lift")? {
+    match cx.arg(0, "list or lift")? {
         "list" => list(cx),
         "lift" => lift(cx),
         other => Err(Error::Usage(format!("'{other}' is not list or lift"))),
@@ -30,9 +30,9 @@
     let Reply::Quarantined(all) = cx.query(&Query::Quarantined)? else {
         return Err(Error::Unexpected);
     };
-    let head = ["FINGERPRINT", "CLIENT ACCOUNT", "REPLICAS ENDED", "SINCE", "LEFT", "TERM"];
+    let header = ["FINGERPRINT", "CLIENT ACCOUNT", "REPLICAS ENDED", "SINCE", "LEFT", "TERM"];
     let rows: Vec<_> = all.iter().map(row).collect();
-    Ok(cx.show(&all, || table(head, &rows)))
+    Ok(cx.render(&all, || table(header, &rows)))
 }
 
 fn row(q: &QuarantineStatus) -> [String; 6] {
@@ -49,13 +49,13 @@
 }
 
 fn lift(cx: &Context) -> Result<String, Error> {
-    let word = cx.word(1, "the fingerprint")?;
-    let bad = || Error::Usage(format!("'{word}' is no fingerprint: take 32 hexadecimal digits"));
-    let fingerprint: Fingerprint = word.parse().map_err(|_| bad())?;
+    let arg = cx.arg(1, "the fingerprint")?;
+    let bad = || Error::Usage(format!("'{arg}' is no fingerprint: take 32 hexadecimal digits"));
+    let fingerprint: Fingerprint = arg.parse().map_err(|_| bad())?;
     match cx.command(&Command::LiftQuarantine(fingerprint))? {
         Answer::Done => {}
         _ => return Err(Error::Unexpected),
     }
     let shown = json!({ "fingerprint": fingerprint.to_string(), "quarantined": false });
-    Ok(cx.show(&shown, || format!("{fingerprint} may be sent to replicas again\n")))
+    Ok(cx.render(&shown, || format!("{fingerprint} may be sent to replicas again\n")))
 }
--- a/crates/cli/src/cmd/rollout.rs
+++ b/crates/cli/src/cmd/rollout.rs
@@ -1,4 +1,4 @@
-//! `cypressfork rollout`: move a service's requests to replicas of another version.
+//! `cypressfork rollout`: moves the requests of a service to replicas of another version.
 
 use cypressfork_core::command::{Answer, Command};
 use cypressfork_core::fleet::rollout::Rollout;
@@ -11,18 +11,18 @@
 use crate::error::Error;
 use crate::table::table;
 
-/// The subcommand.
+/// `rollout`: starts, shows or aborts the rollout of a service's version.
 pub const COMMAND: Subcommand = Subcommand {
     name: "rollout",
-    takes: "start SERVICE VERSION SECONDS | status SERVICE | list | abort SERVICE",
+    args: "start SERVICE VERSION SECONDS | status SERVICE | list | abort SERVICE",
     about: "move a service's requests to replicas of another version, unless it turns out bad",
     run,
 };
 
 fn run(cx: &Context) -> Result<String, Error> {
-    match cx.word(0, "start, status, list or abort")? {
+    match cx.arg(0, "start, status, list or abort")? {
         "start" => start(cx),
-        "status" => show(cx, Some(cx.word(1, "the service")?.to_owned())),
+        "status" => show(cx, Some(cx.arg(1, "the service")?.to_owned())),
         "list" => show(cx, None),
         "abort" => abort(cx),
         other => Err(Error::Usage(format!("'{other}' is not start, status, list or abort"))),
@@ -30,24 +30,24 @@
 }
 
 fn start(cx: &Context) -> Result<String, Error> {
-    let service = cx.word(1, "the service")?.to_owned();
-    let version = cx.word(2, "the version")?.to_owned();
-    let word = cx.word(3, "the seconds that it may take")?;
-    let seconds: Option<u64> = word.parse().ok().filter(|s| *s > 0);
-    let bad = || Error::Usage(format!("'{word}' is no number of seconds"));
+    let service = cx.arg(1, "the service")?.to_owned();
+    let version = cx.arg(2, "the version")?.to_owned();
+    let arg = cx.arg(3, "the seconds that it may take")?;
+    let seconds: Option<u64> = arg.parse().ok().filter(|s| *s > 0);
+    let bad = || Error::Usage(format!("'{arg}' is no number of seconds"));
     let within = Millis::seconds(seconds.ok_or_else(bad)?);
     let command = Command::StartRollout { service: service.clone(), version, within };
-    done(cx.command(&command)?)?;
+    expect_done(cx.command(&command)?)?;
     show(cx, Some(service))
 }
 
 fn abort(cx: &Context) -> Result<String, Error> {
-    let service = cx.word(1, "the service")?.to_owned();
-    done(cx.command(&Command::AbortRollout(service.clone()))?)?;
+    let service = cx.arg(1, "the service")?.to_owned();
+    expect_done(cx.command(&Command::AbortRollout(service.clone()))?)?;
     show(cx, Some(service))
 }
 
-fn done(a: Answer) -> Result<(), Error> {
+fn expect_done(a: Answer) -> Result<(), Error> {
     match a {
         Answer::Done => Ok(()),
         Answer::Refused(code) => Err(code.into()),
@@ -63,10 +63,10 @@
     if one && all.is_empty() {
         return Err(cypressfork_core::code::Code::RolloutUnknown.into());
     }
-    let head = ["SERVICE", "VERSION", "STAGE", "ON TRIAL", "WITHIN", "WHY"];
+    let header = ["SERVICE", "VERSION", "STAGE", "ON TRIAL", "WITHIN", "WHY"];
     let rows: Vec<_> = all.iter().map(row).collect();
     let shown: Vec<_> = all.iter().map(|(s, r)| json!({ "service": s, "rollout": r })).collect();
-    Ok(cx.show(&shown, || table(head, &rows)))
+    Ok(cx.render(&shown, || table(header, &rows)))
 }
 
 fn row((service, r): &(String, Rollout)) -> [String; 6] {
--- a/crates/cli/src/cmd/shell.rs
+++ b/crates/cli/src/cmd/shell.rs
@@ -1,27 +1,27 @@
-//! `cypressfork completions` and `cypressfork manual`: made from the list of subcommands.
+//! `cypressfork completions` and `cypressfork manual`: generated from the list of subcommands.
 
 use super::{ALL, Subcommand};
 use crate::context::Context;
 use crate::error::Error;
 
-/// Prints completions.
+/// `completions`: prints the completion script of a shell.
 pub const COMPLETIONS: Subcommand = Subcommand {
     name: "completions",
-    takes: "bash|zsh|fish",
+    args: "bash|zsh|fish",
     about: "print completions for a shell",
     run: completions,
 };
 
-/// Prints the manual page.
+/// `manual`: prints the manual page.
 pub const MANUAL: Subcommand =
-    Subcommand { name: "manual", takes: "", about: "print the manual page", run: manual };
+    Subcommand { name: "manual", args: "", about: "print the manual page", run: manual };
 
 fn names() -> String {
     ALL.iter().map(|c| c.name).collect::<Vec<_>>().join(" ")
 }
 
 fn completions(cx: &Context) -> Result<String, Error> {
-    match cx.word(0, "the shell: bash, zsh or fish")? {
+    match cx.arg(0, "the shell: bash, zsh or fish")? {
         "bash" => Ok(format!(
             "_cypressfork() {{\n    local word=\"${{COMP_WORDS[COMP_CWORD]}}\"\n    if [ \"$COMP_CWORD\" -eq 1 ]; then\n        COMPREPLY=($(compgen -W \"{}\" -- \"$word\"))\n    else\n        COMPREPLY=($(compgen -f -- \"$word\"))\n    fi\n}}\ncomplete -F _cypressfork cypressfork\n",
             names()
@@ -49,7 +49,7 @@
 }
 
 fn manual(_: &Context) -> Result<String, Error> {
-    let entry = |c: &Subcommand| format!(".TP\n.B {} {}\n{}\n", c.name, c.takes, c.about);
+    let entry = |c: &Subcommand| format!(".TP\n.B {} {}\n{}\n", c.name, c.args, c.about);
     let commands: String = ALL.iter().map(entry).collect();
     Ok(format!(
         ".TH CYPRESSFORK 1\n.SH NAME\ncypressfork \\- operate a cypressfork fleet\n.SH SYNOPSIS\n.B cypressfork\nSUBCOMMAND [WORDS] [OPTIONS]\n.SH SUBCOMMANDS\n{commands}.SH OPTIONS\n.TP\n.B \\-\\-settings FILE\nsettings file, cypressfork.yaml if not given\n.TP\n.B \\-\\-json\nanswer in JSON\n.TP\n.B \\-\\-op ID\nid of the operation, to send it again\n.TP\n.B \\-\\-base VERSION\nversion that the change was made from\n.SH EXIT STATUS\n0 done, 2 invalid, 3 conflict, 4 out of reach, 64 bad command line, 78 bad settings.\n"
--- a/crates/cli/src/cmd/status.rs
+++ b/crates/cli/src/cmd/status.rs
@@ -1,4 +1,4 @@
-//! `cypressfork status`: the control group and the routers.
+//! `cypressfork status`: shows the state of the control group and of the routers.
 
 use cypressfork_core::query::{NodeStatus, Query, Reply, RouterStatus, Status};
 
@@ -7,22 +7,22 @@
 use crate::error::Error;
 use crate::table::table;
 
-/// The subcommand.
+/// `status`: shows the control group and the routers.
 pub const COMMAND: Subcommand = Subcommand {
     name: "status",
-    takes: "",
+    args: "",
     about: "show the control group, the routers, and who lags",
     run,
 };
 
 fn run(cx: &Context) -> Result<String, Error> {
     let Reply::Status(s) = cx.query(&Query::Status)? else { return Err(Error::Unexpected) };
-    Ok(cx.show(&s, || text(&s)))
+    Ok(cx.render(&s, || render(&s)))
 }
 
-fn text(s: &Status) -> String {
+fn render(s: &Status) -> String {
     let safe = if s.safe { "safe" } else { "not safe" };
-    let head = format!(
+    let summary = format!(
         "region {}: version {}, term {}, position {}\n{} more control VMs may be lost; replacing one now is {safe}\n\n",
         s.region, s.version, s.term, s.committed, s.spare
     );
@@ -30,15 +30,16 @@
         true => String::new(),
         false => format!("evacuated, no new work: {}\n\n", s.evacuated.join(", ")),
     };
-    let nodes: Vec<_> = s.nodes.iter().map(node).collect();
-    let routers: Vec<_> = s.routers.iter().map(|r| router(r, s.version)).collect();
-    head + &evacuated
+    let nodes: Vec<_> = s.nodes.iter().map(node_row).collect();
+    let routers: Vec<_> = s.routers.iter().map(|r| router_row(r, s.version)).collect();
+    summary
+        + &evacuated
         + &table(["CONTROL", "ADDRESS", "ROLE", "STATE", "BEHIND"], &nodes)
         + "\n"
         + &table(["ROUTER", "DATA CENTRE", "ADDRESS", "STATE", "VERSION", "SILENT"], &routers)
 }
 
-fn node(n: &NodeStatus) -> [String; 5] {
+fn node_row(n: &NodeStatus) -> [String; 5] {
     let role = match (n.leader, n.voter) {
         (true, _) => "leader",
         (false, true) => "voter",
@@ -49,7 +50,7 @@
     [format!("{:016x}", n.id), n.address.clone(), role.into(), state.into(), behind]
 }
 
-fn router(r: &RouterStatus, newest: u64) -> [String; 6] {
+fn router_row(r: &RouterStatus, newest: u64) -> [String; 6] {
     let state = match (r.leaving, r.site.usable) {
         (true, _) => "leaving",
         (false, true) => "serving",
--- a/crates/cli/src/cmd/trace.rs
+++ b/crates/cli/src/cmd/trace.rs
@@ -1,4 +1,4 @@
-//! `cypressfork trace`: what the logs of many processes say of one request.
+//! `cypressfork trace`: collects the lines about one request from the logs of several processes.
 
 use std::collections::VecDeque;
 use std::fs::File;
@@ -11,75 +11,75 @@
 use crate::error::Error;
 use crate::line::Line;
 
-/// The subcommand.
+/// `trace`: shows the log lines of a request, and the state of its processes just before it.
 pub const COMMAND: Subcommand = Subcommand {
     name: "trace",
-    takes: "REQUEST-ID LOG...",
+    args: "REQUEST-ID LOG...",
     about: "show what logs say of a request, and of its processes just before",
     run,
 };
 
-/// Events of single requests: those of others explain nothing.
-const OF_REQUESTS: [u16; 6] = [405, 407, 408, 415, 419, 420];
+/// Events of single requests. Those of other requests are left out of the context lines.
+const REQUEST_EVENTS: [u16; 6] = [405, 407, 408, 415, 419, 420];
 
-/// Lines of a process's own state that are shown from before a request's first line.
-const BEFORE: usize = 8;
+/// Maximum number of context lines: lines of a log just before the first line of the request.
+const MAX_CONTEXT_LINES: usize = 8;
 
-/// How long before it they may be, in milliseconds.
-const BEFORE_MS: u64 = 15_000;
+/// Maximum age of a context line at the first line of the request, in milliseconds.
+const MAX_CONTEXT_AGE_MS: u64 = 15_000;
 
-/// A line that is shown.
+/// A line of the output. Rows are sorted by the order of the fields.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 struct Row {
     ms: u64,
     log: String,
-    /// It names the request.
+    /// Whether the line names the request; context lines do not.
     own: bool,
     line: String,
 }
 
 fn run(cx: &Context) -> Result<String, Error> {
-    let id = cx.word(0, "the request's id")?;
-    cx.word(1, "a log to read")?;
+    let id = cx.arg(0, "the request's id")?;
+    cx.arg(1, "a log to read")?;
     let mut rows = Vec::new();
-    for log in &cx.words[1..] {
+    for log in &cx.args[1..] {
         rows.extend(read(log, id)?);
     }
     if rows.is_empty() {
         return Err(Error::Usage(format!("no log names the request '{id}'")));
     }
-    // Logs of different processes are put in order by their clocks, which may differ a little.
+    // The order across processes is only as exact as their clocks.
     rows.sort();
-    Ok(cx.show(&rows, || text(&rows)))
+    Ok(cx.render(&rows, || render(&rows)))
 }
 
-/// The rows of one log; it may be larger than memory.
+/// Returns the rows of one log. Reads it line by line, as it may be larger than memory.
 fn read(log: &str, id: &str) -> Result<Vec<Row>, Error> {
     let failed = |e: std::io::Error| Error::Document(log.to_owned(), e.to_string());
     let mut rows: Vec<Row> = Vec::new();
-    let mut before: VecDeque<Line> = VecDeque::new();
+    let mut context: VecDeque<Line> = VecDeque::new();
     for bytes in BufReader::new(File::open(log).map_err(failed)?).split(b'\n') {
         let bytes = bytes.map_err(failed)?;
-        let Some(line) = Line::read(String::from_utf8_lossy(&bytes).trim_end()) else { continue };
+        let Some(line) = Line::parse(String::from_utf8_lossy(&bytes).trim_end()) else { continue };
         let row = |l: Line, own| Row { ms: l.ms, log: log.to_owned(), own, line: l.text };
-        if line.names(id) {
+        if line.mentions(id) {
             if rows.is_empty() {
-                let recent = before.drain(..).filter(|l| l.ms + BEFORE_MS >= line.ms);
+                let recent = context.drain(..).filter(|l| l.ms + MAX_CONTEXT_AGE_MS >= line.ms);
                 rows.extend(recent.map(|l| row(l, false)));
             }
             rows.push(row(line, true));
-        } else if rows.is_empty() && !line.event.is_some_and(|e| OF_REQUESTS.contains(&e)) {
-            before.push_back(line);
-            if before.len() > BEFORE {
-                before.pop_front();
+        } else if rows.is_empty() && !line.event.is_some_and(|e| REQUEST_EVENTS.contains(&e)) {
+            context.push_back(line);
+            if context.len() > MAX_CONTEXT_LINES {
+                context.pop_front();
             }
         }
     }
     Ok(rows)
 }
 
-/// Lines that name the request are marked.
-fn text(rows: &[Row]) -> String {
+/// Formats the rows; an asterisk marks lines that name the request.
+fn render(rows: &[Row]) -> String {
     let mark = |r: &Row| if r.own { '*' } else { ' ' };
     rows.iter().map(|r| format!("{} {}: {}\n", mark(r), r.log, r.line)).collect()
 }
--- a/crates/cli/src/context.rs
+++ b/crates/cli/src/context.rs
@@ -1,4 +1,4 @@
-//! What every subcommand gets: its words, the settings, and the control group.
+//! The context of a subcommand: its arguments, the settings, and access to the control group.
 
 use std::path::Path;
 use std::time::Duration;
@@ -14,74 +14,77 @@
 use crate::error::Error;
 use crate::settings::{File, Settings};
 
-/// How long an operation may take.
-const WITHIN: Duration = Duration::from_secs(10);
+/// Timeout of one operation.
+const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Where the settings are, unless `--settings` says otherwise.
-const SETTINGS: &str = "cypressfork.yaml";
+/// Path of the settings file if `--settings` is not given.
+const DEFAULT_SETTINGS_PATH: &str = "cypressfork.yaml";
 
-/// What a subcommand gets.
+/// The parsed command line of a subcommand.
 pub struct Context {
-    /// The options.
+    /// The parsed options.
     pub options: Matches,
-    /// The words after the subcommand.
-    pub words: Vec<String>,
+    /// The positional arguments after the name of the subcommand.
+    pub args: Vec<String>,
 }
 
 impl Context {
-    /// Word `n`, or an error that says what is missing.
-    pub fn word(&self, n: usize, what: &str) -> Result<&str, Error> {
+    /// Returns positional argument `n`, or a usage error: "`what` is missing".
+    pub fn arg(&self, n: usize, what: &str) -> Result<&str, Error> {
         let missing = || Error::Usage(format!("{what} is missing"));
-        self.words.get(n).map(String::as_str).ok_or_else(missing)
+        self.args.get(n).map(String::as_str).ok_or_else(missing)
     }
 
-    /// Word `n` as a number.
-    pub fn number(&self, n: usize, what: &str) -> Result<u64, Error> {
-        let word = self.word(n, what)?;
-        let bad = |_| Error::Usage(format!("{what} cannot be '{word}': take a whole number"));
-        word.replace('_', "").parse().map_err(bad)
+    /// Returns positional argument `n` as a number; underscores between digits are ignored.
+    ///
+    /// Fails with a usage error if the argument is missing or not a whole number.
+    pub fn number_arg(&self, n: usize, what: &str) -> Result<u64, Error> {
+        let arg = self.arg(n, what)?;
+        let bad = |_| Error::Usage(format!("{what} cannot be '{arg}': take a whole number"));
+        arg.replace('_', "").parse().map_err(bad)
     }
 
-    /// The settings.
+    /// Loads and checks the settings file.
     pub fn settings(&self) -> Result<Settings, Error> {
-        let path = self.options.opt_str("settings").unwrap_or_else(|| SETTINGS.to_owned());
+        let path =
+            self.options.opt_str("settings").unwrap_or_else(|| DEFAULT_SETTINGS_PATH.to_owned());
         Ok(load::<File>(Path::new(&path))?)
     }
 
-    /// The operation's id: given for a resend, or drawn.
+    /// Returns the id of the operation: the value of `--op`, given to resend an operation, or a new random id.
     pub fn op(&self) -> String {
         self.options.opt_str("op").unwrap_or_else(|| format!("{:032x}", rand::random::<u128>()))
     }
 
-    /// Who the operator is on links.
+    /// Returns the credentials with which the operator authenticates to control processes.
     pub fn credentials(&self) -> Result<Credentials, Error> {
         let s = self.settings()?;
         Ok(Credentials { key: s.key, cluster: s.cluster, name: s.operator })
     }
 
-    /// The control group.
+    /// Returns a client of the control group in the settings.
     pub fn group(&self) -> Result<GroupClient, Error> {
         Ok(GroupClient::new(self.credentials()?, self.settings()?.control))
     }
 
-    /// Has a command committed.
+    /// Commits a command through the control group and returns its answer; a refusal becomes an error.
     pub fn command(&self, c: &Command) -> Result<Answer, Error> {
         let group = self.group()?;
-        let answer = actix_rt::System::new().block_on(group.command(c, WITHIN))?;
+        let answer = actix_rt::System::new().block_on(group.command(c, TIMEOUT))?;
         match answer {
             Answer::Refused(code) => Err(code.into()),
             a => Ok(a),
         }
     }
 
-    /// Has a query answered.
+    /// Sends a query to the control group and returns the reply.
     pub fn query(&self, q: &Query) -> Result<Reply, Error> {
         let group = self.group()?;
-        Ok(actix_rt::System::new().block_on(group.query(q, WITHIN))?)
+        Ok(actix_rt::System::new().block_on(group.query(q, TIMEOUT))?)
     }
 
-    /// `v` as JSON if `--json` was given, else `text`.
-    pub fn show<T: Serialize>(&self, v: &T, text: impl FnOnce() -> String) -> String {
+    /// Returns the output of a subcommand: `v` as JSON if `--json` is given, else `text`.
+    pub fn render<T: Serialize>(&self, v: &T, text: impl FnOnce() -> String) -> String {
         if !self.options.opt_present("json") {
             return text();
         }
--- a/crates/cli/src/document.rs
+++ b/crates/cli/src/document.rs
@@ -7,7 +7,7 @@
 
 use crate::error::Error;
 
-/// A document: any number of templates and applications, and what is to be removed.
+/// A document: templates and applications to add, replace or remove.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Document {
@@ -15,32 +15,36 @@
     pub templates: Vec<Template>,
     /// Applications to add or replace.
     pub applications: Vec<Application>,
-    /// Names to remove.
+    /// Objects to remove.
     pub remove: Remove,
 }
 
-/// Names to remove.
+/// The names of the objects to remove.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Remove {
-    /// Of templates.
+    /// Names of templates.
     pub templates: Vec<String>,
-    /// Of applications.
+    /// Names of applications.
     pub applications: Vec<String>,
 }
 
 impl Document {
-    /// The parts of the change.
+    /// Returns the items of the change: additions and replacements first, then removals of applications, then of
+    /// templates.
     pub fn into_items(self) -> Vec<Item> {
         let templates = self.templates.into_iter().map(Item::Template);
         let applications = self.applications.into_iter().map(Item::Application);
-        let gone = self.remove.applications.into_iter().map(Item::RemoveApplication);
-        let dropped = self.remove.templates.into_iter().map(Item::RemoveTemplate);
-        templates.chain(applications).chain(gone).chain(dropped).collect()
+        let removed_applications =
+            self.remove.applications.into_iter().map(Item::RemoveApplication);
+        let removed_templates = self.remove.templates.into_iter().map(Item::RemoveTemplate);
+        templates.chain(applications).chain(removed_applications).chain(removed_templates).collect()
     }
 }
 
-/// Reads the documents in `paths` as one change.
+/// Reads the files in `paths` and returns their items as one change.
+///
+/// Fails on the first file that cannot be read or is not a valid document.
 pub fn read(paths: &[String]) -> Result<Vec<Item>, Error> {
     let mut items = Vec::new();
     for path in paths {
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,4 +1,4 @@
-//! The operator's command line, as a library for its tests.
+//! The command line of the operator, as a library so that tests can call it.
 
 pub mod cmd;
 pub mod context;
--- a/crates/cli/src/line.rs
+++ b/crates/cli/src/line.rs
@@ -1,27 +1,28 @@
-//! Log lines, in both forms in which processes write them.
+//! Parses log lines, in the JSON and the plain text form that processes write.
 
 use serde_json::Value;
 
-/// One log line.
+/// A parsed log line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Line {
-    /// When it was written, in milliseconds since 1970.
+    /// Timestamp in milliseconds since the Unix epoch.
     pub ms: u64,
-    /// The event's number, if it tells one.
+    /// Number of the event, if the line has one.
     pub event: Option<u16>,
-    /// The line as written.
+    /// The unparsed line.
     pub text: String,
 }
 
 impl Line {
-    /// Reads a line; none if it is not one of a log, such as the message of a panic.
-    pub fn read(text: &str) -> Option<Line> {
-        let (ms, event) = if text.starts_with('{') { json(text)? } else { plain(text)? };
+    /// Parses a line; returns `None` for other text, such as the message of a panic.
+    pub fn parse(text: &str) -> Option<Line> {
+        let (ms, event) =
+            if text.starts_with('{') { parse_json(text)? } else { parse_plain(text)? };
         Some(Line { ms, event, text: text.to_owned() })
     }
 
-    /// Whether it names `id`, as a whole value.
-    pub fn names(&self, id: &str) -> bool {
+    /// Returns whether the value of any field equals `id`.
+    pub fn mentions(&self, id: &str) -> bool {
         match serde_json::from_str::<Value>(&self.text) {
             Ok(Value::Object(fields)) => fields.values().any(|v| v.as_str() == Some(id)),
             _ => self.text.split(' ').any(|w| w.split_once('=').is_some_and(|(_, v)| v == id)),
@@ -29,15 +30,15 @@
     }
 }
 
-fn json(text: &str) -> Option<(u64, Option<u16>)> {
+fn parse_json(text: &str) -> Option<(u64, Option<u16>)> {
     let v: Value = serde_json::from_str(text).ok()?;
     let event = v["event"].as_u64().and_then(|n| u16::try_from(n).ok());
     Some((v["ms"].as_u64()?, event))
 }
 
-fn plain(text: &str) -> Option<(u64, Option<u16>)> {
-    let mut words = text.split(' ');
-    let ms = words.next()?.parse().ok()?;
-    let event = words.nth(1).and_then(|w| w.strip_prefix("CFE")).and_then(|n| n.parse().ok());
+fn parse_plain(text: &str) -> Option<(u64, Option<u16>)> {
+    let mut fields = text.split(' ');
+    let ms = fields.next()?.parse().ok()?;
+    let event = fields.nth(1).and_then(|w| w.strip_prefix("CFE")).and_then(|n| n.parse().ok());
     Some((ms, event))
 }
--- a/crates/cli/src/settings.rs
+++ b/crates/cli/src/settings.rs
@@ -1,4 +1,4 @@
-//! The operator's settings.
+//! The settings of the command line.
 
 use std::net::SocketAddr;
 
@@ -6,29 +6,29 @@
 use cypressfork_wire::auth::Key;
 use serde::{Deserialize, Serialize};
 
-/// The settings file.
+/// The settings file as written, before it is checked.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct File {
     /// Name of the cluster.
     pub cluster: String,
-    /// File with the cluster's key.
+    /// Path of the file with the cluster's key.
     pub key_file: String,
-    /// Addresses of the region's control processes.
+    /// Addresses of the control processes of the region.
     pub control: Vec<String>,
-    /// Who the operator is; the history shows it.
+    /// Name of the operator, as recorded in the history.
     pub operator: String,
 }
 
-/// The settings, checked.
+/// The checked settings.
 pub struct Settings {
     /// Name of the cluster.
     pub cluster: String,
     /// The cluster's key.
     pub key: Key,
-    /// Addresses of the region's control processes.
+    /// Addresses of the control processes of the region.
     pub control: Vec<SocketAddr>,
-    /// Who the operator is.
+    /// Name of the operator.
     pub operator: String,
 }
 
--- a/crates/cli/tests/trace.rs
+++ b/crates/cli/tests/trace.rs
@@ -1,4 +1,4 @@
-//! What logs say of one request.
+//! Tests of `cypressfork trace` and of the parsing of log lines.
 
 #![allow(missing_docs)]
 
@@ -21,7 +21,7 @@
 #[case::a_panic("thread 'main' panicked at src/main.rs:1", None)]
 #[case::nothing("", None)]
 fn log_lines_are_read(#[case] text: &str, #[case] read: Option<(u64, Option<u16>)>) {
-    assert_eq!(Line::read(text).map(|l| (l.ms, l.event)), read);
+    assert_eq!(Line::parse(text).map(|l| (l.ms, l.event)), read);
 }
 
 #[rstest]
@@ -31,7 +31,7 @@
 #[case::plain("5 INFO CFE420 refused id=r-1 code=1203", true)]
 #[case::plain_a_longer_id("5 INFO CFE420 refused id=r-10 code=1203", false)]
 fn a_line_names_whole_ids(#[case] text: &str, #[case] names: bool) {
-    assert_eq!(Line::read(text).unwrap().names("r-1"), names);
+    assert_eq!(Line::parse(text).unwrap().mentions("r-1"), names);
 }
 
 fn log(dir: &Path, name: &str, text: &str) -> String {
@@ -40,12 +40,12 @@
     path.display().to_string()
 }
 
-fn trace(words: &[&str]) -> Result<String, String> {
-    let words: Vec<String> = ["trace"].iter().chain(words).map(|w| (*w).to_owned()).collect();
-    cmd::run(&words).map_err(|e| e.to_string())
+fn trace(args: &[&str]) -> Result<String, String> {
+    let args: Vec<String> = ["trace"].iter().chain(args).map(|a| (*a).to_owned()).collect();
+    cmd::run(&args).map_err(|e| e.to_string())
 }
 
-/// Two gateways had the request; the first had just lost the control group.
+/// Logs of two gateways that handled the same request; the first had just lost its connection to the control group.
 const FIRST: &str = r#"{"ms":1,"level":"INFO","event":101,"text":"the process serves"}
 {"ms":50000,"level":"WARN","event":403,"text":"the control group is out of reach"}
 {"ms":50500,"level":"INFO","event":420,"text":"a request is refused","id":"r-0"}
@@ -82,8 +82,8 @@
 #[case::no_id(&[], "CF3006: the request's id is missing")]
 #[case::no_log(&["r-1"], "CF3006: a log to read is missing")]
 #[case::no_such_log(&["r-1", "/nowhere/a.log"], "CF3002: could not read /nowhere/a.log")]
-fn what_is_missing_is_said(#[case] words: &[&str], #[case] said: &str) {
-    let e = trace(words).unwrap_err();
+fn what_is_missing_is_said(#[case] args: &[&str], #[case] said: &str) {
+    let e = trace(args).unwrap_err();
     assert!(e.starts_with(said), "{e}");
 }
 
