--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,9 +1,9 @@
-//! A randomized soak: the real programs as separate processes on loopback, faults from outside
-//! them, and the system's promises checked from what callers, replicas and operators see.
+//! Randomized soak test: runs the real programs as separate processes on loopback, injects faults from
+//! outside and checks the system's guarantees against what callers, replicas and operators observe.
 //!
-//! A seed gives a [`plan`]; [`run`] plays it with [`fleet`] processes behind [`proxy`]s, stand-in
-//! [`replica`]s, [`caller`]s and an [`operator`]; all that they see goes into a [`history`], over
-//! which [`check`] decides.
+//! A seed determines a [`plan`]. [`run`] executes it with [`fleet`] processes behind [`proxy`]s,
+//! simulated [`replica`]s, [`caller`]s and an [`operator`]. Their observations are recorded in a
+//! [`history`], which [`check`] evaluates.
 
 pub mod caller;
 pub mod check;
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,19 +1,19 @@
-//! `cypressfork-soak`: plays seeds of faults against the real programs.
+//! `cypressfork-soak`: runs the real programs under faults drawn from seeds.
 
 use std::process::ExitCode;
 
 use cypressfork_soak::command::{Args, args, run};
 
 fn main() -> ExitCode {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    match args(&words) {
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    match args(&arguments) {
         Ok(Args::Run(options)) => run(&options),
         Ok(Args::Print(text)) => {
             print!("{text}");
             ExitCode::SUCCESS
         }
-        Err(why) => {
-            eprintln!("cypressfork-soak: {why}");
+        Err(e) => {
+            eprintln!("cypressfork-soak: {e}");
             ExitCode::from(64)
         }
     }
--- a/crates/soak/src/operator.rs
+++ b/crates/soak/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operator: sends documents and reads them back.
+//! Simulated operator: publishes documents and reads back the version in force.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,54 +13,57 @@
 use crate::http::call;
 use crate::world::World;
 
-/// How long one call may take.
-const CALL_WITHIN: Duration = Duration::from_secs(3);
+/// Timeout of one call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How long to wait after a call that was not answered.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Delay before an unacknowledged document is sent again.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// How often a document that was not acknowledged is sent again.
-const TRIES: usize = 100;
+/// Maximum number of attempts to publish a document.
+const MAX_ATTEMPTS: usize = 100;
 
-/// How often the document in force is read back, and gateways are asked for theirs.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
+/// Interval between reads of the document, and between polls of each gateway.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long a gateway may take to tell its version.
-const TELL_WITHIN: Duration = Duration::from_millis(500);
+/// Timeout for reading the version of a gateway.
+const READYZ_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Sends the next document until it is acknowledged. Returns whether it was.
+/// Publishes a document of the next version with `more` additional routes, retrying until it is
+/// acknowledged. Returns whether it was.
 pub async fn publish(w: &Rc<World>, more: usize) -> bool {
     let version = w.sent.get() + 1;
     w.sent.set(version);
     send(w, version, more).await
 }
 
-/// Sends a document of `version` until it is acknowledged.
+/// Sends a document of `version` with `more` additional routes, retrying until it is acknowledged.
+/// Returns whether it was.
 pub async fn send(w: &Rc<World>, version: u64, more: usize) -> bool {
     let body = Bytes::from(document(version, more));
-    for _ in 0..TRIES {
-        let answer = call(w.any_api(), Method::PUT, "/v1/document", body.clone(), CALL_WITHIN);
+    for _ in 0..MAX_ATTEMPTS {
+        let answer = call(w.any_api(), Method::PUT, "/v1/document", body.clone(), CALL_TIMEOUT);
         if let Some((200, _)) = answer.await {
-            note(w, version, Some(w.at()));
+            record_change(w, version, Some(w.at()));
             return true;
         }
-        sleep(PAUSE).await;
+        sleep(RETRY_DELAY).await;
     }
-    note(w, version, None);
+    record_change(w, version, None);
     false
 }
 
-fn note(w: &World, version: u64, acked: Option<At>) {
+fn record_change(w: &World, version: u64, acked: Option<At>) {
     if acked.is_some() {
         w.acked.set(w.acked.get().max(version));
     }
     w.history.borrow_mut().changes.push(Change { version, acked });
 }
 
-/// The version in force, as a control process reads it.
+/// Reads the document version in force from a random control process and records the result. Returns
+/// `None` if the call fails.
 pub async fn read(w: &World) -> Option<u64> {
     let sent = w.at();
-    let answer = call(w.any_api(), Method::GET, "/v1/document", Bytes::new(), CALL_WITHIN).await;
+    let answer = call(w.any_api(), Method::GET, "/v1/document", Bytes::new(), CALL_TIMEOUT).await;
     let Some((200, body)) = answer else {
         w.history.borrow_mut().unread.push(Unread { sent, ended: w.at() });
         return None;
@@ -70,24 +73,24 @@
     Some(version)
 }
 
-/// Reads the document back again and again.
+/// Reads the document version in force at intervals.
 pub async fn read_forever(w: Rc<World>) {
     loop {
-        sleep(LOOK_EVERY).await;
+        sleep(POLL_INTERVAL).await;
         read(&w).await;
     }
 }
 
-/// Asks a gateway for its version again and again.
+/// Polls the document version of a gateway at intervals and records it.
 pub async fn watch_gateway(w: Rc<World>, gateway: usize) {
     loop {
-        sleep(LOOK_EVERY).await;
+        sleep(POLL_INTERVAL).await;
         let incarnation = w.incarnations[gateway].get();
         let to = w.operators[gateway];
-        let answer = call(to, Method::GET, "/readyz", Bytes::new(), TELL_WITHIN).await;
+        let answer = call(to, Method::GET, "/readyz", Bytes::new(), READYZ_TIMEOUT).await;
         let Some((_, body)) = answer else { continue };
         let Ok(v) = serde_json::from_slice::<Value>(&body) else { continue };
-        // One that was started again meanwhile may have given the answer.
+        // If the gateway restarted meanwhile, the incarnation of the response is unknown.
         if let (Some(version), true) =
             (v["document"].as_u64(), w.incarnations[gateway].get() == incarnation)
         {
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,302 +1,305 @@
-//! What a seed does to a fleet, and when.
+//! Fault plans: the fleet size and the timed faults that a seed determines.
 
 use std::fmt;
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// How large a fleet is.
+/// Number of processes, replicas and callers of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Size {
-    /// Control processes.
+    /// Number of control processes.
     pub controls: usize,
-    /// Gateways.
+    /// Number of gateways.
     pub gateways: usize,
-    /// Replicas of the service of streams.
+    /// Number of replicas of the streaming service `talk`.
     pub talk: usize,
-    /// Replicas of the plain service.
+    /// Number of replicas of the plain service `board`.
     pub board: usize,
-    /// Callers.
+    /// Number of concurrent callers.
     pub callers: usize,
 }
 
-/// One thing done to a fleet.
+/// A fault injected into a fleet. Processes and replicas are given by index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A gateway is killed and started again.
+    /// Kills a gateway and restarts it.
     KillGateway(usize),
-    /// A control process is killed and started again.
+    /// Kills a control process and restarts it.
     KillControl(usize),
-    /// All control processes are killed at the same moment and started again.
+    /// Kills all control processes at once and restarts them.
     KillControls,
-    /// All processes are killed at the same moment and started again.
+    /// Kills all processes at once and restarts them.
     KillAll,
-    /// The first two seeds are away for so long that their group goes on without them as members.
+    /// Kills the first two seeds and keeps them down until the group has removed them as members.
     SeedsAway,
-    /// A control process is killed, its disk emptied, and it is started again.
+    /// Kills a control process, empties its disk and restarts it.
     EmptyDisk(usize),
-    /// A gateway stands still.
+    /// Suspends a gateway with `SIGSTOP`.
     PauseGateway(usize),
-    /// A control process stands still.
+    /// Suspends a control process with `SIGSTOP`.
     PauseControl(usize),
-    /// A gateway is asked to stop, and started again once it has ended.
+    /// Stops a gateway gracefully and restarts it after it has exited.
     StopGateway(usize),
-    /// A control process is asked to stop, and started again once it has ended.
+    /// Stops a control process gracefully and restarts it after it has exited.
     StopControl(usize),
-    /// Nothing from or to a gateway arrives at other processes.
+    /// Partitions a gateway from all other processes, in both directions.
     CutGateway(usize),
-    /// Nothing from or to a control process arrives at other processes.
+    /// Partitions a control process from all other processes, in both directions.
     CutControl(usize),
-    /// Nothing from any gateway arrives at any control process, and back.
+    /// Partitions all gateways from all control processes, in both directions.
     CutAllGateways,
-    /// A control process is heard, and hears nothing.
+    /// Drops all traffic to a control process; what it sends still arrives.
     DeafControl(usize),
-    /// Links to a control process or gateway (counted after them) take so many milliseconds.
+    /// Delays links of one process by a number of milliseconds. Indexes of gateways follow those of
+    /// control processes.
     Delay(usize, u64),
-    /// Open links of all processes are reset.
+    /// Resets the open links between all processes.
     Reset,
-    /// A replica of streams is gone at once; another starts elsewhere.
+    /// Crashes a `talk` replica and starts one at another address.
     CrashTalk(usize),
-    /// A plain replica is gone at once; another starts elsewhere.
+    /// Crashes a `board` replica and starts one at another address.
     CrashBoard(usize),
-    /// A replica of streams says that it leaves; another starts before.
+    /// Starts a `talk` replica, then drains another through its heartbeat.
     LeaveTalk(usize),
-    /// A plain replica says that it leaves; another starts before.
+    /// Starts a `board` replica, then drains another through its heartbeat.
     LeaveBoard(usize),
-    /// Connections of a replica of streams are reset now and then.
+    /// Resets the connections of a `talk` replica at intervals.
     GreyTalk(usize),
-    /// A plain replica rejects what it gets.
+    /// Makes a `board` replica reject all requests.
     FullBoard(usize),
-    /// A document with so many more routes.
+    /// Publishes a document with this number of additional routes.
     Grow(usize),
-    /// Several documents in quick succession.
+    /// Publishes this number of documents in quick succession.
     Storm(usize),
-    /// Two documents of the same version, and an older one again.
+    /// Publishes two different documents of the same version concurrently, then an older version.
     Race,
 }
 
-/// A fault with its time.
+/// A fault with its start and duration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Step {
-    /// When, in milliseconds since requests began.
+    /// Start, in milliseconds since the callers started.
     pub at: u64,
-    /// How long it lasts, in milliseconds, where it does.
+    /// Duration in milliseconds; unused by faults that happen at once.
     pub span: u64,
-    /// What.
+    /// The fault.
     pub fault: Fault,
 }
 
-/// A request that ends every replica that runs it, and is sent again and again.
+/// A request that crashes every replica that runs it and is sent repeatedly.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Poison {
-    /// Its number; an odd one is for the service of streams.
+    /// Number of the request; odd numbers go to the streaming service.
     pub number: usize,
-    /// When it is sent first, in milliseconds.
+    /// Time of the first send, in milliseconds.
     pub at: u64,
-    /// For how long, in milliseconds.
+    /// Duration in milliseconds.
     pub span: u64,
 }
 
-/// Replicas that name a limit in their answers.
+/// A rate limit that replicas announce in their responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limiting {
-    /// The replicas are of the service of streams, or of the plain one.
+    /// Whether the replicas belong to `talk`; otherwise to `board`.
     pub talk: bool,
-    /// One of them, counted round; none: all.
+    /// Index of the replica, modulo the number of running replicas; `None` means all.
     pub replica: Option<usize>,
-    /// Thousandths of a request a second.
+    /// The limit, in thousandths of a request per second.
     pub thousandths: u64,
-    /// From when on, in milliseconds.
+    /// Start, in milliseconds.
     pub at: u64,
-    /// For how long, in milliseconds.
+    /// Duration in milliseconds.
     pub span: u64,
 }
 
-/// Replicas that turn requests away and ask for rest.
+/// Replicas that reject requests with `Retry-After`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Resting {
-    /// The replicas are of the service of streams, or of the plain one.
+    /// Whether the replicas belong to `talk`; otherwise to `board`.
     pub talk: bool,
-    /// One of them, counted round; none: all.
+    /// Index of the replica, modulo the number of running replicas; `None` means all.
     pub replica: Option<usize>,
-    /// The rest that they ask for, in milliseconds.
+    /// The value of `Retry-After`, in milliseconds.
     pub rest: u64,
-    /// Of a hundred requests, those that they turn away.
+    /// Percentage of requests that are rejected.
     pub share: u32,
-    /// From when on, in milliseconds.
+    /// Start, in milliseconds.
     pub at: u64,
-    /// For how long, in milliseconds.
+    /// Duration in milliseconds.
     pub span: u64,
 }
 
-/// A replica that says in its answers alone that it leaves; another starts before.
+/// A replica that announces its drain only in its responses, after another has started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuietLeave {
-    /// It is of the service of streams, or of the plain one.
+    /// Whether the replica belongs to `talk`; otherwise to `board`.
     pub talk: bool,
-    /// Which of them, counted round.
+    /// Index of the replica, modulo the number of running replicas.
     pub replica: usize,
-    /// When, in milliseconds.
+    /// Start, in milliseconds.
     pub at: u64,
 }
 
-/// What a seed does.
+/// The fleet and the faults of one run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The seed.
+    /// The seed that the plan is drawn from.
     pub seed: u64,
-    /// How large the fleet is.
+    /// Size of the fleet.
     pub size: Size,
-    /// When the last fault has ended, in milliseconds.
+    /// Time by which all faults have ended, in milliseconds.
     pub healed: u64,
-    /// The faults in the order of their times.
+    /// The faults, ordered by start.
     pub steps: Vec<Step>,
-    /// Requests that end their replicas.
+    /// Requests that crash their replicas.
     pub poisons: Vec<Poison>,
-    /// Replicas that name limits.
+    /// Rate limits that replicas announce.
     pub limits: Vec<Limiting>,
-    /// Replicas that ask for rest.
+    /// Periods in which replicas reject requests with `Retry-After`.
     pub rests: Vec<Resting>,
-    /// Replicas that say in their answers alone that they leave.
+    /// Drains that replicas announce only in their responses.
     pub quiet_leaves: Vec<QuietLeave>,
 }
 
-/// Faults of one run: the fewest and the most.
-const STEPS: (usize, usize) = (5, 14);
+/// Minimum and maximum number of steps in a run.
+const STEP_COUNT: (usize, usize) = (5, 14);
 
-/// How long one lasts, in milliseconds: the shortest and the longest.
-const SPAN: (u64, u64) = (200, 3_500);
+/// Minimum and maximum duration of a step, in milliseconds.
+const STEP_SPAN_MS: (u64, u64) = (200, 3_500);
 
-/// Time before the first fault, in milliseconds.
-const QUIET_BEFORE: u64 = 1_000;
+/// Time without faults at the start of a run, in milliseconds.
+const QUIET_START_MS: u64 = 1_000;
 
-/// The size of a usual fleet.
-fn small(rng: &mut SmallRng) -> Size {
+/// Draws the size of a draw_small_size fleet.
+fn draw_small_size(rng: &mut SmallRng) -> Size {
     let controls = if rng.random_bool(0.6) { 3 } else { 5 };
     let (gateways, talk, board) =
         (rng.random_range(2..=5), rng.random_range(2..=4), rng.random_range(2..=3));
     Size { controls, gateways, talk, board, callers: rng.random_range(6..=14) }
 }
 
-/// The size of a fleet with as many processes as a machine of 8 cores bears, gateways enough in one
-/// data centre for budgets to have homes.
+/// Size of a large fleet: fits a machine with 8 cores and has enough gateways in one data centre for
+/// budgets to be assigned home gateways.
 const LARGE: Size = Size { controls: 9, gateways: 40, talk: 8, board: 4, callers: 30 };
 
 impl Plan {
-    /// The plan of a seed whose faults last `millis` in all.
+    /// Draws the plan of a seed; all its faults end within `millis` milliseconds.
     pub fn draw(seed: u64, millis: u64, large: bool) -> Plan {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let size = if large { LARGE } else { small(&mut rng) };
-        let n = rng.random_range(STEPS.0..=STEPS.1);
+        let size = if large { LARGE } else { draw_small_size(&mut rng) };
+        let n = rng.random_range(STEP_COUNT.0..=STEP_COUNT.1);
         let mut steps: Vec<_> = (0..n).map(|_| step(&mut rng, &size, millis)).collect();
-        steps.extend(seeds_away(seed, &size, millis));
+        steps.extend(draw_seeds_away(seed, &size, millis));
         steps.sort_by_key(|s| s.at);
-        keep_one_emptied_disk(&mut steps);
+        keep_first_emptied_disk(&mut steps);
         let (poisons, limits) = (poisons(seed, millis), limits(seed, millis));
         let (rests, quiet_leaves) = (rests(seed, millis), quiet_leaves(seed, millis));
         Plan { seed, size, healed: millis, steps, poisons, limits, rests, quiet_leaves }
     }
 }
 
-/// Of a hundred seeds, those with requests that end their replicas.
-const POISONED: u32 = 50;
+/// Percentage of seeds with poison requests.
+const POISONED_PERCENT: u32 = 50;
 
-/// The most of them in one run.
-const POISONS: usize = 2;
+/// Maximum number of poison requests in a run.
+const MAX_POISONS: usize = 2;
 
-/// How long they are sent, in milliseconds.
-const POISON_SPAN: (u64, u64) = (1_500, 4_000);
+/// Minimum and maximum time for which a poison request is sent, in milliseconds.
+const POISON_SPAN_MS: (u64, u64) = (1_500, 4_000);
 
-/// Requests that end their replicas, from a draw of its own: the steps of a seed stay as they are.
+/// Draws the poison requests. A separate generator leaves the steps of a seed unchanged.
 fn poisons(seed: u64, millis: u64) -> Vec<Poison> {
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x9e37_79b9_7f4a_7c15);
-    if rng.random_range(0..100) >= POISONED {
+    if rng.random_range(0..100) >= POISONED_PERCENT {
         return Vec::new();
     }
     let poison = |rng: &mut SmallRng, n: usize| {
-        let span = rng.random_range(POISON_SPAN.0..=POISON_SPAN.1).min(millis);
+        let span = rng.random_range(POISON_SPAN_MS.0..=POISON_SPAN_MS.1).min(millis);
         let at = rng.random_range(0..=millis - span);
         Poison { number: 2 * n + rng.random_range(0..2), at, span }
     };
-    (0..rng.random_range(1..=POISONS)).map(|n| poison(&mut rng, n)).collect()
+    (0..rng.random_range(1..=MAX_POISONS)).map(|n| poison(&mut rng, n)).collect()
 }
 
-/// Of a hundred seeds, those with replicas that name limits.
-const LIMITED: u32 = 60;
+/// Percentage of seeds with rate limits.
+const LIMITED_PERCENT: u32 = 60;
 
-/// The most times that some do in one run.
-const LIMITS: usize = 3;
+/// Maximum number of rate limits in a run.
+const MAX_LIMITS: usize = 3;
 
-/// For how long they name one, in milliseconds: longer than what counts for nothing at the beginning.
-const LIMIT_SPAN: (u64, u64) = (4_500, 9_000);
+/// Minimum and maximum duration of a rate limit, in milliseconds. The check ignores the first part
+/// (`limit_counts_after_ms`), so every limit lasts longer than that.
+const LIMIT_SPAN_MS: (u64, u64) = (4_500, 9_000);
 
-/// What they name, in thousandths of a request a second.
-const NAMED: [u64; 6] = [0, 500, 1_000, 2_000, 5_000, 20_000];
+/// Announced rate limits, in thousandths of a request per second.
+const LIMIT_VALUES: [u64; 6] = [0, 500, 1_000, 2_000, 5_000, 20_000];
 
-/// Replicas that name limits, from a draw of its own: the steps of a seed stay as they are.
+/// Draws the rate limits. A separate generator leaves the steps of a seed unchanged.
 fn limits(seed: u64, millis: u64) -> Vec<Limiting> {
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x5851_f42d_4c95_7f2d);
-    if rng.random_range(0..100) >= LIMITED {
+    if rng.random_range(0..100) >= LIMITED_PERCENT {
         return Vec::new();
     }
     let limiting = |rng: &mut SmallRng| {
-        let span = rng.random_range(LIMIT_SPAN.0..=LIMIT_SPAN.1).min(millis);
+        let span = rng.random_range(LIMIT_SPAN_MS.0..=LIMIT_SPAN_MS.1).min(millis);
         Limiting {
             talk: rng.random(),
             replica: rng.random_bool(0.6).then(|| rng.random_range(0..8)),
-            thousandths: NAMED[rng.random_range(0..NAMED.len())],
+            thousandths: LIMIT_VALUES[rng.random_range(0..LIMIT_VALUES.len())],
             at: rng.random_range(0..=millis - span),
             span,
         }
     };
-    (0..rng.random_range(1..=LIMITS)).map(|_| limiting(&mut rng)).collect()
+    (0..rng.random_range(1..=MAX_LIMITS)).map(|_| limiting(&mut rng)).collect()
 }
 
-/// Of a hundred seeds, those with replicas that ask for rest.
-const RESTED: u32 = 60;
+/// Percentage of seeds with replicas that send `Retry-After`.
+const RESTS_PERCENT: u32 = 60;
 
-/// The most times that some do in one run.
-const RESTS: usize = 3;
+/// Maximum number of `Retry-After` periods in a run.
+const MAX_RESTS: usize = 3;
 
-/// For how long they turn requests away, in milliseconds.
-const REST_SPAN: (u64, u64) = (1_000, 8_000);
+/// Minimum and maximum duration of a `Retry-After` period, in milliseconds.
+const REST_SPAN_MS: (u64, u64) = (1_000, 8_000);
 
-/// The rests that they ask for, in milliseconds.
-const ASKED: [u64; 5] = [600, 1_000, 2_500, 3_000, 6_000];
+/// Values of `Retry-After`, in milliseconds.
+const RETRY_AFTER_MS: [u64; 5] = [600, 1_000, 2_500, 3_000, 6_000];
 
-/// Of a hundred requests, those that they turn away.
-const TURNED_AWAY: [u32; 3] = [30, 60, 100];
+/// Percentages of requests that are rejected.
+const REJECT_PERCENTS: [u32; 3] = [30, 60, 100];
 
-/// Replicas that ask for rest, from a draw of its own: the steps of a seed stay as they are.
+/// Draws the `Retry-After` periods. A separate generator leaves the steps of a seed unchanged.
 fn rests(seed: u64, millis: u64) -> Vec<Resting> {
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x2545_f491_4f6c_dd1d);
-    if rng.random_range(0..100) >= RESTED {
+    if rng.random_range(0..100) >= RESTS_PERCENT {
         return Vec::new();
     }
     let resting = |rng: &mut SmallRng| {
-        let span = rng.random_range(REST_SPAN.0..=REST_SPAN.1).min(millis);
+        let span = rng.random_range(REST_SPAN_MS.0..=REST_SPAN_MS.1).min(millis);
         Resting {
             talk: rng.random(),
             replica: rng.random_bool(0.6).then(|| rng.random_range(0..8)),
-            rest: ASKED[rng.random_range(0..ASKED.len())],
-            share: TURNED_AWAY[rng.random_range(0..TURNED_AWAY.len())],
+            rest: RETRY_AFTER_MS[rng.random_range(0..RETRY_AFTER_MS.len())],
+            share: REJECT_PERCENTS[rng.random_range(0..REJECT_PERCENTS.len())],
             at: rng.random_range(0..=millis - span),
             span,
         }
     };
-    (0..rng.random_range(1..=RESTS)).map(|_| resting(&mut rng)).collect()
+    (0..rng.random_range(1..=MAX_RESTS)).map(|_| resting(&mut rng)).collect()
 }
 
-/// Of a hundred seeds, those with replicas that say in their answers alone that they leave.
-const LEAVING: u32 = 50;
+/// Percentage of seeds with drains that are announced only in responses.
+const LEAVES_PERCENT: u32 = 50;
 
-/// The most of them in one run.
-const LEAVES: usize = 2;
+/// Maximum number of such drains in a run.
+const MAX_LEAVES: usize = 2;
 
-/// Replicas that say in their answers alone that they leave, from a draw of its own as well.
+/// Draws the drains that are announced only in responses. A separate generator leaves the steps of a
+/// seed unchanged.
 fn quiet_leaves(seed: u64, millis: u64) -> Vec<QuietLeave> {
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x1405_7b7e_f767_814f);
-    if rng.random_range(0..100) >= LEAVING {
+    if rng.random_range(0..100) >= LEAVES_PERCENT {
         return Vec::new();
     }
     let leave = |rng: &mut SmallRng| QuietLeave {
@@ -304,28 +307,29 @@
         replica: rng.random_range(0..8),
         at: rng.random_range(0..=millis),
     };
-    (0..rng.random_range(1..=LEAVES)).map(|_| leave(&mut rng)).collect()
+    (0..rng.random_range(1..=MAX_LEAVES)).map(|_| leave(&mut rng)).collect()
 }
 
-/// How often the seeds of a fleet that can do without them go away, in hundredths.
-const SEEDS_AWAY: u32 = 40;
+/// Percentage of seeds in which a group of more than three loses its seed processes.
+const SEEDS_AWAY_PERCENT: u32 = 40;
 
-/// How long they are away, in milliseconds: longer than the 2.5 s after which a silent member goes.
-const AWAY: (u64, u64) = (3_500, 5_000);
+/// Minimum and maximum downtime of the seed processes, in milliseconds: longer than the 2.5 s after
+/// which the group removes a silent member.
+const SEEDS_DOWNTIME_MS: (u64, u64) = (3_500, 5_000);
 
-/// Two seeds that go away, from a draw of its own: the other steps of a seed stay as they are.
-fn seeds_away(seed: u64, size: &Size, millis: u64) -> Option<Step> {
+/// Draws the outage of two seed processes. A separate generator leaves the other steps unchanged.
+fn draw_seeds_away(seed: u64, size: &Size, millis: u64) -> Option<Step> {
     let mut rng = SmallRng::seed_from_u64(!seed);
-    let drawn = rng.random_range(0..100) < SEEDS_AWAY;
-    let span = rng.random_range(AWAY.0..=AWAY.1);
-    let latest = millis.checked_sub(span).filter(|l| *l > QUIET_BEFORE)?;
-    let at = rng.random_range(QUIET_BEFORE..latest);
+    let drawn = rng.random_range(0..100) < SEEDS_AWAY_PERCENT;
+    let span = rng.random_range(SEEDS_DOWNTIME_MS.0..=SEEDS_DOWNTIME_MS.1);
+    let latest = millis.checked_sub(span).filter(|l| *l > QUIET_START_MS)?;
+    let at = rng.random_range(QUIET_START_MS..latest);
     (drawn && size.controls > 3).then_some(Step { at, span, fault: Fault::SeedsAway })
 }
 
 fn step(rng: &mut SmallRng, size: &Size, millis: u64) -> Step {
-    let at = rng.random_range(QUIET_BEFORE..millis.max(QUIET_BEFORE + 1));
-    let span = rng.random_range(SPAN.0..=SPAN.1).min(millis - at);
+    let at = rng.random_range(QUIET_START_MS..millis.max(QUIET_START_MS + 1));
+    let span = rng.random_range(STEP_SPAN_MS.0..=STEP_SPAN_MS.1).min(millis - at);
     Step { at, span, fault: fault(rng, size) }
 }
 
@@ -361,8 +365,9 @@
     }
 }
 
-/// A second disk lost before the first is mended is more than the group promises to bear.
-fn keep_one_emptied_disk(steps: &mut Vec<Step>) {
+/// Keeps only the first `EmptyDisk`: the group does not tolerate losing a second disk before the first
+/// is repaired.
+fn keep_first_emptied_disk(steps: &mut Vec<Step>) {
     let mut seen = false;
     steps.retain(|s| {
         let empties = matches!(s.fault, Fault::EmptyDisk(_));
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,7 +1,7 @@
-//! Loopback proxies between the processes, and in front of stand-in replicas.
+//! Loopback proxies between the processes and in front of simulated replicas.
 //!
-//! The first frame on a link between two processes names the one that connects. So a proxy in front
-//! of one process can treat each of the others differently, and each direction by itself.
+//! The first frame on a link carries the name of the connecting process, so the proxy in front of a
+//! process can apply faults per peer and per direction.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -18,29 +18,29 @@
 use tokio::task::AbortHandle;
 use tokio::time::sleep;
 
-/// Bytes that are passed on at a time.
-const PIECE: usize = 16 * 1024;
+/// Buffer size for forwarding, in bytes.
+const BUFFER_SIZE: usize = 16 * 1024;
 
-/// Some of the processes.
+/// A set of processes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Side {
-    /// All of them.
+    /// All processes.
     All,
-    /// Those whose name begins so.
+    /// The process of this name, or, if it ends in `-`, all whose names start with it.
     Named(String),
 }
 
 impl Side {
-    fn has(&self, name: &str) -> bool {
+    fn contains(&self, name: &str) -> bool {
         match self {
             Side::All => true,
-            // A number does not begin another one: names end, or go on with a digit.
+            // Only names ending in `-` are prefixes, so that `gateway-1` does not match `gateway-10`.
             Side::Named(own) => name == own || (own.ends_with('-') && name.starts_with(own)),
         }
     }
 }
 
-/// What one side sends does not arrive at the other.
+/// A one-way partition: traffic from one side to the other is held back.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Cut {
     /// The senders.
@@ -49,7 +49,7 @@
     pub to: Side,
 }
 
-/// The state of all links between the processes.
+/// The links between the processes and the faults applied to them.
 #[derive(Default)]
 pub struct Net {
     cuts: RefCell<Vec<(u64, Cut)>>,
@@ -60,7 +60,7 @@
 }
 
 impl Net {
-    /// Cuts; returns what heals it.
+    /// Adds partitions. Returns the id to forward_link to [`Net::heal`].
     pub fn cut(&self, cuts: impl IntoIterator<Item = Cut>) -> u64 {
         let id = self.ids.get() + 1;
         self.ids.set(id);
@@ -68,7 +68,7 @@
         id
     }
 
-    /// Delays each piece that goes over links to a process; returns what heals it.
+    /// Delays each chunk on links of the process `to` by `span`. Returns the id to forward_link to [`Net::heal`].
     pub fn delay(&self, to: &str, span: Duration) -> u64 {
         let id = self.ids.get() + 1;
         self.ids.set(id);
@@ -76,20 +76,20 @@
         id
     }
 
-    /// Heals one cut or delay.
+    /// Removes the partitions or the delay added under `id`.
     pub fn heal(&self, id: u64) {
         self.cuts.borrow_mut().retain(|(own, _)| *own != id);
         self.delays.borrow_mut().retain(|(own, ..)| *own != id);
         self.changed.notify_waiters();
     }
 
-    /// Closes all open links.
+    /// Closes all open links between the processes.
     pub fn reset(&self) {
         self.links.borrow_mut().drain(..).for_each(|l| l.abort());
     }
 
     fn is_cut(&self, from: &str, to: &str) -> bool {
-        self.cuts.borrow().iter().any(|(_, c)| c.from.has(from) && c.to.has(to))
+        self.cuts.borrow().iter().any(|(_, c)| c.from.contains(from) && c.to.contains(to))
     }
 
     fn delay_of(&self, from: &str, to: &str) -> Duration {
@@ -98,13 +98,13 @@
         own.map(|(.., span)| *span).max().unwrap_or_default()
     }
 
-    /// Passes links on that come in at `listener` to the process `name` at `to`.
+    /// Forwards connections accepted by `listener` to the process `name` at address `to`.
     pub async fn serve(self: Rc<Self>, listener: TcpListener, name: String, to: SocketAddr) {
-        while let Ok((near, _)) = listener.accept().await {
+        while let Ok((client, _)) = listener.accept().await {
             let (net, name) = (self.clone(), name.clone());
             let link = actix_rt::spawn(async move {
-                // A link that breaks is what the processes have to bear.
-                let _ = pass(net, near, name, to).await;
+                // The processes under test handle broken links.
+                let _ = forward_link(net, client, name, to).await;
             });
             let mut links = self.links.borrow_mut();
             links.retain(|l| !l.is_finished());
@@ -113,43 +113,48 @@
     }
 }
 
-async fn pass(net: Rc<Net>, near: TcpStream, name: String, to: SocketAddr) -> io::Result<()> {
-    near.set_nodelay(true)?;
-    let (mut near_rx, near_tx) = near.into_split();
+async fn forward_link(
+    net: Rc<Net>,
+    client: TcpStream,
+    name: String,
+    to: SocketAddr,
+) -> io::Result<()> {
+    client.set_nodelay(true)?;
+    let (mut client_rx, client_tx) = client.into_split();
     let mut head = [0; LENGTH_PREFIX];
-    near_rx.read_exact(&mut head).await?;
+    client_rx.read_exact(&mut head).await?;
     let len = frame::length(head, MAX_HANDSHAKE_FRAME).map_err(io::Error::other)?;
     let mut hello = vec![0; len];
-    near_rx.read_exact(&mut hello).await?;
+    client_rx.read_exact(&mut hello).await?;
     let from = match decode(&hello) {
         Ok(Frame::Hello(h)) => h.name,
         _ => String::new(),
     };
-    let far = TcpStream::connect(to).await?;
-    far.set_nodelay(true)?;
-    let (far_rx, mut far_tx) = far.into_split();
+    let server = TcpStream::connect(to).await?;
+    server.set_nodelay(true)?;
+    let (server_rx, mut server_tx) = server.into_split();
     while net.is_cut(&from, &name) {
         net.changed.notified().await;
     }
-    far_tx.write_all(&head).await?;
-    far_tx.write_all(&hello).await?;
-    let forth = pump(&net, near_rx, far_tx, &from, &name);
-    let back = pump(&net, far_rx, near_tx, &name, &from);
-    // Either end closes both.
+    server_tx.write_all(&head).await?;
+    server_tx.write_all(&hello).await?;
+    let forth = forward(&net, client_rx, server_tx, &from, &name);
+    let back = forward(&net, server_rx, client_tx, &name, &from);
+    // When one direction ends, both are closed.
     tokio::select! {
         done = forth => done,
         done = back => done,
     }
 }
 
-async fn pump(
+async fn forward(
     net: &Net,
     mut rx: OwnedReadHalf,
     mut tx: OwnedWriteHalf,
     from: &str,
     to: &str,
 ) -> io::Result<()> {
-    let mut buf = vec![0; PIECE];
+    let mut buf = vec![0; BUFFER_SIZE];
     loop {
         let n = rx.read(&mut buf).await?;
         while net.is_cut(from, to) {
@@ -166,27 +171,30 @@
     }
 }
 
-/// A proxy in front of one server, which can vanish.
+/// A proxy in front of one server that can simulate its crash.
 pub struct Gate {
-    /// Where it is reached.
+    /// Address of the proxy.
     pub address: SocketAddr,
     accepting: AbortHandle,
     open: Rc<RefCell<Vec<AbortHandle>>>,
 }
 
 impl Gate {
-    /// Listens on an address of its own for connections to `to`.
+    /// Listens on a free port and forwards connections to `to`.
+    ///
+    /// # Errors
+    /// Fails if no port can be bound.
     pub async fn start(to: SocketAddr) -> io::Result<Gate> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let open: Rc<RefCell<Vec<AbortHandle>>> = Rc::default();
         let all = open.clone();
         let accepting = actix_rt::spawn(async move {
-            while let Ok((mut near, _)) = listener.accept().await {
+            while let Ok((mut client, _)) = listener.accept().await {
                 let connection = actix_rt::spawn(async move {
-                    let Ok(mut far) = TcpStream::connect(to).await else { return };
-                    // One that breaks is what the processes have to bear.
-                    let _ = tokio::io::copy_bidirectional(&mut near, &mut far).await;
+                    let Ok(mut server) = TcpStream::connect(to).await else { return };
+                    // The processes under test handle broken connections.
+                    let _ = tokio::io::copy_bidirectional(&mut client, &mut server).await;
                 });
                 let mut all = all.borrow_mut();
                 all.retain(|c: &AbortHandle| !c.is_finished());
@@ -196,12 +204,12 @@
         Ok(Gate { address, accepting: accepting.abort_handle(), open })
     }
 
-    /// Breaks off all connections.
+    /// Closes all open connections.
     pub fn reset(&self) {
         self.open.borrow_mut().drain(..).for_each(|c| c.abort());
     }
 
-    /// Vanishes.
+    /// Stops listening and closes all open connections.
     pub fn close(&self) {
         self.accepting.abort();
         self.reset();
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -1,4 +1,4 @@
-//! What all tasks of one run share.
+//! State that all tasks of one run share.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -10,34 +10,34 @@
 
 use crate::history::{At, History};
 
-/// What all tasks of one run share.
+/// State that all tasks of one run share.
 pub struct World {
     started: Instant,
-    /// What was seen.
+    /// Events observed so far.
     pub history: RefCell<History>,
-    /// Where the control processes take calls of operators, replicas and callers.
+    /// API addresses of the control processes, for operators, replicas and callers.
     pub apis: Vec<SocketAddr>,
-    /// Where the gateways take callers.
+    /// Addresses of the gateways for callers.
     pub gateways: Vec<SocketAddr>,
-    /// Where the gateways tell operators of themselves.
+    /// Addresses of the gateways for operators.
     pub operators: Vec<SocketAddr>,
-    /// How often each gateway has been started.
+    /// Number of starts of each gateway.
     pub incarnations: Vec<Cell<u32>>,
-    /// Callers send no more requests.
+    /// Whether callers stop sending requests.
     pub over: Cell<bool>,
-    /// The highest version that was acknowledged.
+    /// The highest document version that was acknowledged.
     pub acked: Cell<u64>,
-    /// The highest version that was sent.
+    /// The highest document version that was sent.
     pub sent: Cell<u64>,
-    /// Replicas that have ended and are to start again.
+    /// Ids of replicas that have crashed and are to be restarted.
     pub ended: RefCell<Vec<String>>,
-    /// When the last replica started, in milliseconds since 1970.
+    /// Start time of the last replica, in milliseconds since the Unix epoch.
     born: Cell<u64>,
     rng: RefCell<SmallRng>,
 }
 
 impl World {
-    /// A run that begins now.
+    /// Returns the state of a run that starts now.
     pub fn new(
         seed: u64,
         apis: Vec<SocketAddr>,
@@ -61,19 +61,21 @@
         }
     }
 
-    /// Milliseconds since the run's start.
+    /// Returns the milliseconds since the start of the run.
     pub fn at(&self) -> At {
         self.started.elapsed().as_millis() as At
     }
 
-    /// When a replica that starts now has started: later than any before.
+    /// Returns the start time of a new replica, in milliseconds since the Unix epoch. Each call returns a
+    /// later time than the one before.
     pub fn next_born(&self) -> u64 {
         let born = unix_time().0.max(self.born.get() + 1);
         self.born.set(born);
         born
     }
 
-    /// Notes that what the former life of a replica said is over: another begins under its id.
+    /// Ends the announced limits, `Retry-After` periods and drains of a replica's previous incarnation.
+    /// Called when a replica starts under the same id.
     pub fn end_words_of(&self, replica: &str) {
         let at = self.at();
         let mut h = self.history.borrow_mut();
@@ -85,17 +87,17 @@
         told.for_each(|t| t.until = Some(t.until.unwrap_or(at)));
     }
 
-    /// A number below `n`.
+    /// Draws a number below `n`.
     pub fn below(&self, n: usize) -> usize {
         self.rng.borrow_mut().random_range(0..n)
     }
 
-    /// Whether something happens that does so in `percent` of all cases.
+    /// Draws `true` with a probability of `percent` percent.
     pub fn happens(&self, percent: u32) -> bool {
         self.rng.borrow_mut().random_range(0..100) < percent
     }
 
-    /// Any of the control processes.
+    /// Returns the API address of a random control process.
     pub fn any_api(&self) -> SocketAddr {
         self.apis[self.below(self.apis.len())]
     }
