--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -49,7 +49,7 @@
     CutControl(usize),
     /// Partitions all gateways from all control processes, in both directions.
     CutAllGateways,
-    /// Drops all traffic to a control process; what it sends still arrives.
+    /// Holds back all traffic to a control process; what it sends still arrives.
     DeafControl(usize),
     /// Delays links of one process by a number of milliseconds. Indexes of gateways follow those of
     /// control processes.
--- a/crates/soak/src/replica.rs
+++ b/crates/soak/src/replica.rs
@@ -1,4 +1,4 @@
-//! Stand-in replicas: they tell of themselves, run what they get, and note it.
+//! Simulated replicas: they register by heartbeats, run requests and record them.
 
 use std::cell::Cell;
 use std::io;
@@ -22,83 +22,86 @@
 use crate::proxy::Gate;
 use crate::world::World;
 
-/// How often a replica tells of itself.
-const BEAT_EVERY: Duration = Duration::from_millis(500);
+/// Interval between heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long one heartbeat may take.
-const BEAT_WITHIN: Duration = Duration::from_secs(1);
+/// Timeout of a heartbeat.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Tries to have a leaving acknowledged.
-const LEAVE_TRIES: usize = 40;
+/// Maximum number of attempts to get a drain acknowledged.
+const MAX_DRAIN_ATTEMPTS: usize = 40;
 
-/// How long a replica that leaves goes on serving after the acknowledgement.
-const LINGER: Duration = Duration::from_secs(4);
+/// Time for which a draining replica goes on serve_task after the acknowledgement.
+const DRAIN_TIME: Duration = Duration::from_secs(4);
 
-/// How often the connections of a grey replica are reset.
-const GREY_EVERY: Duration = Duration::from_millis(150);
+/// Interval between connection resets of a replica with a gray failure.
+const RESET_INTERVAL: Duration = Duration::from_millis(150);
 
-/// The most events of a stream.
+/// Maximum number of events in a stream.
 pub const EVENTS_MOST: u64 = 30;
 
-/// The time between two events.
-const EVENT_EVERY: Duration = Duration::from_millis(10);
+/// Interval between two events of a stream.
+const EVENT_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What a poison request holds, in its path or body, before its number.
+/// Marker of a poison request in its path or body, followed by its number.
 pub const POISON: &str = "poison-";
 
-/// How long a replica has run a poison request when it ends.
-const ENDS_AFTER: Duration = Duration::from_millis(20);
+/// Time from the start of a poison request to the crash of its replica.
+const POISON_CRASH_DELAY: Duration = Duration::from_millis(20);
 
-/// How long a plain request runs.
-const RUN: Duration = Duration::from_millis(8);
+/// Duration of a request to `board`.
+const RUN_TIME: Duration = Duration::from_millis(8);
 
 const LIMIT: HeaderName = HeaderName::from_static("x-rate-limit");
 const LEAVING: HeaderName = HeaderName::from_static("x-leaving");
 const NOT_RUN: HeaderName = HeaderName::from_static("x-not-run");
 const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 
-/// The events of the answer to a request, the same at every replica.
+/// Returns the number of events in the response to a request; every replica returns the same.
 pub fn events_of(id: &str) -> u64 {
     let sum = id.bytes().fold(7u64, |h, b| h.wrapping_mul(31).wrapping_add(u64::from(b)));
     1 + sum % EVENTS_MOST
 }
 
-/// The text of one event.
+/// Returns the text of event `n` of a response.
 pub fn event(id: &str, n: u64) -> String {
     format!("id: {n}\ndata: {id} {n}\n\n")
 }
 
-/// The body of a plain answer.
+/// Returns the response body of a request to `board`.
 pub fn answer(id: &str) -> String {
     format!("answer to {id}")
 }
 
-/// How long a process goes on listening after its connections have ended.
-const EXIT: Duration = Duration::from_millis(20);
+/// Time for which the port of a crashed replica stays open after its connections are closed.
+const EXIT_DELAY: Duration = Duration::from_millis(20);
 
-/// One start of a replica.
+/// One incarnation of a simulated replica.
 pub struct Replica {
-    /// Its id.
+    /// Id of the replica.
     pub id: String,
     service: &'static str,
     gate: Gate,
     full: Cell<bool>,
-    /// The limit that it names, by its place in the history.
+    /// Index in the history of the rate limit that it announces.
     limit: Cell<Option<usize>>,
-    /// It turns requests away and asks for rest.
+    /// Settings for rejecting requests with `Retry-After`, while it does so.
     resting: Cell<Option<Resting>>,
-    /// It says in its answers that it leaves.
-    leaves_quietly: Cell<bool>,
+    /// Whether its responses announce that it drains.
+    drains_quietly: Cell<bool>,
     leaving: Cell<bool>,
-    beats: Cell<u64>,
-    /// When it started, in milliseconds since 1970.
+    heartbeats: Cell<u64>,
+    /// Start time, in milliseconds since the Unix epoch.
     born: u64,
-    serving: Cell<Option<AbortHandle>>,
-    beating: Cell<Option<AbortHandle>>,
+    serve_task: Cell<Option<AbortHandle>>,
+    heartbeat_task: Cell<Option<AbortHandle>>,
 }
 
 impl Replica {
-    /// Starts one.
+    /// Starts a replica of `service`, which sends heartbeats and serves requests until it crashes.
+    ///
+    /// # Errors
+    /// Fails if no port can be bound.
     pub async fn start(
         w: &Rc<World>,
         service: &'static str,
@@ -114,28 +117,30 @@
             full: Cell::new(false),
             limit: Cell::new(None),
             resting: Cell::new(None),
-            leaves_quietly: Cell::new(false),
+            drains_quietly: Cell::new(false),
             leaving: Cell::new(false),
-            beats: Cell::new(0),
+            heartbeats: Cell::new(0),
             born: w.next_born(),
-            serving: Cell::new(None),
-            beating: Cell::new(None),
+            serve_task: Cell::new(None),
+            heartbeat_task: Cell::new(None),
         });
         let (own, world) = (replica.clone(), w.clone());
-        let serving =
-            actix_rt::spawn(serve(listener, move |req| answer_to(own.clone(), world.clone(), req)));
-        replica.serving.set(Some(serving.abort_handle()));
-        let beating = actix_rt::spawn(beat_forever(replica.clone(), w.clone()));
-        replica.beating.set(Some(beating.abort_handle()));
+        let serve_task = actix_rt::spawn(serve(listener, move |req| {
+            respond_to(own.clone(), world.clone(), req)
+        }));
+        replica.serve_task.set(Some(serve_task.abort_handle()));
+        let heartbeat_task = actix_rt::spawn(send_heartbeats(replica.clone(), w.clone()));
+        replica.heartbeat_task.set(Some(heartbeat_task.abort_handle()));
         Ok(replica)
     }
 
-    /// Rejects all that comes from now on, or no longer.
+    /// Sets whether the replica rejects all requests.
     pub fn set_full(&self, full: bool) {
         self.full.set(full);
     }
 
-    /// Names a limit in its answers for `span`, unless it names one already.
+    /// Announces a rate limit, in thousandths of a request per second, in its responses for `span`. Does
+    /// nothing if it announces one already.
     pub async fn name_limit(&self, w: &World, thousandths: u64, span: Duration) {
         if self.limit.get().is_some() {
             return;
@@ -149,26 +154,31 @@
         w.history.borrow_mut().limits[n].until.get_or_insert(w.at());
     }
 
-    /// Turns requests away and asks for rest, for as long as is drawn.
+    /// Rejects a share of the requests with `Retry-After` for `r.span` milliseconds.
     pub async fn turn_away(&self, r: Resting) {
         self.resting.set(Some(r));
         sleep(Duration::from_millis(r.span)).await;
         self.resting.set(None);
     }
 
-    /// Says in its answers alone that it leaves, serves on for a while, and is gone.
+    /// Announces its drain only in responses, goes on serve_task for a while, then deregisters and crashes.
     pub async fn leave_quietly(self: Rc<Self>, w: Rc<World>) {
-        self.leaves_quietly.set(true);
-        sleep(LINGER * 2).await;
+        self.drains_quietly.set(true);
+        sleep(DRAIN_TIME * 2).await;
         let path = format!("/v1/replicas/{}", self.id);
-        // It ends whether or not anybody hears of it.
-        let _ = call(w.any_api(), Method::DELETE, &path, Bytes::new(), BEAT_WITHIN).await;
+        // The replica ends even if the deregistration fails.
+        let _ = call(w.any_api(), Method::DELETE, &path, Bytes::new(), HEARTBEAT_TIMEOUT).await;
         self.crash();
     }
 
-    /// Adds the word that it leaves to an answer.
-    fn with_leaving(&self, w: &World, request: String, mut r: Response<Body>) -> Response<Body> {
-        if self.leaves_quietly.get() {
+    /// Adds the drain header to a response if the replica drains quietly, and records it.
+    fn add_drain_header(
+        &self,
+        w: &World,
+        request: String,
+        mut r: Response<Body>,
+    ) -> Response<Body> {
+        if self.drains_quietly.get() {
             let told = Told { replica: self.id.clone(), request, until: None };
             w.history.borrow_mut().told.push(told);
             r.headers_mut().insert(LEAVING, HeaderValue::from_static("1"));
@@ -176,8 +186,8 @@
         r
     }
 
-    /// Turns a request away with a rest, if it does so now.
-    fn rest(&self, w: &World, id: &str) -> Option<Response<Body>> {
+    /// Returns a rejection with `Retry-After` if one is due for this request, and records it.
+    fn reject_with_retry_after(&self, w: &World, id: &str) -> Option<Response<Body>> {
         let resting = self.resting.get().filter(|r| w.happens(r.share))?;
         let at = w.at();
         let rested = Rested {
@@ -195,8 +205,8 @@
         Some(r)
     }
 
-    /// Adds the limit to an answer.
-    fn limited(&self, w: &World, mut r: Response<Body>) -> Response<Body> {
+    /// Adds the rate limit header to a response if a limit is announced.
+    fn add_limit_header(&self, w: &World, mut r: Response<Body>) -> Response<Body> {
         let Some(n) = self.limit.get() else { return r };
         let thousandths = {
             let l = &mut w.history.borrow_mut().limits[n];
@@ -210,18 +220,18 @@
         r
     }
 
-    /// Resets connections now and then, for `span`.
+    /// Resets all connections at intervals for `span`.
     pub async fn turn_grey(&self, span: Duration) {
-        for _ in 0..span.as_millis() / GREY_EVERY.as_millis() {
-            sleep(GREY_EVERY).await;
+        for _ in 0..span.as_millis() / RESET_INTERVAL.as_millis() {
+            sleep(RESET_INTERVAL).await;
             self.gate.reset();
         }
     }
 
-    /// Is gone at once. With every other one, what listens at its address outlasts its connections: its
-    /// process takes a while to exit.
+    /// Crashes at once. For about half of the replicas the port stays open for a short time after the
+    /// connections are closed, as with a process that is slow to exit.
     pub fn crash(self: &Rc<Self>) {
-        for task in [self.beating.take(), self.serving.take()].into_iter().flatten() {
+        for task in [self.heartbeat_task.take(), self.serve_task.take()].into_iter().flatten() {
             task.abort();
         }
         if self.born.is_multiple_of(2) {
@@ -230,54 +240,54 @@
         self.gate.reset();
         let own = self.clone();
         actix_rt::spawn(async move {
-            sleep(EXIT).await;
+            sleep(EXIT_DELAY).await;
             own.gate.close();
         });
     }
 
-    /// Says that it leaves, serves on for a while, and is gone.
+    /// Announces its drain by heartbeat, goes on serve_task for a while, then deregisters and crashes.
     pub async fn leave(self: Rc<Self>, w: Rc<World>) {
         self.leaving.set(true);
-        for _ in 0..LEAVE_TRIES {
-            if self.beat(&w).await {
+        for _ in 0..MAX_DRAIN_ATTEMPTS {
+            if self.send_heartbeat(&w).await {
                 let acked = w.at();
                 let leaving = Leaving { replica: self.id.clone(), acked };
                 w.history.borrow_mut().leaving.push(leaving);
                 break;
             }
-            sleep(BEAT_EVERY / 5).await;
+            sleep(HEARTBEAT_INTERVAL / 5).await;
         }
-        sleep(LINGER).await;
+        sleep(DRAIN_TIME).await;
         let path = format!("/v1/replicas/{}", self.id);
-        // It ends whether or not anybody hears of it.
-        let _ = call(w.any_api(), Method::DELETE, &path, Bytes::new(), BEAT_WITHIN).await;
+        // The replica ends even if the deregistration fails.
+        let _ = call(w.any_api(), Method::DELETE, &path, Bytes::new(), HEARTBEAT_TIMEOUT).await;
         self.crash();
     }
 
-    /// Tells of itself once; whether that was acknowledged.
-    async fn beat(&self, w: &World) -> bool {
-        self.beats.set(self.beats.get() + 1);
+    /// Sends one heartbeat. Returns whether it was acknowledged.
+    async fn send_heartbeat(&self, w: &World) -> bool {
+        self.heartbeats.set(self.heartbeats.get() + 1);
         let body = json!({
             "service": self.service, "address": self.gate.address.to_string(),
             "data_centre": "tamar-a", "slots": 16, "draining": self.leaving.get(),
-            "sequence": self.beats.get(), "born": self.born,
+            "sequence": self.heartbeats.get(), "born": self.born,
         });
         let path = format!("/v1/replicas/{}", self.id);
         let body = Bytes::from(body.to_string());
-        let answer = call(w.any_api(), Method::PUT, &path, body, BEAT_WITHIN).await;
+        let answer = call(w.any_api(), Method::PUT, &path, body, HEARTBEAT_TIMEOUT).await;
         answer.is_some_and(|(status, _)| status == 200)
     }
 }
 
-async fn beat_forever(r: Rc<Replica>, w: Rc<World>) {
+async fn send_heartbeats(r: Rc<Replica>, w: Rc<World>) {
     loop {
-        // Another process is told at once if one does not answer.
-        let heard = r.beat(&w).await;
-        sleep(if heard { BEAT_EVERY } else { BEAT_EVERY / 5 }).await;
+        // After a failure, try another control process soon.
+        let acked = r.send_heartbeat(&w).await;
+        sleep(if acked { HEARTBEAT_INTERVAL } else { HEARTBEAT_INTERVAL / 5 }).await;
     }
 }
 
-fn text<'a>(h: &'a HeaderMap, name: &'static str) -> &'a str {
+fn header_text<'a>(h: &'a HeaderMap, name: &'static str) -> &'a str {
     let value = h.get(HeaderName::from_static(name));
     value.and_then(|v| v.to_str().ok()).unwrap_or_default()
 }
@@ -296,32 +306,32 @@
     r
 }
 
-async fn answer_to(r: Rc<Replica>, w: Rc<World>, req: Request) -> Response<Body> {
-    let id = text(req.headers(), "x-request-id").to_owned();
+async fn respond_to(r: Rc<Replica>, w: Rc<World>, req: Request) -> Response<Body> {
+    let id = header_text(req.headers(), "x-request-id").to_owned();
     let answer = handle(r.clone(), w.clone(), req).await;
-    // Another replica's request: its answer says nothing of this one.
+    // The request was for another replica, so the headers of this one would mislead the gateway.
     if answer.status() == StatusCode::MISDIRECTED_REQUEST {
         return answer;
     }
-    let answer = r.with_leaving(&w, id, answer);
-    r.limited(&w, answer)
+    let answer = r.add_drain_header(&w, id, answer);
+    r.add_limit_header(&w, answer)
 }
 
 async fn handle(r: Rc<Replica>, w: Rc<World>, req: Request) -> Response<Body> {
     let h = req.headers();
-    let id = text(h, "x-request-id").to_owned();
-    let meant = text(h, "x-replica") == r.id;
-    let account = text(h, "x-client-account").to_owned();
-    let last: u64 = text(h, "last-event-id").parse().unwrap_or(0);
-    let rest = if meant { r.rest(&w, &id) } else { None };
-    let run = meant && !r.full.get() && rest.is_none();
+    let id = header_text(h, "x-request-id").to_owned();
+    let addressed = header_text(h, "x-replica") == r.id;
+    let account = header_text(h, "x-client-account").to_owned();
+    let last: u64 = header_text(h, "last-event-id").parse().unwrap_or(0);
+    let rest = if addressed { r.reject_with_retry_after(&w, &id) } else { None };
+    let run = addressed && !r.full.get() && rest.is_none();
     let at = w.at();
     let arrival =
         Arrival { id: id.clone(), service: r.service, replica: r.id.clone(), at, account, run };
     w.history.borrow_mut().arrivals.push(arrival);
     let path = req.path().to_owned();
     let body = read_all(req).await;
-    if !meant {
+    if !addressed {
         return reject(&id, StatusCode::MISDIRECTED_REQUEST);
     }
     if let Some(rest) = rest {
@@ -331,15 +341,15 @@
         return reject(&id, StatusCode::SERVICE_UNAVAILABLE);
     }
     if let Some(poison) = poison_of(&path).or_else(|| poison_of(&String::from_utf8_lossy(&body))) {
-        end_under(&r, &w, poison).await;
+        crash_on_poison(&r, &w, poison).await;
         return reject(&id, StatusCode::SERVICE_UNAVAILABLE);
     }
     if r.service == "talk" {
         let (tx, rx) = mpsc::channel(4);
-        actix_rt::spawn(make_events(w, id.clone(), last, tx));
+        actix_rt::spawn(send_events(w, id.clone(), last, tx));
         return respond(&id, StatusCode::OK, Body::Pieces(rx));
     }
-    sleep(RUN).await;
+    sleep(RUN_TIME).await;
     respond(&id, StatusCode::OK, Body::Whole(Bytes::from(answer(&id))))
 }
 
@@ -352,15 +362,16 @@
     all
 }
 
-/// The number of a poison request.
+/// Returns the number of the poison request that `text` contains, if any.
 fn poison_of(text: &str) -> Option<usize> {
     let (_, number) = text.split_once(POISON)?;
     number.parse().ok()
 }
 
-/// Ends a replica that runs a poison request, once. Nothing that it answers then reaches anybody.
-async fn end_under(r: &Rc<Replica>, w: &World, poison: usize) {
-    sleep(ENDS_AFTER).await;
+/// Crashes a replica that runs a poison request, unless it has crashed already. Later responses of the
+/// replica are not delivered.
+async fn crash_on_poison(r: &Rc<Replica>, w: &World, poison: usize) {
+    sleep(POISON_CRASH_DELAY).await;
     if w.ended.borrow().contains(&r.id) {
         return;
     }
@@ -370,15 +381,15 @@
     r.crash();
 }
 
-async fn make_events(w: Rc<World>, id: String, last: u64, tx: mpsc::Sender<Bytes>) {
+async fn send_events(w: Rc<World>, id: String, last: u64, tx: mpsc::Sender<Bytes>) {
     for n in last + 1..=events_of(&id) {
-        sleep(EVENT_EVERY).await;
+        sleep(EVENT_INTERVAL).await;
         {
             let mut h = w.history.borrow_mut();
             let made = h.made.entry(id.clone()).or_default();
             *made = (*made).max(n);
         }
-        // The caller has gone.
+        // The caller disconnected.
         if tx.send(Bytes::from(event(&id, n))).await.is_err() {
             return;
         }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One run: a fleet, what a plan does to it, and what comes of the promises.
+//! One soak run: starts a fleet, executes a plan on it and checks the promises.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -26,70 +26,74 @@
 use crate::replica::Replica;
 use crate::world::World;
 
-/// How long a fleet may take to serve for the first time.
-const UP_WITHIN: Duration = Duration::from_secs(30);
+/// Time within which a new fleet must serve requests.
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How long a killed process stays down, in milliseconds.
-const DOWN_MS: u64 = 300;
+/// Downtime of a killed process, in milliseconds.
+const DOWNTIME_MS: u64 = 300;
 
-/// How long a started process is given before the fleet counts as calm, in milliseconds.
-const START_MS: u64 = 1_500;
+/// Time for which a process start counts as a disruption, in milliseconds.
+const START_DISRUPTION_MS: u64 = 1_500;
 
-/// How long callers go on after the last fault.
-const AFTER: Duration = Duration::from_secs(3);
+/// Time for which callers continue after recovery.
+const LOAD_AFTER_RECOVERY: Duration = Duration::from_secs(3);
 
-/// Within this time each gateway answers again, in milliseconds.
-const BACK_MS: u64 = 12_000;
+/// Time within which each gateway must serve again after the last fault, in milliseconds.
+const RECOVERY_LIMIT_MS: u64 = 12_000;
 
-/// Within this time of its third end of a replica, a request is known at every gateway, in milliseconds.
-const KNOWN_MS: u64 = 3_000;
+/// Time within which every gateway must quarantine a request after it crashed a third replica, in
+/// milliseconds.
+const QUARANTINE_LIMIT_MS: u64 = 3_000;
 
-/// Times that a request may be sent to replicas after that, in all.
-const POISONED_MOST: usize = 3;
+/// Maximum number of times that a request may be sent to replicas after that.
+const MAX_SENDS_IN_QUARANTINE: usize = 3;
 
-/// Silence after which a follower stands for election, in milliseconds: the control processes' default.
-const ELECTION_MS: u64 = 500;
+/// Default election timeout of the control processes, in milliseconds.
+const ELECTION_TIMEOUT_MS: u64 = 500;
 
-/// How long a replica that a request has ended is down: mostly, and as when it starts again at once.
-const REPLICA_DOWN: Duration = Duration::from_millis(1_500);
-const REPLICA_DOWN_SHORTLY: Duration = Duration::from_millis(100);
+/// Delay before a replica that a request crashed is restarted.
+const RESTART_DELAY: Duration = Duration::from_millis(1_500);
 
-/// Of a hundred replicas that have ended, those that start again under their id, and those that do so
-/// at once.
-const SAME_ID: u32 = 50;
-const SHORTLY: u32 = 30;
+/// Delay before a replica that a request crashed is restarted, in the short case.
+const SHORT_RESTART_DELAY: Duration = Duration::from_millis(100);
 
-/// How long poison requests are sent once more, when all faults are over.
-const POISON_AGAIN: Duration = Duration::from_secs(2);
+/// Percentage of restarted replicas that keep their id.
+const SAME_ID_PERCENT: u32 = 50;
 
-/// How long reports of what was spent may be under way.
-const SETTLE: Duration = Duration::from_secs(2);
+/// Percentage of crashed replicas that are restarted after the short delay.
+const SHORT_DELAY_PERCENT: u32 = 30;
 
-/// How long the group may take to tell what is spent.
-const TELL_WITHIN: Duration = Duration::from_secs(5);
+/// Time for which poison requests are sent again after all faults.
+const FINAL_POISON_SPAN: Duration = Duration::from_secs(2);
 
-/// How often a gateway is asked whether it is back, and processes are looked after.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+/// Time allowed for spending reports to reach the control group.
+const SETTLE_TIME: Duration = Duration::from_secs(2);
 
-/// Time between two probes.
-const PROBE_EVERY: Duration = Duration::from_millis(60);
+/// Timeout for querying budgets from the control group.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Time between two documents of a storm.
-const STORM_EVERY: Duration = Duration::from_millis(150);
+/// Interval at which gateways and processes are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What came of a run.
+/// Interval between two probes.
+const PROBE_INTERVAL: Duration = Duration::from_millis(60);
+
+/// Interval between two documents of [`Fault::Storm`].
+const STORM_INTERVAL: Duration = Duration::from_millis(150);
+
+/// Result of a run.
 pub struct Verdict {
-    /// The plan.
+    /// The plan that was executed.
     pub plan: Plan,
-    /// Promises that were broken.
+    /// The promises that were broken.
     pub broken: Vec<Broken>,
-    /// Requests that were sent, and those that were answered.
+    /// Number of requests sent and number of requests answered.
     pub requests: (usize, usize),
-    /// Where the logs are.
+    /// Directory of the logs.
     pub dir: PathBuf,
 }
 
-/// The bounds that the settings of the soak's fleets promise.
+/// Returns the bounds that follow from the settings of the soak's fleets.
 pub fn bounds() -> Bounds {
     Bounds {
         prepaid: ACCOUNTS.iter().map(|a| (a.name, a.prepaid)).collect(),
@@ -100,10 +104,10 @@
         retry_extra: RETRY_EXTRA,
         retry_window_ms: 10_000,
         stop_ms: STOP_WITHIN_S * 1_000 + 1_000,
-        back_ms: BACK_MS,
+        back_ms: RECOVERY_LIMIT_MS,
         patience_ms: PATIENCE.as_millis() as u64,
-        known_ms: KNOWN_MS,
-        poisoned: POISONED_MOST,
+        known_ms: QUARANTINE_LIMIT_MS,
+        poisoned: MAX_SENDS_IN_QUARANTINE,
         limit_counts_after_ms: 3_000,
         limit_span_ms: 4_000,
         limit_share: 1.5,
@@ -111,11 +115,11 @@
         told_ms: 500,
         rest_counts_after_ms: 500,
         rest_most: 2,
-        led_within_ms: 2 * ELECTION_MS,
+        led_within_ms: 2 * ELECTION_TIMEOUT_MS,
     }
 }
 
-/// The stand-in replicas of one service.
+/// The simulated replicas of one service.
 struct Replicas {
     service: &'static str,
     started: usize,
@@ -130,7 +134,10 @@
     tasks: RefCell<Vec<AbortHandle>>,
 }
 
-/// Plays a plan with its files in `dir`.
+/// Executes a plan, with files of the fleet in `dir`, and checks the recorded history.
+///
+/// # Errors
+/// Fails if the fleet cannot be started.
 pub async fn play(plan: Plan, programs: &Programs, dir: &Path) -> Result<Verdict, Error> {
     let fleet = Fleet::lay_out(plan.seed, &plan.size, programs, dir).await?;
     let apis = fleet.controls.iter().map(|c| c.api).collect();
@@ -140,33 +147,33 @@
     let replicas = |service| RefCell::new(Replicas { service, started: 0, running: Vec::new() });
     let (talk, board) = (replicas("talk"), replicas("board"));
     let run = Rc::new(Run { w, fleet, talk, board, tasks: RefCell::default() });
-    run.bring_up(&plan).await?;
-    run.begin(&plan);
-    run.disturb(&plan).await;
-    run.see_it_come_back().await;
-    run.send_poisons_again(&plan).await;
+    run.start_fleet(&plan).await?;
+    run.spawn_tasks(&plan);
+    run.run_steps(&plan).await;
+    run.wait_for_recovery().await;
+    run.send_final_poisons(&plan).await;
     run.finish().await;
     let history = run.w.history.borrow();
     Ok(Verdict {
         broken: check(&history, &bounds()),
-        requests: (history.requests.len(), answered(&history)),
+        requests: (history.requests.len(), count_answered(&history)),
         dir: dir.to_owned(),
         plan,
     })
 }
 
-fn answered(h: &History) -> usize {
+fn count_answered(h: &History) -> usize {
     h.requests.iter().filter(|r| matches!(r.outcome, Outcome::Answered { .. })).count()
 }
 
 impl Run {
-    /// Starts everything and waits until each gateway answers.
-    async fn bring_up(&self, plan: &Plan) -> Result<(), Error> {
+    /// Starts all processes and replicas and waits until each gateway serves requests.
+    async fn start_fleet(&self, plan: &Plan) -> Result<(), Error> {
         for p in self.fleet.processes() {
             p.start()?;
         }
         for n in 0..self.fleet.gateways.len() {
-            self.count_start(n);
+            self.increment_incarnation(n);
         }
         for _ in 0..plan.size.talk {
             self.add_replica(&self.talk).await?;
@@ -178,28 +185,28 @@
             return Err(Error::NotUp("acknowledged document"));
         }
         self.fleet.founded()?;
-        let until = Instant::now() + UP_WITHIN;
+        let until = Instant::now() + STARTUP_TIMEOUT;
         for n in 0..self.fleet.gateways.len() {
-            while !self.answers(n).await {
+            while !self.is_serving(n).await {
                 if Instant::now() > until {
                     return Err(Error::NotUp("gateway that answers"));
                 }
-                sleep(LOOK_EVERY).await;
+                sleep(POLL_INTERVAL).await;
             }
         }
-        // What was asked before the fleet was up is no part of the run.
+        // Requests from before the fleet was up are not checked.
         let mut h = self.w.history.borrow_mut();
         let changes = std::mem::take(&mut h.changes);
         *h = History { changes, ..History::default() };
         Ok(())
     }
 
-    fn count_start(&self, gateway: usize) {
+    fn increment_incarnation(&self, gateway: usize) {
         let incarnation = &self.w.incarnations[gateway];
         incarnation.set(incarnation.get() + 1);
     }
 
-    /// Starts another replica, under an id of its own.
+    /// Starts a replica under a new id.
     async fn add_replica(&self, all: &RefCell<Replicas>) -> Result<(), Error> {
         let id = {
             let mut all = all.borrow_mut();
@@ -209,9 +216,9 @@
         self.start_replica(all, id).await
     }
 
-    /// Starts a replica again after its end: under its id, or another.
-    async fn start_replica_again(&self, all: &RefCell<Replicas>, id: String) -> Result<(), Error> {
-        if !self.w.happens(SAME_ID) {
+    /// Restarts a crashed replica, under its own id or a new one as drawn.
+    async fn restart_replica(&self, all: &RefCell<Replicas>, id: String) -> Result<(), Error> {
+        if !self.w.happens(SAME_ID_PERCENT) {
             return self.add_replica(all).await;
         }
         self.w.ended.borrow_mut().retain(|ended| *ended != id);
@@ -225,8 +232,8 @@
         Ok(())
     }
 
-    /// Whether a gateway answers a plain request.
-    async fn answers(&self, gateway: usize) -> bool {
+    /// Returns whether a gateway completes a safe request.
+    async fn is_serving(&self, gateway: usize) -> bool {
         let before = self.w.history.borrow().requests.len();
         let id = format!("up-{gateway}-{}", self.w.at());
         ask(&self.w, gateway, id, Kind::Safe, None).await;
@@ -239,12 +246,12 @@
         self.tasks.borrow_mut().push(actix_rt::spawn(task).abort_handle());
     }
 
-    /// Sets callers, probes and the operator's looks going.
-    fn begin(self: &Rc<Self>, plan: &Plan) {
+    /// Spawns the callers, probes, operator reads, scheduled replica faults and process monitoring.
+    fn spawn_tasks(self: &Rc<Self>, plan: &Plan) {
         for n in 0..plan.size.callers {
             self.spawn(call_forever(self.w.clone(), n));
         }
-        self.spawn(probe_forever(self.w.clone(), PROBE_EVERY));
+        self.spawn(probe_forever(self.w.clone(), PROBE_INTERVAL));
         self.spawn(read_forever(self.w.clone()));
         for n in 0..self.fleet.gateways.len() {
             self.spawn(watch_gateway(self.w.clone(), n));
@@ -260,7 +267,7 @@
             let run = self.clone();
             self.spawn(async move {
                 sleep(Duration::from_millis(l.at)).await;
-                run.limit(l).await;
+                run.announce_limit(l).await;
             });
         }
         for r in plan.rests.iter().copied() {
@@ -280,29 +287,35 @@
         let run = self.clone();
         self.spawn(async move {
             loop {
-                sleep(LOOK_EVERY).await;
-                run.note_ends();
-                run.note_ended_replicas();
+                sleep(POLL_INTERVAL).await;
+                run.record_exits();
+                run.restart_crashed_replicas();
             }
         });
     }
 
-    /// Has replicas that requests have ended start again after a while, under another id and address.
-    fn note_ended_replicas(self: &Rc<Self>) {
+    /// Schedules the restart of replicas that poison requests crashed.
+    fn restart_crashed_replicas(self: &Rc<Self>) {
         for all in [&self.talk, &self.board] {
             let ended = self.w.ended.borrow().clone();
-            let is_gone = |r: &mut Rc<Replica>| ended.contains(&r.id);
-            let gone: Vec<_> = all.borrow_mut().running.extract_if(.., is_gone).collect();
+            let has_crashed = |r: &mut Rc<Replica>| ended.contains(&r.id);
+            let crashed: Vec<_> = all.borrow_mut().running.extract_if(.., has_crashed).collect();
             let talk = std::ptr::eq(all, &self.talk);
-            for r in gone {
-                self.disrupt(POISONED.to_owned(), REPLICA_DOWN.as_millis() as u64 + START_MS);
-                let down =
-                    if self.w.happens(SHORTLY) { REPLICA_DOWN_SHORTLY } else { REPLICA_DOWN };
+            for r in crashed {
+                self.record_disruption(
+                    POISONED.to_owned(),
+                    RESTART_DELAY.as_millis() as u64 + START_DISRUPTION_MS,
+                );
+                let down = if self.w.happens(SHORT_DELAY_PERCENT) {
+                    SHORT_RESTART_DELAY
+                } else {
+                    RESTART_DELAY
+                };
                 let (run, id) = (self.clone(), r.id.clone());
                 self.spawn(async move {
                     sleep(down).await;
                     let all = if talk { &run.talk } else { &run.board };
-                    run.start_replica_again(all, id).await.expect("a replica can be started");
+                    run.restart_replica(all, id).await.expect("a replica can be started");
                 });
             }
         }
@@ -312,52 +325,52 @@
         if talk { &self.talk } else { &self.board }
     }
 
-    /// One of the replicas of a service, or all.
-    fn some(&self, talk: bool, one: Option<usize>) -> Vec<Rc<Replica>> {
+    /// Returns one of the replicas of a service, or all if `one` is `None`.
+    fn select_replicas(&self, talk: bool, one: Option<usize>) -> Vec<Rc<Replica>> {
         let all = self.replicas_of(talk);
         match one {
-            Some(n) => self.nth(all, n).into_iter().collect(),
+            Some(n) => self.replica_at(all, n).into_iter().collect(),
             None => all.borrow().running.clone(),
         }
     }
 
-    /// Has replicas name a limit.
-    async fn limit(&self, l: Limiting) {
+    /// Makes replicas announce a rate limit.
+    async fn announce_limit(&self, l: Limiting) {
         let span = Duration::from_millis(l.span);
-        let limited = self.some(l.talk, l.replica);
+        let limited = self.select_replicas(l.talk, l.replica);
         let named = limited.iter().map(|r| r.name_limit(&self.w, l.thousandths, span));
         futures_util::future::join_all(named).await;
     }
 
-    /// Has replicas turn requests away and ask for rest.
+    /// Makes replicas reject requests with `Retry-After`.
     async fn turn_away(&self, r: Resting) {
-        let resting = self.some(r.talk, r.replica);
+        let resting = self.select_replicas(r.talk, r.replica);
         let all = resting.iter().map(|one| one.turn_away(r));
         futures_util::future::join_all(all).await;
     }
 
-    /// Has a replica leave that says so in its answers alone.
+    /// Starts a replica, then drains another that announces it only in its responses.
     async fn leave_quietly(&self, l: QuietLeave) {
         let all = self.replicas_of(l.talk);
         self.add_replica(all).await.expect("a replica can be started");
-        if let Some(gone) = self.take(all, l.replica) {
+        if let Some(gone) = self.remove_replica(all, l.replica) {
             gone.leave_quietly(self.w.clone()).await;
         }
     }
 
-    /// Sends poison requests once more, when the fleet has been calm for long enough to count.
-    async fn send_poisons_again(&self, plan: &Plan) {
+    /// Sends the poison requests again once the fleet has been undisturbed for `calm_ms`.
+    async fn send_final_poisons(&self, plan: &Plan) {
         if plan.poisons.is_empty() {
             return;
         }
         let last = self.w.history.borrow().disruptions.iter().map(|d| d.until).max();
         let calm = last.unwrap_or_default() + bounds().calm_ms;
         sleep(Duration::from_millis(calm.saturating_sub(self.w.at()))).await;
-        let all = plan.poisons.iter().map(|p| poison(self.w.clone(), p.number, POISON_AGAIN));
+        let all = plan.poisons.iter().map(|p| poison(self.w.clone(), p.number, FINAL_POISON_SPAN));
         futures_util::future::join_all(all).await;
     }
 
-    fn note_ends(&self) {
+    fn record_exits(&self) {
         for p in self.fleet.processes().filter(|p| !p.busy.get()) {
             if p.has_ended() {
                 self.w.history.borrow_mut().ended.push(p.name.clone());
@@ -365,32 +378,32 @@
         }
     }
 
-    /// Does what the plan says, each step at its time, and waits for the last to end.
-    async fn disturb(self: &Rc<Self>, plan: &Plan) {
+    /// Runs each step of the plan at its time and waits for all to end.
+    async fn run_steps(self: &Rc<Self>, plan: &Plan) {
         let started = Instant::now();
         let mut steps = Vec::new();
         for step in plan.steps.clone() {
             let run = self.clone();
             steps.push(actix_rt::spawn(async move {
                 tokio::time::sleep_until(started + Duration::from_millis(step.at)).await;
-                run.step(step).await;
+                run.run_step(step).await;
             }));
         }
         for s in steps {
-            // A step that panicked is a fault of the soak, and ends the run.
-            s.await.expect("a step was played");
+            // A panic in a step is a fault of the soak itself and aborts the run.
+            s.await.expect("the task of a step does not panic");
         }
         let healed = self.w.at();
         self.w.history.borrow_mut().healed = healed;
     }
 
-    fn disrupt(&self, what: String, lasts: u64) {
+    fn record_disruption(&self, what: String, lasts: u64) {
         let from = self.w.at();
         let d = Disruption { what, from, until: from + lasts };
         self.w.history.borrow_mut().disruptions.push(d);
     }
 
-    async fn step(self: &Rc<Self>, s: Step) {
+    async fn run_step(self: &Rc<Self>, s: Step) {
         let span = Duration::from_millis(s.span);
         let (controls, gateways) = (&self.fleet.controls, &self.fleet.gateways);
         match s.fault {
@@ -398,7 +411,7 @@
             Fault::Grow(more) => return self.grow(more).await,
             Fault::Storm(n) => return self.storm(n).await,
             Fault::Race => return self.race().await,
-            _ => self.disrupt(format!("{:?}", s.fault), s.span + START_MS),
+            _ => self.record_disruption(format!("{:?}", s.fault), s.span + START_DISRUPTION_MS),
         }
         let control = |n: usize| vec![&controls[n].process];
         match s.fault {
@@ -407,7 +420,7 @@
             Fault::EmptyDisk(n) => self.kill(control(n), Some(n)).await,
             Fault::SeedsAway => {
                 let seeds = controls.iter().take(2).map(|c| &c.process).collect();
-                self.away(seeds, span).await;
+                self.kill_for(seeds, span).await;
             }
             Fault::KillControls => {
                 self.kill(controls.iter().map(|c| &c.process).collect(), None).await;
@@ -416,14 +429,18 @@
             Fault::PauseGateway(n) => self.pause(&gateways[n].process, span).await,
             Fault::PauseControl(n) => self.pause(&controls[n].process, span).await,
             Fault::StopControl(n) => self.stop_control(n).await,
-            Fault::CutGateway(n) => self.cut(both_ways(named("gateway", n), Side::All), span).await,
-            Fault::CutControl(n) => self.cut(both_ways(named("control", n), Side::All), span).await,
+            Fault::CutGateway(n) => {
+                self.cut(both_ways(process_side("gateway", n), Side::All), span).await
+            }
+            Fault::CutControl(n) => {
+                self.cut(both_ways(process_side("control", n), Side::All), span).await
+            }
             Fault::CutAllGateways => {
                 let (g, c) = (Side::Named("gateway-".into()), Side::Named("control-".into()));
                 self.cut(both_ways(g, c), span).await;
             }
             Fault::DeafControl(n) => {
-                self.cut(vec![Cut { from: Side::All, to: named("control", n) }], span).await;
+                self.cut(vec![Cut { from: Side::All, to: process_side("control", n) }], span).await;
             }
             Fault::Delay(n, ms) => self.delay(n, Duration::from_millis(ms), span).await,
             Fault::Reset => self.fleet.net.reset(),
@@ -432,45 +449,46 @@
             Fault::LeaveTalk(n) => self.leave(&self.talk, n).await,
             Fault::LeaveBoard(n) => self.leave(&self.board, n).await,
             Fault::GreyTalk(n) => {
-                if let Some(r) = self.nth(&self.talk, n) {
+                if let Some(r) = self.replica_at(&self.talk, n) {
                     r.turn_grey(span).await;
                 }
             }
-            Fault::FullBoard(n) => self.fill(n, span).await,
+            Fault::FullBoard(n) => self.reject_for(n, span).await,
             Fault::StopGateway(_) | Fault::Grow(_) | Fault::Storm(_) | Fault::Race => {}
         }
     }
 
-    /// One of the replicas that run, if any does.
-    fn nth(&self, all: &RefCell<Replicas>, n: usize) -> Option<Rc<Replica>> {
+    /// Returns the running replica at index `n`, modulo their number, or `None` if none runs.
+    fn replica_at(&self, all: &RefCell<Replicas>, n: usize) -> Option<Rc<Replica>> {
         let all = all.borrow();
         all.running.get(n % all.running.len().max(1)).cloned()
     }
 
-    /// Kills processes that nothing else is done to, empties a disk, and starts them again.
+    /// Kills the processes that no other step is using, optionally empties the disk of one, and restarts
+    /// them.
     async fn kill(&self, all: Vec<&Process>, empty: Option<usize>) {
         let taken: Vec<_> = all.into_iter().filter(|p| !p.busy.replace(true)).collect();
         taken.iter().for_each(|p| p.kill());
-        sleep(Duration::from_millis(DOWN_MS)).await;
+        sleep(Duration::from_millis(DOWNTIME_MS)).await;
         if let (Some(n), false) = (empty, taken.is_empty()) {
             self.fleet.empty_disk(n).expect("the soak's own folder can be emptied");
         }
         for p in taken {
-            self.start_again(p);
+            self.restart(p);
         }
     }
 
-    /// Kills processes that nothing else is done to, and starts them again after `span`.
-    async fn away(&self, all: Vec<&Process>, span: Duration) {
+    /// Kills the processes that no other step is using and restarts them after `span`.
+    async fn kill_for(&self, all: Vec<&Process>, span: Duration) {
         let taken: Vec<_> = all.into_iter().filter(|p| !p.busy.replace(true)).collect();
         taken.iter().for_each(|p| p.kill());
         sleep(span).await;
-        taken.into_iter().for_each(|p| self.start_again(p));
+        taken.into_iter().for_each(|p| self.restart(p));
     }
 
-    fn start_again(&self, p: &Process) {
+    fn restart(&self, p: &Process) {
         if let Some(n) = self.fleet.gateways.iter().position(|g| g.process.name == p.name) {
-            self.count_start(n);
+            self.increment_incarnation(n);
         }
         p.start().expect("a program that ran can be started again");
         p.busy.set(false);
@@ -492,7 +510,7 @@
             return;
         }
         p.stop().await;
-        self.start_again(p);
+        self.restart(p);
     }
 
     async fn stop_gateway(&self, n: usize) {
@@ -503,12 +521,12 @@
         let asked = self.w.at();
         p.stop().await;
         let ended = self.w.at();
-        let d = Disruption { what: stop_of(n), from: asked, until: ended + START_MS };
+        let d = Disruption { what: stop_of(n), from: asked, until: ended + START_DISRUPTION_MS };
         let mut h = self.w.history.borrow_mut();
         h.stops.push(Stop { gateway: n, asked, ended: Some(ended) });
         h.disruptions.push(d);
         drop(h);
-        self.start_again(p);
+        self.restart(p);
     }
 
     async fn cut(&self, cuts: Vec<Cut>, span: Duration) {
@@ -529,34 +547,34 @@
     }
 
     async fn crash(&self, all: &RefCell<Replicas>, n: usize) {
-        let Some(gone) = self.take(all, n) else { return };
+        let Some(gone) = self.remove_replica(all, n) else { return };
         gone.crash();
-        let again = self.start_replica_again(all, gone.id.clone()).await;
+        let again = self.restart_replica(all, gone.id.clone()).await;
         again.expect("a replica can be started");
     }
 
     async fn leave(&self, all: &RefCell<Replicas>, n: usize) {
         self.add_replica(all).await.expect("a replica can be started");
-        if let Some(gone) = self.take(all, n) {
+        if let Some(gone) = self.remove_replica(all, n) {
             gone.leave(self.w.clone()).await;
         }
     }
 
-    fn take(&self, all: &RefCell<Replicas>, n: usize) -> Option<Rc<Replica>> {
+    fn remove_replica(&self, all: &RefCell<Replicas>, n: usize) -> Option<Rc<Replica>> {
         let mut all = all.borrow_mut();
         let n = n % all.running.len().max(1);
         (n < all.running.len()).then(|| all.running.remove(n))
     }
 
-    async fn fill(&self, n: usize, span: Duration) {
-        let Some(full) = self.nth(&self.board, n) else { return };
+    async fn reject_for(&self, n: usize, span: Duration) {
+        let Some(full) = self.replica_at(&self.board, n) else { return };
         full.set_full(true);
         sleep(span).await;
         full.set_full(false);
     }
 
     async fn grow(&self, more: usize) {
-        // One that is not acknowledged is noted as such.
+        // `publish` records whether the document was acknowledged.
         publish(&self.w, more).await;
     }
 
@@ -567,15 +585,15 @@
             all.push(actix_rt::spawn(async move {
                 publish(&w, 0).await;
             }));
-            sleep(STORM_EVERY).await;
+            sleep(STORM_INTERVAL).await;
         }
         for one in all {
-            // One that panicked is a fault of the soak, and ends the run.
-            one.await.expect("a document was sent");
+            // A panic here is a fault of the soak itself and aborts the run.
+            one.await.expect("the task that publishes a document does not panic");
         }
     }
 
-    /// Two operators send documents of the same version, and one sends an older one again.
+    /// Sends two different documents of the same version concurrently, then one of the version before.
     async fn race(&self) {
         let version = self.w.sent.get() + 1;
         self.w.sent.set(version);
@@ -584,30 +602,31 @@
         send(&self.w, version - 1, 0).await;
     }
 
-    /// Waits until each gateway answers again.
-    async fn see_it_come_back(&self) {
+    /// Waits until each gateway serves again, at most `RECOVERY_LIMIT_MS`, and records when.
+    async fn wait_for_recovery(&self) {
         let healed = self.w.history.borrow().healed;
         let mut back: Vec<Option<At>> = vec![None; self.fleet.gateways.len()];
-        while self.w.at() < healed + BACK_MS && back.iter().any(Option::is_none) {
+        while self.w.at() < healed + RECOVERY_LIMIT_MS && back.iter().any(Option::is_none) {
             for (n, at) in back.iter_mut().enumerate().filter(|(_, at)| at.is_none()) {
-                if self.answers(n).await {
+                if self.is_serving(n).await {
                     *at = Some(self.w.at());
                 }
             }
-            sleep(LOOK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
         self.w.history.borrow_mut().back = back;
-        sleep(AFTER).await;
+        sleep(LOAD_AFTER_RECOVERY).await;
     }
 
-    /// Lets requests end, reads the document back, and asks the group what is spent.
+    /// Stops the callers, waits for running requests, then reads the document version and the spent
+    /// tokens.
     async fn finish(&self) {
         self.w.over.set(true);
-        sleep(SETTLE).await;
+        sleep(SETTLE_TIME).await;
         read(&self.w).await;
         let spent = self.spent().await;
         self.w.history.borrow_mut().spent = spent;
-        self.note_ends();
+        self.record_exits();
         self.tasks.borrow_mut().drain(..).for_each(|t| t.abort());
     }
 
@@ -618,7 +637,8 @@
             name: "soak".to_owned(),
         };
         let group = GroupClient::new(me, self.fleet.links());
-        let Ok(Reply::Budgets(all)) = group.query(&Query::Budgets(None), TELL_WITHIN).await else {
+        let Ok(Reply::Budgets(all)) = group.query(&Query::Budgets(None), QUERY_TIMEOUT).await
+        else {
             return BTreeMap::new();
         };
         let spent = |name: &str| {
@@ -629,7 +649,7 @@
     }
 }
 
-fn named(kind: &str, n: usize) -> Side {
+fn process_side(kind: &str, n: usize) -> Side {
     Side::Named(format!("{kind}-{n}"))
 }
 
