--- a/crates/soak/tests/check.rs
+++ b/crates/soak/tests/check.rs
@@ -1,4 +1,4 @@
-//! Each check finds the fault that it exists for, and finds nothing in a run without one.
+//! Each check reports the violation that it is for and reports nothing for a correct run.
 
 #![allow(missing_docs)]
 
@@ -36,8 +36,8 @@
     Arrival { id: id.to_owned(), service, replica, at, account, run: true }
 }
 
-/// A run without a fault, with something of everything in it.
-fn sound() -> History {
+/// Returns a history with records of most kinds that breaks no promise.
+fn correct_history() -> History {
     let mut h = History {
         requests: vec![
             request("s", Kind::Stream, answered(&[1, 2, 3])),
@@ -73,15 +73,15 @@
     h
 }
 
-fn found(h: &History) -> Vec<&'static str> {
+fn broken_promises(h: &History) -> Vec<&'static str> {
     let mut all: Vec<_> = check(h, &bounds()).into_iter().map(|b: Broken| b.promise).collect();
     all.dedup();
     all
 }
 
 #[test]
-fn a_sound_run_breaks_nothing() {
-    assert_eq!(check(&sound(), &bounds()), Vec::new());
+fn a_correct_run_breaks_no_promise() {
+    assert_eq!(check(&correct_history(), &bounds()), Vec::new());
 }
 
 #[rstest]
@@ -121,25 +121,26 @@
 #[case::retries("retries", |h: &mut History| {
     (0..12).for_each(|n| h.arrivals.push(arrival("s", "talk", 10_020 + n)));
 })]
-#[case::sent_on("poison", |h: &mut History| poisoned(h, 4))]
+#[case::sent_on("poison", |h: &mut History| add_poison(h, 4))]
 #[case::sound_work("quarantine", |h: &mut History| h.requests[2].outcome = Outcome::Quarantined)]
-#[case::over_its_limit("limit", |h: &mut History| limited(h, 12))]
+#[case::over_its_limit("limit", |h: &mut History| add_limited_replica(h, 12))]
 #[case::not_back("service back", |h: &mut History| h.back[0] = None)]
 #[case::back_late("service back", |h: &mut History| h.back[0] = Some(40_000))]
 #[case::ended("ends by itself", |h: &mut History| h.ended.push("gateway-0".into()))]
-fn a_fault_is_found(#[case] promise: &str, #[case] put_in: fn(&mut History)) {
-    let mut h = sound();
-    put_in(&mut h);
-    assert_eq!(found(&h), [promise]);
+fn a_fault_is_found(#[case] promise: &str, #[case] apply: fn(&mut History)) {
+    let mut h = correct_history();
+    apply(&mut h);
+    assert_eq!(broken_promises(&h), [promise]);
 }
 
-/// A replica that takes one request a second, known to a gateway that then sends it so many in 4 s.
-fn limited(h: &mut History, sends: u64) {
+/// Adds a replica with a limit of one request per second and a gateway that learns of the limit and then
+/// sends it `sends` requests within 4 s.
+fn add_limited_replica(h: &mut History, sends: u64) {
     let replica = "board-9".to_owned();
     let first = Some(11_010);
     h.limits.push(Limited { replica, thousandths: 1_000, first, until: None });
     for n in 0..=sends {
-        // The first of them tells the gateway of the limit.
+        // The response to the first request announces the limit to the gateway.
         let at = if n == 0 { 11_010 } else { 14_200 + 300 * n };
         let id = format!("l-{n}");
         let asked = request(&id, Kind::Safe, answered(&[]));
@@ -148,8 +149,9 @@
     }
 }
 
-/// A request that ends three replicas and reaches others `later` times, when all could know it.
-fn poisoned(h: &mut History, later: u64) {
+/// Adds a request that crashes three replicas and is sent `later` more times, when every gateway must have
+/// it in quarantine.
+fn add_poison(h: &mut History, later: u64) {
     let kind = Kind::Poison(0);
     h.requests.push(request("x", kind, Outcome::Quarantined));
     h.ends.extend((0..3).map(|n| End { poison: 0, at: 11_000 + 100 * n }));
@@ -158,9 +160,9 @@
 }
 
 #[rstest]
-#[case::a_few_more(|h: &mut History| poisoned(h, 3))]
+#[case::a_few_more(|h: &mut History| add_poison(h, 3))]
 #[case::sent_on_in_a_cut(|h: &mut History| {
-    poisoned(h, 4);
+    add_poison(h, 4);
     h.disruptions.push(Disruption { what: "CutGateway".into(), from: 17_000, until: 19_000 });
 })]
 #[case::cut_while_others_are_disturbed(|h: &mut History| {
@@ -177,28 +179,28 @@
     h.requests[3].outcome = Outcome::Refused(503);
     h.arrivals.remove(2);
 })]
-#[case::at_its_limit(|h: &mut History| limited(h, 11))]
+#[case::at_its_limit(|h: &mut History| add_limited_replica(h, 11))]
 #[case::over_a_limit_that_is_over(|h: &mut History| {
-    limited(h, 12);
+    add_limited_replica(h, 12);
     h.limits[0].until = Some(15_000);
 })]
 #[case::over_it_by_a_gateway_that_was_cut_off(|h: &mut History| {
-    limited(h, 12);
+    add_limited_replica(h, 12);
     h.disruptions.push(Disruption { what: "CutGateway(1)".into(), from: 13_000, until: 16_000 });
 })]
 #[case::over_it_before_it_counts(|h: &mut History| {
-    limited(h, 12);
+    add_limited_replica(h, 12);
     h.limits[0].first = Some(15_000);
 })]
 #[case::stream_repeated(|h: &mut History| h.arrivals.push(arrival("s", "talk", 10_020)))]
-fn what_is_allowed_is_no_fault(#[case] put_in: fn(&mut History)) {
-    let mut h = sound();
-    put_in(&mut h);
-    assert_eq!(found(&h), [""; 0]);
+fn permitted_behaviour_breaks_no_promise(#[case] apply: fn(&mut History)) {
+    let mut h = correct_history();
+    apply(&mut h);
+    assert_eq!(broken_promises(&h), [""; 0]);
 }
 
 #[test]
-fn a_seed_is_always_the_same_plan() {
+fn a_seed_always_gives_the_same_plan() {
     let plans: Vec<_> = (0..200).map(|seed| Plan::draw(seed, 10_000, false)).collect();
     for p in &plans {
         let again = Plan::draw(p.seed, 10_000, false);
@@ -211,21 +213,22 @@
     assert_eq!(differ, 199);
 }
 
-/// A request that another gateway than the one that is stopped passes to a replica.
-fn passed(h: &mut History, id: &str, gateway: usize, sent: u64) {
+/// Adds a request that `gateway` forwards to the replica `board-9`.
+fn add_forwarded(h: &mut History, id: &str, gateway: usize, sent: u64) {
     let asked = request(id, Kind::Safe, answered(&[]));
     h.requests.push(Request { gateway, sent, ended: sent + 20, ..asked });
     h.arrivals.push(Arrival { replica: "board-9".into(), ..arrival(id, "board", sent + 1) });
 }
 
-/// A run in which a replica asks a gateway for 3 s of rest, and gets so many requests of it in that time.
-fn rested(requests: usize) -> History {
-    let mut h = sound();
-    passed(&mut h, "first", 1, 11_000);
+/// Returns a history in which a replica responds to a gateway with a `Retry-After` of 3 s and receives
+/// `requests` requests from it within that time.
+fn with_retry_after(requests: usize) -> History {
+    let mut h = correct_history();
+    add_forwarded(&mut h, "first", 1, 11_000);
     let (replica, request) = ("board-9".to_owned(), "first".to_owned());
     h.rests.push(Rested { replica, request, at: 11_001, until: 14_001 });
     for n in 0..requests {
-        passed(&mut h, &format!("in-rest-{n}"), 1, 12_000 + n as u64);
+        add_forwarded(&mut h, &format!("in-rest-{n}"), 1, 12_000 + n as u64);
     }
     h
 }
@@ -233,59 +236,60 @@
 #[rstest]
 #[case::two_are_allowed(2, &[])]
 #[case::three_are_not(3, &["rest"])]
-fn requests_in_a_rest_are_found(#[case] requests: usize, #[case] promises: &[&str]) {
-    assert_eq!(found(&rested(requests)), promises);
+fn requests_during_retry_after_are_found(#[case] requests: usize, #[case] promises: &[&str]) {
+    assert_eq!(broken_promises(&with_retry_after(requests)), promises);
 }
 
 #[test]
-fn requests_of_another_gateway_break_no_rest() {
-    let mut h = rested(3);
+fn requests_of_another_gateway_do_not_count_against_retry_after() {
+    let mut h = with_retry_after(3);
     let others = h.requests.iter_mut().filter(|r| r.id.starts_with("in-rest"));
     others.for_each(|r| r.gateway = 2);
-    assert!(found(&h).is_empty());
+    assert!(broken_promises(&h).is_empty());
 }
 
 #[test]
-fn a_gateway_that_started_again_meanwhile_is_excused() {
-    let mut h = rested(3);
+fn a_gateway_that_restarted_meanwhile_is_exempt() {
+    let mut h = with_retry_after(3);
     let what = format!("{:?}", Fault::KillGateway(1));
     h.disruptions.push(Disruption { what, from: 11_500, until: 11_900 });
-    assert!(found(&h).is_empty());
+    assert!(broken_promises(&h).is_empty());
 }
 
-/// When a request is sent to a replica that had said that it leaves, by which gateway, and whether it counts.
+/// Cases: when a request is sent to a replica whose response announced its drain, by which gateway, and
+/// the promises that this breaks.
 #[rstest]
 #[case::late(14_000, 1, &["leaving"])]
 #[case::soon(13_000, 1, &[])]
 #[case::by_another_gateway(14_000, 2, &[])]
-fn work_for_a_replica_that_said_that_it_leaves_is_found(
+fn requests_to_a_draining_replica_are_found(
     #[case] sent: u64,
     #[case] gateway: usize,
     #[case] promises: &[&str],
 ) {
-    let mut h = sound();
-    passed(&mut h, "first", 1, 11_000);
+    let mut h = correct_history();
+    add_forwarded(&mut h, "first", 1, 11_000);
     let (replica, request) = ("board-9".to_owned(), "first".to_owned());
     h.told.push(Told { replica, request, until: None });
-    passed(&mut h, "late", gateway, sent);
-    assert_eq!(found(&h), promises);
+    add_forwarded(&mut h, "late", gateway, sent);
+    assert_eq!(broken_promises(&h), promises);
 }
 
-/// Reads that fail, by when they are sent and end, and whether that is found.
+/// Cases: the start and end of reads that fail, and the promises that this breaks.
 #[rstest]
 #[case::for_long(&[(20_000, 20_400), (20_600, 21_100)], &["leader"])]
 #[case::shortly(&[(20_000, 20_400), (20_600, 20_900)], &[])]
 #[case::with_one_that_succeeds_between(&[(20_000, 20_400), (21_000, 21_100)], &[])]
 #[case::beside_a_stop(&[(9_000, 9_400), (10_600, 11_100)], &[])]
-fn a_calm_group_without_a_leader_is_found(
+fn an_undisturbed_group_without_a_leader_is_found(
     #[case] unread: &[(u64, u64)],
     #[case] promises: &[&str],
 ) {
-    let mut h = sound();
+    let mut h = correct_history();
     h.reads.push(Read { sent: 20_700, version: 2 });
     if promises == ["leader"] {
         h.reads.pop();
     }
     h.unread = unread.iter().map(|(sent, ended)| Unread { sent: *sent, ended: *ended }).collect();
-    assert_eq!(found(&h), promises);
+    assert_eq!(broken_promises(&h), promises);
 }
