--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,5 +1,6 @@
-//! Randomized soak test: runs the real programs as separate processes on loopback, injects faults from
-//! outside and checks the system's guarantees against what callers, replicas and operators observe.
+//! Randomized soak test: runs the real programs as separate processes on loopback, injects faults
+//! from outside and checks the system's guarantees against what callers, replicas and operators
+//! observe.
 //!
 //! A seed determines a [`plan`]. [`run`] executes it with [`fleet`] processes behind [`proxy`]s,
 //! simulated [`replica`]s, [`caller`]s and an [`operator`]. Their observations are recorded in a
--- a/crates/soak/src/operator.rs
+++ b/crates/soak/src/operator.rs
@@ -59,8 +59,8 @@
     w.history.borrow_mut().changes.push(Change { version, acked });
 }
 
-/// Reads the document version in force from a random control process and records the result. Returns
-/// `None` if the call fails.
+/// Reads the document version in force from a random control process and records the result.
+/// Returns `None` if the call fails.
 pub async fn read(w: &World) -> Option<u64> {
     let sent = w.at();
     let answer = call(w.any_api(), Method::GET, "/v1/document", Bytes::new(), CALL_TIMEOUT).await;
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -31,7 +31,7 @@
     KillControls,
     /// Kills all processes at once and restarts them.
     KillAll,
-    /// Kills the first two seeds and keeps them down until the group has removed them as members.
+    /// Kills the first two seed processes and keeps them down until the group has removed them as members.
     SeedsAway,
     /// Kills a control process, empties its disk and restarts it.
     EmptyDisk(usize),
@@ -171,7 +171,7 @@
 /// Time without faults at the start of a run, in milliseconds.
 const QUIET_START_MS: u64 = 1_000;
 
-/// Draws the size of a draw_small_size fleet.
+/// Draws the size of a small fleet.
 fn draw_small_size(rng: &mut SmallRng) -> Size {
     let controls = if rng.random_bool(0.6) { 3 } else { 5 };
     let (gateways, talk, board) =
@@ -179,8 +179,8 @@
     Size { controls, gateways, talk, board, callers: rng.random_range(6..=14) }
 }
 
-/// Size of a large fleet: fits a machine with 8 cores and has enough gateways in one data centre for
-/// budgets to be assigned home gateways.
+/// Size of a large fleet: fits a machine with 8 cores and has enough gateways in one data centre
+/// for budgets to be assigned home gateways.
 const LARGE: Size = Size { controls: 9, gateways: 40, talk: 8, board: 4, callers: 30 };
 
 impl Plan {
@@ -295,8 +295,8 @@
 /// Maximum number of such drains in a run.
 const MAX_LEAVES: usize = 2;
 
-/// Draws the drains that are announced only in responses. A separate generator leaves the steps of a
-/// seed unchanged.
+/// Draws the drains that are announced only in responses. A separate generator leaves the steps of
+/// a seed unchanged.
 fn quiet_leaves(seed: u64, millis: u64) -> Vec<QuietLeave> {
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x1405_7b7e_f767_814f);
     if rng.random_range(0..100) >= LEAVES_PERCENT {
@@ -310,7 +310,7 @@
     (0..rng.random_range(1..=MAX_LEAVES)).map(|_| leave(&mut rng)).collect()
 }
 
-/// Percentage of seeds in which a group of more than three loses its seed processes.
+/// Percentage of plans in which a group of more than three members loses two seed processes.
 const SEEDS_AWAY_PERCENT: u32 = 40;
 
 /// Minimum and maximum downtime of the seed processes, in milliseconds: longer than the 2.5 s after
@@ -365,8 +365,8 @@
     }
 }
 
-/// Keeps only the first `EmptyDisk`: the group does not tolerate losing a second disk before the first
-/// is repaired.
+/// Keeps only the first `EmptyDisk`: the group does not tolerate losing a second disk before the
+/// first is repaired.
 fn keep_first_emptied_disk(steps: &mut Vec<Step>) {
     let mut seen = false;
     steps.retain(|s| {
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -60,7 +60,7 @@
 }
 
 impl Net {
-    /// Adds partitions. Returns the id to forward_link to [`Net::heal`].
+    /// Adds partitions. Returns the id to pass to [`Net::heal`].
     pub fn cut(&self, cuts: impl IntoIterator<Item = Cut>) -> u64 {
         let id = self.ids.get() + 1;
         self.ids.set(id);
@@ -68,7 +68,8 @@
         id
     }
 
-    /// Delays each chunk on links of the process `to` by `span`. Returns the id to forward_link to [`Net::heal`].
+    /// Delays each chunk on links of the process `to` by `span`. Returns the id to pass to
+    /// [`Net::heal`].
     pub fn delay(&self, to: &str, span: Duration) -> u64 {
         let id = self.ids.get() + 1;
         self.ids.set(id);
--- a/crates/soak/src/replica.rs
+++ b/crates/soak/src/replica.rs
@@ -31,7 +31,7 @@
 /// Maximum number of attempts to get a drain acknowledged.
 const MAX_DRAIN_ATTEMPTS: usize = 40;
 
-/// Time for which a draining replica goes on serve_task after the acknowledgement.
+/// Time for which a draining replica goes on serving after the acknowledgement.
 const DRAIN_TIME: Duration = Duration::from_secs(4);
 
 /// Interval between connection resets of a replica with a gray failure.
@@ -139,8 +139,8 @@
         self.full.set(full);
     }
 
-    /// Announces a rate limit, in thousandths of a request per second, in its responses for `span`. Does
-    /// nothing if it announces one already.
+    /// Announces a rate limit, in thousandths of a request per second, in its responses for `span`.
+    /// Does nothing if it announces one already.
     pub async fn name_limit(&self, w: &World, thousandths: u64, span: Duration) {
         if self.limit.get().is_some() {
             return;
@@ -161,7 +161,8 @@
         self.resting.set(None);
     }
 
-    /// Announces its drain only in responses, goes on serve_task for a while, then deregisters and crashes.
+    /// Announces its drain only in responses, goes on serving for a while, then deregisters and
+    /// crashes.
     pub async fn leave_quietly(self: Rc<Self>, w: Rc<World>) {
         self.drains_quietly.set(true);
         sleep(DRAIN_TIME * 2).await;
@@ -228,8 +229,8 @@
         }
     }
 
-    /// Crashes at once. For about half of the replicas the port stays open for a short time after the
-    /// connections are closed, as with a process that is slow to exit.
+    /// Crashes at once. For about half of the replicas the port stays open for a short time after
+    /// the connections are closed, as with a process that is slow to exit.
     pub fn crash(self: &Rc<Self>) {
         for task in [self.heartbeat_task.take(), self.serve_task.take()].into_iter().flatten() {
             task.abort();
@@ -245,7 +246,7 @@
         });
     }
 
-    /// Announces its drain by heartbeat, goes on serve_task for a while, then deregisters and crashes.
+    /// Announces its drain by heartbeat, goes on serving for a while, then deregisters and crashes.
     pub async fn leave(self: Rc<Self>, w: Rc<World>) {
         self.leaving.set(true);
         for _ in 0..MAX_DRAIN_ATTEMPTS {
@@ -323,8 +324,8 @@
     let addressed = header_text(h, "x-replica") == r.id;
     let account = header_text(h, "x-client-account").to_owned();
     let last: u64 = header_text(h, "last-event-id").parse().unwrap_or(0);
-    let rest = if addressed { r.reject_with_retry_after(&w, &id) } else { None };
-    let run = addressed && !r.full.get() && rest.is_none();
+    let rejection = if addressed { r.reject_with_retry_after(&w, &id) } else { None };
+    let run = addressed && !r.full.get() && rejection.is_none();
     let at = w.at();
     let arrival =
         Arrival { id: id.clone(), service: r.service, replica: r.id.clone(), at, account, run };
@@ -334,8 +335,8 @@
     if !addressed {
         return reject(&id, StatusCode::MISDIRECTED_REQUEST);
     }
-    if let Some(rest) = rest {
-        return rest;
+    if let Some(rejection) = rejection {
+        return rejection;
     }
     if !run {
         return reject(&id, StatusCode::SERVICE_UNAVAILABLE);
@@ -368,8 +369,8 @@
     number.parse().ok()
 }
 
-/// Crashes a replica that runs a poison request, unless it has crashed already. Later responses of the
-/// replica are not delivered.
+/// Crashes a replica that runs a poison request, unless it has crashed already. Later responses of
+/// the replica are not delivered.
 async fn crash_on_poison(r: &Rc<Replica>, w: &World, poison: usize) {
     sleep(POISON_CRASH_DELAY).await;
     if w.ended.borrow().contains(&r.id) {
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -32,7 +32,8 @@
 /// Downtime of a killed process, in milliseconds.
 const DOWNTIME_MS: u64 = 300;
 
-/// Time for which a process start counts as a disruption, in milliseconds.
+/// Time after a fault for which the fleet still counts as disturbed while processes start, in
+/// milliseconds.
 const START_DISRUPTION_MS: u64 = 1_500;
 
 /// Time for which callers continue after recovery.
@@ -274,7 +275,7 @@
             let run = self.clone();
             self.spawn(async move {
                 sleep(Duration::from_millis(r.at)).await;
-                run.turn_away(r).await;
+                run.reject_with_retry_after(r).await;
             });
         }
         for l in plan.quiet_leaves.iter().copied() {
@@ -343,7 +344,7 @@
     }
 
     /// Makes replicas reject requests with `Retry-After`.
-    async fn turn_away(&self, r: Resting) {
+    async fn reject_with_retry_after(&self, r: Resting) {
         let resting = self.select_replicas(r.talk, r.replica);
         let all = resting.iter().map(|one| one.turn_away(r));
         futures_util::future::join_all(all).await;
@@ -353,8 +354,8 @@
     async fn leave_quietly(&self, l: QuietLeave) {
         let all = self.replicas_of(l.talk);
         self.add_replica(all).await.expect("a replica can be started");
-        if let Some(gone) = self.remove_replica(all, l.replica) {
-            gone.leave_quietly(self.w.clone()).await;
+        if let Some(removed) = self.remove_replica(all, l.replica) {
+            removed.leave_quietly(self.w.clone()).await;
         }
     }
 
@@ -464,8 +465,8 @@
         all.running.get(n % all.running.len().max(1)).cloned()
     }
 
-    /// Kills the processes that no other step is using, optionally empties the disk of one, and restarts
-    /// them.
+    /// Kills the processes that no other step is using, optionally empties the disk of one, and
+    /// restarts them.
     async fn kill(&self, all: Vec<&Process>, empty: Option<usize>) {
         let taken: Vec<_> = all.into_iter().filter(|p| !p.busy.replace(true)).collect();
         taken.iter().for_each(|p| p.kill());
@@ -494,6 +495,7 @@
         p.busy.set(false);
     }
 
+    /// Suspends a process for `span`, unless another step is using it.
     async fn pause(&self, p: &Process, span: Duration) {
         if p.busy.replace(true) {
             return;
@@ -547,16 +549,16 @@
     }
 
     async fn crash(&self, all: &RefCell<Replicas>, n: usize) {
-        let Some(gone) = self.remove_replica(all, n) else { return };
-        gone.crash();
-        let again = self.restart_replica(all, gone.id.clone()).await;
+        let Some(removed) = self.remove_replica(all, n) else { return };
+        removed.crash();
+        let again = self.restart_replica(all, removed.id.clone()).await;
         again.expect("a replica can be started");
     }
 
     async fn leave(&self, all: &RefCell<Replicas>, n: usize) {
         self.add_replica(all).await.expect("a replica can be started");
-        if let Some(gone) = self.remove_replica(all, n) {
-            gone.leave(self.w.clone()).await;
+        if let Some(removed) = self.remove_replica(all, n) {
+            removed.leave(self.w.clone()).await;
         }
     }
 
@@ -566,6 +568,7 @@
         (n < all.running.len()).then(|| all.running.remove(n))
     }
 
+    /// Makes a `board` replica reject all requests for `span`.
     async fn reject_for(&self, n: usize, span: Duration) {
         let Some(full) = self.replica_at(&self.board, n) else { return };
         full.set_full(true);
@@ -573,11 +576,13 @@
         full.set_full(false);
     }
 
+    /// Publishes a document with `more` additional routes.
     async fn grow(&self, more: usize) {
         // `publish` records whether the document was acknowledged.
         publish(&self.w, more).await;
     }
 
+    /// Publishes `n` documents without waiting for the acknowledgement of each.
     async fn storm(&self, n: usize) {
         let mut all = Vec::new();
         for _ in 0..n {
@@ -593,7 +598,8 @@
         }
     }
 
-    /// Sends two different documents of the same version concurrently, then one of the version before.
+    /// Sends two different documents of the same version concurrently, then one of the version
+    /// before.
     async fn race(&self) {
         let version = self.w.sent.get() + 1;
         self.w.sent.set(version);
@@ -602,7 +608,8 @@
         send(&self.w, version - 1, 0).await;
     }
 
-    /// Waits until each gateway serves again, at most `RECOVERY_LIMIT_MS`, and records when.
+    /// Waits until each gateway serves again, at most `RECOVERY_LIMIT_MS`, and records when. Then
+    /// keeps the callers running for `LOAD_AFTER_RECOVERY`.
     async fn wait_for_recovery(&self) {
         let healed = self.w.history.borrow().healed;
         let mut back: Vec<Option<At>> = vec![None; self.fleet.gateways.len()];
@@ -630,6 +637,8 @@
         self.tasks.borrow_mut().drain(..).for_each(|t| t.abort());
     }
 
+    /// Returns the tokens of each account that are spent, stranded or held, or an empty map if the
+    /// control group does not respond.
     async fn spent(&self) -> BTreeMap<&'static str, u64> {
         let me = Credentials {
             key: Key::new(b"soak"),
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -66,16 +66,16 @@
         self.started.elapsed().as_millis() as At
     }
 
-    /// Returns the start time of a new replica, in milliseconds since the Unix epoch. Each call returns a
-    /// later time than the one before.
+    /// Returns the start time of a new replica, in milliseconds since the Unix epoch. Each call
+    /// returns a later time than the one before.
     pub fn next_born(&self) -> u64 {
         let born = unix_time().0.max(self.born.get() + 1);
         self.born.set(born);
         born
     }
 
-    /// Ends the announced limits, `Retry-After` periods and drains of a replica's previous incarnation.
-    /// Called when a replica starts under the same id.
+    /// Ends the announced limits, `Retry-After` periods and drains of a replica's previous
+    /// incarnation. Called when a replica starts under the same id.
     pub fn end_words_of(&self, replica: &str) {
         let at = self.at();
         let mut h = self.history.borrow_mut();
--- a/crates/soak/tests/check.rs
+++ b/crates/soak/tests/check.rs
@@ -133,8 +133,8 @@
     assert_eq!(broken_promises(&h), [promise]);
 }
 
-/// Adds a replica with a limit of one request per second and a gateway that learns of the limit and then
-/// sends it `sends` requests within 4 s.
+/// Adds a replica with a limit of one request per second and a gateway that learns of the limit and
+/// then sends it `sends` requests within 4 s.
 fn add_limited_replica(h: &mut History, sends: u64) {
     let replica = "board-9".to_owned();
     let first = Some(11_010);
@@ -149,8 +149,8 @@
     }
 }
 
-/// Adds a request that crashes three replicas and is sent `later` more times, when every gateway must have
-/// it in quarantine.
+/// Adds a request that crashes three replicas and is sent `later` more times, when every gateway
+/// must have it in quarantine.
 fn add_poison(h: &mut History, later: u64) {
     let kind = Kind::Poison(0);
     h.requests.push(request("x", kind, Outcome::Quarantined));
@@ -220,8 +220,8 @@
     h.arrivals.push(Arrival { replica: "board-9".into(), ..arrival(id, "board", sent + 1) });
 }
 
-/// Returns a history in which a replica responds to a gateway with a `Retry-After` of 3 s and receives
-/// `requests` requests from it within that time.
+/// Returns a history in which a replica responds to a gateway with a `Retry-After` of 3 s and
+/// receives `requests` requests from it within that time.
 fn with_retry_after(requests: usize) -> History {
     let mut h = correct_history();
     add_forwarded(&mut h, "first", 1, 11_000);
@@ -256,8 +256,8 @@
     assert!(broken_promises(&h).is_empty());
 }
 
-/// Cases: when a request is sent to a replica whose response announced its drain, by which gateway, and
-/// the promises that this breaks.
+/// Cases: when a request is sent to a replica whose response announced its drain, by which gateway,
+/// and the promises that this breaks.
 #[rstest]
 #[case::late(14_000, 1, &["leaving"])]
 #[case::soon(13_000, 1, &[])]
