--- a/crates/soak/src/check.rs
+++ b/crates/soak/src/check.rs
@@ -1,65 +1,67 @@
-//! The promises, over what was seen in one run.
+//! Checks of the promises of the system against the history of one run.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
 use crate::history::{Arrival, At, Change, Disruption, History, Kind, Limited, Outcome, Request};
 
-/// The bounds of the promises.
+/// The limits within which the promises hold.
 #[derive(Clone, Debug)]
 pub struct Bounds {
-    /// Tokens that each account has prepaid.
+    /// Prepaid tokens, by account.
     pub prepaid: BTreeMap<&'static str, u64>,
-    /// Within this time an acknowledged change is in force at every gateway, in milliseconds.
+    /// Maximum time until an acknowledged change is in force at every gateway, in milliseconds.
     pub in_force_ms: u64,
-    /// A machine counts for that only after so long without a disruption anywhere.
+    /// Time without disruptions, in milliseconds, before checks that assume an undisturbed fleet apply.
     pub calm_ms: u64,
-    /// No new work after leaving is acknowledged, in milliseconds.
+    /// Maximum time from the announcement that a replica leaves until it gets no new requests, in milliseconds.
     pub drain_ms: u64,
-    /// Retries of the fleet as a part of a service's requests in a window.
+    /// Maximum ratio of retries to requests of a service in a window.
     pub retry_ratio: f64,
-    /// Retries besides.
+    /// Retries allowed in a window in addition to the ratio.
     pub retry_extra: u64,
-    /// The window, in milliseconds.
+    /// The window for counting retries, in milliseconds.
     pub retry_window_ms: u64,
-    /// How long a planned stop may take, in milliseconds.
+    /// Maximum duration of a planned stop, in milliseconds.
     pub stop_ms: u64,
-    /// Each gateway answers again within this time of the end of all faults, in milliseconds.
+    /// Maximum time after the end of all faults until each gateway answers again, in milliseconds.
     pub back_ms: u64,
-    /// The longest that a caller waits for an answer, in milliseconds.
+    /// Maximum time that a caller waits for an answer, in milliseconds.
     pub patience_ms: u64,
-    /// Within this time of its third end of a replica, a poison request is known, in milliseconds.
+    /// Maximum time from the third crash that a poison request causes until every gateway refuses it, in
+    /// milliseconds.
     pub known_ms: u64,
-    /// Times that it may reach replicas after that, in all.
+    /// Maximum number of times that replicas may run a poison request after that.
     pub poisoned: usize,
-    /// So long after a replica has named a limit first it counts, in milliseconds.
+    /// Time after a replica first announces a rate limit until the limit is checked, in milliseconds.
     pub limit_counts_after_ms: u64,
-    /// The span in which requests to it are counted, in milliseconds.
+    /// The window for counting requests to a rate-limited replica, in milliseconds.
     pub limit_span_ms: u64,
-    /// The part of what its limit allows in that span that it may get.
+    /// Factor applied to the number of requests that the rate limit allows in that window.
     pub limit_share: f64,
-    /// Requests besides.
+    /// Requests allowed in that window in addition.
     pub limit_slack: f64,
-    /// So long after a gateway has passed on an answer with a limit its requests count, in milliseconds.
+    /// Time after a gateway forwards an answer with a rate limit until its requests are counted, in
+    /// milliseconds.
     pub told_ms: u64,
-    /// So long after a replica has asked a gateway for rest its requests count, in milliseconds.
+    /// Time after a `Retry-After` until requests of the gateway that got it are counted, in milliseconds.
     pub rest_counts_after_ms: u64,
-    /// Requests of that gateway that it may get then until the rest is over.
+    /// Maximum number of requests that the gateway may send from then until the backoff period ends.
     pub rest_most: usize,
-    /// A group to which nothing is done has a leader within this time, in milliseconds.
+    /// Maximum time that an undisturbed control group is without a leader, in milliseconds.
     pub led_within_ms: u64,
 }
 
 /// A promise that was broken.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Broken {
-    /// Its name.
+    /// The name of the promise.
     pub promise: &'static str,
-    /// When.
+    /// When it was broken.
     pub at: At,
-    /// What was seen.
+    /// A description of the observation.
     pub why: String,
-    /// What to look for in the logs: ids of requests, names of processes.
+    /// Request ids, replica ids and process names to search for in the logs.
     pub about: Vec<String>,
 }
 
@@ -69,37 +71,37 @@
     }
 }
 
-/// A check over the whole history.
+/// A check of one promise. Returns each violation that it finds in the history.
 type Check = fn(&History, &Bounds) -> Vec<Broken>;
 
-/// Every check.
-const ALL: &[Check] = &[
-    spend_is_within_what_is_prepaid,
-    what_is_counted_is_what_was_had,
-    at_most_once,
-    not_run_is_true,
-    answers_are_whole_and_the_own,
-    accounts_are_their_own,
+/// All checks.
+const CHECKS: &[Check] = &[
+    spend_is_within_prepaid_tokens,
+    counted_spend_covers_usage,
+    unsafe_requests_run_at_most_once,
+    refused_requests_did_not_run,
+    answers_are_complete,
+    replicas_get_the_right_account,
     streams_are_in_order,
-    no_new_work_after_leaving,
-    a_planned_stop_cuts_nothing,
-    what_is_acknowledged_is_read,
-    no_gateway_goes_back,
-    a_change_is_in_force_in_time,
-    retries_are_within_their_budget,
-    a_poison_request_is_soon_sent_to_none,
-    sound_work_is_not_quarantined,
-    limits_are_kept,
-    rests_are_kept,
-    what_answers_tell_of_leaving_counts,
-    a_calm_group_has_a_leader,
-    service_is_back,
-    no_process_ends_by_itself,
+    no_new_requests_after_leave,
+    planned_stops_cut_no_requests,
+    reads_return_acknowledged_versions,
+    gateway_versions_never_decrease,
+    changes_take_effect_in_time,
+    retries_are_within_budget,
+    poison_requests_are_quarantined,
+    other_requests_are_not_quarantined,
+    rate_limits_are_respected,
+    backoff_is_respected,
+    no_new_requests_after_announced_leave,
+    undisturbed_group_has_a_leader,
+    gateways_recover,
+    no_process_exits_unexpectedly,
 ];
 
-/// The broken promises, the earliest first.
+/// Runs all checks and returns the broken promises, earliest first.
 pub fn check(h: &History, b: &Bounds) -> Vec<Broken> {
-    let mut all: Vec<_> = ALL.iter().flat_map(|c| c(h, b)).collect();
+    let mut all: Vec<_> = CHECKS.iter().flat_map(|c| c(h, b)).collect();
     all.sort_by_key(|b| b.at);
     all
 }
@@ -109,26 +111,26 @@
     Broken { promise, at, why, about }
 }
 
-/// Whether nothing was done to the fleet from `from` to `until`.
-fn is_calm(h: &History, from: At, until: At) -> bool {
+/// Returns whether no disruption overlaps the period from `from` to `until`.
+fn is_undisturbed(h: &History, from: At, until: At) -> bool {
     let overlaps = |d: &Disruption| d.from <= until && d.until >= from;
     !h.disruptions.iter().any(overlaps)
 }
 
-fn by_id(h: &History) -> BTreeMap<&str, &Request> {
+fn requests_by_id(h: &History) -> BTreeMap<&str, &Request> {
     h.requests.iter().map(|r| (r.id.as_str(), r)).collect()
 }
 
-/// The ids of requests that a replica has run.
-fn run(h: &History) -> BTreeSet<&str> {
+/// Returns the ids of requests that a replica ran.
+fn executed_ids(h: &History) -> BTreeSet<&str> {
     h.arrivals.iter().filter(|a| a.run).map(|a| a.id.as_str()).collect()
 }
 
-/// Tokens of each account by what replicas have read and made.
-fn used(h: &History) -> BTreeMap<&'static str, u64> {
-    let requests = by_id(h);
+/// Returns the tokens that each account used: prompts that replicas ran and events that they generated.
+fn tokens_used(h: &History) -> BTreeMap<&'static str, u64> {
+    let requests = requests_by_id(h);
     let mut all = BTreeMap::new();
-    for id in run(h) {
+    for id in executed_ids(h) {
         let Some(r) = requests.get(id).filter(|r| r.kind == Kind::Stream) else { continue };
         let made = h.made.get(id).copied().unwrap_or(0);
         *all.entry(r.account).or_default() += r.prompt + made;
@@ -136,17 +138,18 @@
     all
 }
 
-fn spend_is_within_what_is_prepaid(h: &History, b: &Bounds) -> Vec<Broken> {
+fn spend_is_within_prepaid_tokens(h: &History, b: &Bounds) -> Vec<Broken> {
     let over = |(account, used): (&'static str, u64)| {
         let prepaid = b.prepaid.get(account).copied()?;
         let why = format!("replicas gave {account} {used} tokens of {prepaid}");
         (used > prepaid).then(|| broken("spend", h.healed, why, &[]))
     };
-    used(h).into_iter().filter_map(over).collect()
+    tokens_used(h).into_iter().filter_map(over).collect()
 }
 
-/// The group's count is never below what callers have had, nor above what is prepaid.
-fn what_is_counted_is_what_was_had(h: &History, b: &Bounds) -> Vec<Broken> {
+/// Checks that the spend that the control group counts covers what callers received and does not exceed the
+/// prepaid tokens.
+fn counted_spend_covers_usage(h: &History, b: &Bounds) -> Vec<Broken> {
     let mut had: BTreeMap<&str, u64> = BTreeMap::new();
     for r in h.requests.iter().filter(|r| r.kind == Kind::Stream) {
         if let Outcome::Answered { events, .. } = &r.outcome {
@@ -163,8 +166,8 @@
     h.spent.iter().filter_map(wrong).collect()
 }
 
-fn at_most_once(h: &History, _: &Bounds) -> Vec<Broken> {
-    let requests = by_id(h);
+fn unsafe_requests_run_at_most_once(h: &History, _: &Bounds) -> Vec<Broken> {
+    let requests = requests_by_id(h);
     let mut runs: BTreeMap<&str, u32> = BTreeMap::new();
     let mut all = Vec::new();
     for a in h.arrivals.iter().filter(|a| a.run) {
@@ -179,37 +182,37 @@
     all
 }
 
-/// Statuses that say that a request was not run.
+/// Statuses by which a gateway states that a request was not run.
 const NOT_RUN: [u16; 4] = [408, 421, 429, 503];
 
-fn not_run_is_true(h: &History, _: &Bounds) -> Vec<Broken> {
-    let run = run(h);
-    let lies = |r: &&Request| {
-        let says = matches!(r.outcome, Outcome::Refused(s) if NOT_RUN.contains(&s));
-        says && run.contains(r.id.as_str())
+fn refused_requests_did_not_run(h: &History, _: &Bounds) -> Vec<Broken> {
+    let executed = executed_ids(h);
+    let is_violation = |r: &&Request| {
+        let claims_not_run = matches!(r.outcome, Outcome::Refused(s) if NOT_RUN.contains(&s));
+        claims_not_run && executed.contains(r.id.as_str())
     };
-    let tell = |r: &Request| {
+    let violation = |r: &Request| {
         let why = format!("{} ran, and was answered {:?}", r.id, r.outcome);
         broken("not run", r.ended, why, &[&r.id])
     };
-    h.requests.iter().filter(lies).map(tell).collect()
+    h.requests.iter().filter(is_violation).map(violation).collect()
 }
 
-fn answers_are_whole_and_the_own(h: &History, _: &Bounds) -> Vec<Broken> {
-    let bad = |r: &&Request| matches!(r.outcome, Outcome::Answered { whole: false, .. });
-    let tell = |r: &Request| {
+fn answers_are_complete(h: &History, _: &Bounds) -> Vec<Broken> {
+    let is_incomplete = |r: &&Request| matches!(r.outcome, Outcome::Answered { whole: false, .. });
+    let violation = |r: &Request| {
         let why = format!("{} got a success that is not its whole answer", r.id);
         broken("whole answer", r.ended, why, &[&r.id])
     };
-    h.requests.iter().filter(bad).map(tell).collect()
+    h.requests.iter().filter(is_incomplete).map(violation).collect()
 }
 
-fn accounts_are_their_own(h: &History, _: &Bounds) -> Vec<Broken> {
-    let requests = by_id(h);
+fn replicas_get_the_right_account(h: &History, _: &Bounds) -> Vec<Broken> {
+    let requests = requests_by_id(h);
     let mut all = Vec::new();
     for a in &h.arrivals {
-        let own = requests.get(a.id.as_str()).is_none_or(|r| r.account == a.account);
-        if !own {
+        let is_right = requests.get(a.id.as_str()).is_none_or(|r| r.account == a.account);
+        if !is_right {
             let why = format!("{} reached {} as of account {}", a.id, a.replica, a.account);
             all.push(broken("account", a.at, why, &[&a.id]));
         }
@@ -235,16 +238,16 @@
     all
 }
 
-fn no_new_work_after_leaving(h: &History, b: &Bounds) -> Vec<Broken> {
+fn no_new_requests_after_leave(h: &History, b: &Bounds) -> Vec<Broken> {
     let acked: BTreeMap<&str, At> =
         h.leaving.iter().map(|l| (l.replica.as_str(), l.acked)).collect();
-    let requests = by_id(h);
+    let requests = requests_by_id(h);
     let mut all = Vec::new();
     for a in &h.arrivals {
         let Some(acked) = acked.get(a.replica.as_str()) else { continue };
         let late = a.at > acked + b.drain_ms;
-        let calm = is_calm(h, acked.saturating_sub(b.calm_ms), a.at);
-        // A request that had waited in its gateway does not count as sent now.
+        let calm = is_undisturbed(h, acked.saturating_sub(b.calm_ms), a.at);
+        // A request that the gateway had queued before does not count as new.
         let sent_late = requests.get(a.id.as_str()).is_some_and(|r| r.sent > acked + b.drain_ms);
         if late && calm && sent_late {
             let why = format!("{} reached {}, which left at {acked} ms", a.id, a.replica);
@@ -254,19 +257,19 @@
     all
 }
 
-/// Whether anything but the stop itself was done to the fleet around a request.
-fn is_calm_but_for(h: &History, stop: &str, from: At, until: At) -> bool {
+/// Returns whether no disruption other than `stop` overlaps the period from `from` to `until`.
+fn is_undisturbed_except(h: &History, stop: &str, from: At, until: At) -> bool {
     let others = h.disruptions.iter().filter(|d| d.what != stop);
     !others.into_iter().any(|d| d.from <= until && d.until >= from)
 }
 
-/// The name of the disruption that a planned stop of a gateway is.
+/// Returns the description of the disruption recorded for a planned stop of a gateway.
 pub fn stop_of(gateway: usize) -> String {
     format!("planned stop of gateway-{gateway}")
 }
 
-fn a_planned_stop_cuts_nothing(h: &History, b: &Bounds) -> Vec<Broken> {
-    let run = run(h);
+fn planned_stops_cut_no_requests(h: &History, b: &Bounds) -> Vec<Broken> {
+    let executed = executed_ids(h);
     let mut all = Vec::new();
     for s in &h.stops {
         let name = stop_of(s.gateway);
@@ -277,8 +280,8 @@
         }
         for r in h.requests.iter().filter(|r| r.gateway == s.gateway) {
             let around = r.sent <= end && r.ended >= s.asked;
-            let cut = matches!(r.outcome, Outcome::Cut { .. }) && run.contains(r.id.as_str());
-            let calm = is_calm_but_for(h, &name, r.sent.saturating_sub(b.calm_ms), r.ended);
+            let cut = matches!(r.outcome, Outcome::Cut { .. }) && executed.contains(r.id.as_str());
+            let calm = is_undisturbed_except(h, &name, r.sent.saturating_sub(b.calm_ms), r.ended);
             if around && cut && calm {
                 let why = format!("{} was cut by the {name}", r.id);
                 all.push(broken("planned stop", r.ended, why, &[&r.id]));
@@ -288,7 +291,7 @@
     all
 }
 
-fn what_is_acknowledged_is_read(h: &History, _: &Bounds) -> Vec<Broken> {
+fn reads_return_acknowledged_versions(h: &History, _: &Bounds) -> Vec<Broken> {
     let newest = |at: At| {
         let before = h.changes.iter().filter(|c| c.acked.is_some_and(|a| a <= at));
         before.map(|c| c.version).max().unwrap_or(0)
@@ -304,7 +307,7 @@
     all
 }
 
-fn no_gateway_goes_back(h: &History, _: &Bounds) -> Vec<Broken> {
+fn gateway_versions_never_decrease(h: &History, _: &Bounds) -> Vec<Broken> {
     let mut highest: BTreeMap<(usize, u32), u64> = BTreeMap::new();
     let mut all = Vec::new();
     for s in &h.held {
@@ -318,7 +321,7 @@
     all
 }
 
-fn a_change_is_in_force_in_time(h: &History, b: &Bounds) -> Vec<Broken> {
+fn changes_take_effect_in_time(h: &History, b: &Bounds) -> Vec<Broken> {
     let acked: BTreeMap<u64, At> =
         h.changes.iter().filter_map(|c: &Change| Some((c.version, c.acked?))).collect();
     let mut all = Vec::new();
@@ -326,13 +329,13 @@
         let (Kind::Probe(version), Outcome::Refused(404)) = (r.kind, &r.outcome) else { continue };
         let Some(acked) = acked.get(&version) else { continue };
         let due = acked + b.in_force_ms;
-        if r.sent > due && is_calm(h, r.sent.saturating_sub(b.calm_ms), r.ended) {
+        if r.sent > due && is_undisturbed(h, r.sent.saturating_sub(b.calm_ms), r.ended) {
             let gateway = format!("gateway-{}", r.gateway);
             let why = format!("{gateway} did not know version {version}, due at {due} ms");
             all.push(broken("configuration", r.sent, why, &[&r.id, &gateway]));
         }
     }
-    // What every document allows is never denied, not even by a gateway that is cut off.
+    // Requests that every document version allows are never denied, not even by a gateway that is cut off.
     let denied = |r: &&Request| {
         let always = !matches!(r.kind, Kind::Probe(_));
         always && matches!(r.outcome, Outcome::Refused(401 | 403 | 404))
@@ -344,19 +347,22 @@
     all
 }
 
-fn retries_are_within_their_budget(h: &History, b: &Bounds) -> Vec<Broken> {
+fn retries_are_within_budget(h: &History, b: &Bounds) -> Vec<Broken> {
     let mut all = Vec::new();
     let services: BTreeSet<_> = h.arrivals.iter().map(|a| a.service).collect();
     for service in services {
         let mut seen = BTreeSet::new();
         let of_service = h.arrivals.iter().filter(|a| a.service == service);
-        let again: Vec<At> = of_service.filter(|a| !seen.insert(&a.id)).map(|a| a.at).collect();
-        let asks = |r: &&Request| r.kind.service() == service;
-        let sent: Vec<At> = h.requests.iter().filter(asks).map(|r| r.sent).collect();
-        for end in &again {
+        let retry_times: Vec<At> =
+            of_service.filter(|a| !seen.insert(&a.id)).map(|a| a.at).collect();
+        let is_for_service = |r: &&Request| r.kind.service() == service;
+        let sent: Vec<At> = h.requests.iter().filter(is_for_service).map(|r| r.sent).collect();
+        for end in &retry_times {
             let from = end.saturating_sub(b.retry_window_ms);
-            let retries = again.iter().filter(|at| (from..=*end).contains(*at)).count() as f64;
-            // A request counts when it comes; its retry may follow until its caller leaves.
+            let retries =
+                retry_times.iter().filter(|at| (from..=*end).contains(*at)).count() as f64;
+            // A request counts when it is sent. Retries can follow until the caller times out, so requests
+            // from before the window count as well.
             let first = from.saturating_sub(b.patience_ms);
             let requests = sent.iter().filter(|at| (first..=*end).contains(*at)).count() as f64;
             let allowed = requests * b.retry_ratio + b.retry_extra as f64;
@@ -370,16 +376,16 @@
     all
 }
 
-/// A disruption: a replica has ended under a poison request.
+/// The description of the disruption recorded for a replica crash caused by a poison request.
 pub const POISONED: &str = "poisoned replica";
 
-/// Ends of replicas under a request after which it is to be known.
-const KNOWN_BY: usize = 3;
+/// Number of replica crashes after which a request has to be quarantined.
+const QUARANTINE_AFTER: usize = 3;
 
-/// Copies of a request that has ended three replicas reach others in a few cases only. Those count that
-/// come when nothing but such ends was done to the fleet for a while.
-fn a_poison_request_is_soon_sent_to_none(h: &History, b: &Bounds) -> Vec<Broken> {
-    let requests = by_id(h);
+/// Checks that few copies of a poison request run at replicas once it has crashed [`QUARANTINE_AFTER`] of
+/// them. Copies that run shortly after any other disruption are not counted.
+fn poison_requests_are_quarantined(h: &History, b: &Bounds) -> Vec<Broken> {
+    let requests = requests_by_id(h);
     let disturbed = |from: At, to: At| {
         h.disruptions.iter().any(|d| d.what != POISONED && d.from <= to && d.until >= from)
     };
@@ -387,7 +393,7 @@
     let mut all = Vec::new();
     for poison in numbers {
         let mut ends = h.ends.iter().filter(|e| e.poison == poison);
-        let Some(third) = ends.nth(KNOWN_BY - 1) else { continue };
+        let Some(third) = ends.nth(QUARANTINE_AFTER - 1) else { continue };
         let is_copy = |id: &str| requests.get(id).is_some_and(|r| r.kind == Kind::Poison(poison));
         let late = h.arrivals.iter().filter(|a| a.run && a.at > third.at + b.known_ms);
         let late = late.filter(|a| is_copy(&a.id));
@@ -406,52 +412,53 @@
     all
 }
 
-fn sound_work_is_not_quarantined(h: &History, _: &Bounds) -> Vec<Broken> {
-    let sound = h.requests.iter().filter(|r| !matches!(r.kind, Kind::Poison(_)));
-    let refused = sound.filter(|r| r.outcome == Outcome::Quarantined);
-    let tell =
+fn other_requests_are_not_quarantined(h: &History, _: &Bounds) -> Vec<Broken> {
+    let harmless = h.requests.iter().filter(|r| !matches!(r.kind, Kind::Poison(_)));
+    let refused = harmless.filter(|r| r.outcome == Outcome::Quarantined);
+    let violation =
         |r: &Request| broken("quarantine", r.sent, format!("{} ends no replica", r.id), &[&r.id]);
-    refused.map(tell).collect()
+    refused.map(violation).collect()
 }
 
-/// Whether something was done to one gateway, or to all, that ended within `calm` before `at`.
-fn is_excused(h: &History, gateway: usize, at: At, calm: u64) -> bool {
+/// Returns whether a disruption that affects this gateway was in progress at `at` or had ended at most `calm`
+/// milliseconds before.
+fn is_disrupted(h: &History, gateway: usize, at: At, calm: u64) -> bool {
     let name = format!("Gateway({gateway})");
-    let of_it = |d: &Disruption| {
+    let affects_gateway = |d: &Disruption| {
         d.what.contains(&name)
             || d.what == stop_of(gateway)
             || matches!(d.what.as_str(), "KillAll" | "CutAllGateways" | "Reset")
             || d.what.starts_with("Delay(")
     };
-    h.disruptions.iter().any(|d| of_it(d) && d.from <= at && d.until + calm >= at)
+    h.disruptions.iter().any(|d| affects_gateway(d) && d.from <= at && d.until + calm >= at)
 }
 
-/// A replica that names a limit gets what it allows, summed over the gateways that had passed that on. One
-/// that was killed, stopped, suspended or cut off itself does not count.
-fn limits_are_kept(h: &History, b: &Bounds) -> Vec<Broken> {
-    h.limits.iter().filter_map(|l| limit_is_kept(h, b, l)).collect()
+/// Checks that a rate-limited replica gets no more requests than its limit allows, summed over the gateways
+/// that have forwarded the limit. Gateways with a recent disruption of their own are not counted.
+fn rate_limits_are_respected(h: &History, b: &Bounds) -> Vec<Broken> {
+    h.limits.iter().filter_map(|l| check_rate_limit(h, b, l)).collect()
 }
 
-fn limit_is_kept(h: &History, b: &Bounds, l: &Limited) -> Option<Broken> {
+fn check_rate_limit(h: &History, b: &Bounds, l: &Limited) -> Option<Broken> {
     let first = l.first?;
-    let requests = by_id(h);
-    let here = |a: &&Arrival| a.replica == l.replica && a.at >= first;
-    let arrivals: Vec<_> = h.arrivals.iter().filter(here).collect();
-    let mut told: BTreeMap<usize, At> = BTreeMap::new();
+    let requests = requests_by_id(h);
+    let is_at_replica = |a: &&Arrival| a.replica == l.replica && a.at >= first;
+    let arrivals: Vec<_> = h.arrivals.iter().filter(is_at_replica).collect();
+    let mut forwarded_at: BTreeMap<usize, At> = BTreeMap::new();
     for a in &arrivals {
         let Some(r) = requests.get(a.id.as_str()) else { continue };
         let answered = matches!(r.outcome, Outcome::Answered { .. });
         if answered && l.until.is_none_or(|until| a.at < until) {
-            let at = told.entry(r.gateway).or_insert(r.ended);
+            let at = forwarded_at.entry(r.gateway).or_insert(r.ended);
             *at = r.ended.min(*at);
         }
     }
     let counts = |a: &&&Arrival| {
         let Some(r) = requests.get(a.id.as_str()) else { return false };
-        let is_told = told.get(&r.gateway).is_some_and(|at| at + b.told_ms <= a.at);
+        let has_forwarded = forwarded_at.get(&r.gateway).is_some_and(|at| at + b.told_ms <= a.at);
         let in_force =
             a.at >= first + b.limit_counts_after_ms && l.until.is_none_or(|until| a.at < until);
-        is_told && in_force && !is_excused(h, r.gateway, a.at, b.calm_ms)
+        has_forwarded && in_force && !is_disrupted(h, r.gateway, a.at, b.calm_ms)
     };
     let counted: Vec<_> = arrivals.iter().filter(counts).collect();
     let seconds = b.limit_span_ms as f64 / 1_000.0;
@@ -471,9 +478,9 @@
     None
 }
 
-/// A replica that has asked a gateway for rest gets next to nothing of it until the rest is over.
-fn rests_are_kept(h: &History, b: &Bounds) -> Vec<Broken> {
-    let requests = by_id(h);
+/// Checks that a gateway sends a replica hardly any requests during the backoff period of a `Retry-After`.
+fn backoff_is_respected(h: &History, b: &Bounds) -> Vec<Broken> {
+    let requests = requests_by_id(h);
     let gateway = |id: &str| requests.get(id).map(|r| r.gateway);
     let mut all = Vec::new();
     for rest in &h.rests {
@@ -484,7 +491,7 @@
         };
         let counted = h.arrivals.iter().filter(counts);
         let counted: Vec<_> = counted
-            .filter(|a| !is_excused(h, asked, a.at, b.calm_ms))
+            .filter(|a| !is_disrupted(h, asked, a.at, b.calm_ms))
             .map(|a| a.id.as_str())
             .collect();
         if counted.len() > b.rest_most {
@@ -499,9 +506,10 @@
     all
 }
 
-/// A replica that said in an answer that it leaves gets no new work of the gateway that passed it on.
-fn what_answers_tell_of_leaving_counts(h: &History, b: &Bounds) -> Vec<Broken> {
-    let requests = by_id(h);
+/// Checks that a gateway sends no new requests to a replica after it has forwarded an answer in which the
+/// replica announced that it is leaving.
+fn no_new_requests_after_announced_leave(h: &History, b: &Bounds) -> Vec<Broken> {
+    let requests = requests_by_id(h);
     let mut all = Vec::new();
     for told in &h.told {
         let Some(first) = requests.get(told.request.as_str()) else { continue };
@@ -509,13 +517,13 @@
             continue;
         }
         let late = |a: &&Arrival| {
-            let of_life = told.until.is_none_or(|until| a.at < until);
+            let same_instance = told.until.is_none_or(|until| a.at < until);
             let Some(r) = requests.get(a.id.as_str()) else { return false };
             let is_late = r.gateway == first.gateway && r.sent > first.ended + b.drain_ms;
-            of_life && a.replica == told.replica && is_late
+            same_instance && a.replica == told.replica && is_late
         };
         let late = h.arrivals.iter().filter(late);
-        let mut late = late.filter(|a| !is_excused(h, first.gateway, a.at, b.calm_ms));
+        let mut late = late.filter(|a| !is_disrupted(h, first.gateway, a.at, b.calm_ms));
         if let Some(a) = late.next() {
             let why = format!("{} reached {}, which had said that it leaves", a.id, a.replica);
             all.push(broken("leaving", a.at, why, &[&a.id, &a.replica]));
@@ -524,13 +532,14 @@
     all
 }
 
-/// A read needs a leader. In a group to which nothing is done, reads do not fail for long.
-fn a_calm_group_has_a_leader(h: &History, b: &Bounds) -> Vec<Broken> {
+/// Checks that an undisturbed control group has a leader. Reads of the document need one, so reads that
+/// keep failing show that there is none.
+fn undisturbed_group_has_a_leader(h: &History, b: &Bounds) -> Vec<Broken> {
     let mut all = Vec::new();
     let mut since: Option<At> = None;
     let mut last_read = h.reads.iter().map(|r| r.sent).peekable();
     for u in &h.unread {
-        let calm = is_calm(h, u.sent.saturating_sub(b.calm_ms), u.ended);
+        let calm = is_undisturbed(h, u.sent.saturating_sub(b.calm_ms), u.ended);
         while last_read.next_if(|at| *at < u.sent).is_some() {
             since = None;
         }
@@ -548,7 +557,7 @@
     all
 }
 
-fn service_is_back(h: &History, b: &Bounds) -> Vec<Broken> {
+fn gateways_recover(h: &History, b: &Bounds) -> Vec<Broken> {
     let late = |(n, back): (usize, &Option<At>)| {
         let in_time = back.is_some_and(|at| at <= h.healed + b.back_ms);
         let why = format!("gateway-{n} answered again at {back:?}, healed at {} ms", h.healed);
@@ -557,7 +566,7 @@
     h.back.iter().enumerate().filter_map(late).collect()
 }
 
-fn no_process_ends_by_itself(h: &History, _: &Bounds) -> Vec<Broken> {
-    let tell = |name: &String| broken("ends by itself", h.healed, name.clone(), &[name]);
-    h.ended.iter().map(tell).collect()
+fn no_process_exits_unexpectedly(h: &History, _: &Bounds) -> Vec<Broken> {
+    let violation = |name: &String| broken("ends by itself", h.healed, name.clone(), &[name]);
+    h.ended.iter().map(violation).collect()
 }
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -1,5 +1,5 @@
-//! What callers, replicas and operators have seen in one run. All times are milliseconds since the
-//! run's start, by the clock of the soak's own process.
+//! The observations of callers, replicas and operators in one run. All times are in milliseconds since
+//! the start of the run, by the clock of the soak process.
 
 use std::collections::BTreeMap;
 
@@ -9,20 +9,21 @@
 /// What a request asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// It may be repeated.
+    /// A request that may be retried.
     Safe,
-    /// It runs at most once.
+    /// A request that must run at most once.
     Unsafe,
-    /// A stream of events that may go on at another replica.
+    /// A stream of events that another replica can resume.
     Stream,
-    /// A request on the route of a version that was acknowledged: it shows what is in force.
+    /// A request for the route that this acknowledged document version added. It succeeds only at a gateway
+    /// that has this version or a later one in force.
     Probe(u64),
-    /// A copy of the poison request of this number, which ends every replica that runs it.
+    /// A copy of the poison request with this number, which crashes every replica that runs it.
     Poison(usize),
 }
 
 impl Kind {
-    /// The service that it is for. Poison requests of odd numbers are streams.
+    /// Returns the service that the request is for. Poison requests with odd numbers are streams.
     pub fn service(self) -> &'static str {
         match self {
             Kind::Stream => "talk",
@@ -35,224 +36,225 @@
 /// How a request ended for its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// A success: whether it was the whole answer to this request, and the events it had.
+    /// A success status.
     Answered {
-        /// The body is the whole one of this request.
+        /// Whether the body is the complete answer to this request.
         whole: bool,
-        /// Events that came, by their numbers, in their order.
+        /// Numbers of the events received, in the order of receipt.
         events: Vec<u64>,
     },
-    /// Another status.
+    /// Any other status.
     Refused(u16),
-    /// Refused, as it is said to end the replicas that run it.
+    /// Refused by a gateway because the request is quarantined for crashing replicas.
     Quarantined,
-    /// The connection ended; events that had come.
+    /// The connection ended before the answer was complete.
     Cut {
-        /// A part of an answer had come.
+        /// Whether part of an answer was received.
         begun: bool,
-        /// Events that had come.
+        /// Numbers of the events received before the end.
         events: Vec<u64>,
     },
-    /// No connection came up, so nothing was sent.
+    /// The connection could not be opened, so nothing was sent.
     NoConnection,
-    /// The caller has left, on purpose or at its time limit.
+    /// The caller closed the connection, on purpose or at its timeout.
     Left,
 }
 
-/// One request of a caller.
+/// A request of a caller and its outcome.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its id; another for each try.
+    /// The request id, distinct for each attempt of a caller.
     pub id: String,
-    /// What it asks for.
+    /// The kind of request.
     pub kind: Kind,
     /// The client account.
     pub account: &'static str,
-    /// Tokens of its prompt.
+    /// Tokens in the prompt.
     pub prompt: u64,
-    /// Events of its whole answer.
+    /// Number of events in the complete answer.
     pub events: u64,
-    /// The gateway that it was sent to.
+    /// The index of the gateway that it was sent to.
     pub gateway: usize,
-    /// When.
+    /// When it was sent.
     pub sent: At,
     /// When it ended.
     pub ended: At,
-    /// How.
+    /// How it ended.
     pub outcome: Outcome,
 }
 
-/// One arrival at a replica.
+/// The arrival of a request at a replica.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// The request's id.
+    /// The request id.
     pub id: String,
-    /// The replica's service.
+    /// The service of the replica.
     pub service: &'static str,
-    /// The replica.
+    /// The id of the replica.
     pub replica: String,
-    /// When.
+    /// When the request arrived.
     pub at: At,
-    /// The client account that the replica was told.
+    /// The client account that the gateway named to the replica.
     pub account: String,
-    /// Whether it was run.
+    /// Whether the replica ran the request.
     pub run: bool,
 }
 
-/// A span in which something was done to the fleet.
+/// A period in which a fault or planned operation affected the fleet.
 #[derive(Clone, Debug)]
 pub struct Disruption {
-    /// What.
+    /// The fault, in its `Debug` form, or a description of the operation.
     pub what: String,
-    /// From when.
+    /// When it began.
     pub from: At,
-    /// Until when; a process that was started is given some time.
+    /// When it ended, including time for restarted processes to start up.
     pub until: At,
 }
 
-/// A document that was sent.
+/// A configuration document sent by the operator.
 #[derive(Clone, Debug)]
 pub struct Change {
-    /// Its version.
+    /// The version of the document.
     pub version: u64,
-    /// When it was acknowledged, if it was.
+    /// When it was acknowledged, or `None` if it was not.
     pub acked: Option<At>,
 }
 
-/// A read of the document in force that was answered.
+/// A successful read of the document in force.
 #[derive(Clone, Debug)]
 pub struct Read {
-    /// When it was sent.
+    /// When the read was sent.
     pub sent: At,
-    /// The version.
+    /// The version that was read.
     pub version: u64,
 }
 
-/// A read of the document in force that was not answered with it.
+/// A failed read of the document in force.
 #[derive(Clone, Debug)]
 pub struct Unread {
-    /// When it was sent.
+    /// When the read was sent.
     pub sent: At,
     /// When it ended.
     pub ended: At,
 }
 
-/// The version that a gateway said it had in force.
+/// The document version that a gateway reported to have in force.
 #[derive(Clone, Debug)]
 pub struct Held {
-    /// The gateway.
+    /// The index of the gateway.
     pub gateway: usize,
-    /// How often it had been started.
+    /// How many times the gateway had been started.
     pub incarnation: u32,
-    /// When it said so.
+    /// When the report arrived.
     pub at: At,
-    /// The version.
+    /// The reported version.
     pub version: u64,
 }
 
 /// A planned stop of a gateway.
 #[derive(Clone, Debug)]
 pub struct Stop {
-    /// The gateway.
+    /// The index of the gateway.
     pub gateway: usize,
-    /// When it was asked.
+    /// When the stop was requested.
     pub asked: At,
-    /// When it had ended.
+    /// When the process had exited, or `None` if that was not observed.
     pub ended: Option<At>,
 }
 
-/// The end of a replica under a poison request.
+/// The crash of a replica while it ran a poison request.
 #[derive(Clone, Debug)]
 pub struct End {
-    /// The request's number.
+    /// The number of the poison request.
     pub poison: usize,
-    /// When.
+    /// When the replica crashed.
     pub at: At,
 }
 
-/// A replica that has said that it leaves.
+/// A replica that reported in its heartbeats that it is draining.
 #[derive(Clone, Debug)]
 pub struct Leaving {
-    /// The replica.
+    /// The id of the replica.
     pub replica: String,
-    /// When that was acknowledged.
+    /// When a control process acknowledged this.
     pub acked: At,
 }
 
-/// A replica that names a limit in its answers.
+/// A replica that announces a rate limit in its answers.
 #[derive(Clone, Debug)]
 pub struct Limited {
-    /// The replica.
+    /// The id of the replica.
     pub replica: String,
-    /// Thousandths of a request a second.
+    /// The rate limit, in thousandths of a request per second.
     pub thousandths: u64,
-    /// When it named it first; none: it has not answered yet.
+    /// When an answer first announced the limit, or `None` before the first answer.
     pub first: Option<At>,
-    /// When it ceased to; none: it has not.
+    /// When the replica stopped announcing it, or `None` while it still does.
     pub until: Option<At>,
 }
 
-/// A replica turned a request away and asked for rest.
+/// A request that a replica rejected with `Retry-After`.
 #[derive(Clone, Debug)]
 pub struct Rested {
-    /// The replica.
+    /// The id of the replica.
     pub replica: String,
-    /// The request that it turned away.
+    /// The id of the rejected request.
     pub request: String,
-    /// When.
+    /// When it was rejected.
     pub at: At,
-    /// When the rest ends: with that life of the replica at the latest.
+    /// When the backoff period ends: after the `Retry-After` time, or when the replica restarts if that is
+    /// earlier.
     pub until: At,
 }
 
-/// A replica says in its answers that it leaves.
+/// A replica that announces in the headers of its answers that it is leaving.
 #[derive(Clone, Debug)]
 pub struct Told {
-    /// The replica.
+    /// The id of the replica.
     pub replica: String,
-    /// The first request that it told so.
+    /// The id of the first request whose answer announced it.
     pub request: String,
-    /// When that life of the replica ended; none: it has not.
+    /// When that instance of the replica ended, or `None` while it runs.
     pub until: Option<At>,
 }
 
-/// All of it.
+/// Everything observed in one run.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    /// What was done to the fleet.
+    /// Faults and planned operations.
     pub disruptions: Vec<Disruption>,
     /// Requests of callers.
     pub requests: Vec<Request>,
     /// Arrivals at replicas.
     pub arrivals: Vec<Arrival>,
-    /// Events that replicas have made, by request: the highest number.
+    /// The highest event number that replicas generated, by request id.
     pub made: BTreeMap<String, u64>,
-    /// Documents that were sent.
+    /// Documents sent by the operator.
     pub changes: Vec<Change>,
-    /// Reads of the document in force.
+    /// Successful reads of the document in force.
     pub reads: Vec<Read>,
-    /// Reads that failed.
+    /// Failed reads of the document in force.
     pub unread: Vec<Unread>,
-    /// What gateways had in force.
+    /// Document versions reported by gateways.
     pub held: Vec<Held>,
-    /// Planned stops.
+    /// Planned stops of gateways.
     pub stops: Vec<Stop>,
-    /// Replicas that have said that they leave.
+    /// Replicas that reported in heartbeats that they are draining.
     pub leaving: Vec<Leaving>,
-    /// Replicas that poison requests have ended.
+    /// Crashes of replicas caused by poison requests.
     pub ends: Vec<End>,
-    /// Replicas that name limits.
+    /// Rate limits announced by replicas.
     pub limits: Vec<Limited>,
-    /// Rests that replicas asked for.
+    /// Requests rejected with `Retry-After`.
     pub rests: Vec<Rested>,
-    /// Answers in which replicas said that they leave.
+    /// Replicas that announced in answers that they are leaving.
     pub told: Vec<Told>,
-    /// When the last fault had ended.
+    /// When the last fault ended.
     pub healed: At,
-    /// From when on each gateway answered again after that; none: it did not.
+    /// When each gateway first answered after that, or `None` if it did not.
     pub back: Vec<Option<At>>,
-    /// Processes that ended without being asked.
+    /// Names of processes that exited unexpectedly.
     pub ended: Vec<String>,
-    /// Tokens that the group counts as spent at the end, by account, if it could be asked.
+    /// Tokens that the control group counts as spent at the end, by account. Empty if the query failed.
     pub spent: BTreeMap<&'static str, u64>,
 }
