--- a/crates/soak/src/caller.rs
+++ b/crates/soak/src/caller.rs
@@ -1,4 +1,5 @@
-//! Callers: they ask where to go, keep their connection until it fails, and note what they get.
+//! Simulated callers: they ask a control process for a gateway, reuse their connection until it fails,
+//! and record the outcome of each request.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,52 +18,52 @@
 use crate::replica::{EVENTS_MOST, POISON, answer, event, events_of};
 use crate::world::World;
 
-/// How long a caller waits for a whole answer.
+/// How long a caller waits for a complete answer.
 pub const PATIENCE: Duration = Duration::from_millis(4_000);
 
-/// How long it gives the system.
+/// The timeout that a caller sends with each request, in milliseconds.
 const DEADLINE_MS: u64 = 3_000;
 
-/// How long it waits to be told where to go.
-const ENTRY_WITHIN: Duration = Duration::from_secs(1);
+/// Timeout of a query for gateway addresses.
+const ENTRY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time between two requests of a caller, in milliseconds, at least; up to twice as much.
-const PAUSE_MS: u64 = 30;
+/// Minimum pause between two requests of a caller, in milliseconds. The maximum is twice as much.
+const MIN_PAUSE_MS: u64 = 30;
 
-/// Of a hundred connections that could be kept, those that are not.
-const CLOSED: u32 = 3;
+/// Percentage of reusable connections that a caller closes.
+const CLOSE_PERCENT: u32 = 3;
 
-/// Of a hundred streams, those whose callers leave early.
-const LEFT: u32 = 4;
+/// Percentage of streams that a caller abandons early.
+const ABANDON_PERCENT: u32 = 4;
 
-/// Tokens of a prompt.
-const PROMPT: u64 = 40;
+/// Tokens in the prompt of a stream request.
+const PROMPT_TOKENS: u64 = 40;
 
-/// The result code with which a gateway refuses a request that ends its replicas.
+/// The result code, as quoted in the body, with which a gateway refuses a quarantined request.
 const QUARANTINED: &str = "\"CF1309\"";
 
-/// Time between two copies of a poison request.
-const POISON_EVERY: Duration = Duration::from_millis(200);
+/// Interval between two copies of a poison request.
+const POISON_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Sends copies of a poison request to any gateway for `span`.
+/// Sends copies of poison request `number` to random gateways for `span`.
 pub async fn poison(w: Rc<World>, number: usize, span: Duration) {
-    for _ in 0..span.as_millis() / POISON_EVERY.as_millis() {
+    for _ in 0..span.as_millis() / POISON_INTERVAL.as_millis() {
         let gateway = w.below(w.gateways.len());
         let id = format!("x{number}-{}", w.at());
         let w = w.clone();
         actix_rt::spawn(async move {
             ask(&w, gateway, id, Kind::Poison(number), None).await;
         });
-        sleep(POISON_EVERY).await;
+        sleep(POISON_INTERVAL).await;
     }
 }
 
-/// Sends requests until the run is over.
+/// Sends the requests of one caller until the run is over.
 pub async fn call_forever(w: Rc<World>, caller: usize) {
     let mut c = Caller { w: &w, caller, sent: 0, kept: None };
     while !w.over.get() {
         c.request().await;
-        sleep(Duration::from_millis(PAUSE_MS + w.below(PAUSE_MS as usize) as u64)).await;
+        sleep(Duration::from_millis(MIN_PAUSE_MS + w.below(MIN_PAUSE_MS as usize) as u64)).await;
     }
 }
 
@@ -77,7 +78,7 @@
     async fn request(&mut self) {
         let gateway = match &self.kept {
             Some((gateway, _)) => *gateway,
-            None => match entry(self.w).await {
+            None => match fetch_gateway(self.w).await {
                 Some(gateway) => gateway,
                 None => return,
             },
@@ -87,7 +88,7 @@
         let kind = self.draw_kind();
         let kept = self.kept.take().map(|(_, c)| c);
         let keep = ask(self.w, gateway, id, kind, kept).await;
-        self.kept = keep.filter(|_| !self.w.happens(CLOSED)).map(|c| (gateway, c));
+        self.kept = keep.filter(|_| !self.w.happens(CLOSE_PERCENT)).map(|c| (gateway, c));
     }
 
     fn draw_kind(&self) -> Kind {
@@ -99,18 +100,19 @@
     }
 }
 
-/// A gateway that the system names.
-async fn entry(w: &World) -> Option<usize> {
+/// Asks a control process for gateways and returns the index of one of them, or `None` if the query fails.
+async fn fetch_gateway(w: &World) -> Option<usize> {
     let path = "/v1/entry?data_centre=tamar-a";
-    let (status, body) = call(w.any_api(), Method::GET, path, Bytes::new(), ENTRY_WITHIN).await?;
+    let (status, body) = call(w.any_api(), Method::GET, path, Bytes::new(), ENTRY_TIMEOUT).await?;
     let v: Value = serde_json::from_slice(&body).ok().filter(|_| status == 200)?;
     let all = v["addresses"].as_array()?;
-    let named = all.get(w.below(all.len().max(1)))?;
-    let address: SocketAddr = named.as_str()?.parse().ok()?;
+    let chosen = all.get(w.below(all.len().max(1)))?;
+    let address: SocketAddr = chosen.as_str()?.parse().ok()?;
     w.gateways.iter().position(|a| *a == address)
 }
 
-/// Asks gateways, one after the other, on the route of the newest version that was acknowledged.
+/// Every `every`, sends a request for the route of the highest acknowledged version to a random gateway,
+/// until the run is over.
 pub async fn probe_forever(w: Rc<World>, every: Duration) {
     let mut sent = 0;
     while !w.over.get() {
@@ -122,7 +124,7 @@
     }
 }
 
-/// Sends one request and notes how it ended; returns the connection if it can be used again.
+/// Sends one request and records its outcome. Returns the connection if it can be reused.
 pub async fn ask(
     w: &Rc<World>,
     gateway: usize,
@@ -131,17 +133,17 @@
     kept: Option<Connection>,
 ) -> Option<Connection> {
     let account = match kind {
-        // All its copies are of one account.
+        // All copies share an account, as it is part of the fingerprint by which requests are quarantined.
         Kind::Poison(_) => &ACCOUNTS[0],
         _ => &ACCOUNTS[usize::from(w.happens(30))],
     };
     let sent = w.at();
-    let leaves = kind == Kind::Stream && w.happens(LEFT);
-    let patience = if leaves { Duration::from_millis(w.below(150) as u64) } else { PATIENCE };
+    let abandons = kind == Kind::Stream && w.happens(ABANDON_PERCENT);
+    let patience = if abandons { Duration::from_millis(w.below(150) as u64) } else { PATIENCE };
     let done = timeout(patience, send(w, gateway, &id, kind, account.key, kept)).await;
     let (outcome, keep) = done.unwrap_or((Outcome::Left, None));
     let (prompt, events) = match kind {
-        Kind::Stream => (PROMPT, events_of(&id)),
+        Kind::Stream => (PROMPT_TOKENS, events_of(&id)),
         _ => (0, 0),
     };
     let (account, ended) = (account.name, w.at());
@@ -150,14 +152,14 @@
     keep
 }
 
-fn head_of(id: &str, kind: Kind, key: &str) -> HeaderMap {
+fn request_headers(id: &str, kind: Kind, key: &str) -> HeaderMap {
     let mut all = vec![
         ("x-request-id", id.to_owned()),
         ("authorization", format!("Bearer {key}")),
         ("x-timeout-ms", DEADLINE_MS.to_string()),
     ];
     if kind == Kind::Stream {
-        all.push(("x-tokens", format!("{PROMPT},{EVENTS_MOST}")));
+        all.push(("x-tokens", format!("{PROMPT_TOKENS},{EVENTS_MOST}")));
     }
     headers(&all)
 }
@@ -182,7 +184,7 @@
         Kind::Unsafe => (Method::POST, "/moves/x".to_owned()),
         Kind::Stream => (Method::POST, "/talk/x".to_owned()),
         Kind::Probe(version) => (Method::GET, probe_path(version)),
-        // One that is told by its body, and others by their paths.
+        // Stream requests carry the marker in the body, plain requests in the path.
         Kind::Poison(_) if kind.service() == "talk" => (Method::POST, "/talk/x".to_owned()),
         Kind::Poison(n) => (Method::GET, format!("/board/{POISON}{n}")),
     };
@@ -191,15 +193,16 @@
         _ => Bytes::from(if method == Method::POST { "a body" } else { "" }),
     };
     let cut = |events| Outcome::Cut { begun: false, events };
-    match exchange(&mut c, &method, &path, head_of(id, kind, key), &body).await {
+    match exchange(&mut c, &method, &path, request_headers(id, kind, key), &body).await {
         Err(_) => (cut(Vec::new()), None),
         Ok(head) if kind == Kind::Stream && head.status.is_success() => {
-            (stream(&mut c, id, &head).await, reusable(c))
+            (read_stream(&mut c, id, &head).await, reusable(c))
         }
-        Ok(head) => (plain(&mut c, id, &head).await, reusable(c)),
+        Ok(head) => (read_plain(&mut c, id, &head).await, reusable(c)),
     }
 }
 
+/// Returns the connection marked idle, or `None` if it cannot be reused.
 fn reusable(mut c: Connection) -> Option<Connection> {
     if !c.is_reusable() {
         return None;
@@ -208,11 +211,12 @@
     Some(c)
 }
 
+/// Returns whether the answer carries the id of this request.
 fn is_own(head: &ResponseHead, id: &str) -> bool {
     head.headers.get("x-request-id").is_some_and(|v| v.as_bytes() == id.as_bytes())
 }
 
-async fn plain(c: &mut Connection, id: &str, head: &ResponseHead) -> Outcome {
+async fn read_plain(c: &mut Connection, id: &str, head: &ResponseHead) -> Outcome {
     match rest(c).await {
         Err(_) => Outcome::Cut { begun: true, events: Vec::new() },
         Ok(body) if head.status.is_success() => {
@@ -224,15 +228,15 @@
     }
 }
 
-/// Reads a stream event by event.
-async fn stream(c: &mut Connection, id: &str, head: &ResponseHead) -> Outcome {
+/// Reads the answer to a stream request event by event.
+async fn read_stream(c: &mut Connection, id: &str, head: &ResponseHead) -> Outcome {
     let mut text = String::new();
-    let (mut events, mut sound) = (Vec::new(), is_own(head, id));
+    let (mut events, mut valid) = (Vec::new(), is_own(head, id));
     loop {
         match c.read_chunk().await {
             Ok(Some(bytes)) => text.push_str(&String::from_utf8_lossy(&bytes)),
             Ok(None) => {
-                return Outcome::Answered { whole: sound && text.is_empty(), events };
+                return Outcome::Answered { whole: valid && text.is_empty(), events };
             }
             Err(
                 ExchangeError::NotSent(_)
@@ -244,9 +248,10 @@
             }
         }
         while let Some(end) = text.find("\n\n") {
-            let one: String = text.drain(..end + 2).collect();
-            let n = one.lines().find_map(|l| l.strip_prefix("id: ")?.parse().ok()).unwrap_or(0);
-            sound &= one == event(id, n);
+            let received: String = text.drain(..end + 2).collect();
+            let n =
+                received.lines().find_map(|l| l.strip_prefix("id: ")?.parse().ok()).unwrap_or(0);
+            valid &= received == event(id, n);
             events.push(n);
         }
     }
--- a/crates/soak/src/command.rs
+++ b/crates/soak/src/command.rs
@@ -1,4 +1,4 @@
-//! The soak's command line: which seeds, how long, how many at a time.
+//! The command line of the soak: parses the options, runs the seeds and prints the results.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -15,39 +15,39 @@
 use crate::plan::Plan;
 use crate::run::{Verdict, play};
 
-/// Lines of each log that are shown for a broken promise.
-const LINES: usize = 12;
+/// Maximum number of broken promises printed per run, and of lines printed per log file.
+const MAX_LINES: usize = 12;
 
-/// What to play.
+/// The parsed options.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Options {
     /// The first seed.
     pub from: u64,
-    /// How many.
+    /// The number of seeds.
     pub seeds: u64,
-    /// How long the faults of one run last in all.
+    /// The period of a run in which faults occur, in milliseconds.
     pub millis: u64,
-    /// Runs at a time.
+    /// The number of concurrent runs.
     pub jobs: u64,
-    /// A fleet of as many processes as a machine bears.
+    /// Whether to run the large fleet.
     pub large: bool,
-    /// The folder of the programs.
+    /// The folder that contains the programs under test.
     pub programs: PathBuf,
-    /// Where the runs' files go; those of runs without a broken promise are removed.
+    /// The folder for settings, data and logs of runs. Those of runs without a broken promise are deleted.
     pub keep: PathBuf,
 }
 
-/// What the command line asks for.
+/// The action that the command line selects.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Args {
-    /// Play.
+    /// Run the seeds.
     Run(Options),
-    /// Print this text and end.
+    /// Print this text and exit.
     Print(String),
 }
 
-/// Reads the command line.
-pub fn args(words: &[String]) -> Result<Args, String> {
+/// Parses the command line without the program name. Returns a message for the user on invalid options.
+pub fn args(argv: &[String]) -> Result<Args, String> {
     let mut o = Getopts::new();
     o.optopt("f", "from", "the first seed (1)", "SEED");
     o.optopt("n", "seeds", "how many seeds (50)", "N");
@@ -57,7 +57,7 @@
     o.optopt("k", "keep", "folder for the files of runs (target/soak)", "DIR");
     o.optflag("l", "large", "9 control processes and 40 gateways");
     o.optflag("h", "help", "show this help");
-    let m = o.parse(words).map_err(|e| e.to_string())?;
+    let m = o.parse(argv).map_err(|e| e.to_string())?;
     if m.opt_present("help") {
         let brief = "Plays seeds of faults against the real programs.\n\nUsage: cypressfork-soak";
         return Ok(Args::Print(o.usage(brief)));
@@ -86,8 +86,8 @@
     }))
 }
 
-/// Plays all seeds and prints what came of them. Fails if a promise was broken or a run could not
-/// be played.
+/// Runs all seeds and prints the results. Returns a failure if a promise was broken or a run could not be
+/// played.
 pub fn run(o: &Options) -> ExitCode {
     let next = AtomicU64::new(o.from);
     let broken = Mutex::new(0);
@@ -101,7 +101,7 @@
                         return;
                     }
                     match play_seed(o, seed) {
-                        Ok(v) => *broken.lock().expect("no thread panics") += tell(o, &v),
+                        Ok(v) => *broken.lock().expect("no thread panics") += print_verdict(o, &v),
                         Err(e) => {
                             println!("seed {seed} was not played: {e}");
                             *failed.lock().expect("no thread panics") += 1;
@@ -122,7 +122,8 @@
     if broken + failed as usize > 0 { ExitCode::FAILURE } else { ExitCode::SUCCESS }
 }
 
-/// Plays one seed in a thread of its own.
+/// Runs one seed on a new actor system in the calling thread. Returns the verdict, or an error if the run
+/// could not be played.
 pub fn play_seed(o: &Options, seed: u64) -> Result<Verdict, Error> {
     let plan = Plan::draw(seed, o.millis, o.large);
     let dir =
@@ -139,8 +140,8 @@
     Ok(verdict)
 }
 
-/// Prints a run; returns how many promises it broke.
-fn tell(o: &Options, v: &Verdict) -> usize {
+/// Prints the result of a run. Returns the number of broken promises.
+fn print_verdict(o: &Options, v: &Verdict) -> usize {
     let (sent, answered) = v.requests;
     let seed = v.plan.seed;
     let n = v.broken.len();
@@ -150,7 +151,7 @@
     );
     if let Some(first) = v.broken.first() {
         v.plan.steps.iter().for_each(|s| text.push_str(&format!("    {s}\n")));
-        v.broken.iter().take(LINES).for_each(|b| text.push_str(&format!("  {b}\n")));
+        v.broken.iter().take(MAX_LINES).for_each(|b| text.push_str(&format!("  {b}\n")));
         text.push_str(&log_lines(&v.dir, first));
         let large = if v.plan.size.gateways > 10 { " --large" } else { "" };
         text.push_str(&format!(
@@ -162,14 +163,14 @@
     n
 }
 
-/// The lines of the logs that name what a broken promise is about.
+/// Returns the first log lines that name a request or process that the broken promise is about.
 fn log_lines(dir: &Path, b: &Broken) -> String {
     let mut text = String::new();
     let Ok(files) = fs::read_dir(dir) else { return text };
     for file in files.flatten().filter(|f| f.path().extension().is_some_and(|e| e == "log")) {
         let Ok(log) = fs::read_to_string(file.path()) else { continue };
-        let named = |l: &&str| b.about.iter().any(|a| l.contains(&format!("\"{a}\"")));
-        for l in log.lines().filter(named).take(LINES) {
+        let is_related = |l: &&str| b.about.iter().any(|a| l.contains(&format!("\"{a}\"")));
+        for l in log.lines().filter(is_related).take(MAX_LINES) {
             text.push_str(&format!("  {}: {l}\n", file.file_name().to_string_lossy()));
         }
     }
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The real programs as processes: their settings, and signals to them.
+//! The processes of the fleet: their settings files, starts, stops and signals.
 
 use std::cell::{Cell, RefCell};
 use std::fs::{self, File};
@@ -15,7 +15,7 @@
 use crate::plan::Size;
 use crate::proxy::Net;
 
-/// Where the programs are.
+/// Paths of the programs under test.
 #[derive(Clone, Debug)]
 pub struct Programs {
     /// `cypressfork-control`.
@@ -25,7 +25,7 @@
 }
 
 impl Programs {
-    /// The programs in one folder.
+    /// Returns the paths of both programs in the folder `dir`.
     pub fn in_folder(dir: &Path) -> Programs {
         Programs {
             control: dir.join("cypressfork-control"),
@@ -34,40 +34,44 @@
     }
 }
 
-/// The first port of a process; all of a run have an IP of its own, so that no other takes them.
+/// The first port of a run's processes. Each run has its own loopback IP, so its ports do not collide with
+/// those of other runs.
 const FIRST_PORT: u16 = 20_000;
 
-/// Voters that a group should have: fewer than the control processes of most fleets, so that members
-/// that are away are removed.
+/// Target number of voters: fewer than the control processes of larger fleets, so that the group replaces
+/// unreachable members.
 const VOTERS: u64 = 3;
 
-/// How often it is looked whether a process has ended.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+/// Interval between two checks for the exit of a process that is stopping.
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A planned stop that takes longer is ended by a kill.
-const STOP_AT_MOST: Duration = Duration::from_secs(15);
+/// Time after which a planned stop is ended by a kill.
+const STOP_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Seconds that a planned stop of a gateway may take, and of it those in which callers are served.
+/// Maximum duration of a planned stop of a gateway, in seconds.
 pub const STOP_WITHIN_S: u64 = 8;
+
+/// The part of it in which a gateway still serves requests, in seconds.
 const STOP_SERVE_S: u64 = 3;
 
-/// The fleet's retries besides their ratio.
+/// Retries that the fleet may make in addition to the retry ratio.
 pub const RETRY_EXTRA: u64 = 10;
 
-/// One process of the fleet, started again and again.
+/// A process of the fleet, which can be started several times.
 pub struct Process {
-    /// Its name.
+    /// The name, such as `gateway-0`.
     pub name: String,
     program: PathBuf,
     settings: PathBuf,
     log: PathBuf,
     child: RefCell<Option<Child>>,
-    /// Something is being done to it.
+    /// Whether a fault or planned stop is in progress for this process. No other one is applied meanwhile.
     pub busy: Cell<bool>,
 }
 
 impl Process {
-    /// Starts it.
+    /// Starts the process with its output appended to its log file. Fails if the log cannot be opened or the
+    /// program cannot be started.
     pub fn start(&self) -> Result<(), Error> {
         let log = File::options().create(true).append(true).open(&self.log);
         let out = log.map_err(io("open a log"))?;
@@ -83,25 +87,25 @@
         Ok(())
     }
 
-    /// Kills it.
+    /// Kills the process, if it runs, and waits for its exit.
     pub fn kill(&self) {
         if let Some(mut child) = self.child.borrow_mut().take() {
-            // It may have ended by itself, which is what is wanted.
+            // Errors are ignored, as the process may have exited already.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    /// Sends it a signal by its name.
+    /// Sends the process the signal `name`, such as `TERM`.
     pub fn signal(&self, name: &str) {
         if let Some(child) = &*self.child.borrow() {
             let id = child.id().to_string();
-            // One that has ended is noticed by itself.
+            // Errors are ignored, as `has_ended` detects a process that exited.
             let _ = Command::new("kill").args([&format!("-{name}"), &id]).status();
         }
     }
 
-    /// Whether it has ended though nobody asked it to.
+    /// Returns whether the process has exited since it was last started or checked, and reaps it if so.
     pub fn has_ended(&self) -> bool {
         let mut child = self.child.borrow_mut();
         let ended = child.as_mut().and_then(|c| c.try_wait().ok().flatten()).is_some();
@@ -111,12 +115,12 @@
         ended
     }
 
-    /// Asks it to stop, and waits until it has.
+    /// Sends `TERM` and waits for the exit. Kills the process if that takes too long.
     pub async fn stop(&self) {
         self.signal("TERM");
-        let until = Instant::now() + STOP_AT_MOST;
+        let until = Instant::now() + STOP_TIMEOUT;
         while !self.has_ended() && Instant::now() < until {
-            sleep(LOOK_EVERY).await;
+            sleep(EXIT_POLL_INTERVAL).await;
         }
         self.kill();
     }
@@ -132,7 +136,7 @@
 pub struct Control {
     /// The process.
     pub process: Process,
-    /// Where it takes calls over HTTP.
+    /// The address of its HTTP API.
     pub api: SocketAddr,
     /// Where it listens for links, behind its proxy.
     pub link: SocketAddr,
@@ -143,9 +147,9 @@
 pub struct Gateway {
     /// The process.
     pub process: Process,
-    /// Where it takes callers.
+    /// Where it listens for callers.
     pub callers: SocketAddr,
-    /// Where it tells operators of itself.
+    /// Where it serves its state to operators.
     pub operators: SocketAddr,
     /// Where it listens for links, behind its proxy.
     pub link: SocketAddr,
@@ -157,29 +161,34 @@
     pub controls: Vec<Control>,
     /// The gateways.
     pub gateways: Vec<Gateway>,
-    /// The links between them.
+    /// The proxied links between them.
     pub net: Rc<Net>,
     seeds: Vec<SocketAddr>,
     dir: PathBuf,
 }
 
-/// The addresses of one process: where it listens for links, the proxy before that, and two more.
-struct Place {
+/// The addresses of one process.
+struct Addresses {
+    /// Where the process listens for links.
     link: SocketAddr,
+    /// Where the proxy in front of `link` listens.
     proxy: SocketAddr,
+    /// The HTTP API of a control process, or where a gateway listens for callers.
     first: SocketAddr,
+    /// Where a gateway serves operators. Control processes do not use it.
     second: SocketAddr,
 }
 
 impl Fleet {
-    /// Writes the settings of all processes into `dir` and starts the proxies before them.
+    /// Writes the settings of all processes into `dir` and starts the proxies in front of their links. Starts
+    /// no process. Fails if a file cannot be written or a proxy cannot listen.
     pub async fn lay_out(
         seed: u64,
         size: &Size,
         programs: &Programs,
         dir: &Path,
     ) -> Result<Fleet, Error> {
-        let all = places(seed, size.controls + size.gateways);
+        let all = allocate_addresses(seed, size.controls + size.gateways);
         let (controls, gateways) = all.split_at(size.controls);
         let seeds: Vec<_> = controls.iter().take(3).map(|p| p.proxy).collect();
         let mut fleet = Fleet {
@@ -192,33 +201,33 @@
         for (n, p) in controls.iter().enumerate() {
             let name = format!("control-{n}");
             fleet.open_proxy(&name, p).await?;
-            let c = fleet.control(name, p, programs)?;
+            let c = fleet.new_control(name, p, programs)?;
             fleet.controls.push(c);
         }
         for (n, p) in gateways.iter().enumerate() {
             let name = format!("gateway-{n}");
             fleet.open_proxy(&name, p).await?;
-            let g = fleet.gateway(name, p, programs)?;
+            let g = fleet.new_gateway(name, p, programs)?;
             fleet.gateways.push(g);
         }
         Ok(fleet)
     }
 
-    async fn open_proxy(&self, name: &str, p: &Place) -> Result<(), Error> {
+    async fn open_proxy(&self, name: &str, p: &Addresses) -> Result<(), Error> {
         let listener =
             TcpListener::bind(p.proxy).await.map_err(io(format!("listen at {}", p.proxy)))?;
         actix_rt::spawn(self.net.clone().serve(listener, name.to_owned(), p.link));
         Ok(())
     }
 
-    fn common(&self, name: &str) -> String {
+    fn common_settings(&self, name: &str) -> String {
         let seeds: Vec<_> = self.seeds.iter().map(SocketAddr::to_string).collect();
         format!(
             "common:\n  cluster: soak\n  region: tas-north\n  data_centre: tamar-a\n  vm: {name}\n  open_links: true\n  log_form: json\n  control: {seeds:?}\n"
         )
     }
 
-    fn process(&self, name: &str, program: &Path, settings: &str) -> Result<Process, Error> {
+    fn new_process(&self, name: &str, program: &Path, settings: &str) -> Result<Process, Error> {
         let file = self.dir.join(format!("{name}.yaml"));
         fs::write(&file, settings).map_err(io("write settings"))?;
         Ok(Process {
@@ -231,18 +240,23 @@
         })
     }
 
-    fn control(&self, name: String, p: &Place, programs: &Programs) -> Result<Control, Error> {
+    fn new_control(
+        &self,
+        name: String,
+        p: &Addresses,
+        programs: &Programs,
+    ) -> Result<Control, Error> {
         let data = self.dir.join(format!("{name}-data"));
         fs::create_dir_all(&data).map_err(io("make a data folder"))?;
         let process =
-            self.process(&name, &programs.control, &self.control_settings(&name, p, true))?;
+            self.new_process(&name, &programs.control, &self.control_settings(&name, p, true))?;
         Ok(Control { process, api: p.first, link: p.link, data })
     }
 
-    fn control_settings(&self, name: &str, p: &Place, found: bool) -> String {
+    fn control_settings(&self, name: &str, p: &Addresses, found: bool) -> String {
         format!(
             "{}listen: \"{}\"\nadvertise: \"{}\"\ndata_folder: {}\nreserve: false\nsnapshot_every: 200\nfleet:\n  listen: \"{}\"\n  entry: \"{}\"\n  found: {found}\n  voters: {VOTERS}\n",
-            self.common(name),
+            self.common_settings(name),
             p.link,
             p.proxy,
             self.dir.join(format!("{name}-data")).display(),
@@ -251,31 +265,36 @@
         )
     }
 
-    fn gateway(&self, name: String, p: &Place, programs: &Programs) -> Result<Gateway, Error> {
+    fn new_gateway(
+        &self,
+        name: String,
+        p: &Addresses,
+        programs: &Programs,
+    ) -> Result<Gateway, Error> {
         let settings = format!(
             "{}listen: \"{}\"\nlink: \"{}\"\nlink_advertise: \"{}\"\noperators: \"{}\"\nretry_extra: {RETRY_EXTRA}\nstop_within_s: {STOP_WITHIN_S}\nstop_serve_s: {STOP_SERVE_S}\n",
-            self.common(&name),
+            self.common_settings(&name),
             p.first,
             p.link,
             p.proxy,
             p.second,
         );
-        let process = self.process(&name, &programs.gateway, &settings)?;
+        let process = self.new_process(&name, &programs.gateway, &settings)?;
         Ok(Gateway { process, callers: p.first, operators: p.second, link: p.link })
     }
 
-    /// Where the control processes are reached by links.
+    /// Returns the proxied link addresses of the seed control processes.
     pub fn links(&self) -> Vec<SocketAddr> {
         self.seeds.clone()
     }
 
-    /// All processes.
+    /// Returns all processes, control processes first.
     pub fn processes(&self) -> impl Iterator<Item = &Process> {
         let controls = self.controls.iter().map(|c| &c.process);
         controls.chain(self.gateways.iter().map(|g| &g.process))
     }
 
-    /// No control process founds a group any more when it is started again.
+    /// Rewrites the settings of the control processes so that a restart does not found a second group.
     pub fn founded(&self) -> Result<(), Error> {
         for c in &self.controls {
             let file = &c.process.settings;
@@ -286,7 +305,7 @@
         Ok(())
     }
 
-    /// Empties the disk of a control process that does not run.
+    /// Deletes the contents of the data folder of control process `n`, which must not be running.
     pub fn empty_disk(&self, n: usize) -> Result<(), Error> {
         let data = &self.controls[n].data;
         fs::remove_dir_all(data).map_err(io("empty a data folder"))?;
@@ -294,11 +313,13 @@
     }
 }
 
-/// Addresses at an IP that no other run uses at the same time.
-fn places(seed: u64, n: usize) -> Vec<Place> {
+/// Returns the addresses of `n` processes at a loopback IP derived from the process id and the seed, so that
+/// concurrent runs use different IPs.
+fn allocate_addresses(seed: u64, n: usize) -> Vec<Addresses> {
     let pid = std::process::id();
     let ip = [127, 100 + (pid % 100) as u8, (seed / 250 % 250) as u8, 1 + (seed % 250) as u8];
     let at = |n: usize, k: u16| SocketAddr::from((ip, FIRST_PORT + 4 * n as u16 + k));
-    let place = |n| Place { link: at(n, 0), proxy: at(n, 1), first: at(n, 2), second: at(n, 3) };
-    (0..n).map(place).collect()
+    let addresses =
+        |n| Addresses { link: at(n, 0), proxy: at(n, 1), first: at(n, 2), second: at(n, 3) };
+    (0..n).map(addresses).collect()
 }
