--- a/crates/soak/src/document.rs
+++ b/crates/soak/src/document.rs
@@ -1,4 +1,4 @@
-//! The documents that the operator sends.
+//! The configuration documents that the operator sends.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -6,26 +6,26 @@
 
 use crate::http::CALLERS_HOST;
 
-/// A client account: its name, key and prepaid tokens.
+/// A client account in the documents.
 pub struct Account {
-    /// The name.
+    /// The account name.
     pub name: &'static str,
-    /// The bearer key.
+    /// The key that callers send as a bearer token.
     pub key: &'static str,
-    /// The prepaid tokens.
+    /// The number of prepaid tokens.
     pub prepaid: u64,
 }
 
-/// The accounts: one with plenty, and one that comes to its end in a run.
+/// The client accounts: one with more tokens than a run uses, and one whose tokens run out.
 pub const ACCOUNTS: [Account; 2] = [
     Account { name: "club", key: "club-key", prepaid: 5_000_000 },
     Account { name: "mill", key: "mill-key", prepaid: 3_000 },
 ];
 
-/// The longest that a request is held, in milliseconds.
+/// The request timeout of all routes, in milliseconds.
 pub const TIMEOUT_MS: u64 = 3_000;
 
-/// Replicas that one request is sent to at most.
+/// Maximum number of replicas that a request is sent to.
 const ATTEMPTS: u32 = 2;
 
 fn route(prefix: &str, kind: &str, service: &str) -> Value {
@@ -36,13 +36,14 @@
     })
 }
 
-/// The route by which it shows that a version is in force.
+/// Returns the path of the route that the document of `version` adds. A gateway that serves it has at least
+/// this version in force.
 pub fn probe_path(version: u64) -> String {
     format!("/v{version}/")
 }
 
-/// A document of `version` with `more` routes that nobody uses. It has the routes of all versions
-/// before.
+/// Returns the document of `version` as JSON. It contains the probe routes of all versions up to this one and
+/// `more` unused routes with names derived from `version`.
 pub fn document(version: u64, more: usize) -> String {
     let mut rng = SmallRng::seed_from_u64(version);
     let mut routes = vec![
@@ -51,10 +52,11 @@
         route("/talk/", "stream", "talk"),
     ];
     routes.extend((1..=version).map(|v| route(&probe_path(v), "safe", "board")));
-    let mut name = || format!("/{:032x}/", rng.random::<u128>());
-    routes.extend((0..more).map(|_| route(&name(), "safe", "board")));
-    let account = |a: &Account| json!({ "name": a.name, "keys": [a.key], "prepaid": a.prepaid });
-    let accounts: Vec<_> = ACCOUNTS.iter().map(account).collect();
+    let mut random_prefix = || format!("/{:032x}/", rng.random::<u128>());
+    routes.extend((0..more).map(|_| route(&random_prefix(), "safe", "board")));
+    let account_json =
+        |a: &Account| json!({ "name": a.name, "keys": [a.key], "prepaid": a.prepaid });
+    let accounts: Vec<_> = ACCOUNTS.iter().map(account_json).collect();
     json!({
         "version": version, "routes": routes, "accounts": accounts,
         "services": [
--- a/crates/soak/src/error.rs
+++ b/crates/soak/src/error.rs
@@ -1,26 +1,26 @@
-//! Why a run could not be played. That a promise is broken is no error of the soak.
+//! Errors that prevent a run from being played. A broken promise is a result, not an error.
 
 use std::io;
 
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why a run could not be played.
+    /// An error that prevents a run from being played.
     #[derive(Debug)]
     pub enum Error {
-        /// A file, a socket or a process.
+        /// An operation on a file, socket or process failed.
         Io(what: String, err: io::Error) {
             display("could not {}: {}", what, err)
             source(err)
         }
-        /// The fleet did not come up.
+        /// The fleet did not become ready in time.
         NotUp(what: &'static str) {
             display("the fleet did not come up: no {}", what)
         }
     }
 }
 
-/// An error of input or output, with what was tried.
+/// Returns a function for `map_err` that adds a description of the failed operation to an I/O error.
 pub fn io(what: impl Into<String>) -> impl FnOnce(io::Error) -> Error {
     move |e| Error::Io(what.into(), e)
 }
--- a/crates/soak/src/http.rs
+++ b/crates/soak/src/http.rs
@@ -1,4 +1,4 @@
-//! One call over HTTP, on a connection of its own.
+//! An HTTP client for the soak: requests on a given connection, and calls that open one each.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,13 +9,13 @@
 use cypressfork_http::client::{Connection, ExchangeError, Outbound};
 use tokio::time::timeout;
 
-/// The host that callers name.
+/// The value of the `Host` header of all requests.
 pub const CALLERS_HOST: &str = "club.example";
 
-/// The largest answer that is read.
-const CAP: usize = 16 * 1024 * 1024;
+/// Maximum size of an answer's body, in bytes.
+const MAX_BODY: usize = 16 * 1024 * 1024;
 
-/// A request's headers, the host among them.
+/// Returns the given headers and a `Host` header.
 pub fn headers(all: &[(&'static str, String)]) -> HeaderMap {
     let mut h = HeaderMap::new();
     h.insert(HOST, HeaderValue::from_static(CALLERS_HOST));
@@ -26,7 +26,7 @@
     h
 }
 
-/// Sends a request and waits for the answer's head.
+/// Sends a request on `c` and returns the head of the answer.
 pub async fn exchange(
     c: &mut Connection,
     method: &Method,
@@ -39,19 +39,20 @@
     c.head().await
 }
 
-/// The rest of an answer.
+/// Reads the body of the current answer. Fails on a connection error or a body of more than 16 MiB.
 pub async fn rest(c: &mut Connection) -> Result<Bytes, ExchangeError> {
     let mut all = BytesMut::new();
-    while let Some(piece) = c.read_chunk().await? {
-        all.extend_from_slice(&piece);
-        if all.len() > CAP {
+    while let Some(chunk) = c.read_chunk().await? {
+        all.extend_from_slice(&chunk);
+        if all.len() > MAX_BODY {
             return Err(ExchangeError::Sent("the answer is too large".to_owned()));
         }
     }
     Ok(all.freeze())
 }
 
-/// A whole call: the status and the body, or none if there is no whole answer in time.
+/// Sends a request on a new connection. Returns the status and body, or `None` if there is no complete answer
+/// within `within`.
 pub async fn call(
     to: SocketAddr,
     method: Method,
@@ -59,10 +60,10 @@
     body: Bytes,
     within: Duration,
 ) -> Option<(u16, Bytes)> {
-    let whole = async {
+    let answer = async {
         let mut c = Connection::open(to).await?;
         let head = exchange(&mut c, &method, path, headers(&[]), &body).await?;
         Ok::<_, ExchangeError>((head.status.as_u16(), rest(&mut c).await?))
     };
-    timeout(within, whole).await.ok()?.ok()
+    timeout(within, answer).await.ok()?.ok()
 }
