--- a/crates/cypressfork/tests/bad_input.rs
+++ b/crates/cypressfork/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad input over real processes: numbered refusals, nothing run, charged or lost.
+//! Invalid requests to real processes: each is refused with its result code, and nothing is run or charged.
 
 mod support;
 
@@ -87,8 +87,8 @@
     assert!(a.header("x-request-id").is_some(), "{}", c.name);
 }
 
-/// Sends the start of a request and leaves.
-fn stop_in_mid_request(address: &str) {
+/// Sends an incomplete request and closes the connection.
+fn send_incomplete_request(address: &str) {
     let mut s = TcpStream::connect(address).unwrap();
     let head = format!(
         "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {KEY}\r\nContent-Length: 500\r\n\r\n{{\"model\":"
@@ -96,8 +96,8 @@
     s.write_all(head.as_bytes()).unwrap();
 }
 
-/// Sends headers that are larger than any parser here takes.
-fn flood_headers(address: &str) -> String {
+/// Sends headers above the size limit and returns the first line of the answer, empty if there is none.
+fn send_oversized_headers(address: &str) -> String {
     let mut s = TcpStream::connect(address).unwrap();
     let line = format!("X-Big: {}\r\n", "x".repeat(8000));
     let _ = s.write_all(b"GET /v1/entry HTTP/1.1\r\nHost: x\r\n");
@@ -119,8 +119,8 @@
         let a = c.request.send(&again.body);
         check(&again, &a);
     }
-    stop_in_mid_request(&f.router_addresses[0]);
-    let line = flood_headers(&f.router_addresses[0]);
+    send_incomplete_request(&f.router_addresses[0]);
+    let line = send_oversized_headers(&f.router_addresses[0]);
     assert!(line.is_empty() || line.contains(" 4"), "{line}");
     let a = f.chat(0).send(&ask(false, 4));
     assert_eq!(a.status, 200, "the router still serves: {}", a.body);
--- a/crates/cypressfork/tests/crashing_requests.rs
+++ b/crates/cypressfork/tests/crashing_requests.rs
@@ -1,13 +1,7 @@
-//! Requests that end every replica that runs them, over real processes on loopback.
+//! Requests that crash every replica that runs them, over real processes on loopback.
 //!
-//! Seen: replicas of a service ended one after the other, 40 under one request and 38 under another, and
-//! for ten seconds next to nothing of that service was served.
-//! How it came about: two requests came again a few times a second, at any gateway. Each gateway took a
-//! connection that ended for a fault of the replica and sent the request, or its next copy, to a sound
-//! one. Replicas came back after some seconds and met the same requests.
-//! Cause: nothing was held against a request. What one had done was forgotten with it, and no gateway told
-//! another.
-//! Proof: on the code before, the test counts 6 to 13 arrivals in 4 s where three are allowed in all.
+//! Guards against retries and repeated copies of such a request crashing one replica after another: all
+//! gateways must share the quarantine of the request.
 
 #![allow(missing_docs)]
 
@@ -30,108 +24,108 @@
 use support::gateways::*;
 use support::until;
 
-/// Replicas: enough that some are up while two requests end them.
+/// Replicas: enough that some are up while two requests crash them.
 const REPLICAS: usize = 10;
 
 /// Gateways besides the fleet's first one.
-const NEIGHBOURS: usize = 3;
+const EXTRA_GATEWAYS: usize = 3;
 
-/// How long a replica is down. Those that were seen came back after two seconds and more.
+/// Time from a replica's crash to its restart.
 const DOWN: Duration = Duration::from_secs(2);
 
-/// How long a process goes on listening after its connections have ended.
-const EXIT: Duration = Duration::from_millis(20);
+/// Time that a process keeps listening after its connections have closed.
+const EXIT_DELAY: Duration = Duration::from_millis(20);
 
-/// The same on a busy machine.
-const SLOW_EXIT: Duration = Duration::from_millis(250);
+/// Time that a process on a busy machine keeps listening after its connections have closed.
+const SLOW_EXIT_DELAY: Duration = Duration::from_millis(250);
 
-/// How long a replica is down whose supervisor holds its socket: until its next life speaks, nothing
-/// shows that the former has ended.
+/// Downtime of a replica whose supervisor holds its socket: the crash stays undetected until the next
+/// process sends a heartbeat.
 const SUPERVISED: Duration = Duration::from_millis(500);
 
-/// How long a replica is down that its supervisor starts again at once.
-const AT_ONCE: Duration = Duration::from_millis(10);
+/// Downtime of a replica that its supervisor restarts at once.
+const IMMEDIATE: Duration = Duration::from_millis(10);
 
-/// Within this time of a request's third end of a replica, every gateway goes by it.
-const KNOWN_WITHIN: Duration = Duration::from_secs(3);
+/// Time from a request's third crash within which every gateway applies the quarantine.
+const QUARANTINED_WITHIN: Duration = Duration::from_secs(3);
 
-/// Times that a request may be sent after that, in all: for a quarantine that may be wrong.
-const LATER: usize = 3;
+/// Bound on the total arrivals of a request after that: probes that check whether the quarantine is wrong.
+const MAX_PROBES: usize = 3;
 
-/// Five copies a second of each, as was seen.
+/// Interval between copies of one killer request.
 const KILLER_EVERY: Duration = Duration::from_millis(200);
 
-/// Some fifty sound requests a second.
-const SOUND_EVERY: Duration = Duration::from_millis(20);
+/// Interval between harmless requests.
+const HARMLESS_EVERY: Duration = Duration::from_millis(20);
 
-/// Code of a refusal for what a request has done.
+/// Result code for a quarantined request.
 const QUARANTINED: &str = "CF1309";
 
-/// How replicas end and come back.
+/// How replicas crash and restart.
 #[derive(Clone, Copy)]
-struct Ends {
-    back: Back,
+struct CrashMode {
+    restart_as: RestartAs,
     socket: Socket,
     down: Duration,
 }
 
-/// A fleet, its replicas and its callers.
-struct Storm {
+/// A fleet with replicas that crash, and callers that send harmless and killer requests.
+struct CrashingFleet {
     fleet: Fleet,
-    _neighbours: Vec<Neighbour>,
-    seen: Arc<Seen>,
-    sound: Callers,
+    _extra_gateways: Vec<Neighbour>,
+    seen: Arc<CrashRecord>,
+    harmless: Callers,
     killers: Callers,
     replicas_over: Arc<std::sync::atomic::AtomicBool>,
 }
 
-impl Drop for Storm {
+impl Drop for CrashingFleet {
     fn drop(&mut self) {
-        for over in [&self.sound.over, &self.killers.over, &self.replicas_over] {
+        for over in [&self.harmless.over, &self.killers.over, &self.replicas_over] {
             over.store(true, Ordering::Relaxed);
         }
     }
 }
 
-impl Storm {
-    /// A fleet that serves, without any request yet.
-    fn new(back: Back) -> Storm {
-        Storm::of(Ends { back, socket: Socket::Closes, down: DOWN })
+impl CrashingFleet {
+    /// Starts a fleet whose gateways all serve, without any load.
+    fn new(restart_as: RestartAs) -> CrashingFleet {
+        CrashingFleet::with_mode(CrashMode { restart_as, socket: Socket::Closes, down: DOWN })
     }
 
-    fn of(ends: Ends) -> Storm {
+    fn with_mode(mode: CrashMode) -> CrashingFleet {
         let mut fleet = Fleet::new(3);
         (0..3).for_each(|n| fleet.start_control(n, true));
         fleet.start_gateway();
-        let neighbours = fleet.start_neighbours(NEIGHBOURS);
+        let extra_gateways = fleet.start_neighbours(EXTRA_GATEWAYS);
         let first = two_routes(3).to_string();
         until("a document", || {
             matches!(fleet.call(0, "PUT", "/v1/document", &first), Some((200, _)))
         });
-        let fronts = neighbours.iter().map(|g| g.front).chain([fleet.front]).collect();
+        let fronts = extra_gateways.iter().map(|g| g.front).chain([fleet.front]).collect();
         let gateways = Arc::new(Mutex::new(fronts));
-        let storm = Storm {
+        let crashing = CrashingFleet {
             seen: Arc::default(),
-            sound: Callers::new(gateways.clone()),
+            harmless: Callers::new(gateways.clone()),
             killers: Callers::new(gateways),
             replicas_over: Arc::default(),
             fleet,
-            _neighbours: neighbours,
+            _extra_gateways: extra_gateways,
         };
-        storm.start_replicas(ends);
-        storm.until_all_answer();
-        storm
+        crashing.start_replicas(mode);
+        crashing.until_all_answer();
+        crashing
     }
 
-    fn start_replicas(&self, ends: Ends) {
+    fn start_replicas(&self, mode: CrashMode) {
         let controls: Vec<_> = self.fleet.controls.iter().map(|c| c.api).collect();
         for (n, address) in free(&support::own_ip(), REPLICAS).into_iter().enumerate() {
             let replica = CrashingReplica {
                 address,
                 name: format!("b-{n}"),
-                back: ends.back,
-                socket: ends.socket,
-                down: ends.down,
+                restart_as: mode.restart_as,
+                socket: mode.socket,
+                down: mode.down,
                 controls: controls.clone(),
                 seen: self.seen.clone(),
                 over: self.replicas_over.clone(),
@@ -141,7 +135,7 @@
     }
 
     fn until_all_answer(&self) {
-        let all = self.sound.gateways.lock().unwrap().clone();
+        let all = self.harmless.gateways.lock().unwrap().clone();
         for gateway in all {
             until("an answer", || {
                 let answer = exchange(gateway, "GET", "/board/x", CALLER, "");
@@ -150,16 +144,16 @@
         }
     }
 
-    /// Sound requests: most of their own, some that are the same again and again.
-    fn send_sound(&self) {
-        self.sound.send("sound", SOUND_EVERY, |n| match n % 3 {
+    /// Sends harmless requests: a third of them identical, the others distinct.
+    fn send_harmless(&self) {
+        self.harmless.send("sound", HARMLESS_EVERY, |n| match n % 3 {
             0 => ("GET", "/board/same".to_owned(), String::new()),
             1 => ("GET", format!("/board/{n}"), String::new()),
             _ => ("POST", "/moves/x".to_owned(), format!("move {n}")),
         });
     }
 
-    /// Two requests that end their replicas: one by its path, one by its body.
+    /// Sends copies of two requests that crash their replicas: one marked in its path, one in its body.
     fn send_killers(&self) {
         self.killers.send("killer", KILLER_EVERY / 2, |n| match n % 2 {
             0 => ("GET", format!("/board/{KILLER}-1"), String::new()),
@@ -167,32 +161,35 @@
         });
     }
 
-    /// Waits until both have ended three replicas and everybody may know it; returns when that was.
-    fn until_known(&self) -> Vec<(String, Instant)> {
+    /// Waits until both killers have crashed three replicas; returns each with the time from which every
+    /// gateway has to refuse it.
+    fn until_quarantine_due(&self) -> Vec<(String, Instant)> {
         let names = [1, 2].map(|n| format!("{KILLER}-{n}"));
         let known = names.map(|name| {
             let mut third = None;
-            until("a third end of a replica", || {
+            until("a third crash of a replica", || {
                 third = self.seen.third_end(&name);
                 third.is_some()
             });
-            (name, third.unwrap() + KNOWN_WITHIN)
+            (name, third.unwrap() + QUARANTINED_WITHIN)
         });
         known.to_vec()
     }
 }
 
-fn pass(until: Instant) {
+fn sleep_until(until: Instant) {
     sleep(until.saturating_duration_since(Instant::now()));
 }
 
-/// The fingerprints of requests that were under way at replicas that ended, with those replicas and the
-/// ids that they came under, from the logs of all gateways.
-fn under_way(storm: &Storm) -> HashMap<String, (HashSet<String>, HashSet<String>)> {
+/// Reads from the logs of all gateways the fingerprints of requests that were in progress at crashed
+/// replicas, each with the names of those replicas and the ids of the requests.
+fn in_progress_at_crash(
+    crashing: &CrashingFleet,
+) -> HashMap<String, (HashSet<String>, HashSet<String>)> {
     let mut all: HashMap<_, (HashSet<_>, HashSet<_>)> = HashMap::new();
-    let names = (0..NEIGHBOURS).map(|n| format!("neighbour-{n}"));
+    let names = (0..EXTRA_GATEWAYS).map(|n| format!("neighbour-{n}"));
     for name in names.chain(["gateway-0".to_owned()]) {
-        let text = log(storm.fleet.dir.path(), &name);
+        let text = log(crashing.fleet.dir.path(), &name);
         for line in text.lines().filter(|l| l.contains(" CFE430 ")) {
             let field = |name: &str| {
                 let mut words = line.split(' ').filter_map(|w| w.split_once('='));
@@ -207,60 +204,64 @@
 }
 
 #[test]
-fn the_logs_tell_what_was_under_way_at_replicas_that_ended() {
-    let storm = Storm::new(Back::NewId);
-    storm.send_sound();
-    storm.send_killers();
-    storm.until_known();
-    let at_three = |storm: &Storm| {
-        let all = under_way(storm);
+fn logs_list_the_requests_in_progress_at_crashed_replicas() {
+    let crashing = CrashingFleet::new(RestartAs::NewId);
+    crashing.send_harmless();
+    crashing.send_killers();
+    crashing.until_quarantine_due();
+    let crashed_three = |crashing: &CrashingFleet| {
+        let all = in_progress_at_crash(crashing);
         let often = all.into_values().filter(|(replicas, _)| replicas.len() >= 3);
         often.filter(|(_, ids)| ids.iter().all(|id| id.starts_with("killer-"))).count()
     };
-    until("both in the logs", || at_three(&storm) == 2);
+    until("both in the logs", || crashed_three(&crashing) == 2);
 }
+
 #[rstest]
-#[case::replicas_come_back_under_another_id(Back::NewId)]
-#[case::replicas_come_back_under_their_id(Back::SameId)]
-fn a_request_that_ends_its_replicas_is_soon_sent_to_none(#[case] back: Back) {
-    sent_to_none(&Storm::new(back));
+#[case::replicas_come_back_under_another_id(RestartAs::NewId)]
+#[case::replicas_come_back_under_their_id(RestartAs::SameId)]
+fn a_request_that_ends_its_replicas_is_soon_sent_to_none(#[case] restart_as: RestartAs) {
+    assert_soon_sent_to_none(&CrashingFleet::new(restart_as));
 }
 
-/// What listens at a replica's address may outlast the replica: whoever connects there within that time
-/// is accepted, and never answered.
+/// Guards against a missed crash where the replica's listening socket outlasts it: connections are then
+/// accepted and never answered.
 #[rstest]
-#[case::its_process_takes_a_while_to_exit(Back::NewId, Socket::ClosesAfter(EXIT), DOWN)]
-#[case::and_keeps_its_id(Back::SameId, Socket::ClosesAfter(EXIT), DOWN)]
-#[case::a_slow_exit(Back::NewId, Socket::ClosesAfter(SLOW_EXIT), DOWN)]
-#[case::a_supervisor_holds_its_socket(Back::NewId, Socket::Held, SUPERVISED)]
-#[case::a_supervisor_starts_it_under_its_id(Back::SameIdBorn, Socket::Held, SUPERVISED)]
-#[case::it_starts_again_at_once(Back::NewId, Socket::Closes, AT_ONCE)]
-#[case::under_its_id(Back::SameIdBorn, Socket::Closes, AT_ONCE)]
+#[case::its_process_takes_a_while_to_exit(RestartAs::NewId, Socket::ClosesAfter(EXIT_DELAY), DOWN)]
+#[case::and_keeps_its_id(RestartAs::SameId, Socket::ClosesAfter(EXIT_DELAY), DOWN)]
+#[case::a_slow_exit(RestartAs::NewId, Socket::ClosesAfter(SLOW_EXIT_DELAY), DOWN)]
+#[case::a_supervisor_holds_its_socket(RestartAs::NewId, Socket::Held, SUPERVISED)]
+#[case::a_supervisor_starts_it_under_its_id(RestartAs::SameIdBorn, Socket::Held, SUPERVISED)]
+#[case::it_starts_again_at_once(RestartAs::NewId, Socket::Closes, IMMEDIATE)]
+#[case::under_its_id(RestartAs::SameIdBorn, Socket::Closes, IMMEDIATE)]
 fn nor_if_its_replicas_sockets_outlast_them(
-    #[case] back: Back,
+    #[case] restart_as: RestartAs,
     #[case] socket: Socket,
     #[case] down: Duration,
 ) {
-    sent_to_none(&Storm::of(Ends { back, socket, down }));
+    assert_soon_sent_to_none(&CrashingFleet::with_mode(CrashMode { restart_as, socket, down }));
 }
 
-fn sent_to_none(storm: &Storm) {
-    storm.send_sound();
-    storm.send_killers();
-    let known = storm.until_known();
+fn assert_soon_sent_to_none(crashing: &CrashingFleet) {
+    crashing.send_harmless();
+    crashing.send_killers();
+    let known = crashing.until_quarantine_due();
     let last = known.iter().map(|(_, at)| *at).max().unwrap();
-    pass(last + Duration::from_secs(4));
+    sleep_until(last + Duration::from_secs(4));
     for (killer, at) in &known {
-        let later = storm.seen.arrivals(killer, *at);
-        assert!(later <= LATER, "{killer} reached replicas {later} times after all could know it");
+        let arrivals = crashing.seen.arrivals(killer, *at);
+        assert!(
+            arrivals <= MAX_PROBES,
+            "{killer} reached replicas {arrivals} times after the quarantine was due at every gateway"
+        );
     }
-    let refused = storm.sound.got().of_code(QUARANTINED);
-    assert_eq!(refused, 0, "sound requests are refused for what others have done");
+    let refused = crashing.harmless.got().of_code(QUARANTINED);
+    assert_eq!(refused, 0, "harmless requests are quarantined");
 }
 
-impl Storm {
-    /// Sends one copy of the first killer to a gateway; its result code, empty if there was no answer.
-    fn copy(&self, gateway: SocketAddr, key: &str) -> String {
+impl CrashingFleet {
+    /// Sends one copy of the first killer to a gateway and returns its result code, empty without an answer.
+    fn send_copy(&self, gateway: SocketAddr, key: &str) -> String {
         let head = format!("X-Request-Id: copy\r\nAuthorization: Bearer {key}\r\n");
         let path = format!("/board/{KILLER}-1");
         let answer = exchange(gateway, "GET", &path, &head, "");
@@ -268,88 +269,88 @@
     }
 
     fn fronts(&self) -> Vec<SocketAddr> {
-        self.sound.gateways.lock().unwrap().clone()
+        self.harmless.gateways.lock().unwrap().clone()
     }
 
     fn until_all_refuse(&self) {
         for gateway in self.fronts() {
-            until("a refusal", || self.copy(gateway, "club-key") == QUARANTINED);
+            until("a refusal", || self.send_copy(gateway, "club-key") == QUARANTINED);
         }
     }
 }
 
-/// A gateway that starts knows it before it serves, and a loss of power everywhere forgets nothing.
+/// Guards against a quarantine that is lost when a gateway or all processes restart.
 #[test]
 fn what_a_request_has_done_outlasts_all_processes() {
-    let mut storm = Storm::new(Back::NewId);
-    storm.send_killers();
-    storm.until_known();
-    storm.killers.over.store(true, Ordering::Relaxed);
-    storm.until_all_refuse();
+    let mut crashing = CrashingFleet::new(RestartAs::NewId);
+    crashing.send_killers();
+    crashing.until_quarantine_due();
+    crashing.killers.over.store(true, Ordering::Relaxed);
+    crashing.until_all_refuse();
     let since = Instant::now();
-    storm.fleet.gateway.as_mut().unwrap().kill();
-    storm.fleet.start_gateway();
-    storm.until_all_answer();
-    assert_eq!(storm.copy(storm.fleet.front, "club-key"), QUARANTINED);
-    storm.fleet.gateway.as_mut().unwrap().kill();
-    storm.fleet.controls.iter_mut().for_each(|c| c.process.as_mut().unwrap().kill());
-    (0..3).for_each(|n| storm.fleet.start_control(n, false));
-    storm.fleet.start_gateway();
-    storm.until_all_answer();
-    assert_eq!(storm.copy(storm.fleet.front, "club-key"), QUARANTINED);
-    assert_eq!(storm.seen.arrivals(&format!("{KILLER}-1"), since), 0);
+    crashing.fleet.gateway.as_mut().unwrap().kill();
+    crashing.fleet.start_gateway();
+    crashing.until_all_answer();
+    assert_eq!(crashing.send_copy(crashing.fleet.front, "club-key"), QUARANTINED);
+    crashing.fleet.gateway.as_mut().unwrap().kill();
+    crashing.fleet.controls.iter_mut().for_each(|c| c.process.as_mut().unwrap().kill());
+    (0..3).for_each(|n| crashing.fleet.start_control(n, false));
+    crashing.fleet.start_gateway();
+    crashing.until_all_answer();
+    assert_eq!(crashing.send_copy(crashing.fleet.front, "club-key"), QUARANTINED);
+    assert_eq!(crashing.seen.arrivals(&format!("{KILLER}-1"), since), 0);
 }
 
 #[test]
 fn a_gateway_that_reaches_no_control_process_goes_by_what_it_saw() {
-    let mut storm = Storm::new(Back::NewId);
-    storm.fleet.controls.iter_mut().for_each(|c| c.process.as_mut().unwrap().kill());
+    let mut crashing = CrashingFleet::new(RestartAs::NewId);
+    crashing.fleet.controls.iter_mut().for_each(|c| c.process.as_mut().unwrap().kill());
     let mut codes = Vec::new();
     until("a refusal", || {
-        codes.push(storm.copy(storm.fleet.front, "club-key"));
+        codes.push(crashing.send_copy(crashing.fleet.front, "club-key"));
         codes.last().is_some_and(|c| c == QUARANTINED)
     });
-    let ends = storm.seen.ends.lock().unwrap().len();
+    let ends = crashing.seen.ends.lock().unwrap().len();
     assert!((3..=8).contains(&ends), "{ends} replicas ended: {codes:?}");
-    let other = exchange(storm.fleet.front, "GET", "/board/x", CALLER, "").unwrap();
+    let other = exchange(crashing.fleet.front, "GET", "/board/x", CALLER, "").unwrap();
     assert_eq!(other.0, 200, "another request is served");
 }
 
-/// Nobody can have another's requests refused: the same text of another account is another request.
+/// Guards against a client account that gets another account's identical requests quarantined.
 #[test]
 fn another_account_is_not_refused_for_it() {
-    let storm = Storm::new(Back::NewId);
-    storm.send_killers();
-    storm.until_known();
-    storm.killers.over.store(true, Ordering::Relaxed);
-    storm.until_all_refuse();
+    let crashing = CrashingFleet::new(RestartAs::NewId);
+    crashing.send_killers();
+    crashing.until_quarantine_due();
+    crashing.killers.over.store(true, Ordering::Relaxed);
+    crashing.until_all_refuse();
     let since = Instant::now();
-    // No replica may be up for a moment, after what the others have done.
+    // All replicas may be down for a moment after the crashes.
     until("a replica", || {
-        assert_ne!(storm.copy(storm.fleet.front, "school-key"), QUARANTINED);
-        storm.seen.arrivals(&format!("{KILLER}-1"), since) >= 1
+        assert_ne!(crashing.send_copy(crashing.fleet.front, "school-key"), QUARANTINED);
+        crashing.seen.arrivals(&format!("{KILLER}-1"), since) >= 1
     });
 }
 
 #[test]
 fn an_operator_has_it_sent_again() {
-    let storm = Storm::new(Back::NewId);
-    storm.send_killers();
-    let controls = storm.fleet.controls.iter().map(|c| c.link).collect();
+    let crashing = CrashingFleet::new(RestartAs::NewId);
+    crashing.send_killers();
+    let controls = crashing.fleet.controls.iter().map(|c| c.link).collect();
     let name = "operator".to_owned();
     let me = Credentials { key: Key::new(b"test"), cluster: "test".to_owned(), name };
     let system = actix_rt::System::new();
     let group = GroupClient::new(me, controls);
     let within = Duration::from_secs(10);
     let mut all = Vec::new();
-    until("both in the list", || {
+    until("both in the list of quarantined requests", || {
         let listed = system.block_on(group.query(&Query::Quarantined, within)).unwrap();
         let Reply::Quarantined(listed) = listed else { panic!("{listed:?}") };
         all = listed;
         all.len() == 2
     });
-    storm.killers.over.store(true, Ordering::Relaxed);
-    storm.until_all_refuse();
+    crashing.killers.over.store(true, Ordering::Relaxed);
+    crashing.until_all_refuse();
     for q in all {
         assert!(q.account == "club" && q.replicas >= 3, "{q:?}");
         let lift = Command::LiftQuarantine(q.fingerprint);
@@ -357,8 +358,8 @@
     }
     let since = Instant::now();
     until("a replica", || {
-        storm.copy(storm.fleet.front, "club-key");
-        storm.seen.arrivals(&format!("{KILLER}-1"), since) > 0
+        crashing.send_copy(crashing.fleet.front, "club-key");
+        crashing.seen.arrivals(&format!("{KILLER}-1"), since) > 0
     });
 }
 
--- a/crates/cypressfork/tests/documents.rs
+++ b/crates/cypressfork/tests/documents.rs
@@ -1,5 +1,5 @@
-//! Documents on their way to a gateway over links that carry little: a real gateway, and stand-ins
-//! for its control processes.
+//! Delivery of documents to a gateway over slow links: a real gateway, and test doubles for its control
+//! processes.
 
 #![allow(missing_docs)]
 
@@ -19,7 +19,7 @@
 use support::{Process, Request, free_addresses, get, own_ip, program, until};
 use tempfile::TempDir;
 
-/// A gateway that follows the control processes at some addresses.
+/// A gateway process that watches the given control processes.
 struct Gateway {
     callers: String,
     operators: String,
@@ -46,7 +46,7 @@
         Gateway { callers: free[0].clone(), operators: free[2].clone(), process, _dir: dir }
     }
 
-    /// The status with which a caller's request is answered.
+    /// Sends a caller's request and returns the status of the answer.
     fn ask(&self, path: &str) -> u16 {
         let req = Request::new(&self.callers, path).method("GET");
         req.header("host", "club.example").header("x-request-id", "r-1").send("").status
@@ -56,14 +56,14 @@
         self.process.log()
     }
 
-    /// The version in force.
+    /// Returns the version of the document in force, 0 before the first.
     fn version(&self) -> u64 {
         let v = get(&format!("http://{}/readyz", self.operators));
         v.and_then(|v| v["document"].as_u64()).unwrap_or_default()
     }
 }
 
-/// A document with so many routes, whose names hardly repeat.
+/// Returns a document with this number of routes, with random names that compress poorly.
 fn document(version: u64, routes: usize) -> String {
     let mut rng = SmallRng::seed_from_u64(version);
     let mut name = || format!("{:032x}{:032x}", rng.random::<u128>(), rng.random::<u128>());
@@ -88,6 +88,7 @@
     (0..n).map(|_| Control::start()).collect()
 }
 
+/// Guards against a fetch that is given up because the link needs longer than the timeout of one answer.
 #[test]
 fn a_document_arrives_over_a_link_that_needs_longer_than_one_answer_may_take() {
     let all = controls(3);
@@ -102,6 +103,7 @@
     until("the large document", || gw.version() == 2);
 }
 
+/// Guards against a busy loop of watches while one control process withholds a document.
 #[test]
 fn no_question_is_repeated_without_pause_while_a_document_is_fetched() {
     let all = controls(2);
@@ -109,20 +111,22 @@
     let gw = Gateway::start(&addresses);
     all.iter().for_each(|c| c.publish(1, &document(1, 1)));
     until("the first document", || gw.version() == 1);
-    // The first tells of a version and then keeps it back; the second tells of a higher one.
-    let asked = |n: usize| all[n].inside.questions.load(Ordering::Relaxed);
-    *all[0].inside.withholds.lock().unwrap() = true;
-    let before = asked(0);
+    // The first control process announces a version and withholds its parts; the second announces a higher
+    // version.
+    let watch_count = |n: usize| all[n].state.watches.load(Ordering::Relaxed);
+    *all[0].state.withholds_documents.lock().unwrap() = true;
+    let before = watch_count(0);
     all[0].publish(2, &document(2, 100));
-    until("the question for it", || asked(0) > before);
-    let (before, span) = (asked(1), Duration::from_millis(400));
+    until("a watch for the document", || watch_count(0) > before);
+    let (before, span) = (watch_count(1), Duration::from_millis(400));
     all[1].publish(3, &document(3, 100));
     sleep(span);
-    let questions = asked(1) - before;
-    assert!(questions <= 4, "{questions} questions in {span:?}");
+    let watches = watch_count(1) - before;
+    assert!(watches <= 4, "{watches} watches in {span:?}");
     until("the higher document", || gw.version() == 3);
 }
 
+/// Guards against a 404 from a gateway that has been notified of a newer document.
 #[test]
 fn nobody_is_refused_for_good_by_a_document_that_is_known_to_be_old() {
     let all = controls(1);
@@ -130,21 +134,22 @@
     all[0].publish(1, &document(1, 1));
     until("the first document", || gw.version() == 1);
     assert_eq!(gw.ask("/new/x"), 404);
-    // Version 2 has the route; its parts do not come.
-    *all[0].inside.withholds.lock().unwrap() = true;
+    // Version 2 has the route, but its parts are withheld.
+    *all[0].state.withholds_documents.lock().unwrap() = true;
     let mut next: serde_json::Value = serde_json::from_str(&document(2, 200)).unwrap();
     next["routes"][0]["host"] = "club.example".into();
     next["routes"][0]["prefix"] = "/new/".into();
     all[0].publish(2, &next.to_string());
-    until("the word of version 2", || gw.log().contains("CFE324"));
-    until("a refusal that promises nothing for good", || gw.ask("/new/x") == 503);
+    until("the notice of version 2", || gw.log().contains("CFE324"));
+    until("a temporary refusal", || gw.ask("/new/x") == 503);
     assert_eq!(gw.version(), 1);
-    *all[0].inside.withholds.lock().unwrap() = false;
+    *all[0].state.withholds_documents.lock().unwrap() = false;
     until("version 2", || gw.version() == 2);
     assert_eq!(gw.ask("/elsewhere/x"), 404);
-    assert_eq!(gw.ask("/new/x"), 503, "the route is there, and no replica");
+    assert_eq!(gw.ask("/new/x"), 503, "the route exists but has no replica");
 }
 
+/// Guards against a 404 from a gateway that can't confirm that its document is current.
 #[test]
 fn nobody_is_refused_for_good_by_a_gateway_that_hears_of_no_control_process() {
     let all = controls(2);
@@ -153,8 +158,8 @@
     all.iter().for_each(|c| c.publish(1, &document(1, 1)));
     until("the first document", || gw.version() == 1);
     assert_eq!(gw.ask("/new/x"), 404);
-    all.iter().for_each(|c| *c.inside.silent.lock().unwrap() = true);
-    until("a refusal that promises nothing for good", || gw.ask("/new/x") == 503);
-    all.iter().for_each(|c| *c.inside.silent.lock().unwrap() = false);
-    until("the word that the document is the newest", || gw.ask("/new/x") == 404);
+    all.iter().for_each(|c| *c.state.silent.lock().unwrap() = true);
+    until("a temporary refusal", || gw.ask("/new/x") == 503);
+    all.iter().for_each(|c| *c.state.silent.lock().unwrap() = false);
+    until("a confirmation that the document is current", || gw.ask("/new/x") == 404);
 }
--- a/crates/cypressfork/tests/engines.rs
+++ b/crates/cypressfork/tests/engines.rs
@@ -1,5 +1,5 @@
-//! Engines and plain services that do wrong: whole answers or clear errors, and never more charged
-//! than was reserved.
+//! Faulty engines and plain services: the caller gets a complete answer or an error with a result code, and
+//! is charged no more than was reserved.
 
 mod support;
 
@@ -19,9 +19,11 @@
     })
 }
 
-/// Each row: the fault, the code that the caller gets, what is charged at least and at most.
-/// A request reserves the prompt's bound and 12 tokens. An engine that mixes another answer in
-/// is left at that event, and after five attempts of two tokens each the request is given up.
+/// Guards against wrong output that reaches the caller or is charged above the reservation.
+///
+/// Each case: the fault, the result code, the minimum and maximum charge in tokens. A request reserves the
+/// prompt's bound and 12 tokens. An attempt ends at the first event of another answer; the request fails
+/// after five attempts of two tokens each.
 #[rstest]
 #[case::sends_more_than_asked("overrun", "CF1306", 3 + 12, 3 + 12)]
 #[case::mixes_another_answer_in("cross", "CF1306", 3 + 5 + 7 + 9 + 11 + 10, 3 + 5 + 7 + 9 + 11 + 10)]
@@ -43,19 +45,19 @@
     assert!((2 * least..=2 * most).contains(&spent), "{spent}");
 }
 
-/// The words of an answer of `n` tokens.
-fn words(n: u64) -> String {
+/// Returns the text of an answer of `n` tokens.
+fn answer_text(n: u64) -> String {
     (1..=n).map(|k| format!("w{k} ")).collect()
 }
 
-/// Every stream breaks off after three tokens: the answer is taken up with the text so far, and
-/// the caller gets it whole and once. Each attempt's prompt holds the words before it.
+/// Guards against lost or repeated text when a stream breaks off after every three tokens. Each attempt's
+/// prompt contains the text generated before it.
 #[test]
 fn an_answer_that_breaks_off_three_times_is_whole() {
     let f = fleet("break");
     let a = f.chat(0).send(&ask(false, 12));
     assert_eq!(a.status, 200, "{}", a.body);
-    assert_eq!(a.json()["choices"][0]["message"]["content"], words(12));
+    assert_eq!(a.json()["choices"][0]["message"]["content"], answer_text(12));
     let prompts = 3 + 6 + 9 + 12;
     assert_eq!(a.json()["usage"]["total_tokens"], prompts + 12);
     f.until_spent(prompts + 12);
@@ -65,26 +67,27 @@
         .map(|l| serde_json::from_str::<serde_json::Value>(&format!("{{{l}")).unwrap())
         .map(|v| v["choices"][0]["delta"]["content"].as_str().unwrap().to_owned())
         .collect();
-    assert_eq!(text, words(12));
+    assert_eq!(text, answer_text(12));
     assert!(streamed.trim_end().ends_with("data: [DONE]"));
     let ids: Vec<u64> =
         streamed.lines().filter_map(|l| l.strip_prefix("id: ")?.parse().ok()).collect();
-    assert_eq!(ids, (1..=12).collect::<Vec<_>>(), "the ids go on across the breaks");
+    assert_eq!(ids, (1..=12).collect::<Vec<_>>(), "event ids continue across the breaks");
     f.until_spent(2 * (prompts + 12));
-    assert_eq!(f.budget()["total"]["requests"], 2, "one bill each");
+    assert_eq!(f.budget()["total"]["requests"], 2, "one bill for each request");
 }
 
-/// An event of another answer never reaches the caller: the answer goes on without it.
+/// Guards against forwarding an event of another answer to the caller.
 #[test]
 fn an_event_of_another_answer_is_dropped() {
     let f = fleet("cross");
     let a = f.chat(0).send(&ask(false, 8));
-    assert_eq!(a.json()["choices"][0]["message"]["content"], words(8));
+    assert_eq!(a.json()["choices"][0]["message"]["content"], answer_text(8));
     let streamed = f.chat(0).send(&ask(true, 8)).body;
     assert!(!streamed.contains("gen-of-another"), "{streamed}");
     assert!(streamed.trim_end().ends_with("data: [DONE]"));
 }
 
+/// Guards against a truncated answer that looks complete after the last attempt fails.
 #[test]
 fn an_answer_that_breaks_off_too_often_is_a_clear_error() {
     let f = fleet("break");
@@ -95,7 +98,7 @@
     assert!(!streamed.contains("[DONE]") && streamed.contains("CF1306"), "{streamed}");
 }
 
-/// A request marked not repeatable is not taken up: its engine may have done what it asks.
+/// Guards against resuming a request marked not repeatable: its engine may have executed it.
 #[test]
 fn a_claimed_answer_that_breaks_off_is_not_taken_up() {
     let f = fleet("break");
@@ -108,20 +111,21 @@
     assert_eq!(f.engine_stats(0)["started"], 1);
 }
 
-/// An engine that refuses by its status has used nothing up: nothing is charged.
+/// Guards against charging tokens for a request that the engine rejects by its status.
 #[test]
-fn a_busy_engine_costs_nothing() {
+fn a_busy_engine_charges_nothing() {
     let f = fleet("busy");
     let a = f.chat(0).send(&ask(false, 8));
     assert_eq!(a.code(), "CF1306", "{}", a.body);
-    assert_eq!(a.json()["error"]["ran"], "unknown", "its bytes were sent");
+    assert_eq!(a.json()["error"]["ran"], "unknown", "the request was sent");
     assert!(a.header("retry-after").is_some());
     f.until_spent(0);
     assert_eq!(f.budget()["total"]["requests"], 0);
 }
 
-/// Each row: the fault and what is charged for a whole answer of 8 tokens. Without a count the
-/// bytes of the text bound it; a count below the events seen is not believed.
+/// Guards against undercharging when an engine reports no token count or too low a count.
+///
+/// Each case: the fault and the output tokens charged for a complete answer of 8 tokens.
 #[rstest]
 #[case::reports_no_usage("silent", 8)]
 #[case::reports_too_little("undercount", 8)]
@@ -136,10 +140,9 @@
     assert!(f.routers[0].log().contains("CFE408"));
 }
 
-/// An engine that accepts and never answers: the caller hears at its deadline, not later, and the
-/// prompt counts as used.
+/// Guards against a caller that waits beyond its deadline for an engine that never answers.
 #[test]
-fn a_mute_engine_ends_at_the_deadline() {
+fn a_request_to_an_unresponsive_engine_fails_at_its_deadline() {
     let f = fleet("mute");
     let a = f.chat(0).header("x-deadline-ms", "300").send(&ask(false, 8));
     assert_eq!((a.status, a.code().as_str()), (504, "CF1302"), "{}", a.body);
@@ -147,8 +150,8 @@
     assert!(a.json()["error"]["retry_after_ms"].is_u64());
 }
 
-/// A plain service that accepts a call marked not repeatable and never answers: it ran at most
-/// once, and that is what every copy is told.
+/// Guards against a second run of a call marked not repeatable when its service never answers: every copy
+/// gets the unknown outcome.
 #[test]
 fn a_mute_service_leaves_an_unknown_outcome_that_is_not_run_again() {
     let f = fleet("mute");
@@ -170,7 +173,7 @@
     assert_eq!(f.board_runs(0)["m1"], 1);
 }
 
-/// Nothing listens: the request has provably not run, and the id is free for the next try.
+/// Guards against an unknown outcome where the upstream refuses the connection: the request can't have run.
 #[test]
 fn a_refused_connection_is_not_run() {
     let mut f = fleet("");
@@ -186,9 +189,9 @@
     f.until_spent(0);
 }
 
-/// An upstream that does this with every connection: reads so many bytes of the request at least,
-/// then answers with these bytes and closes.
-fn rough_upstream(read: usize, answer: &'static [u8]) -> String {
+/// Starts an upstream that reads at least `read` bytes from each connection, sends `answer` and closes.
+/// Returns its address.
+fn truncating_upstream(read: usize, answer: &'static [u8]) -> String {
     let l = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = l.local_addr().unwrap().to_string();
     thread::spawn(move || {
@@ -207,8 +210,8 @@
     address
 }
 
-/// Each row: where the connection breaks. Bytes of the request may have reached the upstream in all
-/// of them, so whether it ran is unknown, and the id is not run again.
+/// Guards against a second run after a connection breaks: in each case bytes of the request may have reached
+/// the upstream, so the outcome is unknown.
 #[rstest]
 #[case::before_any_byte_is_read(0, b"")]
 #[case::after_a_part_of_the_request(50, b"")]
@@ -226,7 +229,7 @@
     #[case] answer: &'static [u8],
 ) {
     let f = Fleet::start(Plan { routers: 1, ..Plan::default() });
-    let text = f.example().replace(&f.boards[0].1, &rough_upstream(read, answer));
+    let text = f.example().replace(&f.boards[0].1, &truncating_upstream(read, answer));
     assert!(f.apply("rough.yaml", &text).status.success());
     f.until_ready(0, 2);
     let send = || {
@@ -239,7 +242,7 @@
     support::until("the outcome", || send().code() == "CF1403");
 }
 
-/// A caller that leaves while its request still waits has not run anything: its id is free.
+/// Guards against an idempotency key that stays in use after its caller disconnects from the queue.
 #[test]
 fn a_caller_that_leaves_before_its_turn_keeps_its_id() {
     let f = Fleet::start(Plan {
@@ -250,23 +253,23 @@
     });
     thread::scope(|s| {
         let long = s.spawn(|| f.chat(0).send(&ask(false, 24)).status);
-        support::until("the long one", || f.engine_stats(0)["started"] == 1);
+        support::until("the long request to start", || f.engine_stats(0)["started"] == 1);
         let body = ask(false, 4);
         let head = format!(
             "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {}\r\nIdempotency-Key: g1\r\nX-Not-Repeatable: true\r\nContent-Length: {}\r\n\r\n{body}",
             support::KEY,
             body.len()
         );
-        let mut gone = std::net::TcpStream::connect(&f.router_addresses[0]).unwrap();
-        gone.write_all(head.as_bytes()).unwrap();
+        let mut abandoned = std::net::TcpStream::connect(&f.router_addresses[0]).unwrap();
+        abandoned.write_all(head.as_bytes()).unwrap();
         let waiting = || {
             let url = format!("http://{}/metrics", f.ops_addresses[0]);
             let name = "cypressfork_waiting_requests{service=\"engine-talk\"} ";
             let text = support::text(&url).unwrap();
             text.lines().any(|l| l.strip_prefix(name).is_some_and(|n| n == "1"))
         };
-        support::until("the queue", waiting);
-        drop(gone);
+        support::until("a request in the queue", waiting);
+        drop(abandoned);
         support::until("the empty queue", || !waiting());
         assert_eq!(long.join().unwrap(), 200);
     });
@@ -275,25 +278,25 @@
     assert_eq!(f.engine_stats(0)["started"], 2);
 }
 
-/// An address whose queue of connections is full: a further attempt gets no answer. The streams
-/// keep it full.
-fn full_upstream() -> (TcpListener, Vec<std::net::TcpStream>, String) {
+/// Returns a listener whose accept backlog is full, the streams that fill it, and its address. Further
+/// connection attempts get no answer.
+fn upstream_with_full_backlog() -> (TcpListener, Vec<std::net::TcpStream>, String) {
     let l = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = l.local_addr().unwrap();
-    let patience = std::time::Duration::from_millis(300);
+    let timeout = std::time::Duration::from_millis(300);
     let mut open = Vec::new();
-    while let Ok(s) = std::net::TcpStream::connect_timeout(&address, patience) {
+    while let Ok(s) = std::net::TcpStream::connect_timeout(&address, timeout) {
         open.push(s);
-        assert!(open.len() < 20_000, "the queue never fills");
+        assert!(open.len() < 20_000, "the accept backlog never fills");
     }
     (l, open, address.to_string())
 }
 
-/// A connection attempt that times out has sent nothing: the request is not run and its id is free.
+/// Guards against an unknown outcome or a key in use after a connection attempt times out: nothing was sent.
 #[test]
 fn a_connection_that_times_out_is_not_run() {
     let f = Fleet::start(Plan { routers: 1, ..Plan::default() });
-    let (_listener, _open, address) = full_upstream();
+    let (_listener, _open, address) = upstream_with_full_backlog();
     let example = f.example();
     let text = example.replace(&f.boards[0].1, &address).replace(&f.engines[0].1, &address);
     assert!(f.apply("full.yaml", &text).status.success());
--- a/crates/cypressfork/tests/examples.rs
+++ b/crates/cypressfork/tests/examples.rs
@@ -1,4 +1,5 @@
-//! The example deployments are whole: documents valid together, settings readable by their daemons.
+//! Checks the example deployments: the documents pass `cypressfork check`, and each daemon accepts its
+//! settings.
 
 mod support;
 
@@ -15,7 +16,7 @@
 }
 
 #[rstest]
-fn the_documents_are_valid_together(#[values("kellaway", "asante")] name: &str) {
+fn the_documents_pass_the_check(#[values("kellaway", "asante")] name: &str) {
     let out = Command::new(program("cypressfork"))
         .arg("check")
         .args([example(name).join("templates.yaml"), example(name).join("applications.yaml")])
@@ -24,9 +25,9 @@
     assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
 }
 
-/// Checks every daemon's file with its folders and key where the test has them.
+/// Guards against invalid example settings; the paths of folders and key are replaced by temporary ones.
 #[rstest]
-fn every_settings_file_is_good(#[values("kellaway", "asante")] name: &str) {
+fn every_settings_file_is_valid(#[values("kellaway", "asante")] name: &str) {
     let dir = tempfile::tempdir().unwrap();
     let key = dir.path().join("cluster.key");
     fs::write(&key, "0123456789abcdef0123456789abcdef").unwrap();
@@ -52,14 +53,14 @@
     assert!(checked >= 10, "{checked}");
 }
 
-/// A mistake in a template is named, and where.
+/// Guards against a template error that is reported without its code and place.
 #[rstest]
 #[case::unknown_field("max_output", "max_outputs", &["CF2006", "services/engine-talk", "max_outputs"])]
 #[case::unknown_kind("budgets:", "bugdets:", &["CF2006", "bugdets"])]
 #[case::undeclared("\"${tokens}\"", "\"${tokenz}\"", &["CF2003", "tokenz"])]
 #[case::open_placeholder("\"${tokens}\"", "\"${tokens\"", &["CF2006"])]
 #[case::not_yaml("templates:", "templates: [", &["CF3002", "templates.yaml"])]
-fn a_mistake_in_a_template_is_named(#[case] from: &str, #[case] to: &str, #[case] says: &[&str]) {
+fn a_template_error_is_reported(#[case] from: &str, #[case] to: &str, #[case] expected: &[&str]) {
     let dir = tempfile::tempdir().unwrap();
     let text = fs::read_to_string(example("kellaway").join("templates.yaml")).unwrap();
     assert!(text.contains(from));
@@ -72,7 +73,7 @@
         .unwrap();
     let err = String::from_utf8_lossy(&out.stderr);
     assert_eq!(out.status.code(), Some(2), "{err}");
-    for word in says {
+    for word in expected {
         assert!(err.contains(word), "'{word}' is missing in: {err}");
     }
 }
--- a/crates/cypressfork/tests/support/control.rs
+++ b/crates/cypressfork/tests/support/control.rs
@@ -1,5 +1,5 @@
-//! A control process's fleet side without its group: it answers standing questions from what the
-//! test puts into it, and everything else as one that does not lead.
+//! A test double for a control process: it answers watches with the state set by the test, and every other
+//! call with `NotLeader`.
 
 use std::net::{SocketAddr, TcpListener as StdListener};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -23,32 +23,32 @@
 use tokio::sync::mpsc as queue;
 use tokio::time::sleep;
 
-/// How often it looks for answers that are due.
+/// Interval at which due answers are sent.
 const TICK: Duration = Duration::from_millis(5);
 
-/// Answers of this size hold a document, or a part of one.
-const LARGE: usize = 8 * 1024;
+/// Minimum size, in bytes, of an answer that counts as holding a document or a part of one.
+const LARGE_ANSWER: usize = 8 * 1024;
 
-/// Answers that may wait for one link.
+/// Capacity of each queue: watches to the fleet view, and answers to one link.
 const QUEUE: usize = 64;
 
-/// What the test puts in and reads off.
+/// State shared with the test.
 #[derive(Default)]
-pub struct Inside {
+pub struct ControlState {
     /// The document in force: its version and source.
     pub document: Mutex<(u64, String)>,
-    /// Large answers are never sent.
-    pub withholds: Mutex<bool>,
-    /// Nothing is ever sent.
+    /// Whether answers of at least `LARGE_ANSWER` bytes are dropped.
+    pub withholds_documents: Mutex<bool>,
+    /// Whether all answers to watches are dropped.
     pub silent: Mutex<bool>,
-    /// Standing questions that have come.
-    pub questions: AtomicUsize,
+    /// Number of watches received.
+    pub watches: AtomicUsize,
 }
 
-/// A running stand-in, for as long as the test process lives.
+/// A running test double; it runs until the test process exits.
 pub struct Control {
     pub address: SocketAddr,
-    pub inside: Arc<Inside>,
+    pub state: Arc<ControlState>,
 }
 
 struct ReplyTo {
@@ -58,19 +58,20 @@
 
 impl Control {
     pub fn start() -> Control {
-        let inside = Arc::new(Inside::default());
+        let state = Arc::new(ControlState::default());
         let (tx, rx) = mpsc::channel();
-        let shared = inside.clone();
+        let shared = state.clone();
         thread::spawn(move || actix_rt::System::new().block_on(serve(shared, tx)));
-        Control { address: rx.recv().unwrap(), inside }
+        Control { address: rx.recv().unwrap(), state }
     }
 
+    /// Replaces the document in force.
     pub fn publish(&self, version: u64, source: &str) {
-        *self.inside.document.lock().unwrap() = (version, source.to_owned());
+        *self.state.document.lock().unwrap() = (version, source.to_owned());
     }
 }
 
-async fn serve(inside: Arc<Inside>, address: mpsc::Sender<SocketAddr>) {
+async fn serve(state: Arc<ControlState>, address: mpsc::Sender<SocketAddr>) {
     let listener = StdListener::bind("127.0.0.1:0").unwrap();
     listener.set_nonblocking(true).unwrap();
     address.send(listener.local_addr().unwrap()).unwrap();
@@ -78,10 +79,10 @@
     let (tx, mut rx) = queue::channel(QUEUE);
     let mut view = FleetView::new(1, Millis::seconds(1));
     let clock = Clock::start();
-    let count = inside.clone();
+    let link_state = state.clone();
     actix_rt::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            actix_rt::spawn(read(stream, tx.clone(), count.clone()));
+            actix_rt::spawn(handle_calls(stream, tx.clone(), link_state.clone()));
         }
     });
     loop {
@@ -89,12 +90,12 @@
             let bytes: Vec<u8> = bytes;
             view.watch(clock.now(), body::unpack(&bytes).unwrap(), to);
         }
-        let (version, source) = inside.document.lock().unwrap().clone();
+        let (version, source) = state.document.lock().unwrap().clone();
         let registered = Routers::default();
         let (controls, wall) = (Vec::new(), Time(0));
         let evacuations = Evacuations::default();
         let (quarantine, rollouts) = (Quarantine::default(), Rollouts::default());
-        let f = WatchedState {
+        let watched = WatchedState {
             version,
             source: &source,
             controls,
@@ -106,10 +107,11 @@
             quarantine: &quarantine,
             rollouts: &rollouts,
         };
-        for (to, seen) in view.due_responses(clock.now(), &f) {
-            let bytes = body::pack(&seen);
-            let kept_back = bytes.len() >= LARGE && *inside.withholds.lock().unwrap();
-            if !kept_back && !*inside.silent.lock().unwrap() {
+        for (to, response) in view.due_responses(clock.now(), &watched) {
+            let bytes = body::pack(&response);
+            let withheld =
+                bytes.len() >= LARGE_ANSWER && *state.withholds_documents.lock().unwrap();
+            if !withheld && !*state.silent.lock().unwrap() {
                 let to: ReplyTo = to;
                 let _ = to.tx.send(Frame::Answer(Return::new(to.id, 0, bytes, None))).await;
             }
@@ -118,25 +120,29 @@
     }
 }
 
-async fn read(stream: TcpStream, watches: queue::Sender<(Vec<u8>, ReplyTo)>, inside: Arc<Inside>) {
+async fn handle_calls(
+    stream: TcpStream,
+    watches: queue::Sender<(Vec<u8>, ReplyTo)>,
+    state: Arc<ControlState>,
+) {
     let name = "control".to_owned();
     let me = Credentials { key: Key::new(b"test"), cluster: "test".to_owned(), name };
     let Ok(link) = link::accept(stream, &me).await else { return };
     let mut reader = link.reader;
     let (tx, rx) = queue::channel(QUEUE);
-    actix_rt::spawn(write(link.writer, rx));
+    actix_rt::spawn(send_answers(link.writer, rx));
     while let Ok(Frame::Call(c)) = reader.next().await {
         match c.ask {
             Ask::Watch(bytes) => {
-                inside.questions.fetch_add(1, Ordering::Relaxed);
+                state.watches.fetch_add(1, Ordering::Relaxed);
                 let to = ReplyTo { id: c.id, tx: tx.clone() };
                 if watches.send((bytes, to)).await.is_err() {
                     return;
                 }
             }
             _ => {
-                let no = Return::new(c.id, i32::from(Code::NotLeader.number()), None, None);
-                if tx.send(Frame::Answer(no)).await.is_err() {
+                let refusal = Return::new(c.id, i32::from(Code::NotLeader.number()), None, None);
+                if tx.send(Frame::Answer(refusal)).await.is_err() {
                     return;
                 }
             }
@@ -144,7 +150,7 @@
     }
 }
 
-async fn write(mut writer: Writer, mut rx: queue::Receiver<Frame>) {
+async fn send_answers(mut writer: Writer, mut rx: queue::Receiver<Frame>) {
     while let Some(f) = rx.recv().await {
         if writer.send(&f).await.is_err() {
             return;
--- a/crates/cypressfork/tests/support/crashing.rs
+++ b/crates/cypressfork/tests/support/crashing.rs
@@ -1,4 +1,4 @@
-//! Replicas that one request ends, callers that send it again and again, and sound work beside it.
+//! Replicas that certain requests crash, and callers that send requests at a fixed rate.
 
 use std::collections::HashSet;
 use std::io::{Read, Write};
@@ -12,80 +12,80 @@
 
 use super::gateways::{HOST, exchange};
 
-/// What a request holds, in its path or body, that ends the replicas that run it.
+/// Text in the path or body of a request that crashes the replica that runs it.
 pub const KILLER: &str = "ends-its-replica";
 
-/// How long a replica has run a killer when it ends.
-const ENDS_AFTER: Duration = Duration::from_millis(40);
+/// Time from the arrival of a killer request to the crash.
+const CRASHES_AFTER: Duration = Duration::from_millis(40);
 
-/// How long a sound request runs.
-const RUN: Duration = Duration::from_millis(60);
+/// Run time of a harmless request.
+const RUN_TIME: Duration = Duration::from_millis(60);
 
-/// How often a replica tells of itself.
-const BEAT_EVERY: Duration = Duration::from_millis(300);
+/// Interval between heartbeats.
+const HEARTBEAT_EVERY: Duration = Duration::from_millis(300);
 
-/// How often a replica looks for connections.
-const LOOK_EVERY: Duration = Duration::from_millis(2);
+/// Interval at which a replica polls for new connections.
+const POLL_EVERY: Duration = Duration::from_millis(2);
 
-/// What the replicas have seen.
+/// Arrivals and crashes recorded by the replicas.
 #[derive(Default)]
-pub struct Seen {
-    /// Arrivals of requests that end their replicas: what they hold besides, and when.
+pub struct CrashRecord {
+    /// Arrivals of killer requests: the marker with its suffix, and the time.
     pub killers: Mutex<Vec<(String, Instant)>>,
-    /// Ends of replicas, by what ended them.
+    /// Crashes of replicas: the killer request that caused them, and the time.
     pub ends: Mutex<Vec<(String, Instant)>>,
 }
 
-impl Seen {
-    /// When `killer` had ended its third replica.
+impl CrashRecord {
+    /// Returns the time of the third crash that `killer` caused.
     pub fn third_end(&self, killer: &str) -> Option<Instant> {
         let ends = self.ends.lock().unwrap();
         ends.iter().filter(|(k, _)| k == killer).nth(2).map(|(_, at)| *at)
     }
 
-    /// How often `killer` has reached a replica after `since`.
+    /// Counts arrivals of `killer` after `since`.
     pub fn arrivals(&self, killer: &str, since: Instant) -> usize {
         let all = self.killers.lock().unwrap();
         all.iter().filter(|(k, at)| k == killer && *at > since).count()
     }
 }
 
-/// How a replica comes back.
+/// The identity under which a replica restarts.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Back {
-    /// Under another id.
+pub enum RestartAs {
+    /// A new id.
     NewId,
-    /// Under the id that it had, with its heartbeats numbered anew.
+    /// The same id, with heartbeats numbered from the start.
     SameId,
-    /// The same, and its heartbeats tell when it started.
+    /// The same id, with the start time in its heartbeats.
     SameIdBorn,
 }
 
-/// What becomes of a replica's listening socket when the replica ends.
+/// What happens to a replica's listening socket at a crash.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Socket {
-    /// It closes, and with it all connections.
+    /// The socket and all connections close.
     Closes,
-    /// The connections end, and it closes so much later: the process takes a while to exit.
+    /// The connections close at once, the socket after this delay, as with a process that exits slowly.
     ClosesAfter(Duration),
-    /// A supervisor holds it, and hands it to the next life.
+    /// A supervisor keeps it open and passes it to the next process.
     Held,
 }
 
-/// A replica that ends and starts again at its address for as long as `over` is not set.
+/// A replica that restarts at its address after each crash until `over` is set.
 pub struct CrashingReplica {
     pub address: SocketAddr,
     pub name: String,
-    pub back: Back,
+    pub restart_as: RestartAs,
     pub socket: Socket,
     pub down: Duration,
     pub controls: Vec<SocketAddr>,
-    pub seen: Arc<Seen>,
+    pub seen: Arc<CrashRecord>,
     pub over: Arc<AtomicBool>,
 }
 
-/// One life of a replica.
-struct Life {
+/// One process of a replica, from its start to its crash.
+struct Incarnation {
     id: String,
     ended: AtomicBool,
     open: Mutex<Vec<TcpStream>>,
@@ -93,47 +93,52 @@
 
 impl CrashingReplica {
     pub fn start(self) {
-        thread::spawn(move || self.live_forever());
+        thread::spawn(move || self.run_until_over());
     }
 
-    fn live_forever(&self) {
-        let mut lives = 0;
+    fn run_until_over(&self) {
+        let mut incarnations = 0;
         let mut held = None;
         while !self.over.load(Ordering::Relaxed) {
-            lives += 1;
-            let id = match self.back {
-                Back::NewId => format!("{}-{lives}", self.name),
-                Back::SameId | Back::SameIdBorn => self.name.clone(),
+            incarnations += 1;
+            let id = match self.restart_as {
+                RestartAs::NewId => format!("{}-{incarnations}", self.name),
+                RestartAs::SameId | RestartAs::SameIdBorn => self.name.clone(),
             };
-            let life = Life { id, ended: AtomicBool::new(false), open: Mutex::default() };
+            let incarnation =
+                Incarnation { id, ended: AtomicBool::new(false), open: Mutex::default() };
             let listener = held.take().unwrap_or_else(|| TcpListener::bind(self.address).unwrap());
-            held = self.live(&Arc::new(life), listener);
+            held = self.run_incarnation(&Arc::new(incarnation), listener);
             sleep(self.down);
         }
     }
 
-    /// Runs one life. Returns the listening socket if it outlasts it.
-    fn live(&self, life: &Arc<Life>, listener: TcpListener) -> Option<TcpListener> {
+    /// Runs one process of the replica. Returns the listening socket if it outlasts the process.
+    fn run_incarnation(
+        &self,
+        incarnation: &Arc<Incarnation>,
+        listener: TcpListener,
+    ) -> Option<TcpListener> {
         listener.set_nonblocking(true).unwrap();
-        self.beat_while(life);
-        while !life.ended.load(Ordering::Relaxed) && !self.over.load(Ordering::Relaxed) {
+        self.send_heartbeats(incarnation);
+        while !incarnation.ended.load(Ordering::Relaxed) && !self.over.load(Ordering::Relaxed) {
             match listener.accept() {
                 Ok((stream, _)) => {
                     stream.set_nonblocking(false).unwrap();
-                    life.open.lock().unwrap().push(stream.try_clone().unwrap());
-                    let (life, seen) = (life.clone(), self.seen.clone());
-                    thread::spawn(move || serve(&life, &seen, stream));
+                    incarnation.open.lock().unwrap().push(stream.try_clone().unwrap());
+                    let (incarnation, seen) = (incarnation.clone(), self.seen.clone());
+                    thread::spawn(move || serve(&incarnation, &seen, stream));
                 }
-                Err(_) => sleep(LOOK_EVERY),
+                Err(_) => sleep(POLL_EVERY),
             }
         }
         let end_connections = || {
-            for s in life.open.lock().unwrap().drain(..) {
+            for s in incarnation.open.lock().unwrap().drain(..) {
                 let _ = s.shutdown(Shutdown::Both);
             }
         };
         match self.socket {
-            // As when a process ends: its port is closed, and with it all that was open.
+            // Matches a process exit: the port closes first, then the connections below.
             Socket::Closes => drop(listener),
             Socket::ClosesAfter(later) => {
                 end_connections();
@@ -149,24 +154,25 @@
         None
     }
 
-    fn beat_while(&self, life: &Arc<Life>) {
-        let (life, controls, over) = (life.clone(), self.controls.clone(), self.over.clone());
+    fn send_heartbeats(&self, incarnation: &Arc<Incarnation>) {
+        let (incarnation, controls, over) =
+            (incarnation.clone(), self.controls.clone(), self.over.clone());
         let address = self.address.to_string();
-        let born = match self.back {
-            Back::SameIdBorn => unix_ms(),
-            Back::NewId | Back::SameId => 0,
+        let born = match self.restart_as {
+            RestartAs::SameIdBorn => unix_ms(),
+            RestartAs::NewId | RestartAs::SameId => 0,
         };
         thread::spawn(move || {
             let mut sequence = 0;
-            while !life.ended.load(Ordering::Relaxed) && !over.load(Ordering::Relaxed) {
+            while !incarnation.ended.load(Ordering::Relaxed) && !over.load(Ordering::Relaxed) {
                 sequence += 1;
-                let beat = json!({ "service": "board", "address": address,
+                let heartbeat = json!({ "service": "board", "address": address,
                     "data_centre": "tamar-a", "slots": 16, "sequence": sequence, "born": born });
-                let path = format!("/v1/replicas/{}", life.id);
+                let path = format!("/v1/replicas/{}", incarnation.id);
                 let to = controls[sequence % controls.len()];
-                // The next heartbeat goes to another control process.
-                let _ = exchange(to, "PUT", &path, "", &beat.to_string());
-                sleep(BEAT_EVERY);
+                // The result is ignored: the next heartbeat goes to another control process.
+                let _ = exchange(to, "PUT", &path, "", &heartbeat.to_string());
+                sleep(HEARTBEAT_EVERY);
             }
         });
     }
@@ -177,7 +183,7 @@
     now.as_millis() as u64
 }
 
-/// Reads one request: its head and body as text.
+/// Reads one request and returns its head and body as text, `None` if the connection ends first.
 pub fn request(s: &mut TcpStream) -> Option<String> {
     let mut text = String::new();
     let mut buf = [0; 4096];
@@ -198,14 +204,15 @@
     }
 }
 
+/// Returns the value of a header, empty if it is absent.
 pub fn header<'a>(text: &'a str, name: &str) -> &'a str {
     let mut lines = text.lines().filter_map(|l| l.split_once(": "));
     lines.find(|(k, _)| k.eq_ignore_ascii_case(name)).map_or("", |(_, v)| v)
 }
 
-fn serve(life: &Life, seen: &Seen, mut s: TcpStream) {
+fn serve(incarnation: &Incarnation, seen: &CrashRecord, mut s: TcpStream) {
     while let Some(text) = request(&mut s) {
-        if header(&text, "x-replica") != life.id {
+        if header(&text, "x-replica") != incarnation.id {
             let id = header(&text, "x-request-id");
             let head = format!("X-Request-Id: {id}\r\nX-Not-Run: true\r\nContent-Length: 0");
             if write!(s, "HTTP/1.1 421 Misdirected Request\r\n{head}\r\n\r\n").is_err() {
@@ -216,16 +223,16 @@
         if let Some(at) = text.find(KILLER) {
             let killer: String = text[at..].chars().take_while(|c| !c.is_whitespace()).collect();
             seen.killers.lock().unwrap().push((killer.clone(), Instant::now()));
-            sleep(ENDS_AFTER);
-            if !life.ended.swap(true, Ordering::Relaxed) {
+            sleep(CRASHES_AFTER);
+            if !incarnation.ended.swap(true, Ordering::Relaxed) {
                 seen.ends.lock().unwrap().push((killer, Instant::now()));
             }
             return;
         }
-        sleep(RUN);
+        sleep(RUN_TIME);
         let id = header(&text, "x-request-id");
         let head = format!("X-Request-Id: {id}\r\nContent-Length: 2");
-        if life.ended.load(Ordering::Relaxed)
+        if incarnation.ended.load(Ordering::Relaxed)
             || write!(s, "HTTP/1.1 200 OK\r\n{head}\r\n\r\nok").is_err()
         {
             return;
@@ -233,27 +240,28 @@
     }
 }
 
-/// What callers got.
+/// Answers that callers received.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Got {
     pub sent: usize,
     pub served: usize,
-    /// The result codes of the others; empty where the connection ended without an answer.
+    /// The result codes of the other requests; an empty one where the connection closed without an answer.
     pub codes: Vec<String>,
 }
 
 impl Got {
+    /// Counts the answers with this result code.
     pub fn of_code(&self, code: &str) -> usize {
         self.codes.iter().filter(|c| *c == code).count()
     }
 
-    /// The distinct codes.
+    /// Returns the distinct codes.
     pub fn kinds(&self) -> HashSet<&str> {
         self.codes.iter().map(String::as_str).collect()
     }
 }
 
-/// Callers that send to gateways in turn until they are told to stop.
+/// Callers that send to the gateways in turn until `over` is set.
 pub struct Callers {
     pub gateways: Arc<Mutex<Vec<SocketAddr>>>,
     pub over: Arc<AtomicBool>,
@@ -266,7 +274,7 @@
         Callers { gateways, over: Arc::default(), got: Arc::default(), sent: Arc::default() }
     }
 
-    /// Sends every `every`; `request` makes method, path and body from the number of the request.
+    /// Sends a request every `every`; `request` maps its number to method, path and body.
     pub fn send(
         &self,
         name: &str,
@@ -289,7 +297,7 @@
                 let got = got.clone();
                 thread::spawn(move || {
                     let answer = exchange(to, method, &path, &head, &body);
-                    note(&mut got.lock().unwrap(), answer);
+                    record(&mut got.lock().unwrap(), answer);
                 });
                 sleep(every);
             }
@@ -301,7 +309,7 @@
     }
 }
 
-fn note(got: &mut Got, answer: Option<(u16, Value)>) {
+fn record(got: &mut Got, answer: Option<(u16, Value)>) {
     got.sent += 1;
     match answer {
         Some((200, _)) => got.served += 1,
@@ -312,7 +320,7 @@
     }
 }
 
-/// A document with a route that may be repeated and one that may not, to the same replicas.
+/// Returns a document with a retryable and a non-retryable route to the same replicas.
 pub fn two_routes(version: u64) -> Value {
     let route = |name: &str, kind: &str, attempts: u32| {
         json!({
--- a/crates/cypressfork/tests/support/http.rs
+++ b/crates/cypressfork/tests/support/http.rs
@@ -1,4 +1,4 @@
-//! Requests as callers send them, and what came of them.
+//! An HTTP client for requests to the processes under test.
 
 use std::io::{BufRead, BufReader};
 
@@ -14,22 +14,24 @@
         .into()
 }
 
+/// Fetches `url` and returns the body, `None` on any failure.
 pub fn text(url: &str) -> Option<String> {
     agent().get(url).call().ok()?.body_mut().read_to_string().ok()
 }
 
+/// Fetches `url` and returns its JSON body, `None` on any failure.
 pub fn get(url: &str) -> Option<Value> {
     serde_json::from_str(&text(url)?).ok()
 }
 
-/// A request that is being put together.
+/// Builder of a request, with the `Authorization` header of [`KEY`] by default.
 pub struct Request {
     url: String,
     method: &'static str,
     headers: Vec<(String, String)>,
 }
 
-/// An answer.
+/// The status, headers and body of an answer.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
@@ -48,17 +50,20 @@
         self
     }
 
+    /// Sets a header, replacing an earlier value.
     pub fn header(mut self, name: &str, value: &str) -> Request {
         self.headers.retain(|(n, _)| n != name);
         self.headers.push((name.to_owned(), value.to_owned()));
         self
     }
 
+    /// Removes a header.
     pub fn without(mut self, name: &str) -> Request {
         self.headers.retain(|(n, _)| n != name);
         self
     }
 
+    /// Sends the request and reads the whole answer.
     pub fn send(self, body: &str) -> Answer {
         let (status, headers, mut reader) = self.open(body);
         let mut body = String::new();
@@ -67,7 +72,7 @@
         Answer { status, headers, body }
     }
 
-    /// Sends it and returns a reader of the answer's lines.
+    /// Sends the request and returns status, headers and a reader of the body.
     pub fn open(self, body: &str) -> (u16, Vec<(String, String)>, impl BufRead + use<>) {
         let mut r = ureq::http::Request::builder().method(self.method).uri(&self.url);
         for (n, v) in &self.headers {
@@ -93,6 +98,7 @@
         serde_json::from_str(&self.body).unwrap_or_else(|e| panic!("{e}: {}", self.body))
     }
 
+    /// Returns the result code in the JSON body, empty if there is none.
     pub fn code(&self) -> String {
         self.json()["error"]["code"].as_str().unwrap_or_default().to_owned()
     }
