--- a/crates/cypressfork/tests/bad_input.rs
+++ b/crates/cypressfork/tests/bad_input.rs
@@ -111,6 +111,7 @@
     String::from_utf8_lossy(&answer).lines().next().unwrap_or_default().to_owned()
 }
 
+/// Guards against an invalid request that is charged, reaches an upstream or stops the router.
 #[test]
 fn each_has_a_number_and_changes_nothing() {
     let f = Fleet::start(Plan::default());
--- a/crates/cypressfork/tests/crashing_requests.rs
+++ b/crates/cypressfork/tests/crashing_requests.rs
@@ -73,7 +73,7 @@
 struct CrashingFleet {
     fleet: Fleet,
     _extra_gateways: Vec<Neighbour>,
-    seen: Arc<CrashRecord>,
+    crash_record: Arc<CrashRecord>,
     harmless: Callers,
     killers: Callers,
     replicas_over: Arc<std::sync::atomic::AtomicBool>,
@@ -105,7 +105,7 @@
         let fronts = extra_gateways.iter().map(|g| g.front).chain([fleet.front]).collect();
         let gateways = Arc::new(Mutex::new(fronts));
         let crashing = CrashingFleet {
-            seen: Arc::default(),
+            crash_record: Arc::default(),
             harmless: Callers::new(gateways.clone()),
             killers: Callers::new(gateways),
             replicas_over: Arc::default(),
@@ -127,7 +127,7 @@
                 socket: mode.socket,
                 down: mode.down,
                 controls: controls.clone(),
-                seen: self.seen.clone(),
+                crash_record: self.crash_record.clone(),
                 over: self.replicas_over.clone(),
             };
             replica.start();
@@ -165,15 +165,15 @@
     /// gateway has to refuse it.
     fn until_quarantine_due(&self) -> Vec<(String, Instant)> {
         let names = [1, 2].map(|n| format!("{KILLER}-{n}"));
-        let known = names.map(|name| {
-            let mut third = None;
+        let due = names.map(|name| {
+            let mut third_crash_at = None;
             until("a third crash of a replica", || {
-                third = self.seen.third_end(&name);
-                third.is_some()
+                third_crash_at = self.crash_record.third_crash(&name);
+                third_crash_at.is_some()
             });
-            (name, third.unwrap() + QUARANTINED_WITHIN)
+            (name, third_crash_at.unwrap() + QUARANTINED_WITHIN)
         });
-        known.to_vec()
+        due.to_vec()
     }
 }
 
@@ -203,6 +203,7 @@
     all
 }
 
+/// Guards against crashes whose causing requests can't be found in the gateways' logs.
 #[test]
 fn logs_list_the_requests_in_progress_at_crashed_replicas() {
     let crashing = CrashingFleet::new(RestartAs::NewId);
@@ -217,6 +218,7 @@
     until("both in the logs", || crashed_three(&crashing) == 2);
 }
 
+/// Guards against a killer request that is still sent to replicas after its third crash.
 #[rstest]
 #[case::replicas_come_back_under_another_id(RestartAs::NewId)]
 #[case::replicas_come_back_under_their_id(RestartAs::SameId)]
@@ -245,11 +247,11 @@
 fn assert_soon_sent_to_none(crashing: &CrashingFleet) {
     crashing.send_harmless();
     crashing.send_killers();
-    let known = crashing.until_quarantine_due();
-    let last = known.iter().map(|(_, at)| *at).max().unwrap();
+    let due = crashing.until_quarantine_due();
+    let last = due.iter().map(|(_, at)| *at).max().unwrap();
     sleep_until(last + Duration::from_secs(4));
-    for (killer, at) in &known {
-        let arrivals = crashing.seen.arrivals(killer, *at);
+    for (killer, at) in &due {
+        let arrivals = crashing.crash_record.arrivals(killer, *at);
         assert!(
             arrivals <= MAX_PROBES,
             "{killer} reached replicas {arrivals} times after the quarantine was due at every gateway"
@@ -298,9 +300,10 @@
     crashing.fleet.start_gateway();
     crashing.until_all_answer();
     assert_eq!(crashing.send_copy(crashing.fleet.front, "club-key"), QUARANTINED);
-    assert_eq!(crashing.seen.arrivals(&format!("{KILLER}-1"), since), 0);
+    assert_eq!(crashing.crash_record.arrivals(&format!("{KILLER}-1"), since), 0);
 }
 
+/// Guards against a gateway that can't quarantine a request without a control process.
 #[test]
 fn a_gateway_that_reaches_no_control_process_goes_by_what_it_saw() {
     let mut crashing = CrashingFleet::new(RestartAs::NewId);
@@ -310,8 +313,8 @@
         codes.push(crashing.send_copy(crashing.fleet.front, "club-key"));
         codes.last().is_some_and(|c| c == QUARANTINED)
     });
-    let ends = crashing.seen.ends.lock().unwrap().len();
-    assert!((3..=8).contains(&ends), "{ends} replicas ended: {codes:?}");
+    let crashes = crashing.crash_record.crashes.lock().unwrap().len();
+    assert!((3..=8).contains(&crashes), "{crashes} replicas crashed: {codes:?}");
     let other = exchange(crashing.fleet.front, "GET", "/board/x", CALLER, "").unwrap();
     assert_eq!(other.0, 200, "another request is served");
 }
@@ -328,10 +331,11 @@
     // All replicas may be down for a moment after the crashes.
     until("a replica", || {
         assert_ne!(crashing.send_copy(crashing.fleet.front, "school-key"), QUARANTINED);
-        crashing.seen.arrivals(&format!("{KILLER}-1"), since) >= 1
+        crashing.crash_record.arrivals(&format!("{KILLER}-1"), since) >= 1
     });
 }
 
+/// Guards against a quarantine that an operator can't list or lift.
 #[test]
 fn an_operator_has_it_sent_again() {
     let crashing = CrashingFleet::new(RestartAs::NewId);
@@ -359,10 +363,11 @@
     let since = Instant::now();
     until("a replica", || {
         crashing.send_copy(crashing.fleet.front, "club-key");
-        crashing.seen.arrivals(&format!("{KILLER}-1"), since) > 0
+        crashing.crash_record.arrivals(&format!("{KILLER}-1"), since) > 0
     });
 }
 
+/// Guards against a malformed `quarantine` command that is accepted.
 #[rstest]
 #[case::no_word(&["quarantine"])]
 #[case::another_word(&["quarantine", "end"])]
--- a/crates/cypressfork/tests/failure.rs
+++ b/crates/cypressfork/tests/failure.rs
@@ -10,11 +10,12 @@
 use serde_json::Value;
 use support::{Fleet, Plan, ask, until};
 
-/// Tokens of one request of [`ask`] with `n` generated ones.
+/// Returns the tokens charged for a request of [`ask`] with `n` generated tokens.
 fn cost(n: u64) -> u64 {
     3 + n
 }
 
+/// Returns the index of the leader in `control_addresses`.
 fn leader(f: &Fleet) -> Option<usize> {
     let out = f.cli(&["status", "--json"]);
     let v: Value = serde_json::from_slice(&out.stdout).ok()?;
@@ -23,7 +24,8 @@
     f.control_addresses.iter().position(|a| a == address)
 }
 
-/// Callers on all routers go on while `during` happens; every one of them must be served.
+/// Runs callers on all routers while `during` runs, asserts that every request is served, and returns their
+/// number.
 fn under_load(f: &mut Fleet, during: impl FnOnce(&mut Fleet)) -> u64 {
     let stop = AtomicBool::new(false);
     let served = AtomicU64::new(0);
@@ -47,6 +49,7 @@
     served.load(Ordering::Relaxed)
 }
 
+/// Guards against requests that fail or are charged wrongly during a change of leader.
 #[test]
 fn requests_go_on_while_the_leader_is_killed() {
     let mut f = Fleet::start(Plan { tokens: 1_000_000, ..Plan::default() });
@@ -60,6 +63,7 @@
     assert_eq!(f.budget()["total"]["requests"], served);
 }
 
+/// Guards against lost requests or charges as the members restart in turn.
 #[test]
 fn a_rolling_restart_under_load_loses_nothing() {
     let mut f = Fleet::start(Plan { tokens: 1_000_000, ..Plan::default() });
@@ -74,6 +78,7 @@
     f.until_spent(served * cost(4));
 }
 
+/// Guards against acknowledged state that is lost when all members are killed at once.
 #[test]
 fn everything_is_there_after_all_control_processes_are_killed_at_once() {
     let mut f = Fleet::start(Plan { control_extra: "snapshot_every: 16\n", ..Plan::default() });
@@ -95,8 +100,8 @@
     assert_eq!(f.chat(0).send(&ask(false, 4)).status, 200);
 }
 
-/// A router dies with streams open. What it had not reported counts as spent until an operator
-/// vouches for it; the callers come back by the other router.
+/// Guards against a slice of a killed router that is spent twice or can't be released by an operator. Its
+/// unreported tokens count as spent until the release; callers retry at the other router.
 #[test]
 fn a_killed_router_strands_its_slice_and_an_operator_frees_it() {
     let mut f = Fleet::start(Plan { engines: vec![vec!["--token-ms", "50"]], ..Plan::default() });
@@ -115,13 +120,13 @@
     let id = format!("{}.{}", lost["id"]["term"], lost["id"]["index"]);
     let freed = f.json(&["release", &id])["released"].as_u64().unwrap();
     assert!(freed > 0 && freed <= held);
-    assert_eq!(f.budget()["spent"], cost(8), "only what was reported");
-    assert_eq!(f.cli(&["release", &id]).status.code(), Some(3), "it is known no more");
+    assert_eq!(f.budget()["spent"], cost(8), "only reported tokens are spent");
+    assert_eq!(f.cli(&["release", &id]).status.code(), Some(3), "the lease no longer exists");
     assert_eq!(f.json(&["bill", "club", "lesson-1"])["output"], 8);
 }
 
-/// A planned stop in the middle of 100 streams cuts none of them, hands the slices back, and
-/// leaves the entry answers first.
+/// Guards against a planned stop that breaks streams, keeps its slices, or leaves the router in the entry
+/// answers while it drains.
 #[test]
 fn a_planned_stop_cuts_no_stream() {
     let mut f = Fleet::start(Plan {
@@ -147,7 +152,7 @@
             .collect();
         until("100 streams", || started.load(Ordering::Relaxed) == 100);
         f.routers[0].signal("TERM");
-        until("the entry answers without it", || {
+        until("entry answers without the router", || {
             let v = support::get(&format!("http://{}/v1/entry", f.router_addresses[1])).unwrap();
             !v.to_string().contains(&address)
         });
@@ -157,11 +162,12 @@
     assert_eq!(f.routers[0].wait(), Some(0));
     f.until_spent(100 * cost(24));
     let log = f.routers[0].log();
-    assert!(log.contains("CFE412"), "the slices were handed back");
+    assert!(log.contains("CFE412"), "the slices were returned");
     let routers = f.json(&["status"])["routers"].as_array().unwrap().len();
     assert_eq!(routers, 1);
 }
 
+/// Guards against a drain that an operator can't cut short.
 #[test]
 fn a_second_signal_ends_a_planned_stop_at_once() {
     let mut f = Fleet::start(Plan { engines: vec![vec!["--token-ms", "500"]], ..Plan::default() });
@@ -175,7 +181,7 @@
     assert!(f.routers[0].log().contains("CFE105"));
 }
 
-/// A router that was paused while the configuration went on catches up, and never goes back.
+/// Guards against a router that reverts to an older configuration after a pause.
 #[test]
 fn a_paused_router_catches_up_and_never_reverts() {
     let f = Fleet::start(Plan::default());
@@ -197,7 +203,7 @@
     assert!(versions.is_sorted(), "{versions:?}");
 }
 
-/// A control VM's disk is lost; the operator replaces it by the pages' three commands.
+/// Guards against a lost disk that can't be replaced by `members add`, `promote` and `remove`, as documented.
 #[test]
 fn a_lost_disk_is_replaced_by_the_command_line() {
     let mut f = Fleet::start(Plan::default());
@@ -226,6 +232,7 @@
     assert_eq!(f.chat(0).send(&ask(false, 4)).status, 200);
 }
 
+/// Guards against two control processes that write to one data folder.
 #[test]
 fn a_second_process_on_a_data_folder_is_refused() {
     let f = Fleet::start_bare(Plan { routers: 0, ..Plan::default() });
@@ -234,12 +241,11 @@
     assert!(second.log().contains("CF3101"), "{}", second.log());
 }
 
-/// A data centre is cut off: its control process and its router see each other and nobody else.
-/// The router lives on the reserve, which is no more than the group gave; after the cut all that
-/// was not spent goes back, and every request is billed.
+/// Guards against overspending in a data centre that is cut off from the quorum: its router draws on the
+/// reserve only, unspent tokens are returned afterwards, and every request is billed.
 #[test]
 fn a_data_centre_cut_off_lives_on_its_reserve() {
-    let mut f = Fleet::start(Plan { tokens: 1_000, budget_extra: SMALL, ..Plan::default() });
+    let mut f = Fleet::start(Plan { tokens: 1_000, budget_extra: SMALL_BUDGET, ..Plan::default() });
     assert_eq!(f.chat(0).send(&ask(false, 4)).status, 200);
     let reserve = |f: &Fleet| {
         let leases = f.json(&["leases", "club-talk"]);
@@ -247,7 +253,7 @@
         all.into_iter().find(|l| l["vm"] == "reserve on control-0")
     };
     until("the reserve", || reserve(&f).is_some());
-    // The majority goes away: what is left is this data centre.
+    // Only the members outside this data centre are killed.
     f.controls[1].kill();
     f.controls[2].kill();
     let mut served = 1;
@@ -257,13 +263,13 @@
             200 => served += 1,
             _ => break a,
         }
-        assert!(served < 1_000, "more was served than the budget has");
+        assert!(served < 1_000, "more requests were served than the budget allows");
     };
     assert_eq!((refused.status, refused.code().as_str()), (503, "CF1203"), "{}", refused.body);
     assert!(refused.header("retry-after").is_some());
     assert_eq!(refused.json()["error"]["ran"], "no");
     assert!(f.routers[0].log().contains("CFE414"), "the reserve was used");
-    // It is on disk: a restart of its process forgets nothing and grants nothing twice.
+    // The reserve is on disk: a restart neither loses it nor grants it again.
     f.controls[0].kill();
     f.controls[0] = f.start_control(0);
     let again = f.chat(0).send(&ask(false, 4));
@@ -275,10 +281,11 @@
     assert!(f.budget()["total"]["requests"].as_u64().unwrap() >= served);
 }
 
-const SMALL: &str = "          floor: 100\n          horizon_s: 1\n          reserve_percent: 30\n";
+const SMALL_BUDGET: &str =
+    "          floor: 100\n          horizon_s: 1\n          reserve_percent: 30\n";
 
-/// Moves marked not repeatable go on while the leader is killed twice: each is sent again until it
-/// is answered, by either router, and none runs twice.
+/// Guards against a second run of a request marked not repeatable when its caller retries at either router
+/// while leaders are killed.
 #[test]
 fn no_move_runs_twice_while_leaders_are_killed() {
     let mut f = Fleet::start(Plan::default());
@@ -325,8 +332,8 @@
     assert!(runs.values().all(|n| *n == 1), "{runs:?}");
 }
 
-/// A removed key and a closed account are refused at every router once the change is in force, and
-/// a running answer is not cut off.
+/// Guards against a router that accepts a removed key or a closed client account, or ends a running answer
+/// because of the change.
 #[test]
 fn a_removed_key_and_a_closed_account_are_refused() {
     let f = Fleet::start(Plan { engines: vec![vec!["--token-ms", "100"]], ..Plan::default() });
@@ -353,8 +360,8 @@
     f.until_spent(cost(12));
 }
 
-/// A router dies after its bill was posted, and the caller, which heard nothing, asks again by the
-/// other router: the tokens are used up a second time, the request is billed once.
+/// Guards against a double bill when a router is killed after it posted the bill and the caller retries at
+/// the other router. The tokens are spent twice, but the request is billed once.
 #[test]
 fn a_retry_after_the_bill_was_posted_is_not_billed_again() {
     let mut f = Fleet::start(Plan::default());
--- a/crates/cypressfork/tests/fleet.rs
+++ b/crates/cypressfork/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! The fleet's side in the project's own words: a group that founds and mends itself, documents,
-//! registrations, forwarding, over real processes on loopback.
+//! The fleet's native API over real processes on loopback: forming and repairing the control group,
+//! documents, registrations, evacuations and forwarding.
 
 #![allow(missing_docs)]
 
@@ -13,6 +13,7 @@
 use support::gateways::*;
 use support::until;
 
+/// Guards against a group that fails to form, or loses documents as it replaces lost disks.
 #[test]
 fn a_group_founds_itself_takes_in_others_and_mends_lost_disks() {
     let mut f = Fleet::new(5);
@@ -25,7 +26,7 @@
         text.contains("voters=5")
     };
     until("five voters", || (0..5).all(|n| joined(&f, n)));
-    // Two disks are lost one after the other; the second just after the first is mended.
+    // Two disks are lost in turn, the second just after the group has replaced the first.
     for (n, version) in [(0, 8), (1, 9)] {
         f.controls[n].process.as_mut().unwrap().kill();
         f.empty_disk(n);
@@ -35,14 +36,14 @@
             let all: BTreeSet<_> = (0..5).map(|n| f.version(n)).collect();
             all == BTreeSet::from([Some(version)])
         };
-        until("the document everywhere", || done(&f));
-        let mended = |f: &Fleet| {
+        until("the document on all members", || done(&f));
+        let has_five_voters = |f: &Fleet| {
             let text = log(f.dir.path(), &format!("control-{n}"));
             text.rsplit("voters=").next().is_some_and(|t| t.starts_with('5'))
         };
-        until("five voters again", || mended(&f));
+        until("five voters again", || has_five_voters(&f));
     }
-    // All are killed at once: what was acknowledged is there when they return.
+    // An acknowledged document survives the loss of all processes at once.
     for c in &mut f.controls {
         c.process.as_mut().unwrap().kill();
     }
@@ -50,13 +51,14 @@
     until("the group", || f.version(3) == Some(9));
 }
 
+/// Guards against wrong routing as documents and registrations change.
 #[test]
-fn a_request_goes_to_a_registered_replica_as_the_document_says() {
+fn requests_are_routed_to_a_registered_replica() {
     let mut f = Fleet::new(1);
     f.start_control(0, true);
     f.start_gateway();
     until("the gateway", || TcpStream::connect(f.front).is_ok());
-    assert_eq!(f.ask("/board/x").unwrap().0, 503, "it knows no document yet");
+    assert_eq!(f.ask("/board/x").unwrap().0, 503, "the gateway has no document yet");
     f.publish(3);
     let beat = json!({ "service": "board", "address": replica().to_string(),
         "data_centre": "tamar-a", "slots": 4, "sequence": 1 });
@@ -69,40 +71,42 @@
     let (status, v) = f.call(0, "PUT", "/v1/document", "{\"version\": 9}").unwrap();
     assert_eq!((status, &v["error"]["code"]), (400, &json!("CF2012")));
     f.call(0, "DELETE", "/v1/replicas/b-1", "").unwrap();
-    until("its end", || f.ask("/board/x").unwrap().0 == 503);
+    until("the end of the registration", || f.ask("/board/x").unwrap().0 == 503);
 }
 
+/// Guards against a gateway that stops serving when it loses the control group.
 #[test]
 fn a_gateway_that_is_cut_off_serves_on_with_what_it_knows() {
     let mut f = Fleet::serving();
     f.controls[0].process.as_mut().unwrap().kill();
     assert_eq!(f.ask("/board/x").unwrap().0, 200);
-    // One that starts while it is cut off says so, and not that there is no such route.
+    // A gateway that starts while cut off answers 503: without a document it can't tell whether the route
+    // exists.
     f.gateway.as_mut().unwrap().kill();
     f.start_gateway();
     until("the gateway", || TcpStream::connect(f.front).is_ok());
     assert_eq!(f.ask("/board/x").unwrap().0, 503);
 }
 
-/// An evacuation is in force at the gateway, outlasts a restart of all processes, and is withdrawn.
+/// Guards against an evacuation that is lost when processes restart, or that can't be withdrawn.
 #[test]
 fn an_evacuated_data_centre_gets_no_new_work_whatever_restarts() {
     let mut f = Fleet::serving();
-    let order = |f: &Fleet, verb: &str| {
-        until("an order", || {
+    let evacuation_request = |f: &Fleet, verb: &str| {
+        until("an answer to the evacuation request", || {
             let answer = f.call(0, verb, "/v1/evacuations/tamar-a", "");
             matches!(answer, Some((200, _)))
         });
     };
-    order(&f, "PUT");
+    evacuation_request(&f, "PUT");
     until("no new work", || f.ask("/board/x").unwrap().0 == 503);
-    order(&f, "PUT");
+    evacuation_request(&f, "PUT");
     f.controls[0].process.as_mut().unwrap().kill();
     f.gateway.as_mut().unwrap().kill();
     f.start_control(0, false);
     f.start_gateway();
     f.replica.into_iter().for_each(|r| {
-        until("its word", || {
+        until("an accepted heartbeat", || {
             let beat = json!({ "service": "board", "address": r.to_string(),
                 "data_centre": "tamar-a", "sequence": 2 });
             let answer = f.call(0, "PUT", "/v1/replicas/b-1", &beat.to_string());
@@ -111,16 +115,17 @@
     });
     until("the document", || f.version(0) == Some(3));
     let evacuated = || sample(f.operators, "cypressfork_evacuated_data_centres");
-    until("the gateway", || evacuated() == Some(1.0));
+    until("the evacuation at the gateway", || evacuated() == Some(1.0));
     for _ in 0..20 {
         assert_eq!(f.ask("/board/x").unwrap().0, 503);
     }
-    order(&f, "DELETE");
+    evacuation_request(&f, "DELETE");
     until("an answer", || f.ask("/board/x").unwrap().0 == 200);
 }
 
+/// Guards against an invalid evacuation request that is accepted or refused without a result code.
 #[test]
-fn an_order_about_no_data_centre_is_a_numbered_error() {
+fn an_invalid_evacuation_request_is_refused_with_a_code() {
     let f = Fleet::serving();
     let refused = |path: &str, body: &str| {
         let (status, v) = f.call(0, "PUT", path, body).unwrap();
@@ -131,10 +136,11 @@
     assert_eq!(f.ask("/board/x").unwrap().0, 200);
 }
 
+/// Guards against a refusal while a restarted gateway still fetches its first document.
 #[test]
 fn a_request_that_comes_before_the_first_document_waits_for_it() {
     let mut f = Fleet::serving();
-    // Power is lost everywhere, and the gateway is back before the control process.
+    // All processes are killed, and the gateway restarts before the control process.
     f.gateway.as_mut().unwrap().kill();
     f.controls[0].process.as_mut().unwrap().kill();
     f.start_gateway();
@@ -143,21 +149,22 @@
     let asked = thread::spawn(move || exchange(front, "GET", "/board/x", CALLER, ""));
     f.start_control(0, false);
     let (_, answer) = asked.join().unwrap().unwrap();
-    assert_ne!(answer["error"]["code"], json!("CF1305"), "refused before the document came");
+    assert_ne!(answer["error"]["code"], json!("CF1305"), "refused before the document arrived");
 }
 
+/// Guards against missing health or metrics endpoints.
 #[test]
-fn every_process_tells_its_health_and_metrics() {
+fn every_process_serves_health_and_metrics() {
     let f = Fleet::serving();
     let control = f.controls[0].metrics;
     for address in [control, f.metrics, f.operators] {
         assert_eq!(exchange(address, "GET", "/healthz", "", "").unwrap().0, 200);
         assert_eq!(exchange(address, "GET", "/elsewhere", "", "").unwrap().0, 404);
     }
-    // Gauges are brought up to date by the next tick.
+    // Gauges are updated at the next tick.
     let at_least = |name: &str, n: f64| sample(control, name).is_some_and(|v| v >= n);
-    until("its leadership", || at_least("cypressfork_group_leads", 1.0));
-    until("its commits", || at_least("cypressfork_group_committed", 2.0));
+    until("the leader", || at_least("cypressfork_group_leads", 1.0));
+    until("two commits", || at_least("cypressfork_group_committed", 2.0));
     assert!(sample(control, "cypressfork_commit_seconds_count").unwrap() >= 1.0);
     assert!(sample(control, "cypressfork_sync_seconds_count").unwrap() >= 1.0);
     let answered = "cypressfork_attempts_total{end=\"answered\"}";
--- a/crates/cypressfork/tests/foreign_heartbeats.rs
+++ b/crates/cypressfork/tests/foreign_heartbeats.rs
@@ -1,5 +1,5 @@
-//! Heartbeats of another writer under the id of a replica that serves: they name no replica to use, and
-//! what the replica itself said holds.
+//! Invalid heartbeats of another sender under the id of a serving replica: they must not change the
+//! replica's registration.
 
 #![allow(missing_docs)]
 
@@ -15,14 +15,15 @@
 use serde_json::{Value, json};
 use support::gateways::*;
 
-/// A heartbeat that the replica itself might send, with `change` made to it.
-fn changed(f: &Fleet, change: fn(&mut Value)) -> String {
-    let mut beat = json!({ "service": "board", "address": f.replica.unwrap().to_string(),
+/// Returns a valid heartbeat of the replica with `change` applied.
+fn changed_heartbeat(f: &Fleet, change: fn(&mut Value)) -> String {
+    let mut heartbeat = json!({ "service": "board", "address": f.replica.unwrap().to_string(),
         "data_centre": "tamar-a", "slots": 4, "cold_ms": 0, "sequence": 9 });
-    change(&mut beat);
-    beat.to_string()
+    change(&mut heartbeat);
+    heartbeat.to_string()
 }
 
+/// Guards against an invalid heartbeat that takes a serving replica out of use.
 #[rstest]
 #[case::a_service_that_is_not_named(200, |b: &mut Value| b["service"] = json!("elsewhere"))]
 #[case::an_address_that_is_none(400, |b: &mut Value| b["address"] = json!("here"))]
@@ -37,7 +38,7 @@
 #[case::not_json(400, |b: &mut Value| *b = Value::Null)]
 fn what_a_replica_said_holds(#[case] status: u16, #[case] change: fn(&mut Value)) {
     let f = Fleet::serving();
-    let answer = f.call(0, "PUT", "/v1/replicas/b-1", &changed(&f, change)).unwrap();
+    let answer = f.call(0, "PUT", "/v1/replicas/b-1", &changed_heartbeat(&f, change)).unwrap();
     assert_eq!(answer.0, status, "{}", answer.1);
     if status != 200 {
         assert!(answer.1["error"]["code"].as_str().unwrap().starts_with("CF"), "{}", answer.1);
@@ -48,7 +49,8 @@
     }
 }
 
-fn call(body: &[u8]) -> Result<Call, CallAnswer> {
+/// Parses `body` as a heartbeat of replica `b-1`.
+fn parse(body: &[u8]) -> Result<Call, CallAnswer> {
     let (method, path) = (&actix_http::Method::PUT, "/v1/replicas/b-1");
     Native::call(&Incoming { method, path, query: "", body })
 }
@@ -57,22 +59,22 @@
     #![proptest_config(ProptestConfig { cases: 2_000, failure_persistence: None,
         rng_seed: proptest::test_runner::RngSeed::Fixed(35), ..ProptestConfig::default() })]
 
-    /// Whatever arrives, it is a heartbeat or a numbered refusal.
+    /// Guards against a panic on arbitrary bytes: they are a valid call or are refused.
     #[test]
     fn any_bytes_are_read_or_refused(body in proptest::collection::vec(any::<u8>(), 0..300)) {
-        if let Err(answer) = call(&body) {
+        if let Err(answer) = parse(&body) {
             prop_assert!(matches!(answer, CallAnswer::Refused(..)));
         }
     }
 
-    /// A heartbeat with one byte changed is read as another or refused.
+    /// Guards against a corrupted heartbeat that is read as another kind of call or for another replica.
     #[test]
     fn a_changed_byte_is_read_or_refused(at in 0usize..120, byte in any::<u8>()) {
         let mut body = json!({ "service": "board", "address": "10.0.0.1:80", "data_centre": "a",
             "slots": 4, "sequence": 9, "born": 1_700_000_000_000u64 }).to_string().into_bytes();
         let at = at % body.len();
         body[at] = byte;
-        match call(&body) {
+        match parse(&body) {
             Ok(Call::Heartbeat(r)) => prop_assert_eq!(r.registration.id, "b-1"),
             Ok(other) => prop_assert!(false, "{other:?}"),
             Err(answer) => prop_assert!(matches!(answer, CallAnswer::Refused(..))),
--- a/crates/cypressfork/tests/full_link.rs
+++ b/crates/cypressfork/tests/full_link.rs
@@ -1,10 +1,7 @@
 //! A gateway whose link is full, over real processes on loopback.
 //!
-//! Seen: some 430 requests a second of 6 kB stayed with one gateway whatever entry answers said, and
-//! what it heard of the fleet waited behind them on its link of 10 Mbit/s, so that it served by a document
-//! that was 12 s old.
-//! Cause: a gateway took every connection, and callers that are answered come back.
-//! Proof: on the code before, no connection is ever refused.
+//! Guards against callers that fill the link of a gateway and so delay its updates of the fleet: the gateway
+//! must refuse connections while its link is full.
 
 #![allow(missing_docs)]
 
@@ -17,16 +14,17 @@
 use support::gateways::*;
 use support::until;
 
-/// The link of the gateway under test: 1 Mbit/s, 125 kB/s.
+/// Link capacity of the gateway under test, in Mbit/s.
 const LINK_MBPS: u64 = 1;
 
-/// The body of a request; sixteen a second fill four fifths of the link.
-const BODY: usize = 6_000;
+/// Size of a request body in bytes; sixteen a second fill four fifths of the link.
+const BODY_BYTES: usize = 6_000;
 
-/// By the users' pages a gateway that says it is ready takes connections again within 3 s.
-const TAKEN_WITHIN: Duration = Duration::from_secs(3);
+/// Documented time within which a gateway that reports itself ready accepts connections again.
+const ACCEPTS_WITHIN: Duration = Duration::from_secs(3);
 
-fn serving() -> Fleet {
+/// Starts a fleet whose gateway has a link of [`LINK_MBPS`].
+fn fleet_with_narrow_link() -> Fleet {
     let mut f = Fleet::new(1);
     f.start_control(0, true);
     let text = format!(
@@ -44,7 +42,7 @@
     f
 }
 
-/// Sends a request on a new connection; false if it is refused.
+/// Sends a request on a new connection. Returns false if the connection is refused.
 fn send(f: &Fleet) -> bool {
     let mut s = match TcpStream::connect(f.front) {
         Ok(s) => s,
@@ -52,32 +50,33 @@
         Err(e) => panic!("{e}"),
     };
     let head = format!(
-        "POST /board/x HTTP/1.1\r\nHost: {HOST}\r\n{CALLER}Connection: close\r\nContent-Length: {BODY}\r\n\r\n"
+        "POST /board/x HTTP/1.1\r\nHost: {HOST}\r\n{CALLER}Connection: close\r\nContent-Length: {BODY_BYTES}\r\n\r\n"
     );
-    // One that waited to be taken as the gateway stopped listening is reset.
-    let sent = s.write_all(head.as_bytes()).and_then(|()| s.write_all(&[b'x'; BODY]));
+    // A connection in the accept backlog is reset when the gateway stops listening, so errors are ignored.
+    let sent = s.write_all(head.as_bytes()).and_then(|()| s.write_all(&[b'x'; BODY_BYTES]));
     let mut text = String::new();
     let _ = sent.and_then(|()| s.read_to_string(&mut text));
     true
 }
 
+/// Guards against a full link that is never relieved, or a gateway that stays closed.
 #[test]
-fn a_gateway_with_a_full_link_refuses_connections_for_a_moment() {
-    let f = serving();
+fn a_gateway_with_a_full_link_refuses_connections_briefly() {
+    let f = fleet_with_narrow_link();
     until("a refused connection", || !send(&f));
     let began = Instant::now();
     until("a connection", || send(&f));
-    assert!(began.elapsed() < TAKEN_WITHIN, "{:?}", began.elapsed());
+    assert!(began.elapsed() < ACCEPTS_WITHIN, "{:?}", began.elapsed());
     let ready = exchange(f.operators, "GET", "/readyz", "", "").map(|a| a.0);
-    assert_eq!(ready, Some(200), "it goes on, and says so");
-    let closed = sample(f.metrics, "cypressfork_closed_doors_total");
-    assert!(closed.is_some_and(|n| n >= 1.0), "{closed:?}");
+    assert_eq!(ready, Some(200), "the gateway keeps running and reports ready");
+    let times_closed = sample(f.metrics, "cypressfork_closed_doors_total");
+    assert!(times_closed.is_some_and(|n| n >= 1.0), "{times_closed:?}");
 }
 
-/// Callers that stay within the link never meet it.
+/// Guards against connections refused below the link's capacity.
 #[test]
-fn one_that_has_room_takes_all() {
-    let f = serving();
+fn a_gateway_with_spare_capacity_accepts_all_connections() {
+    let f = fleet_with_narrow_link();
     for _ in 0..20 {
         assert!(send(&f));
         std::thread::sleep(Duration::from_millis(150));
--- a/crates/cypressfork/tests/homes.rs
+++ b/crates/cypressfork/tests/homes.rs
@@ -1,5 +1,5 @@
-//! Budgets whose tokens are kept by a few gateways of a data centre with many, over real processes on
-//! loopback.
+//! Home gateways, over real processes on loopback: in a data centre with many gateways, a few of them hold
+//! the slices of a budget.
 
 #![allow(missing_docs)]
 
@@ -12,28 +12,29 @@
 use support::gateways::*;
 use support::until;
 
-/// Gateways of one data centre that are enough for budgets to have homes among them.
-const MANY: usize = 13;
+/// Number of extra gateways in the data centre, enough for budgets to have home gateways.
+const EXTRA_GATEWAYS: usize = 13;
 
-/// A fleet in which every gateway knows the homes.
-fn with_homes(prepaid: u64) -> (Fleet, Vec<Neighbour>) {
+/// Starts a fleet in which every gateway has the list of all gateways, from which homes are chosen.
+fn start_with_homes(prepaid: u64) -> (Fleet, Vec<Neighbour>) {
     let f = Fleet::serving();
     let mut raised = document(4);
     raised["accounts"][0]["prepaid"] = json!(prepaid);
     assert_eq!(f.call(0, "PUT", "/v1/document", &raised.to_string()).unwrap().0, 200);
-    let all = f.start_neighbours(MANY);
-    let knows = |n: usize| {
+    let all = f.start_neighbours(EXTRA_GATEWAYS);
+    let has_full_list = |n: usize| {
         let text = log(f.dir.path(), &format!("neighbour-{n}"));
-        // The first gateway of the fleet is listed too.
-        text.contains(&format!("routers={}", MANY + 1))
+        // The list includes the first gateway of the fleet.
+        text.contains(&format!("routers={}", EXTRA_GATEWAYS + 1))
     };
-    until("the list of all gateways", || (0..MANY).all(knows));
+    until("the list of all gateways", || (0..EXTRA_GATEWAYS).all(has_full_list));
     (f, all)
 }
 
+/// Guards against tokens that some gateways can't reach, and against overspending.
 #[test]
 fn a_budget_is_spent_to_its_end_through_any_gateway_and_no_further() {
-    let (fleet, all) = with_homes(1_000);
+    let (fleet, all) = start_with_homes(1_000);
     // 1,000 tokens are prepaid: enough for eleven of these.
     for (n, gateway) in all.iter().chain(&all).enumerate() {
         let answer = gateway.spend_in_the_end(n, 90);
@@ -44,45 +45,47 @@
     assert!((1..=2).contains(&homes), "{homes} gateways hold slices");
 }
 
-/// Sets a flag when it is dropped, in a panic too.
-struct SetAtEnd<'a>(&'a AtomicBool);
+/// Sets a flag when dropped, also during a panic.
+struct SetOnDrop<'a>(&'a AtomicBool);
 
-impl Drop for SetAtEnd<'_> {
+impl Drop for SetOnDrop<'_> {
     fn drop(&mut self) {
         self.0.store(true, Ordering::Relaxed);
     }
 }
 
+/// Guards against a busy gateway that never gets a slice of its own.
 #[test]
 fn a_gateway_that_many_callers_of_an_account_use_keeps_tokens_of_its_own() {
-    let (fleet, all) = with_homes(1_000_000);
+    let (fleet, all) = start_with_homes(1_000_000);
     all[0].spend(0, 1).unwrap();
-    let used = all.iter().find(|g| !g.is_home()).expect("most gateways are no homes");
-    // Eight callers at once come to twenty requests a second on a busy machine, too.
+    let busy = all.iter().find(|g| !g.is_home()).expect("a gateway that is not a home");
+    // Eight concurrent callers reach twenty requests a second even on a busy machine.
     let (done, sent) = (AtomicBool::new(false), AtomicUsize::new(1));
     thread::scope(|s| {
         for _ in 0..8 {
             s.spawn(|| {
                 while !done.load(Ordering::Relaxed) {
-                    used.spend(sent.fetch_add(1, Ordering::Relaxed), 1);
+                    busy.spend(sent.fetch_add(1, Ordering::Relaxed), 1);
                 }
             });
         }
-        // The callers end whatever becomes of the wait.
-        let _end = SetAtEnd(&done);
-        let mut beats = 1;
-        until("a home of its own", || {
-            beats += 1;
-            fleet.beat(fleet.replica.unwrap(), beats);
-            used.is_home()
+        // Stops the callers even if the wait panics.
+        let _stop_callers = SetOnDrop(&done);
+        let mut sequence = 1;
+        until("a slice at the busy gateway", || {
+            sequence += 1;
+            fleet.beat(fleet.replica.unwrap(), sequence);
+            busy.is_home()
         });
     });
-    assert_eq!(used.spend_in_the_end(sent.into_inner(), 1).0, 200);
+    assert_eq!(busy.spend_in_the_end(sent.into_inner(), 1).0, 200);
 }
 
+/// Guards against refusals when the home gateways of a budget die.
 #[test]
 fn gateways_whose_homes_have_died_are_served_by_the_next_in_line() {
-    let (mut fleet, all) = with_homes(1_000_000);
+    let (mut fleet, all) = start_with_homes(1_000_000);
     for (n, gateway) in all.iter().enumerate() {
         assert_eq!(gateway.spend_in_the_end(n, 10).0, 200);
     }
--- a/crates/cypressfork/tests/leaving.rs
+++ b/crates/cypressfork/tests/leaving.rs
@@ -1,5 +1,5 @@
-//! Replicas that say in their answers that they leave, while their heartbeats say that they are ready. Over
-//! real processes on loopback.
+//! Replicas that announce in their answers that they are leaving, while their heartbeats still report them
+//! ready. Over real processes on loopback.
 
 #![allow(missing_docs)]
 
@@ -13,77 +13,83 @@
 use support::resting::*;
 use support::until;
 
-/// How long a request runs.
-const RUN: Duration = Duration::from_millis(10);
+/// Run time of a request.
+const RUN_TIME: Duration = Duration::from_millis(10);
 
-/// So long after the word was passed on a replica may get requests, by the users' pages.
+/// Documented time after the announcement within which a leaving replica may still get requests.
 const DRAIN: Duration = Duration::from_secs(2);
 
-/// How long it is watched.
-const WATCHED: Duration = Duration::from_secs(4);
+/// Time over which arrivals are counted.
+const OBSERVATION: Duration = Duration::from_secs(4);
 
+/// Makes the replica announce in its answers that it is leaving.
 fn leave(r: &RestingReplica) {
     r.shared.leaving.store(true, Ordering::Relaxed);
 }
 
-fn came(r: &RestingReplica, since: Instant) -> usize {
+/// Counts the requests that arrived since `since`.
+fn arrivals(r: &RestingReplica, since: Instant) -> usize {
     r.since(since).values().sum()
 }
 
-/// Guards against new work for a replica that says only in its answers that it leaves.
+/// Guards against new work for a replica that announces only in its answers that it is leaving.
 #[test]
-fn a_replica_that_says_in_an_answer_that_it_leaves_gets_no_new_work() {
-    let world = World::new(4, RUN);
+fn a_replica_that_announces_leaving_in_an_answer_gets_no_new_work() {
+    let world = World::new(4, RUN_TIME);
     world.send(60);
     sleep(DRAIN);
     leave(&world.replicas[0]);
     sleep(DRAIN);
     let since = Instant::now();
-    sleep(WATCHED);
-    assert_eq!(came(&world.replicas[0], since), 0, "requests later than 2 s after it was told");
+    sleep(OBSERVATION);
+    assert_eq!(
+        arrivals(&world.replicas[0], since),
+        0,
+        "requests later than 2 s after the announcement"
+    );
     let got = world.callers.got();
     assert_eq!(got.served, got.sent, "{:?}", got.kinds());
 }
 
-/// Guards against a word that is lost as it stands in a rejection.
+/// Guards against an announcement that is ignored because it is part of a rejection.
 #[test]
-fn a_rejection_tells_as_well_that_its_replica_leaves() {
-    let world = World::new(2, RUN);
+fn a_rejection_can_announce_leaving() {
+    let world = World::new(2, RUN_TIME);
     world.send(60);
     sleep(DRAIN);
     leave(&world.replicas[0]);
     world.replicas[0].refuse(Some(Refusing::after("0")));
     sleep(DRAIN);
     let since = Instant::now();
-    sleep(WATCHED);
-    assert_eq!(came(&world.replicas[0], since), 0);
+    sleep(OBSERVATION);
+    assert_eq!(arrivals(&world.replicas[0], since), 0);
 }
 
-/// Guards against gateways that find out for themselves, each by a request of a caller.
+/// Guards against gateways that each learn of the leaving replica only from an answer of their own.
 #[test]
-fn all_gateways_hear_of_it() {
-    let world = World::new(4, RUN);
+fn an_announcement_reaches_all_gateways() {
+    let world = World::new(4, RUN_TIME);
     leave(&world.replicas[0]);
     let front = world.fleet.front;
-    let heard = || log(world.fleet.dir.path(), "gateway-0").contains(" CFE443 ");
-    until("one gateway has heard it", || {
-        exchange(front, "GET", "/board/x", CALLER, "").is_some() && heard()
+    let announced = || log(world.fleet.dir.path(), "gateway-0").contains(" CFE443 ");
+    until("the announcement at one gateway", || {
+        exchange(front, "GET", "/board/x", CALLER, "").is_some() && announced()
     });
-    let knows = |g: &Neighbour| {
+    let lists_draining = |g: &Neighbour| {
         let lines = g.process.log();
         lines.lines().any(|l| l.contains("replica=b-0 ") && l.contains("standing=Draining"))
     };
-    until("all know", || world.neighbours.iter().all(knows));
+    until("the draining replica at all gateways", || world.neighbours.iter().all(lists_draining));
     let since = Instant::now();
     world.send(60);
-    sleep(WATCHED);
-    assert_eq!(came(&world.replicas[0], since), 0);
+    sleep(OBSERVATION);
+    assert_eq!(arrivals(&world.replicas[0], since), 0);
 }
 
-/// Guards against a replica that is taken for ready again because control processes forgot that it leaves.
+/// Guards against a leaving replica that counts as ready again after the control processes restart.
 #[test]
-fn it_leaves_for_good_though_all_control_processes_start_again() {
-    let mut world = World::new(3, RUN);
+fn leaving_survives_a_restart_of_all_control_processes() {
+    let mut world = World::new(3, RUN_TIME);
     world.send(60);
     sleep(DRAIN);
     leave(&world.replicas[0]);
@@ -93,28 +99,28 @@
         c.process.as_mut().unwrap().kill();
     }
     (0..3).for_each(|n| world.fleet.start_control(n, true));
-    sleep(WATCHED);
-    assert_eq!(came(&world.replicas[0], since), 0);
-    // A gateway that starts now is told by those that know.
+    sleep(OBSERVATION);
+    assert_eq!(arrivals(&world.replicas[0], since), 0);
+    // A gateway that starts now has to learn of it from other processes.
     let more = world.fleet.start_neighbours_from(world.neighbours.len(), 1);
     let front = more[0].front;
     until("an answer", || {
         exchange(front, "GET", "/board/x", CALLER, "").is_some_and(|a| a.0 == 200)
     });
     (0..40).for_each(|_| drop(exchange(front, "GET", "/board/x", CALLER, "")));
-    assert_eq!(came(&world.replicas[0], since), 0);
+    assert_eq!(arrivals(&world.replicas[0], since), 0);
 }
 
-/// Guards against callers that wait for a service that has nobody left.
+/// Guards against callers that wait for a service whose replicas are all leaving.
 #[test]
-fn where_all_leave_callers_are_refused_at_once() {
-    let world = World::new(2, RUN);
+fn callers_are_refused_at_once_when_all_replicas_leave() {
+    let world = World::new(2, RUN_TIME);
     world.replicas.iter().for_each(leave);
     world.send(60);
     sleep(DRAIN);
-    let begun = Instant::now();
+    let start = Instant::now();
     let (status, answer) = exchange(world.fleet.front, "GET", "/board/x", CALLER, "").unwrap();
-    let took = begun.elapsed();
+    let elapsed = start.elapsed();
     assert_eq!((status, answer["error"]["code"].as_str()), (503, Some("CF1303")), "{answer}");
-    assert!(took < Duration::from_millis(50), "{took:?}");
+    assert!(elapsed < Duration::from_millis(50), "{elapsed:?}");
 }
--- a/crates/cypressfork/tests/support/crashing.rs
+++ b/crates/cypressfork/tests/support/crashing.rs
@@ -33,14 +33,14 @@
     /// Arrivals of killer requests: the marker with its suffix, and the time.
     pub killers: Mutex<Vec<(String, Instant)>>,
     /// Crashes of replicas: the killer request that caused them, and the time.
-    pub ends: Mutex<Vec<(String, Instant)>>,
+    pub crashes: Mutex<Vec<(String, Instant)>>,
 }
 
 impl CrashRecord {
     /// Returns the time of the third crash that `killer` caused.
-    pub fn third_end(&self, killer: &str) -> Option<Instant> {
-        let ends = self.ends.lock().unwrap();
-        ends.iter().filter(|(k, _)| k == killer).nth(2).map(|(_, at)| *at)
+    pub fn third_crash(&self, killer: &str) -> Option<Instant> {
+        let crashes = self.crashes.lock().unwrap();
+        crashes.iter().filter(|(k, _)| k == killer).nth(2).map(|(_, at)| *at)
     }
 
     /// Counts arrivals of `killer` after `since`.
@@ -80,7 +80,7 @@
     pub socket: Socket,
     pub down: Duration,
     pub controls: Vec<SocketAddr>,
-    pub seen: Arc<CrashRecord>,
+    pub crash_record: Arc<CrashRecord>,
     pub over: Arc<AtomicBool>,
 }
 
@@ -126,8 +126,9 @@
                 Ok((stream, _)) => {
                     stream.set_nonblocking(false).unwrap();
                     incarnation.open.lock().unwrap().push(stream.try_clone().unwrap());
-                    let (incarnation, seen) = (incarnation.clone(), self.seen.clone());
-                    thread::spawn(move || serve(&incarnation, &seen, stream));
+                    let (incarnation, crash_record) =
+                        (incarnation.clone(), self.crash_record.clone());
+                    thread::spawn(move || serve(&incarnation, &crash_record, stream));
                 }
                 Err(_) => sleep(POLL_EVERY),
             }
@@ -183,7 +184,7 @@
     now.as_millis() as u64
 }
 
-/// Reads one request and returns its head and body as text, `None` if the connection ends first.
+/// Reads one request and returns its head and body as text, `None` if the connection closes first.
 pub fn request(s: &mut TcpStream) -> Option<String> {
     let mut text = String::new();
     let mut buf = [0; 4096];
@@ -210,7 +211,7 @@
     lines.find(|(k, _)| k.eq_ignore_ascii_case(name)).map_or("", |(_, v)| v)
 }
 
-fn serve(incarnation: &Incarnation, seen: &CrashRecord, mut s: TcpStream) {
+fn serve(incarnation: &Incarnation, crash_record: &CrashRecord, mut s: TcpStream) {
     while let Some(text) = request(&mut s) {
         if header(&text, "x-replica") != incarnation.id {
             let id = header(&text, "x-request-id");
@@ -222,10 +223,10 @@
         }
         if let Some(at) = text.find(KILLER) {
             let killer: String = text[at..].chars().take_while(|c| !c.is_whitespace()).collect();
-            seen.killers.lock().unwrap().push((killer.clone(), Instant::now()));
+            crash_record.killers.lock().unwrap().push((killer.clone(), Instant::now()));
             sleep(CRASHES_AFTER);
             if !incarnation.ended.swap(true, Ordering::Relaxed) {
-                seen.ends.lock().unwrap().push((killer, Instant::now()));
+                crash_record.crashes.lock().unwrap().push((killer, Instant::now()));
             }
             return;
         }
@@ -297,7 +298,7 @@
                 let got = got.clone();
                 thread::spawn(move || {
                     let answer = exchange(to, method, &path, &head, &body);
-                    record(&mut got.lock().unwrap(), answer);
+                    count_answer(&mut got.lock().unwrap(), answer);
                 });
                 sleep(every);
             }
@@ -309,7 +310,7 @@
     }
 }
 
-fn record(got: &mut Got, answer: Option<(u16, Value)>) {
+fn count_answer(got: &mut Got, answer: Option<(u16, Value)>) {
     got.sent += 1;
     match answer {
         Some((200, _)) => got.served += 1,
