--- a/crates/cypressfork/src/bin/cypressfork-control.rs
+++ b/crates/cypressfork/src/bin/cypressfork-control.rs
@@ -1,11 +1,11 @@
-//! `cypressfork-control`: a replica of a region's control group: accounts, budgets, claims and bills.
+//! `cypressfork-control`: a member of the control group, which keeps accounts, budgets, claims and bills.
 
 use std::process::ExitCode;
 
 use cypressfork_control::run::{run, settings};
 use cypressfork_node::process::run_daemon;
 
-const ABOUT: &str = "A replica of a region's control group: accounts, budgets, claims and bills.";
+const ABOUT: &str = "A member of a region's control group: accounts, budgets, claims and bills.";
 
 fn main() -> ExitCode {
     run_daemon("cypressfork-control", ABOUT, settings, run)
--- a/crates/cypressfork/src/bin/cypressfork-fakes.rs
+++ b/crates/cypressfork/src/bin/cypressfork-fakes.rs
@@ -1,15 +1,15 @@
-//! `cypressfork-fakes`: development stand-ins. Not for production.
+//! `cypressfork-fakes`: fake upstreams and a fake platform for development. Not for production.
 
 use std::process::ExitCode;
 
 use cypressfork_fakes::run;
 
 fn main() -> ExitCode {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    match run(&words) {
+    let args: Vec<String> = std::env::args().skip(1).collect();
+    match run(&args) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("{why}");
+        Err(e) => {
+            eprintln!("{e}");
             ExitCode::FAILURE
         }
     }
--- a/crates/cypressfork/src/bin/cypressfork-gateway.rs
+++ b/crates/cypressfork/src/bin/cypressfork-gateway.rs
@@ -1,4 +1,4 @@
-//! `cypressfork-gateway`: forwards callers' requests by host and path to registered replicas.
+//! `cypressfork-gateway`: forwards requests by host and path to registered replicas.
 
 use std::process::ExitCode;
 
--- a/crates/cypressfork/src/bin/cypressfork-router.rs
+++ b/crates/cypressfork/src/bin/cypressfork-router.rs
@@ -1,4 +1,4 @@
-//! `cypressfork-router`: the entry router: admits, bills and routes the requests of callers.
+//! `cypressfork-router`: the router for language-model clients: admits, bills and routes their requests.
 
 use std::process::ExitCode;
 
--- a/crates/cypressfork/src/bin/cypressfork.rs
+++ b/crates/cypressfork/src/bin/cypressfork.rs
@@ -5,8 +5,8 @@
 use cypressfork_cli::{cmd, error};
 
 fn main() -> ExitCode {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    match cmd::run(&words) {
+    let args: Vec<String> = std::env::args().skip(1).collect();
+    match cmd::run(&args) {
         Ok(text) => {
             print!("{text}");
             ExitCode::SUCCESS
--- a/crates/cypressfork/tests/support/gateways.rs
+++ b/crates/cypressfork/tests/support/gateways.rs
@@ -1,4 +1,4 @@
-//! Control processes, gateways and a replica in the project's own words, over loopback.
+//! Starts control processes and gateways on loopback, and a replica that speaks the native protocol.
 
 use std::fs;
 use std::io::{Read, Write};
@@ -13,10 +13,10 @@
 
 pub const HOST: &str = "club.example";
 
-/// Headers of the account's callers.
+/// Headers that a caller of the account sends.
 pub const CALLER: &str = "X-Request-Id: r-1\r\nAuthorization: Bearer club-key\r\n";
 
-/// Addresses at an IP of this test's own: nobody else takes a port there meanwhile.
+/// Returns `n` free addresses on `ip`, which must belong to this test alone.
 pub fn free(ip: &str, n: usize) -> Vec<SocketAddr> {
     free_addresses(ip, n).iter().map(|a| a.parse().unwrap()).collect()
 }
@@ -28,7 +28,7 @@
     pub process: Option<Process>,
 }
 
-/// A gateway beside the fleet's first one.
+/// A gateway in addition to the fleet's first one.
 pub struct Neighbour {
     pub front: SocketAddr,
     pub operators: SocketAddr,
@@ -40,7 +40,7 @@
         is_home(self.operators)
     }
 
-    /// What it answers a request that takes so many tokens: the status and the result code.
+    /// Sends a request for `tokens` tokens and returns the status and the result code.
     pub fn spend(&self, id: usize, tokens: u64) -> Option<(u16, String)> {
         let more = format!(
             "X-Request-Id: r-{id}\r\nAuthorization: Bearer club-key\r\nX-Tokens: {tokens},0\r\n"
@@ -50,23 +50,23 @@
     }
 }
 
-/// Code of a refusal for the time being: tokens are not in reach, the request has not run.
+/// Result code of a temporary refusal: no tokens are available now, the request has not run.
 pub const COME_BACK: &str = "CF1203";
 
 impl Neighbour {
-    /// What a caller gets that comes back for as long as it is told to. While the control process
-    /// waits for its disk, a home can neither have more tokens nor learn that there are none.
+    /// Like [`Neighbour::spend`], but retries while the refusal is temporary. While the control process
+    /// waits for its disk, a home gateway can neither get more tokens nor learn that there are none.
     pub fn spend_in_the_end(&self, id: usize, tokens: u64) -> (u16, String) {
         let mut last = None;
-        until("an answer other than to come back", || {
+        until("a final response", || {
             last = self.spend(id, tokens);
             last.as_ref().is_some_and(|(status, code)| (*status, code.as_str()) != (503, COME_BACK))
         });
-        last.expect("there was one")
+        last.expect("a response arrived")
     }
 }
 
-/// Whether a gateway holds slices of a budget: it has reported on some.
+/// Returns whether a gateway holds slices of a budget, that is, has sent reports on some.
 pub fn is_home(operators: SocketAddr) -> bool {
     sample(operators, "cypressfork_report_seconds_count").is_some_and(|n| n > 0.0)
 }
@@ -80,7 +80,7 @@
     pub metrics: SocketAddr,
     pub gateway: Option<Process>,
     pub replica: Option<SocketAddr>,
-    // The last to be dropped: processes read their logs in it as they end.
+    // Dropped last: processes read their logs in it when they are dropped.
     pub dir: TempDir,
 }
 
@@ -97,7 +97,7 @@
         Fleet { controls, front, link, operators, metrics, gateway: None, replica: None, dir }
     }
 
-    /// One control process, a gateway and a registered replica, with requests answered.
+    /// Starts one control process, a gateway and a registered replica, and waits for a successful response.
     pub fn serving() -> Fleet {
         let mut f = Fleet::new(1);
         f.start_control(0, true);
@@ -106,11 +106,11 @@
         let address = replica();
         f.beat(address, 1);
         f.replica = Some(address);
-        until("an answer", || f.ask("/board/x").is_some_and(|a| a.0 == 200));
+        until("a response", || f.ask("/board/x").is_some_and(|a| a.0 == 200));
         f
     }
 
-    /// Says that the replica is there.
+    /// Sends a heartbeat for the replica.
     pub fn beat(&self, replica: SocketAddr, sequence: usize) {
         let beat = json!({ "service": "board", "address": replica.to_string(),
             "data_centre": "tamar-a", "sequence": sequence });
@@ -119,7 +119,7 @@
     }
 
     pub fn common(&self, vm: &str) -> String {
-        // Three seeds, as a platform would name them; the others have to be found.
+        // At most three seeds, as a platform would list them; the others have to be discovered.
         let seeds: Vec<_> = self.controls.iter().take(3).map(|c| c.link.to_string()).collect();
         format!(
             "common:\n  cluster: test\n  region: tas-north\n  data_centre: tamar-a\n  vm: {vm}\n  open_links: true\n  control: {}\n",
@@ -156,12 +156,12 @@
         self.gateway = Some(self.start("gateway-0", "gateway", &text));
     }
 
-    /// Starts `n` more gateways in the same data centre.
+    /// Starts `n` additional gateways in the same data centre.
     pub fn start_neighbours(&self, n: usize) -> Vec<Neighbour> {
         self.start_neighbours_from(0, n)
     }
 
-    /// The same where there are `from` of them already.
+    /// Like [`Fleet::start_neighbours`], but numbers the gateways from `from`.
     pub fn start_neighbours_from(&self, from: usize, n: usize) -> Vec<Neighbour> {
         let free = free(&own_ip(), 3 * n);
         let start = |(n, own): (usize, &[SocketAddr])| {
@@ -179,7 +179,7 @@
         free.chunks(3).enumerate().map(start).collect()
     }
 
-    /// Starts a gateway again that has ended, with the settings that it had.
+    /// Restarts a gateway that has exited, with its previous settings.
     pub fn start_neighbour_again(&self, g: &mut Neighbour) {
         let name = g.process.name.clone();
         let file = self.dir.path().join(format!("{name}.yaml"));
@@ -187,6 +187,7 @@
         g.process = Process::start(self.dir.path(), &name, program("gateway"), &args);
     }
 
+    /// Writes the settings to a file and starts a program of this kind with it.
     pub fn start(&self, name: &str, kind: &str, settings: &str) -> Process {
         let file = self.dir.path().join(format!("{name}.yaml"));
         fs::write(&file, settings).unwrap();
@@ -194,17 +195,19 @@
         Process::start(self.dir.path(), name, program(kind), &args)
     }
 
+    /// Deletes the data folder of control process `n`.
     pub fn empty_disk(&self, n: usize) {
         fs::remove_dir_all(self.dir.path().join(format!("data-{n}"))).unwrap();
     }
 
-    /// A call to control process `n`; none if there is no answer.
+    /// Sends a request to control process `n`; returns `None` if there is no response.
     pub fn call(&self, n: usize, method: &str, path: &str, body: &str) -> Option<(u16, Value)> {
         exchange(self.controls[n].api, method, path, "", body)
     }
 
+    /// Publishes a document through any control process that accepts it.
     pub fn publish(&self, version: u64) {
-        until("a document", || {
+        until("the document to be accepted", || {
             let body = document(version).to_string();
             let all = 0..self.controls.len();
             all.into_iter()
@@ -212,17 +215,20 @@
         });
     }
 
-    /// The version that control process `n` reads, confirmed by a quorum.
+    /// Returns the document version that control process `n` reads with confirmation by a quorum.
     pub fn version(&self, n: usize) -> Option<u64> {
         let (status, v) = self.call(n, "GET", "/v1/document", "")?;
         (status == 200).then(|| v["version"].as_u64().unwrap())
     }
 
+    /// Sends a request to the first gateway.
     pub fn ask(&self, path: &str) -> Option<(u16, Value)> {
         exchange(self.front, "GET", path, CALLER, "")
     }
 }
 
+/// Sends an HTTP request with the additional headers `more`; returns the status and the body, or `None` if
+/// there is no response.
 pub fn exchange(
     to: SocketAddr,
     method: &str,
@@ -258,7 +264,7 @@
     })
 }
 
-/// A replica that answers with the account that it was told.
+/// Starts a replica whose responses name the account from the request; returns its address.
 pub fn replica() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -268,14 +274,14 @@
                 let mut buf = [0; 4096];
                 while let Ok(n) = s.read(&mut buf) {
                     let text = String::from_utf8_lossy(&buf[..n]).into_owned();
-                    let told = |name: &str| {
+                    let header = |name: &str| {
                         let mut lines = text.lines().filter_map(|l| l.split_once(": "));
                         lines.find(|(k, _)| *k == name).map_or("", |(_, v)| v).to_owned()
                     };
-                    let body = json!({ "account": told("x-client-account") }).to_string();
+                    let body = json!({ "account": header("x-client-account") }).to_string();
                     let head = format!(
                         "X-Request-Id: {}\r\nContent-Length: {}",
-                        told("x-request-id"),
+                        header("x-request-id"),
                         body.len()
                     );
                     if n == 0 || write!(s, "HTTP/1.1 200 OK\r\n{head}\r\n\r\n{body}").is_err() {
@@ -292,7 +298,7 @@
     fs::read_to_string(dir.join(format!("{name}.log"))).unwrap()
 }
 
-/// The value of the first sample whose name and labels begin so.
+/// Returns the value of the first metric sample whose name and labels start with `name`.
 pub fn sample(to: SocketAddr, name: &str) -> Option<f64> {
     let (status, v) = exchange(to, "GET", "/metrics", "", "")?;
     assert_eq!(status, 200);
--- a/crates/cypressfork/tests/support/limited.rs
+++ b/crates/cypressfork/tests/support/limited.rs
@@ -1,4 +1,4 @@
-//! Replicas that name a limit: how many requests a second they take from all gateways together.
+//! Replicas that announce a rate limit: the requests per second that they accept from all gateways together.
 
 use std::collections::HashMap;
 use std::io::Write;
@@ -13,31 +13,31 @@
 use super::crashing::{header, request};
 use super::gateways::exchange;
 
-/// How often a replica tells of itself.
-const BEAT_EVERY: Duration = Duration::from_millis(300);
+/// Interval between heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
 
-/// How long a request runs.
-const RUN: Duration = Duration::from_millis(10);
+/// Service time of a request.
+const SERVICE_TIME: Duration = Duration::from_millis(10);
 
-/// What a request holds that is rejected as not run, and one that is answered with a failure.
+/// Markers in a request that make the replica reject it as not run, or respond with a failure.
 pub const REJECTED: &str = "rejected";
 pub const FAILING: &str = "failing";
 
-/// What the replicas have seen.
+/// Requests recorded by the replicas.
 #[derive(Default)]
 pub struct Seen {
-    /// The requests that reached them: when, by the replica's name.
+    /// Arrival times by the name of the replica.
     pub arrivals: Mutex<HashMap<String, Vec<Instant>>>,
 }
 
 impl Seen {
-    /// When requests reached a replica after `since`.
+    /// Returns the arrival times at a replica from `since` on.
     pub fn since(&self, name: &str, since: Instant) -> Vec<Instant> {
         let all = self.arrivals.lock().unwrap();
         all.get(name).into_iter().flatten().copied().filter(|at| *at >= since).collect()
     }
 
-    /// The most requests that reached a replica within `span`, of those after `since`.
+    /// Returns the maximum number of requests that reached a replica within any window of `span` from `since` on.
     pub fn most_within(&self, name: &str, since: Instant, span: Duration) -> usize {
         let all = self.since(name, since);
         let within = |(n, from): (usize, &Instant)| {
@@ -47,7 +47,7 @@
     }
 }
 
-/// Listens, and serves each connection in a thread of its own.
+/// Listens on a free port, serves each connection in its own thread and returns the address.
 pub fn listen(serve: impl Fn(TcpStream) + Clone + Send + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -60,7 +60,7 @@
     address
 }
 
-/// Tells control processes in turn that a replica is ready, until it is over.
+/// Sends heartbeats for a replica to the control processes in turn until `over` is set.
 pub fn beat(
     service: &'static str,
     name: String,
@@ -76,18 +76,18 @@
             let beat = json!({ "service": service, "address": address.to_string(),
                 "data_centre": "tamar-a", "slots": 16, "sequence": sequence });
             let to = controls[sequence % controls.len()];
-            // The next heartbeat goes to another control process.
+            // A failed heartbeat is not retried: the next one goes to another control process.
             let _ = exchange(to, "PUT", &format!("/v1/replicas/{name}"), "", &beat.to_string());
-            sleep(BEAT_EVERY);
+            sleep(HEARTBEAT_INTERVAL);
         }
     });
 }
 
-/// A replica that runs until it is told to stop.
+/// A replica that runs until `over` is set.
 #[derive(Clone)]
 pub struct LimitedReplica {
     pub name: String,
-    /// What it says of its limit; none: nothing.
+    /// Value of the `X-Rate-Limit` header; `None` omits the header.
     pub limit: Arc<Mutex<Option<String>>>,
     pub controls: Vec<SocketAddr>,
     pub seen: Arc<Seen>,
@@ -99,7 +99,7 @@
         LimitedReplica { name, limit: Arc::default(), controls, seen, over: Arc::default() }
     }
 
-    /// Names a limit from now on, or none any more.
+    /// Sets the announced limit; `None` stops announcing one.
     pub fn name_limit(&self, limit: Option<&str>) {
         *self.limit.lock().unwrap() = limit.map(str::to_owned);
     }
@@ -118,7 +118,7 @@
             let name = self.name.clone();
             self.seen.arrivals.lock().unwrap().entry(name).or_default().push(Instant::now());
             let limit = self.limit.lock().unwrap().clone();
-            sleep(RUN);
+            sleep(SERVICE_TIME);
             let id = header(&text, "x-request-id");
             let mut head = format!("X-Request-Id: {id}\r\nContent-Length: 2");
             if let Some(limit) = limit {
--- a/crates/cypressfork/tests/support/mod.rs
+++ b/crates/cypressfork/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small fleet of real processes on loopback, for tests.
+//! Starts a small fleet of real processes on loopback for tests.
 
 #![allow(dead_code, missing_docs, unused_imports)]
 
@@ -27,11 +27,12 @@
 /// The bearer key of the one client account.
 pub const KEY: &str = "cf-test-key";
 
-/// Waiting for an event ends here; a test that comes this far has failed.
+/// Maximum time that a test waits for an event before it fails.
 const PATIENCE: Duration = Duration::from_secs(30);
 
-const CENTRES: [&str; 3] = ["tamar-a", "tamar-b", "esk-c"];
+const DATA_CENTRES: [&str; 3] = ["tamar-a", "tamar-b", "esk-c"];
 
+/// Returns the path of the program `name`; any other name means the command line.
 pub fn program(name: &str) -> &'static str {
     match name {
         "control" => env!("CARGO_BIN_EXE_cypressfork-control"),
@@ -42,7 +43,7 @@
     }
 }
 
-/// A process that ends with this value.
+/// A child process that is killed when this value is dropped.
 pub struct Process {
     pub name: String,
     child: Child,
@@ -62,22 +63,23 @@
         self.child.id()
     }
 
-    /// kill -9.
+    /// Kills the process with `SIGKILL`.
     pub fn kill(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
     }
 
+    /// Sends the signal `name`, such as `TERM`.
     pub fn signal(&self, name: &str) {
         let done =
             Command::new("kill").args([&format!("-{name}"), &self.id().to_string()]).status();
         assert!(done.unwrap().success());
     }
 
-    /// Waits for the process's end; returns its exit code.
+    /// Waits for the process to exit and returns its exit code.
     pub fn wait(&mut self) -> Option<i32> {
         let mut code = None;
-        until("the process's end", || match self.child.try_wait().unwrap() {
+        until("the process to exit", || match self.child.try_wait().unwrap() {
             Some(status) => {
                 code = status.code();
                 true
@@ -106,40 +108,40 @@
     }
 }
 
-/// Asks again until `done` holds.
+/// Polls `done` until it returns true. Panics after [`PATIENCE`].
 pub fn until(what: &str, mut done: impl FnMut() -> bool) {
     let end = Instant::now() + PATIENCE;
     while !done() {
-        assert!(Instant::now() < end, "gave up waiting for {what}");
+        assert!(Instant::now() < end, "timed out waiting for {what}");
         sleep(Duration::from_millis(10));
     }
 }
 
-/// Ports below are left to services of the machine.
-const LEAST_PORT: u16 = 10_000;
+/// Lowest port used by tests; lower ones are left to services of the host.
+const MIN_PORT: u16 = 10_000;
 
-/// A loopback address that no other fleet uses at the same time: a port that is free on it stays
-/// free until this fleet takes it.
+/// Returns a loopback IP that no other fleet uses at the same time, so that a port found free on it
+/// stays free until this fleet binds it.
 pub fn own_ip() -> String {
     static COUNT: AtomicU32 = AtomicU32::new(0);
     let (pid, n) = (std::process::id(), COUNT.fetch_add(1, Ordering::Relaxed));
     format!("127.{}.{}.{}", 1 + pid / 250 % 250, 1 + pid % 250, 1 + n % 250)
 }
 
-/// Addresses on `ip` that the system has free. Their ports lie below those that it draws for
-/// outgoing connections: one of those could take a port that this fleet has yet to use.
+/// Returns `n` free addresses on `ip`. Their ports are below the ephemeral range, so that an
+/// outgoing connection cannot take a port before the fleet binds it.
 pub fn free_addresses(ip: &str, n: usize) -> Vec<String> {
     let range = fs::read_to_string("/proc/sys/net/ipv4/ip_local_port_range").unwrap();
-    let first_drawn: u16 = range.split_whitespace().next().unwrap().parse().unwrap();
-    let ports = (LEAST_PORT..first_drawn).filter(|p| TcpListener::bind((ip, *p)).is_ok());
-    static TAKEN: AtomicU32 = AtomicU32::new(0);
-    let from = TAKEN.fetch_add(n as u32, Ordering::Relaxed) as usize;
+    let first_ephemeral: u16 = range.split_whitespace().next().unwrap().parse().unwrap();
+    let ports = (MIN_PORT..first_ephemeral).filter(|p| TcpListener::bind((ip, *p)).is_ok());
+    static ALLOCATED: AtomicU32 = AtomicU32::new(0);
+    let from = ALLOCATED.fetch_add(n as u32, Ordering::Relaxed) as usize;
     let found: Vec<_> = ports.skip(from).take(n).map(|p| format!("{ip}:{p}")).collect();
-    assert_eq!(found.len(), n, "too few ports are free");
+    assert_eq!(found.len(), n, "too few free ports");
     found
 }
 
-/// What a fleet consists of.
+/// The processes and settings of a fleet.
 #[derive(Clone)]
 pub struct Plan {
     pub controls: usize,
@@ -148,16 +150,17 @@
     pub engines: Vec<Vec<&'static str>>,
     /// Arguments of each replica of the plain service.
     pub boards: Vec<Vec<&'static str>>,
+    /// Tokens of the budget.
     pub tokens: u64,
-    /// Requests of the client account that a router runs at once.
+    /// Concurrent requests of the client account per router.
     pub concurrency: u32,
-    /// More lines of each control process's settings.
+    /// Additional lines of each control process's settings.
     pub control_extra: &'static str,
-    /// More lines of each router's settings; `DIR` stands for the fleet's folder.
+    /// Additional lines of each router's settings; `DIR` is replaced by the fleet's folder.
     pub router_extra: String,
-    /// More lines of the engines' service in the template.
+    /// Additional lines of the engines' service in the template.
     pub engine_extra: &'static str,
-    /// More lines of the budget's template.
+    /// Additional lines of the budget in the template.
     pub budget_extra: &'static str,
 }
 
@@ -190,12 +193,13 @@
     pub boards: Vec<(Process, String)>,
 }
 
-fn fake(dir: &Path, name: &str, kind: &str, args: &[&str]) -> (Process, String) {
+/// Starts a fake upstream and returns it with its address.
+fn start_fake(dir: &Path, name: &str, kind: &str, args: &[&str]) -> (Process, String) {
     let mut all = vec![kind];
     all.extend(args);
     let p = Process::start(dir, name, program("fakes"), &all);
     let mut address = String::new();
-    until("a stand-in's address", || {
+    until("the address of a fake", || {
         let log = p.log();
         let found = log.lines().find_map(|l| l.strip_prefix("listening "));
         address = found.unwrap_or_default().to_owned();
@@ -205,7 +209,7 @@
 }
 
 impl Fleet {
-    /// Starts everything and applies the configuration.
+    /// Starts all processes, applies the configuration and waits until the routers have it.
     pub fn start(plan: Plan) -> Fleet {
         let f = Fleet::start_bare(plan);
         f.apply_example();
@@ -215,7 +219,7 @@
         f
     }
 
-    /// Starts everything, without a configuration.
+    /// Starts all processes without applying a configuration.
     pub fn start_bare(plan: Plan) -> Fleet {
         let dir = tempfile::tempdir().unwrap();
         let key = dir.path().join("cluster.key");
@@ -254,11 +258,11 @@
 
     fn start_fakes(&mut self) {
         for (n, args) in self.plan.engines.clone().iter().enumerate() {
-            let e = fake(self.dir.path(), &format!("engine-{n}"), "engine", args);
+            let e = start_fake(self.dir.path(), &format!("engine-{n}"), "engine", args);
             self.engines.push(e);
         }
         for (n, args) in self.plan.boards.clone().iter().enumerate() {
-            let b = fake(self.dir.path(), &format!("board-{n}"), "plain", args);
+            let b = start_fake(self.dir.path(), &format!("board-{n}"), "plain", args);
             self.boards.push(b);
         }
     }
@@ -271,7 +275,7 @@
         let control = serde_json::to_string(&self.control_addresses).unwrap();
         format!(
             "common:\n  cluster: test\n  region: tas-north\n  data_centre: {}\n  vm: {vm}\n  key_file: {}\n  control: {control}\n  log_level: debug\n",
-            CENTRES[n % 3],
+            DATA_CENTRES[n % 3],
             self.path("cluster.key").display(),
         )
     }
@@ -327,7 +331,7 @@
         assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
     }
 
-    /// Runs the operator's command line.
+    /// Runs the operator's command line and returns its output.
     pub fn cli(&self, words: &[&str]) -> Output {
         let settings = self.path("cypressfork.yaml");
         Command::new(program("cypressfork"))
@@ -337,7 +341,7 @@
             .unwrap()
     }
 
-    /// Runs a subcommand that must succeed; returns its JSON.
+    /// Runs a subcommand, asserts that it succeeds and returns its JSON output.
     pub fn json(&self, words: &[&str]) -> Value {
         let mut all = words.to_vec();
         all.push("--json");
@@ -347,16 +351,16 @@
         serde_json::from_slice(&out.stdout).unwrap()
     }
 
-    /// The documents of the example: one client account, a budget, two services.
+    /// Returns the example configuration: one client account, one budget and two services.
     pub fn example(&self) -> String {
         let list = |all: &[(Process, String)], name: &str| {
-            let one = |(n, (_, a)): (usize, &(Process, String))| {
+            let upstream = |(n, (_, a)): (usize, &(Process, String))| {
                 format!(
                     "{{ vm: {{ name: {name}-{n}, data_centre: {} }}, address: \"{a}\" }}",
-                    CENTRES[n % 3]
+                    DATA_CENTRES[n % 3]
                 )
             };
-            all.iter().enumerate().map(one).collect::<Vec<_>>().join(", ")
+            all.iter().enumerate().map(upstream).collect::<Vec<_>>().join(", ")
         };
         format!(
             r#"
@@ -406,6 +410,7 @@
         )
     }
 
+    /// Writes `text` to the file `name` and applies it with the command line.
     pub fn apply(&self, name: &str, text: &str) -> Output {
         let path = self.path(name);
         fs::write(&path, text).unwrap();
@@ -417,24 +422,25 @@
         assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
     }
 
-    /// Waits until router `n` has at least this version in force.
+    /// Waits until router `n` is ready with at least this configuration version.
     pub fn until_ready(&self, n: usize, version: u64) {
         let url = format!("http://{}/readyz", self.ops_addresses[n]);
-        until("a router with the configuration", || {
+        until("a router to load the configuration", || {
             get(&url).is_some_and(|v| {
                 v["ready"] == true && v["configuration"].as_u64().unwrap_or(0) >= version
             })
         });
     }
 
+    /// Returns the state of the example's budget.
     pub fn budget(&self) -> Value {
         self.json(&["budgets", "club-talk"])[0].clone()
     }
 
-    /// Waits until the budget shows this spend and nothing more is to come.
+    /// Waits until the budget shows exactly `tokens` as spent.
     pub fn until_spent(&self, tokens: u64) {
         let mut last = Value::Null;
-        until("the spend", || {
+        until("the expected spend", || {
             last = self.budget();
             last["spent"] == tokens
         });
@@ -449,18 +455,18 @@
         get(&format!("http://{}/stats", self.boards[n].1)).unwrap()["runs"].clone()
     }
 
-    /// A model request to router `n`.
+    /// Returns a model request to router `n`.
     pub fn chat(&self, n: usize) -> Request {
         Request::new(&self.router_addresses[n], "/v1/chat/completions")
     }
 
-    /// A call of the plain service through router `n`.
+    /// Returns a request to the plain service through router `n`.
     pub fn call(&self, n: usize) -> Request {
         Request::new(&self.router_addresses[n], "/board-live/moves")
     }
 }
 
-/// The digest of [`KEY`], by the command line's own page: `sha256sum`.
+/// Returns the SHA-256 digest of [`KEY`] in hex, computed by `sha256sum` as the user documentation shows.
 pub fn digest() -> String {
     let mut child =
         Command::new("sha256sum").stdin(Stdio::piped()).stdout(Stdio::piped()).spawn().unwrap();
@@ -470,7 +476,7 @@
     String::from_utf8(out.stdout).unwrap()[..64].to_owned()
 }
 
-/// A model request's body.
+/// Returns the body of a model request.
 pub fn ask(stream: bool, max_tokens: u64) -> String {
     format!(
         r#"{{"model":"go-7b","stream":{stream},"max_tokens":{max_tokens},"messages":[{{"role":"user","content":"annotate this game"}}]}}"#
--- a/crates/cypressfork/tests/support/resting.rs
+++ b/crates/cypressfork/tests/support/resting.rs
@@ -1,4 +1,5 @@
-//! Replicas that turn requests away and ask for rest, and replicas that say in their answers that they leave.
+//! Replicas that refuse requests with `Retry-After` to request a backoff, and replicas that announce in their responses that
+//! they are leaving.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -13,59 +14,59 @@
 use super::limited::{beat, listen};
 use super::until;
 
-/// From so long after a rest was asked for it counts, by the users' pages.
-const COUNTS_AFTER: Duration = Duration::from_millis(500);
+/// Time after a refusal from which the backoff must be observed, as the user documentation states.
+const EFFECTIVE_AFTER: Duration = Duration::from_millis(500);
 
-/// How a replica turns requests away.
+/// How a replica refuses requests.
 #[derive(Clone, Debug)]
 pub struct Refusing {
-    /// The `Retry-After` headers of its 503.
+    /// Values of the `Retry-After` headers of its 503 response.
     pub after: Vec<String>,
-    /// It says besides that it has not run the request.
+    /// Whether the response also has the `X-Not-Run` header.
     pub not_run: bool,
 }
 
 impl Refusing {
-    /// With the word that the request was not run.
+    /// Refuses with this `Retry-After` value and the `X-Not-Run` header.
     pub fn after(text: &str) -> Refusing {
         Refusing { after: vec![text.to_owned()], not_run: true }
     }
 }
 
-/// One request at a replica.
+/// A request that reached a replica.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     pub at: Instant,
     pub gateway: usize,
-    /// When it was turned away, if it was.
+    /// When it was refused, if it was.
     pub refused: Option<Instant>,
 }
 
-/// What a replica has seen, and what it says.
+/// The requests that a replica received, and its behaviour.
 pub struct Shared {
     pub arrivals: Mutex<Vec<Arrival>>,
-    /// All requests are turned away.
+    /// If set, all requests are refused like this.
     pub refusing: Mutex<Option<Refusing>>,
-    /// Beyond so many at a time they are turned away.
+    /// Maximum number of concurrent requests.
     pub places: AtomicUsize,
-    /// So it turns away those.
+    /// How requests above that maximum are refused.
     pub beyond: Refusing,
     running: AtomicUsize,
-    /// How long a request runs.
+    /// Service time of a request.
     pub work: Duration,
-    /// It says in each answer that it leaves.
+    /// Whether responses announce that the replica is leaving.
     pub leaving: AtomicBool,
-    /// It closes each connection after an answer without saying so.
+    /// Whether it closes each connection after a response without a `Connection: close` header.
     pub closes: AtomicBool,
 }
 
-/// A replica that runs until it is told to stop.
+/// A replica that runs until `over` is set.
 #[derive(Clone)]
 pub struct RestingReplica {
     pub name: String,
     pub shared: Arc<Shared>,
     pub over: Arc<AtomicBool>,
-    /// How many gateways there are: requests are sent to them in turn, by their numbers.
+    /// Number of gateways; callers send requests to them in turn, by request number.
     gateways: usize,
 }
 
@@ -95,7 +96,7 @@
         replica
     }
 
-    /// Turns away all requests from now on, or none any more.
+    /// Starts to refuse all requests, or stops with `None`.
     pub fn refuse(&self, how: Option<Refusing>) {
         *self.shared.refusing.lock().unwrap() = how;
     }
@@ -144,19 +145,20 @@
         }
     }
 
-    /// The most requests of one gateway in a rest of `span`, from when it counts.
+    /// Returns the maximum number of requests from one gateway during a backoff of `span`, without the first
+    /// [`EFFECTIVE_AFTER`].
     pub fn most_in_a_rest(&self, span: Duration) -> usize {
         let all = self.shared.arrivals.lock().unwrap();
         let in_rest = |gateway: usize, from: Instant| {
             let counts = |a: &&Arrival| {
-                a.gateway == gateway && a.at > from + COUNTS_AFTER && a.at < from + span
+                a.gateway == gateway && a.at > from + EFFECTIVE_AFTER && a.at < from + span
             };
             all.iter().filter(counts).count()
         };
         all.iter().filter_map(|a| Some(in_rest(a.gateway, a.refused?))).max().unwrap_or(0)
     }
 
-    /// Requests that came after `since`, by gateway.
+    /// Returns the number of requests that arrived after `since`, by gateway.
     pub fn since(&self, since: Instant) -> BTreeMap<usize, usize> {
         let mut by_gateway = BTreeMap::new();
         for a in self.shared.arrivals.lock().unwrap().iter().filter(|a| a.at > since) {
@@ -165,25 +167,25 @@
         by_gateway
     }
 
-    /// Requests that came, and those that were turned away.
+    /// Returns the number of requests that arrived and the number of those that were refused.
     pub fn counts(&self) -> (usize, usize) {
         let all = self.shared.arrivals.lock().unwrap();
         (all.len(), all.iter().filter(|a| a.refused.is_some()).count())
     }
 }
 
-/// The gateway that a caller sent a request to, from the number at the end of its id.
+/// Returns the gateway that a caller sent a request to, from the number at the end of the request id.
 fn gateway_of(id: &str, gateways: usize) -> usize {
     let number = id.rsplit('-').next().and_then(|n| n.parse::<usize>().ok());
     number.unwrap_or(0) % gateways
 }
 
-/// Replicas of the service.
+/// Number of replicas of the service.
 pub const REPLICAS: usize = 6;
 
 /// Control processes, gateways, replicas and callers.
 pub struct World {
-    // Callers and replicas end before the processes do.
+    // Callers and replicas stop before the processes.
     pub callers: Callers,
     pub replicas: Vec<RestingReplica>,
     pub neighbours: Vec<Neighbour>,
@@ -198,14 +200,14 @@
 }
 
 impl World {
-    /// A fleet of so many gateways that serves, without callers.
+    /// Starts a fleet of this many gateways and waits until each serves a request. Starts no callers.
     pub fn new(gateways: usize, work: Duration) -> World {
         let mut fleet = Fleet::new(3);
         (0..3).for_each(|n| fleet.start_control(n, true));
         fleet.start_gateway();
         let neighbours = fleet.start_neighbours(gateways - 1);
         let first = two_routes(3).to_string();
-        until("a document", || {
+        until("the document to be accepted", || {
             matches!(fleet.call(0, "PUT", "/v1/document", &first), Some((200, _)))
         });
         let fronts: Vec<_> = neighbours.iter().map(|g| g.front).chain([fleet.front]).collect();
@@ -213,7 +215,7 @@
         let replica = |n| RestingReplica::start(format!("b-{n}"), controls.clone(), gateways, work);
         let replicas: Vec<_> = (0..REPLICAS).map(replica).collect();
         for front in &fronts {
-            until("an answer", || {
+            until("a response", || {
                 exchange(*front, "GET", "/board/x", CALLER, "").is_some_and(|a| a.0 == 200)
             });
         }
@@ -221,7 +223,7 @@
         World { callers, replicas, neighbours, fleet }
     }
 
-    /// Requests of both routes, so many a second.
+    /// Starts to send requests to both routes at this rate per second.
     pub fn send(&self, a_second: u32) {
         self.callers.send("sound", Duration::from_secs(1) / a_second, |n| match n % 5 {
             0 => ("POST", "/moves/x".to_owned(), format!("move {n}")),
--- a/crates/cypressfork/tests/support/slow_link.rs
+++ b/crates/cypressfork/tests/support/slow_link.rs
@@ -1,4 +1,4 @@
-//! A link of small bandwidth: loopback proxies that share it towards one process.
+//! Simulates a link of low bandwidth with loopback proxies that share it.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -6,10 +6,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Bytes that are passed on at a time.
-const PIECE: usize = 4 * 1024;
+/// Maximum number of bytes forwarded at a time.
+const CHUNK_BYTES: usize = 4 * 1024;
 
-/// The bandwidth towards a process, shared by all its connections.
+/// A bandwidth limit shared by all connections through the proxies of this link.
 #[derive(Clone)]
 pub struct SlowLink {
     bytes_per_s: f64,
@@ -21,24 +21,24 @@
         SlowLink { bytes_per_s, free_at: Arc::new(Mutex::new(Instant::now())) }
     }
 
-    /// Listens for connections to `to` and slows down what comes back on them.
+    /// Starts a proxy to `to` that throttles the responses, and returns its address.
     pub fn proxy(&self, to: SocketAddr) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let link = self.clone();
         thread::spawn(move || {
-            for near in listener.incoming().flatten() {
-                let Ok(far) = TcpStream::connect(to) else { continue };
-                let (near2, far2) = (near.try_clone().unwrap(), far.try_clone().unwrap());
-                thread::spawn(move || copy(near2, far2, |_| {}));
+            for client in listener.incoming().flatten() {
+                let Ok(server) = TcpStream::connect(to) else { continue };
+                let (client2, server2) = (client.try_clone().unwrap(), server.try_clone().unwrap());
+                thread::spawn(move || copy(client2, server2, |_| {}));
                 let link = link.clone();
-                thread::spawn(move || copy(far, near, |n| link.carry(n)));
+                thread::spawn(move || copy(server, client, |n| link.carry(n)));
             }
         });
         address
     }
 
-    /// Waits until `n` more bytes have gone over the link.
+    /// Waits until the link has transmitted `n` more bytes.
     fn carry(&self, n: usize) {
         let due = {
             let mut free_at = self.free_at.lock().unwrap();
@@ -50,8 +50,9 @@
     }
 }
 
+/// Copies bytes until either side closes, and calls `before` with the size of each chunk.
 fn copy(mut from: TcpStream, mut to: TcpStream, before: impl Fn(usize)) {
-    let mut buf = [0; PIECE];
+    let mut buf = [0; CHUNK_BYTES];
     while let Ok(n @ 1..) = from.read(&mut buf) {
         before(n);
         if to.write_all(&buf[..n]).is_err() {
--- a/crates/cypressfork/tests/support/versions.rs
+++ b/crates/cypressfork/tests/support/versions.rs
@@ -1,4 +1,4 @@
-//! Replicas of several versions of one service, some of which fail a part of their requests.
+//! Replicas of several versions of one service; a version can fail some of its requests.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,50 +12,50 @@
 use super::crashing::{header, request};
 use super::gateways::exchange;
 
-/// How often a replica tells of itself.
-const BEAT_EVERY: Duration = Duration::from_millis(300);
+/// Interval between heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
 
-/// How long a request runs, unless its path says more.
-const RUN: Duration = Duration::from_millis(10);
+/// Service time of a request without [`LONG`] in its path.
+const SERVICE_TIME: Duration = Duration::from_millis(10);
 
-/// What a path holds whose requests run long.
+/// Marker in the path of requests with a long service time.
 pub const LONG: &str = "long";
-const LONG_RUN: Duration = Duration::from_millis(1_200);
+const LONG_SERVICE_TIME: Duration = Duration::from_millis(1_200);
 
-/// What the replicas have seen.
+/// Requests recorded by the replicas.
 #[derive(Default)]
 pub struct Seen {
-    /// Requests that reached them: the version, when, and whether it failed.
+    /// Requests that arrived: the version, the time, and whether the request failed.
     pub arrivals: Mutex<Vec<(String, Instant, bool)>>,
-    /// Requests that run now.
+    /// Requests in progress: the version and the number of the request.
     pub running: Mutex<Vec<(String, u64)>>,
 }
 
 impl Seen {
-    /// How many requests have reached a version since `since`.
+    /// Returns the number of requests that reached a version from `since` on.
     pub fn of(&self, version: &str, since: Instant) -> usize {
         let all = self.arrivals.lock().unwrap();
         all.iter().filter(|(v, at, _)| v == version && *at >= since).count()
     }
 
-    /// When the `n`th bad answer of a version was begun.
+    /// Returns when the request of the `n`th failure of a version arrived.
     pub fn bad(&self, version: &str, n: usize) -> Option<Instant> {
         let all = self.arrivals.lock().unwrap();
         let mut bad = all.iter().filter(|(v, _, bad)| v == version && *bad).map(|(_, at, _)| *at);
         bad.nth(n - 1)
     }
 
-    /// Requests that run at a version now.
+    /// Returns the number of requests in progress at a version.
     pub fn running(&self, version: &str) -> usize {
         self.running.lock().unwrap().iter().filter(|(v, _)| v == version).count()
     }
 }
 
-/// A replica that runs until its test process ends, or it is told to stop.
+/// A replica that runs until `stop` is set or the test process exits.
 pub struct VersionedReplica {
     pub name: String,
     pub version: String,
-    /// One request in so many fails; 0: none.
+    /// Every n-th request fails; 0 means none.
     pub fails_each: u64,
     pub controls: Vec<SocketAddr>,
     pub seen: Arc<Seen>,
@@ -67,8 +67,8 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let replica = Arc::new(self);
-        let beats = replica.clone();
-        thread::spawn(move || beats.beat_forever(address));
+        let sender = replica.clone();
+        thread::spawn(move || sender.send_heartbeats(address));
         thread::spawn(move || {
             let count = Arc::new(AtomicU64::new(0));
             for s in listener.incoming().flatten() {
@@ -78,7 +78,7 @@
         });
     }
 
-    fn beat_forever(&self, address: SocketAddr) {
+    fn send_heartbeats(&self, address: SocketAddr) {
         for sequence in 1.. {
             if self.stop.load(Ordering::Relaxed) {
                 return;
@@ -87,9 +87,9 @@
                 "data_centre": "tamar-a", "slots": 16, "sequence": sequence });
             let path = format!("/v1/replicas/{}", self.name);
             let to = self.controls[sequence % self.controls.len()];
-            // The next heartbeat goes to another control process.
+            // A failed heartbeat is not retried: the next one goes to another control process.
             let _ = exchange(to, "PUT", &path, "", &beat.to_string());
-            sleep(BEAT_EVERY);
+            sleep(HEARTBEAT_INTERVAL);
         }
     }
 
@@ -101,10 +101,10 @@
             let n = count.fetch_add(1, Ordering::Relaxed);
             let bad = self.fails_each > 0 && n.is_multiple_of(self.fails_each);
             self.seen.arrivals.lock().unwrap().push((self.version.clone(), Instant::now(), bad));
-            let mark = (self.version.clone(), n);
-            self.seen.running.lock().unwrap().push(mark.clone());
-            sleep(if text.contains(LONG) { LONG_RUN } else { RUN });
-            self.seen.running.lock().unwrap().retain(|m| *m != mark);
+            let entry = (self.version.clone(), n);
+            self.seen.running.lock().unwrap().push(entry.clone());
+            sleep(if text.contains(LONG) { LONG_SERVICE_TIME } else { SERVICE_TIME });
+            self.seen.running.lock().unwrap().retain(|e| *e != entry);
             let id = header(&text, "x-request-id");
             let status = if bad { "500 Internal Server Error" } else { "200 OK" };
             let head = format!("X-Request-Id: {id}\r\nContent-Length: 2");
