--- a/crates/cypressfork/tests/limits.rs
+++ b/crates/cypressfork/tests/limits.rs
@@ -97,7 +97,8 @@
         Instant::now() + EFFECTIVE_AFTER
     }
 
-    /// Returns the maximum number of requests that any of the first `n` replicas received in a window after `since`.
+    /// Returns the maximum number of requests that any of the first `n` replicas received within [`WINDOW`]
+    /// after `since`.
     fn max_in_window(&self, n: usize, since: Instant) -> usize {
         let each = self.replicas[..n].iter();
         each.map(|r| self.seen.most_within(&r.name, since, WINDOW)).max().unwrap()
@@ -107,13 +108,13 @@
 impl World {
     /// Returns the number of gateways that have logged a limit of `replica`.
     fn gateways_with_limit(&self, replica: &str) -> usize {
-        let knows = |text: String| {
+        let logged_limit = |text: String| {
             text.lines()
                 .any(|l| l.contains(" CFE438 ") && l.contains(&format!(" replica={replica} ")))
         };
         let neighbours = self.neighbours.iter().map(|g| g.process.log());
         let first = log(self.fleet.dir.path(), "gateway-0");
-        neighbours.chain([first]).filter(|text| knows(text.clone())).count()
+        neighbours.chain([first]).filter(|text| logged_limit(text.clone())).count()
     }
 }
 
--- a/crates/cypressfork/tests/regions.rs
+++ b/crates/cypressfork/tests/regions.rs
@@ -1,4 +1,4 @@
-//! Two regions as one system, over real processes on loopback.
+//! Tests two regions that share one control group, with real processes on loopback.
 
 #![allow(missing_docs)]
 
@@ -10,29 +10,29 @@
 use support::gateways::*;
 use support::{own_ip, until};
 
-/// A data centre of each region.
-const PLACES: [(&str, &str); 2] = [("north", "n1"), ("south", "s1")];
+/// The regions, each with its data centre.
+const REGIONS: [(&str, &str); 2] = [("north", "n1"), ("south", "s1")];
 
-/// Code of a refusal of what no region may serve.
+/// Result code of a refusal because no permitted region can serve the request.
 const NO_REGION: &str = "CF1310";
 
 struct World {
     fleet: Fleet,
-    /// A gateway in each region.
+    /// Address of the gateway in each region.
     fronts: Vec<SocketAddr>,
     gateways: Vec<support::Process>,
 }
 
 impl World {
-    /// Three control processes, two of them in the north, and a gateway in each region.
+    /// Starts three control processes, two of them in the north, and a gateway in each region.
     fn new() -> World {
         let mut fleet = Fleet::new(3);
         for n in 0..3 {
-            start_control(&mut fleet, n, PLACES[n % 2]);
+            start_control(&mut fleet, n, REGIONS[n % 2]);
         }
         let free = free(&own_ip(), 6);
         let mut gateways = Vec::new();
-        for (n, place) in PLACES.into_iter().enumerate() {
+        for (n, place) in REGIONS.into_iter().enumerate() {
             let own = &free[3 * n..];
             let text = format!(
                 "{}listen: \"{}\"\nlink: \"{}\"\noperators: \"{}\"\nreport_ms: 50\n",
@@ -46,18 +46,19 @@
         World { fleet, fronts: vec![free[0], free[3]], gateways }
     }
 
+    /// Publishes a document whose route and account are bound to these regions; empty means any.
     fn publish(&self, version: u64, route: &[&str], account: &[&str]) {
         let mut d = document(version);
         d["routes"][0]["regions"] = json!(route);
         d["accounts"][0]["regions"] = json!(account);
         let text = d.to_string();
-        until("a document", || {
+        until("the document to be accepted", || {
             (0..3)
                 .any(|n| matches!(self.fleet.call(n, "PUT", "/v1/document", &text), Some((200, _))))
         });
     }
 
-    /// Says that a replica is there.
+    /// Sends a heartbeat for a replica.
     fn beat(&self, name: &str, replica: SocketAddr, data_centre: &str, sequence: u64) {
         let beat = json!({ "service": "board", "address": replica.to_string(),
             "data_centre": data_centre, "sequence": sequence });
@@ -66,6 +67,7 @@
         assert_eq!(answer.map(|a| a.0), Some(200));
     }
 
+    /// Sends a request to a gateway; returns the status and the result code, or 0 without a response.
     fn ask(&self, front: SocketAddr) -> (u16, String) {
         match exchange(front, "GET", "/board/x", CALLER, "") {
             Some((status, v)) => {
@@ -75,6 +77,7 @@
         }
     }
 
+    /// Waits until every gateway responds with this status and result code.
     fn until_all(&self, what: &str, status: u16, code: &str) {
         for front in &self.fronts {
             until(what, || self.ask(*front) == (status, code.to_owned()));
@@ -105,48 +108,50 @@
     fleet.controls[n].process = Some(process);
 }
 
+/// Guards against a document, heartbeat or gateway of one region that is missing in the other.
 #[test]
-fn two_regions_are_one_system() {
+fn two_regions_share_one_control_group() {
     let world = World::new();
     world.publish(3, &[], &[]);
     let north = replica();
     world.beat("b-1", north, "n1", 1);
-    world.until_all("an answer", 200, "");
-    // What one region is told is in force in the other.
+    world.until_all("a response", 200, "");
+    // A document that is published in one region is in force in the other.
     for n in 0..3 {
-        until("the document", || world.fleet.version(n) == Some(3));
+        until("the document in both regions", || world.fleet.version(n) == Some(3));
     }
-    let named = |dc: &str| {
+    let listed = |dc: &str| {
         let answer = world.fleet.call(0, "GET", &format!("/v1/entry?data_centre={dc}"), "");
         answer.and_then(|a| a.1["addresses"].as_array().map(Vec::len))
     };
-    until("both gateways", || named("n1") == Some(2) && named("s1") == Some(2));
+    until("both gateways to be listed", || listed("n1") == Some(2) && listed("s1") == Some(2));
 }
 
+/// Guards against a bound request that is served outside its regions.
 #[test]
-fn what_is_bound_to_a_region_is_served_there_alone() {
+fn a_request_bound_to_a_region_is_served_only_there() {
     let world = World::new();
     world.publish(3, &["south"], &[]);
     let north = replica();
     world.beat("b-1", north, "n1", 1);
     world.until_all("a refusal", 503, NO_REGION);
     world.beat("b-2", replica(), "s1", 1);
-    world.until_all("an answer", 200, "");
-    // An account is bound as well as its route.
+    world.until_all("a response", 200, "");
+    // The regions of the account and of the route both apply.
     world.publish(4, &["south"], &["north"]);
     world.until_all("a refusal", 503, NO_REGION);
     world.publish(5, &[], &["north"]);
-    world.until_all("an answer", 200, "");
+    world.until_all("a response", 200, "");
 }
 
-/// The region that keeps the majority goes on; the other one serves with what it has.
+/// Guards against a region that stops serving when the control group has lost its quorum.
 #[test]
-fn a_region_without_the_group_serves_on() {
+fn a_region_without_a_quorum_keeps_serving() {
     let mut world = World::new();
     world.publish(3, &[], &[]);
     world.beat("b-1", replica(), "n1", 1);
     world.beat("b-2", replica(), "s1", 1);
-    world.until_all("an answer", 200, "");
+    world.until_all("a response", 200, "");
     for n in [0, 2] {
         world.fleet.controls[n].process.as_mut().unwrap().kill();
     }
--- a/crates/cypressfork/tests/rests.rs
+++ b/crates/cypressfork/tests/rests.rs
@@ -1,5 +1,5 @@
-//! Replicas that turn a request away with 503 and `Retry-After`: they want nothing from that gateway for so
-//! long. Over real processes on loopback.
+//! Tests replicas that request a backoff with 503 and `Retry-After`, with real processes on loopback. The backoff
+//! applies to the gateway that received the response.
 
 #![allow(missing_docs)]
 
@@ -14,153 +14,179 @@
 use support::gateways::*;
 use support::resting::*;
 
-/// How long a request runs.
-const RUN: Duration = Duration::from_millis(10);
+/// Service time of a request.
+const SERVICE_TIME: Duration = Duration::from_millis(10);
 
-/// The rest that replicas ask for.
-const REST: Duration = Duration::from_secs(3);
+/// The backoff that replicas request.
+const BACKOFF: Duration = Duration::from_secs(3);
 
-/// Requests of one gateway that may reach a replica in a rest, by the users' pages.
+/// Maximum number of requests from one gateway that may reach a replica during a backoff, as the user documentation
+/// states.
 const ALLOWED: usize = 2;
 
-/// Code of a refusal for rests.
-const RESTING: &str = "CF1312";
+/// Result code of a refusal because all replicas have requested a backoff.
+const ALL_BACKING_OFF: &str = "CF1312";
 
-/// How soon a request that nobody takes is refused.
-const AT_ONCE: Duration = Duration::from_millis(50);
+/// Maximum time until a request is refused that no replica accepts.
+const REFUSED_WITHIN: Duration = Duration::from_millis(50);
 
-/// How long it is watched.
-const WATCHED: Duration = Duration::from_secs(7);
+/// How long a test observes the fleet.
+const OBSERVED: Duration = Duration::from_secs(7);
 
-/// The most requests of one gateway that any replica got in a rest.
-fn most_in_a_rest(world: &World) -> usize {
-    world.replicas.iter().map(|r| r.most_in_a_rest(REST)).max().unwrap()
+/// Returns the maximum number of requests from one gateway that any replica received during a backoff.
+fn max_in_backoff(world: &World) -> usize {
+    world.replicas.iter().map(|r| r.most_in_a_rest(BACKOFF)).max().unwrap()
 }
 
-/// Guards against a gateway that goes on sending to a replica that has asked it for rest.
+/// Guards against a gateway that keeps sending to a replica that has requested a backoff.
 #[test]
 fn a_replica_that_asks_for_rest_is_left_alone() {
-    let world = World::new(4, RUN);
+    let world = World::new(4, SERVICE_TIME);
     world.send(60);
     world.replicas[0].refuse(Some(Refusing::after("3")));
-    sleep(WATCHED);
-    let most = most_in_a_rest(&world);
-    assert!(most <= ALLOWED, "{most} requests of one gateway in a rest, {ALLOWED} are allowed");
+    sleep(OBSERVED);
+    let max = max_in_backoff(&world);
+    assert!(
+        max <= ALLOWED,
+        "{max} requests from one gateway during a backoff, {ALLOWED} are allowed"
+    );
 }
 
-/// Guards against the same where the 503 does not say that the request was not run.
+/// Guards against a backoff that is ignored because the 503 response has no `X-Not-Run` header.
 #[test]
-fn a_rest_counts_without_the_word_that_the_request_was_not_run() {
-    let world = World::new(4, RUN);
+fn a_backoff_applies_without_the_not_run_header() {
+    let world = World::new(4, SERVICE_TIME);
     world.send(60);
-    let silent = Refusing { not_run: false, ..Refusing::after("3") };
-    world.replicas[0].refuse(Some(silent));
-    sleep(WATCHED);
-    let most = most_in_a_rest(&world);
-    assert!(most <= ALLOWED, "{most} requests of one gateway in a rest, {ALLOWED} are allowed");
+    let refusing = Refusing { not_run: false, ..Refusing::after("3") };
+    world.replicas[0].refuse(Some(refusing));
+    sleep(OBSERVED);
+    let max = max_in_backoff(&world);
+    assert!(
+        max <= ALLOWED,
+        "{max} requests from one gateway during a backoff, {ALLOWED} are allowed"
+    );
 }
 
-/// Guards against refusals while others have room: half of the replicas turn all requests away, a gateway
-/// is killed meanwhile.
+/// Guards against refusals while other replicas have capacity. Some replicas refuse all requests, and a gateway is
+/// killed.
 #[test]
-fn others_with_room_get_the_work() {
-    let mut world = World::new(4, RUN);
+fn other_replicas_serve_requests_during_a_backoff() {
+    let mut world = World::new(4, SERVICE_TIME);
     world.send(60);
-    // Further tries are a part of the requests that came before.
-    sleep(WATCHED / 2);
+    // The retry budget is a share of earlier requests.
+    sleep(OBSERVED / 2);
     world.replicas[..2].iter().for_each(|r| r.refuse(Some(Refusing::after("3"))));
-    sleep(WATCHED / 2);
+    sleep(OBSERVED / 2);
     let before = world.callers.got();
     assert_eq!(before.served, before.sent, "{:?}", before.kinds());
     world.neighbours[0].process.kill();
-    sleep(WATCHED / 2);
-    let most = most_in_a_rest(&world);
-    assert!(most <= ALLOWED, "{most} requests of one gateway in a rest, {ALLOWED} are allowed");
+    sleep(OBSERVED / 2);
+    let max = max_in_backoff(&world);
+    assert!(
+        max <= ALLOWED,
+        "{max} requests from one gateway during a backoff, {ALLOWED} are allowed"
+    );
     let got = world.callers.got();
-    // Callers that come to the gateway that is gone have no connection.
+    // Callers of the killed gateway get no connection.
     assert_eq!(got.kinds(), HashSet::from([""]), "{got:?}");
 }
 
-/// Guards against callers that wait, or come back too soon, where all replicas ask for rest.
+/// Guards against callers that wait, or get no usable retry time, when all replicas have requested a backoff.
 #[test]
-fn where_all_rest_callers_are_refused_at_once_and_told_when_to_come_back() {
-    let world = World::new(4, RUN);
+fn requests_are_refused_with_a_retry_time_when_all_replicas_back_off() {
+    let world = World::new(4, SERVICE_TIME);
     world.send(60);
-    sleep(WATCHED / 4);
+    sleep(OBSERVED / 4);
     world.replicas.iter().for_each(|r| r.refuse(Some(Refusing::after("3"))));
-    // Each gateway has heard of all of them.
-    sleep(WATCHED / 4);
-    let begun = Instant::now();
+    // Give each gateway time to receive a refusal from every replica.
+    sleep(OBSERVED / 4);
+    let started = Instant::now();
     let (status, answer) = exchange(world.fleet.front, "GET", "/board/x", CALLER, "").unwrap();
-    let took = begun.elapsed();
-    assert_eq!((status, answer["error"]["code"].as_str()), (503, Some(RESTING)), "{answer}");
+    let took = started.elapsed();
+    assert_eq!(
+        (status, answer["error"]["code"].as_str()),
+        (503, Some(ALL_BACKING_OFF)),
+        "{answer}"
+    );
     let after = answer["error"]["retry_after_ms"].as_u64().unwrap();
     assert!((1..=6_000).contains(&after), "{after} ms");
-    assert!(took < AT_ONCE, "{took:?}");
+    assert!(took < REFUSED_WITHIN, "{took:?}");
     world.replicas.iter().for_each(|r| r.refuse(None));
-    sleep(WATCHED);
-    let most = most_in_a_rest(&world);
-    assert!(most <= ALLOWED, "{most} requests of one gateway in a rest, {ALLOWED} are allowed");
+    sleep(OBSERVED);
+    let max = max_in_backoff(&world);
+    assert!(
+        max <= ALLOWED,
+        "{max} requests from one gateway during a backoff, {ALLOWED} are allowed"
+    );
     let front = world.fleet.front;
     let served = || exchange(front, "GET", "/board/x", CALLER, "").is_some_and(|a| a.0 == 200);
-    assert!(served(), "it serves again once the rests are over");
+    assert!(served(), "requests are served again after the backoffs");
 }
 
-/// Guards against broken rests where replicas are full indeed, and turn away only what is beyond.
+/// Guards against requests during a backoff when replicas are full and refuse only the excess.
 #[test]
-fn replicas_that_are_full_are_left_alone_for_as_long_as_they_ask() {
+fn full_replicas_receive_no_requests_during_their_backoff() {
     let world = World::new(4, Duration::from_millis(400));
     world.replicas.iter().for_each(|r| r.shared.places.store(3, Ordering::Relaxed));
     world.send(46);
-    sleep(WATCHED);
-    let most = most_in_a_rest(&world);
-    assert!(most <= ALLOWED, "{most} requests of one gateway in a rest, {ALLOWED} are allowed");
-    let (came, away) = world
+    sleep(OBSERVED);
+    let max = max_in_backoff(&world);
+    assert!(
+        max <= ALLOWED,
+        "{max} requests from one gateway during a backoff, {ALLOWED} are allowed"
+    );
+    let (arrived, refused) = world
         .replicas
         .iter()
         .map(RestingReplica::counts)
-        .fold((0, 0), |(came, away), (c, a)| (came + c, away + a));
-    assert!(away > 0 && came > away, "{away} of {came} turned away");
+        .fold((0, 0), |(arrived, refused), (a, r)| (arrived + a, refused + r));
+    assert!(refused > 0 && arrived > refused, "{refused} of {arrived} refused");
 }
 
-/// Guards against the second send, on a new connection, to a replica that has asked for rest meanwhile.
+/// Guards against a resend on a new connection to a replica that has requested a backoff in the meantime.
 #[test]
-fn a_request_is_not_sent_again_in_a_rest() {
-    let world = World::new(4, RUN);
+fn a_request_is_not_resent_during_a_backoff() {
+    let world = World::new(4, SERVICE_TIME);
     world.replicas.iter().for_each(|r| r.shared.closes.store(true, Ordering::Relaxed));
     world.send(60);
-    sleep(WATCHED / 4);
+    sleep(OBSERVED / 4);
     world.replicas[0].refuse(Some(Refusing::after("3")));
-    sleep(WATCHED);
-    let most = most_in_a_rest(&world);
-    assert!(most <= ALLOWED, "{most} requests of one gateway in a rest, {ALLOWED} are allowed");
+    sleep(OBSERVED);
+    let max = max_in_backoff(&world);
+    assert!(
+        max <= ALLOWED,
+        "{max} requests from one gateway during a backoff, {ALLOWED} are allowed"
+    );
 }
 
-/// What cannot be read changes nothing, and is logged once for each replica and gateway.
+/// Guards against an invalid `Retry-After` that takes effect or floods the log.
 #[rstest]
 #[case::text("soon")]
 #[case::negative("-3")]
 #[case::exponent("1e999")]
-fn what_is_no_span_is_ignored(#[case] text: &str) {
-    let world = World::new(2, RUN);
+fn an_invalid_retry_after_is_ignored(#[case] text: &str) {
+    let world = World::new(2, SERVICE_TIME);
     world.replicas[0].refuse(Some(Refusing::after(text)));
     world.send(60);
-    sleep(WATCHED / 2);
-    let (came, _) = world.replicas[0].counts();
-    assert!(came > 10, "{came} requests");
+    sleep(OBSERVED / 2);
+    let (arrived, _) = world.replicas[0].counts();
+    assert!(arrived > 10, "{arrived} requests");
     let lines = log(world.fleet.dir.path(), "gateway-0");
     assert_eq!(lines.lines().filter(|l| l.contains(" CFE442 ")).count(), 1);
 }
 
-/// A date counts from the date of the answer, whatever the clocks of gateways show.
+/// Guards against a `Retry-After` date that is compared with the gateway's clock instead of the `Date` header.
 #[test]
-fn a_rest_until_a_date_is_kept() {
-    let world = World::new(2, RUN);
+fn a_backoff_until_a_date_is_observed() {
+    let world = World::new(2, SERVICE_TIME);
     world.send(60);
     let dates = "Sun, 06 Nov 1994 08:49:40 GMT\r\nDate: Sun, 06 Nov 1994 08:49:37 GMT";
     world.replicas[0].refuse(Some(Refusing::after(dates)));
-    sleep(WATCHED);
-    let most = most_in_a_rest(&world);
-    assert!(most <= ALLOWED, "{most} requests of one gateway in a rest, {ALLOWED} are allowed");
+    sleep(OBSERVED);
+    let max = max_in_backoff(&world);
+    assert!(
+        max <= ALLOWED,
+        "{max} requests from one gateway during a backoff, {ALLOWED} are allowed"
+    );
     assert!(world.replicas[0].counts().1 > 0);
 }
--- a/crates/cypressfork/tests/rollout.rs
+++ b/crates/cypressfork/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! Roll-outs over real processes on loopback: three control processes, three gateways, replicas of two
+//! Tests rollouts with real processes on loopback: three control processes, three gateways, and replicas of two
 //! versions.
 
 #![allow(missing_docs)]
@@ -16,27 +16,29 @@
 use support::until;
 use support::versions::*;
 
-/// Replicas of each version.
+/// Number of replicas of each version.
 const REPLICAS: usize = 4;
 
-/// Gateways besides the fleet's first one.
+/// Number of gateways in addition to the fleet's first one.
 const NEIGHBOURS: usize = 2;
 
-/// Some two hundred requests a second.
-const EVERY: Duration = Duration::from_millis(5);
+/// Interval between requests.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(5);
 
-/// How long a roll-out may take.
-const WITHIN: Duration = Duration::from_secs(8);
+/// Time limit of a rollout.
+const ROLLOUT_LIMIT: Duration = Duration::from_secs(8);
 
-/// Within this time of the last request's end at the old version, the leader knows and has said so: a
-/// gateway tells of it with its next standing question, a second later at most, and a commit follows.
-const KNOWN_WITHIN: Duration = Duration::from_secs(2);
+/// Maximum time from the end of the last request at the old version until the rollout is reported as completed: a
+/// gateway reports it with its next watch, at most one second later, and a commit follows.
+const REPORTED_WITHIN: Duration = Duration::from_secs(2);
 
-/// By the users' pages: the part of the requests that a bad version may get, and how many beyond that.
-const SHARE: f64 = 0.1;
+/// Maximum share of requests that a bad version may receive, plus [`SLACK`], as the user documentation states.
+const MAX_SHARE: f64 = 0.1;
+/// Requests that a bad version may receive beyond [`MAX_SHARE`].
 const SLACK: f64 = 50.0;
 
-/// By the same: nothing is sent to it later than so long after its 50th bad answer.
+/// Maximum time from the 50th failure of a version until no more requests are sent to it, as the user documentation
+/// states.
 const STOPPED_WITHIN: Duration = Duration::from_secs(5);
 
 struct World {
@@ -55,27 +57,27 @@
 }
 
 impl World {
-    /// A fleet that serves `v1`, with callers.
+    /// Starts a fleet with replicas of `v1` and callers, and waits until each gateway serves a request.
     fn new() -> World {
         let mut fleet = Fleet::new(3);
         (0..3).for_each(|n| fleet.start_control(n, true));
         fleet.start_gateway();
         let neighbours = fleet.start_neighbours(NEIGHBOURS);
         let first = two_routes(3).to_string();
-        until("a document", || {
+        until("the document to be accepted", || {
             matches!(fleet.call(0, "PUT", "/v1/document", &first), Some((200, _)))
         });
         let fronts: Vec<_> = neighbours.iter().map(|g| g.front).chain([fleet.front]).collect();
         let callers = Callers::new(Arc::new(Mutex::new(fronts.clone())));
         let (seen, stop_old) = (Arc::<Seen>::default(), Arc::<AtomicBool>::default());
         let world = World { fleet, _neighbours: neighbours, seen, callers, stop_old };
-        world.add("v1", 0, world.stop_old.clone());
+        world.add_replicas("v1", 0, world.stop_old.clone());
         for front in fronts {
-            until("an answer", || {
+            until("a response", || {
                 exchange(front, "GET", "/board/x", CALLER, "").is_some_and(|a| a.0 == 200)
             });
         }
-        world.callers.send("sound", EVERY, |n| match n % 5 {
+        world.callers.send("sound", REQUEST_INTERVAL, |n| match n % 5 {
             0 => ("POST", "/moves/x".to_owned(), format!("move {n}")),
             1 if n % 50 == 1 => ("GET", format!("/board/{LONG}"), String::new()),
             _ => ("GET", format!("/board/{n}"), String::new()),
@@ -83,7 +85,8 @@
         world
     }
 
-    fn add(&self, version: &str, fails_each: u64, stop: Arc<AtomicBool>) {
+    /// Starts the replicas of a version.
+    fn add_replicas(&self, version: &str, fails_each: u64, stop: Arc<AtomicBool>) {
         for n in 0..REPLICAS {
             let replica = VersionedReplica {
                 name: format!("{version}-{n}"),
@@ -97,25 +100,28 @@
         }
     }
 
-    fn any(&self, method: &str, path: &str, body: &str) -> Option<(u16, Value)> {
+    /// Sends a request to the control processes in turn; returns the first response that is no server error.
+    fn call_any(&self, method: &str, path: &str, body: &str) -> Option<(u16, Value)> {
         let all = 0..self.fleet.controls.len();
         let mut answers = all.filter_map(|n| self.fleet.call(n, method, path, body));
         answers.find(|a| a.0 < 500)
     }
 
-    fn order(&self, version: &str) -> Instant {
-        let body = json!({ "version": version, "within_ms": WITHIN.as_millis() as u64 });
+    /// Orders a rollout; returns when the acknowledged request was sent.
+    fn order_rollout(&self, version: &str) -> Instant {
+        let body = json!({ "version": version, "within_ms": ROLLOUT_LIMIT.as_millis() as u64 });
         let mut at = Instant::now();
         until("an acknowledgement", || {
             at = Instant::now();
-            let answer = self.any("PUT", "/v1/rollouts/board", &body.to_string());
+            let answer = self.call_any("PUT", "/v1/rollouts/board", &body.to_string());
             answer.is_some_and(|a| a.0 == 200)
         });
         at
     }
 
+    /// Returns the stage of the rollout.
     fn stage(&self) -> Option<String> {
-        let (status, v) = self.any("GET", "/v1/rollouts/board", "")?;
+        let (status, v) = self.call_any("GET", "/v1/rollouts/board", "")?;
         (status == 200).then(|| v["stage"].as_str().unwrap().to_owned())
     }
 
@@ -123,7 +129,7 @@
         until(stage, || self.stage().as_deref() == Some(stage));
     }
 
-    /// Ends the control process that leads.
+    /// Kills the leader of the control group and restarts it.
     fn kill_leader(&mut self) {
         let leads = |c: &Control| sample(c.metrics, "cypressfork_group_leads") == Some(1.0);
         let mut leader = None;
@@ -137,20 +143,21 @@
     }
 }
 
+/// Guards against requests that fail or are cut off while a good version takes over.
 #[rstest]
 #[case::left_alone(false)]
 #[case::its_leader_is_killed(true)]
-fn a_good_version_takes_over_and_nothing_is_cut(#[case] kill: bool) {
+fn a_good_version_takes_over_without_failed_requests(#[case] kill: bool) {
     let mut world = World::new();
     let before = Instant::now();
-    world.add("v2", 0, Arc::default());
-    let ordered = world.order("v2");
+    world.add_replicas("v2", 0, Arc::default());
+    let ordered = world.order_rollout("v2");
     world.until_stage("Trial");
     if kill {
         world.kill_leader();
     }
-    until("a request on trial", || world.seen.of("v2", before) > 0);
-    // As on the users' platform: the old replicas stop as soon as it is said to be completed.
+    until("a request to the new version", || world.seen.of("v2", before) > 0);
+    // As a platform does, stop the old replicas as soon as the rollout is reported as completed.
     let mut last_at_old = Instant::now();
     until("Completed", || {
         if world.seen.running("v1") > 0 {
@@ -160,9 +167,12 @@
     });
     let at_old = world.seen.running("v1");
     world.stop_old.store(true, Ordering::Relaxed);
-    assert_eq!(at_old, 0, "requests ran at the old version as it was said to be completed");
-    let due = (ordered + WITHIN).max(last_at_old + KNOWN_WITHIN);
-    assert!(kill || Instant::now() < due, "nothing ran at the old version any more");
+    assert_eq!(
+        at_old, 0,
+        "requests were in progress at the old version when the rollout was completed"
+    );
+    let due = (ordered + ROLLOUT_LIMIT).max(last_at_old + REPORTED_WITHIN);
+    assert!(kill || Instant::now() < due, "the rollout was completed too late");
     let since = Instant::now();
     until("requests at the new version", || world.seen.of("v2", since) > 200);
     world.callers.over.store(true, Ordering::Relaxed);
@@ -170,48 +180,53 @@
     assert_eq!(got.kinds().len(), 0, "{:?}", got.kinds());
 }
 
+/// Guards against a bad version that is not rolled back, or receives too many requests.
 #[rstest]
 #[case::one_in_two_fails(2, false)]
 #[case::one_in_five_fails(5, false)]
 #[case::the_leader_is_killed(2, true)]
-fn a_bad_version_is_stopped_and_gets_nothing_more(#[case] fails_each: u64, #[case] kill: bool) {
+fn a_bad_version_is_rolled_back_and_gets_no_more_requests(
+    #[case] fails_each: u64,
+    #[case] kill: bool,
+) {
     let mut world = World::new();
-    world.add("v2", fails_each, Arc::default());
-    let ordered = world.order("v2");
+    world.add_replicas("v2", fails_each, Arc::default());
+    let ordered = world.order_rollout("v2");
     world.until_stage("Trial");
     if kill {
         world.kill_leader();
     }
     world.until_stage("RolledBack");
-    std::thread::sleep(WITHIN.saturating_sub(ordered.elapsed()));
+    std::thread::sleep(ROLLOUT_LIMIT.saturating_sub(ordered.elapsed()));
     let exposed = world.seen.of("v2", ordered) as f64;
     let all = exposed + world.seen.of("v1", ordered) as f64;
-    assert!(exposed <= all * SHARE + SLACK, "{exposed} of {all}");
+    assert!(exposed <= all * MAX_SHARE + SLACK, "{exposed} of {all}");
     if let Some(fiftieth) = world.seen.bad("v2", 50) {
         assert_eq!(world.seen.of("v2", fiftieth + STOPPED_WITHIN), 0);
     }
     let since = Instant::now();
     until("requests at the old version", || world.seen.of("v1", since) > 200);
-    assert_eq!(world.seen.of("v2", since), 0, "it is rolled back");
+    assert_eq!(world.seen.of("v2", since), 0, "requests after the rollback");
 }
 
-/// What was acknowledged outlasts a loss of all control processes, and is acknowledged again.
+/// Guards against an acknowledged order that is lost when all control processes are killed.
 #[test]
-fn an_order_outlasts_all_control_processes() {
+fn an_order_survives_a_restart_of_all_control_processes() {
     let mut world = World::new();
-    world.order("v2");
+    world.order_rollout("v2");
     world.fleet.controls.iter_mut().for_each(|c| c.process.as_mut().unwrap().kill());
     (0..3).for_each(|n| world.fleet.start_control(n, false));
     until("the order", || world.stage().is_some());
     assert_eq!(world.stage().as_deref(), Some("Waiting"));
-    world.order("v2");
+    world.order_rollout("v2");
     let other = json!({ "version": "v3", "within_ms": 1_000 }).to_string();
-    let refused = world.any("PUT", "/v1/rollouts/board", &other).unwrap();
+    let refused = world.call_any("PUT", "/v1/rollouts/board", &other).unwrap();
     assert_eq!((refused.0, refused.1["error"]["code"].as_str()), (409, Some("CF2017")));
-    assert_eq!(world.any("DELETE", "/v1/rollouts/board", "").map(|a| a.0), Some(200));
+    assert_eq!(world.call_any("DELETE", "/v1/rollouts/board", "").map(|a| a.0), Some(200));
     assert_eq!(world.stage().as_deref(), Some("RolledBack"));
 }
 
+/// Guards against invalid orders that are accepted.
 #[rstest]
 #[case::unknown_service(
     "PUT",
@@ -231,7 +246,7 @@
 #[case::no_json("PUT", "/v1/rollouts/board", "version", 400, "CF1103")]
 #[case::none_yet("GET", "/v1/rollouts/board", "", 404, "CF2018")]
 #[case::none_to_take_back("DELETE", "/v1/rollouts/board", "", 404, "CF2018")]
-fn bad_orders_are_refused(
+fn invalid_orders_are_refused(
     #[case] method: &str,
     #[case] path: &str,
     #[case] body: &str,
--- a/crates/cypressfork/tests/routing.rs
+++ b/crates/cypressfork/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Routing over real processes: leaving upstreams, overload, failing engines, metrics.
+//! Tests routing with real processes: leaving upstreams, overload, failing engines, metrics.
 
 mod support;
 
@@ -9,27 +9,28 @@
 
 use support::{Fleet, Plan, Process, ask, program, until};
 
+/// Returns the number of requests that engine `n` has started.
 fn started(f: &Fleet, n: usize) -> u64 {
     f.engine_stats(n)["started"].as_u64().unwrap()
 }
 
-/// The platform's list shows an engine's VM as leaving: within seconds it gets no new work, also
-/// when the list flaps, and the request that it is running is not cut off.
+/// Guards against new requests to an engine whose VM was listed as leaving, even if the list changes back, and
+/// against cutting off its requests in progress.
 #[test]
 fn a_leaving_engine_gets_no_new_work() {
     let dir = tempfile::tempdir().unwrap();
     let list = dir.path().join("vms.json");
-    let write = |state: &str| {
+    let write_list = |state: &str| {
         let text = format!(
             r#"{{"vms":[{{"name":"engine-0","state":"{state}"}},{{"name":"engine-1","state":"live"}}]}}"#
         );
         fs::write(&list, text).unwrap();
     };
-    write("live");
+    write_list("live");
     let vms = ["vms", "--file", list.to_str().unwrap()];
     let platform = Process::start(dir.path(), "platform", program("fakes"), &vms);
     let mut address = String::new();
-    until("the platform", || {
+    until("the address of the platform", || {
         let log = platform.log();
         address = log.lines().find_map(|l| l.strip_prefix("listening ")).unwrap_or("").to_owned();
         !address.is_empty()
@@ -42,23 +43,25 @@
     });
     thread::scope(|s| {
         let long: Vec<_> = (0..8).map(|_| s.spawn(|| f.chat(0).send(&ask(false, 24)))).collect();
-        until("work on the leaving engine", || started(&f, 0) > 0);
-        write("leaving");
-        until("the router's word", || f.routers[0].log().contains("CFE417"));
-        write("live");
+        until("a request at the leaving engine", || started(&f, 0) > 0);
+        write_list("leaving");
+        until("the router to log that the engine is leaving", || {
+            f.routers[0].log().contains("CFE417")
+        });
+        write_list("live");
         let before = started(&f, 0);
         for _ in 0..40 {
             assert_eq!(f.chat(0).send(&ask(false, 4)).status, 200);
         }
-        assert_eq!(started(&f, 0), before, "no new work");
+        assert_eq!(started(&f, 0), before, "requests to the leaving engine");
         for l in long {
-            assert_eq!(l.join().unwrap().status, 200, "what it ran was not cut off");
+            assert_eq!(l.join().unwrap().status, 200, "a request in progress was cut off");
         }
     });
 }
 
-/// One slow engine with one place and a queue of two: what is worth least is refused at once, with
-/// when to come back, and what is urgent is served.
+/// Guards against bulk requests that wait or displace live ones under overload: one slow engine has one slot and a
+/// queue of two.
 #[test]
 fn overload_refuses_what_is_worth_least_at_once() {
     let f = Fleet::start(Plan {
@@ -70,13 +73,13 @@
     let refused = AtomicU64::new(0);
     thread::scope(|s| {
         let bulk = || {
-            let begin = Instant::now();
+            let started_at = Instant::now();
             let a = f.chat(0).header("x-priority", "bulk").send(&ask(false, 24));
             if a.status != 200 {
                 assert_eq!((a.status, a.code().as_str()), (503, "CF1301"), "{}", a.body);
                 assert_eq!(a.json()["error"]["ran"], "no");
                 assert!(a.header("retry-after").is_some());
-                assert!(begin.elapsed().as_secs() < 2, "it was held back");
+                assert!(started_at.elapsed().as_secs() < 2, "the refusal was delayed");
                 refused.fetch_add(1, Ordering::Relaxed);
             }
         };
@@ -93,6 +96,7 @@
     assert_eq!(started(&f, 0) + refused.load(Ordering::Relaxed), 10);
 }
 
+/// Guards against failed requests while another engine is available.
 #[test]
 fn another_engine_serves_when_one_is_busy_or_gone() {
     let mut f = Fleet::start(Plan {
@@ -111,7 +115,7 @@
 }
 
 #[test]
-fn metrics_count_what_was_served_and_refused() {
+fn metrics_count_served_and_refused_requests() {
     let f = Fleet::start(Plan { routers: 1, ..Plan::default() });
     f.chat(0).send(&ask(false, 4));
     f.chat(0).without("authorization").send("");
--- a/crates/cypressfork/tests/settings.rs
+++ b/crates/cypressfork/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings over real processes: what cannot be used stops them with a numbered error.
+//! Tests that invalid settings stop real processes with a numbered error.
 
 mod support;
 
@@ -19,6 +19,7 @@
   control: [\"127.0.0.1:7001\"]
 ";
 
+/// Returns valid settings for a daemon; `DIR` stands for its folder.
 fn settings(daemon: &str) -> String {
     let own = match daemon {
         "control" => "listen: \"127.0.0.1:7001\"\ndata_folder: DIR/data\n",
@@ -27,7 +28,7 @@
     format!("{COMMON}{own}")
 }
 
-/// Runs `--check` on a text; returns the exit code and what was said.
+/// Runs `--check` on settings in a file; returns the exit code and the error output.
 fn check(daemon: &str, text: &str, key_mode: u32) -> (i32, String) {
     let dir = tempfile::tempdir().unwrap();
     let here = dir.path().to_str().unwrap();
@@ -40,6 +41,7 @@
     run(daemon, &file)
 }
 
+/// Runs `--check` on a settings file; returns the exit code and the error output.
 fn run(daemon: &str, file: &Path) -> (i32, String) {
     let out = Command::new(program(daemon)).arg("--settings").arg(file).arg("--check").output();
     let out = out.unwrap();
@@ -51,7 +53,8 @@
     assert_eq!(check(daemon, &settings(daemon), 0o600), (0, String::new()));
 }
 
-/// Each row: the daemon, what to replace in a good file, by what, and what the error must name.
+/// Guards against errors that do not name the invalid setting. Each case has the daemon, the text to replace in a
+/// valid file, the replacement, and the words that the error must contain.
 #[rstest]
 #[case::unknown_key("router", "listen:", "lissten:", &["CF3002", "lissten", "expected one of"])]
 #[case::missing_key("router", "  vm: entry-1\n", "", &["CF3002", "vm"])]
@@ -70,13 +73,13 @@
     #[case] daemon: &str,
     #[case] from: &str,
     #[case] to: &str,
-    #[case] says: &[&str],
+    #[case] expected: &[&str],
 ) {
     let good = settings(daemon);
     assert!(good.contains(from));
     let (code, text) = check(daemon, &good.replacen(from, to, 1), 0o600);
     assert_eq!(code, 78, "{text}");
-    for word in says {
+    for word in expected {
         assert!(text.contains(word), "'{word}' is missing in: {text}");
     }
 }
@@ -99,9 +102,9 @@
 #[case::nothing(&[], "--settings")]
 #[case::unknown_option(&["--lissten"], "lissten")]
 #[case::extra_word(&["--settings", "x", "serve"], "serve")]
-fn a_bad_command_line_is_refused(#[case] words: &[&str], #[case] says: &str) {
+fn a_bad_command_line_is_refused(#[case] words: &[&str], #[case] expected: &str) {
     let out = Command::new(program("router")).args(words).output().unwrap();
     let text = String::from_utf8(out.stderr).unwrap();
     assert_eq!(out.status.code(), Some(64));
-    assert!(text.contains("CF3006") && text.contains(says), "{text}");
+    assert!(text.contains("CF3006") && text.contains(expected), "{text}");
 }
--- a/crates/cypressfork/tests/soak.rs
+++ b/crates/cypressfork/tests/soak.rs
@@ -1,4 +1,4 @@
-//! A short soak with fixed seeds, and every seed that ever failed.
+//! Runs a short soak with fixed seeds and with every seed that failed before.
 
 #![allow(missing_docs)]
 
@@ -10,8 +10,8 @@
 use cypressfork_soak::run::play;
 use rstest::rstest;
 
-/// How long the faults of a run last, in milliseconds.
-const MILLIS: u64 = 6_000;
+/// Duration of the faults of a run, in milliseconds.
+const FAULT_MILLIS: u64 = 6_000;
 
 fn programs() -> Programs {
     Programs {
@@ -20,14 +20,15 @@
     }
 }
 
-fn promises_hold(seed: u64, millis: u64) {
+/// Runs the soak with a seed and fails if a guarantee was violated.
+fn run_seed(seed: u64, millis: u64) {
     let dir = tempfile::tempdir().unwrap();
     let plan = Plan::draw(seed, millis, false);
     let verdict = actix_rt::System::new().block_on(play(plan, &programs(), dir.path())).unwrap();
     let steps: Vec<_> = verdict.plan.steps.iter().map(ToString::to_string).collect();
     let broken: Vec<_> = verdict.broken.iter().map(ToString::to_string).collect();
     if !broken.is_empty() {
-        // The logs are what is left of a failure.
+        // Keep the logs for the diagnosis.
         let kept = dir.keep();
         panic!("logs in {}\n{}\n{}", kept.display(), steps.join("\n"), broken.join("\n"));
     }
@@ -39,16 +40,17 @@
 #[case(2)]
 #[case(3)]
 fn promises_hold_under_faults(#[case] seed: u64) {
-    promises_hold(seed, MILLIS);
+    run_seed(seed, FAULT_MILLIS);
 }
 
-/// Each line of `soak/regressions`: a seed, the milliseconds of its faults, and the cause.
+/// Guards against regressions. Each line of `soak/regressions` has a seed, the duration of its faults in
+/// milliseconds, and the cause.
 #[test]
-fn seeds_that_once_failed_hold() {
+fn regression_seeds_pass() {
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/../../soak/regressions");
     for line in fs::read_to_string(file).unwrap().lines().filter(|l| !l.starts_with('#')) {
         let mut words = line.split_whitespace();
         let mut number = || words.next().and_then(|w| w.parse().ok()).expect("two numbers");
-        promises_hold(number(), number());
+        run_seed(number(), number());
     }
 }
--- a/crates/cypressfork/tests/strangers.rs
+++ b/crates/cypressfork/tests/strangers.rs
@@ -1,5 +1,5 @@
-//! What strangers send to every port of a real gateway and a real control process ends neither, and
-//! the next who asks properly is answered.
+//! Tests that malformed input on any port ends neither a gateway nor a control process, and that both still serve
+//! valid requests.
 
 #![allow(missing_docs)]
 
@@ -16,11 +16,11 @@
 use support::{get, program, until};
 use tempfile::TempDir;
 
-/// A seed of this test's own: it draws addresses that no soak uses.
+/// A seed that no soak uses, so that the drawn addresses do not clash.
 const SEED: u64 = 61_000;
 
-/// Pieces of what callers, replicas and operators send, to be put together wrongly.
-const PIECES: [&[u8]; 16] = [
+/// Fragments of valid and invalid messages, combined at random.
+const FRAGMENTS: [&[u8]; 16] = [
     b"GET / HTTP/1.1\r\n",
     b"PUT /v1/document HTTP/1.1\r\n",
     b"PUT /v1/replicas/r-1 HTTP/1.1\r\n",
@@ -39,25 +39,28 @@
     b"\x00\x00\x04\x00\x1c\x15\x02\x18\xff\xff\xff\xff\x07",
 ];
 
+/// Returns random bytes and fragments.
 fn noise(rng: &mut SmallRng) -> Vec<u8> {
     let mut bytes = Vec::new();
     for _ in 0..rng.random_range(1..8) {
         match rng.random_bool(0.8) {
-            true => bytes.extend_from_slice(PIECES[rng.random_range(0..PIECES.len())]),
+            true => bytes.extend_from_slice(FRAGMENTS[rng.random_range(0..FRAGMENTS.len())]),
             false => bytes.extend((0..rng.random_range(1..200)).map(|_| rng.random::<u8>())),
         }
     }
     bytes
 }
 
+/// Sends bytes to an address and ignores the response.
 fn send(to: SocketAddr, bytes: &[u8]) {
-    let Ok(mut s) = TcpStream::connect(to) else { panic!("nobody listens at {to}") };
+    let Ok(mut s) = TcpStream::connect(to) else { panic!("no listener at {to}") };
     s.set_read_timeout(Some(Duration::from_millis(20))).unwrap();
-    // Either side may close at any moment.
+    // The process may close the connection at any time.
     let _ = s.write_all(bytes);
     let _ = s.read(&mut [0; 512]);
 }
 
+/// Guards against a process that exits on malformed input.
 #[test]
 fn noise_on_every_port_ends_no_process() {
     let dir = TempDir::new().unwrap();
@@ -70,17 +73,17 @@
         let (control, gateway) = (&fleet.controls[0], &fleet.gateways[0]);
         let ports = [control.api, control.link, gateway.callers, gateway.operators, gateway.link];
         for to in ports {
-            until("all ports", || TcpStream::connect(to).is_ok());
+            until("all ports to accept connections", || TcpStream::connect(to).is_ok());
         }
         let mut rng = SmallRng::seed_from_u64(SEED);
         for to in ports {
             (0..60).for_each(|_| send(to, &noise(&mut rng)));
         }
-        assert!(fleet.processes().all(|p| !p.has_ended()), "a process has ended");
+        assert!(fleet.processes().all(|p| !p.has_ended()), "a process has exited");
         let health = format!("http://{}/healthz", gateway.operators);
-        until("an answer", || get(&health).is_some_and(|v| v["alive"] == true));
-        // The control process belongs to a group of one by now, and says what it has.
+        until("a response", || get(&health).is_some_and(|v| v["alive"] == true));
+        // The control process is by now a member of a group of one and returns its document.
         let document = format!("http://{}/v1/document", control.api);
-        until("an answer", || get(&document).is_some());
+        until("a response", || get(&document).is_some());
     });
 }
--- a/crates/cypressfork/tests/traces.rs
+++ b/crates/cypressfork/tests/traces.rs
@@ -1,4 +1,4 @@
-//! Traces: the caller's context goes on, and every hop has a span.
+//! Tests traces: the caller's context is propagated, and every hop has a span.
 
 mod support;
 
@@ -8,13 +8,15 @@
 use serde_json::Value;
 use support::{Fleet, Plan, ask, until};
 
+/// Trace id of the caller's context.
 const TRACE: &str = "4bf92f3577b34da6a3ce929d0e0e4736";
+/// Span id of the caller's context.
 const PARENT: &str = "00f067aa0ba902b7";
 
-/// The spans of the caller's trace, by name, once one of them has this name.
+/// Waits until the caller's trace has a span called `name`; returns the spans of the trace by name.
 fn spans(f: &Fleet, name: &str) -> BTreeMap<String, Value> {
     let mut found = BTreeMap::new();
-    until("the trace", || {
+    until("the span", || {
         let text = fs::read_to_string(f.path("traces.jsonl")).unwrap_or_default();
         for line in text.lines() {
             let Ok(v) = serde_json::from_str::<Value>(line) else { continue };
@@ -28,6 +30,7 @@
     found
 }
 
+/// Starts a fleet with one router that writes traces to a file.
 fn fleet() -> Fleet {
     let router_extra = "trace_file: DIR/traces.jsonl".to_owned();
     Fleet::start(Plan { routers: 1, router_extra, ..Plan::default() })
@@ -61,9 +64,9 @@
     assert!(spans.contains_key("claim") && spans.contains_key("dispatch"), "{spans:?}");
 }
 
-/// A context that cannot be understood starts a trace of its own and harms nothing.
+/// Guards against requests that fail, or are not traced, because of an invalid context.
 #[test]
-fn a_bad_context_is_ignored() {
+fn an_invalid_context_is_ignored() {
     let f = fleet();
     for bad in ["", "00-xyz", "00-00000000000000000000000000000000-0000000000000000-01", "ff"] {
         let a = f.chat(0).header("traceparent", bad).send(&ask(false, 2));
