--- a/crates/cypressfork/tests/limits.rs
+++ b/crates/cypressfork/tests/limits.rs
@@ -93,7 +93,7 @@
 
     /// Makes the first `n` replicas announce a limit. Returns the time from which it must be observed.
     fn limit(&self, n: usize, limit: f64) -> Instant {
-        self.replicas[..n].iter().for_each(|r| r.name_limit(Some(&limit.to_string())));
+        self.replicas[..n].iter().for_each(|r| r.announce_limit(Some(&limit.to_string())));
         Instant::now() + EFFECTIVE_AFTER
     }
 
@@ -101,7 +101,7 @@
     /// after `since`.
     fn max_in_window(&self, n: usize, since: Instant) -> usize {
         let each = self.replicas[..n].iter();
-        each.map(|r| self.seen.most_within(&r.name, since, WINDOW)).max().unwrap()
+        each.map(|r| self.seen.max_within(&r.name, since, WINDOW)).max().unwrap()
     }
 }
 
@@ -216,7 +216,7 @@
     let world = World::new(4);
     world.send(60);
     sleep_until(world.limit(1, 1.0) + Duration::from_secs(1));
-    world.replicas[0].name_limit(None);
+    world.replicas[0].announce_limit(None);
     let ended = Instant::now() + EFFECTIVE_AFTER;
     sleep_until(ended + WINDOW);
     let got = world.seen.since("b-0", ended).len();
@@ -230,7 +230,7 @@
     world.send(60);
     sleep_until(world.limit(1, 1.0));
     for value in ["-1", "NaN", "1e999", "", "5/s", "1, 2"] {
-        world.replicas[0].name_limit(Some(value));
+        world.replicas[0].announce_limit(Some(value));
         sleep(Duration::from_millis(1_500));
     }
     let since = Instant::now() - Duration::from_secs(9);
--- a/crates/cypressfork/tests/lives.rs
+++ b/crates/cypressfork/tests/lives.rs
@@ -16,7 +16,7 @@
 use support::gateways::*;
 use support::until;
 
-/// Last sequence number of the first incarnation; the second is registered before it reaches this number.
+/// Sequence number that the first incarnation reaches; the second one must be accepted at much lower numbers.
 const FIRST_SEQUENCE: u64 = 500;
 
 /// Starts three control processes and a gateway, and publishes a document. No replica is registered.
--- a/crates/cypressfork/tests/rests.rs
+++ b/crates/cypressfork/tests/rests.rs
@@ -35,7 +35,7 @@
 
 /// Returns the maximum number of requests from one gateway that any replica received during a backoff.
 fn max_in_backoff(world: &World) -> usize {
-    world.replicas.iter().map(|r| r.most_in_a_rest(BACKOFF)).max().unwrap()
+    world.replicas.iter().map(|r| r.max_in_backoff(BACKOFF)).max().unwrap()
 }
 
 /// Guards against a gateway that keeps sending to a replica that has requested a backoff.
@@ -127,7 +127,7 @@
 #[test]
 fn full_replicas_receive_no_requests_during_their_backoff() {
     let world = World::new(4, Duration::from_millis(400));
-    world.replicas.iter().for_each(|r| r.shared.places.store(3, Ordering::Relaxed));
+    world.replicas.iter().for_each(|r| r.shared.max_concurrent.store(3, Ordering::Relaxed));
     world.send(46);
     sleep(OBSERVED);
     let max = max_in_backoff(&world);
--- a/crates/cypressfork/tests/rollout.rs
+++ b/crates/cypressfork/tests/rollout.rs
@@ -156,7 +156,7 @@
     if kill {
         world.kill_leader();
     }
-    until("a request to the new version", || world.seen.of("v2", before) > 0);
+    until("a request to the new version", || world.seen.count("v2", before) > 0);
     // As a platform does, stop the old replicas as soon as the rollout is reported as completed.
     let mut last_at_old = Instant::now();
     until("Completed", || {
@@ -174,7 +174,7 @@
     let due = (ordered + ROLLOUT_LIMIT).max(last_at_old + REPORTED_WITHIN);
     assert!(kill || Instant::now() < due, "the rollout was completed too late");
     let since = Instant::now();
-    until("requests at the new version", || world.seen.of("v2", since) > 200);
+    until("requests at the new version", || world.seen.count("v2", since) > 200);
     world.callers.over.store(true, Ordering::Relaxed);
     let got = world.callers.got();
     assert_eq!(got.kinds().len(), 0, "{:?}", got.kinds());
@@ -198,15 +198,15 @@
     }
     world.until_stage("RolledBack");
     std::thread::sleep(ROLLOUT_LIMIT.saturating_sub(ordered.elapsed()));
-    let exposed = world.seen.of("v2", ordered) as f64;
-    let all = exposed + world.seen.of("v1", ordered) as f64;
+    let exposed = world.seen.count("v2", ordered) as f64;
+    let all = exposed + world.seen.count("v1", ordered) as f64;
     assert!(exposed <= all * MAX_SHARE + SLACK, "{exposed} of {all}");
-    if let Some(fiftieth) = world.seen.bad("v2", 50) {
-        assert_eq!(world.seen.of("v2", fiftieth + STOPPED_WITHIN), 0);
+    if let Some(fiftieth) = world.seen.failure("v2", 50) {
+        assert_eq!(world.seen.count("v2", fiftieth + STOPPED_WITHIN), 0);
     }
     let since = Instant::now();
-    until("requests at the old version", || world.seen.of("v1", since) > 200);
-    assert_eq!(world.seen.of("v2", since), 0, "requests after the rollback");
+    until("requests at the old version", || world.seen.count("v1", since) > 200);
+    assert_eq!(world.seen.count("v2", since), 0, "requests after the rollback");
 }
 
 /// Guards against an acknowledged order that is lost when all control processes are killed.
--- a/crates/cypressfork/tests/support/gateways.rs
+++ b/crates/cypressfork/tests/support/gateways.rs
@@ -51,7 +51,7 @@
 }
 
 /// Result code of a temporary refusal: no tokens are available now, the request has not run.
-pub const COME_BACK: &str = "CF1203";
+pub const TEMPORARY_REFUSAL: &str = "CF1203";
 
 impl Neighbour {
     /// Like [`Neighbour::spend`], but retries while the refusal is temporary. While the control process
@@ -60,7 +60,8 @@
         let mut last = None;
         until("a final response", || {
             last = self.spend(id, tokens);
-            last.as_ref().is_some_and(|(status, code)| (*status, code.as_str()) != (503, COME_BACK))
+            last.as_ref()
+                .is_some_and(|(status, code)| (*status, code.as_str()) != (503, TEMPORARY_REFUSAL))
         });
         last.expect("a response arrived")
     }
--- a/crates/cypressfork/tests/support/limited.rs
+++ b/crates/cypressfork/tests/support/limited.rs
@@ -38,7 +38,7 @@
     }
 
     /// Returns the maximum number of requests that reached a replica within any window of `span` from `since` on.
-    pub fn most_within(&self, name: &str, since: Instant, span: Duration) -> usize {
+    pub fn max_within(&self, name: &str, since: Instant, span: Duration) -> usize {
         let all = self.since(name, since);
         let within = |(n, from): (usize, &Instant)| {
             all[n..].iter().take_while(|at| at.duration_since(*from) < span).count()
@@ -100,7 +100,7 @@
     }
 
     /// Sets the announced limit; `None` stops announcing one.
-    pub fn name_limit(&self, limit: Option<&str>) {
+    pub fn announce_limit(&self, limit: Option<&str>) {
         *self.limit.lock().unwrap() = limit.map(str::to_owned);
     }
 
--- a/crates/cypressfork/tests/support/resting.rs
+++ b/crates/cypressfork/tests/support/resting.rs
@@ -48,9 +48,9 @@
     /// If set, all requests are refused like this.
     pub refusing: Mutex<Option<Refusing>>,
     /// Maximum number of concurrent requests.
-    pub places: AtomicUsize,
+    pub max_concurrent: AtomicUsize,
     /// How requests above that maximum are refused.
-    pub beyond: Refusing,
+    pub excess: Refusing,
     running: AtomicUsize,
     /// Service time of a request.
     pub work: Duration,
@@ -80,8 +80,8 @@
         let shared = Shared {
             arrivals: Mutex::default(),
             refusing: Mutex::default(),
-            places: AtomicUsize::new(usize::MAX),
-            beyond: Refusing::after("3"),
+            max_concurrent: AtomicUsize::new(usize::MAX),
+            excess: Refusing::after("3"),
             running: AtomicUsize::new(0),
             work,
             leaving: AtomicBool::new(false),
@@ -117,8 +117,8 @@
             };
             let before = shared.running.fetch_add(1, Ordering::Relaxed);
             let all = shared.refusing.lock().unwrap().clone();
-            let full = before >= shared.places.load(Ordering::Relaxed);
-            let refusing = all.or_else(|| full.then(|| shared.beyond.clone()));
+            let full = before >= shared.max_concurrent.load(Ordering::Relaxed);
+            let refusing = all.or_else(|| full.then(|| shared.excess.clone()));
             if refusing.is_none() {
                 sleep(shared.work);
             }
@@ -147,7 +147,7 @@
 
     /// Returns the maximum number of requests from one gateway during a backoff of `span`, without the first
     /// [`EFFECTIVE_AFTER`].
-    pub fn most_in_a_rest(&self, span: Duration) -> usize {
+    pub fn max_in_backoff(&self, span: Duration) -> usize {
         let all = self.shared.arrivals.lock().unwrap();
         let in_rest = |gateway: usize, from: Instant| {
             let counts = |a: &&Arrival| {
--- a/crates/cypressfork/tests/support/versions.rs
+++ b/crates/cypressfork/tests/support/versions.rs
@@ -33,13 +33,13 @@
 
 impl Seen {
     /// Returns the number of requests that reached a version from `since` on.
-    pub fn of(&self, version: &str, since: Instant) -> usize {
+    pub fn count(&self, version: &str, since: Instant) -> usize {
         let all = self.arrivals.lock().unwrap();
         all.iter().filter(|(v, at, _)| v == version && *at >= since).count()
     }
 
     /// Returns when the request of the `n`th failure of a version arrived.
-    pub fn bad(&self, version: &str, n: usize) -> Option<Instant> {
+    pub fn failure(&self, version: &str, n: usize) -> Option<Instant> {
         let all = self.arrivals.lock().unwrap();
         let mut bad = all.iter().filter(|(v, _, bad)| v == version && *bad).map(|(_, at, _)| *at);
         bad.nth(n - 1)
