--- a/crates/cypressfork/tests/support/mod.rs
+++ b/crates/cypressfork/tests/support/mod.rs
@@ -12,7 +12,8 @@
 pub mod versions;
 
 use std::fs::{self, File};
-use std::net::TcpListener;
+use std::io::ErrorKind;
+use std::net::TcpStream;
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Output, Stdio};
@@ -128,12 +129,18 @@
     format!("127.{}.{}.{}", 1 + pid / 250 % 250, 1 + pid % 250, 1 + n % 250)
 }
 
+/// Returns whether nothing listens on a port. Probes with a connection: a listening socket would stay
+/// open, after it is closed here, in a process that another thread is starting.
+fn is_free(ip: &str, port: u16) -> bool {
+    TcpStream::connect((ip, port)).is_err_and(|e| e.kind() == ErrorKind::ConnectionRefused)
+}
+
 /// Returns `n` free addresses on `ip`. Their ports are below the ephemeral range, so that an
 /// outgoing connection cannot take a port before the fleet binds it.
 pub fn free_addresses(ip: &str, n: usize) -> Vec<String> {
     let range = fs::read_to_string("/proc/sys/net/ipv4/ip_local_port_range").unwrap();
     let first_ephemeral: u16 = range.split_whitespace().next().unwrap().parse().unwrap();
-    let ports = (MIN_PORT..first_ephemeral).filter(|p| TcpListener::bind((ip, *p)).is_ok());
+    let ports = (MIN_PORT..first_ephemeral).filter(|p| is_free(ip, *p));
     static ALLOCATED: AtomicU32 = AtomicU32::new(0);
     let from = ALLOCATED.fetch_add(n as u32, Ordering::Relaxed) as usize;
     let found: Vec<_> = ports.skip(from).take(n).map(|p| format!("{ip}:{p}")).collect();
