--- a/crates/router/src/gateway/notices.rs
+++ b/crates/router/src/gateway/notices.rs
@@ -61,7 +61,7 @@
 struct LeavingReplica {
     /// Start time of the incarnation, or 0 if not reported.
     born: u64,
-    /// Whether control processes have to be informed: the last status that one sent is ready.
+    /// Whether to report it to control processes, because the last status received from one is ready.
     needs_report: bool,
 }
 
@@ -125,8 +125,8 @@
         }
     }
 
-    /// Marks a replica as leaving for the rest of its incarnation, whatever its heartbeats report. Other
-    /// gateways are informed by the control processes.
+    /// Marks a replica as leaving for the rest of its incarnation, whatever its heartbeats report, and
+    /// reports it to the control processes, which inform the other gateways.
     fn record_leaving(&self, request: &RoutedRequest, to: &SendTarget) {
         if !request.gw.mark_draining(to.replica) {
             return;
@@ -140,14 +140,13 @@
         self.leaving.borrow_mut().insert(replica.to_owned(), LeavingReplica { born, needs_report });
     }
 
-    /// Records the status that a control process sent for a leaving replica. If it is ready, the replica
-    /// is reported.
+    /// Records the status that a control process sent for a leaving replica, which is reported until that
+    /// status is draining or later.
     pub fn record_status(&self, replica: &str, born: u64, status: ReplicaStatus) {
         self.set_leaving(replica, born, status < ReplicaStatus::Draining);
     }
 
-    /// Returns the leaving replicas to report to control processes. Each is reported until a control
-    /// process sends it as draining.
+    /// Returns the leaving replicas to report to control processes.
     pub fn pending_reports(&self) -> Vec<Leaving> {
         let all = self.leaving.borrow();
         let due = all.iter().filter(|(_, l)| l.needs_report).take(MAX_LEAVING_REPORTS);
--- a/crates/router/src/gateway/request.rs
+++ b/crates/router/src/gateway/request.rs
@@ -195,8 +195,8 @@
     routes.account(route, inbound.key.as_deref()).map(|_| ())
 }
 
-/// Returns the newest document that any control process has announced, which can refuse a request for
-/// good. Returns none if it does not arrive in time or no control process is reachable.
+/// Returns the routes of the newest document that any control process has announced; only these can refuse
+/// a request for good. Returns none if they do not arrive in time or no control process is reachable.
 async fn newest_routes(gw: &Gateway, inbound: &CallerRequest) -> Option<Rc<Routes>> {
     if gw.documents.is_cut_off(gw.now()) {
         return None;
@@ -205,7 +205,7 @@
     gw.wait_for_newest_routes(Instant::now() + Duration::from_millis(wait.0)).await
 }
 
-/// Returns a refusal to be retried, for a gateway whose document may be outdated.
+/// Returns a refusal that tells the caller to retry, for when the gateway's document may be outdated.
 fn not_ready(gw: &Gateway) -> Refusal {
     let detail = gw.documents.describe(gw.now());
     Refusal::from(Code::NotReady).retry_after(NOT_READY_RETRY_AFTER).detail(detail)
@@ -229,7 +229,7 @@
     let account = routes.account(route, inbound.key.as_deref())?;
     let backend =
         routes.choose_service(route, request_hash(&inbound.id)).ok_or(Code::NoUpstream)?;
-    let limit = inbound.deadline.map_or(route.timeout, |d| d.min(route.timeout));
+    let timeout = inbound.deadline.map_or(route.timeout, |d| d.min(route.timeout));
     let mut headers = req.head().headers.clone();
     for name in HOP_BY_HOP {
         headers.remove(name);
@@ -254,7 +254,7 @@
             first_event: to_duration(route.objective),
             max_pause: route.gap.map(to_duration),
         },
-        deadline: Instant::now() + to_duration(limit),
+        deadline: Instant::now() + to_duration(timeout),
         inbound,
     };
     Ok((request, account.and_then(|a| a.prepaid)))
@@ -322,6 +322,7 @@
         }
     }
 
+    /// Returns the token usage after the last attempt, to settle the reservation.
     fn usage(&self, is_complete: bool) -> TokenUsage {
         let (ran, events, tokens_per_event) =
             (self.ran > 0, self.progress.events.count(), self.request.stride);
@@ -329,7 +330,7 @@
         TokenUsage { ran, events, tokens_per_event, unread }
     }
 
-    /// Sends it to one replica after the other until a response is forwarded or the request fails.
+    /// Sends the request to one replica after the other until a response is forwarded or the request fails.
     async fn run<D: Dialect>(&mut self, client: &mut Client) -> Outcome {
         loop {
             if self.request.time_left() == Duration::ZERO {
@@ -347,9 +348,9 @@
             self.tried.push(choice.address);
             let observation = AttemptObservation::start(&request.gw, &request.service, side);
             let chosen = PickedReplica { choice, replica, data_centre, side };
-            let which = if self.tried.len() == 1 { SendKind::First } else { SendKind::Further };
+            let kind = if self.tried.len() == 1 { SendKind::First } else { SendKind::Further };
             let (ended, time_to_first) =
-                attempt::run::<D>(request, client, &mut self.progress, &chosen, which).await;
+                attempt::run::<D>(request, client, &mut self.progress, &chosen, kind).await;
             let PickedReplica { choice, replica, .. } = chosen;
             observation.finish(&request.route, &ended, time_to_first, choice.expected_us);
             counter!(metric::ATTEMPTS, "end" => ended.label()).increment(1);
@@ -478,7 +479,7 @@
         self.tried.last().is_some_and(|a| gw.is_backing_off(service, *a))
     }
 
-    /// Returns whether it may run once more. Takes a retry from the fleet's retry budget if so.
+    /// Returns whether the request may run once more. Takes a retry from the fleet's retry budget if so.
     fn may_run_again(&self, client: &Client) -> bool {
         let can_continue = !client.has_started() || self.request.resumable;
         self.request.is_repeatable()
--- a/crates/router/src/gateway/rollouts.rs
+++ b/crates/router/src/gateway/rollouts.rs
@@ -40,6 +40,7 @@
 /// This gateway's observations of one service's rollout.
 #[derive(Default)]
 struct ObservedRollout {
+    /// Log position of the rollout's order.
     order: Index,
     evidence: Evidence,
     /// Requests in flight at the old version.
@@ -60,8 +61,8 @@
     }
 }
 
-/// How long a gateway continues a rollout without contact to a control process. Those answer watch
-/// requests within a second, so by then the gateway is cut off.
+/// How long a gateway continues a rollout without contact to a control process. Control processes answer
+/// watch requests within a second, so a longer silence means that the gateway is cut off.
 const CONTACT_TIMEOUT: Millis = Millis::seconds(2);
 
 impl RolloutTracker {
@@ -182,7 +183,7 @@
         self,
         route: &str,
         ended: &AttemptOutcome,
-        first: Option<Duration>,
+        time_to_first: Option<Duration>,
         expected_us: u64,
     ) {
         let is_new = match self.side {
@@ -199,8 +200,8 @@
         let outcomes = if is_new { &mut sides.new } else { &mut sides.old };
         match ended {
             AttemptOutcome::Answered => {
-                let first = first.map_or(0, |d| d.as_micros() as u64);
-                outcomes.record_response(first, expected_us);
+                let first_us = time_to_first.map_or(0, |d| d.as_micros() as u64);
+                outcomes.record_response(first_us, expected_us);
             }
             AttemptOutcome::Failed(_)
             | AttemptOutcome::Lost(_)
--- a/crates/router/src/gateway/settings.rs
+++ b/crates/router/src/gateway/settings.rs
@@ -65,7 +65,7 @@
     pub const RETRY_EXTRA: f64 = 0.0;
     pub const RETRY_WINDOW_S: f64 = 10.0;
     pub const MEMORY_MB: f64 = 512.0;
-    /// 0 is unknown.
+    /// 0 means unknown.
     pub const LINK_MBPS: f64 = 0.0;
     pub const STOP_WITHIN_S: f64 = 30.0;
     pub const STOP_SERVE_S: f64 = 10.0;
@@ -179,8 +179,8 @@
                 (memory * BYTES_PER_MEBIBYTE).floor() as u64,
             ),
             link_capacity: (link * BYTES_PER_MEGABIT).floor() as u64,
-            stop_within: to_millis(stop),
-            stop_serve: to_millis(serve.min(stop)),
+            stop_within: duration_from_secs(stop),
+            stop_serve: duration_from_secs(serve.min(stop)),
         })
     }
 }
@@ -190,6 +190,6 @@
 const BYTES_PER_MEBIBYTE: f64 = 1_048_576.0;
 
 /// Converts seconds to a duration of whole milliseconds, rounded down.
-fn to_millis(seconds: f64) -> Duration {
+fn duration_from_secs(seconds: f64) -> Duration {
     Duration::from_millis((seconds * 1_000.0).floor() as u64)
 }
--- a/crates/router/src/gateway/stream.rs
+++ b/crates/router/src/gateway/stream.rs
@@ -50,7 +50,7 @@
 async fn count_buffered(progress: &mut ResponseProgress, connection: &mut Connection) {
     let (chunks, is_all) = connection.read_buffered(MAX_COUNTED_BYTES).await;
     let before = progress.events.count();
-    // Events before a gap count.
+    // Events before an invalid one count too.
     let is_valid = chunks.iter().all(|chunk| progress.events.feed(chunk).is_ok());
     progress.timing.record_buffered(progress.events.count() - before, is_all && is_valid);
 }
@@ -83,7 +83,7 @@
             ReadOutcome::End if !events.is_at_boundary() => {
                 return Some(AttemptOutcome::Broken("it ends inside an event".to_owned()));
             }
-            // The response started with framing, and this replica's connection does not mark the end.
+            // An earlier attempt sent a head with framing, and this unframed response may be truncated.
             ReadOutcome::End if connection.is_unframed() && client.is_framed() => {
                 let why = "the answer does not tell whether it is whole";
                 return Some(AttemptOutcome::Broken(why.to_owned()));
--- a/crates/router/src/gateway/witness.rs
+++ b/crates/router/src/gateway/witness.rs
@@ -86,14 +86,14 @@
     let mut result = Connection::probe(address).await;
     sleep(GATHER_DELAY).await;
     if gw.connections.has_open(Instant::now(), address) {
-        let closed = losses.borrow_mut().confirm_alive(address, &replica);
-        return count_alive(closed.iter().map(|l| l.requests.len()).sum());
+        let lost = losses.borrow_mut().confirm_alive(address, &replica);
+        return count_alive(lost.iter().map(|l| l.requests.len()).sum());
     }
     for n in 0..MAX_PROBES {
         match result {
             ProbeResult::Refused => {
-                let closed = losses.borrow_mut().confirm_ended(address, &replica);
-                return record_ended(&gw, EndEvidence::Refused, closed);
+                let lost = losses.borrow_mut().confirm_ended(address, &replica);
+                return record_ended(&gw, EndEvidence::Refused, lost);
             }
             ProbeResult::Listening(mut c) => {
                 if timeout(PROBE_OPEN_FOR, c.wait_closed()).await.is_err() {
@@ -129,22 +129,22 @@
 fn record_ended(gw: &Gateway, evidence: EndEvidence, losses: Vec<Loss<LostRequest>>) {
     for l in losses {
         counter!(metric::LOST_CONNECTIONS, "replica" => "ended").increment(l.requests.len() as u64);
-        l.requests.iter().for_each(|v| log_ended(gw, evidence, &l, v));
+        l.requests.iter().for_each(|r| log_ended(gw, evidence, &l, r));
         gw.quarantines.record_termination(gw, &l.replica, l.since, l.requests);
     }
 }
 
-fn log_ended(gw: &Gateway, evidence: EndEvidence, l: &Loss<LostRequest>, v: &LostRequest) {
+fn log_ended(gw: &Gateway, evidence: EndEvidence, l: &Loss<LostRequest>, r: &LostRequest) {
     emit!(
         Event::ReplicaEnded,
-        id = v.id,
-        fingerprint = v.fingerprint,
-        account = v.account.as_deref().unwrap_or_default(),
+        id = r.id,
+        fingerprint = r.fingerprint,
+        account = r.account.as_deref().unwrap_or_default(),
         replica = l.replica,
         address = l.address,
-        age_ms = v.age.0,
+        age_ms = r.age.0,
         ago_ms = gw.now().since(l.since).0,
-        sound = gw.quarantines.has_completed(v.hash),
+        sound = gw.quarantines.has_completed(r.hash),
         shown = evidence.as_str(),
     );
 }
