--- a/crates/router/src/gateway/follow.rs
+++ b/crates/router/src/gateway/follow.rs
@@ -215,7 +215,7 @@
         let token_store = Rc::new(TokenStore::new(holder, gw.group.clone(), None, gw.clock));
         let report_interval = {
             let gw = gw.clone();
-            move || gw.report_every()
+            move || gw.report_interval()
         };
         actix_rt::spawn(token_store.clone().send_reports_forever(report_interval));
         gw.set_token_store(token_store);
--- a/crates/router/src/gateway/limits.rs
+++ b/crates/router/src/gateway/limits.rs
@@ -336,7 +336,7 @@
         for issuer in self.reachable_issuers(gw, req) {
             let grant = match issuer == own {
                 true => Some(self.issue_permits(gw, req)),
-                false => gw.peers.permits(gw, issuer, req, PERMIT_REQUEST_TIMEOUT).await,
+                false => gw.peers.request_permits(gw, issuer, req, PERMIT_REQUEST_TIMEOUT).await,
             };
             match grant {
                 Some(g) if g.permits == 0 && g.reduced => denied = Some(g),
--- a/crates/router/src/gateway/quarantine.rs
+++ b/crates/router/src/gateway/quarantine.rs
@@ -1,4 +1,4 @@
-//! Quarantine of requests that terminate every replica that runs them, at a gateway.
+//! A gateway's part in the quarantine of requests that terminate every replica that runs them.
 //!
 //! The gateway reports terminations of replicas to the control group, refuses the requests that the group
 //! has quarantined, and reports suspects that are answered completely. While a report is overdue, it
@@ -46,7 +46,7 @@
 struct PendingTermination {
     replica: String,
     at: Time,
-    under_way: Vec<InFlightRequest>,
+    in_flight: Vec<InFlightRequest>,
 }
 
 /// A gateway's view of quarantined requests, and its pending reports.
@@ -61,6 +61,7 @@
     briefs: RefCell<HashSet<u64>>,
     /// The local quarantine, from the terminations that this gateway detected.
     local: RefCell<Quarantine>,
+    /// Position of the next termination in `local`, in place of a log position.
     local_position: Cell<Index>,
     pending: RefCell<Vec<PendingTermination>>,
     /// Completely answered requests to report.
@@ -130,8 +131,9 @@
         }
         let f = fingerprint(&identity);
         let list = self.list.borrow();
-        let again = || list.struck.contains(&f) && !self.answered_once.borrow_mut().insert(f);
-        if list.suspects.contains(&f) || list.quarantined.contains(&f) || again() {
+        let answered_twice =
+            || list.struck.contains(&f) && !self.answered_once.borrow_mut().insert(f);
+        if list.suspects.contains(&f) || list.quarantined.contains(&f) || answered_twice() {
             self.survived.borrow_mut().insert(f);
             self.wake.notify_one();
         }
@@ -154,22 +156,22 @@
         gw: &Gateway,
         replica: &str,
         at: Time,
-        victims: Vec<LostRequest>,
+        lost: Vec<LostRequest>,
     ) {
-        let in_flight = |v: LostRequest| InFlightRequest {
-            fingerprint: v.fingerprint,
-            account: v.account.unwrap_or_default(),
-            age: v.age,
+        let to_in_flight = |r: LostRequest| InFlightRequest {
+            fingerprint: r.fingerprint,
+            account: r.account.unwrap_or_default(),
+            age: r.age,
         };
-        let suspects = victims.into_iter().filter(|v| !self.has_completed(v.hash));
-        let under_way: Vec<_> = suspects.map(in_flight).collect();
-        if under_way.is_empty() {
+        let suspects = lost.into_iter().filter(|r| !self.has_completed(r.hash));
+        let in_flight: Vec<_> = suspects.map(to_in_flight).collect();
+        if in_flight.is_empty() {
             return;
         }
         let report = TerminationReport {
             replica: replica.to_owned(),
             ago: gw.now().since(at),
-            under_way: under_way.clone(),
+            under_way: in_flight.clone(),
         };
         self.local.borrow_mut().record_terminations(gw.now(), self.local_position.get(), &[report]);
         self.local_position.set(self.local_position.get() + 1);
@@ -179,10 +181,10 @@
             emit!(
                 Event::TerminationsUnreported,
                 replica = dropped.replica,
-                requests = dropped.under_way.len()
+                requests = dropped.in_flight.len()
             );
         }
-        pending.push(PendingTermination { replica: replica.to_owned(), at, under_way });
+        pending.push(PendingTermination { replica: replica.to_owned(), at, in_flight });
         self.wake.notify_one();
     }
 }
@@ -191,14 +193,14 @@
     let report = |t: &PendingTermination| TerminationReport {
         replica: t.replica.clone(),
         ago: now.since(t.at),
-        under_way: t.under_way.clone(),
+        under_way: t.in_flight.clone(),
     };
     Command::Ended(all.iter().map(report).collect())
 }
 
-/// Sends the pending reports to the control group until the process ends. Terminations that are recorded
-/// while a report is in progress share the next one.
-pub async fn report_forever(gw: Rc<Gateway>) {
+/// Reports terminations, and suspects that were answered completely, to the control group until the
+/// process ends. Terminations that are recorded while a report is in progress share the next one.
+pub async fn report_terminations_forever(gw: Rc<Gateway>) {
     let quarantines = &gw.quarantines;
     loop {
         let survived = std::mem::take(&mut *quarantines.survived.borrow_mut());
--- a/crates/router/src/gateway/run.rs
+++ b/crates/router/src/gateway/run.rs
@@ -24,16 +24,16 @@
 use super::drain::drain;
 use super::follow::{register_forever, watch_all};
 use super::native::Native;
-use super::quarantine::report_forever;
+use super::quarantine::report_terminations_forever;
 use super::server::accept;
 use super::settings::{File, Settings};
-use super::share::{expire_forever, serve_peers};
+use super::share::{expire_loans_forever, serve_peers};
 use super::stand_in::probe_issuers_forever;
 use super::state::Gateway;
 use crate::reply::json_response;
 
 /// Operators' path that lists the backoffs in effect.
-const RESTS_PATH: &str = "/rests";
+const BACKOFFS_PATH: &str = "/rests";
 
 /// Interval at which idle connections and expired state are removed.
 const CLEANUP_INTERVAL: Duration = Duration::from_secs(1);
@@ -54,31 +54,31 @@
     logging::start(s.base.log_level, s.base.log_form);
     let metrics = operators::start_metrics()
         .map_err(|e| (Code::SettingsValue, format!("could not start metrics: {e}")))?;
-    let callers = listen(s.listen).await?;
-    let peers = listen(s.link_listen).await?;
-    let for_operators = listen(s.operators).await?;
+    let caller_listener = listen(s.listen).await?;
+    let peer_listener = listen(s.link_listen).await?;
+    let operator_listener = listen(s.operators).await?;
     let base = s.base.clone();
     let credentials = Credentials { key: base.key, cluster: base.cluster, name: base.vm };
     let group = GroupClient::new(credentials.clone(), base.control.clone());
     emit!(Event::Started, listen = s.listen, operators = s.operators);
     let gw = Rc::new(Gateway::new(s, Clock::start(), credentials, group));
     let (closed_tx, closed) = watch::channel(false);
-    actix_rt::spawn(accept::<D>(gw.clone(), callers, closed));
+    actix_rt::spawn(accept::<D>(gw.clone(), caller_listener, closed));
     let g = gw.clone();
     if let Some(address) = gw.settings.metrics {
         let listener = listen(address).await?;
         actix_rt::spawn(operators::serve_metrics(listener, metrics.clone()));
     }
-    actix_rt::spawn(cypressfork_http::serve(for_operators, move |req| {
+    actix_rt::spawn(cypressfork_http::serve(operator_listener, move |req| {
         let response = respond(&g, &metrics, &req);
         async move { response }
     }));
     watch_all::<D>(&gw, base.control);
-    actix_rt::spawn(serve_peers(gw.clone(), peers));
-    actix_rt::spawn(expire_forever(gw.clone()));
+    actix_rt::spawn(serve_peers(gw.clone(), peer_listener));
+    actix_rt::spawn(expire_loans_forever(gw.clone()));
     actix_rt::spawn(register_forever(gw.clone()));
     actix_rt::spawn(clean_up_forever(gw.clone()));
-    actix_rt::spawn(report_forever(gw.clone()));
+    actix_rt::spawn(report_terminations_forever(gw.clone()));
     actix_rt::spawn(probe_issuers_forever(gw.clone()));
     let g = gw.clone();
     actix_rt::spawn(reload_forever(move || settings(&file), move |s| reload::<D>(&g, s)));
@@ -115,11 +115,11 @@
     }
     match (req.method(), path) {
         (&Method::GET, "/healthz") => json_response(StatusCode::OK, &json!({ "alive": true })),
-        (&Method::GET, RESTS_PATH) => list_backoffs(gw),
+        (&Method::GET, BACKOFFS_PATH) => list_backoffs(gw),
         (&Method::GET, "/metrics") => operators::text(StatusCode::OK, metrics.render()),
         _ => json_response(
             StatusCode::NOT_FOUND,
-            &json!({ "paths": [gw.settings.ready_path, "/healthz", RESTS_PATH, "/metrics"] }),
+            &json!({ "paths": [gw.settings.ready_path, "/healthz", BACKOFFS_PATH, "/metrics"] }),
         ),
     }
 }
--- a/crates/router/src/gateway/server.rs
+++ b/crates/router/src/gateway/server.rs
@@ -27,7 +27,7 @@
 
 /// How long the gateway stops listening when its network link is full. A refused connection makes a
 /// caller use another gateway at once, while a refused request has already used the link and is retried
-/// here. Half a second is enough for the load to drop as callers move.
+/// here.
 const LISTEN_PAUSE: Duration = Duration::from_millis(500);
 
 /// Time limit for receiving a request body.
@@ -64,7 +64,7 @@
             // Most likely out of file descriptors. Closed connections free some.
             Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
         }
-        if !gw.is_full() {
+        if !gw.is_link_full() {
             continue;
         }
         drop(listener);
@@ -109,6 +109,7 @@
     }
 }
 
+/// Serves the requests on one connection until it is closed.
 async fn serve<D: Dialect>(
     gw: Rc<Gateway>,
     stream: TcpStream,
--- a/crates/router/src/gateway/share.rs
+++ b/crates/router/src/gateway/share.rs
@@ -43,7 +43,7 @@
 /// Time for which the settlement of a loan is retried.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Timeout of an announced prompt. The replica has processed it by then.
+/// Timeout of an announcement. By then the replica has processed the prompt.
 const ANNOUNCE_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Time for which a peer that did not respond receives no announcements.
@@ -187,38 +187,37 @@
     }
 
     /// Requests permits from another gateway. Returns `None` if it does not respond within `within`.
-    pub async fn permits(
+    pub async fn request_permits(
         &self,
         gw: &Gateway,
-        home: SocketAddr,
-        ask: &permits::PermitRequest,
+        issuer: SocketAddr,
+        req: &permits::PermitRequest,
         within: Duration,
     ) -> Option<permits::Grant> {
-        let home = self.client(&gw.credentials, home);
-        let request = PeerRequest::Permit(ask.clone());
-        let answer = home.call(Ask::Share(body::pack(&request)), within).await;
+        let issuer = self.client(&gw.credentials, issuer);
+        let request = PeerRequest::Permit(req.clone());
+        let answer = issuer.call(Ask::Share(body::pack(&request)), within).await;
         match body::unpack::<PeerReply>(&answer.ok()?).ok()? {
             PeerReply::Permitted(grant) => Some(grant),
             _ => None,
         }
     }
 
-    /// Asks another gateway how much longer it issues a replica's permits at a reduced rate, as the first
-    /// of its permit issuers. The inner value is `None` if it does not; the outer one is `None` if the
-    /// gateway does not respond in time.
-    pub async fn reduced_until(
+    /// Asks another gateway, the primary permit issuer of a replica, how much longer it issues permits at the
+    /// reduced rate. Returns `Some(None)` if it does not, and `None` if it does not respond in time.
+    pub async fn query_reduced_rate(
         &self,
         gw: &Gateway,
-        home: SocketAddr,
+        issuer: SocketAddr,
         replica: &str,
         data_centre: &str,
     ) -> Option<Option<Millis>> {
-        let home = self.client(&gw.credentials, home);
+        let issuer = self.client(&gw.credentials, issuer);
         let (replica, data_centre) = (replica.to_owned(), data_centre.to_owned());
         let request = PeerRequest::Settles { replica, data_centre };
-        let answer = home.call(Ask::Share(body::pack(&request)), LEND_TIMEOUT).await;
+        let answer = issuer.call(Ask::Share(body::pack(&request)), LEND_TIMEOUT).await;
         match body::unpack::<PeerReply>(&answer.ok()?).ok()? {
-            PeerReply::Settles(settles) => Some(settles),
+            PeerReply::Settles(reduced_for) => Some(reduced_for),
             _ => None,
         }
     }
@@ -297,8 +296,8 @@
         }
     }
 
-    /// Announces a prompt sent to a replica to all peers, without waiting for their responses. Does
-    /// nothing but count if the rate limit of announcements is reached.
+    /// Announces a prompt sent to a replica to all peers, without waiting for their responses. Only counts
+    /// the prompt if the rate limit of announcements is reached.
     pub fn announce_placement(&self, gw: &Gateway, p: Placement) {
         let (now, clock) = (gw.now(), gw.clock);
         let addresses = self.addresses.borrow();
@@ -449,19 +448,19 @@
             actix_rt::spawn(async move {
                 let reply = gw.peers.serve_hold(&gw, id, &account, tokens, within).await;
                 // If the link has ended, the borrower settles the loan on another one.
-                let _ = tx.send(answer(c.id, Ok(reply))).await;
+                let _ = tx.send(response_frame(c.id, Ok(reply))).await;
             });
             continue;
         }
         let result = request.and_then(|r| gw.peers.serve(&gw, r));
-        if tx.send(answer(c.id, result)).await.is_err() {
+        if tx.send(response_frame(c.id, result)).await.is_err() {
             break;
         }
     }
     writing.abort();
 }
 
-fn answer(id: i64, result: Result<PeerReply, Code>) -> Frame {
+fn response_frame(id: i64, result: Result<PeerReply, Code>) -> Frame {
     Frame::Answer(match result {
         Ok(reply) => Return::new(id, 0, Some(body::pack(&reply)), None),
         Err(code) => Return::new(id, i32::from(code.number()), None, None),
@@ -469,7 +468,7 @@
 }
 
 /// Expires loans that were not settled in time and counts them as used. Never returns.
-pub async fn expire_forever(gw: Rc<Gateway>) {
+pub async fn expire_loans_forever(gw: Rc<Gateway>) {
     loop {
         sleep(EXPIRE_INTERVAL).await;
         for loan in gw.peers.loans.borrow_mut().expire(gw.now()) {
--- a/crates/router/src/gateway/stand_in.rs
+++ b/crates/router/src/gateway/stand_in.rs
@@ -57,11 +57,11 @@
     }
 }
 
-/// Asks a primary issuer until when it issues at the reduced rate, and records the result. If it does
+/// Asks a primary issuer for how long it issues at the reduced rate, and records the result. If it does
 /// not answer, checks whether any process listens at its address.
 async fn probe(gw: &Gateway, replica: &str, Primary { gateway, data_centre }: &Primary) {
     let start = gw.now();
-    let until = match gw.peers.reduced_until(gw, *gateway, replica, data_centre).await {
+    let until = match gw.peers.query_reduced_rate(gw, *gateway, replica, data_centre).await {
         Some(reduced_for) => reduced_for.map(|span| start.after(span)),
         None => is_dead(*gateway).await.then(|| start.after(PROBE_VALIDITY)),
     };
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -94,7 +94,7 @@
     pub quarantines: QuarantineState,
     /// Rate limits of replicas.
     pub limits: ReplicaLimits,
-    /// Notices in replicas' response headers: draining and unreadable values.
+    /// Backoffs and announced departures from replicas' response headers.
     pub notices: ReplicaSignals,
     /// Rollouts in progress.
     pub rollouts: RolloutTracker,
@@ -177,7 +177,7 @@
     }
 
     /// Returns the interval between two reports of spent tokens, which depends on the number of routers.
-    pub fn report_every(&self) -> Duration {
+    pub fn report_interval(&self) -> Duration {
         let max = Millis(self.settings.report_interval.as_millis() as u64);
         Duration::from_millis(report_interval(u64::from(self.router_count.get()), max).0)
     }
@@ -222,7 +222,7 @@
     }
 
     /// Returns whether the link is too full for further connections.
-    pub fn is_full(&self) -> bool {
+    pub fn is_link_full(&self) -> bool {
         self.update_link_utilisation();
         self.load_monitor.borrow().is_link_full()
     }
@@ -251,8 +251,8 @@
 
     /// Repeats the watch request to the control process at `address` at once.
     pub fn poll_now(&self, address: SocketAddr) {
-        if let Some(u) = self.watches.borrow().get(&address) {
-            u.trigger();
+        if let Some(t) = self.watches.borrow().get(&address) {
+            t.trigger();
         }
     }
 
@@ -260,12 +260,12 @@
     pub fn poll_sources_now(&self) {
         let sources = self.sources.borrow();
         let all = self.watches.borrow();
-        all.iter().filter(|(a, _)| sources.is_selected(**a)).for_each(|(_, u)| u.trigger());
+        all.iter().filter(|(a, _)| sources.is_selected(**a)).for_each(|(_, t)| t.trigger());
     }
 
     /// Repeats the watch requests to all control processes at once.
     pub fn poll_all_now(&self) {
-        self.watches.borrow().values().for_each(|u| u.trigger());
+        self.watches.borrow().values().for_each(|t| t.trigger());
     }
 
     /// Returns the routes in force, waiting for the first document until `until`. Returns `None` if
@@ -329,8 +329,8 @@
         let now = self.now();
         let mut logged = Vec::new();
         for r in records {
-            let g = &r.registration;
-            let (id, address, sequence) = (g.id.clone(), g.address.clone(), g.sequence);
+            let reg = &r.registration;
+            let (id, address, sequence) = (reg.id.clone(), reg.address.clone(), reg.sequence);
             let start = self.replicas.borrow().classify_start(&r);
             if start == Start::Restarted || r.standing == ReplicaStatus::Left {
                 self.limits.remove(&id);
