--- a/crates/router/src/gateway/attempt.rs
+++ b/crates/router/src/gateway/attempt.rs
@@ -184,7 +184,7 @@
             return Err(ended);
         }
         self.sent = Instant::now();
-        gw.notices.count_unwanted_send(self.request, &self.send_target(), self.which);
+        gw.signals.count_unwanted_send(self.request, &self.send_target(), self.which);
         match self.send::<D>(&mut connection, last_event).await {
             Err(ExchangeError::Stale) if self.request.is_repeatable() => {
                 self.acquire_second_permit().await?;
@@ -203,7 +203,7 @@
                     }
                 };
                 self.check_replica()?;
-                gw.notices.count_unwanted_send(self.request, &self.send_target(), SendKind::Resend);
+                gw.signals.count_unwanted_send(self.request, &self.send_target(), SendKind::Resend);
                 self.send::<D>(&mut connection, last_event).await?;
             }
             sent => sent?,
@@ -259,9 +259,9 @@
             let head = connection.head().await?;
             let response = D::parse_response(&head);
             let is_own = response.id == Some(self.request.inbound.id.as_str());
-            let notices = &self.request.gw.notices;
+            let signals = &self.request.gw.signals;
             if is_own || (response.id.is_none() && response.not_run) {
-                notices.record_response(self.request, &self.send_target(), &response);
+                signals.record_response(self.request, &self.send_target(), &response);
                 if !response.not_run
                     && !response.wrong_replica
                     && response.retry_after == rest::RetryAfter::Absent
@@ -271,7 +271,7 @@
                 return Ok((connection, head));
             }
             // A backoff applies to this gateway, whichever request the response is for.
-            notices.record_backoff(self.request, &self.send_target(), &response);
+            signals.record_backoff(self.request, &self.send_target(), &response);
             if response.wrong_replica && response.id.is_none() {
                 return Ok((connection, head));
             }
--- a/crates/router/src/gateway/follow.rs
+++ b/crates/router/src/gateway/follow.rs
@@ -94,7 +94,7 @@
             rollouts: gw.rollouts.revision(),
             reports: gw.rollouts.reports(),
             heard: if without_replicas { Vec::new() } else { gw.limits.reports(gw.now()) },
-            leaving: if without_replicas { Vec::new() } else { gw.notices.pending_reports() },
+            leaving: if without_replicas { Vec::new() } else { gw.signals.pending_reports() },
             few: gw.limits.small_data_centres_digest(gw.peers.homes.digest_for(to)),
         })
     }
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -95,7 +95,7 @@
     /// Rate limits of replicas.
     pub limits: ReplicaLimits,
     /// Backoffs and announced departures from replicas' response headers.
-    pub notices: ReplicaSignals,
+    pub signals: ReplicaSignals,
     /// Rollouts in progress.
     pub rollouts: RolloutTracker,
     /// Position in each control process's feed of replica records.
@@ -148,7 +148,7 @@
             lost_connections: LostConnections::default(),
             quarantines: QuarantineState::default(),
             limits: ReplicaLimits::default(),
-            notices: ReplicaSignals::default(),
+            signals: ReplicaSignals::default(),
             rollouts: RolloutTracker::default(),
             feeds: RefCell::default(),
             evacuations: RefCell::default(),
@@ -302,7 +302,7 @@
     }
 
     /// Applies replica records from a control process. Passes those of draining replicas to
-    /// [`Gateway::notices`], which reports a replica back if the control process has it as ready.
+    /// [`Gateway::signals`], which reports a replica back if the control process has it as ready.
     pub fn apply_control_records(&self, records: Vec<Record>) {
         let reported: Vec<_> =
             records.iter().map(|r| (r.registration.id.clone(), r.standing)).collect();
@@ -310,7 +310,7 @@
         for (id, standing) in reported {
             let known = self.replicas.borrow().standing(&id);
             if known == Some(ReplicaStatus::Draining) {
-                self.notices.record_status(&id, self.born(&id), standing);
+                self.signals.record_status(&id, self.born(&id), standing);
             }
         }
     }
