--- a/crates/router/src/gateway/notices.rs
+++ b/crates/router/src/gateway/notices.rs
@@ -29,7 +29,7 @@
     /// The first send of the request.
     First,
     /// A retry at another replica.
-    Further,
+    Retry,
     /// A resend to the same replica on a new connection.
     Resend,
 }
@@ -39,7 +39,7 @@
     fn label(self) -> &'static str {
         match self {
             SendKind::First => "first",
-            SendKind::Further => "further",
+            SendKind::Retry => "further",
             SendKind::Resend => "again",
         }
     }
--- a/crates/router/src/gateway/request.rs
+++ b/crates/router/src/gateway/request.rs
@@ -348,7 +348,7 @@
             self.tried.push(choice.address);
             let observation = AttemptObservation::start(&request.gw, &request.service, side);
             let chosen = PickedReplica { choice, replica, data_centre, side };
-            let kind = if self.tried.len() == 1 { SendKind::First } else { SendKind::Further };
+            let kind = if self.tried.len() == 1 { SendKind::First } else { SendKind::Retry };
             let (ended, time_to_first) =
                 attempt::run::<D>(request, client, &mut self.progress, &chosen, kind).await;
             let PickedReplica { choice, replica, .. } = chosen;
