--- a/crates/router/src/gateway/budget.rs
+++ b/crates/router/src/gateway/budget.rs
@@ -122,11 +122,15 @@
         deadline,
     };
     gw.peers.homes.record_request(gw.now(), &demand.budget);
-    let parts =
-        match gw.peers.homes.for_budget(gw.now(), gw.settings.link, &demand.budget).is_empty() {
-            true => reserve_locally(gw, &demand).await?,
-            false => reserve_at_homes(gw, &demand).await?,
-        };
+    let parts = match gw
+        .peers
+        .homes
+        .for_budget(gw.now(), gw.settings.link_advertise, &demand.budget)
+        .is_empty()
+    {
+        true => reserve_locally(gw, &demand).await?,
+        false => reserve_at_homes(gw, &demand).await?,
+    };
     Ok(TokenReservation { parts, prompt: prompt.tokens })
 }
 
@@ -143,7 +147,7 @@
 
 impl Round {
     fn homes(self, gw: &Gateway, budget: &str) -> Vec<SocketAddr> {
-        let (homes, own) = (&gw.peers.homes, gw.settings.link);
+        let (homes, own) = (&gw.peers.homes, gw.settings.link_advertise);
         match self {
             Round::Local => homes.for_budget(gw.now(), own, budget),
             Round::Remote => homes.remote_homes(gw.now(), own, budget),
@@ -197,7 +201,7 @@
     tokens: Tokens,
     within: Duration,
 ) -> (Option<Part>, Option<Shortfall>) {
-    if home != gw.settings.link {
+    if home != gw.settings.link_advertise {
         let (part, short) =
             gw.peers.borrow_from_home(gw, home, demand.account, tokens, within).await;
         return (part.map(Part::Borrowed), short);
--- a/crates/router/src/gateway/follow.rs
+++ b/crates/router/src/gateway/follow.rs
@@ -69,7 +69,7 @@
             vm: gw.settings.base.vm.clone(),
             data_centre: gw.settings.base.data_centre.clone(),
             address: gw.settings.listen.to_string(),
-            link: gw.settings.link.to_string(),
+            link: gw.settings.link_advertise.to_string(),
             open: gw.is_open(),
             busy: gw.is_busy(),
         };
@@ -129,7 +129,7 @@
             gw.apply_rollouts(rollouts);
         }
         documents::record_response::<D>(gw, from, response.version, response.part);
-        gw.peers.add(gw.settings.link, &response.peers);
+        gw.peers.add(gw.settings.link_advertise, &response.peers);
         if let Some(areas) = &response.areas {
             apply_areas(gw, from, areas);
         }
@@ -187,9 +187,9 @@
     let homes = &gw.peers.homes;
     let base = &gw.settings.base;
     homes.update(from, &base.data_centre, &base.regions, areas);
-    gw.peers.update_from_homes(gw.settings.link);
+    gw.peers.update_from_homes(gw.settings.link_advertise);
     gw.limits.set_large_data_centres(gw.now(), areas);
-    let own = gw.settings.link;
+    let own = gw.settings.link_advertise;
     let is_elsewhere = |budget: &str| {
         let all = homes.for_budget(gw.now(), own, budget);
         !all.is_empty() && !all.contains(&own)
@@ -234,7 +234,7 @@
         address: gw.settings.listen.to_string(),
         nonce,
         age: gw.now().since(predecessor_ended),
-        link: gw.settings.link.to_string(),
+        link: gw.settings.link_advertise.to_string(),
     };
     loop {
         if let Ok(Answer::Registered(holder)) =
--- a/crates/router/src/gateway/limits.rs
+++ b/crates/router/src/gateway/limits.rs
@@ -331,7 +331,7 @@
     /// Requests permits from the primary issuer, and from the secondary if the primary does not answer
     /// or has none at the reduced rate. Returns `None` if no issuer answers.
     async fn request_grant(&self, gw: &Gateway, req: &PermitRequest) -> Option<Grant> {
-        let own = gw.settings.link;
+        let own = gw.settings.link_advertise;
         let mut denied = None;
         for issuer in self.reachable_issuers(gw, req) {
             let grant = match issuer == own {
@@ -352,7 +352,10 @@
     fn reachable_issuers(&self, gw: &Gateway, req: &PermitRequest) -> Vec<SocketAddr> {
         let now = gw.now();
         let mut issuers = self.issuers.borrow_mut();
-        let all = issuers.issuers(gw.settings.link, &req.replica, &req.data_centre).iter().copied();
+        let all = issuers
+            .issuers(gw.settings.link_advertise, &req.replica, &req.data_centre)
+            .iter()
+            .copied();
         all.filter(|a| !self.is_unreachable(now, a)).collect()
     }
 
@@ -365,7 +368,7 @@
 
     /// Issues permits for another gateway's request or this gateway's own.
     pub fn issue_permits(&self, gw: &Gateway, req: &PermitRequest) -> Grant {
-        let (now, own) = (gw.now(), gw.settings.link);
+        let (now, own) = (gw.now(), gw.settings.link_advertise);
         let issue_rate =
             self.issuers.borrow_mut().issue_rate(now, own, &req.replica, &req.data_centre);
         // The requesting gateway has a different list of gateways.
@@ -386,7 +389,7 @@
     /// Returns how much longer this gateway issues a replica's permits at the reduced rate as its new
     /// primary, or `None` if it does not.
     pub fn reduced_until(&self, gw: &Gateway, replica: &str, data_centre: &str) -> Option<Millis> {
-        let (now, own) = (gw.now(), gw.settings.link);
+        let (now, own) = (gw.now(), gw.settings.link_advertise);
         let until = self.issuers.borrow_mut().reduced_until(now, own, replica, data_centre)?;
         Some(until.since(now))
     }
@@ -394,7 +397,7 @@
     /// Requests a probe of the replica's primary issuer if this gateway is the secondary and has no
     /// recent probe result.
     fn request_probe(&self, gw: &Gateway, req: &PermitRequest) {
-        let (now, own) = (gw.now(), gw.settings.link);
+        let (now, own) = (gw.now(), gw.settings.link_advertise);
         let mut issuers = self.issuers.borrow_mut();
         if let Some(primary) = issuers.primary_to_probe(now, own, &req.replica, &req.data_centre) {
             self.probes.request(primary, &req.replica, &req.data_centre);
--- a/crates/router/src/gateway/settings.rs
+++ b/crates/router/src/gateway/settings.rs
@@ -92,7 +92,7 @@
     /// Address on which to listen for other gateways.
     pub link_listen: SocketAddr,
     /// Address under which other gateways reach this one.
-    pub link: SocketAddr,
+    pub link_advertise: SocketAddr,
     /// Address that operators connect to.
     pub operators: SocketAddr,
     /// Additional address that serves only metrics.
@@ -160,7 +160,7 @@
         Ok(Settings {
             base,
             listen: parse_address("listen", &self.listen)?,
-            link: parse_address(
+            link_advertise: parse_address(
                 "link_advertise",
                 self.link_advertise.as_ref().unwrap_or(&self.link),
             )?,
