--- a/crates/router/src/chat.rs
+++ b/crates/router/src/chat.rs
@@ -103,7 +103,7 @@
     budgeting.note(format!("{need} tokens of {budget}"));
     drop(budgeting);
     let guard = ReservationGuard::new(token_store, budget, reservation);
-    let claim = match head.once {
+    let claim = match head.at_most_once {
         false => None,
         true => {
             let _claiming = trace.span("claim");
--- a/crates/router/src/head.rs
+++ b/crates/router/src/head.rs
@@ -26,7 +26,7 @@
     /// The priority class, if the client set one.
     pub priority: Option<Priority>,
     /// Whether the request may run at most once.
-    pub once: bool,
+    pub at_most_once: bool,
     /// The W3C trace context.
     pub traceparent: Option<String>,
 }
@@ -99,8 +99,8 @@
         return Err(Refusal::from(Code::HeadTooLarge).detail(detail));
     }
     let given_id = parse_id(h)?;
-    let once = parse_at_most_once(h)?;
-    if once && given_id.is_none() {
+    let at_most_once = parse_at_most_once(h)?;
+    if at_most_once && given_id.is_none() {
         return Err(Code::IdMissing.into());
     }
     Ok(Head {
@@ -109,7 +109,7 @@
         id: given_id.unwrap_or_else(|| format!("{generated_id:032x}")),
         deadline: parse_deadline(h)?,
         priority: parse_priority(h)?,
-        once,
+        at_most_once,
         traceparent: header_text(h, "traceparent")?.map(str::to_owned),
     })
 }
--- a/crates/router/src/plain.rs
+++ b/crates/router/src/plain.rs
@@ -73,7 +73,7 @@
     let path = call.path.split('?').next().unwrap_or_default().to_owned();
     let service = app.view.borrow().plain(&client, &path)?;
     let is_safe = matches!(call.method, Method::GET | Method::HEAD);
-    let needs_claim = head.once || (service.service.writes_once && !is_safe);
+    let needs_claim = head.at_most_once || (service.service.writes_once && !is_safe);
     if needs_claim && !head.id_given {
         return Err(Code::IdMissing.into());
     }
