--- a/crates/router/src/gateway/notices.rs
+++ b/crates/router/src/gateway/notices.rs
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Removes incarnations that are no longer running.
+    /// Removes leaving replicas that have left or restarted.
     pub fn remove_expired(&self, gw: &Gateway) {
         self.leaving.borrow_mut().retain(|replica, l| gw.is_running(replica, l.born));
     }
--- a/crates/router/src/gateway/quarantine.rs
+++ b/crates/router/src/gateway/quarantine.rs
@@ -189,6 +189,7 @@
     }
 }
 
+/// Returns the command that reports these terminations to the control group.
 fn report_command(now: Time, all: &[PendingTermination]) -> Command {
     let report = |t: &PendingTermination| TerminationReport {
         replica: t.replica.clone(),
--- a/crates/router/src/gateway/request.rs
+++ b/crates/router/src/gateway/request.rs
@@ -488,7 +488,7 @@
             && self.request.gw.take_retry(&self.request.service)
     }
 
-    /// Returns the outcome after a response failed part-way.
+    /// Returns the outcome of a request that a replica may have run, but that was not answered completely.
     fn fail(&self, client: &Client, why: String) -> Outcome {
         if client.has_started() {
             return Outcome::Interrupted(why);
@@ -497,7 +497,7 @@
         Outcome::Refused(failure.detail(why))
     }
 
-    /// Returns the outcome of a request that was quarantined after its first attempt.
+    /// Returns the outcome of a request that was found quarantined before its next attempt.
     fn fail_quarantined(&self, f: Fingerprint, client: &Client) -> Outcome {
         let refusal = quarantined(f);
         if self.ran > 0 {
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -52,8 +52,8 @@
 /// is processed before a peer could take it into account.
 const MIN_ANNOUNCED_TOKENS: u64 = 1_000;
 
-/// Maximum of the earliest time after which a refused caller is asked to retry, even if all replicas
-/// back off for longer: further replicas may register in the meantime.
+/// Maximum delay after which the first of the refused callers is asked to retry, even if all replicas back
+/// off for longer: further replicas may register in the meantime.
 const MAX_EARLIEST_RETRY: Millis = Millis::seconds(10);
 
 /// Maximum time over which the retries of refused callers are spread.
@@ -176,7 +176,8 @@
         self.clock.now()
     }
 
-    /// Returns the interval between two reports of spent tokens, which depends on the number of routers.
+    /// Returns the interval between two reports of spent tokens, which depends on the number of routers in the
+    /// fleet.
     pub fn report_interval(&self) -> Duration {
         let max = Millis(self.settings.report_interval.as_millis() as u64);
         Duration::from_millis(report_interval(u64::from(self.router_count.get()), max).0)
@@ -296,13 +297,13 @@
         }
     }
 
-    /// Removes and returns the token store of the current registration, so that no request uses it.
+    /// Removes and returns the token store of the current registration, so that no further request uses it.
     pub fn take_token_store(&self) -> Option<Rc<TokenStore>> {
         self.token_store.borrow_mut().take()
     }
 
-    /// Applies replica records from a control process. Passes those of draining replicas to
-    /// [`Gateway::signals`], which reports a replica back if the control process has it as ready.
+    /// Applies replica records from a control process. [`Gateway::signals`] receives the status of replicas
+    /// that are known to be draining, and reports those that the control process still has as ready.
     pub fn apply_control_records(&self, records: Vec<Record>) {
         let reported: Vec<_> =
             records.iter().map(|r| (r.registration.id.clone(), r.standing)).collect();
