--- a/crates/router/src/gateway/attempt.rs
+++ b/crates/router/src/gateway/attempt.rs
@@ -109,18 +109,26 @@
     client: &mut Client,
     progress: &mut ResponseProgress,
     chosen: &PickedReplica,
-    which: SendKind,
+    send_kind: SendKind,
 ) -> (AttemptOutcome, Option<Duration>) {
     let (choice, replica) = (&chosen.choice, chosen.replica.as_str());
     let data_centre = chosen.data_centre.as_str();
     let (born, sent) = (request.gw.born(replica), Instant::now());
-    let mut attempt =
-        Attempt { request, choice, replica, data_centre, which, born, sent, time_to_first: None };
-    let ended = attempt.run::<D>(client, progress).await;
-    if matches!(ended, AttemptOutcome::Lost(_)) {
+    let mut attempt = Attempt {
+        request,
+        choice,
+        replica,
+        data_centre,
+        send_kind,
+        born,
+        sent,
+        time_to_first: None,
+    };
+    let outcome = attempt.run::<D>(client, progress).await;
+    if matches!(outcome, AttemptOutcome::Lost(_)) {
         record_connection_loss(request, choice.address, replica, attempt.sent);
     }
-    (ended, attempt.time_to_first)
+    (outcome, attempt.time_to_first)
 }
 
 /// One attempt at a replica.
@@ -133,8 +141,8 @@
     pub replica: &'a str,
     /// The replica's data centre.
     pub data_centre: &'a str,
-    /// Which attempt at the request it is, as counted in metrics.
-    which: SendKind,
+    /// Whether it is the first attempt at the request, for metrics.
+    send_kind: SendKind,
     /// Start time of the replica's process at the time it was picked; 0 if unknown.
     born: u64,
     /// When the request was sent.
@@ -151,7 +159,7 @@
     ) -> AttemptOutcome {
         let until = self.request.deadline;
         // Returning early when the caller closes its connection drops the connection to the replica.
-        // A head that was received is read first: its backoff or rate limit concerns other requests too.
+        // A head that was received is processed first: its backoff or rate limit affects other requests too.
         let result = tokio::select! {
             biased;
             result = timeout_at(until, self.send_request::<D>(progress.events.last())) => result,
@@ -159,7 +167,7 @@
         };
         let (connection, head) = match result {
             Ok(Ok(started)) => started,
-            Ok(Err(ended)) => return ended,
+            Ok(Err(outcome)) => return outcome,
             Err(_) => return AttemptOutcome::Late,
         };
         self.time_to_first = Some(self.sent.elapsed());
@@ -174,17 +182,17 @@
         let gw = &self.request.gw;
         self.check_replica()?;
         let mut connection = gw.connections.get(Instant::now(), self.choice.address).await?;
-        if let Err(ended) = self.check_replica() {
+        if let Err(outcome) = self.check_replica() {
             gw.keep_connection(
                 &self.request.service,
                 self.choice.address,
                 self.replica,
                 connection,
             );
-            return Err(ended);
+            return Err(outcome);
         }
         self.sent = Instant::now();
-        gw.notices.count_unwanted_send(self.request, &self.send_target(), self.which);
+        gw.notices.count_unwanted_send(self.request, &self.send_target(), self.send_kind);
         match self.send::<D>(&mut connection, last_event).await {
             Err(ExchangeError::Stale) if self.request.is_repeatable() => {
                 self.acquire_second_permit().await?;
@@ -192,21 +200,21 @@
                 // is still running.
                 connection = match gw.connections.open(self.choice.address).await {
                     Ok(c) => c,
-                    Err(b) => {
+                    Err(error) => {
                         record_connection_loss(
                             self.request,
                             self.choice.address,
                             self.replica,
                             self.sent,
                         );
-                        return Err(b.into());
+                        return Err(error.into());
                     }
                 };
                 self.check_replica()?;
                 gw.notices.count_unwanted_send(self.request, &self.send_target(), SendKind::Resend);
                 self.send::<D>(&mut connection, last_event).await?;
             }
-            sent => sent?,
+            result => result?,
         }
         self.read_own_head::<D>(connection).await
     }
@@ -218,6 +226,7 @@
         allowed.then_some(()).ok_or(AttemptOutcome::Withheld)
     }
 
+    /// Returns the replica incarnation and the time of the send.
     fn send_target(&self) -> SendTarget<'_> {
         let (replica, address) = (self.replica, self.choice.address);
         SendTarget { replica, address, born: self.born, sent: self.sent }
@@ -302,11 +311,11 @@
         if self.request.kind == Kind::Stream && head.status.is_success() && !not_run {
             return stream::forward(self, client, progress, connection, head).await;
         }
-        let complete = tokio::select! {
-            complete = timeout_at(self.request.deadline, read_body(connection)) => complete,
+        let result = tokio::select! {
+            result = timeout_at(self.request.deadline, read_body(connection)) => result,
             () = client.closed() => return AttemptOutcome::Left,
         };
-        let (body, unframed) = match complete {
+        let (body, unframed) = match result {
             Ok(Ok((connection, body))) => {
                 let gw = &self.request.gw;
                 let unframed = connection.is_unframed();
@@ -323,7 +332,7 @@
                 (body, unframed)
             }
             Ok(Err(_)) if not_run => return AttemptOutcome::NotRun,
-            Ok(Err(b)) => return b.into(),
+            Ok(Err(error)) => return error.into(),
             Err(_) => return AttemptOutcome::Late,
         };
         if not_run {
--- a/crates/router/src/gateway/budget.rs
+++ b/crates/router/src/gateway/budget.rs
@@ -105,8 +105,8 @@
     pub unread: u64,
 }
 
-/// Reserves the most tokens that a request can use, `prompt.tokens + prompt.most`. Returns the refusal to
-/// send if they are not available by `deadline` or sooner.
+/// Reserves the most tokens that a request can use, `prompt.tokens + prompt.max_output`. Returns the refusal
+/// for the caller if they cannot be reserved, at `deadline` at the latest.
 pub async fn reserve_tokens(
     gw: &Gateway,
     account: &str,
@@ -170,22 +170,22 @@
     'rounds: for round in [Round::Local, Round::Remote, Round::Recall] {
         for home in round.homes(gw, &demand.budget) {
             let left = demand.deadline.saturating_duration_since(Instant::now());
-            let (part, short) =
+            let (part, shortfall) =
                 reserve_at_home(gw, demand, home, missing, round.wait().min(left)).await;
             missing -= part.as_ref().map_or(0, Part::amount);
             parts.extend(part);
             if missing == 0 {
                 return Ok(parts);
             }
-            reason = combine_reasons(reason, short);
+            reason = combine_reasons(reason, shortfall);
             if reason == Some(Shortfall::Spent) {
                 break 'rounds;
             }
         }
     }
-    let at_hand = demand.max_tokens - missing;
+    let reserved = demand.max_tokens - missing;
     parts.into_iter().for_each(|part| part.settle(0));
-    Err(homes_refusal(demand, reason, at_hand))
+    Err(homes_refusal(demand, reason, reserved))
 }
 
 /// Reserves up to `tokens` at one home, waiting up to `within`. Returns the reserved part, and the reason if
@@ -198,17 +198,17 @@
     within: Duration,
 ) -> (Option<Part>, Option<Shortfall>) {
     if home != gw.settings.link {
-        let (part, short) =
+        let (part, shortfall) =
             gw.peers.borrow_from_home(gw, home, demand.account, tokens, within).await;
-        return (part.map(Part::Borrowed), short);
+        return (part.map(Part::Borrowed), shortfall);
     }
     let until = Instant::now() + within;
     let Some(token_store) = gw.wait_for_token_store(until).await else {
         return (None, Some(Shortfall::Closed));
     };
-    let PartialReservation { reserved: part, shortfall: short } =
+    let PartialReservation { reserved, shortfall } =
         token_store.reserve_up_to(&demand.budget, demand.policy, tokens, until).await;
-    let own = |(source, reservation)| {
+    let to_part = |(source, reservation)| {
         Part::Own(OwnReservation {
             token_store,
             source,
@@ -216,7 +216,7 @@
             reservation,
         })
     };
-    (part.map(own), short)
+    (reserved.map(to_part), shortfall)
 }
 
 /// Combines the reasons of two homes into the one reported to the caller: a spent budget wins over any
@@ -231,18 +231,19 @@
     [a, b].into_iter().flatten().min_by_key(rank)
 }
 
-/// Returns the refusal after the homes could not reserve all tokens.
-fn homes_refusal(demand: &TokenDemand<'_>, reason: Option<Shortfall>, at_hand: Tokens) -> Refusal {
+/// Returns the refusal after the homes could reserve only the tokens `reserved`.
+fn homes_refusal(demand: &TokenDemand<'_>, reason: Option<Shortfall>, reserved: Tokens) -> Refusal {
     let (account, max_tokens) = (demand.account, demand.max_tokens);
-    let why = format!("account {account}, {max_tokens} wanted, {at_hand} at its homes, {reason:?}");
+    let detail =
+        format!("account {account}, {max_tokens} wanted, {reserved} at its homes, {reason:?}");
     let after = match reason {
-        Some(Shortfall::Spent) => return Refusal::from(Code::BudgetTooSmall).detail(why),
+        Some(Shortfall::Spent) => return Refusal::from(Code::BudgetTooSmall).detail(detail),
         Some(Shortfall::Busy(after) | Shortfall::Limited(after)) => {
             after.clamp(MIN_HOME_RETRY_AFTER, MAX_HOME_RETRY_AFTER)
         }
         _ => DEFAULT_RETRY_AFTER,
     };
-    Refusal::from(Code::BudgetUnreachable).retry_after(after).detail(why)
+    Refusal::from(Code::BudgetUnreachable).retry_after(after).detail(detail)
 }
 
 /// Reserves tokens in this gateway's own slices and, if those do not suffice, in those of other gateways.
@@ -252,18 +253,19 @@
     let (policy, max_tokens, deadline) = (*policy, *max_tokens, *deadline);
     let registered = deadline.min(Instant::now() + RECALL_WAIT);
     let token_store = gw.wait_for_token_store(registered).await.ok_or_else(not_ready)?;
-    let own = |source, reservation| {
+    let to_part = |source, reservation| {
         let (token_store, budget) = (token_store.clone(), budget.clone());
         Part::Own(OwnReservation { token_store, source, budget, reservation })
     };
     // The order is: tokens available at short notice, idle tokens of other gateways, recalled tokens.
     let short_until = deadline.min(Instant::now() + SHORT_WAIT);
     if let Ok((source, r)) = token_store.reserve(budget, policy, max_tokens, short_until).await {
-        return Ok(vec![own(source, r)]);
+        return Ok(vec![to_part(source, r)]);
     }
-    let part = token_store.reserve_part(budget, policy, max_tokens).map(|r| own(Source::Group, r));
-    let at_hand = part.as_ref().map_or(0, Part::amount);
-    if let Some(borrowed) = gw.peers.borrow(gw, account, max_tokens - at_hand).await {
+    let part =
+        token_store.reserve_part(budget, policy, max_tokens).map(|r| to_part(Source::Group, r));
+    let reserved = part.as_ref().map_or(0, Part::amount);
+    if let Some(borrowed) = gw.peers.borrow(gw, account, max_tokens - reserved).await {
         return Ok(part.into_iter().chain(borrowed.into_iter().map(Part::Borrowed)).collect());
     }
     if let Some(part) = part {
@@ -271,26 +273,26 @@
     }
     let until = deadline.min(Instant::now() + RECALL_WAIT);
     match token_store.reserve(budget, policy, max_tokens, until).await {
-        Ok((source, r)) => Ok(vec![own(source, r)]),
+        Ok((source, r)) => Ok(vec![to_part(source, r)]),
         Err(r) => Err(local_refusal(r, account, max_tokens, token_store.available(budget, policy))),
     }
 }
 
-/// Returns the refusal after a local reservation failed with `r`. `at_hand` is the idle tokens and those
-/// that the spending limit allows.
+/// Returns the refusal after a local reservation failed with `r`. `available` is the number of idle tokens
+/// and the number that the spending limit allows.
 fn local_refusal(
     r: Refusal,
     account: &str,
     max_tokens: Tokens,
-    at_hand: (Tokens, Tokens),
+    available: (Tokens, Tokens),
 ) -> Refusal {
-    let (idle, allowed) = at_hand;
+    let (idle, allowed) = available;
     let text = r.code.text();
-    let why =
+    let detail =
         format!("{text}; account {account}, {max_tokens} wanted, {idle} idle, {allowed} allowed");
     match r.code {
-        Code::BudgetSpent => Refusal::from(Code::BudgetTooSmall).detail(why),
-        _ => Refusal::from(Code::BudgetUnreachable).retry_after(DEFAULT_RETRY_AFTER).detail(why),
+        Code::BudgetSpent => Refusal::from(Code::BudgetTooSmall).detail(detail),
+        _ => Refusal::from(Code::BudgetUnreachable).retry_after(DEFAULT_RETRY_AFTER).detail(detail),
     }
 }
 
--- a/crates/router/src/gateway/client.rs
+++ b/crates/router/src/gateway/client.rs
@@ -76,11 +76,12 @@
         }
     }
 
-    fn count_bytes(&self, way: &'static str, bytes: usize) {
+    fn count_bytes(&self, direction: &'static str, bytes: usize) {
         self.bytes_served.set(self.bytes_served.get() + bytes as u64);
-        counter!(metric::SERVED, "way" => way).increment(bytes as u64);
+        counter!(metric::SERVED, "way" => direction).increment(bytes as u64);
     }
 
+    /// Reads more input into the buffer. Returns whether there was any.
     async fn fill(&mut self) -> io::Result<bool> {
         self.buf.reserve(READ_BYTES);
         let n = self.reader.read_buf(&mut self.buf).await?;
@@ -140,11 +141,11 @@
             return Ok(Bytes::new());
         }
         let until = Instant::now() + within;
-        let mut all = BytesMut::new();
+        let mut body = BytesMut::new();
         loop {
             match self.codec.decode(&mut self.buf) {
-                Ok(Some(Message::Chunk(Some(piece)))) => all.extend_from_slice(&piece),
-                Ok(Some(Message::Chunk(None))) => return Ok(all.freeze()),
+                Ok(Some(Message::Chunk(Some(chunk)))) => body.extend_from_slice(&chunk),
+                Ok(Some(Message::Chunk(None))) => return Ok(body.freeze()),
                 Ok(Some(Message::Item(_))) => return Err(Code::RequestBad),
                 Ok(None) => match timeout_at(until, self.fill()).await {
                     Ok(Ok(true)) => {}
@@ -152,7 +153,7 @@
                 },
                 Err(_) => return Err(Code::RequestBad),
             }
-            if all.len() > max_bytes {
+            if body.len() > max_bytes {
                 return Err(Code::BodyTooLarge);
             }
         }
@@ -280,12 +281,12 @@
         // Errors do not matter on a connection that is closed anyway.
         let _ = self.writer.shutdown().await;
         let until = Instant::now() + within;
-        let mut rest = BytesMut::with_capacity(READ_BYTES);
-        while let Ok(Ok(n)) = timeout_at(until, self.reader.read_buf(&mut rest)).await {
+        let mut discarded = BytesMut::with_capacity(READ_BYTES);
+        while let Ok(Ok(n)) = timeout_at(until, self.reader.read_buf(&mut discarded)).await {
             if n == 0 {
                 return;
             }
-            rest.clear();
+            discarded.clear();
         }
     }
 }
--- a/crates/router/src/gateway/dialect.rs
+++ b/crates/router/src/gateway/dialect.rs
@@ -15,7 +15,7 @@
 pub struct PromptSize {
     /// Tokens of the prompt.
     pub tokens: Tokens,
-    /// Maximum tokens of the answer.
+    /// Maximum tokens of the response.
     pub max_output: Tokens,
     /// Cumulative prefixes of the prompt, from its parts.
     pub prefixes: PromptPrefixes,
@@ -28,7 +28,7 @@
     pub host: String,
     /// The request's id.
     pub id: String,
-    /// The bearer key.
+    /// The API key.
     pub key: Option<String>,
     /// The caller's timeout.
     pub deadline: Option<Millis>,
