--- a/crates/router/src/gateway/documents.rs
+++ b/crates/router/src/gateway/documents.rs
@@ -36,7 +36,7 @@
     fetch: RefCell<Fetch>,
     assembly: RefCell<Assembly>,
     /// Whether the task that checks the fetch for timeouts is running.
-    is_checked: Cell<bool>,
+    checker_running: Cell<bool>,
 }
 
 impl Documents {
@@ -139,7 +139,7 @@
     let version = docs.fetch.borrow().version_at(address);
     emit!(Event::DocumentAsked, version = version, from = address, held = held, has = has);
     gw.poll_now(address);
-    if !docs.is_checked.replace(true) {
+    if !docs.checker_running.replace(true) {
         actix_rt::spawn(check_fetch(gw.clone()));
     }
 }
@@ -153,7 +153,7 @@
             replace_source(&gw, source, "the request timed out");
         }
     }
-    gw.documents.is_checked.set(false);
+    gw.documents.checker_running.set(false);
 }
 
 /// Adds a part to the document being assembled, and puts the document in force once it is complete.
@@ -194,7 +194,7 @@
             gw.notify();
         }
         Ok(_) => {}
-        // The control process has checked the document, so its release reads it differently from this one.
+        // The control process has validated the document, so it must run another software version.
         Err(e) => emit!(Event::ConfigRefused, code = e.code.number(), why = e.reason),
     }
 }
--- a/crates/router/src/gateway/events.rs
+++ b/crates/router/src/gateway/events.rs
@@ -83,13 +83,13 @@
 
 /// Returns the end of the first event, after the empty line that terminates it.
 fn end_of_event(buf: &[u8]) -> Option<usize> {
-    let line_end = |at: usize| buf[at] == b'\n';
-    let blank = |at: usize| match buf.get(at + 1)? {
+    let is_line_end = |at: usize| buf[at] == b'\n';
+    let end_of_blank_line = |at: usize| match buf.get(at + 1)? {
         b'\n' => Some(at + 2),
         b'\r' if buf.get(at + 2) == Some(&b'\n') => Some(at + 3),
         _ => None,
     };
-    (0..buf.len()).filter(|at| line_end(*at)).find_map(blank)
+    (0..buf.len()).filter(|at| is_line_end(*at)).find_map(end_of_blank_line)
 }
 
 /// Returns the number in the `id` field of an event.
--- a/crates/router/src/gateway/homes.rs
+++ b/crates/router/src/gateway/homes.rs
@@ -54,26 +54,26 @@
         }
     }
 
-    /// Replaces the lists with those of the control process at `from`. `own` is the data centre of this
-    /// gateway.
+    /// Replaces the lists with those of the control process at `from`.
     pub fn update(
         &self,
         from: SocketAddr,
-        own: &str,
+        own_data_centre: &str,
         regions: &Regions,
-        areas: &[DataCentreRouters],
+        lists: &[DataCentreRouters],
     ) {
         self.source.set(Some(from));
-        self.digest.set(digest(areas));
+        self.digest.set(digest(lists));
         let (local, remote): (Vec<&DataCentreRouters>, Vec<_>) =
-            areas.iter().partition(|a| a.data_centre == own);
+            lists.iter().partition(|d| d.data_centre == own_data_centre);
         *self.local.borrow_mut() = local.into_iter().flat_map(addresses).collect();
-        let in_other_region = |a: &DataCentreRouters| !regions.same_region(own, &a.data_centre);
+        let in_other_region =
+            |d: &DataCentreRouters| !regions.same_region(own_data_centre, &d.data_centre);
         *self.remote.borrow_mut() =
-            remote.into_iter().map(|a| (in_other_region(a), addresses(a))).collect();
+            remote.into_iter().map(|d| (in_other_region(d), addresses(d))).collect();
         self.candidates.borrow_mut().clear();
         let routers = self.local.borrow().len();
-        emit!(Event::RoutersChanged, from = from, routers = routers, areas = areas.len());
+        emit!(Event::RoutersChanged, from = from, routers = routers, areas = lists.len());
     }
 
     /// Records that a control process is unreachable. If the lists come from it, the next ones may come
@@ -93,18 +93,18 @@
     pub fn is_known(&self, gateway: &SocketAddr) -> bool {
         let remote = self.remote.borrow();
         self.local.borrow().contains(gateway)
-            || remote.iter().any(|(_, area)| area.contains(gateway))
+            || remote.iter().any(|(_, gateways)| gateways.contains(gateway))
     }
 
-    /// Returns the homes of a budget to ask for tokens, in order; none if each gateway holds its own
-    /// slices. A gateway with heavy demand for the budget (`own`) comes first.
+    /// Returns the homes of a budget in the order in which to ask them for tokens; none if each gateway holds
+    /// its own slices. This gateway (`own`) comes first if its demand for the budget is heavy.
     pub fn for_budget(&self, now: Time, own: SocketAddr, budget: &str) -> Vec<SocketAddr> {
         if self.local.borrow().is_empty() {
             return Vec::new();
         }
         let mut homes =
             ask_order(&self.candidates(budget).local, own, |a| self.is_unavailable(now, a));
-        if self.is_heavy(now, budget) && homes.first() != Some(&own) {
+        if self.has_heavy_demand(now, budget) && homes.first() != Some(&own) {
             homes.insert(0, own);
         }
         homes
@@ -119,7 +119,8 @@
         }
     }
 
-    fn is_heavy(&self, now: Time, budget: &str) -> bool {
+    /// Returns whether this gateway's demand for the budget is heavy.
+    fn has_heavy_demand(&self, now: Time, budget: &str) -> bool {
         self.demand.borrow().get(budget).is_some_and(|d| d.is_heavy(now))
     }
 
@@ -127,8 +128,8 @@
     /// few tokens. Homes in the own region come first.
     pub fn remote_homes(&self, now: Time, own: SocketAddr, budget: &str) -> Vec<SocketAddr> {
         let candidates = self.candidates(budget);
-        let first_home = |(in_other_region, area): &(bool, Vec<SocketAddr>)| {
-            let first = ask_order(area, own, |a| self.is_unavailable(now, a)).first().copied();
+        let first_home = |(in_other_region, gateways): &(bool, Vec<SocketAddr>)| {
+            let first = ask_order(gateways, own, |a| self.is_unavailable(now, a)).first().copied();
             first.map(|a| (*in_other_region, a))
         };
         let mut homes: Vec<_> = candidates.remote.iter().filter_map(first_home).collect();
@@ -138,6 +139,7 @@
         homes.into_iter().map(|(_, a)| a).collect()
     }
 
+    /// Returns the candidates for homes of the budget, from the cache if they are known.
     fn candidates(&self, budget: &str) -> Rc<Candidates> {
         let mut all = self.candidates.borrow_mut();
         if let Some(known) = all.get(budget) {
@@ -147,7 +149,9 @@
             .remote
             .borrow()
             .iter()
-            .map(|(in_other_region, area)| (*in_other_region, home_candidates(budget, area)))
+            .map(|(in_other_region, gateways)| {
+                (*in_other_region, home_candidates(budget, gateways))
+            })
             .collect();
         let local = home_candidates(budget, &self.local.borrow());
         let new = Rc::new(Candidates { local, remote });
@@ -165,6 +169,7 @@
     }
 }
 
-fn addresses(a: &DataCentreRouters) -> Vec<SocketAddr> {
-    a.links.iter().filter_map(|l| l.parse().ok()).collect()
+/// Returns the gateway addresses of a data centre that can be parsed.
+fn addresses(d: &DataCentreRouters) -> Vec<SocketAddr> {
+    d.links.iter().filter_map(|l| l.parse().ok()).collect()
 }
