--- a/crates/router/src/gateway/follow.rs
+++ b/crates/router/src/gateway/follow.rs
@@ -93,7 +93,7 @@
             quarantine,
             rollouts: gw.rollouts.revision(),
             reports: gw.rollouts.reports(),
-            heard: if without_replicas { Vec::new() } else { gw.limits.reports(gw.now()) },
+            heard: if without_replicas { Vec::new() } else { gw.limits.take_due_reports(gw.now()) },
             leaving: if without_replicas { Vec::new() } else { gw.notices.pending_reports() },
             few: gw.limits.small_data_centres_digest(gw.peers.homes.digest_for(to)),
         })
@@ -131,7 +131,7 @@
         documents::record_response::<D>(gw, from, response.version, response.part);
         gw.peers.add(gw.settings.link, &response.peers);
         if let Some(areas) = &response.areas {
-            apply_areas(gw, from, areas);
+            apply_router_lists(gw, from, areas);
         }
         if let Some(few) = response.few {
             gw.limits.set_small_data_centres(gw.now(), few);
@@ -181,14 +181,14 @@
     }
 }
 
-/// Applies the lists of gateways by data centre, and returns the tokens of budgets for which this gateway
-/// is no longer a home.
-fn apply_areas(gw: &Gateway, from: SocketAddr, areas: &[DataCentreRouters]) {
+/// Applies the gateways of all data centres, and returns the tokens of budgets for which this gateway is no
+/// longer a home.
+fn apply_router_lists(gw: &Gateway, from: SocketAddr, routers: &[DataCentreRouters]) {
     let homes = &gw.peers.homes;
     let base = &gw.settings.base;
-    homes.update(from, &base.data_centre, &base.regions, areas);
+    homes.update(from, &base.data_centre, &base.regions, routers);
     gw.peers.update_from_homes(gw.settings.link);
-    gw.limits.set_large_data_centres(gw.now(), areas);
+    gw.limits.set_large_data_centres(gw.now(), routers);
     let own = gw.settings.link;
     let is_elsewhere = |budget: &str| {
         let all = homes.for_budget(gw.now(), own, budget);
@@ -265,7 +265,7 @@
         match answer {
             Ok(Reply::News(news)) if news.stranger => return,
             Ok(Reply::News(news)) => {
-                news.recalls.iter().for_each(|b| token_store.return_idle(b));
+                news.recalls.iter().for_each(|budget| token_store.return_idle(budget));
             }
             _ => sleep(RETRY_DELAY).await,
         }
--- a/crates/router/src/gateway/limits.rs
+++ b/crates/router/src/gateway/limits.rs
@@ -52,12 +52,12 @@
 /// Maximum `Retry-After` of a refused caller. By then other callers have given up and freed capacity.
 const MAX_RETRY_DELAY: Millis = Millis::seconds(3);
 
-/// A denied permit.
+/// A permit request that was denied or not answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Denied {
-    /// When to retry.
+pub struct PermitDenied {
+    /// Delay before a retry.
     pub after: Millis,
-    /// No gateway answered, so a further permit request would only delay the caller's request.
+    /// Whether no gateway answered, so that further permit requests would only delay the caller's request.
     pub unanswered: bool,
 }
 
@@ -142,7 +142,7 @@
         let born = gw.born(replica);
         let change = self.known.borrow_mut().record_response(now, replica, born, sent, rate);
         if let Some(change) = change {
-            self.apply(gw, replica, change, "answer", id);
+            self.apply_change(gw, replica, change, "answer", id);
             gw.poll_sources_now();
         }
     }
@@ -152,12 +152,14 @@
         for r in reports.iter().filter(|r| gw.is_running(&r.replica, r.born)) {
             let change = self.known.borrow_mut().apply(gw.now(), r);
             if let Some(change) = change {
-                self.apply(gw, &r.replica, change, "control", "");
+                self.apply_change(gw, &r.replica, change, "control", "");
             }
         }
     }
 
-    fn apply(&self, gw: &Gateway, replica: &str, change: LimitChange, by: &str, id: &str) {
+    /// Updates the gateway after the limit of a replica changed, and logs the change. `by` is where it was
+    /// learned: `answer` or `control`; `id` is the request of that response.
+    fn apply_change(&self, gw: &Gateway, replica: &str, change: LimitChange, by: &str, id: &str) {
         self.update_count();
         gw.set_rate_limited(replica, change.to.is_some());
         emit!(
@@ -189,7 +191,7 @@
 
     /// Returns the due reports to control processes on this gateway's own observations, and marks them
     /// as reported.
-    pub fn reports(&self, now: Time) -> Vec<LimitReport> {
+    pub fn take_due_reports(&self, now: Time) -> Vec<LimitReport> {
         if self.limited_count.get() == 0 && self.known.borrow().position() == 0 {
             return Vec::new();
         }
@@ -264,7 +266,7 @@
         replica: &str,
         data_centre: &str,
         priority: u8,
-    ) -> Result<(), Denied> {
+    ) -> Result<(), PermitDenied> {
         if self.limited_count.get() == 0 {
             return Ok(());
         }
@@ -297,7 +299,7 @@
         req: &PermitRequest,
         requested: Time,
         grant: Option<Grant>,
-    ) -> Result<(), Denied> {
+    ) -> Result<(), PermitDenied> {
         let end = match grant {
             Some(g) if g.permits > 0 => "granted",
             Some(_) => "denied",
@@ -315,7 +317,7 @@
                 self.cached.borrow_mut().insert(req.replica.clone(), c);
                 Ok(())
             }
-            Some(g) => Err(Denied { after: with_jitter(g.after), unanswered: false }),
+            Some(g) => Err(PermitDenied { after: with_jitter(g.after), unanswered: false }),
             None => {
                 emit!(
                     Event::PermitUnanswered,
@@ -323,7 +325,7 @@
                     routers = self.issuers.borrow().router_count(),
                     ago_ms = gw.now().since(requested).0,
                 );
-                Err(Denied { after: with_jitter(NO_ISSUER_DELAY), unanswered: true })
+                Err(PermitDenied { after: with_jitter(NO_ISSUER_DELAY), unanswered: true })
             }
         }
     }
