--- a/crates/router/src/gateway/native.rs
+++ b/crates/router/src/gateway/native.rs
@@ -53,7 +53,7 @@
 }
 
 /// Returns the text of a header, or `None` if it is absent or not visible ASCII.
-pub fn text(h: &HeaderMap, name: HeaderName) -> Option<&str> {
+pub fn header_text(h: &HeaderMap, name: HeaderName) -> Option<&str> {
     h.get(name).and_then(|v| v.to_str().ok())
 }
 
@@ -96,7 +96,7 @@
 /// if one of them is not a date.
 fn delay_until(h: &HeaderMap, text: &str) -> Option<rest::RetryAfter> {
     let end = httpdate::parse_http_date(text).ok()?;
-    let sent = httpdate::parse_http_date(self::text(h, DATE)?).ok()?;
+    let sent = httpdate::parse_http_date(header_text(h, DATE)?).ok()?;
     let span = end.duration_since(sent).unwrap_or_default();
     Some(rest::RetryAfter::Delay(Millis(span.as_millis() as u64)))
 }
@@ -128,7 +128,7 @@
 
 /// Returns the key of a bearer `Authorization` header.
 pub fn bearer(h: &HeaderMap) -> Option<&str> {
-    let (scheme, key) = text(h, AUTHORIZATION)?.split_once(' ')?;
+    let (scheme, key) = header_text(h, AUTHORIZATION)?.split_once(' ')?;
     scheme.eq_ignore_ascii_case("bearer").then(|| key.trim())
 }
 
@@ -148,11 +148,11 @@
     fn parse_request(head: &RequestHead) -> Result<CallerRequest, Code> {
         let h = &head.headers;
         Ok(CallerRequest {
-            host: text(h, HOST).ok_or(Code::HeaderBad)?.to_owned(),
-            id: text(h, REQUEST_ID).ok_or(Code::HeaderBad)?.to_owned(),
+            host: header_text(h, HOST).ok_or(Code::HeaderBad)?.to_owned(),
+            id: header_text(h, REQUEST_ID).ok_or(Code::HeaderBad)?.to_owned(),
             key: bearer(h).map(str::to_owned),
             deadline: number(h, DEADLINE)?.map(Millis),
-            prompt: prompt(text(h, TOKENS), text(h, PARTS))?,
+            prompt: prompt(header_text(h, TOKENS), header_text(h, PARTS))?,
             last_event: number(h, LAST_EVENT)?,
         })
     }
@@ -173,7 +173,7 @@
     fn parse_response(head: &ResponseHead) -> ReplicaResponse<'_> {
         let h = &head.headers;
         ReplicaResponse {
-            id: text(h, REQUEST_ID),
+            id: header_text(h, REQUEST_ID),
             not_run: h.contains_key(NOT_RUN),
             wrong_replica: head.status.as_u16() == 421,
             well_formed: true,
