--- a/crates/router/src/gateway/native.rs
+++ b/crates/router/src/gateway/native.rs
@@ -59,7 +59,7 @@
 
 /// Parses the number in a header. Returns `None` if the header is absent, and [`Code::HeaderBad`] if it
 /// is not a number.
-pub fn number(h: &HeaderMap, name: HeaderName) -> Result<Option<u64>, Code> {
+pub fn parse_number(h: &HeaderMap, name: HeaderName) -> Result<Option<u64>, Code> {
     let Some(v) = h.get(name) else { return Ok(None) };
     let n = v.to_str().ok().and_then(|v| v.trim().parse().ok());
     n.map(Some).ok_or(Code::HeaderBad)
@@ -151,9 +151,9 @@
             host: header_text(h, HOST).ok_or(Code::HeaderBad)?.to_owned(),
             id: header_text(h, REQUEST_ID).ok_or(Code::HeaderBad)?.to_owned(),
             key: bearer(h).map(str::to_owned),
-            deadline: number(h, DEADLINE)?.map(Millis),
+            deadline: parse_number(h, DEADLINE)?.map(Millis),
             prompt: prompt(header_text(h, TOKENS), header_text(h, PARTS))?,
-            last_event: number(h, LAST_EVENT)?,
+            last_event: parse_number(h, LAST_EVENT)?,
         })
     }
 
