--- a/crates/router/src/gateway/native.rs
+++ b/crates/router/src/gateway/native.rs
@@ -66,7 +66,7 @@
 }
 
 /// Parses the rate limit in the header `name` of a response. A repeated header is invalid.
-pub fn limit(h: &HeaderMap, name: HeaderName) -> LimitHeader {
+pub fn parse_limit(h: &HeaderMap, name: HeaderName) -> LimitHeader {
     let mut all = h.get_all(name);
     let Some(value) = all.next() else { return LimitHeader::Absent };
     let rate = value.to_str().ok().and_then(Rate::parse);
@@ -177,7 +177,7 @@
             not_run: h.contains_key(NOT_RUN),
             wrong_replica: head.status.as_u16() == 421,
             well_formed: true,
-            limit: limit(h, LIMIT),
+            limit: parse_limit(h, LIMIT),
             retry_after: rest(head),
             draining: leaving(h, LEAVING),
         }
