--- a/crates/router/src/gateway/native.rs
+++ b/crates/router/src/gateway/native.rs
@@ -79,7 +79,7 @@
 /// Parses the backoff that a response requests. Only `Retry-After` headers of 503 responses count. Each has
 /// a number of seconds, or a date that is compared with the response's `Date`. Of several headers the
 /// longest backoff applies.
-pub fn rest(head: &ResponseHead) -> rest::RetryAfter {
+pub fn parse_retry_after(head: &ResponseHead) -> rest::RetryAfter {
     if head.status != StatusCode::SERVICE_UNAVAILABLE {
         return rest::RetryAfter::Absent;
     }
@@ -178,7 +178,7 @@
             wrong_replica: head.status.as_u16() == 421,
             well_formed: true,
             limit: parse_limit(h, LIMIT),
-            retry_after: rest(head),
+            retry_after: parse_retry_after(head),
             draining: leaving(h, LEAVING),
         }
     }
