--- a/crates/router/src/gateway/native.rs
+++ b/crates/router/src/gateway/native.rs
@@ -102,7 +102,7 @@
 }
 
 /// Returns whether the header `name` of a response announces that the replica is about to leave.
-pub fn leaving(h: &HeaderMap, name: HeaderName) -> bool {
+pub fn is_leaving(h: &HeaderMap, name: HeaderName) -> bool {
     h.get_all(name).any(|v| v == "1")
 }
 
@@ -179,7 +179,7 @@
             well_formed: true,
             limit: parse_limit(h, LIMIT),
             retry_after: parse_retry_after(head),
-            draining: leaving(h, LEAVING),
+            draining: is_leaving(h, LEAVING),
         }
     }
 
