--- a/crates/router/src/gateway/native.rs
+++ b/crates/router/src/gateway/native.rs
@@ -108,7 +108,10 @@
 
 /// Parses the size of a prompt from the headers with the token counts and the parts. Returns `None` without
 /// token counts, and [`Code::HeaderBad`] if a header is malformed.
-pub fn prompt(tokens: Option<&str>, parts: Option<&str>) -> Result<Option<PromptSize>, Code> {
+pub fn parse_prompt_size(
+    tokens: Option<&str>,
+    parts: Option<&str>,
+) -> Result<Option<PromptSize>, Code> {
     let Some(tokens) = tokens else { return Ok(None) };
     let (prompt, max_output) = tokens.split_once(',').ok_or(Code::HeaderBad)?;
     let count = |s: &str| s.trim().parse().map_err(|_| Code::HeaderBad);
@@ -152,7 +155,7 @@
             id: header_text(h, REQUEST_ID).ok_or(Code::HeaderBad)?.to_owned(),
             key: bearer(h).map(str::to_owned),
             deadline: parse_number(h, DEADLINE)?.map(Millis),
-            prompt: prompt(header_text(h, TOKENS), header_text(h, PARTS))?,
+            prompt: parse_prompt_size(header_text(h, TOKENS), header_text(h, PARTS))?,
             last_event: parse_number(h, LAST_EVENT)?,
         })
     }
