--- a/crates/router/src/gateway/native.rs
+++ b/crates/router/src/gateway/native.rs
@@ -130,7 +130,7 @@
 }
 
 /// Returns the key of a bearer `Authorization` header.
-pub fn bearer(h: &HeaderMap) -> Option<&str> {
+pub fn bearer_key(h: &HeaderMap) -> Option<&str> {
     let (scheme, key) = header_text(h, AUTHORIZATION)?.split_once(' ')?;
     scheme.eq_ignore_ascii_case("bearer").then(|| key.trim())
 }
@@ -153,7 +153,7 @@
         Ok(CallerRequest {
             host: header_text(h, HOST).ok_or(Code::HeaderBad)?.to_owned(),
             id: header_text(h, REQUEST_ID).ok_or(Code::HeaderBad)?.to_owned(),
-            key: bearer(h).map(str::to_owned),
+            key: bearer_key(h).map(str::to_owned),
             deadline: parse_number(h, DEADLINE)?.map(Millis),
             prompt: parse_prompt_size(header_text(h, TOKENS), header_text(h, PARTS))?,
             last_event: parse_number(h, LAST_EVENT)?,
