--- a/crates/router/src/gateway/native.rs
+++ b/crates/router/src/gateway/native.rs
@@ -16,10 +16,10 @@
 use super::dialect::{CallerRequest, Dialect, ForwardHeaders, PromptSize, ReplicaResponse};
 use crate::reply::{REQUEST_ID, Refusal};
 
-/// Timeout of the request in milliseconds.
+/// The caller's timeout, then the time left at the replica, in milliseconds.
 const DEADLINE: HeaderName = HeaderName::from_static("x-timeout-ms");
 
-/// `TOKENS,MOST`: tokens of the prompt, and the maximum tokens of the answer.
+/// `PROMPT,MAX_OUTPUT`: tokens of the prompt, and the maximum tokens of the response.
 const TOKENS: HeaderName = HeaderName::from_static("x-tokens");
 
 /// Comma-separated `ID:TOKENS` for each part of the prompt, with hexadecimal ids.
