--- a/crates/router/src/gateway/dialect.rs
+++ b/crates/router/src/gateway/dialect.rs
@@ -31,7 +31,7 @@
     /// The API key.
     pub key: Option<String>,
     /// The caller's timeout.
-    pub deadline: Option<Millis>,
+    pub timeout: Option<Millis>,
     /// The size of the prompt.
     pub prompt: Option<PromptSize>,
     /// Id of the last event that the caller received, to resume its stream.
--- a/crates/router/src/gateway/native.rs
+++ b/crates/router/src/gateway/native.rs
@@ -154,7 +154,7 @@
             host: header_text(h, HOST).ok_or(Code::HeaderBad)?.to_owned(),
             id: header_text(h, REQUEST_ID).ok_or(Code::HeaderBad)?.to_owned(),
             key: bearer_key(h).map(str::to_owned),
-            deadline: parse_number(h, DEADLINE)?.map(Millis),
+            timeout: parse_number(h, DEADLINE)?.map(Millis),
             prompt: parse_prompt_size(header_text(h, TOKENS), header_text(h, PARTS))?,
             last_event: parse_number(h, LAST_EVENT)?,
         })
--- a/crates/router/src/gateway/request.rs
+++ b/crates/router/src/gateway/request.rs
@@ -141,7 +141,7 @@
             Refusal::from(Code::Overloaded).retry_after(OVERLOADED_RETRY_AFTER),
         );
     }
-    let wait = patience::first_document_wait(gw.now(), inbound.deadline);
+    let wait = patience::first_document_wait(gw.now(), inbound.timeout);
     let until = Instant::now() + Duration::from_millis(wait.0);
     let Some(routes) = gw.wait_for_routes(until).await else {
         return Outcome::Refused(Refusal::from(Code::NotReady).retry_after(NOT_READY_RETRY_AFTER));
@@ -201,7 +201,7 @@
     if gw.documents.is_cut_off(gw.now()) {
         return None;
     }
-    let wait = patience::newer_document_wait(inbound.deadline);
+    let wait = patience::newer_document_wait(inbound.timeout);
     gw.wait_for_newest_routes(Instant::now() + Duration::from_millis(wait.0)).await
 }
 
@@ -229,7 +229,7 @@
     let account = routes.account(route, inbound.key.as_deref())?;
     let backend =
         routes.choose_service(route, request_hash(&inbound.id)).ok_or(Code::NoUpstream)?;
-    let limit = inbound.deadline.map_or(route.timeout, |d| d.min(route.timeout));
+    let limit = inbound.timeout.map_or(route.timeout, |d| d.min(route.timeout));
     let mut headers = req.head().headers.clone();
     for name in HOP_BY_HOP {
         headers.remove(name);
