--- a/crates/router/src/gateway/attempt.rs
+++ b/crates/router/src/gateway/attempt.rs
@@ -248,7 +248,7 @@
         let request = self.request;
         let mut headers = request.headers.clone();
         let forwarded = ForwardHeaders {
-            deadline: Millis(request.time_left().as_millis() as u64),
+            time_left: Millis(request.time_left().as_millis() as u64),
             replica: self.replica,
             account: request.account.as_deref(),
             last_event,
--- a/crates/router/src/gateway/dialect.rs
+++ b/crates/router/src/gateway/dialect.rs
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ForwardHeaders<'a> {
     /// Time left for the request.
-    pub deadline: Millis,
+    pub time_left: Millis,
     /// Id of the replica that the request is sent to.
     pub replica: &'a str,
     /// Name of the client account.
--- a/crates/router/src/gateway/native.rs
+++ b/crates/router/src/gateway/native.rs
@@ -163,7 +163,7 @@
     fn set_forward_headers(h: &mut HeaderMap, values: &ForwardHeaders) {
         h.remove(AUTHORIZATION);
         h.remove(ACCOUNT);
-        set_number(h, DEADLINE, values.deadline.0);
+        set_number(h, DEADLINE, values.time_left.0);
         set_text(h, REPLICA, values.replica);
         if let Some(account) = values.account {
             set_text(h, ACCOUNT, account);
