--- a/crates/router/src/gateway/job.rs
+++ b/crates/router/src/gateway/job.rs
@@ -38,7 +38,7 @@
     /// Its priority; 0 is the most urgent.
     pub priority: u8,
     /// Maximum number of replicas that may run it.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// The name of its route.
     pub route: String,
     /// The name of the service that it is sent to.
--- a/crates/router/src/gateway/request.rs
+++ b/crates/router/src/gateway/request.rs
@@ -243,7 +243,7 @@
         kind: route.kind,
         resumable: route.kind == Kind::Stream && route.resumable,
         priority: account.and_then(|a| a.priority).unwrap_or(route.priority),
-        attempts: route.attempts.max(1),
+        max_attempts: route.attempts.max(1),
         route: route.name.clone(),
         service: backend.name.clone(),
         cold_per_minute: backend.cold_per_minute,
@@ -483,7 +483,7 @@
         let can_continue = !client.has_started() || self.request.resumable;
         self.request.is_repeatable()
             && can_continue
-            && self.ran < self.request.attempts
+            && self.ran < self.request.max_attempts
             && self.request.gw.take_retry(&self.request.service)
     }
 
