--- a/crates/router/src/gateway/job.rs
+++ b/crates/router/src/gateway/job.rs
@@ -50,7 +50,7 @@
     /// The name of its client account.
     pub account: Option<String>,
     /// Maximum number of tokens per event.
-    pub stride: Tokens,
+    pub tokens_per_event: Tokens,
     /// The latency objective of its route.
     pub latency_objective: LatencyObjective,
     /// Its deadline.
--- a/crates/router/src/gateway/request.rs
+++ b/crates/router/src/gateway/request.rs
@@ -249,7 +249,7 @@
         cold_per_minute: backend.cold_per_minute,
         regions: allowed_regions(route, account)?,
         account: account.map(|a| a.name.clone()),
-        stride: backend.engine.map_or(1, |e| e.stride.max(1)),
+        tokens_per_event: backend.engine.map_or(1, |e| e.stride.max(1)),
         latency_objective: LatencyObjective {
             first_event: to_duration(route.objective),
             max_pause: route.gap.map(to_duration),
@@ -324,7 +324,7 @@
 
     fn usage(&self, is_complete: bool) -> TokenUsage {
         let (ran, events, tokens_per_event) =
-            (self.ran > 0, self.progress.events.count(), self.request.stride);
+            (self.ran > 0, self.progress.events.count(), self.request.tokens_per_event);
         let unread = if is_complete { 0 } else { self.progress.timing.unread().max_unread() };
         TokenUsage { ran, events, tokens_per_event, unread }
     }
