--- a/crates/router/src/gateway/attempt.rs
+++ b/crates/router/src/gateway/attempt.rs
@@ -13,9 +13,9 @@
 
 use super::client::Client;
 use super::dialect::{Dialect, ForwardHeaders};
-use super::job::RoutedRequest;
 use super::notices::{SendKind, SendTarget};
 use super::request::ResponseProgress;
+use super::routed_request::RoutedRequest;
 use super::state::PickedReplica;
 use super::stream;
 use super::witness::record_connection_loss;
--- a/crates/router/src/gateway/notices.rs
+++ b/crates/router/src/gateway/notices.rs
@@ -14,7 +14,7 @@
 use tokio::time::Instant;
 
 use super::dialect::ReplicaResponse;
-use super::job::RoutedRequest;
+use super::routed_request::RoutedRequest;
 use super::state::Gateway;
 
 /// Maximum number of replicas remembered as logged for an invalid backoff.
--- a/crates/router/src/gateway/quarantine.rs
+++ b/crates/router/src/gateway/quarantine.rs
@@ -24,7 +24,7 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep};
 
-use super::job::RoutedRequest;
+use super::routed_request::RoutedRequest;
 use super::state::Gateway;
 use super::witness::LostRequest;
 
--- a/crates/router/src/gateway/witness.rs
+++ b/crates/router/src/gateway/witness.rs
@@ -19,7 +19,7 @@
 use metrics::counter;
 use tokio::time::{Instant, sleep, timeout};
 
-use super::job::RoutedRequest;
+use super::routed_request::RoutedRequest;
 use super::state::Gateway;
 
 /// Delay until all lost connections of an ended replica have been recorded. They end at the same time, but
