--- a/crates/router/src/gateway/budget.rs
+++ b/crates/router/src/gateway/budget.rs
@@ -30,10 +30,10 @@
 /// How long a request without homes waits for this gateway's registration, and later for recalled tokens.
 const RECALL_WAIT: Duration = Duration::from_millis(400);
 
-/// `Retry-After` while tokens are leased elsewhere and no home returned a time.
+/// `Retry-After` while tokens are leased elsewhere and no home returned a delay.
 const DEFAULT_RETRY_AFTER: Millis = Millis(700);
 
-/// Bounds of the `Retry-After` that is based on a time from a home.
+/// Bounds of a `Retry-After` that is taken from the delay that a home returned.
 const MIN_HOME_RETRY_AFTER: Millis = Millis(300);
 const MAX_HOME_RETRY_AFTER: Millis = Millis::seconds(2);
 
--- a/crates/router/src/gateway/client.rs
+++ b/crates/router/src/gateway/client.rs
@@ -43,13 +43,13 @@
     buf: BytesMut,
     out: BytesMut,
     codec: Codec,
-    /// The connection closes after the current response.
+    /// Whether the connection closes after the current response.
     closing: bool,
-    /// A part of the current response was sent.
+    /// Whether a part of the current response was sent.
     started: bool,
-    /// The end of the connection marks the end of the current response.
+    /// Whether the end of the connection marks the end of the current response.
     unframed: bool,
-    /// Bytes received from and sent to all callers of the process.
+    /// Bytes received from and sent to all callers of this process.
     bytes_served: Rc<Cell<u64>>,
 }
 
--- a/crates/router/src/gateway/documents.rs
+++ b/crates/router/src/gateway/documents.rs
@@ -173,7 +173,7 @@
     }
 }
 
-/// Puts a packed document in force if it is newer than the current one.
+/// Decompresses a document and puts it in force if it is newer than the current one.
 fn put_in_force<F: DocumentFormat>(gw: &Gateway, bytes: &[u8]) {
     let held = gw.documents.version();
     let source = match packed::unpack(bytes) {
--- a/crates/router/src/gateway/limits.rs
+++ b/crates/router/src/gateway/limits.rs
@@ -160,7 +160,7 @@
     /// Updates the gateway after the limit of a replica changed, and logs the change. `by` is where it was
     /// learned: `answer` or `control`; `id` is the request of that response.
     fn apply_change(&self, gw: &Gateway, replica: &str, change: LimitChange, by: &str, id: &str) {
-        self.update_count();
+        self.update_limited_count();
         gw.set_rate_limited(replica, change.to.is_some());
         emit!(
             Event::LimitChanged,
@@ -172,7 +172,8 @@
         );
     }
 
-    fn update_count(&self) {
+    /// Recounts the replicas with a limit.
+    fn update_limited_count(&self) {
         let count = self.known.borrow().limited().count();
         self.limited_count.set(count);
         gauge!(metric::LIMITED).set(count as f64);
@@ -204,7 +205,7 @@
         self.buckets.borrow_mut().remove(replica);
         self.issuers.borrow_mut().remove(replica);
         if self.known.borrow_mut().remove(replica).is_some() {
-            self.update_count();
+            self.update_limited_count();
         }
     }
 
@@ -217,7 +218,7 @@
             self.remove(&replica);
             gw.set_rate_limited(&replica, false);
         }
-        self.update_count();
+        self.update_limited_count();
         self.buckets.borrow_mut().expire(now, PERMITS_IDLE_TTL);
         self.cached.borrow_mut().retain(|_, c| now.since(c.valid_until) < PERMITS_IDLE_TTL);
         self.retry_schedules.borrow_mut().retain(|_, schedule| !schedule.is_idle(now));
@@ -351,6 +352,7 @@
         denied
     }
 
+    /// Returns the issuers of a replica's permits in order, without those that recently did not answer.
     fn reachable_issuers(&self, gw: &Gateway, req: &PermitRequest) -> Vec<SocketAddr> {
         let now = gw.now();
         let mut issuers = self.issuers.borrow_mut();
--- a/crates/router/src/gateway/native.rs
+++ b/crates/router/src/gateway/native.rs
@@ -16,7 +16,7 @@
 use super::dialect::{CallerRequest, Dialect, ForwardHeaders, PromptSize, ReplicaResponse};
 use crate::reply::{REQUEST_ID, Refusal};
 
-/// The caller's timeout, then the time left at the replica, in milliseconds.
+/// The caller's timeout; in a forwarded request the time left. In milliseconds.
 const DEADLINE: HeaderName = HeaderName::from_static("x-timeout-ms");
 
 /// `PROMPT,MAX_OUTPUT`: tokens of the prompt, and the maximum tokens of the response.
