--- a/crates/router/src/gateway/dialect.rs
+++ b/crates/router/src/gateway/dialect.rs
@@ -15,7 +15,7 @@
 pub struct PromptSize {
     /// Tokens of the prompt.
     pub tokens: Tokens,
-    /// Maximum tokens of the answer.
+    /// Maximum tokens of the response.
     pub max_output: Tokens,
     /// Cumulative prefixes of the prompt, from its parts.
     pub prefixes: PromptPrefixes,
@@ -28,10 +28,10 @@
     pub host: String,
     /// The request's id.
     pub id: String,
-    /// The bearer key.
+    /// The API key.
     pub key: Option<String>,
     /// The caller's timeout.
-    pub deadline: Option<Millis>,
+    pub timeout: Option<Millis>,
     /// The size of the prompt.
     pub prompt: Option<PromptSize>,
     /// Id of the last event that the caller received, to resume its stream.
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ForwardHeaders<'a> {
     /// Time left for the request.
-    pub deadline: Millis,
+    pub time_left: Millis,
     /// Id of the replica that the request is sent to.
     pub replica: &'a str,
     /// Name of the client account.
--- a/crates/router/src/gateway/native.rs
+++ b/crates/router/src/gateway/native.rs
@@ -16,10 +16,10 @@
 use super::dialect::{CallerRequest, Dialect, ForwardHeaders, PromptSize, ReplicaResponse};
 use crate::reply::{REQUEST_ID, Refusal};
 
-/// Timeout of the request in milliseconds.
+/// The caller's timeout; in a forwarded request the time left. In milliseconds.
 const DEADLINE: HeaderName = HeaderName::from_static("x-timeout-ms");
 
-/// `TOKENS,MOST`: tokens of the prompt, and the maximum tokens of the answer.
+/// `PROMPT,MAX_OUTPUT`: tokens of the prompt, and the maximum tokens of the response.
 const TOKENS: HeaderName = HeaderName::from_static("x-tokens");
 
 /// Comma-separated `ID:TOKENS` for each part of the prompt, with hexadecimal ids.
@@ -53,20 +53,20 @@
 }
 
 /// Returns the text of a header, or `None` if it is absent or not visible ASCII.
-pub fn text(h: &HeaderMap, name: HeaderName) -> Option<&str> {
+pub fn header_text(h: &HeaderMap, name: HeaderName) -> Option<&str> {
     h.get(name).and_then(|v| v.to_str().ok())
 }
 
 /// Parses the number in a header. Returns `None` if the header is absent, and [`Code::HeaderBad`] if it
 /// is not a number.
-pub fn number(h: &HeaderMap, name: HeaderName) -> Result<Option<u64>, Code> {
+pub fn parse_number(h: &HeaderMap, name: HeaderName) -> Result<Option<u64>, Code> {
     let Some(v) = h.get(name) else { return Ok(None) };
     let n = v.to_str().ok().and_then(|v| v.trim().parse().ok());
     n.map(Some).ok_or(Code::HeaderBad)
 }
 
 /// Parses the rate limit in the header `name` of a response. A repeated header is invalid.
-pub fn limit(h: &HeaderMap, name: HeaderName) -> LimitHeader {
+pub fn parse_limit(h: &HeaderMap, name: HeaderName) -> LimitHeader {
     let mut all = h.get_all(name);
     let Some(value) = all.next() else { return LimitHeader::Absent };
     let rate = value.to_str().ok().and_then(Rate::parse);
@@ -79,7 +79,7 @@
 /// Parses the backoff that a response requests. Only `Retry-After` headers of 503 responses count. Each has
 /// a number of seconds, or a date that is compared with the response's `Date`. Of several headers the
 /// longest backoff applies.
-pub fn rest(head: &ResponseHead) -> rest::RetryAfter {
+pub fn parse_retry_after(head: &ResponseHead) -> rest::RetryAfter {
     if head.status != StatusCode::SERVICE_UNAVAILABLE {
         return rest::RetryAfter::Absent;
     }
@@ -96,19 +96,22 @@
 /// if one of them is not a date.
 fn delay_until(h: &HeaderMap, text: &str) -> Option<rest::RetryAfter> {
     let end = httpdate::parse_http_date(text).ok()?;
-    let sent = httpdate::parse_http_date(self::text(h, DATE)?).ok()?;
+    let sent = httpdate::parse_http_date(header_text(h, DATE)?).ok()?;
     let span = end.duration_since(sent).unwrap_or_default();
     Some(rest::RetryAfter::Delay(Millis(span.as_millis() as u64)))
 }
 
 /// Returns whether the header `name` of a response announces that the replica is about to leave.
-pub fn leaving(h: &HeaderMap, name: HeaderName) -> bool {
+pub fn is_leaving(h: &HeaderMap, name: HeaderName) -> bool {
     h.get_all(name).any(|v| v == "1")
 }
 
 /// Parses the size of a prompt from the headers with the token counts and the parts. Returns `None` without
 /// token counts, and [`Code::HeaderBad`] if a header is malformed.
-pub fn prompt(tokens: Option<&str>, parts: Option<&str>) -> Result<Option<PromptSize>, Code> {
+pub fn parse_prompt_size(
+    tokens: Option<&str>,
+    parts: Option<&str>,
+) -> Result<Option<PromptSize>, Code> {
     let Some(tokens) = tokens else { return Ok(None) };
     let (prompt, max_output) = tokens.split_once(',').ok_or(Code::HeaderBad)?;
     let count = |s: &str| s.trim().parse().map_err(|_| Code::HeaderBad);
@@ -127,8 +130,8 @@
 }
 
 /// Returns the key of a bearer `Authorization` header.
-pub fn bearer(h: &HeaderMap) -> Option<&str> {
-    let (scheme, key) = text(h, AUTHORIZATION)?.split_once(' ')?;
+pub fn bearer_key(h: &HeaderMap) -> Option<&str> {
+    let (scheme, key) = header_text(h, AUTHORIZATION)?.split_once(' ')?;
     scheme.eq_ignore_ascii_case("bearer").then(|| key.trim())
 }
 
@@ -148,19 +151,19 @@
     fn parse_request(head: &RequestHead) -> Result<CallerRequest, Code> {
         let h = &head.headers;
         Ok(CallerRequest {
-            host: text(h, HOST).ok_or(Code::HeaderBad)?.to_owned(),
-            id: text(h, REQUEST_ID).ok_or(Code::HeaderBad)?.to_owned(),
-            key: bearer(h).map(str::to_owned),
-            deadline: number(h, DEADLINE)?.map(Millis),
-            prompt: prompt(text(h, TOKENS), text(h, PARTS))?,
-            last_event: number(h, LAST_EVENT)?,
+            host: header_text(h, HOST).ok_or(Code::HeaderBad)?.to_owned(),
+            id: header_text(h, REQUEST_ID).ok_or(Code::HeaderBad)?.to_owned(),
+            key: bearer_key(h).map(str::to_owned),
+            timeout: parse_number(h, DEADLINE)?.map(Millis),
+            prompt: parse_prompt_size(header_text(h, TOKENS), header_text(h, PARTS))?,
+            last_event: parse_number(h, LAST_EVENT)?,
         })
     }
 
     fn set_forward_headers(h: &mut HeaderMap, values: &ForwardHeaders) {
         h.remove(AUTHORIZATION);
         h.remove(ACCOUNT);
-        set_number(h, DEADLINE, values.deadline.0);
+        set_number(h, DEADLINE, values.time_left.0);
         set_text(h, REPLICA, values.replica);
         if let Some(account) = values.account {
             set_text(h, ACCOUNT, account);
@@ -173,13 +176,13 @@
     fn parse_response(head: &ResponseHead) -> ReplicaResponse<'_> {
         let h = &head.headers;
         ReplicaResponse {
-            id: text(h, REQUEST_ID),
+            id: header_text(h, REQUEST_ID),
             not_run: h.contains_key(NOT_RUN),
             wrong_replica: head.status.as_u16() == 421,
             well_formed: true,
-            limit: limit(h, LIMIT),
-            retry_after: rest(head),
-            draining: leaving(h, LEAVING),
+            limit: parse_limit(h, LIMIT),
+            retry_after: parse_retry_after(head),
+            draining: is_leaving(h, LEAVING),
         }
     }
 
--- a/crates/router/src/gateway/request.rs
+++ b/crates/router/src/gateway/request.rs
@@ -30,9 +30,9 @@
 use super::dialect::{CallerRequest, Dialect};
 use super::documents::depends_on_document;
 use super::events::EventSplitter;
-use super::job::RoutedRequest;
 use super::notices::SendKind;
 use super::rollouts::AttemptObservation;
+use super::routed_request::RoutedRequest;
 use super::state::{Gateway, PickedReplica};
 use super::timing::StreamTiming;
 use crate::reply::Refusal;
@@ -141,7 +141,7 @@
             Refusal::from(Code::Overloaded).retry_after(OVERLOADED_RETRY_AFTER),
         );
     }
-    let wait = patience::first_document_wait(gw.now(), inbound.deadline);
+    let wait = patience::first_document_wait(gw.now(), inbound.timeout);
     let until = Instant::now() + Duration::from_millis(wait.0);
     let Some(routes) = gw.wait_for_routes(until).await else {
         return Outcome::Refused(Refusal::from(Code::NotReady).retry_after(NOT_READY_RETRY_AFTER));
@@ -201,7 +201,7 @@
     if gw.documents.is_cut_off(gw.now()) {
         return None;
     }
-    let wait = patience::newer_document_wait(inbound.deadline);
+    let wait = patience::newer_document_wait(inbound.timeout);
     gw.wait_for_newest_routes(Instant::now() + Duration::from_millis(wait.0)).await
 }
 
@@ -229,7 +229,7 @@
     let account = routes.account(route, inbound.key.as_deref())?;
     let backend =
         routes.choose_service(route, request_hash(&inbound.id)).ok_or(Code::NoUpstream)?;
-    let timeout = inbound.deadline.map_or(route.timeout, |d| d.min(route.timeout));
+    let timeout = inbound.timeout.map_or(route.timeout, |d| d.min(route.timeout));
     let mut headers = req.head().headers.clone();
     for name in HOP_BY_HOP {
         headers.remove(name);
@@ -243,13 +243,13 @@
         kind: route.kind,
         resumable: route.kind == Kind::Stream && route.resumable,
         priority: account.and_then(|a| a.priority).unwrap_or(route.priority),
-        attempts: route.attempts.max(1),
+        max_attempts: route.attempts.max(1),
         route: route.name.clone(),
         service: backend.name.clone(),
         cold_per_minute: backend.cold_per_minute,
         regions: allowed_regions(route, account)?,
         account: account.map(|a| a.name.clone()),
-        stride: backend.engine.map_or(1, |e| e.stride.max(1)),
+        tokens_per_event: backend.engine.map_or(1, |e| e.stride.max(1)),
         latency_objective: LatencyObjective {
             first_event: to_duration(route.objective),
             max_pause: route.gap.map(to_duration),
@@ -325,7 +325,7 @@
     /// Returns the token usage after the last attempt, to settle the reservation.
     fn usage(&self, is_complete: bool) -> TokenUsage {
         let (ran, events, tokens_per_event) =
-            (self.ran > 0, self.progress.events.count(), self.request.stride);
+            (self.ran > 0, self.progress.events.count(), self.request.tokens_per_event);
         let unread = if is_complete { 0 } else { self.progress.timing.unread().max_unread() };
         TokenUsage { ran, events, tokens_per_event, unread }
     }
@@ -484,7 +484,7 @@
         let can_continue = !client.has_started() || self.request.resumable;
         self.request.is_repeatable()
             && can_continue
-            && self.ran < self.request.attempts
+            && self.ran < self.request.max_attempts
             && self.request.gw.take_retry(&self.request.service)
     }
 
--- a/crates/router/src/gateway/job.rs
+++ b/crates/router/src/gateway/routed_request.rs
@@ -38,7 +38,7 @@
     /// Its priority; 0 is the most urgent.
     pub priority: u8,
     /// Maximum number of replicas that may run it.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// The name of its route.
     pub route: String,
     /// The name of the service that it is sent to.
@@ -50,7 +50,7 @@
     /// The name of its client account.
     pub account: Option<String>,
     /// Maximum number of tokens per event.
-    pub stride: Tokens,
+    pub tokens_per_event: Tokens,
     /// The latency objective of its route.
     pub latency_objective: LatencyObjective,
     /// Its deadline.
