--- a/crates/core/src/budget/allot.rs
+++ b/crates/core/src/budget/allot.rs
@@ -1,4 +1,4 @@
-//! A ledger whose tokens are leased from another grantor, the budget's home group.
+//! A ledger whose tokens are leased from another grantor, such as the budget's home group.
 
 use std::collections::BTreeMap;
 
@@ -8,15 +8,17 @@
 use super::policy::Policy;
 use crate::unit::{HolderId, LeaseId, Time, Tokens};
 
-/// Tokens kept of one lease from the home group.
+/// A lease from the home group.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 struct Allotment {
+    /// Tokens kept of it, including the spent ones.
     keep: Tokens,
 }
 
 /// The ledger of a grantor that is not the budget's home.
 ///
-/// It is the grantor of its routers, and a holder of leases ("allotments") from the home group.
+/// It holds leases ("allotments") from the home group, and grants leases on their tokens to its
+/// routers.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct RegionLedger {
     ledger: Ledger,
@@ -68,7 +70,7 @@
         self.ledger.report(now, holder, r)
     }
 
-    /// Returns up to `n` free tokens of `budget` to the home group with the next reports.
+    /// Gives up to `n` free tokens of `budget` back to the home group; the next reports include it.
     pub fn give_back(&mut self, budget: &str, n: Tokens) {
         let Some(f) = self.ledger.get(budget) else { return };
         let policy = f.policy;
@@ -98,8 +100,8 @@
         .collect()
     }
 
-    /// Records that the home group has committed report `r`, and removes the allotment that it
-    /// closes.
+    /// Records that the home group has committed report `r`, and removes its allotment if the
+    /// report closes it.
     pub fn acknowledge(&mut self, budget: &str, r: &Report) {
         if r.used != r.keep {
             return;
--- a/crates/core/src/budget/bound.rs
+++ b/crates/core/src/budget/bound.rs
@@ -6,8 +6,8 @@
 //! the grantor computes the most that it can have spent, and frees the rest of its slices.
 //!
 //! The grantor counts the time from its receipt of a report, the holder from the answer, which is
-//! later. The holder may have missed the answer to its last report and have gone on under the one
-//! before. Each report names that one, and the grantor keeps both.
+//! later. The holder may miss the answer to its last report and still spend under the one before.
+//! So each report names the last one whose answer the holder received, and the grantor keeps both.
 
 use std::collections::BTreeMap;
 
@@ -31,7 +31,7 @@
 
 impl Bound {
     /// Returns the most tokens that the holder has spent `elapsed` after the grantor accepted the
-    /// bound; `None` stands for an unknown time.
+    /// bound; `None` if the time is unknown.
     fn max_spent(&self, elapsed: Option<Millis>) -> Tokens {
         match elapsed {
             _ if self.rate == 0 => self.limit,
@@ -57,13 +57,13 @@
 impl SpendingLimit {
     /// Returns the most tokens that the holder may have spent in total by `now`.
     pub fn at(&self, now: Time) -> Tokens {
-        // Rounds down where the grantor rounds up, so the holder never exceeds its estimate.
-        let beyond = self.rate.saturating_mul(now.since(self.since).0) / 1000;
-        self.limit.saturating_add(beyond)
+        // Rounds down where the grantor rounds up, so the holder never exceeds the grantor's
+        // estimate.
+        let growth = self.rate.saturating_mul(now.since(self.since).0) / 1000;
+        self.limit.saturating_add(growth)
     }
 
-    /// Returns how long after `now` the limit reaches `n` tokens in total; `None` if it does not
-    /// grow.
+    /// Returns how long after `now` the limit reaches `n` tokens in total; `None` if it never does.
     pub fn time_until(&self, now: Time, n: Tokens) -> Option<Millis> {
         let missing = n.saturating_sub(self.at(now));
         if missing == 0 {
@@ -108,7 +108,7 @@
 
 /// The bounds on one budget in a holder's last two reports.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-struct Pair {
+struct LastBounds {
     last: Bound,
     before: Bound,
 }
@@ -116,8 +116,10 @@
 /// The bounds of all holders, at their grantor.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Bounds {
+    /// The numbers and times of each holder's last two reports.
     chains: BTreeMap<HolderId, LastReports>,
-    words: BTreeMap<HolderId, BTreeMap<String, Pair>>,
+    /// The bounds in each holder's last two reports, by budget.
+    words: BTreeMap<HolderId, BTreeMap<String, LastBounds>>,
 }
 
 impl Bounds {
@@ -135,14 +137,14 @@
             reports.before = BoundsReport { seq: after, at: Time(0) };
         }
         reports.last = BoundsReport { seq, at };
-        let words = self.words.entry(holder).or_default();
+        let by_budget = self.words.entry(holder).or_default();
         if follows {
-            for pair in words.values_mut() {
-                pair.before = pair.last.clone();
+            for bounds in by_budget.values_mut() {
+                bounds.before = bounds.last.clone();
             }
         }
         for b in bounds {
-            words.entry(b.budget.clone()).or_default().last = b.clone();
+            by_budget.entry(b.budget.clone()).or_default().last = b.clone();
         }
     }
 
@@ -151,11 +153,15 @@
         self.chains.get(&holder).copied().unwrap_or_default()
     }
 
-    /// Returns the most tokens that a dead holder has spent of a budget beyond those it reported.
+    /// Returns the most tokens that a dead holder may have spent of a budget beyond those that it
+    /// reported.
     pub fn unreported(&self, holder: HolderId, budget: &str, e: &Elapsed) -> Tokens {
-        let Some(pair) = self.words.get(&holder).and_then(|w| w.get(budget)) else { return 0 };
-        let most = pair.last.max_spent(e.last).max(pair.before.max_spent(e.before));
-        most.saturating_sub(pair.last.spent)
+        let Some(bounds) = self.words.get(&holder).and_then(|by_budget| by_budget.get(budget))
+        else {
+            return 0;
+        };
+        let max_spent = bounds.last.max_spent(e.last).max(bounds.before.max_spent(e.before));
+        max_spent.saturating_sub(bounds.last.spent)
     }
 
     /// Removes a holder's reports.
--- a/crates/core/src/budget/ledger.rs
+++ b/crates/core/src/budget/ledger.rs
@@ -32,7 +32,7 @@
     pub budget: String,
     /// Sequence number at the holder for this budget; a resend keeps it.
     pub seq: u64,
-    /// Smallest useful grant: what the waiting client request needs.
+    /// Smallest useful grant: what the waiting client request needs; 0 if none waits.
     pub need: Tokens,
     /// Preferred size of the grant.
     pub want: Tokens,
@@ -48,7 +48,7 @@
     pub used: Tokens,
     /// Tokens that the holder keeps, including the spent ones; never increases.
     pub keep: Tokens,
-    /// Whether no kept token is idle.
+    /// Whether none of the kept tokens is idle, so that a recall would return nothing.
     pub tight: bool,
 }
 
@@ -90,14 +90,14 @@
     pub used: Tokens,
     /// Time by which the holder has stopped starting requests on it, allowing for clock drift.
     pub end: Time,
-    /// Whether the holder reported that no token of it is idle.
+    /// Whether the holder reported that none of the kept tokens is idle; a new recall resets it.
     pub tight: bool,
     /// Time of the holder's last report on it, or of the grant.
     pub heard: Time,
 }
 
 impl Lease {
-    /// Returns the tokens that are not reported as spent but may be.
+    /// Returns the tokens that the holder may have spent or may yet spend beyond those reported.
     pub fn open(&self) -> Tokens {
         self.keep - self.used
     }
@@ -113,6 +113,7 @@
     /// Policy that sizes requests and grants.
     pub policy: Policy,
     leases: BTreeMap<LeaseId, Lease>,
+    /// Sum of the leases' kept tokens, including the spent ones.
     held: Tokens,
     recall: Option<Recall>,
     /// Sequence number of the last request granted to each holder; detects late duplicates.
@@ -122,8 +123,10 @@
 /// A recall of idle tokens for one request, which its holder retries until it is granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Recall {
+    /// The holder whose request it is for, and the number of that request.
     holder: HolderId,
     seq: u64,
+    /// When it started.
     since: Time,
     /// When the request was last received; the recall lapses when retries stop.
     asked: Time,
@@ -150,7 +153,7 @@
 }
 
 impl BudgetState {
-    /// Returns the tokens that are neither spent nor held under leases.
+    /// Returns the tokens that are neither spent nor leased.
     pub fn free(&self) -> Tokens {
         self.funded.saturating_sub(self.closed).saturating_sub(self.held)
     }
@@ -230,7 +233,8 @@
         Shortage::Busy(if idle { RECALL_RETRY } else { SETTLE_RETRY })
     }
 
-    /// Returns whether the free tokens and the unspent ones of all live leases are less than `need`.
+    /// Returns whether the free tokens and the open ones of unexpired leases together are less than
+    /// `need`.
     fn cannot_meet(&self, now: Time, need: Tokens) -> bool {
         let live = self.leases.values().filter(|l| l.end > now);
         self.free() + live.map(Lease::open).sum::<Tokens>() < need
@@ -321,14 +325,14 @@
         true
     }
 
-    /// Closes a lease and counts up to `unreported` more of its tokens as spent. Returns how many
+    /// Closes a lease and counts up to `unreported` of its open tokens as spent. Returns how many
     /// were counted.
     fn close_with(&mut self, id: LeaseId, unreported: Tokens) -> Tokens {
         let Some(l) = self.leases.get_mut(&id) else { return 0 };
-        let more = l.open().min(unreported);
-        l.used += more;
+        let counted = l.open().min(unreported);
+        l.used += counted;
         self.close(id);
-        more
+        counted
     }
 
     fn close(&mut self, id: LeaseId) {
@@ -348,7 +352,7 @@
     pub freed: Tokens,
 }
 
-/// The budgets of one grantor, with their leases and the bounds reported by holders.
+/// The budgets of one grantor, with their leases and the bounds that holders reported.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Ledger {
     funds: BTreeMap<String, BudgetState>,
@@ -372,9 +376,9 @@
     }
 
     fn update_recalling(&mut self, budget: &str) {
-        let open = |f: &BudgetState| f.recall.is_some() || f.overdrawn();
-        let active = self.funds.get(budget).is_some_and(open);
-        if !active {
+        let may_recall = |f: &BudgetState| f.recall.is_some() || f.overdrawn();
+        let recalling = self.funds.get(budget).is_some_and(may_recall);
+        if !recalling {
             self.recalling.remove(budget);
         } else if !self.recalling.contains(budget) {
             self.recalling.insert(budget.to_owned());
@@ -518,8 +522,7 @@
             .map(String::as_str)
     }
 
-    /// Returns whether the derived sums and indexes match the leases. Used by tests and by the
-    /// check at startup.
+    /// Returns whether the derived sums and indexes match the leases.
     pub fn consistent(&self) -> bool {
         self.funds.values().all(|f| f.held == f.leases.values().map(|l| l.keep).sum::<Tokens>())
             && self.budget_of.len() == self.funds.values().map(|f| f.leases.len()).sum::<usize>()
--- a/crates/core/src/budget/policy.rs
+++ b/crates/core/src/budget/policy.rs
@@ -1,4 +1,5 @@
-//! Sizes of lease requests and grants, intervals of reports, and the spending rates they depend on.
+//! Sizes of lease requests and grants, the interval between reports, and the spending rate that the
+//! sizes depend on.
 
 use serde::{Deserialize, Serialize};
 
@@ -13,7 +14,7 @@
 pub struct Policy {
     /// Time for which a holder requests tokens in advance, at its current spending rate.
     pub horizon: Millis,
-    /// Smallest slice requested.
+    /// Smallest number of tokens that a holder requests in advance.
     pub floor: Tokens,
     /// Divisor that limits how much one grant takes of the free tokens beyond what a waiting
     /// request needs: `free / (share * holders)`.
@@ -34,7 +35,7 @@
     }
 }
 
-/// Horizon for an account's prepaid tokens: covers short losses of the control group.
+/// Horizon for an account's prepaid tokens; covers short outages of the control group.
 const PREPAID_HORIZON: Millis = Millis::seconds(15);
 
 /// Smallest slice of an account's prepaid tokens, as the divisor of their total.
@@ -42,13 +43,13 @@
 
 /// Allowance of a bounded holder beyond its reported spending, as a divisor of its tokens per
 /// second. Covers the start of a partition; a connected holder can get a higher limit at once.
-const ROOM_DIVISOR: u64 = 2;
+const ALLOWANCE_DIVISOR: u64 = 2;
 
 /// Least such allowance, as a divisor of the idle tokens, for a holder that has spent little.
-const IDLE_ROOM_DIVISOR: u64 = 16;
+const MIN_ALLOWANCE_DIVISOR: u64 = 16;
 
 /// Least growth of the allowance per second without an answer, as a divisor of the idle tokens.
-const IDLE_GROWTH_DIVISOR: u64 = 16;
+const MIN_GROWTH_DIVISOR: u64 = 16;
 
 impl Policy {
     /// Returns the policy for a client account that has prepaid `tokens` in total.
@@ -64,17 +65,17 @@
         need.saturating_add(ahead.max(self.floor))
     }
 
-    /// Returns how many tokens a holder may spend beyond its reported spending: in total, and in
+    /// Returns how many tokens a holder may spend beyond its reported spending: at once, and in
     /// addition for each second without an answer from the grantor.
     ///
-    /// The budget loses these tokens when the holder dies, and for every holder in a power failure.
-    /// So they cover little more than the spending during a partition; partitioned holders can
-    /// borrow tokens from each other.
+    /// The budget loses these tokens when the holder dies, and those of all holders in a power
+    /// failure. So they cover little more than the spending during a partition; partitioned holders
+    /// can borrow tokens from each other.
     pub fn unreported_allowance(&self, rate: &Rate, idle: Tokens) -> (Tokens, Tokens) {
         let smoothed = rate.smoothed();
-        let room = (smoothed / ROOM_DIVISOR).max(idle / IDLE_ROOM_DIVISOR);
-        let growth = (smoothed * 9 / 8).max(idle / IDLE_GROWTH_DIVISOR);
-        (room, growth)
+        let allowance = (smoothed / ALLOWANCE_DIVISOR).max(idle / MIN_ALLOWANCE_DIVISOR);
+        let growth = (smoothed * 9 / 8).max(idle / MIN_GROWTH_DIVISOR);
+        (allowance, growth)
     }
 
     /// Returns the target size of a data centre's reserve while `free` tokens are free.
@@ -101,24 +102,27 @@
     }
 }
 
-/// Spending reports that a control group accepts per second. Reports within a tick share a commit.
+/// Rate at which all holders together send spending reports to a control group.
 const MAX_REPORTS_PER_SECOND: u64 = 280;
 
 /// Shortest interval between two reports of one holder. If the holder dies, its budget loses the
 /// tokens that it may spend in an interval.
 const MIN_REPORT_INTERVAL: Millis = Millis(250);
 
-/// Returns the interval between two reports of each of `holders`, at most `most`. Fewer holders
+/// Returns the interval between two reports of each of `holders`, at most `max`. Fewer holders
 /// report more often.
-pub fn report_interval(holders: u64, most: Millis) -> Millis {
-    Millis(holders * 1_000 / MAX_REPORTS_PER_SECOND).max(MIN_REPORT_INTERVAL).min(most)
+pub fn report_interval(holders: u64, max: Millis) -> Millis {
+    Millis(holders * 1_000 / MAX_REPORTS_PER_SECOND).max(MIN_REPORT_INTERVAL).min(max)
 }
 
 /// A smoothed spending rate, in tokens per second.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Rate {
+    /// Moving average of the closed samples.
     smoothed: u64,
-    running: Tokens,
+    /// Tokens of the current sample.
+    current: Tokens,
+    /// When the current sample began.
     since: Time,
 }
 
@@ -126,7 +130,7 @@
     /// Records `tokens` spent at `now`.
     pub fn record(&mut self, now: Time, tokens: Tokens) {
         self.close_sample(now);
-        self.running += tokens;
+        self.current += tokens;
     }
 
     /// Closes the current sample if it is at least a second old.
@@ -135,10 +139,10 @@
         if span < Millis::seconds(1) {
             return;
         }
-        let sample = self.running * 1000 / span.0;
+        let sample = self.current * 1000 / span.0;
         let old = if span > Millis::seconds(60) { 0 } else { self.smoothed };
         self.smoothed = old - old / SMOOTHING_DIVISOR + sample.div_ceil(SMOOTHING_DIVISOR);
-        self.running = 0;
+        self.current = 0;
         self.since = now;
     }
 
@@ -149,6 +153,6 @@
 
     /// Returns the smoothed rate, or the tokens of the current sample if those are more.
     pub fn per_second(&self) -> u64 {
-        self.smoothed.max(self.running)
+        self.smoothed.max(self.current)
     }
 }
--- a/crates/core/src/budget/reserve.rs
+++ b/crates/core/src/budget/reserve.rs
@@ -1,9 +1,9 @@
-//! A data centre's token reserve for partitions from the control group.
+//! A data centre's token reserve, for partitions that cut it off from the control group.
 //!
 //! In each data centre a process with a disk holds a part of every budget that is spent there.
-//! Routers request leases from it only while the control group is unreachable. So a router's own
-//! slices can stay small and strand few tokens when it dies, and requests are still served in a
-//! partition of hours. The control group recalls the reserve like any other holder's slices.
+//! Routers request leases from it only while the control group is unreachable. So requests are
+//! served during a partition of hours, although a router's own slices are small and few tokens are
+//! lost when it dies. The control group recalls the reserve like any other holder's slices.
 
 use std::collections::BTreeMap;
 
@@ -23,7 +23,7 @@
     Ask(LeaseRequest),
     /// A router reports on its leases.
     Report(HolderId, Vec<Report>),
-    /// Returns up to this many free tokens of a budget to the control group.
+    /// Gives up to this many free tokens of a budget back to the control group.
     GiveBack(String, Tokens),
     /// The control group has committed a report.
     Acknowledged(String, Report),
@@ -43,8 +43,9 @@
 /// The ledger of a data centre's reserve, over all budgets.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct ReserveLedger {
+    /// The tokens leased from the control group, and the routers' leases on them.
     region: RegionLedger,
-    /// Sequence number of the last request that the control group granted, by budget.
+    /// Sequence number of the last request that the control group granted for each budget.
     granted: BTreeMap<String, u64>,
 }
 
@@ -92,26 +93,27 @@
         self.region.reports(budget)
     }
 
-    /// Returns the lease request to the control group that fills the reserve up to `target`, if no
-    /// more than half of it is free. Resends keep their number until one is granted.
+    /// Returns the lease request to the control group that fills the reserve up to `target`; `None`
+    /// if `target` is zero or more than half of it is free. Resends keep their number until one is
+    /// granted.
     pub fn next_request(
         &self,
         holder: HolderId,
         budget: &str,
         target: Tokens,
     ) -> Option<LeaseRequest> {
-        let have = self.free(budget);
-        if target == 0 || have > target / 2 {
+        let free = self.free(budget);
+        if target == 0 || free > target / 2 {
             return None;
         }
         let seq = self.granted.get(budget).copied().unwrap_or(0) + 1;
-        let want = target - have;
+        let want = target - free;
         Some(LeaseRequest { holder, budget: budget.to_owned(), seq, need: 0, want })
     }
 
     /// Returns the free tokens beyond `target` if there are more than twice `target`, else zero.
     pub fn excess(&self, budget: &str, target: Tokens) -> Tokens {
-        let have = self.free(budget);
-        if have > target.saturating_mul(2) { have - target } else { 0 }
+        let free = self.free(budget);
+        if free > target.saturating_mul(2) { free - target } else { 0 }
     }
 }
--- a/crates/core/src/budget/slice_store.rs
+++ b/crates/core/src/budget/slice_store.rs
@@ -10,7 +10,8 @@
 /// Fraction of a lease's span that the holder uses, to allow for clock drift.
 const USABLE_SPAN: (u64, u64) = (8, 10);
 
-/// A holder requests more when its idle tokens fall below the policy's size divided by this.
+/// A holder requests more when its idle tokens fall below the policy's request size divided by
+/// this.
 const LOW_DIVISOR: u64 = 2;
 
 /// A slice is renewed after the policy's offline span divided by this.
@@ -35,9 +36,13 @@
 /// One lease at its holder.
 #[derive(Debug)]
 struct Slice {
+    /// Tokens that may be spent from it in total.
     keep: Tokens,
+    /// Tokens spent from it.
     used: Tokens,
+    /// Tokens of it that running requests have reserved.
     reserved: Tokens,
+    /// When it expires: later requests reserve nothing from it.
     end: Time,
     /// `used` and `keep` of the last acknowledged report; `None` forces a report.
     acked: Option<(Tokens, Tokens)>,
@@ -57,13 +62,15 @@
     slices: BTreeMap<LeaseId, Slice>,
     policy: Policy,
     rate: Rate,
+    /// Number of the last lease request.
     seq: u64,
     pending: Option<Pending>,
     last_reserved: Time,
     /// Tokens spent in total.
     spent: Tokens,
-    /// Tokens reserved in total.
+    /// Tokens reserved at present, over all slices.
     reserved: Tokens,
+    /// Limit on the spent and reserved tokens, under a bounded policy.
     limit: SpendingLimit,
     /// Tokens that requests waiting for a higher limit need in total.
     limit_demand: Tokens,
@@ -165,14 +172,15 @@
             return None;
         }
         self.rate.close_sample(now);
-        let (room, rate) = self.policy.unreported_allowance(&self.rate, self.idle(now));
-        // New requests use up the room until the next report, so waiting ones are added to it.
-        let limit =
-            (self.spent + self.reserved).saturating_add(self.limit_demand).saturating_add(room);
+        let (allowance, rate) = self.policy.unreported_allowance(&self.rate, self.idle(now));
+        // New requests use up the allowance until the next report, so waiting ones are added to it.
+        let limit = (self.spent + self.reserved)
+            .saturating_add(self.limit_demand)
+            .saturating_add(allowance);
         Some(Bound { budget: budget.to_owned(), spent: self.spent, limit, rate })
     }
 
-    /// Applies a bound that the grantor has accepted; its rate counts from `now`.
+    /// Sets the limit from a bound that the grantor has accepted; its rate counts from `now`.
     pub fn confirm_bound(&mut self, now: Time, b: &Bound) {
         self.limit.accept(now, b);
     }
@@ -196,8 +204,8 @@
         charged
     }
 
-    /// Returns the lease request to send if fewer than `need` tokens are idle or the store is low.
-    /// A pending request is returned again under its number, enlarged if needed.
+    /// Returns the lease request to send, if any: when fewer than `need` tokens are idle or the
+    /// store is low. A pending request is returned again under its number, enlarged if needed.
     pub fn next_request(
         &mut self,
         now: Time,
@@ -240,11 +248,11 @@
         }
     }
 
-    fn insert(&mut self, asked: Time, g: &Grant) {
-        let end = asked.after(g.span.scale(USABLE_SPAN.0, USABLE_SPAN.1));
-        let fresh =
-            Slice { keep: g.amount, used: 0, reserved: 0, end, acked: None, renewed: asked };
-        self.slices.entry(g.lease).or_insert(fresh);
+    fn insert(&mut self, first_sent: Time, g: &Grant) {
+        let end = first_sent.after(g.span.scale(USABLE_SPAN.0, USABLE_SPAN.1));
+        let slice =
+            Slice { keep: g.amount, used: 0, reserved: 0, end, acked: None, renewed: first_sent };
+        self.slices.entry(g.lease).or_insert(slice);
     }
 
     /// Returns whether the idle tokens are so few that a request is due although no client waits.
@@ -254,8 +262,8 @@
             && self.idle(now) < self.policy.request_size(&self.rate, 0) / LOW_DIVISOR
     }
 
-    /// Returns idle tokens to the grantor with the next reports: those beyond the policy's floor
-    /// after a horizon without a reservation, all of them after several.
+    /// Gives idle tokens back to the grantor with the next reports: those beyond the policy's floor
+    /// after a horizon without a reservation, all of them after `QUIET_HORIZONS` horizons.
     pub fn return_excess(&mut self, now: Time) {
         self.rate.close_sample(now);
         let quiet = now.since(self.last_reserved);
@@ -266,7 +274,7 @@
         }
     }
 
-    /// Returns all idle tokens to the grantor, and makes the next reports cover every slice.
+    /// Gives all idle tokens back to the grantor, and makes the next reports cover every slice.
     pub fn return_idle(&mut self) {
         self.give_back(0);
         for s in self.slices.values_mut() {
@@ -274,9 +282,10 @@
         }
     }
 
-    fn give_back(&mut self, hold: Tokens) {
+    /// Gives the idle tokens beyond `keep` back to the grantor.
+    fn give_back(&mut self, keep: Tokens) {
         let idle: Tokens = self.slices.values().map(Slice::idle).sum();
-        let mut excess = idle.saturating_sub(hold);
+        let mut excess = idle.saturating_sub(keep);
         for s in self.slices.values_mut().rev() {
             let back = s.idle().min(excess);
             s.keep -= back;
--- a/crates/core/src/budget/unseen.rs
+++ b/crates/core/src/budget/unseen.rs
@@ -1,9 +1,9 @@
-//! Upper bound on the events that an engine has generated on a broken stream and its router has
-//! not read.
+//! Upper bound on the events that an engine generated for a broken stream but the router has not
+//! read.
 //!
-//! An engine generates until it notices that its connection is closed, and buffers fill while the
-//! router does not read because its client does not. The bound follows from the rate at which the
-//! engine generated the events that were read.
+//! An engine generates until it notices that its connection is closed. Events also accumulate in
+//! buffers while the client, and therefore the router, does not read. The bound follows from the
+//! rate at which the engine generated the events that were read.
 
 use std::time::Duration;
 
@@ -19,9 +19,10 @@
 /// Least number of events assumed to be in flight.
 const MIN_IN_FLIGHT: u64 = 2;
 
-/// The rate of events on one stream, and the time in which it was not read.
+/// Estimates the unread events of one stream.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct UnreadEstimate {
+    /// Events read.
     events: u64,
     /// Time from the first event to the last.
     span: Duration,
@@ -50,7 +51,7 @@
 
     /// Returns the most events that may have been generated but not read; `u64::MAX` if unknown.
     ///
-    /// The engine's rate is that of the time in which the stream was read.
+    /// The engine's rate is taken from the time in which the stream was read.
     pub fn max_unread(&self) -> u64 {
         if self.unbounded {
             return u64::MAX;
@@ -59,8 +60,8 @@
             0 | 1 => DEFAULT_GAP,
             n => self.span.saturating_sub(self.stalled) / (n - 1).min(u64::from(u32::MAX)) as u32,
         };
-        let made_in = (self.stalled + CLOSE_NOTICE_TIME) * MAX_SPEEDUP;
-        let made = made_in.as_micros().div_ceil(gap.as_micros().max(1));
-        u64::try_from(made).unwrap_or(u64::MAX).max(MIN_IN_FLIGHT)
+        let unread_time = (self.stalled + CLOSE_NOTICE_TIME) * MAX_SPEEDUP;
+        let generated = unread_time.as_micros().div_ceil(gap.as_micros().max(1));
+        u64::try_from(generated).unwrap_or(u64::MAX).max(MIN_IN_FLIGHT)
     }
 }
