--- a/crates/core/src/route/backlog.rs
+++ b/crates/core/src/route/backlog.rs
@@ -31,7 +31,7 @@
     due_us: u64,
 }
 
-/// The prompts that one replica has yet to process.
+/// The estimated prefill work that one replica has yet to do.
 #[derive(Clone, Debug)]
 pub struct Backlog {
     /// All work ever sent to the replica, in microseconds.
@@ -80,15 +80,15 @@
         self.busy_until.saturating_sub(now).max(overdue)
     }
 
-    /// Returns the length of the replica's uninterrupted prefill if it were sent `more` microseconds of
-    /// work now, counted from the start of the current one.
+    /// Returns the length of the replica's uninterrupted prefill in microseconds, from the start of
+    /// the current one, if it were sent `more` microseconds of work now.
     pub fn busy_us(&self, now: Time, more: u64) -> u64 {
         let now = micros(now);
         let elapsed = if self.busy_until > now { now - self.busy_since.min(now) } else { 0 };
         elapsed + self.busy_until.saturating_sub(now) + more
     }
 
-    /// Adds `tokens` of a prompt that was sent to the replica.
+    /// Adds `tokens` of a prompt that was sent to the replica, without tracking its first event.
     pub fn add(&mut self, now: Time, tokens: u64) {
         let (at, work) = (micros(now), self.prefill_us(tokens));
         if self.busy_until <= at {
@@ -99,7 +99,7 @@
         self.cumulative_us += work;
     }
 
-    /// Adds `tokens` of this router's request `ticket` and expects its first event.
+    /// Adds `tokens` of this router's request `ticket`, which is pending until its first event.
     pub fn add_request(&mut self, now: Time, ticket: u64, tokens: u64) {
         let ahead = self.busy_until.saturating_sub(micros(now)) / self.prefill_us(1).max(1);
         self.add(now, tokens);
@@ -109,7 +109,7 @@
 
     /// Records the first event of a request, `first_us` after it was sent: the replica has
     /// processed all prompts before it. Returns the estimated prefill time of the request in
-    /// microseconds; none if the request is not pending.
+    /// microseconds, or `None` if the request is not pending.
     pub fn record_first_event(&mut self, now: Time, ticket: u64, first_us: u64) -> Option<u64> {
         let p = self.pending.remove(&ticket)?;
         let estimated = self.prefill_us(p.tokens);
--- a/crates/core/src/route/cold.rs
+++ b/crates/core/src/route/cold.rs
@@ -3,39 +3,37 @@
 //! each router enforces it alone.
 //!
 //! A cold replica is no prompt's home and is assumed to have an empty cache. It becomes a candidate
-//! only by random sampling, and then stays in the sample with a probability chosen so that all
-//! routers together send it half of its capacity, even if each of them picks it whenever it can.
-//! Each router assumes that its share is one over the number of routers, so no coordination is
-//! needed and partitioned routers stay within the limit.
+//! only by random sampling, and then stays in the sample with a probability such that all routers
+//! together send it at most half of its capacity, even if each of them picks it whenever it can.
+//! Each router assumes that it sends an equal share of all requests, so the routers need no
+//! coordination and stay within the limit when partitioned.
 
 use crate::unit::{Millis, Time};
 
-/// Time slices in which requests are counted.
+/// Number of time slices in the counting window.
 const SLICES: usize = 5;
 
-/// Length of a slice. All slices together cover more than one second, so the rate is never
-/// underestimated.
+/// Length of a slice. The window covers more than one second, so its count is never less than the
+/// requests of the last second.
 const SLICE: Millis = Millis(250);
 
 /// Slices per second.
 const SLICES_PER_SECOND: u64 = 1_000 / SLICE.0;
 
-/// Divides the target rate below a replica's capacity, since arrivals cluster at random. With a
-/// capacity of 6.6 requests a second and failure above 14, a mean of 3.3 reaches 15 in one second
-/// of 500,000 and a mean of 6.6 in one of 295 (Poisson). It also covers routers that are not
-/// counted yet.
+/// Divides a replica's capacity to get the target rate: arrivals cluster at random, and some
+/// routers may not be counted yet.
 const SAFETY_FACTOR: u64 = 2;
 
 const SECONDS_PER_MINUTE: u64 = 60;
 
-/// Sliding count of this router's requests.
+/// Counts requests in a sliding window of time slices.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Demand {
+pub(super) struct RequestCounter {
     counts: [u64; SLICES],
     slice: u64,
 }
 
-impl Demand {
+impl RequestCounter {
     /// Counts a request.
     pub(super) fn record(&mut self, now: Time) {
         let slice = now.0 / SLICE.0;
@@ -47,8 +45,8 @@
         self.counts[(self.slice % SLICES as u64) as usize] += 1;
     }
 
-    /// Returns the requests a second: the count over all slices, or the rate of the last two slices
-    /// if that is higher, so that the start of a burst is not underestimated.
+    /// Returns the request rate per second: the count over all slices, or the rate of the last two
+    /// slices if that is higher, so that the start of a burst is not underestimated.
     pub(super) fn per_second(&self) -> u64 {
         let last = self.counts[(self.slice % SLICES as u64) as usize];
         let before = self.counts[((self.slice + SLICES as u64 - 1) % SLICES as u64) as usize];
@@ -71,8 +69,8 @@
 }
 
 /// Returns the probability that a cold replica stays in a sample, as numerator and denominator.
-pub(super) fn keep_probability(d: &Demand, p: &ColdParams) -> (u64, u64) {
+pub(super) fn keep_probability(demand: &RequestCounter, p: &ColdParams) -> (u64, u64) {
     let capacity = p.per_minute * p.replicas;
-    let sampled = p.sample.min(p.replicas) * d.per_second().max(1) * p.routers.max(1);
+    let sampled = p.sample.min(p.replicas) * demand.per_second().max(1) * p.routers.max(1);
     (capacity, (sampled * SECONDS_PER_MINUTE * SAFETY_FACTOR).max(1))
 }
--- a/crates/core/src/route/cost.rs
+++ b/crates/core/src/route/cost.rs
@@ -1,6 +1,7 @@
 //! The cost of sending a request to a replica, measured in expected late answers.
 //!
-//! The unit is a thousandth of a late answer. Differences in latency below that break ties.
+//! The unit is a thousandth of a late answer. Between replicas of otherwise equal cost, the lower
+//! latency wins.
 
 use super::lateness::LatencyObjective;
 
@@ -10,10 +11,10 @@
 /// Extra cost of a late answer for each further multiple of its latency objective.
 const EXTRA_LATE: u64 = 200;
 
-/// Tokens cached on another replica whose recomputation costs as much as one late answer.
+/// Number of recomputed prompt tokens that cost as much as one late answer.
 const RECOMPUTED_TOKENS_PER_LATE: u64 = 3_000;
 
-/// Latency of the first event, in microseconds, that costs one unit.
+/// Latency of the first event, in microseconds, that costs one unit to break ties.
 const TIE_BREAK_US: u64 = 2_000;
 
 /// The expected effect of a request on itself and on the streams that run on the same replica.
@@ -23,7 +24,7 @@
     pub first_event_us: u64,
     /// Length of the replica's uninterrupted prefill, in microseconds.
     pub busy_us: u64,
-    /// Streams that pause meanwhile.
+    /// Streams on the replica that pause during the prefill.
     pub running: u64,
     /// Tokens of the prompt's shared prefix that the replica recomputes although another one has
     /// them cached.
--- a/crates/core/src/route/lateness.rs
+++ b/crates/core/src/route/lateness.rs
@@ -3,10 +3,10 @@
 
 use std::time::Duration;
 
-/// The time that one answered stream spent in each phase.
+/// The time that one answered streaming request spent in each phase.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LatencyBreakdown {
-    /// From its arrival until its tokens were reserved.
+    /// From the request's arrival until its tokens were reserved.
     pub reservation: Duration,
     /// From the reservation until the request was sent to the replica that sent the first event.
     pub gateway: Duration,
@@ -23,7 +23,7 @@
 pub struct LatencyObjective {
     /// The longest time until the first event.
     pub first_event: Duration,
-    /// The longest pause between events; none: unlimited.
+    /// The longest pause between events; `None` if unlimited.
     pub max_pause: Option<Duration>,
 }
 
@@ -55,7 +55,7 @@
     }
 }
 
-/// Returns the main cause of a late stream; none if the stream met its objective.
+/// Returns the main cause of a late stream, or `None` if the stream met its objective.
 pub fn late_cause(s: &LatencyBreakdown, objective: &LatencyObjective) -> Option<LateCause> {
     if s.reservation + s.gateway + s.first_event > objective.first_event {
         let spans = [
--- a/crates/core/src/route/limiter.rs
+++ b/crates/core/src/route/limiter.rs
@@ -76,37 +76,38 @@
     }
 
     /// Starts, queues or refuses a request. It is refused if it would miss its deadline, or if the
-    /// queue is full and holds nothing of less value.
-    pub fn submit(&mut self, now: Time, w: QueuedRequest) -> Admission {
-        if self.waiting() == 0 && self.can_start(&w) {
-            self.start(&w.client_account);
+    /// queue is full and holds no request to evict for it.
+    pub fn submit(&mut self, now: Time, request: QueuedRequest) -> Admission {
+        if self.waiting() == 0 && self.can_start(&request) {
+            self.start(&request.client_account);
             return Admission::Started;
         }
-        let wait = self.expected_wait(w.priority);
-        if now.after(wait) > w.deadline {
+        let wait = self.expected_wait(request.priority);
+        if now.after(wait) > request.deadline {
             return Admission::Refused(wait);
         }
         if self.waiting() < self.queue_capacity {
-            self.enqueue(w);
+            self.enqueue(request);
             return Admission::Queued;
         }
-        match self.eviction_candidate(&w) {
+        match self.eviction_candidate(&request) {
             Some(victim) => {
                 let wait = self.expected_wait(Priority::Bulk);
                 self.remove(victim);
-                self.enqueue(w);
+                self.enqueue(request);
                 Admission::Displaced(victim, wait)
             }
             None => Admission::Refused(wait),
         }
     }
 
-    fn enqueue(&mut self, w: QueuedRequest) {
-        self.waiting.entry(w.priority).or_default().push_back(w);
+    fn enqueue(&mut self, request: QueuedRequest) {
+        self.waiting.entry(request.priority).or_default().push_back(request);
     }
 
-    fn can_start(&self, w: &QueuedRequest) -> bool {
-        self.running() < self.limit && self.running_of(&w.client_account) < w.concurrency
+    fn can_start(&self, request: &QueuedRequest) -> bool {
+        self.running() < self.limit
+            && self.running_of(&request.client_account) < request.concurrency
     }
 
     fn running_of(&self, client_account: &str) -> u32 {
@@ -117,14 +118,16 @@
         *self.running.entry(client_account.to_owned()).or_default() += 1;
     }
 
-    /// Returns the queued request to evict in favour of `w`; none if `w` itself ranks lowest.
-    fn eviction_candidate(&self, w: &QueuedRequest) -> Option<Ticket> {
+    /// Returns the queued request to evict in favour of `request`, or `None` if `request` itself
+    /// ranks lowest.
+    fn eviction_candidate(&self, request: &QueuedRequest) -> Option<Ticket> {
         let (priority, queue) = self.waiting.iter().rev().find(|(_, q)| !q.is_empty())?;
-        let of = |a: &str| queue.iter().filter(|x| x.client_account == a).count();
-        let most = queue.iter().map(|x| of(&x.client_account)).max()?;
-        let outranked =
-            *priority > w.priority || (*priority == w.priority && most > of(&w.client_account) + 1);
-        let victim = queue.iter().rev().find(|x| of(&x.client_account) == most)?;
+        let queued_of =
+            |account: &str| queue.iter().filter(|x| x.client_account == account).count();
+        let most = queue.iter().map(|x| queued_of(&x.client_account)).max()?;
+        let outranked = *priority > request.priority
+            || (*priority == request.priority && most > queued_of(&request.client_account) + 1);
+        let victim = queue.iter().rev().find(|x| queued_of(&x.client_account) == most)?;
         outranked.then_some(victim.ticket)
     }
 
@@ -135,19 +138,20 @@
         }
     }
 
-    /// Records the end of a started request. `ran` is its run time; none leaves the average unchanged.
-    pub fn release(&mut self, client_account: &str, ran: Option<Millis>) {
+    /// Records the end of a started request. `run_time` updates the average; `None` leaves it
+    /// unchanged.
+    pub fn release(&mut self, client_account: &str, run_time: Option<Millis>) {
         if let Some(n) = self.running.get_mut(client_account) {
             *n = n.saturating_sub(1);
         }
         self.running.retain(|_, n| *n > 0);
-        let Some(ran) = ran else { return };
+        let Some(run_time) = run_time else { return };
         let mean = self.mean_run.0;
-        self.mean_run = Millis(mean - mean / SMOOTHING + ran.0.div_ceil(SMOOTHING));
+        self.mean_run = Millis(mean - mean / SMOOTHING + run_time.0.div_ceil(SMOOTHING));
     }
 
     /// Starts the next queued request that the limits allow and returns its ticket. To be called
-    /// until it returns none.
+    /// until it returns `None`.
     pub fn start_next(&mut self) -> Option<Ticket> {
         if self.running() >= self.limit {
             return None;
--- a/crates/core/src/route/pool.rs
+++ b/crates/core/src/route/pool.rs
@@ -8,7 +8,7 @@
 use rand::Rng;
 use rand::seq::{IndexedRandom, IteratorRandom};
 
-use super::cold::{self, ColdParams, Demand};
+use super::cold::{self, ColdParams, RequestCounter};
 use super::cost::{Forecast, cost};
 use super::lateness::LatencyObjective;
 use super::prefix::{PrefixTable, PromptPrefixes};
@@ -49,11 +49,11 @@
 pub struct RequestProfile {
     /// The prefixes of its prompt.
     pub prefixes: PromptPrefixes,
-    /// Its latency objective; none: minimise the time until the first event.
+    /// Its latency objective; if `None`, the time until the first event is minimised.
     pub objective: Option<LatencyObjective>,
     /// Which version it may be sent to during a rollout.
     pub version_preference: VersionPreference,
-    /// Regions that may serve it; empty: any.
+    /// Regions that may serve it; any region if empty.
     pub regions: BTreeSet<String>,
     /// Its priority; 0 is the highest.
     pub priority: u8,
@@ -66,11 +66,11 @@
 pub struct Choice {
     /// Its address.
     pub address: SocketAddr,
-    /// Estimated size of the part of the prompt that is not cached there.
+    /// Estimated size of the part of the prompt that the replica does not have cached.
     pub uncached: u64,
     /// Expected time until the first event, in microseconds.
     pub expected_us: u64,
-    /// Identifies the request at its pool, once committed.
+    /// Identifies the request at its pool; set by [`Pool::commit`].
     ticket: u64,
 }
 
@@ -105,7 +105,7 @@
     peers: u64,
     /// Evacuated data centres.
     evacuated: BTreeSet<String>,
-    /// Replicas that were cold when last checked.
+    /// Replicas that were cold at the last check, which precedes each choice.
     cold: BTreeSet<SocketAddr>,
     /// Replicas that advertise a rate limit.
     rate_limited: BTreeSet<SocketAddr>,
@@ -114,11 +114,11 @@
     /// Admits requests by priority to replicas in slow start.
     priority_gate: PriorityGate,
     /// Recent requests that replicas accepted.
-    accepted: Demand,
-    /// Capacity of a cold replica in requests a minute; none: unlimited.
+    accepted: RequestCounter,
+    /// Capacity of a cold replica in requests a minute; `None` if unlimited.
     cold_per_minute: Option<u32>,
     /// Recent requests to this pool.
-    demand: Demand,
+    demand: RequestCounter,
     /// The service's rollout.
     rollout: Option<Rollout>,
     /// This router's data centre, and the regions of all data centres.
@@ -130,7 +130,7 @@
 }
 
 impl Pool {
-    /// Replaces the list of replicas. Those that remain keep their state.
+    /// Replaces the list of replicas, each with `slots` slots. Those that remain keep their state.
     pub fn set_upstreams(&mut self, now: Time, upstreams: &[Upstream], slots: u32) {
         let next: BTreeSet<_> = upstreams.iter().map(|u| u.address).collect();
         let gone: Vec<_> = self.addresses.iter().copied().filter(|a| !next.contains(a)).collect();
@@ -143,8 +143,8 @@
         }
     }
 
-    /// Adds or updates a replica, at a cost independent of the number of replicas. A different
-    /// replica at the same address replaces the old one and its state.
+    /// Adds or updates a replica. A different replica at the same address replaces the old one and
+    /// its state. The cost does not depend on the number of replicas.
     pub fn upsert(&mut self, now: Time, u: &Upstream, info: &ReplicaInfo) {
         if self.replicas.get(&u.address).is_some_and(|r| r.upstream != *u) {
             self.remove(now, u.address);
@@ -178,7 +178,7 @@
         self.ring.set(address, present);
     }
 
-    /// Sets the capacity of cold replicas of this service in requests a minute; none: unlimited.
+    /// Sets the capacity of a cold replica in requests a minute; `None` if unlimited.
     pub fn set_cold_rate_limit(&mut self, now: Time, per_minute: Option<u32>) {
         if self.cold_per_minute == per_minute {
             return;
@@ -279,16 +279,16 @@
         now: Time,
         address: SocketAddr,
         uncached: u64,
-        t: &PromptPrefixes,
+        prefixes: &PromptPrefixes,
     ) {
         if let Some(r) = self.replicas.get_mut(&address) {
             r.backlog.add(now, uncached);
-            self.prefixes.record_sent(now, address, t);
+            self.prefixes.record_sent(now, address, prefixes);
         }
     }
 
-    /// Chooses a replica outside `tried` and records the request as sent to it. Returns none if no
-    /// replica is available.
+    /// Chooses a replica outside `tried` and records the request as sent to it. Returns `None` if
+    /// no replica is available.
     pub fn choose(
         &mut self,
         now: Time,
@@ -303,7 +303,7 @@
     }
 
     /// Picks a replica outside `tried` without recording the request, which [`Pool::commit`] does.
-    /// Returns none if no replica is available.
+    /// Returns `None` if no replica is available.
     pub fn pick(
         &mut self,
         now: Time,
@@ -336,7 +336,8 @@
         self.prefixes.record_sent(now, c.address, &profile.prefixes);
     }
 
-    /// Returns the cheapest candidate, preferring this router's region unless its answer would be late.
+    /// Returns the candidate with the lowest cost. Candidates in this router's region come first
+    /// unless their answer would be late.
     fn cheapest(&self, profile: &RequestProfile, scored: Vec<(Choice, u64)>) -> Option<Choice> {
         let is_near = |c: &Choice| self.replicas.get(&c.address).is_some_and(|r| !r.other_region);
         let near = scored.iter().filter(|(c, _)| is_near(c)).min_by_key(|(_, cost)| *cost);
@@ -350,7 +351,8 @@
         scored.into_iter().min_by_key(|(_, cost)| *cost).map(|(c, _)| c)
     }
 
-    /// Returns a random sample of usable replicas, those with the longest cached prefix, and the home.
+    /// Returns the candidates for a request: a random sample of usable replicas, those with the
+    /// longest cached prefix, and the home of its prompt.
     ///
     /// The cost is independent of the number of replicas if most of them are usable.
     fn sample(
@@ -416,7 +418,8 @@
         sample
     }
 
-    /// Returns whether a replica may serve this request, regardless of load, backoff and rate limit.
+    /// Returns whether a replica may serve this request, regardless of load, backoff and rate
+    /// limit.
     fn may_serve(&self, r: &Replica, profile: &RequestProfile) -> bool {
         r.accepts_work()
             && profile.version_preference.allows(r.side)
@@ -435,11 +438,11 @@
     }
 
     /// Returns the home of a prompt: the replica that all routers prefer for its shared prefix.
-    fn home(&self, t: &PromptPrefixes) -> Option<SocketAddr> {
-        self.ring.home(t.shared_prefix()?.0)
+    fn home(&self, prefixes: &PromptPrefixes) -> Option<SocketAddr> {
+        self.ring.home(prefixes.shared_prefix()?.0)
     }
 
-    /// Returns a candidate with the cost of choosing it.
+    /// Returns a candidate and the cost of sending the request to it.
     fn score(
         &self,
         now: Time,
@@ -475,10 +478,11 @@
         (self.outstanding * self.peers).div_ceil(replicas)
     }
 
-    /// Returns how much of a prompt its home is assumed to have cached although this router never
-    /// sent it: all routers send the shared prefix there first.
-    fn cached_at_home(&self, t: &PromptPrefixes) -> u64 {
-        let unknown = t.shared_prefix().filter(|(hash, _)| !self.prefixes.is_known(*hash));
+    /// Returns how much of a prompt its home is assumed to have cached because of other routers,
+    /// which send the shared prefix there first. It is 0 if this router knows of a replica that
+    /// has the prefix.
+    fn cached_at_home(&self, prefixes: &PromptPrefixes) -> u64 {
+        let unknown = prefixes.shared_prefix().filter(|(hash, _)| !self.prefixes.is_known(*hash));
         unknown.map_or(0, |(_, size)| size)
     }
 
@@ -489,7 +493,8 @@
         }
     }
 
-    /// Returns the estimate of the replicas' caches, to apply the events that replicas publish.
+    /// Returns the estimate of the replicas' caches, for applying the cache events that replicas
+    /// publish.
     pub fn prefixes(&mut self) -> &mut PrefixTable {
         &mut self.prefixes
     }
--- a/crates/core/src/route/pool/held_back.rs
+++ b/crates/core/src/route/pool/held_back.rs
@@ -1,4 +1,5 @@
-//! Flow control by replicas: rate limits that they advertise, and backoffs that they request.
+//! Flow control by replicas: the rate limits that they advertise and the backoffs that they
+//! request.
 
 use std::net::SocketAddr;
 
@@ -18,21 +19,20 @@
     Backoff,
 }
 
-/// Why a request may not be sent to any replica, and for how long: that of the replica that becomes
-/// available first.
+/// Why a request may not be sent to any replica, and for how long. Describes the replica that
+/// becomes available first.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Blocked {
     /// Why the replica is not available.
     pub reason: BlockReason,
     /// Time until it is available.
     pub retry_after: Millis,
-    /// Its name.
+    /// Name of the replica.
     pub replica: String,
 }
 
 impl Pool {
-    /// Sets whether a replica advertises a rate limit. If so it is no prompt's home, and all
-    /// routers agree on another one.
+    /// Sets whether a replica advertises a rate limit. While it does, it is no prompt's home.
     pub fn set_rate_limited(&mut self, now: Time, address: SocketAddr, limited: bool) {
         let Some(r) = self.replicas.get_mut(&address).filter(|r| r.rate_limited != limited) else {
             return;
@@ -88,7 +88,8 @@
         self.accepted.per_second()
     }
 
-    /// Returns the names of the replicas whose backoff is in effect at `now`, with the remaining time.
+    /// Returns the names of the replicas whose backoff is in effect at `now`, with the remaining
+    /// time.
     pub fn backing_off(&self, now: Time) -> impl Iterator<Item = (&str, Millis)> {
         let all = self.backing_off.iter().filter_map(|a| self.replicas.get(a));
         let active = all.filter(move |r| r.backoff.is_active(now));
@@ -127,7 +128,7 @@
     }
 
     /// Returns why and for how long rate limits and backoffs keep this request from replicas that
-    /// could serve it, for the replica that becomes available first. None if neither applies.
+    /// could serve it, for the replica that becomes available first. `None` if neither applies.
     pub fn blocked(&mut self, now: Time, profile: &RequestProfile) -> Option<Blocked> {
         let rate_limited = self.rate_limited.iter().filter_map(|a| self.replicas.get(a));
         let denied = rate_limited
--- a/crates/core/src/route/prefix.rs
+++ b/crates/core/src/route/prefix.rs
@@ -8,19 +8,20 @@
 use crate::hash::Fnv;
 use crate::unit::{Millis, Time};
 
-/// Prefixes that are remembered; beyond it the oldest are evicted.
+/// Maximum number of prefixes in a table; beyond it the oldest are discarded.
 const MAX_PREFIXES: usize = 50_000;
 
-/// Replicas that are remembered for each prefix, most recent last.
+/// Maximum number of replicas listed for a prefix; beyond it the least recent is discarded.
 const MAX_HOLDERS: usize = 4;
 
 /// The age at which the expected size of a cached prefix is halved.
 const HALF_LIFE: Millis = Millis::seconds(300);
 
-/// The hashes of a prompt's prefixes, shortest first, each with its size in tokens or bytes.
-/// Prompts that share a prefix share its hash.
+/// The hashes of a prompt's prefixes, shortest first, each with the size of the prefix in tokens or
+/// bytes. Prompts that share a prefix share its hash.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PromptPrefixes {
+    /// Hash and size of each prefix.
     steps: Vec<(u64, u64)>,
 }
 
@@ -51,7 +52,7 @@
     }
 
     /// Returns the hash and size of the longest prefix that other prompts may share: all parts but
-    /// the last. None if the prompt has fewer than two parts.
+    /// the last. `None` if the prompt has fewer than two parts.
     pub fn shared_prefix(&self) -> Option<(u64, u64)> {
         self.steps.iter().rev().nth(1).copied()
     }
@@ -74,6 +75,7 @@
 /// less.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixTable {
+    /// Replicas that were sent each prefix, by its hash, most recent last.
     holders: HashMap<u64, Vec<Holder>>,
     /// Hashes in the order of insertion.
     order: VecDeque<u64>,
@@ -85,8 +87,8 @@
 
 impl PrefixTable {
     /// Records that a replica was sent a prompt.
-    pub fn record_sent(&mut self, now: Time, replica: SocketAddr, t: &PromptPrefixes) {
-        for (hash, _) in &t.steps {
+    pub fn record_sent(&mut self, now: Time, replica: SocketAddr, prompt: &PromptPrefixes) {
+        for (hash, _) in &prompt.steps {
             if !self.holders.contains_key(hash) {
                 self.order.push_back(*hash);
             }
@@ -111,7 +113,8 @@
         }
     }
 
-    /// Records a gap in a replica's events: prefixes sent before `now` may have been evicted unnoticed.
+    /// Records a gap in a replica's eviction events: any prefix sent by `now` may have been evicted
+    /// without an event.
     pub fn record_gap(&mut self, now: Time, replica: SocketAddr) {
         self.gaps.insert(replica, now);
     }
@@ -137,21 +140,21 @@
     }
 
     /// Returns the replicas that may have the longest known prefix of a prompt.
-    pub fn holders(&self, t: &PromptPrefixes) -> impl Iterator<Item = SocketAddr> {
+    pub fn holders(&self, prompt: &PromptPrefixes) -> impl Iterator<Item = SocketAddr> {
         let held = |(hash, _): &(u64, u64)| self.is_known(*hash).then_some(*hash);
-        let longest = t.steps.iter().rev().find_map(held);
+        let longest = prompt.steps.iter().rev().find_map(held);
         longest.into_iter().flat_map(|hash| self.holders_of(hash)).map(|h| h.replica)
     }
 
     /// Returns how much of a prompt a replica is expected to have cached, in the unit of the
     /// prompt's sizes: the longest prefix sent there, discounted by its age and halved if a gap in
     /// events followed.
-    pub fn cached_size(&self, now: Time, replica: SocketAddr, t: &PromptPrefixes) -> u64 {
+    pub fn cached_size(&self, now: Time, replica: SocketAddr, prompt: &PromptPrefixes) -> u64 {
         let held = |(hash, size): &(u64, u64)| {
             let holder = self.holders_of(*hash).find(|h| h.replica == replica)?;
             Some((holder.sent_at, *size))
         };
-        let Some((sent_at, size)) = t.steps.iter().rev().find_map(held) else { return 0 };
+        let Some((sent_at, size)) = prompt.steps.iter().rev().find_map(held) else { return 0 };
         let age = now.since(sent_at).0;
         let discounted = size * HALF_LIFE.0 / (HALF_LIFE.0 + age);
         let uncertain = self.gaps.get(&replica).is_some_and(|gap| sent_at <= *gap);
--- a/crates/core/src/route/pressure.rs
+++ b/crates/core/src/route/pressure.rs
@@ -7,10 +7,11 @@
 /// How long the refusal of a request blocks requests of lower priority.
 const REFUSAL_WINDOW: Millis = Millis(500);
 
-/// One admission in this many ignores priority, so that low priorities do not starve.
+/// One request in this many is admitted whatever its priority, so that low priorities do not
+/// starve.
 const UNCONDITIONAL_EVERY: u64 = 4;
 
-/// Tracks the latest refusal at each priority and admits lower priorities accordingly.
+/// Admits requests of a priority only while none of a higher priority was refused recently.
 #[derive(Clone, Debug, Default)]
 pub struct PriorityGate {
     last_refused: BTreeMap<u8, Time>,
--- a/crates/core/src/route/replica.rs
+++ b/crates/core/src/route/replica.rs
@@ -11,8 +11,8 @@
 /// Latency added for a replica in another data centre, in microseconds.
 const OTHER_DATA_CENTRE_US: u64 = 3_000;
 
-/// Latency added for a replica in another region, in microseconds: a round trip of about 40 ms and a
-/// margin of 20 ms for the shared link.
+/// Latency added for a replica in another region, in microseconds: a round trip, and a margin for
+/// the shared link.
 const OTHER_REGION_US: u64 = 60_000;
 
 /// The newest sample enters the moving average with weight `1 / SMOOTHING`.
@@ -22,10 +22,10 @@
 /// measurement.
 const INITIAL_DELAY_PER_REQUEST_US: u64 = 20_000;
 
-/// Concurrent requests of an engine, assumed until its slots are set.
+/// Concurrent requests that a replica can run, assumed until it is known.
 const INITIAL_SLOTS: u32 = 8;
 
-/// The oldest load report from which this router's own requests can be subtracted.
+/// Greatest age of a load report from which this router's own requests can be subtracted.
 const MAX_REPORT_AGE: Millis = Millis::seconds(15);
 
 /// One router's view of a replica.
@@ -37,6 +37,7 @@
     pub outstanding: u32,
     /// Prompts that it has yet to process.
     pub(super) backlog: Backlog,
+    /// Requests that it can run concurrently.
     pub(super) slots: u32,
     /// Version of its software.
     pub(super) version: String,
@@ -44,7 +45,9 @@
     pub side: Side,
     /// Consecutive failures.
     pub(super) failures: u32,
+    /// Until when it gets no new work because of its failures.
     pub(super) ejected_until: Time,
+    /// It is draining.
     pub(super) leaving: bool,
     /// Until when it is limited to the cold request rate.
     pub(super) cold_until: Time,
@@ -54,12 +57,13 @@
     pub(super) other_region: bool,
     /// It advertises a rate limit.
     pub(super) rate_limited: bool,
-    /// Until when requests of this priority or lower get no permit for it.
+    /// Until when requests of this priority or lower are denied because of its rate limit.
     pub(super) denied: Option<(Time, u8)>,
     /// The backoff that it requested from this router.
     pub(super) backoff: Backoff,
     /// Recent values of `outstanding`, to subtract this router's requests from a late report.
     history: VecDeque<(Time, u32)>,
+    /// When its last load report was made.
     reported_at: Time,
     /// Requests of other routers in the last report.
     others: u32,
--- a/crates/core/src/route/rest.rs
+++ b/crates/core/src/route/rest.rs
@@ -1,4 +1,5 @@
-//! Backoff requested by replicas: a replica that rejects a request may ask this router to pause.
+//! Backoff requested by replicas: a replica that rejects a request may ask the router to send
+//! nothing for some time.
 //!
 //! A backoff applies to one router; others continue until they receive their own. Routers that were
 //! rejected at about the same time resume at the same time, so each one resumes with a single
@@ -6,10 +7,10 @@
 
 use crate::unit::{Millis, Time, parse_thousandths};
 
-/// The backoff requested by a response, parsed from its `Retry-After` header.
+/// The `Retry-After` header of a response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RetryAfter {
-    /// None.
+    /// The response has none.
     #[default]
     Absent,
     /// Send nothing for this time.
@@ -19,7 +20,7 @@
 }
 
 impl RetryAfter {
-    /// Parses a number of seconds.
+    /// Parses a number of seconds, which may have a fraction.
     pub fn parse(text: &str) -> RetryAfter {
         parse_thousandths(text).map_or(RetryAfter::Invalid, |ms| RetryAfter::Delay(Millis(ms)))
     }
@@ -37,9 +38,9 @@
     }
 }
 
-/// Slow start doubles the concurrency limit up to `outstanding / SLOW_START_DIVISOR`, counting the
-/// requests outstanding when the backoff began. Above that the limit grows by one per round of
-/// accepted requests.
+/// Slow start doubles the concurrency limit up to the number of requests outstanding when the
+/// backoff began, divided by this. Above that the limit grows by one per round of accepted
+/// requests.
 const SLOW_START_DIVISOR: u32 = 2;
 
 /// One router's limits at a replica that requested a backoff: no requests until it ends, then a
@@ -49,6 +50,7 @@
     state: Option<State>,
 }
 
+/// The state of a backoff or of the slow start after it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct State {
     /// When the backoff ends.
--- a/crates/core/src/route/ring.rs
+++ b/crates/core/src/route/ring.rs
@@ -4,19 +4,17 @@
 //! follows closest on any of them is its home (multi-probe consistent hashing). All routers with
 //! the same set of replicas find the same home, a replica that joins or leaves moves only its own
 //! keys, and no replica gets much more than its share. Finding a home takes [`PROBES`] searches in
-//! an ordered set, so its cost hardly grows with the number of replicas (`cargo run --release -p
-//! cypressfork-core --example slopes`).
+//! an ordered set, so its cost grows with the logarithm of the number of replicas.
 
 use std::collections::BTreeSet;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
 use crate::hash::rendezvous;
 
-/// Positions that a key probes. With 21 the busiest of 140 replicas gets 1.2 times the mean of
-/// 20,000 keys; with one it gets 5 times (`homes_are_spread_evenly`).
+/// Positions that a key probes. More probes spread the keys more evenly, and take longer.
 const PROBES: u64 = 21;
 
-/// Sorts before every other address.
+/// Lowest address in the order of the ring's points.
 const MIN_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
 
 /// The ring of the replicas that can be homes.
@@ -40,7 +38,7 @@
         self.points.len()
     }
 
-    /// Returns the home of a key; none if the ring is empty.
+    /// Returns the home of a key, or `None` if the ring is empty.
     pub(super) fn home(&self, key: u64) -> Option<SocketAddr> {
         let first = self.points.first()?;
         let nearest = (1..=PROBES).map(|n| {
--- a/crates/core/src/route/turns.rs
+++ b/crates/core/src/route/turns.rs
@@ -4,10 +4,11 @@
 
 use crate::unit::{Millis, Time};
 
-/// Schedules the retries of one service's refused callers at one router, spaced so that each finds free
-/// capacity.
+/// Schedules the retries of one service's refused callers at one router, spaced so that each finds
+/// free capacity.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RetrySchedule {
+    /// Time of the last scheduled retry.
     last: Time,
 }
 
@@ -18,7 +19,8 @@
     pub earliest: Millis,
     /// Time between two callers.
     pub interval: Millis,
-    /// The longest time returned to a caller. By then other callers have given up and freed capacity.
+    /// The longest time returned to a caller. By then other callers have given up and freed
+    /// capacity.
     pub max: Millis,
 }
 
--- a/crates/core/src/route/vms.rs
+++ b/crates/core/src/route/vms.rs
@@ -4,7 +4,7 @@
 
 use crate::unit::{Millis, Time};
 
-/// How long a leaving `Vm` must be listed as live without a break to count as live again.
+/// How long a leaving `Vm` must be listed as live in every poll to count as live again.
 const LIVE_AFTER: Millis = Millis::seconds(10);
 
 /// Consecutive polls without a `Vm` after which it counts as leaving.
@@ -19,12 +19,13 @@
     Leaving,
 }
 
+/// The polled state of one `Vm`.
 #[derive(Clone, Copy, Debug, Default)]
 struct Record {
     leaving: bool,
     /// Consecutive polls without it.
     missed_polls: u32,
-    /// Since when it has been listed as live without a break.
+    /// Since when every poll has listed it as live.
     live_since: Option<Time>,
 }
 
@@ -36,7 +37,8 @@
 }
 
 impl VmTracker {
-    /// Records a list. Returns the `Vm`s whose state changed, with true if they are leaving now.
+    /// Records the list of one poll. Returns the `Vm`s whose state changed, with true if they are
+    /// leaving now.
     pub fn observe(
         &mut self,
         now: Time,
