--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -1,6 +1,7 @@
 //! Admission, scheduling and load balancing of requests to the replicas of a service.
 
 mod backlog;
+pub mod backoff;
 mod cold;
 mod cost;
 pub mod lateness;
@@ -9,7 +10,6 @@
 mod prefix;
 pub mod pressure;
 mod replica;
-pub mod rest;
 mod retry;
 mod ring;
 pub mod turns;
--- a/crates/core/src/route/replica.rs
+++ b/crates/core/src/route/replica.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use super::backlog::Backlog;
-use super::rest::Backoff;
+use super::backoff::Backoff;
 use crate::config::Upstream;
 use crate::fleet::rollout::split::Side;
 use crate::unit::{Millis, Time};
--- a/crates/router/src/gateway/attempt.rs
+++ b/crates/router/src/gateway/attempt.rs
@@ -6,7 +6,7 @@
 use actix_http::{ResponseHead, StatusCode};
 use bytes::{Bytes, BytesMut};
 use cypressfork_core::fleet::document::Kind;
-use cypressfork_core::route::{Choice, rest};
+use cypressfork_core::route::{Choice, backoff};
 use cypressfork_core::unit::Millis;
 use cypressfork_http::client::{Connection, ExchangeError, Outbound};
 use tokio::time::{Instant, timeout_at};
@@ -264,7 +264,7 @@
                 notices.record_response(self.request, &self.send_target(), &response);
                 if !response.not_run
                     && !response.wrong_replica
-                    && response.retry_after == rest::RetryAfter::Absent
+                    && response.retry_after == backoff::RetryAfter::Absent
                 {
                     self.request.gw.record_accepted(&self.request.service, self.choice);
                 }
--- a/crates/router/src/gateway/dialect.rs
+++ b/crates/router/src/gateway/dialect.rs
@@ -5,7 +5,7 @@
 use cypressfork_core::code::Code;
 use cypressfork_core::fleet::format::DocumentFormat;
 use cypressfork_core::fleet::limit::LimitHeader;
-use cypressfork_core::route::{PromptPrefixes, rest};
+use cypressfork_core::route::{PromptPrefixes, backoff};
 use cypressfork_core::unit::{Millis, Tokens};
 
 use crate::reply::Refusal;
@@ -67,7 +67,7 @@
     /// The replica's rate limit.
     pub limit: LimitHeader,
     /// The backoff that the replica requests.
-    pub retry_after: rest::RetryAfter,
+    pub retry_after: backoff::RetryAfter,
     /// Whether the replica announces that it is about to leave.
     pub draining: bool,
 }
--- a/crates/router/src/gateway/native.rs
+++ b/crates/router/src/gateway/native.rs
@@ -10,7 +10,7 @@
 use cypressfork_core::fleet::document::{Document, InvalidDocument};
 use cypressfork_core::fleet::format::{self, DocumentFormat};
 use cypressfork_core::fleet::limit::{LimitHeader, Rate};
-use cypressfork_core::route::{PromptPrefixes, rest};
+use cypressfork_core::route::{PromptPrefixes, backoff};
 use cypressfork_core::unit::Millis;
 
 use super::dialect::{CallerRequest, Dialect, ForwardHeaders, PromptSize, ReplicaResponse};
@@ -79,26 +79,26 @@
 /// Parses the backoff that a response requests. Only `Retry-After` headers of 503 responses count. Each has
 /// a number of seconds, or a date that is compared with the response's `Date`. Of several headers the
 /// longest backoff applies.
-pub fn rest(head: &ResponseHead) -> rest::RetryAfter {
+pub fn rest(head: &ResponseHead) -> backoff::RetryAfter {
     if head.status != StatusCode::SERVICE_UNAVAILABLE {
-        return rest::RetryAfter::Absent;
+        return backoff::RetryAfter::Absent;
     }
     let h = &head.headers;
     let parse = |v: &HeaderValue| match v.to_str() {
-        Ok(s) => delay_until(h, s).unwrap_or_else(|| rest::RetryAfter::parse(s)),
-        Err(_) => rest::RetryAfter::Invalid,
+        Ok(s) => delay_until(h, s).unwrap_or_else(|| backoff::RetryAfter::parse(s)),
+        Err(_) => backoff::RetryAfter::Invalid,
     };
     let all = h.get_all(RETRY_AFTER).map(parse);
-    all.fold(rest::RetryAfter::Absent, rest::RetryAfter::or_later)
+    all.fold(backoff::RetryAfter::Absent, backoff::RetryAfter::or_later)
 }
 
 /// Returns the time from a response's `Date` to the HTTP date in `text`; 0 if that is earlier, and `None`
 /// if one of them is not a date.
-fn delay_until(h: &HeaderMap, text: &str) -> Option<rest::RetryAfter> {
+fn delay_until(h: &HeaderMap, text: &str) -> Option<backoff::RetryAfter> {
     let end = httpdate::parse_http_date(text).ok()?;
     let sent = httpdate::parse_http_date(self::text(h, DATE)?).ok()?;
     let span = end.duration_since(sent).unwrap_or_default();
-    Some(rest::RetryAfter::Delay(Millis(span.as_millis() as u64)))
+    Some(backoff::RetryAfter::Delay(Millis(span.as_millis() as u64)))
 }
 
 /// Returns whether the header `name` of a response announces that the replica is about to leave.
--- a/crates/router/src/gateway/notices.rs
+++ b/crates/router/src/gateway/notices.rs
@@ -7,7 +7,7 @@
 
 use cypressfork_core::fleet::limit::LimitHeader;
 use cypressfork_core::fleet::registry::{Leaving, ReplicaStatus};
-use cypressfork_core::route::rest;
+use cypressfork_core::route::backoff;
 use cypressfork_node::event::Event;
 use cypressfork_node::{emit, metric};
 use metrics::counter;
@@ -109,9 +109,9 @@
             return;
         }
         match response.retry_after {
-            rest::RetryAfter::Absent => {}
-            rest::RetryAfter::Invalid => self.log_invalid(to.replica, &request.inbound.id),
-            rest::RetryAfter::Delay(span) => {
+            backoff::RetryAfter::Absent => {}
+            backoff::RetryAfter::Invalid => self.log_invalid(to.replica, &request.inbound.id),
+            backoff::RetryAfter::Delay(span) => {
                 let outstanding = request.gw.back_off(&request.service, to.address, span);
                 counter!(metric::BACKOFFS, "service" => request.service.clone()).increment(1);
                 emit!(
