--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -11,8 +11,8 @@
 pub mod pressure;
 mod replica;
 mod retry;
+pub mod retry_schedule;
 mod ring;
-pub mod turns;
 mod vms;
 
 pub use limiter::{Admission, Limiter, QueuedRequest, Ticket};
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -19,7 +19,7 @@
 use cypressfork_core::fleet::share::Placement;
 use cypressfork_core::fleet::sources::ReplicaSources;
 use cypressfork_core::fleet::watch::FeedCursor;
-use cypressfork_core::route::turns::{RetrySchedule, RetrySpacing};
+use cypressfork_core::route::retry_schedule::{RetrySchedule, RetrySpacing};
 use cypressfork_core::route::{Blocked, Choice, Pool, RequestProfile};
 use cypressfork_core::unit::{Millis, Time};
 use cypressfork_http::client::Connection;
