--- a/crates/core/src/fleet/limit/permits.rs
+++ b/crates/core/src/fleet/limit/permits.rs
@@ -12,7 +12,7 @@
 
 use super::Rate;
 use super::homes::IssueRate;
-use crate::route::pressure::PriorityGate;
+use crate::route::priority_gate::PriorityGate;
 use crate::unit::{Millis, Time};
 
 /// How long a permit is valid, counted from the request for it.
@@ -76,7 +76,7 @@
     at: Time,
     /// Retry time of the last router that got no permit.
     last_retry: Time,
-    pressure: PriorityGate,
+    priority_gate: PriorityGate,
 }
 
 /// The permits that one router issues, by replica.
@@ -94,8 +94,12 @@
             IssueRate::Full => full,
             IssueRate::Reduced => full.div_ceil(REDUCED_DIVISOR),
         };
-        let empty =
-            || Bucket { level: 0, at: now, last_retry: now, pressure: PriorityGate::default() };
+        let empty = || Bucket {
+            level: 0,
+            at: now,
+            last_retry: now,
+            priority_gate: PriorityGate::default(),
+        };
         let b = self.buckets.entry(req.replica.clone()).or_insert_with(empty);
         b.fill(now, rate);
         let permits = b.take(now, req);
@@ -126,21 +130,21 @@
     }
 
     fn take(&mut self, now: Time, req: &PermitRequest) -> u32 {
-        if !self.pressure.admits(now, req.priority) {
+        if !self.priority_gate.admits(now, req.priority) {
             return 0;
         }
         let available = (self.level / MILLIONTHS).min(u64::from(MAX_BATCH)) as u32;
         let permits = available.min(req.wanted.max(1));
         self.level -= u64::from(permits) * MILLIONTHS;
         if permits > 0 {
-            self.pressure.record_admitted();
+            self.priority_gate.record_admitted();
         }
         permits
     }
 
     /// Records a refusal and returns when to retry. Retries are spaced at the rate of the bucket.
     fn refuse(&mut self, now: Time, priority: u8, rate: u64) -> Millis {
-        self.pressure.record_refused(now, priority);
+        self.priority_gate.record_refused(now, priority);
         let interval = Millis(MILLIONTHS.div_ceil(rate.max(1)));
         let latest = now.after(RETRY_RANGE.1);
         self.last_retry = self.last_retry.max(now).after(interval).min(latest);
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -8,7 +8,7 @@
 mod limiter;
 mod pool;
 mod prefix;
-pub mod pressure;
+pub mod priority_gate;
 mod replica;
 mod retry;
 pub mod retry_schedule;
--- a/crates/core/src/route/pool.rs
+++ b/crates/core/src/route/pool.rs
@@ -12,7 +12,7 @@
 use super::cost::{Forecast, cost};
 use super::lateness::LatencyObjective;
 use super::prefix::{PrefixTable, PromptPrefixes};
-use super::pressure::PriorityGate;
+use super::priority_gate::PriorityGate;
 use super::replica::Replica;
 use super::ring::Ring;
 use crate::config::Upstream;
--- a/crates/core/tests/rests.rs
+++ b/crates/core/tests/rests.rs
@@ -8,7 +8,7 @@
 
 use cypressfork_core::config::{Upstream, Vm};
 use cypressfork_core::route::backoff::{Backoff, RetryAfter};
-use cypressfork_core::route::pressure::PriorityGate;
+use cypressfork_core::route::priority_gate::PriorityGate;
 use cypressfork_core::route::retry_schedule::{RetrySchedule, RetrySpacing};
 use cypressfork_core::route::{
     BlockReason, Choice, Pool, PromptPrefixes, ReplicaInfo, RequestProfile,
