--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -16,7 +16,7 @@
 mod vms;
 
 pub use limiter::{Admission, Limiter, QueuedRequest, Ticket};
-pub use pool::held_back::{BlockReason, Blocked};
+pub use pool::flow_control::{BlockReason, Blocked};
 pub use pool::{Choice, Pool, ReplicaInfo, RequestProfile};
 pub use prefix::{PrefixTable, PromptPrefixes};
 pub use replica::Replica;
--- a/crates/core/src/route/pool.rs
+++ b/crates/core/src/route/pool.rs
@@ -1,6 +1,6 @@
 //! Load balancing: the choice of a replica for each request of a service.
 
-pub mod held_back;
+pub mod flow_control;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
