--- a/crates/core/src/budget/mod.rs
+++ b/crates/core/src/budget/mod.rs
@@ -5,20 +5,20 @@
 //! clocks differ. A lease counts as spent in full until its holder reports on it; its end only
 //! bounds how long an unreachable holder may start requests on it.
 
-mod allot;
 mod bound;
 mod ledger;
 mod policy;
+mod region_ledger;
 mod reserve;
 mod slice_store;
-mod unseen;
+mod unread;
 
-pub use allot::RegionLedger;
 pub use bound::{Bound, Bounds, BoundsReport, Elapsed, LastReports};
 pub use ledger::{
     BudgetState, Decision, Grant, Lease, LeaseRequest, Ledger, Report, Shortage, WriteOff,
 };
 pub use policy::{Policy, Rate, report_interval};
+pub use region_ledger::RegionLedger;
 pub use reserve::{ReserveAnswer, ReserveCommand, ReserveLedger};
 pub use slice_store::{Reservation, SliceStore};
-pub use unseen::UnreadEstimate;
+pub use unread::UnreadEstimate;
--- a/crates/core/src/budget/reserve.rs
+++ b/crates/core/src/budget/reserve.rs
@@ -9,9 +9,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::allot::RegionLedger;
 use super::ledger::{Decision, Grant, LeaseRequest, Report, Shortage};
 use super::policy::Policy;
+use super::region_ledger::RegionLedger;
 use crate::unit::{HolderId, LeaseId, Time, Tokens};
 
 /// A change of a reserve, stored on disk before it is applied.
