--- a/crates/core/src/route/backoff.rs
+++ b/crates/core/src/route/backoff.rs
@@ -28,7 +28,7 @@
     /// Combines two headers of one response: the longer backoff wins, and a valid one wins over an
     /// invalid one.
     #[must_use]
-    pub fn or_later(self, other: RetryAfter) -> RetryAfter {
+    pub fn merge(self, other: RetryAfter) -> RetryAfter {
         match (self, other) {
             (RetryAfter::Delay(a), RetryAfter::Delay(b)) => RetryAfter::Delay(a.max(b)),
             (RetryAfter::Delay(_), _) => self,
--- a/crates/core/tests/rests.rs
+++ b/crates/core/tests/rests.rs
@@ -78,7 +78,7 @@
 #[case::no_word(&[], RetryAfter::Absent)]
 fn the_longest_of_several_headers_wins(#[case] headers: &[&str], #[case] want: RetryAfter) {
     let all = headers.iter().map(|h| RetryAfter::parse(h));
-    assert_eq!(all.fold(RetryAfter::Absent, RetryAfter::or_later), want);
+    assert_eq!(all.fold(RetryAfter::Absent, RetryAfter::merge), want);
 }
 
 /// Guards against a selection rule that ignores the backoff.
--- a/crates/router/src/gateway/native.rs
+++ b/crates/router/src/gateway/native.rs
@@ -89,7 +89,7 @@
         Err(_) => backoff::RetryAfter::Invalid,
     };
     let all = h.get_all(RETRY_AFTER).map(parse);
-    all.fold(backoff::RetryAfter::Absent, backoff::RetryAfter::or_later)
+    all.fold(backoff::RetryAfter::Absent, backoff::RetryAfter::merge)
 }
 
 /// Returns the time from a response's `Date` to the HTTP date in `text`; 0 if that is earlier, and `None`
