--- a/crates/core/src/route/pool.rs
+++ b/crates/core/src/route/pool.rs
@@ -237,7 +237,7 @@
 
     /// Sets the evacuated data centres. Their replicas get no new work, but finish their running
     /// requests.
-    pub fn set_closed_data_centres(&mut self, now: Time, data_centres: &BTreeSet<String>) {
+    pub fn set_evacuated_data_centres(&mut self, now: Time, data_centres: &BTreeSet<String>) {
         self.evacuated = data_centres.clone();
         for r in self.replicas.values_mut() {
             r.evacuated = data_centres.contains(&r.upstream.vm.data_centre);
--- a/crates/core/tests/evacuation.rs
+++ b/crates/core/tests/evacuation.rs
@@ -79,14 +79,14 @@
     let mut pool = Pool::default();
     pool.set_upstreams(Time(0), &all, 8);
     assert_eq!(data_centres_used(&mut pool), names(&["a", "b", "c"]));
-    pool.set_closed_data_centres(Time(0), &names(&["b"]));
+    pool.set_evacuated_data_centres(Time(0), &names(&["b"]));
     assert_eq!(data_centres_used(&mut pool), names(&["a", "c"]));
     // The evacuation covers replicas that register later.
     let more: Vec<_> = all.iter().cloned().chain([upstream(9, "b")]).collect();
     pool.set_upstreams(Time(0), &more, 8);
     assert_eq!(data_centres_used(&mut pool), names(&["a", "c"]));
-    pool.set_closed_data_centres(Time(0), &names(&["a", "b", "c"]));
+    pool.set_evacuated_data_centres(Time(0), &names(&["a", "b", "c"]));
     assert_eq!(data_centres_used(&mut pool), names(&[]));
-    pool.set_closed_data_centres(Time(0), &names(&[]));
+    pool.set_evacuated_data_centres(Time(0), &names(&[]));
     assert_eq!(data_centres_used(&mut pool), names(&["a", "b", "c"]));
 }
--- a/crates/core/tests/regions.rs
+++ b/crates/core/tests/regions.rs
@@ -146,7 +146,7 @@
     ) {
         let (mut pool, at) = pool(3);
         let mut rng = SmallRng::seed_from_u64(seed);
-        pool.set_closed_data_centres(Time(1), &names(&closed));
+        pool.set_evacuated_data_centres(Time(1), &names(&closed));
         let all: Vec<_> = at.keys().copied().collect();
         for n in removed {
             pool.remove(Time(2), all[n]);
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -392,7 +392,7 @@
             let mut pool = Pool::default();
             let base = &self.settings.base;
             pool.set_location(&base.data_centre, &base.regions);
-            pool.set_closed_data_centres(now, &closed());
+            pool.set_evacuated_data_centres(now, &closed());
             if let Some(r) = self.rollouts.rollout(&c.service) {
                 pool.set_rollout(&r);
             }
@@ -418,7 +418,7 @@
         }
         let now = self.now();
         for pool in self.pools.borrow_mut().values_mut() {
-            pool.set_closed_data_centres(now, &received.data_centres);
+            pool.set_evacuated_data_centres(now, &received.data_centres);
         }
         gauge!(metric::EVACUATED).set(received.data_centres.len() as f64);
         emit!(
