--- a/crates/core/src/route/pool.rs
+++ b/crates/core/src/route/pool.rs
@@ -269,7 +269,7 @@
 
     /// Returns the number of replicas that get new work at `now`.
     pub fn usable(&self, now: Time) -> usize {
-        self.replicas.values().filter(|r| !r.is_out(now)).count()
+        self.replicas.values().filter(|r| !r.is_unavailable(now)).count()
     }
 
     /// Records that another router sent a prompt to a replica, which has `uncached` tokens of it to
--- a/crates/core/src/route/replica.rs
+++ b/crates/core/src/route/replica.rs
@@ -166,7 +166,7 @@
     }
 
     /// Returns whether it gets no new work at `now`: it is draining or ejected.
-    pub fn is_out(&self, now: Time) -> bool {
+    pub fn is_unavailable(&self, now: Time) -> bool {
         !self.accepts_work() || self.ejected_until > now
     }
 }
--- a/crates/core/tests/lives.rs
+++ b/crates/core/tests/lives.rs
@@ -148,9 +148,9 @@
         pool.finish(Time(10), &c, true);
     }
     pool.choose(Time(400), "a", &work, &[other], &mut rng);
-    assert!(pool.get(first).unwrap().is_out(Time(400)));
+    assert!(pool.get(first).unwrap().is_unavailable(Time(400)));
     assert_eq!(pool.get(first).unwrap().outstanding, 1);
     apply(&mut pool, Time(700), (20, 80, 1, Ready));
-    assert!(!pool.get(first).unwrap().is_out(Time(700)));
+    assert!(!pool.get(first).unwrap().is_unavailable(Time(700)));
     assert_eq!(pool.get(first).unwrap().outstanding, 0);
 }
