--- a/crates/core/src/route/pool.rs
+++ b/crates/core/src/route/pool.rs
@@ -268,7 +268,7 @@
     }
 
     /// Returns the number of replicas that get new work at `now`.
-    pub fn usable(&self, now: Time) -> usize {
+    pub fn usable_count(&self, now: Time) -> usize {
         self.replicas.values().filter(|r| !r.is_unavailable(now)).count()
     }
 
@@ -518,7 +518,7 @@
         if r.failures < EJECTION_FAILURES {
             return false;
         }
-        let unusable = self.replicas.len() - self.usable(now);
+        let unusable = self.replicas.len() - self.usable_count(now);
         if (unusable + 1) * 100 > self.replicas.len() * MAX_EJECTED_PERCENT {
             return false;
         }
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -330,7 +330,7 @@
             p.finish(Time(0), &c, true);
         }
     }
-    assert_eq!(p.usable(Time(1)), 3);
+    assert_eq!(p.usable_count(Time(1)), 3);
     assert!(choose(&mut p, 1, &RequestProfile::default(), &mut r).is_some());
 }
 
--- a/crates/router/src/ops.rs
+++ b/crates/router/src/ops.rs
@@ -34,7 +34,7 @@
     gauge!(metric::VERSION).set(app.view.borrow().version() as f64);
     let now = app.clock.now();
     for (service, pool) in app.pools.borrow().iter() {
-        gauge!(metric::USABLE, "service" => service.clone()).set(pool.usable(now) as f64);
+        gauge!(metric::USABLE, "service" => service.clone()).set(pool.usable_count(now) as f64);
         let (running, waiting) = app.queue(service).map_or((0, 0), |q| q.load());
         gauge!(metric::RUNNING, "service" => service.clone()).set(f64::from(running));
         gauge!(metric::WAITING, "service" => service.clone()).set(waiting as f64);
