--- a/crates/core/src/budget/ledger.rs
+++ b/crates/core/src/budget/ledger.rs
@@ -369,14 +369,14 @@
     /// The total may be less than what is spent and held: then nothing more is granted, idle
     /// tokens are recalled, and leased tokens may still be spent.
     pub fn fund(&mut self, budget: &str, funded: Tokens, policy: Policy) {
-        let f = self.funds.entry(budget.to_owned()).or_default();
-        f.funded = funded;
-        f.policy = policy;
+        let state = self.funds.entry(budget.to_owned()).or_default();
+        state.funded = funded;
+        state.policy = policy;
         self.update_recalling(budget);
     }
 
     fn update_recalling(&mut self, budget: &str) {
-        let may_recall = |f: &BudgetState| f.recall.is_some() || f.overdrawn();
+        let may_recall = |state: &BudgetState| state.recall.is_some() || state.overdrawn();
         let recalling = self.funds.get(budget).is_some_and(may_recall);
         if !recalling {
             self.recalling.remove(budget);
@@ -435,11 +435,11 @@
     /// Applies a holder's report. Returns false if the lease is not open or belongs to another
     /// holder.
     pub fn report(&mut self, now: Time, holder: HolderId, r: &Report) -> bool {
-        let Some(f) = self.budget_of.get(&r.lease).and_then(|b| self.funds.get_mut(b)) else {
+        let Some(state) = self.budget_of.get(&r.lease).and_then(|b| self.funds.get_mut(b)) else {
             return false;
         };
-        let known = f.report(now, holder, r);
-        if !f.leases.contains_key(&r.lease) {
+        let known = state.report(now, holder, r);
+        if !state.leases.contains_key(&r.lease) {
             self.budget_of.remove(&r.lease);
         }
         known
@@ -451,9 +451,9 @@
     /// The caller must make sure that the holder never spends from it again: nothing here
     /// verifies that.
     pub fn release(&mut self, id: LeaseId) -> Option<Tokens> {
-        let f = self.budget_of.remove(&id).and_then(|b| self.funds.get_mut(&b))?;
-        let open = f.leases.get(&id).map(Lease::open)?;
-        f.close(id);
+        let state = self.budget_of.remove(&id).and_then(|b| self.funds.get_mut(&b))?;
+        let open = state.leases.get(&id).map(Lease::open)?;
+        state.close(id);
         Some(open)
     }
 
@@ -477,8 +477,8 @@
     /// Returns what [`Ledger::write_off`] would count as spent and free, without changing anything.
     pub fn write_off_amounts(&self, holder: HolderId, e: &Elapsed) -> WriteOff {
         let mut sum = WriteOff::default();
-        for (name, f) in self.funds.iter().filter(|(_, f)| f.policy.bounded) {
-            let of_holder = f.leases.values().filter(|l| l.holder == holder);
+        for (name, state) in self.funds.iter().filter(|(_, state)| state.policy.bounded) {
+            let of_holder = state.leases.values().filter(|l| l.holder == holder);
             let open: Tokens = of_holder.map(Lease::open).sum();
             let counted = open.min(self.bounds.unreported(holder, name, e));
             sum.counted += counted;
@@ -492,12 +492,16 @@
     /// other budgets stay open.
     pub fn write_off(&mut self, holder: HolderId, e: &Elapsed) {
         let bounds = &self.bounds;
-        for (name, f) in self.funds.iter_mut().filter(|(_, f)| f.policy.bounded) {
+        for (name, state) in self.funds.iter_mut().filter(|(_, state)| state.policy.bounded) {
             let mut left = bounds.unreported(holder, name, e);
-            let ids: Vec<_> =
-                f.leases.iter().filter(|(_, l)| l.holder == holder).map(|(id, _)| *id).collect();
+            let ids: Vec<_> = state
+                .leases
+                .iter()
+                .filter(|(_, l)| l.holder == holder)
+                .map(|(id, _)| *id)
+                .collect();
             for id in ids {
-                left -= f.close_with(id, left);
+                left -= state.close_with(id, left);
                 self.budget_of.remove(&id);
             }
         }
@@ -507,24 +511,30 @@
     /// Drops the request state of a holder that has left or was replaced. Its leases stay open
     /// until they are reported on.
     pub fn remove_holder(&mut self, holder: HolderId) {
-        for f in self.funds.values_mut() {
-            f.granted.remove(&holder);
+        for state in self.funds.values_mut() {
+            state.granted.remove(&holder);
         }
     }
 
     /// Iterates over the names of the budgets of which `holder` has to return idle tokens.
     pub fn recalls(&self, now: Time, holder: HolderId) -> impl Iterator<Item = &str> {
-        let holds =
-            move |f: &&BudgetState| f.leases.values().any(|l| l.holder == holder && !l.tight);
+        let holds = move |state: &&BudgetState| {
+            state.leases.values().any(|l| l.holder == holder && !l.tight)
+        };
         self.recalling
             .iter()
-            .filter(move |b| self.funds.get(*b).is_some_and(|f| f.recalling(now) && holds(&f)))
+            .filter(move |b| {
+                self.funds.get(*b).is_some_and(|state| state.recalling(now) && holds(&state))
+            })
             .map(String::as_str)
     }
 
     /// Returns whether the derived sums and indexes match the leases.
     pub fn consistent(&self) -> bool {
-        self.funds.values().all(|f| f.held == f.leases.values().map(|l| l.keep).sum::<Tokens>())
-            && self.budget_of.len() == self.funds.values().map(|f| f.leases.len()).sum::<usize>()
+        self.funds
+            .values()
+            .all(|state| state.held == state.leases.values().map(|l| l.keep).sum::<Tokens>())
+            && self.budget_of.len()
+                == self.funds.values().map(|state| state.leases.len()).sum::<usize>()
     }
 }
--- a/crates/core/src/budget/region_ledger.rs
+++ b/crates/core/src/budget/region_ledger.rs
@@ -72,10 +72,10 @@
 
     /// Gives up to `n` free tokens of `budget` back to the home group; the next reports include it.
     pub fn give_back(&mut self, budget: &str, n: Tokens) {
-        let Some(f) = self.ledger.get(budget) else { return };
-        let policy = f.policy;
+        let Some(state) = self.ledger.get(budget) else { return };
+        let policy = state.policy;
         // Free tokens are neither spent nor held, so the remaining ones still cover both.
-        let mut left = n.min(f.free());
+        let mut left = n.min(state.free());
         let all = self.allotments.entry(budget.to_owned()).or_default();
         for a in all.values_mut().rev() {
             let back = left.min(a.keep);
@@ -88,9 +88,9 @@
     /// Returns the reports on a budget's allotments for the home group. Spending is attributed to
     /// the oldest allotment first.
     pub fn reports(&self, budget: &str) -> Vec<Report> {
-        let Some(f) = self.ledger.get(budget) else { return Vec::new() };
-        let mut spent = f.spent() - self.passed.get(budget).copied().unwrap_or(0);
-        let tight = f.free() == 0;
+        let Some(state) = self.ledger.get(budget) else { return Vec::new() };
+        let mut spent = state.spent() - self.passed.get(budget).copied().unwrap_or(0);
+        let tight = state.free() == 0;
         let all = self.allotments.get(budget).into_iter().flatten();
         all.map(|(id, a)| {
             let used = spent.min(a.keep);
--- a/crates/core/src/budget/reserve.rs
+++ b/crates/core/src/budget/reserve.rs
@@ -80,7 +80,7 @@
 
     /// Returns the free tokens of a budget.
     pub fn free(&self, budget: &str) -> Tokens {
-        self.region.ledger().get(budget).map_or(0, |f| f.free())
+        self.region.ledger().get(budget).map_or(0, |state| state.free())
     }
 
     /// Iterates over the names of the budgets of which it holds or has held a lease.
