--- a/crates/core/src/budget/bound.rs
+++ b/crates/core/src/budget/bound.rs
@@ -93,7 +93,7 @@
 pub struct LastReports {
     /// The last report.
     pub last: BoundsReport,
-    /// The report that the last one names as its last accepted one.
+    /// The last report whose acceptance the holder had learned of when it sent `last`.
     pub before: BoundsReport,
 }
 
@@ -102,7 +102,7 @@
 pub struct Elapsed {
     /// Time since the last report was accepted.
     pub last: Option<Millis>,
-    /// Time since the report before it was accepted.
+    /// Time since the report before the last one was accepted.
     pub before: Option<Millis>,
 }
 
--- a/crates/core/src/budget/ledger.rs
+++ b/crates/core/src/budget/ledger.rs
@@ -327,7 +327,7 @@
 
     /// Closes a lease and counts up to `unreported` of its open tokens as spent. Returns how many
     /// were counted.
-    fn close_with(&mut self, id: LeaseId, unreported: Tokens) -> Tokens {
+    fn write_off_lease(&mut self, id: LeaseId, unreported: Tokens) -> Tokens {
         let Some(l) = self.leases.get_mut(&id) else { return 0 };
         let counted = l.open().min(unreported);
         l.used += counted;
@@ -501,7 +501,7 @@
                 .map(|(id, _)| *id)
                 .collect();
             for id in ids {
-                left -= state.close_with(id, left);
+                left -= state.write_off_lease(id, left);
                 self.budget_of.remove(&id);
             }
         }
--- a/crates/core/src/route/backlog.rs
+++ b/crates/core/src/route/backlog.rs
@@ -17,7 +17,8 @@
 /// Each first event scales the earlier measurements by `DECAY / (DECAY + 1)`.
 const DECAY: u64 = 15;
 
-/// The fastest first event rises by `1 / FASTEST_DECAY` of the excess of each slower one.
+/// Each slower first event raises the recorded fastest one by `1 / FASTEST_DECAY` of the difference,
+/// so that it follows a replica that becomes slower.
 const FASTEST_DECAY: u64 = 64;
 
 /// A request of this router that has not had its first event.
