--- a/crates/core/examples/routing.rs
+++ b/crates/core/examples/routing.rs
@@ -328,7 +328,7 @@
         while reports.front().is_some_and(|r| r.0 <= now) {
             let (_, n, at, (running, waiting)) = reports.pop_front().unwrap();
             for r in &mut routers {
-                r.pool.report(address(n), Time(at), running, waiting);
+                r.pool.record_load_report(address(n), Time(at), running, waiting);
             }
         }
         while next < all.len() && all[next].at <= now {
--- a/crates/core/src/route/pool.rs
+++ b/crates/core/src/route/pool.rs
@@ -487,9 +487,15 @@
     }
 
     /// Records a replica's load report made at `at`. A report older than the last one is ignored.
-    pub fn report(&mut self, address: SocketAddr, at: Time, running: u32, waiting: u32) {
+    pub fn record_load_report(
+        &mut self,
+        address: SocketAddr,
+        at: Time,
+        running: u32,
+        waiting: u32,
+    ) {
         if let Some(r) = self.replicas.get_mut(&address) {
-            r.report(at, running, waiting);
+            r.record_load_report(at, running, waiting);
         }
     }
 
--- a/crates/core/src/route/replica.rs
+++ b/crates/core/src/route/replica.rs
@@ -110,7 +110,7 @@
     }
 
     /// Records a load report made at `at`, unless a newer one was recorded.
-    pub(super) fn report(&mut self, at: Time, running: u32, waiting: u32) {
+    pub(super) fn record_load_report(&mut self, at: Time, running: u32, waiting: u32) {
         if at > self.reported_at {
             self.reported_at = at;
             self.others = (running + waiting).saturating_sub(self.outstanding_at(at));
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -198,7 +198,7 @@
 fn a_long_queue_costs_more_than_a_prefill() {
     let (mut p, mut r) = (pool(50), rng());
     let first = choose(&mut p, 0, &conversation(3), &mut r).unwrap();
-    p.report(first, Time(5), 40, 40);
+    p.record_load_report(first, Time(5), 40, 40);
     assert_ne!(choose(&mut p, 10, &conversation(4), &mut r), Some(first));
 }
 
@@ -238,7 +238,7 @@
     for seed in 0..200 {
         let (mut p, mut r) = (pool(50), SmallRng::seed_from_u64(seed));
         for n in 0..50 {
-            p.report(address(n), Time(1), if n == 7 { 0 } else { 6 }, 0);
+            p.record_load_report(address(n), Time(1), if n == 7 { 0 } else { 6 }, 0);
         }
         *hits.entry(choose(&mut p, 2, &RequestProfile::default(), &mut r).unwrap()).or_insert(0) +=
             1;
@@ -249,8 +249,8 @@
 #[test]
 fn an_older_report_does_not_replace_a_newer_one() {
     let (mut p, mut r) = (pool(2), rng());
-    p.report(address(0), Time(100), 50, 50);
-    p.report(address(0), Time(50), 0, 0);
+    p.record_load_report(address(0), Time(100), 50, 50);
+    p.record_load_report(address(0), Time(50), 0, 0);
     assert_eq!(choose(&mut p, 101, &RequestProfile::default(), &mut r), Some(address(1)));
 }
 
@@ -263,14 +263,14 @@
     for c in &own {
         p.finish(Time(3_000), c, false);
     }
-    p.report(address(0), Time(1_000), 6, 0);
-    p.report(address(1), Time(1_000), 2, 0);
+    p.record_load_report(address(0), Time(1_000), 6, 0);
+    p.record_load_report(address(1), Time(1_000), 2, 0);
     assert_eq!(
         choose(&mut p, 6_000, &RequestProfile::default(), &mut r),
         Some(address(0)),
         "the six requests have ended"
     );
-    p.report(address(0), Time(4_000), 9, 0);
+    p.record_load_report(address(0), Time(4_000), 9, 0);
     assert_eq!(
         choose(&mut p, 6_001, &RequestProfile::default(), &mut r),
         Some(address(1)),
@@ -351,7 +351,7 @@
 #[test]
 fn a_changed_upstream_list_keeps_the_load_of_the_remaining_replicas() {
     let (mut p, mut r) = (pool(2), rng());
-    p.report(address(0), Time(1), 90, 90);
+    p.record_load_report(address(0), Time(1), 90, 90);
     p.set_upstreams(Time(0), &[upstream(0), upstream(1), upstream(2)], 8);
     for _ in 0..10 {
         assert_ne!(choose(&mut p, 2, &RequestProfile::default(), &mut r), Some(address(0)));
