--- a/crates/core/examples/embed.rs
+++ b/crates/core/examples/embed.rs
@@ -27,7 +27,7 @@
     let reservation = slices.reserve(now, 500).expect("the slice covers the need");
     let charged = slices.settle(now, reservation, 420);
     for report in slices.reports(now) {
-        let known = ledger.report(now, holder, &report);
+        let known = ledger.apply_report(now, holder, &report);
         slices.acknowledge(now, &report, known);
     }
     let spent = ledger.get("orders").map(|f| f.spent());
--- a/crates/core/examples/policies/world.rs
+++ b/crates/core/examples/policies/world.rs
@@ -176,9 +176,9 @@
         for r in self.routers[n].slices.reports(now) {
             let holder = self.routers[n].holder;
             let known = if self.in_second_region(n) && self.uses_region_ledger() {
-                self.region.report(now, holder, &r)
+                self.region.apply_report(now, holder, &r)
             } else {
-                self.group_ledger.report(now, holder, &r)
+                self.group_ledger.apply_report(now, holder, &r)
             };
             self.routers[n].slices.acknowledge(now, &r, known);
         }
@@ -265,7 +265,7 @@
     fn report_reserve(&mut self, c: usize, holder: HolderId) {
         let now = Time(self.now);
         for r in self.reserves[c].reports(BUDGET) {
-            if self.group_ledger.report(now, holder, &r) {
+            if self.group_ledger.apply_report(now, holder, &r) {
                 let id = self.next_lease_id();
                 self.reserves[c].apply(now, id, &ReserveCommand::Acknowledged(BUDGET.into(), r));
             }
@@ -348,7 +348,7 @@
     fn refill_region(&mut self) {
         let (now, id) = (Time(self.now), self.next_lease_id());
         for r in self.region.reports(BUDGET) {
-            if self.group_ledger.report(now, HolderId(1), &r) {
+            if self.group_ledger.apply_report(now, HolderId(1), &r) {
                 self.region.acknowledge(BUDGET, &r);
             }
         }
--- a/crates/core/examples/slopes.rs
+++ b/crates/core/examples/slopes.rs
@@ -63,7 +63,7 @@
 
 fn report_use(l: &mut Ledger, n: u64, used: u64) {
     let r = Report { lease: LeaseId { term: 1, index: n }, used, keep: 1_000, tight: false };
-    assert!(l.report(Time(1), HolderId(0), &r));
+    assert!(l.apply_report(Time(1), HolderId(0), &r));
 }
 
 fn post_bills(n: u64) -> Bills {
--- a/crates/core/src/budget/ledger.rs
+++ b/crates/core/src/budget/ledger.rs
@@ -307,7 +307,7 @@
         self.try_grant(now, id, request, request.want).ok_or(Shortage::Spent)
     }
 
-    fn report(&mut self, now: Time, holder: HolderId, r: &Report) -> bool {
+    fn apply_report(&mut self, now: Time, holder: HolderId, r: &Report) -> bool {
         let span = self.policy.offline.scale(LEASE_DRIFT.0, LEASE_DRIFT.1);
         let Some(l) = self.leases.get_mut(&r.lease).filter(|l| l.holder == holder) else {
             return false;
@@ -434,11 +434,11 @@
 
     /// Applies a holder's report. Returns false if the lease is not open or belongs to another
     /// holder.
-    pub fn report(&mut self, now: Time, holder: HolderId, r: &Report) -> bool {
+    pub fn apply_report(&mut self, now: Time, holder: HolderId, r: &Report) -> bool {
         let Some(state) = self.budget_of.get(&r.lease).and_then(|b| self.funds.get_mut(b)) else {
             return false;
         };
-        let known = state.report(now, holder, r);
+        let known = state.apply_report(now, holder, r);
         if !state.leases.contains_key(&r.lease) {
             self.budget_of.remove(&r.lease);
         }
--- a/crates/core/src/budget/region_ledger.rs
+++ b/crates/core/src/budget/region_ledger.rs
@@ -66,8 +66,8 @@
 
     /// Applies a router's report. Returns false if the lease is not open or belongs to another
     /// holder.
-    pub fn report(&mut self, now: Time, holder: HolderId, r: &Report) -> bool {
-        self.ledger.report(now, holder, r)
+    pub fn apply_report(&mut self, now: Time, holder: HolderId, r: &Report) -> bool {
+        self.ledger.apply_report(now, holder, r)
     }
 
     /// Gives up to `n` free tokens of `budget` back to the home group; the next reports include it.
--- a/crates/core/src/budget/reserve.rs
+++ b/crates/core/src/budget/reserve.rs
@@ -64,7 +64,7 @@
                 ReserveAnswer::Decided(decision.unwrap_or(Err(Shortage::Spent)))
             }
             ReserveCommand::Report(holder, reports) => {
-                let known = reports.iter().map(|r| self.region.report(now, *holder, r));
+                let known = reports.iter().map(|r| self.region.apply_report(now, *holder, r));
                 ReserveAnswer::Reported(known.collect())
             }
             ReserveCommand::GiveBack(budget, n) => {
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -274,7 +274,7 @@
 
     /// Applies reports of a holder. Returns for each whether its lease is known.
     fn record_reports(&mut self, now: Time, holder: HolderId, reports: &[Report]) -> Vec<bool> {
-        reports.iter().map(|r| self.ledger.report(now, holder, r)).collect()
+        reports.iter().map(|r| self.ledger.apply_report(now, holder, r)).collect()
     }
 
     /// Applies a configuration change and updates the ledger.
--- a/crates/core/tests/bound.rs
+++ b/crates/core/tests/bound.rs
@@ -432,7 +432,8 @@
     /// Delivers a message to the grantor. Returns whether it knows each reported lease.
     fn receive(&mut self, s: &SentReport) -> Vec<bool> {
         self.received_at.entry((s.holder, s.seq)).or_insert(self.now);
-        let known = s.reports.iter().map(|r| self.ledger.report(self.now, s.holder, r)).collect();
+        let known =
+            s.reports.iter().map(|r| self.ledger.apply_report(self.now, s.holder, r)).collect();
         self.ledger.record_bounds(s.holder, self.now, s.seq, s.after, &s.bounds);
         known
     }
--- a/crates/core/tests/escrow_levels.rs
+++ b/crates/core/tests/escrow_levels.rs
@@ -203,7 +203,7 @@
         }
         let (now, s) = (self.now, &mut self.sites[site]);
         for r in s.region.reports(BUDGET) {
-            let known = self.home.report(now, s.holder, &r);
+            let known = self.home.apply_report(now, s.holder, &r);
             if known && !lost {
                 s.region.acknowledge(BUDGET, &r);
             }
@@ -244,7 +244,8 @@
             }
             Message::Report(site, router, holder, sent, reports) => {
                 let region = &mut self.sites[*site].region;
-                let acks = reports.iter().map(|r| (*r, region.report(now, *holder, r))).collect();
+                let acks =
+                    reports.iter().map(|r| (*r, region.apply_report(now, *holder, r))).collect();
                 Some(Message::Ack(*site, *router, *holder, *sent, acks))
             }
             Message::Ack(site, router, holder, sent, acks) => {
--- a/crates/core/tests/escrow_parts.rs
+++ b/crates/core/tests/escrow_parts.rs
@@ -113,7 +113,7 @@
 fn spend(r: &mut RegionLedger, index: u64, n: u64) {
     let g = r.request_lease(Time(1), lease(index), &request(index, 1, n)).unwrap().unwrap();
     let report = Report { lease: g.lease, used: n, keep: n, tight: true };
-    assert!(r.report(Time(1), HolderId(index), &report));
+    assert!(r.apply_report(Time(1), HolderId(index), &report));
 }
 
 /// Guards against counting a duplicate grant.
@@ -156,7 +156,7 @@
     spend(&mut r, 50, 130);
     for round in 0..2 {
         for report in r.reports(BUDGET) {
-            let known = home.report(Time(1), HolderId(9), &report);
+            let known = home.apply_report(Time(1), HolderId(9), &report);
             assert!(known, "round {round}");
             r.acknowledge(BUDGET, &report);
         }
--- a/crates/core/tests/support/escrow.rs
+++ b/crates/core/tests/support/escrow.rs
@@ -298,7 +298,7 @@
 
     fn deliver(&mut self, n: usize, reports: &[Report]) -> Vec<(Report, bool)> {
         let (now, holder) = (self.grantor_now(), self.nodes[n].holder);
-        reports.iter().map(|r| (*r, self.ledger.report(now, holder, r))).collect()
+        reports.iter().map(|r| (*r, self.ledger.apply_report(now, holder, r))).collect()
     }
 
     /// Delivers every recorded message a second time, newest first.
@@ -373,7 +373,7 @@
     /// lease as its own.
     pub fn report_as(&mut self, n: usize, r: Report) -> bool {
         let (now, holder) = (self.grantor_now(), self.nodes[n].holder);
-        self.ledger.report(now, holder, &r)
+        self.ledger.apply_report(now, holder, &r)
     }
 
     /// Releases all leases of router `n`. Returns the freed tokens.
@@ -416,7 +416,7 @@
 
     pub fn report(&mut self, n: usize, lease: LeaseId, used: u64, keep: u64) {
         let (now, holder) = (self.grantor_now(), self.nodes[n].holder);
-        self.ledger.report(now, holder, &Report { lease, used, keep, tight: false });
+        self.ledger.apply_report(now, holder, &Report { lease, used, keep, tight: false });
     }
 
     pub fn fund(&mut self, total: u64) {
