--- a/crates/cli/src/cmd/budget.rs
+++ b/crates/cli/src/cmd/budget.rs
@@ -81,7 +81,7 @@
     };
     let row = |l: &LeaseStatus| {
         let vm = l.vm.clone().unwrap_or_else(|| "(replaced)".into());
-        let (used, open) = (l.lease.used.to_string(), l.lease.open().to_string());
+        let (used, open) = (l.lease.used.to_string(), l.lease.open_tokens().to_string());
         [l.id.to_string(), vm, used, open, format!("{} s", l.left_ms / 1000)]
     };
     let rows: Vec<_> = all.iter().map(row).collect();
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -447,7 +447,7 @@
                 need = request.need,
                 funded = f.funded,
                 spent = f.spent(),
-                held = f.open(),
+                held = f.open_tokens(),
                 free = f.free(),
             );
         }
--- a/crates/core/src/budget/ledger.rs
+++ b/crates/core/src/budget/ledger.rs
@@ -97,8 +97,8 @@
 }
 
 impl Lease {
-    /// Returns the tokens that the holder may have spent or may yet spend beyond those reported.
-    pub fn open(&self) -> Tokens {
+    /// Returns the kept tokens that are not reported as spent.
+    pub fn open_tokens(&self) -> Tokens {
         self.keep - self.used
     }
 }
@@ -163,15 +163,15 @@
         self.closed + self.leases.values().map(|l| l.used).sum::<Tokens>()
     }
 
-    /// Returns the tokens held under leases and not reported as spent.
-    pub fn open(&self) -> Tokens {
-        self.leases.values().map(Lease::open).sum()
+    /// Returns the tokens under open leases that are not reported as spent.
+    pub fn open_tokens(&self) -> Tokens {
+        self.leases.values().map(Lease::open_tokens).sum()
     }
 
     /// Returns the unreported tokens of expired leases, which count as spent until their holder
     /// reports.
     pub fn stranded(&self, now: Time) -> Tokens {
-        self.leases.values().filter(|l| l.end <= now).map(Lease::open).sum()
+        self.leases.values().filter(|l| l.end <= now).map(Lease::open_tokens).sum()
     }
 
     /// Iterates over the open leases.
@@ -226,7 +226,7 @@
         let live = || self.leases.values().filter(|l| l.end > now);
         let reachable = || live().filter(|l| !recall.is_unanswered(now, l));
         let free = self.free();
-        if free + reachable().map(Lease::open).sum::<Tokens>() < request.need {
+        if free + reachable().map(Lease::open_tokens).sum::<Tokens>() < request.need {
             return Shortage::Away(UNREACHABLE_RETRY);
         }
         let idle = reachable().any(|l| l.holder != request.holder && !l.tight);
@@ -237,7 +237,7 @@
     /// `need`.
     fn cannot_meet(&self, now: Time, need: Tokens) -> bool {
         let live = self.leases.values().filter(|l| l.end > now);
-        self.free() + live.map(Lease::open).sum::<Tokens>() < need
+        self.free() + live.map(Lease::open_tokens).sum::<Tokens>() < need
     }
 
     fn refresh_recall(&mut self, now: Time, request: &LeaseRequest) -> Recall {
@@ -329,7 +329,7 @@
     /// were counted.
     fn write_off_lease(&mut self, id: LeaseId, unreported: Tokens) -> Tokens {
         let Some(l) = self.leases.get_mut(&id) else { return 0 };
-        let counted = l.open().min(unreported);
+        let counted = l.open_tokens().min(unreported);
         l.used += counted;
         self.close(id);
         counted
@@ -452,7 +452,7 @@
     /// verifies that.
     pub fn release(&mut self, id: LeaseId) -> Option<Tokens> {
         let state = self.budget_of.remove(&id).and_then(|b| self.funds.get_mut(&b))?;
-        let open = state.leases.get(&id).map(Lease::open)?;
+        let open = state.leases.get(&id).map(Lease::open_tokens)?;
         state.close(id);
         Some(open)
     }
@@ -479,7 +479,7 @@
         let mut sum = WriteOff::default();
         for (name, state) in self.funds.iter().filter(|(_, state)| state.policy.bounded) {
             let of_holder = state.leases.values().filter(|l| l.holder == holder);
-            let open: Tokens = of_holder.map(Lease::open).sum();
+            let open: Tokens = of_holder.map(Lease::open_tokens).sum();
             let counted = open.min(self.bounds.unreported(holder, name, e));
             sum.counted += counted;
             sum.freed += open - counted;
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -431,7 +431,7 @@
             client_account,
             funded: f.funded,
             spent: f.spent(),
-            held: f.open(),
+            held: f.open_tokens(),
             stranded: f.stranded(now),
             free: f.free(),
             total: self.bills.total(name),
--- a/crates/core/tests/bound.rs
+++ b/crates/core/tests/bound.rs
@@ -200,7 +200,7 @@
     sim.advance(500);
     sim.replace(0);
     let f = sim.ledger.get(BUDGET).unwrap();
-    assert_eq!(f.open(), sim.open_tokens(1), "tokens of the dead holder are still open");
+    assert_eq!(f.open_tokens(), sim.open_tokens(1), "tokens of the dead holder are still open");
     assert!(f.spent() >= 3_000);
     assert!(f.spent() < held / 2, "too few of its {held} tokens were freed");
 }
@@ -248,7 +248,7 @@
     apply(&write_off);
     assert_eq!(state.unsettled_holders().count(), 0);
     let f = state.ledger().get(BUDGET).unwrap();
-    assert_eq!((f.spent(), f.open(), f.free()), (23_000, 0, TOTAL - 23_000));
+    assert_eq!((f.spent(), f.open_tokens(), f.free()), (23_000, 0, TOTAL - 23_000));
 }
 
 /// Guards against losing the successor's age, which bounds how long its predecessor ran.
@@ -362,7 +362,7 @@
     fn open_tokens(&self, n: usize) -> Tokens {
         let f = self.ledger.get(BUDGET).unwrap();
         let own = f.leases().filter(|(_, l)| l.holder == self.holders[n].id);
-        own.map(|(_, l)| l.open()).sum()
+        own.map(|(_, l)| l.open_tokens()).sum()
     }
 
     fn request_lease(&mut self, n: usize, need: Tokens) {
@@ -467,15 +467,15 @@
     fn assert_invariants(&self) {
         let f = self.ledger.get(BUDGET).unwrap();
         assert!(self.ledger.consistent());
-        assert!(f.spent() + f.open() + f.free() <= TOTAL);
+        assert!(f.spent() + f.open_tokens() + f.free() <= TOTAL);
         let outstanding: Tokens =
             self.holders.iter().flat_map(|h| &h.open).map(Reservation::amount).sum();
         assert!(
-            self.consumed + outstanding <= f.spent() + f.open(),
+            self.consumed + outstanding <= f.spent() + f.open_tokens(),
             "{} consumed and {outstanding} reserved, {} spent and {} open",
             self.consumed,
             f.spent(),
-            f.open()
+            f.open_tokens()
         );
     }
 }
--- a/crates/core/tests/support/escrow.rs
+++ b/crates/core/tests/support/escrow.rs
@@ -432,7 +432,7 @@
     }
 
     pub fn ledger_open(&self) -> u64 {
-        self.ledger.get(BUDGET).unwrap().open()
+        self.ledger.get(BUDGET).unwrap().open_tokens()
     }
 
     pub fn ledger_free(&self) -> u64 {
@@ -450,7 +450,7 @@
     pub fn held_by(&self, n: usize) -> u64 {
         let holder = self.nodes[n].holder;
         let f = self.ledger.get(BUDGET).unwrap();
-        f.leases().filter(|(_, l)| l.holder == holder).map(|(_, l)| l.open()).sum()
+        f.leases().filter(|(_, l)| l.holder == holder).map(|(_, l)| l.open_tokens()).sum()
     }
 
     pub fn idle(&self, n: usize) -> u64 {
@@ -466,7 +466,7 @@
         assert!(self.is_consistent());
         let f = self.ledger.get(BUDGET).unwrap();
         assert!(f.spent() <= self.consumed, "the ledger counts more than was consumed");
-        assert!(self.consumed <= f.spent() + f.open(), "more was consumed than was leased");
+        assert!(self.consumed <= f.spent() + f.open_tokens(), "more was consumed than was leased");
     }
 }
 
