--- a/crates/core/src/route/backlog.rs
+++ b/crates/core/src/route/backlog.rs
@@ -90,7 +90,7 @@
     }
 
     /// Adds `tokens` of a prompt that was sent to the replica, without tracking its first event.
-    pub fn add(&mut self, now: Time, tokens: u64) {
+    pub fn add_prompt(&mut self, now: Time, tokens: u64) {
         let (at, work) = (micros(now), self.prefill_us(tokens));
         if self.busy_until <= at {
             self.busy_since = at;
@@ -103,7 +103,7 @@
     /// Adds `tokens` of this router's request `ticket`, which is pending until its first event.
     pub fn add_request(&mut self, now: Time, ticket: u64, tokens: u64) {
         let ahead = self.busy_until.saturating_sub(micros(now)) / self.prefill_us(1).max(1);
-        self.add(now, tokens);
+        self.add_prompt(now, tokens);
         let (cumulative_us, due_us) = (self.cumulative_us, self.busy_until);
         self.pending.insert(ticket, Pending { cumulative_us, tokens: tokens + ahead, due_us });
     }
--- a/crates/core/src/route/pool.rs
+++ b/crates/core/src/route/pool.rs
@@ -282,7 +282,7 @@
         prefixes: &PromptPrefixes,
     ) {
         if let Some(r) = self.replicas.get_mut(&address) {
-            r.backlog.add(now, uncached);
+            r.backlog.add_prompt(now, uncached);
             self.prefixes.record_sent(now, address, prefixes);
         }
     }
