--- a/crates/core/src/route/backlog.rs
+++ b/crates/core/src/route/backlog.rs
@@ -37,7 +37,7 @@
 pub struct Backlog {
     /// All work ever sent to the replica, in microseconds.
     cumulative_us: u64,
-    /// Start and expected end of the current uninterrupted prefill, in microseconds.
+    /// Start and expected end of the current busy period, in microseconds.
     busy_since: u64,
     busy_until: u64,
     pending: BTreeMap<u64, Pending>,
@@ -81,9 +81,10 @@
         self.busy_until.saturating_sub(now).max(overdue)
     }
 
-    /// Returns the length of the replica's uninterrupted prefill in microseconds, from the start of
-    /// the current one, if it were sent `more` microseconds of work now.
-    pub fn busy_us(&self, now: Time, more: u64) -> u64 {
+    /// Returns the length of the replica's busy period in microseconds, from the start of the current
+    /// one, if it were sent `more` microseconds of work now. During it the replica processes prompts
+    /// without interruption.
+    pub fn busy_period_us(&self, now: Time, more: u64) -> u64 {
         let now = micros(now);
         let elapsed = if self.busy_until > now { now - self.busy_since.min(now) } else { 0 };
         elapsed + self.busy_until.saturating_sub(now) + more
--- a/crates/core/src/route/cost.rs
+++ b/crates/core/src/route/cost.rs
@@ -22,9 +22,9 @@
 pub struct Forecast {
     /// Time until its first event, in microseconds.
     pub first_event_us: u64,
-    /// Length of the replica's uninterrupted prefill, in microseconds.
-    pub busy_us: u64,
-    /// Streams on the replica that pause during the prefill.
+    /// Length of the replica's busy period (uninterrupted prefill), in microseconds.
+    pub busy_period_us: u64,
+    /// Streams on the replica that pause during the busy period.
     pub running: u64,
     /// Tokens of the prompt's shared prefix that the replica recomputes although another one has
     /// them cached.
@@ -51,7 +51,7 @@
         + f.first_event_us.saturating_sub(objective_us) * EXTRA_LATE / objective_us;
     let paused = objective
         .max_pause
-        .map_or(0, |limit| lateness_risk(f.busy_us, limit.as_micros() as u64) * f.running);
+        .map_or(0, |limit| lateness_risk(f.busy_period_us, limit.as_micros() as u64) * f.running);
     late + paused
         + f.recomputed_tokens * LATE / RECOMPUTED_TOKENS_PER_LATE
         + f.first_event_us / TIE_BREAK_US
--- a/crates/core/src/route/pool.rs
+++ b/crates/core/src/route/pool.rs
@@ -464,7 +464,7 @@
         let shared = profile.prefixes.shared_prefix().map_or(0, |(_, size)| size);
         let forecast = Forecast {
             first_event_us,
-            busy_us: r.backlog.busy_us(now, r.backlog.prefill_us(uncached)),
+            busy_period_us: r.backlog.busy_period_us(now, r.backlog.prefill_us(uncached)),
             running: u64::from(r.outstanding) + self.running_for_peers(),
             recomputed_tokens: shared.saturating_sub(cached),
         };
--- a/crates/core/src/route/replica.rs
+++ b/crates/core/src/route/replica.rs
@@ -22,7 +22,7 @@
 /// measurement.
 const INITIAL_DELAY_PER_REQUEST_US: u64 = 20_000;
 
-/// Concurrent requests that a replica can run, assumed until it is known.
+/// Concurrent requests that a replica can run, assumed until their number is known.
 const INITIAL_SLOTS: u32 = 8;
 
 /// Greatest age of a load report from which this router's own requests can be subtracted.
