--- a/crates/core/src/route/backlog.rs
+++ b/crates/core/src/route/backlog.rs
@@ -17,8 +17,8 @@
 /// Each first event scales the earlier measurements by `DECAY / (DECAY + 1)`.
 const DECAY: u64 = 15;
 
-/// Each slower first event raises the recorded fastest one by `1 / FASTEST_DECAY` of the difference,
-/// so that it follows a replica that becomes slower.
+/// Each slower first event raises the recorded fastest one by `1 / FASTEST_DECAY` of the
+/// difference, so that it follows a replica that becomes slower.
 const FASTEST_DECAY: u64 = 64;
 
 /// A request of this router that has not had its first event.
@@ -81,9 +81,9 @@
         self.busy_until.saturating_sub(now).max(overdue)
     }
 
-    /// Returns the length of the replica's busy period in microseconds, from the start of the current
-    /// one, if it were sent `more` microseconds of work now. During it the replica processes prompts
-    /// without interruption.
+    /// Returns the length of the replica's busy period in microseconds, from the start of the
+    /// current one, if it were sent `more` microseconds of work now. During a busy period the
+    /// replica processes prompts without interruption.
     pub fn busy_period_us(&self, now: Time, more: u64) -> u64 {
         let now = micros(now);
         let elapsed = if self.busy_until > now { now - self.busy_since.min(now) } else { 0 };
