--- a/crates/core/src/budget/ledger.rs
+++ b/crates/core/src/budget/ledger.rs
@@ -32,7 +32,7 @@
     pub budget: String,
     /// Sequence number at the holder for this budget; a resend keeps it.
     pub seq: u64,
-    /// Smallest useful grant: what the waiting client request needs.
+    /// Smallest useful grant: what the waiting client request needs; 0 if none waits.
     pub need: Tokens,
     /// Preferred size of the grant.
     pub want: Tokens,
@@ -48,7 +48,7 @@
     pub used: Tokens,
     /// Tokens that the holder keeps, including the spent ones; never increases.
     pub keep: Tokens,
-    /// Whether no kept token is idle.
+    /// Whether none of the kept tokens is idle, so that a recall would return nothing.
     pub tight: bool,
 }
 
@@ -90,15 +90,15 @@
     pub used: Tokens,
     /// Time by which the holder has stopped starting requests on it, allowing for clock drift.
     pub end: Time,
-    /// Whether the holder reported that no token of it is idle.
+    /// Whether the holder reported that none of the kept tokens is idle; a new recall resets it.
     pub tight: bool,
     /// Time of the holder's last report on it, or of the grant.
     pub heard: Time,
 }
 
 impl Lease {
-    /// Returns the tokens that are not reported as spent but may be.
-    pub fn open(&self) -> Tokens {
+    /// Returns the kept tokens that are not reported as spent.
+    pub fn open_tokens(&self) -> Tokens {
         self.keep - self.used
     }
 }
@@ -113,6 +113,7 @@
     /// Policy that sizes requests and grants.
     pub policy: Policy,
     leases: BTreeMap<LeaseId, Lease>,
+    /// Sum of the leases' kept tokens, including the spent ones.
     held: Tokens,
     recall: Option<Recall>,
     /// Sequence number of the last request granted to each holder; detects late duplicates.
@@ -122,8 +123,10 @@
 /// A recall of idle tokens for one request, which its holder retries until it is granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Recall {
+    /// The holder whose request it is for, and the number of that request.
     holder: HolderId,
     seq: u64,
+    /// When it started.
     since: Time,
     /// When the request was last received; the recall lapses when retries stop.
     asked: Time,
@@ -150,7 +153,7 @@
 }
 
 impl BudgetState {
-    /// Returns the tokens that are neither spent nor held under leases.
+    /// Returns the tokens that are neither spent nor leased.
     pub fn free(&self) -> Tokens {
         self.funded.saturating_sub(self.closed).saturating_sub(self.held)
     }
@@ -160,15 +163,15 @@
         self.closed + self.leases.values().map(|l| l.used).sum::<Tokens>()
     }
 
-    /// Returns the tokens held under leases and not reported as spent.
-    pub fn open(&self) -> Tokens {
-        self.leases.values().map(Lease::open).sum()
+    /// Returns the tokens under open leases that are not reported as spent.
+    pub fn open_tokens(&self) -> Tokens {
+        self.leases.values().map(Lease::open_tokens).sum()
     }
 
     /// Returns the unreported tokens of expired leases, which count as spent until their holder
     /// reports.
     pub fn stranded(&self, now: Time) -> Tokens {
-        self.leases.values().filter(|l| l.end <= now).map(Lease::open).sum()
+        self.leases.values().filter(|l| l.end <= now).map(Lease::open_tokens).sum()
     }
 
     /// Iterates over the open leases.
@@ -223,17 +226,18 @@
         let live = || self.leases.values().filter(|l| l.end > now);
         let reachable = || live().filter(|l| !recall.is_unanswered(now, l));
         let free = self.free();
-        if free + reachable().map(Lease::open).sum::<Tokens>() < request.need {
+        if free + reachable().map(Lease::open_tokens).sum::<Tokens>() < request.need {
             return Shortage::Away(UNREACHABLE_RETRY);
         }
         let idle = reachable().any(|l| l.holder != request.holder && !l.tight);
         Shortage::Busy(if idle { RECALL_RETRY } else { SETTLE_RETRY })
     }
 
-    /// Returns whether the free tokens and the unspent ones of all live leases are less than `need`.
+    /// Returns whether the free tokens and the open ones of unexpired leases together are less than
+    /// `need`.
     fn cannot_meet(&self, now: Time, need: Tokens) -> bool {
         let live = self.leases.values().filter(|l| l.end > now);
-        self.free() + live.map(Lease::open).sum::<Tokens>() < need
+        self.free() + live.map(Lease::open_tokens).sum::<Tokens>() < need
     }
 
     fn refresh_recall(&mut self, now: Time, request: &LeaseRequest) -> Recall {
@@ -303,7 +307,7 @@
         self.try_grant(now, id, request, request.want).ok_or(Shortage::Spent)
     }
 
-    fn report(&mut self, now: Time, holder: HolderId, r: &Report) -> bool {
+    fn apply_report(&mut self, now: Time, holder: HolderId, r: &Report) -> bool {
         let span = self.policy.offline.scale(LEASE_DRIFT.0, LEASE_DRIFT.1);
         let Some(l) = self.leases.get_mut(&r.lease).filter(|l| l.holder == holder) else {
             return false;
@@ -321,14 +325,14 @@
         true
     }
 
-    /// Closes a lease and counts up to `unreported` more of its tokens as spent. Returns how many
+    /// Closes a lease and counts up to `unreported` of its open tokens as spent. Returns how many
     /// were counted.
-    fn close_with(&mut self, id: LeaseId, unreported: Tokens) -> Tokens {
+    fn write_off_lease(&mut self, id: LeaseId, unreported: Tokens) -> Tokens {
         let Some(l) = self.leases.get_mut(&id) else { return 0 };
-        let more = l.open().min(unreported);
-        l.used += more;
+        let counted = l.open_tokens().min(unreported);
+        l.used += counted;
         self.close(id);
-        more
+        counted
     }
 
     fn close(&mut self, id: LeaseId) {
@@ -348,7 +352,7 @@
     pub freed: Tokens,
 }
 
-/// The budgets of one grantor, with their leases and the bounds reported by holders.
+/// The budgets of one grantor, with their leases and the bounds that holders reported.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Ledger {
     funds: BTreeMap<String, BudgetState>,
@@ -365,16 +369,16 @@
     /// The total may be less than what is spent and held: then nothing more is granted, idle
     /// tokens are recalled, and leased tokens may still be spent.
     pub fn fund(&mut self, budget: &str, funded: Tokens, policy: Policy) {
-        let f = self.funds.entry(budget.to_owned()).or_default();
-        f.funded = funded;
-        f.policy = policy;
+        let state = self.funds.entry(budget.to_owned()).or_default();
+        state.funded = funded;
+        state.policy = policy;
         self.update_recalling(budget);
     }
 
     fn update_recalling(&mut self, budget: &str) {
-        let open = |f: &BudgetState| f.recall.is_some() || f.overdrawn();
-        let active = self.funds.get(budget).is_some_and(open);
-        if !active {
+        let may_recall = |state: &BudgetState| state.recall.is_some() || state.overdrawn();
+        let recalling = self.funds.get(budget).is_some_and(may_recall);
+        if !recalling {
             self.recalling.remove(budget);
         } else if !self.recalling.contains(budget) {
             self.recalling.insert(budget.to_owned());
@@ -430,12 +434,12 @@
 
     /// Applies a holder's report. Returns false if the lease is not open or belongs to another
     /// holder.
-    pub fn report(&mut self, now: Time, holder: HolderId, r: &Report) -> bool {
-        let Some(f) = self.budget_of.get(&r.lease).and_then(|b| self.funds.get_mut(b)) else {
+    pub fn apply_report(&mut self, now: Time, holder: HolderId, r: &Report) -> bool {
+        let Some(state) = self.budget_of.get(&r.lease).and_then(|b| self.funds.get_mut(b)) else {
             return false;
         };
-        let known = f.report(now, holder, r);
-        if !f.leases.contains_key(&r.lease) {
+        let known = state.apply_report(now, holder, r);
+        if !state.leases.contains_key(&r.lease) {
             self.budget_of.remove(&r.lease);
         }
         known
@@ -447,9 +451,9 @@
     /// The caller must make sure that the holder never spends from it again: nothing here
     /// verifies that.
     pub fn release(&mut self, id: LeaseId) -> Option<Tokens> {
-        let f = self.budget_of.remove(&id).and_then(|b| self.funds.get_mut(&b))?;
-        let open = f.leases.get(&id).map(Lease::open)?;
-        f.close(id);
+        let state = self.budget_of.remove(&id).and_then(|b| self.funds.get_mut(&b))?;
+        let open = state.leases.get(&id).map(Lease::open_tokens)?;
+        state.close(id);
         Some(open)
     }
 
@@ -473,9 +477,9 @@
     /// Returns what [`Ledger::write_off`] would count as spent and free, without changing anything.
     pub fn write_off_amounts(&self, holder: HolderId, e: &Elapsed) -> WriteOff {
         let mut sum = WriteOff::default();
-        for (name, f) in self.funds.iter().filter(|(_, f)| f.policy.bounded) {
-            let of_holder = f.leases.values().filter(|l| l.holder == holder);
-            let open: Tokens = of_holder.map(Lease::open).sum();
+        for (name, state) in self.funds.iter().filter(|(_, state)| state.policy.bounded) {
+            let of_holder = state.leases.values().filter(|l| l.holder == holder);
+            let open: Tokens = of_holder.map(Lease::open_tokens).sum();
             let counted = open.min(self.bounds.unreported(holder, name, e));
             sum.counted += counted;
             sum.freed += open - counted;
@@ -488,12 +492,16 @@
     /// other budgets stay open.
     pub fn write_off(&mut self, holder: HolderId, e: &Elapsed) {
         let bounds = &self.bounds;
-        for (name, f) in self.funds.iter_mut().filter(|(_, f)| f.policy.bounded) {
+        for (name, state) in self.funds.iter_mut().filter(|(_, state)| state.policy.bounded) {
             let mut left = bounds.unreported(holder, name, e);
-            let ids: Vec<_> =
-                f.leases.iter().filter(|(_, l)| l.holder == holder).map(|(id, _)| *id).collect();
+            let ids: Vec<_> = state
+                .leases
+                .iter()
+                .filter(|(_, l)| l.holder == holder)
+                .map(|(id, _)| *id)
+                .collect();
             for id in ids {
-                left -= f.close_with(id, left);
+                left -= state.write_off_lease(id, left);
                 self.budget_of.remove(&id);
             }
         }
@@ -503,25 +511,30 @@
     /// Drops the request state of a holder that has left or was replaced. Its leases stay open
     /// until they are reported on.
     pub fn remove_holder(&mut self, holder: HolderId) {
-        for f in self.funds.values_mut() {
-            f.granted.remove(&holder);
+        for state in self.funds.values_mut() {
+            state.granted.remove(&holder);
         }
     }
 
     /// Iterates over the names of the budgets of which `holder` has to return idle tokens.
     pub fn recalls(&self, now: Time, holder: HolderId) -> impl Iterator<Item = &str> {
-        let holds =
-            move |f: &&BudgetState| f.leases.values().any(|l| l.holder == holder && !l.tight);
+        let holds = move |state: &&BudgetState| {
+            state.leases.values().any(|l| l.holder == holder && !l.tight)
+        };
         self.recalling
             .iter()
-            .filter(move |b| self.funds.get(*b).is_some_and(|f| f.recalling(now) && holds(&f)))
+            .filter(move |b| {
+                self.funds.get(*b).is_some_and(|state| state.recalling(now) && holds(&state))
+            })
             .map(String::as_str)
     }
 
-    /// Returns whether the derived sums and indexes match the leases. Used by tests and by the
-    /// check at startup.
+    /// Returns whether the derived sums and indexes match the leases.
     pub fn consistent(&self) -> bool {
-        self.funds.values().all(|f| f.held == f.leases.values().map(|l| l.keep).sum::<Tokens>())
-            && self.budget_of.len() == self.funds.values().map(|f| f.leases.len()).sum::<usize>()
+        self.funds
+            .values()
+            .all(|state| state.held == state.leases.values().map(|l| l.keep).sum::<Tokens>())
+            && self.budget_of.len()
+                == self.funds.values().map(|state| state.leases.len()).sum::<usize>()
     }
 }
--- a/crates/core/src/budget/allot.rs
+++ b/crates/core/src/budget/region_ledger.rs
@@ -1,4 +1,4 @@
-//! A ledger whose tokens are leased from another grantor, the budget's home group.
+//! A ledger whose tokens are leased from another grantor, such as the budget's home group.
 
 use std::collections::BTreeMap;
 
@@ -8,15 +8,17 @@
 use super::policy::Policy;
 use crate::unit::{HolderId, LeaseId, Time, Tokens};
 
-/// Tokens kept of one lease from the home group.
+/// A lease from the home group.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 struct Allotment {
+    /// Tokens kept of it, including the spent ones.
     keep: Tokens,
 }
 
 /// The ledger of a grantor that is not the budget's home.
 ///
-/// It is the grantor of its routers, and a holder of leases ("allotments") from the home group.
+/// It holds leases ("allotments") from the home group, and grants leases on their tokens to its
+/// routers.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct RegionLedger {
     ledger: Ledger,
@@ -64,16 +66,16 @@
 
     /// Applies a router's report. Returns false if the lease is not open or belongs to another
     /// holder.
-    pub fn report(&mut self, now: Time, holder: HolderId, r: &Report) -> bool {
-        self.ledger.report(now, holder, r)
+    pub fn apply_report(&mut self, now: Time, holder: HolderId, r: &Report) -> bool {
+        self.ledger.apply_report(now, holder, r)
     }
 
-    /// Returns up to `n` free tokens of `budget` to the home group with the next reports.
+    /// Gives up to `n` free tokens of `budget` back to the home group; the next reports include it.
     pub fn give_back(&mut self, budget: &str, n: Tokens) {
-        let Some(f) = self.ledger.get(budget) else { return };
-        let policy = f.policy;
+        let Some(state) = self.ledger.get(budget) else { return };
+        let policy = state.policy;
         // Free tokens are neither spent nor held, so the remaining ones still cover both.
-        let mut left = n.min(f.free());
+        let mut left = n.min(state.free());
         let all = self.allotments.entry(budget.to_owned()).or_default();
         for a in all.values_mut().rev() {
             let back = left.min(a.keep);
@@ -86,9 +88,9 @@
     /// Returns the reports on a budget's allotments for the home group. Spending is attributed to
     /// the oldest allotment first.
     pub fn reports(&self, budget: &str) -> Vec<Report> {
-        let Some(f) = self.ledger.get(budget) else { return Vec::new() };
-        let mut spent = f.spent() - self.passed.get(budget).copied().unwrap_or(0);
-        let tight = f.free() == 0;
+        let Some(state) = self.ledger.get(budget) else { return Vec::new() };
+        let mut spent = state.spent() - self.passed.get(budget).copied().unwrap_or(0);
+        let tight = state.free() == 0;
         let all = self.allotments.get(budget).into_iter().flatten();
         all.map(|(id, a)| {
             let used = spent.min(a.keep);
@@ -98,8 +100,8 @@
         .collect()
     }
 
-    /// Records that the home group has committed report `r`, and removes the allotment that it
-    /// closes.
+    /// Records that the home group has committed report `r`, and removes its allotment if the
+    /// report closes it.
     pub fn acknowledge(&mut self, budget: &str, r: &Report) {
         if r.used != r.keep {
             return;
--- a/crates/core/src/budget/reserve.rs
+++ b/crates/core/src/budget/reserve.rs
@@ -1,17 +1,17 @@
-//! A data centre's token reserve for partitions from the control group.
+//! A data centre's token reserve, for partitions that cut it off from the control group.
 //!
 //! In each data centre a process with a disk holds a part of every budget that is spent there.
-//! Routers request leases from it only while the control group is unreachable. So a router's own
-//! slices can stay small and strand few tokens when it dies, and requests are still served in a
-//! partition of hours. The control group recalls the reserve like any other holder's slices.
+//! Routers request leases from it only while the control group is unreachable. So requests are
+//! served during a partition of hours, although a router's own slices are small and few tokens are
+//! lost when it dies. The control group recalls the reserve like any other holder's slices.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-use super::allot::RegionLedger;
 use super::ledger::{Decision, Grant, LeaseRequest, Report, Shortage};
 use super::policy::Policy;
+use super::region_ledger::RegionLedger;
 use crate::unit::{HolderId, LeaseId, Time, Tokens};
 
 /// A change of a reserve, stored on disk before it is applied.
@@ -23,7 +23,7 @@
     Ask(LeaseRequest),
     /// A router reports on its leases.
     Report(HolderId, Vec<Report>),
-    /// Returns up to this many free tokens of a budget to the control group.
+    /// Gives up to this many free tokens of a budget back to the control group.
     GiveBack(String, Tokens),
     /// The control group has committed a report.
     Acknowledged(String, Report),
@@ -43,8 +43,9 @@
 /// The ledger of a data centre's reserve, over all budgets.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct ReserveLedger {
+    /// The tokens leased from the control group, and the routers' leases on them.
     region: RegionLedger,
-    /// Sequence number of the last request that the control group granted, by budget.
+    /// Sequence number of the last request that the control group granted for each budget.
     granted: BTreeMap<String, u64>,
 }
 
@@ -63,7 +64,7 @@
                 ReserveAnswer::Decided(decision.unwrap_or(Err(Shortage::Spent)))
             }
             ReserveCommand::Report(holder, reports) => {
-                let known = reports.iter().map(|r| self.region.report(now, *holder, r));
+                let known = reports.iter().map(|r| self.region.apply_report(now, *holder, r));
                 ReserveAnswer::Reported(known.collect())
             }
             ReserveCommand::GiveBack(budget, n) => {
@@ -79,7 +80,7 @@
 
     /// Returns the free tokens of a budget.
     pub fn free(&self, budget: &str) -> Tokens {
-        self.region.ledger().get(budget).map_or(0, |f| f.free())
+        self.region.ledger().get(budget).map_or(0, |state| state.free())
     }
 
     /// Iterates over the names of the budgets of which it holds or has held a lease.
@@ -92,26 +93,27 @@
         self.region.reports(budget)
     }
 
-    /// Returns the lease request to the control group that fills the reserve up to `target`, if no
-    /// more than half of it is free. Resends keep their number until one is granted.
+    /// Returns the lease request to the control group that fills the reserve up to `target`; `None`
+    /// if `target` is zero or more than half of it is free. Resends keep their number until one is
+    /// granted.
     pub fn next_request(
         &self,
         holder: HolderId,
         budget: &str,
         target: Tokens,
     ) -> Option<LeaseRequest> {
-        let have = self.free(budget);
-        if target == 0 || have > target / 2 {
+        let free = self.free(budget);
+        if target == 0 || free > target / 2 {
             return None;
         }
         let seq = self.granted.get(budget).copied().unwrap_or(0) + 1;
-        let want = target - have;
+        let want = target - free;
         Some(LeaseRequest { holder, budget: budget.to_owned(), seq, need: 0, want })
     }
 
     /// Returns the free tokens beyond `target` if there are more than twice `target`, else zero.
     pub fn excess(&self, budget: &str, target: Tokens) -> Tokens {
-        let have = self.free(budget);
-        if have > target.saturating_mul(2) { have - target } else { 0 }
+        let free = self.free(budget);
+        if free > target.saturating_mul(2) { free - target } else { 0 }
     }
 }
--- a/crates/core/src/route/backlog.rs
+++ b/crates/core/src/route/backlog.rs
@@ -17,7 +17,8 @@
 /// Each first event scales the earlier measurements by `DECAY / (DECAY + 1)`.
 const DECAY: u64 = 15;
 
-/// The fastest first event rises by `1 / FASTEST_DECAY` of the excess of each slower one.
+/// Each slower first event raises the recorded fastest one by `1 / FASTEST_DECAY` of the
+/// difference, so that it follows a replica that becomes slower.
 const FASTEST_DECAY: u64 = 64;
 
 /// A request of this router that has not had its first event.
@@ -31,12 +32,12 @@
     due_us: u64,
 }
 
-/// The prompts that one replica has yet to process.
+/// The estimated prefill work that one replica has yet to do.
 #[derive(Clone, Debug)]
 pub struct Backlog {
     /// All work ever sent to the replica, in microseconds.
     cumulative_us: u64,
-    /// Start and expected end of the current uninterrupted prefill, in microseconds.
+    /// Start and expected end of the current busy period, in microseconds.
     busy_since: u64,
     busy_until: u64,
     pending: BTreeMap<u64, Pending>,
@@ -80,16 +81,17 @@
         self.busy_until.saturating_sub(now).max(overdue)
     }
 
-    /// Returns the length of the replica's uninterrupted prefill if it were sent `more` microseconds of
-    /// work now, counted from the start of the current one.
-    pub fn busy_us(&self, now: Time, more: u64) -> u64 {
+    /// Returns the length of the replica's busy period in microseconds, from the start of the
+    /// current one, if it were sent `more` microseconds of work now. During a busy period the
+    /// replica processes prompts without interruption.
+    pub fn busy_period_us(&self, now: Time, more: u64) -> u64 {
         let now = micros(now);
         let elapsed = if self.busy_until > now { now - self.busy_since.min(now) } else { 0 };
         elapsed + self.busy_until.saturating_sub(now) + more
     }
 
-    /// Adds `tokens` of a prompt that was sent to the replica.
-    pub fn add(&mut self, now: Time, tokens: u64) {
+    /// Adds `tokens` of a prompt that was sent to the replica, without tracking its first event.
+    pub fn add_prompt(&mut self, now: Time, tokens: u64) {
         let (at, work) = (micros(now), self.prefill_us(tokens));
         if self.busy_until <= at {
             self.busy_since = at;
@@ -99,17 +101,17 @@
         self.cumulative_us += work;
     }
 
-    /// Adds `tokens` of this router's request `ticket` and expects its first event.
+    /// Adds `tokens` of this router's request `ticket`, which is pending until its first event.
     pub fn add_request(&mut self, now: Time, ticket: u64, tokens: u64) {
         let ahead = self.busy_until.saturating_sub(micros(now)) / self.prefill_us(1).max(1);
-        self.add(now, tokens);
+        self.add_prompt(now, tokens);
         let (cumulative_us, due_us) = (self.cumulative_us, self.busy_until);
         self.pending.insert(ticket, Pending { cumulative_us, tokens: tokens + ahead, due_us });
     }
 
     /// Records the first event of a request, `first_us` after it was sent: the replica has
     /// processed all prompts before it. Returns the estimated prefill time of the request in
-    /// microseconds; none if the request is not pending.
+    /// microseconds, or `None` if the request is not pending.
     pub fn record_first_event(&mut self, now: Time, ticket: u64, first_us: u64) -> Option<u64> {
         let p = self.pending.remove(&ticket)?;
         let estimated = self.prefill_us(p.tokens);
--- a/crates/core/src/route/cost.rs
+++ b/crates/core/src/route/cost.rs
@@ -1,6 +1,7 @@
 //! The cost of sending a request to a replica, measured in expected late answers.
 //!
-//! The unit is a thousandth of a late answer. Differences in latency below that break ties.
+//! The unit is a thousandth of a late answer. Between replicas of otherwise equal cost, the lower
+//! latency wins.
 
 use super::lateness::LatencyObjective;
 
@@ -10,10 +11,10 @@
 /// Extra cost of a late answer for each further multiple of its latency objective.
 const EXTRA_LATE: u64 = 200;
 
-/// Tokens cached on another replica whose recomputation costs as much as one late answer.
+/// Number of recomputed prompt tokens that cost as much as one late answer.
 const RECOMPUTED_TOKENS_PER_LATE: u64 = 3_000;
 
-/// Latency of the first event, in microseconds, that costs one unit.
+/// Latency of the first event, in microseconds, that costs one unit to break ties.
 const TIE_BREAK_US: u64 = 2_000;
 
 /// The expected effect of a request on itself and on the streams that run on the same replica.
@@ -21,9 +22,9 @@
 pub struct Forecast {
     /// Time until its first event, in microseconds.
     pub first_event_us: u64,
-    /// Length of the replica's uninterrupted prefill, in microseconds.
-    pub busy_us: u64,
-    /// Streams that pause meanwhile.
+    /// Length of the replica's busy period (uninterrupted prefill), in microseconds.
+    pub busy_period_us: u64,
+    /// Streams on the replica that pause during the busy period.
     pub running: u64,
     /// Tokens of the prompt's shared prefix that the replica recomputes although another one has
     /// them cached.
@@ -50,7 +51,7 @@
         + f.first_event_us.saturating_sub(objective_us) * EXTRA_LATE / objective_us;
     let paused = objective
         .max_pause
-        .map_or(0, |limit| lateness_risk(f.busy_us, limit.as_micros() as u64) * f.running);
+        .map_or(0, |limit| lateness_risk(f.busy_period_us, limit.as_micros() as u64) * f.running);
     late + paused
         + f.recomputed_tokens * LATE / RECOMPUTED_TOKENS_PER_LATE
         + f.first_event_us / TIE_BREAK_US
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -1,22 +1,22 @@
 //! Admission, scheduling and load balancing of requests to the replicas of a service.
 
 mod backlog;
+pub mod backoff;
 mod cold;
 mod cost;
 pub mod lateness;
 mod limiter;
 mod pool;
 mod prefix;
-pub mod pressure;
+pub mod priority_gate;
 mod replica;
-pub mod rest;
 mod retry;
+pub mod retry_schedule;
 mod ring;
-pub mod turns;
 mod vms;
 
 pub use limiter::{Admission, Limiter, QueuedRequest, Ticket};
-pub use pool::held_back::{BlockReason, Blocked};
+pub use pool::flow_control::{BlockReason, Blocked};
 pub use pool::{Choice, Pool, ReplicaInfo, RequestProfile};
 pub use prefix::{PrefixTable, PromptPrefixes};
 pub use replica::Replica;
--- a/crates/core/src/route/replica.rs
+++ b/crates/core/src/route/replica.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use super::backlog::Backlog;
-use super::rest::Backoff;
+use super::backoff::Backoff;
 use crate::config::Upstream;
 use crate::fleet::rollout::split::Side;
 use crate::unit::{Millis, Time};
@@ -11,8 +11,8 @@
 /// Latency added for a replica in another data centre, in microseconds.
 const OTHER_DATA_CENTRE_US: u64 = 3_000;
 
-/// Latency added for a replica in another region, in microseconds: a round trip of about 40 ms and a
-/// margin of 20 ms for the shared link.
+/// Latency added for a replica in another region, in microseconds: a round trip, and a margin for
+/// the shared link.
 const OTHER_REGION_US: u64 = 60_000;
 
 /// The newest sample enters the moving average with weight `1 / SMOOTHING`.
@@ -22,10 +22,10 @@
 /// measurement.
 const INITIAL_DELAY_PER_REQUEST_US: u64 = 20_000;
 
-/// Concurrent requests of an engine, assumed until its slots are set.
+/// Concurrent requests that a replica can run, assumed until their number is known.
 const INITIAL_SLOTS: u32 = 8;
 
-/// The oldest load report from which this router's own requests can be subtracted.
+/// Greatest age of a load report from which this router's own requests can be subtracted.
 const MAX_REPORT_AGE: Millis = Millis::seconds(15);
 
 /// One router's view of a replica.
@@ -37,6 +37,7 @@
     pub outstanding: u32,
     /// Prompts that it has yet to process.
     pub(super) backlog: Backlog,
+    /// Requests that it can run concurrently.
     pub(super) slots: u32,
     /// Version of its software.
     pub(super) version: String,
@@ -44,7 +45,9 @@
     pub side: Side,
     /// Consecutive failures.
     pub(super) failures: u32,
+    /// Until when it gets no new work because of its failures.
     pub(super) ejected_until: Time,
+    /// It is draining.
     pub(super) leaving: bool,
     /// Until when it is limited to the cold request rate.
     pub(super) cold_until: Time,
@@ -54,12 +57,13 @@
     pub(super) other_region: bool,
     /// It advertises a rate limit.
     pub(super) rate_limited: bool,
-    /// Until when requests of this priority or lower get no permit for it.
+    /// Until when requests of this priority or lower are denied because of its rate limit.
     pub(super) denied: Option<(Time, u8)>,
     /// The backoff that it requested from this router.
     pub(super) backoff: Backoff,
     /// Recent values of `outstanding`, to subtract this router's requests from a late report.
     history: VecDeque<(Time, u32)>,
+    /// When its last load report was made.
     reported_at: Time,
     /// Requests of other routers in the last report.
     others: u32,
@@ -106,7 +110,7 @@
     }
 
     /// Records a load report made at `at`, unless a newer one was recorded.
-    pub(super) fn report(&mut self, at: Time, running: u32, waiting: u32) {
+    pub(super) fn record_load_report(&mut self, at: Time, running: u32, waiting: u32) {
         if at > self.reported_at {
             self.reported_at = at;
             self.others = (running + waiting).saturating_sub(self.outstanding_at(at));
@@ -162,7 +166,7 @@
     }
 
     /// Returns whether it gets no new work at `now`: it is draining or ejected.
-    pub fn is_out(&self, now: Time) -> bool {
+    pub fn is_unavailable(&self, now: Time) -> bool {
         !self.accepts_work() || self.ejected_until > now
     }
 }
--- a/crates/core/tests/rests.rs
+++ b/crates/core/tests/rests.rs
@@ -7,9 +7,9 @@
 use std::net::SocketAddr;
 
 use cypressfork_core::config::{Upstream, Vm};
-use cypressfork_core::route::pressure::PriorityGate;
-use cypressfork_core::route::rest::{Backoff, RetryAfter};
-use cypressfork_core::route::turns::{RetrySchedule, RetrySpacing};
+use cypressfork_core::route::backoff::{Backoff, RetryAfter};
+use cypressfork_core::route::priority_gate::PriorityGate;
+use cypressfork_core::route::retry_schedule::{RetrySchedule, RetrySpacing};
 use cypressfork_core::route::{
     BlockReason, Choice, Pool, PromptPrefixes, ReplicaInfo, RequestProfile,
 };
@@ -78,7 +78,7 @@
 #[case::no_word(&[], RetryAfter::Absent)]
 fn the_longest_of_several_headers_wins(#[case] headers: &[&str], #[case] want: RetryAfter) {
     let all = headers.iter().map(|h| RetryAfter::parse(h));
-    assert_eq!(all.fold(RetryAfter::Absent, RetryAfter::or_later), want);
+    assert_eq!(all.fold(RetryAfter::Absent, RetryAfter::merge), want);
 }
 
 /// Guards against a selection rule that ignores the backoff.
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -19,7 +19,7 @@
 use cypressfork_core::fleet::share::Placement;
 use cypressfork_core::fleet::sources::ReplicaSources;
 use cypressfork_core::fleet::watch::FeedCursor;
-use cypressfork_core::route::turns::{RetrySchedule, RetrySpacing};
+use cypressfork_core::route::retry_schedule::{RetrySchedule, RetrySpacing};
 use cypressfork_core::route::{Blocked, Choice, Pool, RequestProfile};
 use cypressfork_core::unit::{Millis, Time};
 use cypressfork_http::client::Connection;
@@ -393,7 +393,7 @@
             let mut pool = Pool::default();
             let base = &self.settings.base;
             pool.set_location(&base.data_centre, &base.regions);
-            pool.set_closed_data_centres(now, &closed());
+            pool.set_evacuated_data_centres(now, &closed());
             if let Some(r) = self.rollouts.rollout(&c.service) {
                 pool.set_rollout(&r);
             }
@@ -419,7 +419,7 @@
         }
         let now = self.now();
         for pool in self.pools.borrow_mut().values_mut() {
-            pool.set_closed_data_centres(now, &received.data_centres);
+            pool.set_evacuated_data_centres(now, &received.data_centres);
         }
         gauge!(metric::EVACUATED).set(received.data_centres.len() as f64);
         emit!(
