--- a/crates/core/src/fleet/clocks.rs
+++ b/crates/core/src/fleet/clocks.rs
@@ -40,7 +40,7 @@
         let offsets = self.fresh_offsets(now).chain([offset(now, own)]);
         let mut all: Vec<i64> = offsets.collect();
         all.sort_unstable();
-        // With an even count the lower middle value is taken: an agreed time that is too early is
+        // With an even count, the lower of the two middle values: an agreed time that is too early is
         // corrected by later readings.
         let median = all[(all.len() - 1) / 2];
         Time((now.0 as i64 + median).max(0) as u64)
--- a/crates/core/src/fleet/contacts.rs
+++ b/crates/core/src/fleet/contacts.rs
@@ -13,11 +13,11 @@
 use crate::unit::{Millis, NodeId, Term, Time};
 
 /// How long an address is kept after it was last received. A process that was down for longer is
-/// learned again from its next request.
+/// recorded again when its next request arrives.
 const ADDRESS_TTL: Millis = Millis::seconds(60);
 
-/// How long a leader is kept after it was last reported. A follower without heartbeats starts to doubt
-/// its leader after two election timeouts, 1 s.
+/// How long a leader is kept after it was last reported. Longer than the maximum election
+/// timeout (1 s), after which a follower without heartbeats stops reporting it.
 const LEADER_TTL: Millis = Millis(1_500);
 
 /// Maximum number of addresses: a region has 9 control processes, plus those that were replaced.
--- a/crates/core/src/fleet/demand.rs
+++ b/crates/core/src/fleet/demand.rs
@@ -6,13 +6,13 @@
 
 use crate::unit::{Millis, Time};
 
-/// Requests of one budget per window at which a router becomes its own home for it.
+/// Requests per window at which a router becomes its own home for the budget.
 const HEAVY_REQUESTS: u32 = 20;
 
 /// The window over which requests are counted.
 const WINDOW: Millis = Millis(1_000);
 
-/// How long a router stays its own home after the rate was last that high.
+/// How long a router stays its own home after it last reached [`HEAVY_REQUESTS`].
 const HEAVY_TTL: Millis = Millis::seconds(5);
 
 /// Counts the requests of one budget at this router.
--- a/crates/core/src/fleet/ends.rs
+++ b/crates/core/src/fleet/ends.rs
@@ -1,4 +1,4 @@
-//! Decides whether a replica that lost connections has ended, or only its connections have.
+//! Decides whether a replica whose connections were lost has ended, or only the connections have.
 //!
 //! A single probe of its address is not enough: an exiting process, a supervisor or a proxy may hold the
 //! listening socket and accept connections although nothing answers them. So each loss opens a case,
