--- a/crates/core/src/fleet/entry.rs
+++ b/crates/core/src/fleet/entry.rs
@@ -10,8 +10,8 @@
 /// A router without a heartbeat for this long is not listed while most others send theirs.
 const SILENT_AFTER: Millis = Millis(2_500);
 
-/// A router without a heartbeat for this long is no longer known.
-const KNOWN_FOR: Millis = Millis::seconds(60);
+/// How long a router is kept after its last heartbeat.
+const ROUTER_TTL: Millis = Millis::seconds(60);
 
 /// Minimum number of routers in the client's data centre or region for the list to be limited to it.
 const MIN_NEAR: usize = 2;
@@ -24,9 +24,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct RouterHeartbeats {
     heartbeats: BTreeMap<String, (RouterStatus, Time)>,
-    spill: LoadShedding,
+    shedding: LoadShedding,
     /// Number of address lists returned so far.
-    lists: u64,
+    list_count: u64,
     /// Position of the next router of other data centres in the rotation.
     next_other: usize,
 }
@@ -41,7 +41,7 @@
 
     /// Returns the number of routers that sent a heartbeat in the last minute.
     pub fn count(&self, now: Time) -> u32 {
-        self.heartbeats.values().filter(|(_, at)| now.since(*at) < KNOWN_FOR).count() as u32
+        self.heartbeats.values().filter(|(_, at)| now.since(*at) < ROUTER_TTL).count() as u32
     }
 
     /// Returns the number of routers that sent a heartbeat at or after `since`.
@@ -58,7 +58,7 @@
 
     /// Returns at most `limit` addresses on which routers accept connections from other routers.
     pub fn links(&self, now: Time, limit: usize) -> Vec<String> {
-        let known = self.heartbeats.values().filter(|(_, at)| now.since(*at) < KNOWN_FOR);
+        let known = self.heartbeats.values().filter(|(_, at)| now.since(*at) < ROUTER_TTL);
         known.take(limit).map(|(r, _)| r.link.clone()).collect()
     }
 
@@ -79,16 +79,17 @@
     ) -> Vec<String> {
         let open =
             self.heartbeats.values().filter(|(r, at)| r.open && now.since(*at) < SILENT_AFTER);
-        self.spill.update(now, open.map(|(r, _)| router_load(r)));
-        self.lists += 1;
-        let known = self.heartbeats.values().filter(|(r, at)| r.open && now.since(*at) < KNOWN_FOR);
+        self.shedding.update(now, open.map(|(r, _)| router_load(r)));
+        self.list_count += 1;
+        let known =
+            self.heartbeats.values().filter(|(r, at)| r.open && now.since(*at) < ROUTER_TTL);
         let known: Vec<_> = known.collect();
         let is_live = |at: Time| now.since(at) < SILENT_AFTER;
         let live: Vec<_> = known.iter().copied().filter(|(_, at)| is_live(*at)).collect();
         let usable = if live.len() * 2 > known.len() { live } else { known };
         let is_own = |r: &RouterStatus| r.data_centre == data_centre;
         let is_near = |r: &RouterStatus| regions.same_region(&r.data_centre, data_centre);
-        let is_left_out = |r: &RouterStatus| self.spill.omits(&r.vm, self.lists);
+        let is_left_out = |r: &RouterStatus| self.shedding.omits(&r.vm, self.list_count);
         let remaining: Vec<_> = usable.iter().copied().filter(|(r, _)| !is_left_out(r)).collect();
         let usable = if remaining.is_empty() { usable } else { remaining };
         let (in_region, other_regions): (Vec<_>, Vec<_>) =
@@ -102,7 +103,7 @@
         if own_data_centre.len() < MIN_NEAR {
             return in_region.into_iter().take(limit).map(|(r, _)| r.address.clone()).collect();
         }
-        let extra_count = self.spill.remote_count(data_centre, other_data_centres.len());
+        let extra_count = self.shedding.remote_count(data_centre, other_data_centres.len());
         // Continue where the previous list ended, so that all of them get an equal share.
         let extra = other_data_centres
             .iter()
--- a/crates/core/src/fleet/fetch.rs
+++ b/crates/core/src/fleet/fetch.rs
@@ -18,7 +18,7 @@
     since: Time,
 }
 
-/// A control process that the fetch gave up, because it was unreachable or a part timed out.
+/// A control process that a fetch gave up on because it was unreachable or a part timed out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AbandonedSource {
     /// Address of the control process.
@@ -77,23 +77,24 @@
         self.source = None;
     }
 
-    /// Removes an unreachable control process. If it was being fetched from, ends the fetch and returns
-    /// it.
+    /// Removes an unreachable control process. If the document was being fetched from it, ends the fetch
+    /// and returns it.
     pub fn drop_source(&mut self, now: Time, from: SocketAddr) -> Option<AbandonedSource> {
         self.announced.remove(&from);
         let s = self.source.take_if(|s| s.address == from)?;
         Some(AbandonedSource { from, after: now.since(s.since) })
     }
 
-    /// Ends the fetch if the current part has timed out. Returns the control process in that case.
+    /// Ends the fetch if the current part has timed out, and returns the control process it was fetched
+    /// from.
     pub fn take_overdue(&mut self, now: Time) -> Option<AbandonedSource> {
         let s = self.source.take_if(|s| now.since(s.since) >= PART_TIMEOUT)?;
         Some(AbandonedSource { from: s.address, after: now.since(s.since) })
     }
 
     /// Starts a fetch and returns the address to fetch from, if no fetch is in progress and a version
-    /// above `held` was announced. It is the process with the highest version or, if `after` was just
-    /// given up, the next one by address.
+    /// above `held` was announced. Chooses a process with the highest version or, if the fetch just gave
+    /// up on `after`, the next one by address that has a version above `held`.
     pub fn choose_source(
         &mut self,
         now: Time,
--- a/crates/core/src/fleet/homes.rs
+++ b/crates/core/src/fleet/homes.rs
@@ -31,15 +31,15 @@
 
 /// Returns the homes to ask for tokens, in order.
 ///
-/// Takes the first `candidates` that are not `is_out`, or all candidates if every one is. The
-/// order starts with `own` if it is a home, else at a position given by a hash of `own`, which spreads
+/// Takes the first available `candidates`, or all of them if every one `is_unavailable`. The order
+/// starts with `own` if it is a home, else at a position given by a hash of `own`, which spreads
 /// the routers over the homes.
 pub fn ask_order(
     candidates: &[SocketAddr],
     own: SocketAddr,
-    is_out: impl Fn(&SocketAddr) -> bool,
+    is_unavailable: impl Fn(&SocketAddr) -> bool,
 ) -> Vec<SocketAddr> {
-    let available = candidates.iter().copied().filter(|a| !is_out(a));
+    let available = candidates.iter().copied().filter(|a| !is_unavailable(a));
     let mut homes: Vec<_> = available.take(HOMES_PER_BUDGET).collect();
     if homes.is_empty() {
         homes = candidates.to_vec();
--- a/crates/core/src/fleet/neighbours.rs
+++ b/crates/core/src/fleet/neighbours.rs
@@ -10,7 +10,7 @@
 use crate::member::Router;
 use crate::unit::{Millis, Time};
 
-/// Minimum interval between two rebuilds of the lists.
+/// Minimum interval between two rebuilds of the directory.
 const REFRESH_INTERVAL: Millis = Millis(250);
 
 /// Sentinel digest in a watch request: the requester wants no list.
@@ -27,8 +27,8 @@
 
 /// Returns a digest of the router addresses, by which a router names the list that it has. It is stable
 /// across processes and releases.
-pub fn digest(areas: &[DataCentreRouters]) -> u64 {
-    let links = areas.iter().flat_map(|a| &a.links);
+pub fn digest(data_centres: &[DataCentreRouters]) -> u64 {
+    let links = data_centres.iter().flat_map(|dc| &dc.links);
     links.fold(Fnv::new(), |h, l| h.part(l.as_bytes())).value()
 }
 
@@ -64,13 +64,13 @@
         }
         let (many, few): (Vec<_>, Vec<_>) =
             all.into_iter().partition(|(_, routers)| routers.len() >= MIN_ROUTERS_FOR_HOMES);
-        let area = |(dc, routers): (&str, Vec<&Router>)| DataCentreRouters {
+        let entry = |(dc, routers): (&str, Vec<&Router>)| DataCentreRouters {
             data_centre: dc.to_owned(),
             links: links(now, &routers, heartbeats),
         };
-        self.with_homes = many.into_iter().map(area).collect();
+        self.with_homes = many.into_iter().map(entry).collect();
         self.with_homes_digest = digest(&self.with_homes);
-        self.without_homes = few.into_iter().map(area).collect();
+        self.without_homes = few.into_iter().map(entry).collect();
         self.without_homes_digest = digest(&self.without_homes);
     }
 
@@ -96,7 +96,7 @@
 
     /// Returns whether budgets have homes in a data centre.
     pub fn has_homes(&self, data_centre: &str) -> bool {
-        self.with_homes.iter().any(|a| a.data_centre == data_centre)
+        self.with_homes.iter().any(|dc| dc.data_centre == data_centre)
     }
 }
 
--- a/crates/core/src/fleet/pace.rs
+++ b/crates/core/src/fleet/pace.rs
@@ -1,6 +1,6 @@
 //! Overload detection by event loop latency and link utilisation.
 //!
-//! Clients may keep using one gateway although the control group names others, and overload its CPU.
+//! Clients may keep using one gateway although the control group lists others, and overload its CPU.
 //! All its tasks share one run queue, so an overloaded gateway that keeps accepting requests also
 //! receives documents and token loans late, detects disconnected clients late and misses its latency
 //! targets. The time of one pass through the run queue is measured at each request; new requests are
@@ -18,8 +18,8 @@
 /// How long a pass affects admission: requests that arrive meanwhile wait in the same queue.
 const PASS_WINDOW: Millis = Millis(300);
 
-/// How long after too long a pass a gateway without contact to the control group counts as overloaded
-/// rather than cut off: reconnecting the links that broke meanwhile takes about a second.
+/// How long after a pass above [`MAX_PASS`] a gateway without contact to the control group counts as
+/// overloaded rather than cut off: reconnecting the links that broke meanwhile takes about a second.
 const OVERLOAD_TTL: Millis = Millis::seconds(3);
 
 /// Divisor of the newest pass in the exponential moving average.
@@ -58,8 +58,8 @@
     /// Requests rejected since the last log line.
     rejected: u64,
     logged_at: Time,
-    /// Start of the current link window, and the total of bytes served by then.
-    served: (Time, u64),
+    /// Start of the current link window, and the total number of bytes served by then.
+    window_start: (Time, u64),
     /// Link utilisation in the previous window, in percent.
     link_percent: u64,
 }
@@ -113,12 +113,12 @@
     /// clients since the start, `capacity` the link's bytes per second, 0 if unknown. Each byte crosses
     /// the link once in each direction.
     pub fn record_bytes(&mut self, now: Time, bytes: u64, capacity: u64) {
-        let (since, before) = self.served;
+        let (since, before) = self.window_start;
         let elapsed = now.since(since);
         if elapsed < LINK_WINDOW {
             return;
         }
-        self.served = (now, bytes);
+        self.window_start = (now, bytes);
         let capacity = capacity * elapsed.0 / 1_000;
         self.link_percent = ((bytes - before.min(bytes)) * 100).checked_div(capacity).unwrap_or(0);
     }
