--- a/crates/core/src/fleet/limit/homes.rs
+++ b/crates/core/src/fleet/limit/homes.rs
@@ -1,11 +1,11 @@
 //! Selection of the routers that issue permits for a replica.
 //!
-//! Each router computes them by rendezvous hashing over the routers of the replica's data centre, or
-//! over all routers where the data centre has too few. The first is the primary issuer, the next the
-//! secondary. There is no agreement: while routers hold different lists, two of them may both act as
-//! the primary. A new primary therefore issues at the reduced rate until all routers have the current
-//! list. The secondary issues at the full rate in the meantime, and while the primary is dead, as long
-//! as a recent probe confirms that the primary does not.
+//! Each router computes the issuers by rendezvous hashing over the routers of the replica's data
+//! centre, or over all routers if the data centre has too few. The first is the primary issuer, the
+//! next the secondary. There is no agreement: while routers hold different lists, two of them may both
+//! act as the primary. A new primary therefore issues at the reduced rate until all routers have the
+//! current list. The secondary issues at the full rate in the meantime, and while the primary is dead,
+//! as long as a recent probe confirms that the primary does not.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -13,10 +13,10 @@
 use crate::fleet::homes::home_candidates;
 use crate::unit::{Millis, Time};
 
-/// Routers that a data centre needs to issue the permits of its own replicas.
+/// Minimum number of routers in a data centre to issue the permits of its own replicas.
 const MIN_LOCAL_ROUTERS: usize = 3;
 
-/// Routers that may issue permits for one replica: the primary and the secondary.
+/// Number of routers that may issue permits for one replica: the primary and the secondary.
 pub const ISSUERS_PER_REPLICA: usize = 2;
 
 /// How long a new primary issues at the reduced rate. By then every reachable router has the current
@@ -43,7 +43,7 @@
     /// When this router became the primary, if it is.
     primary_since: Option<Time>,
     is_secondary: bool,
-    /// Until when the primary is known to issue no more than the reduced rate.
+    /// Until when the primary is known to issue at most at the reduced rate.
     primary_reduced_until: Time,
 }
 
@@ -73,20 +73,20 @@
         self.routers = routers;
         self.updated = now;
         let issuers = std::mem::take(&mut self.issuers);
-        let since = |h: &Issuers| match h.primary_since {
-            None if h.replaces_primary(now) => Some(now.before(HANDOVER_PERIOD)),
+        let since = |i: &Issuers| match i.primary_since {
+            None if i.replaces_primary(now) => Some(now.before(HANDOVER_PERIOD)),
             since => since,
         };
         self.previously_primary =
-            issuers.into_iter().filter_map(|(r, h)| Some((r, since(&h)?))).collect();
+            issuers.into_iter().filter_map(|(r, i)| Some((r, since(&i)?))).collect();
     }
 
-    /// Records that the primary of `replica` issues no more than the reduced rate until `until`,
+    /// Records that the primary of `replica` issues at most at the reduced rate until `until`,
     /// according to a probe of `primary` that started at `now`.
     pub fn record_reduced(&mut self, now: Time, replica: &str, primary: SocketAddr, until: Time) {
-        let issuers = self.issuers.get_mut(replica).filter(|h| h.routers.first() == Some(&primary));
-        if let Some(h) = issuers {
-            h.primary_reduced_until = until.min(now.after(PROBE_VALIDITY));
+        let issuers = self.issuers.get_mut(replica).filter(|i| i.routers.first() == Some(&primary));
+        if let Some(i) = issuers {
+            i.primary_reduced_until = until.min(now.after(PROBE_VALIDITY));
         }
     }
 
@@ -99,9 +99,9 @@
         replica: &str,
         data_centre: &str,
     ) -> Option<SocketAddr> {
-        let h = self.issuers_of(own, replica, data_centre);
-        let known = h.replaces_primary(now.after(Millis(PROBE_VALIDITY.0 / 2)));
-        h.routers.first().copied().filter(|_| h.is_secondary && !known)
+        let i = self.issuers_of(own, replica, data_centre);
+        let known = i.replaces_primary(now.after(Millis(PROBE_VALIDITY.0 / 2)));
+        i.routers.first().copied().filter(|_| i.is_secondary && !known)
     }
 
     /// Returns when this router, as a new primary, switches to the full rate, or `None` if it already
--- a/crates/core/src/fleet/limit/known.rs
+++ b/crates/core/src/fleet/limit/known.rs
@@ -14,7 +14,7 @@
 use crate::unit::{Millis, Time};
 
 /// Observations of different processes within this time of each other have no known order: the lower
-/// limit applies. Covers the time that a report is in transit.
+/// limit applies. It covers the time that a report is in transit.
 const ORDER_UNCERTAINTY: Millis = Millis(250);
 
 /// How long a lifted limit is remembered, so that a late report does not restore it.
@@ -182,13 +182,13 @@
         l.rate
     }
 
-    /// Removes limits that have not been observed for long, and those of replicas for which `is_there`,
+    /// Removes limits that have not been observed for long, and those of replicas for which `is_running`,
     /// called with the id and incarnation, returns false. Returns the removed replicas that had a
     /// limit.
-    pub fn expire(&mut self, now: Time, is_there: impl Fn(&str, u64) -> bool) -> Vec<String> {
+    pub fn expire(&mut self, now: Time, is_running: impl Fn(&str, u64) -> bool) -> Vec<String> {
         let is_old = |replica: &str, l: &Limit| {
             let retention = if l.rate.is_some() { LIMIT_RETENTION } else { LIFTED_RETENTION };
-            now.since(l.observed) >= retention || !is_there(replica, l.born)
+            now.since(l.observed) >= retention || !is_running(replica, l.born)
         };
         let old = self.by_replica.iter().filter(|(replica, l)| is_old(replica, l));
         let mut old: Vec<_> = old.map(|(replica, _)| replica.clone()).collect();
@@ -217,26 +217,26 @@
         self.by_position.last_key_value().is_some_and(|(newest, _)| *newest > since)
     }
 
-    /// Returns at most `most` changes after position `since`, oldest first, and the position from which
+    /// Returns at most `max` changes after position `since`, oldest first, and the position from which
     /// to continue.
-    pub fn changes(&self, now: Time, since: u64, most: usize) -> (Vec<LimitReport>, u64) {
+    pub fn changes(&self, now: Time, since: u64, max: usize) -> (Vec<LimitReport>, u64) {
         let mut newer = self.by_position.range((Bound::Excluded(since), Bound::Unbounded));
-        let batch: Vec<_> = newer.by_ref().take(most).collect();
+        let batch: Vec<_> = newer.by_ref().take(max).collect();
         let last = batch.last().map_or(since, |(at, _)| **at);
         let position = if newer.next().is_some() { last } else { self.position };
         let reports = batch.into_iter().filter_map(|(_, replica)| self.report(now, replica));
         (reports.collect(), position)
     }
 
-    /// Returns at most `most` due reports on this process's own observations, and marks them as
-    /// reported. A change is due at once, and an unchanged limit every `again` while it is observed.
-    pub fn take_due_reports(&mut self, now: Time, again: Millis, most: usize) -> Vec<LimitReport> {
+    /// Returns at most `max` due reports on this process's own observations, and marks them as
+    /// reported. A change is due at once, and an unchanged limit every `period` while it is observed.
+    pub fn take_due_reports(&mut self, now: Time, period: Millis, max: usize) -> Vec<LimitReport> {
         let is_due = |l: &Limit| match (l.observed_here, l.reported) {
             (None, _) => false,
             (Some(_), None) => true,
-            (Some(observed), Some(at)) => observed > at && now.since(at) >= again,
+            (Some(observed), Some(at)) => observed > at && now.since(at) >= period,
         };
-        let due = self.by_replica.iter_mut().filter(|(_, l)| is_due(l)).take(most);
+        let due = self.by_replica.iter_mut().filter(|(_, l)| is_due(l)).take(max);
         let report = |(replica, l): (&String, &mut Limit)| {
             l.reported = Some(now);
             let age = now.since(l.observed);
--- a/crates/core/src/fleet/limit/mod.rs
+++ b/crates/core/src/fleet/limit/mod.rs
@@ -22,11 +22,11 @@
 )]
 pub struct Rate(pub u64);
 
-/// Thousandths in one request.
+/// Number of thousandths in one request per second.
 const THOUSANDTHS: u64 = 1_000;
 
 impl Rate {
-    /// Parses a decimal number of requests per second, with the syntax of [`thousandths`].
+    /// Parses a decimal number of requests per second, with the syntax of [`parse_thousandths`].
     pub fn parse(text: &str) -> Option<Rate> {
         parse_thousandths(text).map(Rate)
     }
--- a/crates/core/src/fleet/limit/permits.rs
+++ b/crates/core/src/fleet/limit/permits.rs
@@ -24,7 +24,7 @@
 /// The reduced rate is the limit divided by this.
 const REDUCED_DIVISOR: u64 = 4;
 
-/// Permits that a bucket holds at any rate: routers that retry are rarely exactly on time.
+/// Permits that a bucket holds at any rate, because routers rarely retry exactly on time.
 const BASE_BURST: u64 = 2;
 
 /// Period at the bucket's rate whose permits it holds in addition.
@@ -37,8 +37,8 @@
 /// Shortest and longest time after which a router that got no permit retries.
 const RETRY_RANGE: (Millis, Millis) = (Millis(50), Millis::seconds(4));
 
-/// Millionths in one permit. A rate in thousandths per second equals that many millionths per
-/// millisecond.
+/// Number of millionths in one permit. A rate in thousandths per second equals that many millionths
+/// per millisecond.
 const MILLIONTHS: u64 = 1_000_000;
 
 /// A router's request for permits.
