--- a/crates/core/tests/overload.rs
+++ b/crates/core/tests/overload.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 
 use cypressfork_core::fleet::entry::RouterHeartbeats;
-use cypressfork_core::fleet::pace::{LoadMonitor, MAX_PASS};
+use cypressfork_core::fleet::load_monitor::{LoadMonitor, MAX_PASS};
 use cypressfork_core::fleet::regions::Regions;
 use cypressfork_core::fleet::watch::RouterStatus;
 use cypressfork_core::unit::Time;
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -9,7 +9,7 @@
 use cypressfork_core::budget::report_interval;
 use cypressfork_core::fleet::ends::ReplicaEvent;
 use cypressfork_core::fleet::evacuation::Evacuations;
-use cypressfork_core::fleet::pace::LoadMonitor;
+use cypressfork_core::fleet::load_monitor::LoadMonitor;
 use cypressfork_core::fleet::registry::{Record, ReplicaStatus};
 use cypressfork_core::fleet::replicas::{AddressChange, ReplicaTable, Start};
 use cypressfork_core::fleet::retry::RetryWindow;
