--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -9,8 +9,8 @@
 use cypressfork_core::fleet::document::{
     Backend, ClientAccount, Document, Kind, Limits, Route, Target, budget_name,
 };
+use cypressfork_core::fleet::document_wait;
 use cypressfork_core::fleet::entry::RouterHeartbeats;
-use cypressfork_core::fleet::patience;
 use cypressfork_core::fleet::regions::Regions;
 use cypressfork_core::fleet::repair::{Candidates, Health, next_change};
 use cypressfork_core::fleet::retry::{RetryLimit, RetryWindow};
@@ -378,7 +378,7 @@
     #[case] within: Option<u64>,
     #[case] waits: u64,
 ) {
-    let wait = patience::first_document_wait(Time(now), within.map(Millis));
+    let wait = document_wait::first_document_wait(Time(now), within.map(Millis));
     assert_eq!(wait, Millis(waits));
 }
 
--- a/crates/router/src/gateway/request.rs
+++ b/crates/router/src/gateway/request.rs
@@ -11,8 +11,8 @@
 use cypressfork_core::code::{Code, Ran};
 use cypressfork_core::fleet::admission;
 use cypressfork_core::fleet::document::{ClientAccount, Kind, Route};
+use cypressfork_core::fleet::document_wait;
 use cypressfork_core::fleet::fingerprint::Fingerprint;
-use cypressfork_core::fleet::patience;
 use cypressfork_core::fleet::routes::{Routes, request_hash};
 use cypressfork_core::route::lateness::LatencyObjective;
 use cypressfork_core::route::{BlockReason, Blocked, RequestProfile};
@@ -141,7 +141,7 @@
             Refusal::from(Code::Overloaded).retry_after(OVERLOADED_RETRY_AFTER),
         );
     }
-    let wait = patience::first_document_wait(gw.now(), inbound.deadline);
+    let wait = document_wait::first_document_wait(gw.now(), inbound.deadline);
     let until = Instant::now() + Duration::from_millis(wait.0);
     let Some(routes) = gw.wait_for_routes(until).await else {
         return Outcome::Refused(Refusal::from(Code::NotReady).retry_after(NOT_READY_RETRY_AFTER));
@@ -201,7 +201,7 @@
     if gw.documents.is_cut_off(gw.now()) {
         return None;
     }
-    let wait = patience::newer_document_wait(inbound.deadline);
+    let wait = document_wait::newer_document_wait(inbound.deadline);
     gw.wait_for_newest_routes(Instant::now() + Duration::from_millis(wait.0)).await
 }
 
