--- a/crates/control/src/fleet_view.rs
+++ b/crates/control/src/fleet_view.rs
@@ -6,12 +6,12 @@
 use cypressfork_core::fleet::evacuation::Evacuations;
 use cypressfork_core::fleet::limit::DisplayLimit;
 use cypressfork_core::fleet::limit::known::{LimitReport, Limits};
-use cypressfork_core::fleet::neighbours::{NOT_WANTED, RouterDirectory};
 use cypressfork_core::fleet::quarantine::{Quarantine, QuarantineList};
 use cypressfork_core::fleet::registry::{Heartbeat, Record, RecordSource, Registry};
 use cypressfork_core::fleet::repair::Candidates;
 use cypressfork_core::fleet::rollout::Rollouts;
 use cypressfork_core::fleet::rollout::evidence::Reports;
+use cypressfork_core::fleet::router_directory::{NOT_WANTED, RouterDirectory};
 use cypressfork_core::fleet::transfer::PackedDocuments;
 use cypressfork_core::fleet::watch::{
     Announce, FeedCursor, RouterStatus, Watch, WatchResponse, controls_digest,
--- a/crates/control/src/server/fleet.rs
+++ b/crates/control/src/server/fleet.rs
@@ -8,8 +8,8 @@
 
 use cypressfork_core::code::Code;
 use cypressfork_core::fleet::evacuation;
-use cypressfork_core::fleet::neighbours::NOT_WANTED;
 use cypressfork_core::fleet::registry::{RecordSource, Registration, ReplicaStatus};
+use cypressfork_core::fleet::router_directory::NOT_WANTED;
 use cypressfork_core::fleet::watch::{Announce, FeedCursor, Watch, WatchResponse};
 use cypressfork_core::raft::Members;
 use cypressfork_core::unit::Millis;
--- a/crates/core/tests/homes.rs
+++ b/crates/core/tests/homes.rs
@@ -7,7 +7,7 @@
 use cypressfork_core::fleet::homes::{
     HOMES_PER_BUDGET, MIN_ROUTERS_FOR_HOMES, ask_order, home_candidates,
 };
-use cypressfork_core::fleet::neighbours::{DataCentreRouters, RouterDirectory, digest};
+use cypressfork_core::fleet::router_directory::{DataCentreRouters, RouterDirectory, digest};
 use cypressfork_core::fleet::watch::RouterStatus;
 use cypressfork_core::member::Router;
 use cypressfork_core::unit::{HolderId, Time};
--- a/crates/router/src/gateway/follow.rs
+++ b/crates/router/src/gateway/follow.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use cypressfork_core::command::{Answer, Command};
-use cypressfork_core::fleet::neighbours::DataCentreRouters;
 use cypressfork_core::fleet::registry::Record;
+use cypressfork_core::fleet::router_directory::DataCentreRouters;
 use cypressfork_core::fleet::sources::Nearness;
 use cypressfork_core::fleet::watch::{RouterStatus, Watch, WatchResponse};
 use cypressfork_core::query::{NO_SITES, Query, Reply};
--- a/crates/router/src/gateway/homes.rs
+++ b/crates/router/src/gateway/homes.rs
@@ -8,8 +8,8 @@
 
 use cypressfork_core::fleet::demand::Demand;
 use cypressfork_core::fleet::homes::{ask_order, home_candidates, start_index};
-use cypressfork_core::fleet::neighbours::{DataCentreRouters, NOT_WANTED, digest};
 use cypressfork_core::fleet::regions::Regions;
+use cypressfork_core::fleet::router_directory::{DataCentreRouters, NOT_WANTED, digest};
 use cypressfork_core::unit::{Millis, Time};
 use cypressfork_node::emit;
 use cypressfork_node::event::Event;
--- a/crates/router/src/gateway/limits.rs
+++ b/crates/router/src/gateway/limits.rs
@@ -13,7 +13,7 @@
 use cypressfork_core::fleet::limit::known::{self, LimitChange, LimitReport};
 use cypressfork_core::fleet::limit::permits::{Grant, PERMIT_TTL, PermitBuckets, PermitRequest};
 use cypressfork_core::fleet::limit::{DisplayLimit, LimitHeader, Rate};
-use cypressfork_core::fleet::neighbours::{DataCentreRouters, NOT_WANTED, digest};
+use cypressfork_core::fleet::router_directory::{DataCentreRouters, NOT_WANTED, digest};
 use cypressfork_core::route::turns::{RetrySchedule, RetrySpacing};
 use cypressfork_core::unit::{Millis, Time};
 use cypressfork_node::event::Event;
