--- a/crates/core/src/fleet/mod.rs
+++ b/crates/core/src/fleet/mod.rs
@@ -3,11 +3,11 @@
 
 pub mod admission;
 pub mod clocks;
+pub mod connection_loss;
 pub mod contacts;
 pub mod demand;
 pub mod document;
 pub mod document_wait;
-pub mod ends;
 pub mod entry;
 pub mod evacuation;
 pub mod fetch;
--- a/crates/core/tests/ends.rs
+++ b/crates/core/tests/ends.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use cypressfork_core::fleet::ends::{
+use cypressfork_core::fleet::connection_loss::{
     CASE_TIMEOUT, ConnectionLosses, EndEvidence, Loss, ReplicaEvent,
 };
 use cypressfork_core::unit::Time;
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use cypressfork_core::budget::report_interval;
-use cypressfork_core::fleet::ends::ReplicaEvent;
+use cypressfork_core::fleet::connection_loss::ReplicaEvent;
 use cypressfork_core::fleet::evacuation::Evacuations;
 use cypressfork_core::fleet::load_monitor::LoadMonitor;
 use cypressfork_core::fleet::registry::{Record, ReplicaStatus};
--- a/crates/router/src/gateway/witness.rs
+++ b/crates/router/src/gateway/witness.rs
@@ -1,7 +1,7 @@
 //! Detects which requests were in flight at a replica when its process ended.
 //!
 //! A lost connection alone is no evidence: the network may have reset it, or the replica may have closed
-//! it without a response. `core::fleet::ends` decides from probes of the replica's address and from
+//! it without a response. `core::fleet::connection_loss` decides from probes of the replica's address and from
 //! changes of its registration whether the replica has ended.
 
 use std::cell::RefCell;
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use cypressfork_core::fleet::ends::{ConnectionLosses, EndEvidence, Loss, ReplicaEvent};
+use cypressfork_core::fleet::connection_loss::{ConnectionLosses, EndEvidence, Loss, ReplicaEvent};
 use cypressfork_core::fleet::fingerprint::Fingerprint;
 use cypressfork_core::unit::Millis;
 use cypressfork_http::client::{Connection, ProbeResult};
