--- a/crates/control/src/fleet_view.rs
+++ b/crates/control/src/fleet_view.rs
@@ -2,7 +2,6 @@
 //! processes that want to join the group. None of it is stored.
 
 use cypressfork_core::fleet::contacts::Leader;
-use cypressfork_core::fleet::entry::RouterHeartbeats;
 use cypressfork_core::fleet::evacuation::Evacuations;
 use cypressfork_core::fleet::limit::DisplayLimit;
 use cypressfork_core::fleet::limit::known::{LimitReport, Limits};
@@ -12,6 +11,7 @@
 use cypressfork_core::fleet::rollout::Rollouts;
 use cypressfork_core::fleet::rollout::evidence::Reports;
 use cypressfork_core::fleet::router_directory::{NOT_WANTED, RouterDirectory};
+use cypressfork_core::fleet::router_heartbeats::RouterHeartbeats;
 use cypressfork_core::fleet::transfer::PackedDocuments;
 use cypressfork_core::fleet::watch::{
     Announce, FeedCursor, RouterStatus, Watch, WatchResponse, controls_digest,
--- a/crates/core/src/fleet/router_directory.rs
+++ b/crates/core/src/fleet/router_directory.rs
@@ -4,8 +4,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::entry::RouterHeartbeats;
 use super::homes::MIN_ROUTERS_FOR_HOMES;
+use super::router_heartbeats::RouterHeartbeats;
 use crate::hash::Fnv;
 use crate::member::Router;
 use crate::unit::{Millis, Time};
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -10,10 +10,10 @@
     Backend, ClientAccount, Document, Kind, Limits, Route, Target, budget_name,
 };
 use cypressfork_core::fleet::document_wait;
-use cypressfork_core::fleet::entry::RouterHeartbeats;
 use cypressfork_core::fleet::regions::Regions;
 use cypressfork_core::fleet::repair::{Candidates, Health, next_change};
 use cypressfork_core::fleet::retry::{RetryLimit, RetryWindow};
+use cypressfork_core::fleet::router_heartbeats::RouterHeartbeats;
 use cypressfork_core::fleet::routes::Routes;
 use cypressfork_core::fleet::share::{Loans, choose_lenders, split_charge};
 use cypressfork_core::fleet::watch::{Announce, RouterStatus};
--- a/crates/core/tests/homes.rs
+++ b/crates/core/tests/homes.rs
@@ -3,11 +3,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use cypressfork_core::fleet::entry::RouterHeartbeats;
 use cypressfork_core::fleet::homes::{
     HOMES_PER_BUDGET, MIN_ROUTERS_FOR_HOMES, ask_order, home_candidates,
 };
 use cypressfork_core::fleet::router_directory::{DataCentreRouters, RouterDirectory, digest};
+use cypressfork_core::fleet::router_heartbeats::RouterHeartbeats;
 use cypressfork_core::fleet::watch::RouterStatus;
 use cypressfork_core::member::Router;
 use cypressfork_core::unit::{HolderId, Time};
--- a/crates/core/tests/overload.rs
+++ b/crates/core/tests/overload.rs
@@ -3,9 +3,9 @@
 
 use std::collections::BTreeSet;
 
-use cypressfork_core::fleet::entry::RouterHeartbeats;
 use cypressfork_core::fleet::load_monitor::{LoadMonitor, MAX_PASS};
 use cypressfork_core::fleet::regions::Regions;
+use cypressfork_core::fleet::router_heartbeats::RouterHeartbeats;
 use cypressfork_core::fleet::watch::RouterStatus;
 use cypressfork_core::unit::Time;
 use rstest::rstest;
--- a/crates/core/tests/regions.rs
+++ b/crates/core/tests/regions.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use cypressfork_core::config::{Upstream, Vm};
-use cypressfork_core::fleet::entry::RouterHeartbeats;
 use cypressfork_core::fleet::regions::Regions;
+use cypressfork_core::fleet::router_heartbeats::RouterHeartbeats;
 use cypressfork_core::fleet::watch::RouterStatus;
 use cypressfork_core::route::lateness::LatencyObjective;
 use cypressfork_core::route::{Pool, PromptPrefixes, ReplicaInfo, RequestProfile};
