--- a/crates/core/examples/limits.rs
+++ b/crates/core/examples/limits.rs
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 
 use cypressfork_core::fleet::limit::Rate;
-use cypressfork_core::fleet::limit::homes::PermitIssuers;
+use cypressfork_core::fleet::limit::issuers::PermitIssuers;
 use cypressfork_core::fleet::limit::permits::{PermitBuckets, PermitRequest};
 use cypressfork_core::unit::Time;
 use rand::rngs::SmallRng;
--- a/crates/core/src/fleet/limit/mod.rs
+++ b/crates/core/src/fleet/limit/mod.rs
@@ -3,10 +3,10 @@
 //! A limit bounds the requests per second that a replica accepts from all routers together. No router
 //! can enforce it alone, and an equal share of it may be less than one request per second. Routers
 //! therefore obtain a permit before each request to a limited replica. One router per replica, chosen
-//! by rendezvous hashing, issues the permits ([`permits`], [`homes`]). Limits are learned from
+//! by rendezvous hashing, issues the permits ([`permits`], [`issuers`]). Limits are learned from
 //! responses and shared between processes ([`known`]).
 
-pub mod homes;
+pub mod issuers;
 pub mod known;
 pub mod permits;
 
--- a/crates/core/src/fleet/limit/permits.rs
+++ b/crates/core/src/fleet/limit/permits.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::Rate;
-use super::homes::IssueRate;
+use super::issuers::IssueRate;
 use crate::route::pressure::PriorityGate;
 use crate::unit::{Millis, Time};
 
--- a/crates/core/tests/limits.rs
+++ b/crates/core/tests/limits.rs
@@ -145,7 +145,7 @@
     use std::net::SocketAddr;
 
     use cypressfork_core::fleet::limit::Rate;
-    use cypressfork_core::fleet::limit::homes::{
+    use cypressfork_core::fleet::limit::issuers::{
         HANDOVER_PERIOD, ISSUERS_PER_REPLICA, IssueRate, PROBE_VALIDITY, PermitIssuers,
     };
     use cypressfork_core::fleet::limit::permits::{PERMIT_TTL, PermitBuckets, PermitRequest};
--- a/crates/router/src/gateway/limits.rs
+++ b/crates/router/src/gateway/limits.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use cypressfork_core::fleet::limit::homes::PermitIssuers;
+use cypressfork_core::fleet::limit::issuers::PermitIssuers;
 use cypressfork_core::fleet::limit::known::{self, LimitChange, LimitReport};
 use cypressfork_core::fleet::limit::permits::{Grant, PERMIT_TTL, PermitBuckets, PermitRequest};
 use cypressfork_core::fleet::limit::{DisplayLimit, LimitHeader, Rate};
--- a/crates/router/src/gateway/stand_in.rs
+++ b/crates/router/src/gateway/stand_in.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use cypressfork_core::fleet::limit::homes::PROBE_VALIDITY;
+use cypressfork_core::fleet::limit::issuers::PROBE_VALIDITY;
 use cypressfork_http::client::{Connection, ProbeResult};
 use cypressfork_node::emit;
 use cypressfork_node::event::Event;
