--- a/crates/cli/src/cmd/limits.rs
+++ b/crates/cli/src/cmd/limits.rs
@@ -1,7 +1,7 @@
 //! `cypressfork limits`: shows the rate limits that replicas announce.
 
 use cypressfork_core::fleet::limit::DisplayLimit;
-use cypressfork_core::fleet::limit::known::LimitReport;
+use cypressfork_core::fleet::limit::rate_limits::LimitReport;
 use cypressfork_core::query::{Query, Reply};
 use serde_json::json;
 
--- a/crates/control/src/fleet_view.rs
+++ b/crates/control/src/fleet_view.rs
@@ -4,7 +4,7 @@
 use cypressfork_core::fleet::contacts::Leader;
 use cypressfork_core::fleet::evacuation::Evacuations;
 use cypressfork_core::fleet::limit::DisplayLimit;
-use cypressfork_core::fleet::limit::known::{LimitReport, Limits};
+use cypressfork_core::fleet::limit::rate_limits::{LimitReport, RateLimits};
 use cypressfork_core::fleet::quarantine::{Quarantine, QuarantineList};
 use cypressfork_core::fleet::registry::{Heartbeat, Record, RecordSource, Registry};
 use cypressfork_core::fleet::repair::Candidates;
@@ -91,7 +91,7 @@
     /// Routers' reports on rollouts in progress.
     pub reports: Reports,
     /// The rate limits of replicas, as reported by routers.
-    pub limits: Limits,
+    pub limits: RateLimits,
     next_limit_expiry: Time,
     directory: RouterDirectory,
     /// Time of the next check of the pending watches.
@@ -132,7 +132,7 @@
 
     /// Returns whether there are changes of rate limits to send. A router gets them from the same control
     /// processes as its replica records.
-    fn has_limit_changes(&self, limits: &Limits) -> bool {
+    fn has_limit_changes(&self, limits: &RateLimits) -> bool {
         !self.watch.without_replicas && limits.has_changes(self.limits)
     }
 
@@ -159,7 +159,7 @@
             routers: RouterHeartbeats::default(),
             candidates: Candidates::default(),
             reports: Reports::default(),
-            limits: Limits::default(),
+            limits: RateLimits::default(),
             next_limit_expiry: Time(0),
             directory: RouterDirectory::default(),
             next_poll: Time(0),
--- a/crates/core/src/fleet/limit/mod.rs
+++ b/crates/core/src/fleet/limit/mod.rs
@@ -4,11 +4,11 @@
 //! can enforce it alone, and an equal share of it may be less than one request per second. Routers
 //! therefore obtain a permit before each request to a limited replica. One router per replica, chosen
 //! by rendezvous hashing, issues the permits ([`permits`], [`issuers`]). Limits are learned from
-//! responses and shared between processes ([`known`]).
+//! responses and shared between processes ([`rate_limits`]).
 
 pub mod issuers;
-pub mod known;
 pub mod permits;
+pub mod rate_limits;
 
 use std::fmt;
 
--- a/crates/core/src/fleet/limit/known.rs
+++ b/crates/core/src/fleet/limit/rate_limits.rs
@@ -63,7 +63,7 @@
 
 /// The limits that one process knows, with a feed of their changes.
 #[derive(Clone, Debug, Default)]
-pub struct Limits {
+pub struct RateLimits {
     by_replica: BTreeMap<String, Limit>,
     by_position: BTreeMap<u64, String>,
     position: u64,
@@ -74,7 +74,7 @@
     a.is_some_and(|a| b.is_none_or(|b| a < b))
 }
 
-impl Limits {
+impl RateLimits {
     /// Returns the limit of a replica.
     pub fn rate(&self, replica: &str) -> Option<Rate> {
         self.by_replica.get(replica)?.rate
--- a/crates/core/src/fleet/watch.rs
+++ b/crates/core/src/fleet/watch.rs
@@ -6,7 +6,7 @@
 
 use super::contacts::Leader;
 use super::evacuation::Evacuations;
-use super::limit::known::LimitReport;
+use super::limit::rate_limits::LimitReport;
 use super::quarantine::QuarantineList;
 use super::registry::{Heartbeat, Leaving, Record};
 use super::rollout::Rollouts;
--- a/crates/core/src/query.rs
+++ b/crates/core/src/query.rs
@@ -6,7 +6,7 @@
 use crate::budget::Lease;
 use crate::config::{Application, Difference, Entry, Item, Template};
 use crate::fleet::fingerprint::Fingerprint;
-use crate::fleet::limit::known::LimitReport;
+use crate::fleet::limit::rate_limits::LimitReport;
 use crate::fleet::rollout::Rollout;
 use crate::hash::Fnv;
 use crate::raft::Members;
--- a/crates/core/tests/limits.rs
+++ b/crates/core/tests/limits.rs
@@ -3,7 +3,7 @@
 #![allow(missing_docs)]
 
 use cypressfork_core::fleet::limit::Rate;
-use cypressfork_core::fleet::limit::known::{LimitReport, Limits};
+use cypressfork_core::fleet::limit::rate_limits::{LimitReport, RateLimits};
 use cypressfork_core::unit::{Millis, Time};
 use rstest::rstest;
 
@@ -50,7 +50,7 @@
 #[case::and_the_next_one_lifts_it(&[(0, 10, 2), (11, 20, 0), (9, 30, 2), (31, 40, 0)], 0)]
 #[case::never_named(&[(0, 10, 0)], 0)]
 fn responses_out_of_order(#[case] responses: &[(u64, u64, u64)], #[case] expected: u64) {
-    let mut limits = Limits::default();
+    let mut limits = RateLimits::default();
     for (sent, came, named) in responses {
         limits.record_response(Time(*came), REPLICA, 1, Time(*sent), rate(*named));
     }
@@ -59,7 +59,7 @@
 
 #[test]
 fn a_new_incarnation_starts_without_a_limit() {
-    let mut limits = Limits::default();
+    let mut limits = RateLimits::default();
     limits.record_response(Time(10), REPLICA, 1, Time(0), rate(2));
     assert_eq!(limits.remove(REPLICA), rate(2));
     assert_eq!(limits.record_response(Time(20), REPLICA, 2, Time(15), None), None);
@@ -81,7 +81,7 @@
 #[case::of_a_later_life(&[(1_000, report(1, 1, 0)), (1_010, report(2, 5, 0))], 5)]
 #[case::the_end_of_what_was_never_known(&[(1_000, report(1, 0, 0))], 0)]
 fn reports_of_other_routers(#[case] reports: &[(u64, LimitReport)], #[case] expected: u64) {
-    let mut limits = Limits::default();
+    let mut limits = RateLimits::default();
     for (at, report) in reports {
         limits.apply(Time(*at), report);
     }
@@ -91,7 +91,7 @@
 #[test]
 fn two_processes_that_exchange_reports_converge() {
     for apart in (0..1_000).step_by(50) {
-        let mut all = [Limits::default(), Limits::default()];
+        let mut all = [RateLimits::default(), RateLimits::default()];
         all[0].apply(Time(10_000), &report(1, 2, 0));
         all[1].apply(Time(10_000), &report(1, 2, 0));
         // One learns that the limit is lifted, the other, `apart` ms later, that it is lower.
@@ -114,7 +114,7 @@
 #[test]
 fn a_change_is_reported_once_and_a_lasting_limit_periodically() {
     let again = Millis(5_000);
-    let mut limits = Limits::default();
+    let mut limits = RateLimits::default();
     limits.record_response(Time(1_000), REPLICA, 1, Time(900), rate(2));
     assert_eq!(limits.take_due_reports(Time(1_000), again, 9), [report(1, 2, 0)]);
     assert_eq!(limits.take_due_reports(Time(1_100), again, 9), []);
@@ -131,7 +131,7 @@
 
 #[test]
 fn a_limit_that_is_no_longer_announced_expires() {
-    let mut limits = Limits::default();
+    let mut limits = RateLimits::default();
     limits.record_response(Time(1_000), REPLICA, 1, Time(900), rate(2));
     limits.expire(Time(100_000), |_, _| true);
     assert_eq!(limits.rate(REPLICA), rate(2));
--- a/crates/router/src/gateway/limits.rs
+++ b/crates/router/src/gateway/limits.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 
 use cypressfork_core::fleet::limit::issuers::PermitIssuers;
-use cypressfork_core::fleet::limit::known::{self, LimitChange, LimitReport};
 use cypressfork_core::fleet::limit::permits::{Grant, PERMIT_TTL, PermitBuckets, PermitRequest};
+use cypressfork_core::fleet::limit::rate_limits::{self, LimitChange, LimitReport};
 use cypressfork_core::fleet::limit::{DisplayLimit, LimitHeader, Rate};
 use cypressfork_core::fleet::router_directory::{DataCentreRouters, NOT_WANTED, digest};
 use cypressfork_core::route::turns::{RetrySchedule, RetrySpacing};
@@ -89,7 +89,7 @@
 /// The rate limits that a gateway knows, and the permits that it holds and issues.
 #[derive(Default)]
 pub struct ReplicaLimits {
-    known: RefCell<known::Limits>,
+    known: RefCell<rate_limits::RateLimits>,
     /// Number of limited replicas in `known`, for a cheap check on each request.
     limited_count: Cell<usize>,
     buckets: RefCell<PermitBuckets>,
