--- a/crates/core/src/fleet/document.rs
+++ b/crates/core/src/fleet/document.rs
@@ -13,7 +13,7 @@
 /// How often the requests of a route may run, and the form of their responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum RouteKind {
     /// A request may run more than once.
     Safe,
     /// A request runs at most once.
@@ -43,7 +43,7 @@
     /// Path prefix to match.
     pub prefix: String,
     /// How often requests may run, and the form of their responses.
-    pub kind: Kind,
+    pub kind: RouteKind,
     /// Maximum time to complete a request.
     pub timeout: Millis,
     /// Target latency of a response or, for a stream, of its first event.
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -7,7 +7,7 @@
 use cypressfork_core::fleet::admission;
 use cypressfork_core::fleet::clocks::Clocks;
 use cypressfork_core::fleet::document::{
-    Backend, ClientAccount, Document, Kind, Limits, Route, Target, budget_name,
+    Backend, ClientAccount, Document, Limits, Route, RouteKind, Target, budget_name,
 };
 use cypressfork_core::fleet::document_wait;
 use cypressfork_core::fleet::regions::Regions;
@@ -28,7 +28,7 @@
         name: format!("{host}{prefix}"),
         host: host.to_owned(),
         prefix: prefix.to_owned(),
-        kind: Kind::Safe,
+        kind: RouteKind::Safe,
         timeout: Millis(1_000),
         objective: Millis(100),
         gap: None,
--- a/crates/router/src/gateway/attempt.rs
+++ b/crates/router/src/gateway/attempt.rs
@@ -5,7 +5,7 @@
 use actix_http::header::{CONNECTION, CONTENT_LENGTH, HeaderMap, HeaderName, TRANSFER_ENCODING};
 use actix_http::{ResponseHead, StatusCode};
 use bytes::{Bytes, BytesMut};
-use cypressfork_core::fleet::document::Kind;
+use cypressfork_core::fleet::document::RouteKind;
 use cypressfork_core::route::{Choice, rest};
 use cypressfork_core::unit::Millis;
 use cypressfork_http::client::{Connection, ExchangeError, Outbound};
@@ -299,7 +299,7 @@
                 "the answer is not in the form that was asked for".to_owned(),
             );
         }
-        if self.request.kind == Kind::Stream && head.status.is_success() && !not_run {
+        if self.request.kind == RouteKind::Stream && head.status.is_success() && !not_run {
             return stream::forward(self, client, progress, connection, head).await;
         }
         let complete = tokio::select! {
--- a/crates/router/src/gateway/job.rs
+++ b/crates/router/src/gateway/job.rs
@@ -7,7 +7,7 @@
 use actix_http::header::HeaderMap;
 use actix_http::{Method, Uri};
 use bytes::Bytes;
-use cypressfork_core::fleet::document::Kind;
+use cypressfork_core::fleet::document::RouteKind;
 use cypressfork_core::fleet::fingerprint::Identity;
 use cypressfork_core::route::RequestProfile;
 use cypressfork_core::route::lateness::LatencyObjective;
@@ -32,7 +32,7 @@
     /// Its body.
     pub body: Bytes,
     /// The route's kind: whether the request may be repeated, and whether the response is a stream.
-    pub kind: Kind,
+    pub kind: RouteKind,
     /// Whether the response is a stream that another replica can continue.
     pub resumable: bool,
     /// Its priority; 0 is the most urgent.
@@ -60,7 +60,7 @@
 impl RoutedRequest {
     /// Returns whether it may run more than once.
     pub fn is_repeatable(&self) -> bool {
-        self.kind == Kind::Safe || self.resumable
+        self.kind == RouteKind::Safe || self.resumable
     }
 
     /// Returns its prompt; an empty one if its head has none.
--- a/crates/router/src/gateway/request.rs
+++ b/crates/router/src/gateway/request.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use cypressfork_core::code::{Code, Ran};
 use cypressfork_core::fleet::admission;
-use cypressfork_core::fleet::document::{ClientAccount, Kind, Route};
+use cypressfork_core::fleet::document::{ClientAccount, Route, RouteKind};
 use cypressfork_core::fleet::document_wait;
 use cypressfork_core::fleet::fingerprint::Fingerprint;
 use cypressfork_core::fleet::routes::{Routes, request_hash};
@@ -241,7 +241,7 @@
         headers,
         body,
         kind: route.kind,
-        resumable: route.kind == Kind::Stream && route.resumable,
+        resumable: route.kind == RouteKind::Stream && route.resumable,
         priority: account.and_then(|a| a.priority).unwrap_or(route.priority),
         attempts: route.attempts.max(1),
         route: route.name.clone(),
@@ -362,7 +362,7 @@
                 ended = format_args!("{ended:?}"),
                 expected_us = choice.expected_us,
             );
-            if matches!(ended, AttemptOutcome::Answered) && self.request.kind == Kind::Stream {
+            if matches!(ended, AttemptOutcome::Answered) && self.request.kind == RouteKind::Stream {
                 self.progress.timing.report(
                     &self.request.inbound.id,
                     &replica,
