--- a/crates/core/src/fleet/fingerprint.rs
+++ b/crates/core/src/fleet/fingerprint.rs
@@ -11,7 +11,7 @@
 
 /// The parts of a request that are equal in all its copies. Ids, deadlines and other headers may differ.
 #[derive(Clone, Copy, Debug, Hash)]
-pub struct Identity<'a> {
+pub struct RequestIdentity<'a> {
     /// The client account. It is included so that no account can get another's requests rejected.
     pub account: Option<&'a str>,
     /// HTTP method.
@@ -24,7 +24,7 @@
     pub body: &'a [u8],
 }
 
-impl Identity<'_> {
+impl RequestIdentity<'_> {
     /// Returns a hash of all parts, with only the length of the body. It is cheap enough for every
     /// request: requests with different hashes are never copies of each other.
     pub fn brief(&self) -> u64 {
@@ -39,7 +39,7 @@
 /// Identifies a request: equal for all its copies and different for other requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fingerprint {
-    /// Hash without the body's bytes, see [`Identity::brief`].
+    /// Hash without the body's bytes, see [`RequestIdentity::brief`].
     pub brief: u64,
     /// Truncated cryptographic digest of the whole request.
     pub digest: u64,
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -1,6 +1,6 @@
 //! Tests of the quarantine of requests that terminate the replicas that run them.
 
-use cypressfork_core::fleet::fingerprint::{Fingerprint, Identity};
+use cypressfork_core::fleet::fingerprint::{Fingerprint, RequestIdentity};
 use cypressfork_core::fleet::quarantine::{
     InFlightRequest, Quarantine, QuarantineChange, TerminationReport,
 };
@@ -12,7 +12,7 @@
 
 fn fingerprint(name: &str) -> Fingerprint {
     let account = Some("club");
-    let identity = Identity { account, method: "GET", host: "h", path: name, body: b"" };
+    let identity = RequestIdentity { account, method: "GET", host: "h", path: name, body: b"" };
     Fingerprint { brief: identity.brief(), digest: 7 }
 }
 
@@ -248,8 +248,9 @@
     #[case] path: &str,
     #[case] body: &str,
 ) {
-    let one = Identity { account: Some("club"), method: "GET", host: "h", path: "/x", body: b"b" };
-    let other = Identity { account, method, host, path, body: body.as_bytes() };
+    let one =
+        RequestIdentity { account: Some("club"), method: "GET", host: "h", path: "/x", body: b"b" };
+    let other = RequestIdentity { account, method, host, path, body: body.as_bytes() };
     assert_ne!(one.brief(), other.brief());
 }
 
--- a/crates/core/tests/quarantine_cost.rs
+++ b/crates/core/tests/quarantine_cost.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use cypressfork_core::fleet::fingerprint::{Fingerprint, Identity};
+use cypressfork_core::fleet::fingerprint::{Fingerprint, RequestIdentity};
 use cypressfork_core::fleet::quarantine::{InFlightRequest, Quarantine, TerminationReport};
 use cypressfork_core::unit::{Millis, Time};
 use nix::time::{ClockId, clock_gettime};
@@ -27,7 +27,7 @@
 fn request(n: u64) -> InFlightRequest {
     let path = format!("/{n}");
     let identity =
-        Identity { account: Some("club"), method: "GET", host: "h", path: &path, body: b"" };
+        RequestIdentity { account: Some("club"), method: "GET", host: "h", path: &path, body: b"" };
     let fingerprint = Fingerprint { brief: identity.brief(), digest: n };
     InFlightRequest { fingerprint, account: "club".to_owned(), age: Millis(50) }
 }
--- a/crates/cypressfork/benches/fleet.rs
+++ b/crates/cypressfork/benches/fleet.rs
@@ -17,7 +17,7 @@
 
 use cypressfork_core::command::{Answer, Command};
 use cypressfork_core::config::{Application, Change, Item, Template};
-use cypressfork_core::fleet::fingerprint::Identity;
+use cypressfork_core::fleet::fingerprint::RequestIdentity;
 use cypressfork_core::unit::RequestId;
 use cypressfork_node::digest::fingerprint;
 use cypressfork_node::group::GroupClient;
@@ -59,7 +59,7 @@
         let body = vec![b'x'; length];
         let (account, method) = (Some("club"), "POST");
         let (host, path) = ("club.example", "/talk/annotate/whole");
-        let one = Identity { account, method, host, path, body: &body };
+        let one = RequestIdentity { account, method, host, path, body: &body };
         let each = |name: &str, f: &dyn Fn() -> u64| {
             let begin = Instant::now();
             let sum = (0..REPETITIONS).fold(0u64, |sum, _| sum.wrapping_add(black_box(f())));
--- a/crates/node/src/digest.rs
+++ b/crates/node/src/digest.rs
@@ -1,7 +1,7 @@
 //! Digests of keys, request ids and bodies.
 
 use cypressfork_core::claim::BodyDigest;
-use cypressfork_core::fleet::fingerprint::{Fingerprint, Identity};
+use cypressfork_core::fleet::fingerprint::{Fingerprint, RequestIdentity};
 use cypressfork_core::unit::RequestId;
 use sha2::{Digest, Sha256};
 
@@ -28,7 +28,7 @@
 }
 
 /// Returns the fingerprint of a request, which is the same for all its retries.
-pub fn fingerprint(r: &Identity) -> Fingerprint {
+pub fn fingerprint(r: &RequestIdentity) -> Fingerprint {
     let parts = [r.account.unwrap_or_default(), r.method, r.host, r.path].map(str::as_bytes);
     let [account, method, host, path] = parts;
     let hash = digest_parts(&[account, method, host, path, r.body]);
--- a/crates/router/src/gateway/job.rs
+++ b/crates/router/src/gateway/job.rs
@@ -8,7 +8,7 @@
 use actix_http::{Method, Uri};
 use bytes::Bytes;
 use cypressfork_core::fleet::document::RouteKind;
-use cypressfork_core::fleet::fingerprint::Identity;
+use cypressfork_core::fleet::fingerprint::RequestIdentity;
 use cypressfork_core::route::RequestProfile;
 use cypressfork_core::route::lateness::LatencyObjective;
 use cypressfork_core::unit::Tokens;
@@ -88,8 +88,8 @@
     }
 
     /// Returns the parts that are the same in all copies of the request.
-    pub fn identity(&self) -> Identity<'_> {
-        Identity {
+    pub fn identity(&self) -> RequestIdentity<'_> {
+        RequestIdentity {
             account: self.account.as_deref(),
             method: self.method.as_str(),
             host: &self.inbound.host,
