--- a/crates/control/src/founding.rs
+++ b/crates/control/src/founding.rs
@@ -54,7 +54,7 @@
         } else if status.is_founding() {
             resend_founding(&me, &status.members).await;
         }
-        if status.seeks_group(waited) {
+        if status.must_announce(waited) {
             announce(&group, own_address, &status, &rejoin_members).await;
         }
         sleep(CHECK_INTERVAL).await;
--- a/crates/control/tests/support/places.rs
+++ b/crates/control/tests/support/places.rs
@@ -116,7 +116,7 @@
     /// and the leader that this one reports.
     fn announce(&mut self, id: NodeId) {
         let place = self.machine(id).group_status();
-        if !place.seeks_group(self.now.since(self.nodes[&id].started)) {
+        if !place.must_announce(self.now.since(self.nodes[&id].started)) {
             return;
         }
         let all = self.known_addresses(id);
--- a/crates/core/src/fleet/contacts.rs
+++ b/crates/core/src/fleet/contacts.rs
@@ -102,7 +102,7 @@
 
     /// Returns whether it has to announce itself to the leader because it is not a voter of a led
     /// group. `waited` is the time since its start: founding members wait for each other first.
-    pub fn seeks_group(&self, waited: Millis) -> bool {
+    pub fn must_announce(&self, waited: Millis) -> bool {
         let is_led_voter = self.has_leader && self.members.voters.contains(&self.node);
         !is_led_voter && (!self.is_founding() || waited >= FOUNDING_TIMEOUT)
     }
