--- a/crates/core/src/fleet/document.rs
+++ b/crates/core/src/fleet/document.rs
@@ -10,7 +10,7 @@
 use crate::code::Code;
 use crate::unit::{Millis, Tokens, Version};
 
-/// How often the requests of a route may run, and the form of their responses.
+/// Whether requests of a route are safe to repeat, and whether their responses are streams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RouteKind {
@@ -42,7 +42,7 @@
     pub host: String,
     /// Path prefix to match.
     pub prefix: String,
-    /// How often requests may run, and the form of their responses.
+    /// Whether requests are safe to repeat, and whether their responses are streams.
     pub kind: RouteKind,
     /// Maximum time to complete a request.
     pub timeout: Millis,
--- a/crates/core/src/fleet/document_wait.rs
+++ b/crates/core/src/fleet/document_wait.rs
@@ -12,8 +12,8 @@
 /// Maximum wait of one request for the first document.
 const MAX_FIRST_WAIT: Millis = Millis(1_200);
 
-/// A request waits for at most this fraction of its deadline, as a divisor. The rest is left for a retry
-/// at another gateway.
+/// A request waits for at most its deadline divided by this. The rest is left for a retry at another
+/// gateway.
 const DEADLINE_DIVISOR: u64 = 3;
 
 /// Maximum wait of one request for a newer document.
--- a/crates/core/src/fleet/limit/issuers.rs
+++ b/crates/core/src/fleet/limit/issuers.rs
@@ -2,10 +2,10 @@
 //!
 //! Each router computes the issuers by rendezvous hashing over the routers of the replica's data
 //! centre, or over all routers if the data centre has too few. The first is the primary issuer, the
-//! next the secondary. There is no agreement: while routers hold different lists, two of them may both
-//! act as the primary. A new primary therefore issues at the reduced rate until all routers have the
-//! current list. The secondary issues at the full rate in the meantime, and while the primary is dead,
-//! as long as a recent probe confirms that the primary does not.
+//! next the secondary. The routers do not coordinate this: while they hold different lists, two of them
+//! may both act as the primary. A new primary therefore issues at the reduced rate until all routers
+//! have the current list. The secondary issues at the full rate in the meantime, and while the primary
+//! is dead, as long as a recent probe confirms that the primary does not.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
--- a/crates/core/src/fleet/limit/permits.rs
+++ b/crates/core/src/fleet/limit/permits.rs
@@ -27,7 +27,7 @@
 /// Permits that a bucket holds at any rate, because routers rarely retry exactly on time.
 const BASE_BURST: u64 = 2;
 
-/// Period at the bucket's rate whose permits it holds in addition.
+/// Beyond [`BASE_BURST`], a bucket holds the permits that it gains in this period.
 const BURST_PERIOD: Millis = Millis(250);
 
 /// Lower bound of the rate: one request in ten seconds. Without requests no response could announce
@@ -74,7 +74,7 @@
     /// Millionths of permits in the bucket at `at`.
     level: u64,
     at: Time,
-    /// Retry time of the last router that got no permit.
+    /// The latest retry time returned to a refused router.
     last_retry: Time,
     pressure: PriorityGate,
 }
--- a/crates/core/src/fleet/router_heartbeats.rs
+++ b/crates/core/src/fleet/router_heartbeats.rs
@@ -66,7 +66,7 @@
     /// centre if there are enough, else those of its region, else all.
     ///
     /// Busy routers are left out of a fraction of the lists. If most routers of the data centre are busy,
-    /// some of others are added.
+    /// some routers of other data centres are added.
     ///
     /// If at least half of the open routers are silent, this process is assumed to be cut off and keeps
     /// listing them.
