--- a/crates/core/src/fleet/limit/mod.rs
+++ b/crates/core/src/fleet/limit/mod.rs
@@ -3,12 +3,12 @@
 //! A limit bounds the requests per second that a replica accepts from all routers together. No router
 //! can enforce it alone, and an equal share of it may be less than one request per second. Routers
 //! therefore obtain a permit before each request to a limited replica. One router per replica, chosen
-//! by rendezvous hashing, issues the permits ([`permits`], [`homes`]). Limits are learned from
-//! responses and shared between processes ([`known`]).
+//! by rendezvous hashing, issues the permits ([`permits`], [`issuers`]). Limits are learned from
+//! responses and shared between processes ([`rate_limits`]).
 
-pub mod homes;
-pub mod known;
+pub mod issuers;
 pub mod permits;
+pub mod rate_limits;
 
 use std::fmt;
 
@@ -22,11 +22,11 @@
 )]
 pub struct Rate(pub u64);
 
-/// Thousandths in one request.
+/// Number of thousandths in one request per second.
 const THOUSANDTHS: u64 = 1_000;
 
 impl Rate {
-    /// Parses a decimal number of requests per second, with the syntax of [`thousandths`].
+    /// Parses a decimal number of requests per second, with the syntax of [`parse_thousandths`].
     pub fn parse(text: &str) -> Option<Rate> {
         parse_thousandths(text).map(Rate)
     }
--- a/crates/core/src/fleet/limit/permits.rs
+++ b/crates/core/src/fleet/limit/permits.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::Rate;
-use super::homes::IssueRate;
+use super::issuers::IssueRate;
 use crate::route::priority_gate::PriorityGate;
 use crate::unit::{Millis, Time};
 
@@ -24,10 +24,10 @@
 /// The reduced rate is the limit divided by this.
 const REDUCED_DIVISOR: u64 = 4;
 
-/// Permits that a bucket holds at any rate: routers that retry are rarely exactly on time.
+/// Permits that a bucket holds at any rate, because routers rarely retry exactly on time.
 const BASE_BURST: u64 = 2;
 
-/// Period at the bucket's rate whose permits it holds in addition.
+/// Beyond [`BASE_BURST`], a bucket holds the permits that it gains in this period.
 const BURST_PERIOD: Millis = Millis(250);
 
 /// Lower bound of the rate: one request in ten seconds. Without requests no response could announce
@@ -37,8 +37,8 @@
 /// Shortest and longest time after which a router that got no permit retries.
 const RETRY_RANGE: (Millis, Millis) = (Millis(50), Millis::seconds(4));
 
-/// Millionths in one permit. A rate in thousandths per second equals that many millionths per
-/// millisecond.
+/// Number of millionths in one permit. A rate in thousandths per second equals that many millionths
+/// per millisecond.
 const MILLIONTHS: u64 = 1_000_000;
 
 /// A router's request for permits.
@@ -74,7 +74,7 @@
     /// Millionths of permits in the bucket at `at`.
     level: u64,
     at: Time,
-    /// Retry time of the last router that got no permit.
+    /// The latest retry time returned to a refused router.
     last_retry: Time,
     priority_gate: PriorityGate,
 }
--- a/crates/core/src/fleet/watch.rs
+++ b/crates/core/src/fleet/watch.rs
@@ -6,12 +6,12 @@
 
 use super::contacts::Leader;
 use super::evacuation::Evacuations;
-use super::limit::known::LimitReport;
-use super::neighbours::DataCentreRouters;
+use super::limit::rate_limits::LimitReport;
 use super::quarantine::QuarantineList;
 use super::registry::{Heartbeat, Leaving, Record};
 use super::rollout::Rollouts;
 use super::rollout::evidence::Report;
+use super::router_directory::DataCentreRouters;
 use super::transfer::{Part, PartRequest};
 use crate::hash::Fnv;
 use crate::unit::{Index, Version};
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -7,13 +7,13 @@
 use cypressfork_core::fleet::admission;
 use cypressfork_core::fleet::clocks::Clocks;
 use cypressfork_core::fleet::document::{
-    Backend, ClientAccount, Document, Kind, Limits, Route, Target, budget_name,
+    Backend, ClientAccount, Document, Limits, Route, RouteKind, Target, budget_name,
 };
-use cypressfork_core::fleet::entry::RouterHeartbeats;
-use cypressfork_core::fleet::patience;
+use cypressfork_core::fleet::document_wait;
 use cypressfork_core::fleet::regions::Regions;
 use cypressfork_core::fleet::repair::{Candidates, Health, next_change};
 use cypressfork_core::fleet::retry::{RetryLimit, RetryWindow};
+use cypressfork_core::fleet::router_heartbeats::RouterHeartbeats;
 use cypressfork_core::fleet::routes::Routes;
 use cypressfork_core::fleet::share::{Loans, choose_lenders, split_charge};
 use cypressfork_core::fleet::watch::{Announce, RouterStatus};
@@ -28,7 +28,7 @@
         name: format!("{host}{prefix}"),
         host: host.to_owned(),
         prefix: prefix.to_owned(),
-        kind: Kind::Safe,
+        kind: RouteKind::Safe,
         timeout: Millis(1_000),
         objective: Millis(100),
         gap: None,
@@ -378,7 +378,7 @@
     #[case] within: Option<u64>,
     #[case] waits: u64,
 ) {
-    let wait = patience::first_document_wait(Time(now), within.map(Millis));
+    let wait = document_wait::first_document_wait(Time(now), within.map(Millis));
     assert_eq!(wait, Millis(waits));
 }
 
