--- a/crates/core/src/fleet/quarantine/judgement.rs
+++ b/crates/core/src/fleet/quarantine/attribution.rs
@@ -18,14 +18,14 @@
     counted_in: usize,
     /// All strikes, explained or not.
     all_strikes: Vec<u64>,
-    /// Not identified as a cause yet.
+    /// Whether it has not been identified as a cause.
     is_open: bool,
 }
 
 impl Candidate<'_> {
-    fn has_enough(&self) -> bool {
+    fn reaches_threshold(&self) -> bool {
         self.is_open
-            && self.suspect.may_have_enough()
+            && self.suspect.may_reach_threshold()
             && self.strikes.len() >= self.suspect.threshold()
     }
 }
@@ -66,8 +66,8 @@
 struct Attribution<'a> {
     candidates: Vec<Candidate<'a>>,
     terminations: Terminations,
-    /// Candidates that may have enough strikes, by their last count. It is an upper bound, as explained
-    /// terminations only reduce the strikes of others.
+    /// Candidates that may reach their threshold, by their last count of strikes. The count is an upper
+    /// bound, as explained terminations only reduce the strikes of others.
     queue: BinaryHeap<(usize, usize)>,
     /// Number of times that terminations were marked as explained.
     round: usize,
@@ -94,8 +94,8 @@
 impl<'a> Attribution<'a> {
     fn new(suspects: &'a BTreeMap<Fingerprint, Suspect>) -> Attribution<'a> {
         // Others have too few strikes, and a single strike makes no other candidate ambiguous.
-        let matters = |s: &&Suspect| s.ends.len() > 1 || s.may_have_enough();
-        let relevant = suspects.iter().filter(|(_, s)| matters(s));
+        let is_relevant = |s: &&Suspect| s.ends.len() > 1 || s.may_reach_threshold();
+        let relevant = suspects.iter().filter(|(_, s)| is_relevant(s));
         let candidate = |(f, s): (&Fingerprint, &'a Suspect)| {
             let all_strikes = s.strikes(|_| false);
             Candidate {
@@ -112,8 +112,8 @@
         for (n, c) in candidates.iter().enumerate() {
             c.suspect.ends.iter().for_each(|e| terminations.get_mut(e.number).candidates.push(n));
         }
-        let enough = candidates.iter().enumerate().filter(|(_, c)| c.has_enough());
-        let queue = enough.map(|(n, c)| (c.strikes.len(), n)).collect();
+        let eligible = candidates.iter().enumerate().filter(|(_, c)| c.reaches_threshold());
+        let queue = eligible.map(|(n, c)| (c.strikes.len(), n)).collect();
         Attribution { candidates, terminations, queue, round: 0 }
     }
 
@@ -135,7 +135,7 @@
             let Some((strikes, n)) = self.queue.pop() else { break None };
             self.recount(n);
             let c = &self.candidates[n];
-            if !c.has_enough() {
+            if !c.reaches_threshold() {
                 continue;
             }
             if c.strikes.len() < strikes {
@@ -153,7 +153,7 @@
         found
     }
 
-    /// Returns the other open candidates whose strikes are the same and enough.
+    /// Returns the other open candidates whose strikes are the same and reach their thresholds.
     fn equivalent(&mut self, n: usize) -> Vec<usize> {
         let strikes = self.candidates[n].strikes.clone();
         let Some(first) = strikes.first() else { return Vec::new() };
--- a/crates/core/src/fleet/quarantine/mod.rs
+++ b/crates/core/src/fleet/quarantine/mod.rs
@@ -16,7 +16,7 @@
 //! The state is replicated, so it survives the loss of every gateway and of power everywhere. A gateway
 //! that reaches no control process uses a local state of the terminations that it detected itself.
 
-mod judgement;
+mod attribution;
 mod message;
 mod suspect;
 
@@ -24,7 +24,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use judgement::find_causes;
+use attribution::find_causes;
 pub use message::{InFlightRequest, QuarantineChange, QuarantineList, TerminationReport};
 pub use suspect::{STRIKES, STRIKES_IF_AMBIGUOUS};
 use suspect::{Suspect, Termination};
@@ -34,7 +34,7 @@
 
 /// Reports on one replica within this time of each other concern the same termination. Gateways detect
 /// it at nearly the same time, and their reports take some tens of milliseconds.
-const SAME_TERMINATION: Millis = Millis(300);
+const SAME_TERMINATION_WINDOW: Millis = Millis(300);
 
 /// How long after its first report a termination is remembered: a gateway that was disconnected reports
 /// late.
@@ -47,7 +47,7 @@
 const COMPLETION_EXEMPTION: Millis = Millis::seconds(600);
 
 /// Length of a request's first quarantine, doubled for each further one. After each the request may
-/// terminate one replica more, so a wrong quarantine lasts an hour and a right one costs at most one
+/// terminate one replica more, so a wrong quarantine lasts an hour and a correct one costs at most one
 /// replica per hour.
 const FIRST_TERM: Millis = Millis::seconds(3_600);
 
@@ -170,7 +170,7 @@
     /// Returns the number of a replica's termination: that of an earlier report, or a new one.
     fn termination_number(&mut self, now: Time, replica: &str, at: Time) -> u64 {
         let known = self.replicas.get(replica);
-        if let Some(known) = known.filter(|k| at.0.abs_diff(k.at.0) <= SAME_TERMINATION.0) {
+        if let Some(known) = known.filter(|k| at.0.abs_diff(k.at.0) <= SAME_TERMINATION_WINDOW.0) {
             return known.number;
         }
         self.next_number += 1;
@@ -180,7 +180,7 @@
     }
 
     /// Records the termination of a replica that had a request in flight. Returns whether the request may
-    /// have enough strikes for a quarantine.
+    /// reach its threshold of strikes.
     fn record_in_flight(&mut self, number: u64, at: Time, u: &InFlightRequest, pos: Index) -> bool {
         if self.sound.contains_key(&u.fingerprint) {
             return false;
@@ -194,7 +194,7 @@
         }
         s.record(Termination { number, at, sent });
         self.revision = pos;
-        s.may_have_enough()
+        s.may_reach_threshold()
     }
 
     /// Quarantines the requests that explain the terminations of replicas, and releases those that no
--- a/crates/core/src/fleet/quarantine/suspect.rs
+++ b/crates/core/src/fleet/quarantine/suspect.rs
@@ -54,8 +54,8 @@
         self.ends.drain(..surplus);
     }
 
-    /// Returns whether the terminations would suffice for a quarantine if all of them were strikes.
-    pub fn may_have_enough(&self) -> bool {
+    /// Returns whether the threshold would be reached if all terminations were strikes.
+    pub fn may_reach_threshold(&self) -> bool {
         self.ends.len() >= self.threshold()
     }
 
@@ -78,7 +78,8 @@
         strikes
     }
 
-    /// Returns the strikes at which the request is quarantined: one if it has been quarantined before.
+    /// Returns the number of strikes at which the request is quarantined: one if it has been quarantined
+    /// before.
     pub(super) fn threshold(&self) -> usize {
         if self.terms > 0 { 1 } else { STRIKES }
     }
--- a/crates/core/src/fleet/rollout/evidence.rs
+++ b/crates/core/src/fleet/rollout/evidence.rs
@@ -186,7 +186,8 @@
         all
     }
 
-    /// Returns the progress with the step at `revision` of the gateways that have reported since `since`.
+    /// Returns how far the gateways that have reported since `since` have applied the step at
+    /// `revision`.
     pub fn progress(&self, order: Index, revision: Index, since: Time) -> StepProgress {
         let mut s = StepProgress::default();
         for h in self.reports_on(order).filter(|h| h.at >= since) {
--- a/crates/core/src/fleet/rollout/plan.rs
+++ b/crates/core/src/fleet/rollout/plan.rs
@@ -7,7 +7,8 @@
 
 use crate::unit::Millis;
 
-/// The part of the allowed requests to plan for, in thousandths; the rest is a margin for chance.
+/// The part of the allowed requests to plan for, in thousandths; the rest is a margin for random
+/// variation.
 const PLANNED_PERMILLE: u64 = 900;
 
 /// The part of the duration reserved for the move, in thousandths. A step reaches all connected gateways
--- a/crates/core/src/fleet/rollout/split.rs
+++ b/crates/core/src/fleet/rollout/split.rs
@@ -3,7 +3,7 @@
 use super::{Rollout, Stage};
 use crate::hash::Fnv;
 
-/// The whole in thousandths.
+/// The share of 100 %, in thousandths.
 const PERMILLE: u64 = 1_000;
 
 /// How a rollout classifies a replica by its version.
@@ -99,12 +99,14 @@
     pub stopped: bool,
 }
 
-/// Returns the preference of a request whose id hashes to `drawn`.
-pub fn version_preference(r: &Rollout, drawn: u64, l: GatewayView) -> VersionPreference {
+/// Returns the preference of a request whose id has the hash `permille`.
+pub fn version_preference(r: &Rollout, permille: u64, gateway: GatewayView) -> VersionPreference {
     match r.stage {
         Stage::Waiting | Stage::RolledBack => VersionPreference::Any,
-        Stage::Trial if l.connected && !l.stopped && drawn < r.trial => VersionPreference::Trial,
-        Stage::Moving if l.connected && !l.stopped => VersionPreference::New,
+        Stage::Trial if gateway.connected && !gateway.stopped && permille < r.trial => {
+            VersionPreference::Trial
+        }
+        Stage::Moving if gateway.connected && !gateway.stopped => VersionPreference::New,
         Stage::Trial | Stage::Moving => VersionPreference::Old,
         Stage::Completed => VersionPreference::New,
     }
--- a/crates/core/src/fleet/rollout/verdict.rs
+++ b/crates/core/src/fleet/rollout/verdict.rs
@@ -63,7 +63,9 @@
 }
 
 fn route_fault(s: &Sides) -> Option<Fault> {
-    is_significant(failure_score(s), s.new.bad).then(|| failures(s)).or_else(|| slowness(s))
+    is_significant(failure_score(s), s.new.bad)
+        .then(|| failure_fault(s))
+        .or_else(|| latency_fault(s))
 }
 
 /// Tests all routes together. Their failure rates differ, so the scores are added up instead of the
@@ -72,7 +74,9 @@
     let total = e.total();
     let above_chance = |s: &Sides| (failure_score(s) - CHANCE_SCORE).max(0.0);
     let score = e.routes.values().map(above_chance).sum();
-    is_significant(score, total.new.bad).then(|| failures(&total)).or_else(|| slowness(&total))
+    is_significant(score, total.new.bad)
+        .then(|| failure_fault(&total))
+        .or_else(|| latency_fault(&total))
 }
 
 fn is_significant(score: f64, bad: u64) -> bool {
@@ -80,7 +84,7 @@
         && (score >= MIN_SCORE || (bad >= MANY_FAILURES && score >= MIN_SCORE_OF_MANY))
 }
 
-fn failures(s: &Sides) -> Fault {
+fn failure_fault(s: &Sides) -> Fault {
     Fault::Fails { new: (s.new.bad, s.new.ended), old: (s.old.bad, s.old.ended) }
 }
 
@@ -110,7 +114,7 @@
 
 /// Tests whether the new version is slower than the old one with its latency classes raised by one, which
 /// is half as long again.
-fn slowness(s: &Sides) -> Option<Fault> {
+fn latency_fault(s: &Sides) -> Option<Fault> {
     let raised = |n: usize| n.checked_sub(1).map_or(0, |n| u64::from(s.old.slow[n]));
     let old = |n: usize| match n + 1 {
         LATENCY_CLASSES => raised(n) + u64::from(s.old.slow[n]),
