--- a/crates/core/src/fleet/regions.rs
+++ b/crates/core/src/fleet/regions.rs
@@ -7,7 +7,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The regions by data centre. Data centres without an entry count as near to all others.
+/// The regions by data centre. A data centre without an entry counts as in the same region as any
+/// other.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Regions {
--- a/crates/core/src/fleet/registry.rs
+++ b/crates/core/src/fleet/registry.rs
@@ -232,8 +232,8 @@
     /// Returns the total slots of a service's ready replicas, by software version.
     pub fn ready_slots(&self, service: &str) -> BTreeMap<String, u64> {
         let mut all: BTreeMap<String, u64> = BTreeMap::new();
-        let ready = self.entries.values().map(|e| &e.record);
-        for r in ready.filter(|r| r.standing == ReplicaStatus::Ready) {
+        let records = self.entries.values().map(|e| &e.record);
+        for r in records.filter(|r| r.standing == ReplicaStatus::Ready) {
             let g = &r.registration;
             if g.service == service {
                 *all.entry(g.version.clone()).or_default() += u64::from(g.slots);
@@ -254,21 +254,21 @@
         if !same_incarnation || old || e.record.standing >= ReplicaStatus::Draining {
             return false;
         }
-        let back = e.record.standing == ReplicaStatus::Silent;
+        let was_silent = e.record.standing == ReplicaStatus::Silent;
         if let Some(e) = self.entries.get_mut(&id) {
             e.record.registration.sequence = b.sequence;
             e.record.standing = ReplicaStatus::Ready;
             e.last_heartbeat = now;
         }
-        self.publish(now, &id, back, RecordSource::Peer);
-        back
+        self.publish(now, &id, was_silent, RecordSource::Peer);
+        was_silent
     }
 
     /// Publishes a replica's change or heartbeat in the feed. Relayed heartbeats are rate limited.
     fn publish(&mut self, now: Time, id: &Arc<str>, changed: bool, source: RecordSource) {
         let Some(e) = self.entries.get_mut(id) else { return };
-        let again = now.since(e.published_at) >= self.heartbeat.scale(MIN_RELAY_HEARTBEATS, 1);
-        if changed || again || source == RecordSource::Replica {
+        let is_due = now.since(e.published_at) >= self.heartbeat.scale(MIN_RELAY_HEARTBEATS, 1);
+        if changed || is_due || source == RecordSource::Replica {
             e.published_at = now;
             self.move_to_end(id, changed);
         }
@@ -308,15 +308,15 @@
         self.apply(now, record, RecordSource::Peer)
     }
 
-    /// Marks replicas silent that have missed several heartbeats at the interval `every`, and
+    /// Marks replicas silent that have missed several heartbeats at the heartbeat `interval`, and
     /// removes expired records of replicas that drain or have left.
-    pub fn tick(&mut self, now: Time, every: Millis) {
+    pub fn tick(&mut self, now: Time, interval: Millis) {
         if now < self.next_tick {
             return;
         }
         self.next_tick = now.after(SCAN_INTERVAL);
-        self.heartbeat = every;
-        let timeout = every.scale(MAX_MISSED_HEARTBEATS, 1);
+        self.heartbeat = interval;
+        let timeout = interval.scale(MAX_MISSED_HEARTBEATS, 1);
         let is_expired = |e: &Entry| {
             e.record.standing >= ReplicaStatus::Draining
                 && now.since(e.last_heartbeat) >= DEPARTED_TTL
@@ -449,8 +449,8 @@
 
 /// Returns whether `r` is from a later incarnation or heartbeat than `known`.
 fn is_newer(r: &Registration, known: &Registration) -> bool {
-    let later = r.cmp_incarnation(known).then(r.sequence.cmp(&known.sequence));
-    later == Ordering::Greater
+    let order = r.cmp_incarnation(known).then(r.sequence.cmp(&known.sequence));
+    order == Ordering::Greater
 }
 
 /// Returns whether the difference between two records is irrelevant to routers.
--- a/crates/core/src/fleet/repair.rs
+++ b/crates/core/src/fleet/repair.rs
@@ -40,8 +40,8 @@
     }
 }
 
-/// Returns the next membership change for a leader `me` to make in a group that should have `want`
-/// voters, or `None` if no change is needed or safe.
+/// Returns the next membership change for a leader `me` to make in a group that should have
+/// `target_voters` voters, or `None` if no change is needed or safe.
 ///
 /// `health` returns the state of each member other than the leader. A change is returned only if
 /// the members that answer form a quorum after it, so a repair cannot cost the group its quorum.
@@ -50,14 +50,14 @@
     me: NodeId,
     health: impl Fn(NodeId) -> Health,
     candidates: &Candidates,
-    want: usize,
+    target_voters: usize,
 ) -> Option<MemberChange> {
     let answers = |n: NodeId| n == me || health(n).silent < SILENT_AFTER;
     let safe = |c: MemberChange| {
         let after = members.with(&c)?;
         after.has_quorum(answers).then_some(c)
     };
-    disk_lost_member(members, candidates)
+    find_member_without_disk(members, candidates)
         .and_then(|n| safe(MemberChange::Remove(n)))
         .or_else(|| {
             let ready = |n: &NodeId| answers(*n) && health(*n).caught_up;
@@ -69,7 +69,7 @@
             safe(MemberChange::Remove(lost))
         })
         .or_else(|| {
-            let surplus = members.voters.len() > want;
+            let surplus = members.voters.len() > target_voters;
             let lost = members.voters.iter().copied().find(|n| surplus && !answers(*n))?;
             safe(MemberChange::Remove(lost))
         })
@@ -82,11 +82,11 @@
 
 /// Returns a member whose address is announced by a process with another id, which means that the
 /// member has lost its disk.
-fn disk_lost_member(members: &Members, candidates: &Candidates) -> Option<NodeId> {
+fn find_member_without_disk(members: &Members, candidates: &Candidates) -> Option<NodeId> {
     let mut all = members.addresses.iter();
-    let taken =
+    let is_reused =
         |n: &NodeId, a: &String| candidates.announced.iter().any(|(c, h)| c != n && h.0 == *a);
-    all.find(|(n, a)| !candidates.announced.contains_key(n) && taken(n, a)).map(|(n, _)| *n)
+    all.find(|(n, a)| !candidates.announced.contains_key(n) && is_reused(n, a)).map(|(n, _)| *n)
 }
 
 /// Returns the change that adds the first candidate that is not a member as a learner.
--- a/crates/core/src/fleet/replicas.rs
+++ b/crates/core/src/fleet/replicas.rs
@@ -212,7 +212,7 @@
             k.record.standing <= ReplicaStatus::Silent && k.record.registration.service == service
         });
         let best = usable.min_by_key(|k| (k.record.standing, k.replaced, u64::MAX - k.order));
-        let upstream = best.map(|k| (upstream(address, &k.record), condition(&k.record)));
+        let upstream = best.map(|k| (upstream(address, &k.record), replica_info(&k.record)));
         Some(AddressChange { service, address, upstream })
     }
 }
@@ -232,8 +232,8 @@
     }
     let newer = r.registration.sequence > known.registration.sequence;
     let same = r.registration.sequence == known.registration.sequence;
-    let ends = r.standing >= ReplicaStatus::Draining && r.standing > known.standing;
-    ends || (newer && *r != *known) || (same && r.standing > known.standing)
+    let leaves = r.standing >= ReplicaStatus::Draining && r.standing > known.standing;
+    leaves || (newer && *r != *known) || (same && r.standing > known.standing)
 }
 
 fn is_later_incarnation(known: &Record, r: &Record) -> bool {
@@ -250,7 +250,7 @@
     Upstream { vm, address, checks_orders: false }
 }
 
-fn condition(r: &Record) -> ReplicaInfo {
+fn replica_info(r: &Record) -> ReplicaInfo {
     let g = &r.registration;
     let leaving = r.standing == ReplicaStatus::Silent;
     ReplicaInfo { version: g.version.clone(), slots: g.slots, leaving, cold_for: g.cold }
--- a/crates/core/src/fleet/retry.rs
+++ b/crates/core/src/fleet/retry.rs
@@ -41,8 +41,8 @@
     }
 
     /// Records a request.
-    pub fn record_request(&mut self, now: Time, b: &RetryLimit) {
-        self.trim(now, b.window);
+    pub fn record_request(&mut self, now: Time, limit: &RetryLimit) {
+        self.trim(now, limit.window);
         self.requests.push_back(now);
     }
 
@@ -53,11 +53,11 @@
     /// equal part of `extra`, so the sum over all routers stays within the fleet's limit. A router
     /// that started less than a window ago gets no part of `extra`, because it may have used that
     /// part before the restart.
-    pub fn try_take(&mut self, now: Time, b: &RetryLimit, routers: u64) -> bool {
-        self.trim(now, b.window);
-        let from_requests = self.requests.len() as u64 * b.percent / 100;
-        let is_new = now.since(self.started) < b.window;
-        let extra = if is_new { 0 } else { b.extra / routers.max(1) };
+    pub fn try_take(&mut self, now: Time, limit: &RetryLimit, routers: u64) -> bool {
+        self.trim(now, limit.window);
+        let from_requests = self.requests.len() as u64 * limit.percent / 100;
+        let is_new = now.since(self.started) < limit.window;
+        let extra = if is_new { 0 } else { limit.extra / routers.max(1) };
         let allowed = from_requests + extra;
         if self.retries.len() as u64 >= allowed {
             return false;
--- a/crates/core/src/fleet/routes.rs
+++ b/crates/core/src/fleet/routes.rs
@@ -33,7 +33,7 @@
         let has_accounts = d.accounts.is_some();
         let accounts = d.accounts.unwrap_or_default();
         let keys = accounts.iter().enumerate();
-        let keys = keys.flat_map(|(i, t)| t.keys.iter().map(move |k| (k.clone(), i)));
+        let keys = keys.flat_map(|(i, a)| a.keys.iter().map(move |k| (k.clone(), i)));
         let by_key = has_accounts.then(|| keys.collect());
         let services = d.services.into_iter().map(|s| (s.name.clone(), s)).collect();
         Routes { version: d.version, by_host, by_key, accounts, services, limits: d.limits }
@@ -71,8 +71,9 @@
         Ok(self.accounts.get(*i))
     }
 
-    /// Returns the service for a request: a choice among the route's targets by their weights, made
-    /// by the request's `hash`.
+    /// Selects the service for a request among the route's targets in proportion to their weights.
+    /// Requests with the same `hash` get the same service. Returns `None` if the weights are all 0 or
+    /// the service is unknown.
     pub fn choose_service(&self, route: &Route, hash: u64) -> Option<&Backend> {
         let sum: u64 = route.targets.iter().map(|t| u64::from(t.weight)).sum();
         let mut left = hash.checked_rem(sum)?;
@@ -88,7 +89,7 @@
 
     /// Returns an account's prepaid tokens, or `None` if it is unknown or has no budget.
     pub fn prepaid(&self, account: &str) -> Option<Tokens> {
-        self.accounts.iter().find(|t| t.name == account)?.prepaid
+        self.accounts.iter().find(|a| a.name == account)?.prepaid
     }
 
     /// Returns the service with this name.
@@ -102,7 +103,7 @@
     }
 }
 
-/// Returns a number derived from a request's id, the same for every attempt.
+/// Returns the hash of a request's id, which is the same for every attempt of the request.
 pub fn request_hash(id: &str) -> u64 {
     Fnv::new().part(id.as_bytes()).value()
 }
--- a/crates/core/src/fleet/share.rs
+++ b/crates/core/src/fleet/share.rs
@@ -158,11 +158,11 @@
         !self.settled.contains_key(&id)
     }
 
-    /// Records loan `id` with the reservation `held`.
+    /// Records loan `id` with the reservation `held`, unless it is already open or settled.
     ///
     /// # Errors
     ///
-    /// Returns `held`, for the caller to release, if the loan was made or settled meanwhile.
+    /// Returns `held`, for the caller to release, if the loan is already open or settled.
     pub fn open_once(&mut self, now: Time, id: u64, held: R) -> Result<(), R> {
         if self.open.contains_key(&id) || !self.can_open(id) {
             return Err(held);
@@ -176,7 +176,7 @@
         self.open.get(&id).map(|(_, held)| held)
     }
 
-    /// Records loan `id` with the reservation `held`.
+    /// Records loan `id` with the reservation `held`, and replaces an open loan with the same id.
     pub fn open(&mut self, now: Time, id: u64, held: R) {
         self.open.insert(id, (now, held));
     }
--- a/crates/core/src/fleet/spill.rs
+++ b/crates/core/src/fleet/spill.rs
@@ -88,8 +88,8 @@
         Fnv::new().part(vm.as_bytes()).part(&n.to_be_bytes()).value() % FULL_SHARE < *share
     }
 
-    /// Returns how many of `others` gateways of other data centres to list for a caller in
-    /// `data_centre`.
+    /// Returns how many gateways of other data centres to list for a caller in `data_centre`, out of
+    /// `others` such gateways.
     pub fn remote_count(&self, data_centre: &str, others: usize) -> usize {
         let share = self.remote.get(data_centre).copied().unwrap_or(0);
         (others as u64 * share).div_ceil(FULL_SHARE) as usize
