--- a/crates/core/src/fleet/mod.rs
+++ b/crates/core/src/fleet/mod.rs
@@ -3,6 +3,7 @@
 
 pub mod admission;
 pub mod clocks;
+pub mod completed;
 pub mod contacts;
 pub mod demand;
 pub mod document;
@@ -26,7 +27,6 @@
 pub mod rollout;
 pub mod routes;
 pub mod share;
-pub mod sound;
 pub mod sources;
 pub mod spill;
 pub mod telling;
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -1,10 +1,10 @@
 //! Tests of the quarantine of requests that terminate the replicas that run them.
 
+use cypressfork_core::fleet::completed::CompletedRequests;
 use cypressfork_core::fleet::fingerprint::{Fingerprint, Identity};
 use cypressfork_core::fleet::quarantine::{
     InFlightRequest, Quarantine, QuarantineChange, TerminationReport,
 };
-use cypressfork_core::fleet::sound::CompletedRequests;
 use cypressfork_core::unit::{Millis, Time};
 use rstest::rstest;
 
--- a/crates/router/src/gateway/quarantine.rs
+++ b/crates/router/src/gateway/quarantine.rs
@@ -11,11 +11,11 @@
 use std::time::Duration;
 
 use cypressfork_core::command::Command;
+use cypressfork_core::fleet::completed::CompletedRequests;
 use cypressfork_core::fleet::fingerprint::Fingerprint;
 use cypressfork_core::fleet::quarantine::{
     InFlightRequest, Quarantine, QuarantineList, TerminationReport,
 };
-use cypressfork_core::fleet::sound::CompletedRequests;
 use cypressfork_core::unit::{Index, Time};
 use cypressfork_node::digest::fingerprint;
 use cypressfork_node::event::Event;
