--- a/crates/core/tests/telling.rs
+++ b/crates/core/tests/message_rate.rs
@@ -1,6 +1,6 @@
 //! The rate limit on a router's announcements of prompt placements to its peers.
 
-use cypressfork_core::fleet::telling::MessageRateLimit;
+use cypressfork_core::fleet::message_rate::MessageRateLimit;
 use cypressfork_core::unit::Time;
 use rstest::rstest;
 
--- a/crates/router/src/gateway/share.rs
+++ b/crates/router/src/gateway/share.rs
@@ -10,10 +10,10 @@
 use cypressfork_core::code::Code;
 use cypressfork_core::fleet::document::budget_name;
 use cypressfork_core::fleet::limit::permits;
+use cypressfork_core::fleet::message_rate::MessageRateLimit;
 use cypressfork_core::fleet::share::{
     Loans, PeerReply, PeerRequest, Placement, Shortfall, choose_lenders,
 };
-use cypressfork_core::fleet::telling::MessageRateLimit;
 use cypressfork_core::unit::{Millis, Time, Tokens};
 use cypressfork_node::emit;
 use cypressfork_node::event::Event;
