--- a/crates/core/src/fleet/rollout/split.rs
+++ b/crates/core/src/fleet/rollout/split.rs
@@ -64,11 +64,11 @@
 /// equals the share of the requests, so that each has about the load of an old one. If no id is
 /// selected, the fallbacks lead to all replicas of the version.
 fn is_on_trial(id: &str, trial: u64) -> bool {
-    request_permille(id) < trial
+    id_permille(id) < trial
 }
 
 /// Returns the hash of an id, reduced to a number below 1,000.
-pub fn request_permille(id: &str) -> u64 {
+pub fn id_permille(id: &str) -> u64 {
     Fnv::new().part(id.as_bytes()).value() % PERMILLE
 }
 
--- a/crates/router/src/gateway/rollouts.rs
+++ b/crates/router/src/gateway/rollouts.rs
@@ -8,7 +8,7 @@
 
 use cypressfork_core::fleet::rollout::evidence::{Evidence, Report};
 use cypressfork_core::fleet::rollout::split::{
-    GatewayView, Side, VersionPreference, request_permille, version_preference,
+    GatewayView, Side, VersionPreference, id_permille, version_preference,
 };
 use cypressfork_core::fleet::rollout::verdict::find_fault;
 use cypressfork_core::fleet::rollout::{Rollout, Rollouts};
@@ -125,7 +125,7 @@
         let Some(r) = rollouts.get(service) else { return VersionPreference::Any };
         let connected = now.since(self.last_contact.get()) < CONTACT_TIMEOUT;
         let stopped = self.observed.borrow().get(service).is_some_and(|o| o.stopped);
-        match version_preference(r, request_permille(id), GatewayView { connected, stopped }) {
+        match version_preference(r, id_permille(id), GatewayView { connected, stopped }) {
             VersionPreference::Trial if is_retry => VersionPreference::Old,
             other => other,
         }
