--- a/crates/core/src/fleet/entry.rs
+++ b/crates/core/src/fleet/entry.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
+use super::load_shedding::{LoadShedding, RouterLoad};
 use super::regions::Regions;
-use super::spill::{LoadShedding, RouterLoad};
 use super::watch::RouterStatus;
 use crate::unit::{Millis, Time};
 
