--- a/crates/core/examples/rollouts.rs
+++ b/crates/core/examples/rollouts.rs
@@ -11,10 +11,10 @@
 use std::collections::BTreeMap;
 
 use cypressfork_core::fleet::rollout::evidence::{Report, Reports};
+use cypressfork_core::fleet::rollout::fault::find_fault;
 use cypressfork_core::fleet::rollout::plan::plan;
 use cypressfork_core::fleet::rollout::split::{GatewayView, VersionPreference, version_preference};
 use cypressfork_core::fleet::rollout::step::{View, next_step};
-use cypressfork_core::fleet::rollout::verdict::find_fault;
 use cypressfork_core::fleet::rollout::{Rollout, Rollouts, Stage, Step};
 use cypressfork_core::unit::{Millis, Time};
 use rand::rngs::SmallRng;
--- a/crates/core/src/fleet/rollout/mod.rs
+++ b/crates/core/src/fleet/rollout/mod.rs
@@ -12,10 +12,10 @@
 //! returns to the old version.
 
 pub mod evidence;
+pub mod fault;
 pub mod plan;
 pub mod split;
 pub mod step;
-pub mod verdict;
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/core/src/fleet/rollout/step.rs
+++ b/crates/core/src/fleet/rollout/step.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::evidence::{Evidence, StepProgress};
+use super::fault::{Fault, find_fault};
 use super::plan::Plan;
-use super::verdict::{Fault, find_fault};
 use super::{Rollout, Stage, Step};
 use crate::unit::Millis;
 
--- a/crates/core/tests/rollout.rs
+++ b/crates/core/tests/rollout.rs
@@ -4,12 +4,12 @@
 
 use cypressfork_core::code::Code;
 use cypressfork_core::fleet::rollout::evidence::{Evidence, Report, Reports, StepProgress};
+use cypressfork_core::fleet::rollout::fault::{Fault, find_fault};
 use cypressfork_core::fleet::rollout::plan::{Plan, plan};
 use cypressfork_core::fleet::rollout::split::{
     GatewayView, Side, VersionPreference, side, version_preference,
 };
 use cypressfork_core::fleet::rollout::step::{View, next_step};
-use cypressfork_core::fleet::rollout::verdict::{Fault, find_fault};
 use cypressfork_core::fleet::rollout::{Rollout, Rollouts, Stage, Step};
 use cypressfork_core::unit::{Millis, Time};
 use rstest::rstest;
--- a/crates/router/src/gateway/rollouts.rs
+++ b/crates/router/src/gateway/rollouts.rs
@@ -7,10 +7,10 @@
 use std::time::Duration;
 
 use cypressfork_core::fleet::rollout::evidence::{Evidence, Report};
+use cypressfork_core::fleet::rollout::fault::find_fault;
 use cypressfork_core::fleet::rollout::split::{
     GatewayView, Side, VersionPreference, id_permille, version_preference,
 };
-use cypressfork_core::fleet::rollout::verdict::find_fault;
 use cypressfork_core::fleet::rollout::{Rollout, Rollouts};
 use cypressfork_core::unit::{Index, Millis, Time};
 use cypressfork_node::event::Event;
