--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -11,11 +11,11 @@
 };
 use cypressfork_core::fleet::entry::RouterHeartbeats;
 use cypressfork_core::fleet::patience;
+use cypressfork_core::fleet::peer::{Loans, choose_lenders, split_charge};
 use cypressfork_core::fleet::regions::Regions;
 use cypressfork_core::fleet::repair::{Candidates, Health, next_change};
 use cypressfork_core::fleet::retry::{RetryLimit, RetryWindow};
 use cypressfork_core::fleet::routes::Routes;
-use cypressfork_core::fleet::share::{Loans, choose_lenders, split_charge};
 use cypressfork_core::fleet::watch::{Announce, RouterStatus};
 use cypressfork_core::raft::{MemberChange, Members};
 use cypressfork_core::unit::{Millis, NodeId, Time};
--- a/crates/core/tests/loans.rs
+++ b/crates/core/tests/loans.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use cypressfork_core::fleet::share::Loans;
+use cypressfork_core::fleet::peer::Loans;
 use cypressfork_core::unit::{Millis, Time, Tokens};
 use proptest::prelude::*;
 
--- a/crates/router/src/gateway/budget.rs
+++ b/crates/router/src/gateway/budget.rs
@@ -9,7 +9,7 @@
 use cypressfork_core::budget::{Policy, Reservation};
 use cypressfork_core::code::Code;
 use cypressfork_core::fleet::document::budget_name;
-use cypressfork_core::fleet::share::{Shortfall, split_charge};
+use cypressfork_core::fleet::peer::{Shortfall, split_charge};
 use cypressfork_core::unit::{Millis, Tokens};
 use tokio::time::Instant;
 
--- a/crates/router/src/gateway/share.rs
+++ b/crates/router/src/gateway/share.rs
@@ -11,7 +11,7 @@
 use cypressfork_core::fleet::document::budget_name;
 use cypressfork_core::fleet::limit::permits;
 use cypressfork_core::fleet::message_rate::MessageRateLimit;
-use cypressfork_core::fleet::share::{
+use cypressfork_core::fleet::peer::{
     Loans, PeerReply, PeerRequest, Placement, Shortfall, choose_lenders,
 };
 use cypressfork_core::unit::{Millis, Time, Tokens};
--- a/crates/router/src/taken.rs
+++ b/crates/router/src/taken.rs
@@ -2,7 +2,7 @@
 
 use cypressfork_core::budget::{Decision, Reservation, Shortage};
 use cypressfork_core::code::Code;
-use cypressfork_core::fleet::share::Shortfall;
+use cypressfork_core::fleet::peer::Shortfall;
 use cypressfork_core::unit::Millis;
 
 use crate::reply::Refusal;
--- a/crates/router/src/token_store.rs
+++ b/crates/router/src/token_store.rs
@@ -12,7 +12,7 @@
 };
 use cypressfork_core::code::Code;
 use cypressfork_core::command::{Answer, Command};
-use cypressfork_core::fleet::share::Shortfall;
+use cypressfork_core::fleet::peer::Shortfall;
 use cypressfork_core::unit::{HolderId, Millis, Time, Tokens};
 use cypressfork_node::emit;
 use cypressfork_node::event::Event;
--- a/crates/wire/tests/fuzz.rs
+++ b/crates/wire/tests/fuzz.rs
@@ -9,7 +9,7 @@
 use cypressfork_core::command::{Answer, Command};
 use cypressfork_core::fleet::limit::Rate;
 use cypressfork_core::fleet::limit::known::LimitReport;
-use cypressfork_core::fleet::share::{PeerReply, PeerRequest};
+use cypressfork_core::fleet::peer::{PeerReply, PeerRequest};
 use cypressfork_core::fleet::transfer::{Part, PartRequest};
 use cypressfork_core::fleet::watch::{RouterStatus, Watch, WatchResponse};
 use cypressfork_core::query::{Query, Reply};
