--- a/crates/core/src/fleet/rollout/evidence.rs
+++ b/crates/core/src/fleet/rollout/evidence.rs
@@ -79,7 +79,7 @@
 
 /// Outcomes of the old and the new version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sides {
+pub struct VersionOutcomes {
     /// Outcomes of the versions that requests move away from.
     pub old: Outcomes,
     /// Outcomes of the version that requests move to.
@@ -90,16 +90,16 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
     /// Outcomes by the name of the route.
-    pub routes: BTreeMap<String, Sides>,
+    pub routes: BTreeMap<String, VersionOutcomes>,
 }
 
 impl Evidence {
     /// Returns the outcomes of a route for update.
-    pub fn route_mut(&mut self, route: &str) -> &mut Sides {
+    pub fn route_mut(&mut self, route: &str) -> &mut VersionOutcomes {
         let known = self.routes.contains_key(route) || self.routes.len() < MAX_ROUTES;
         let name = if known { route } else { OTHER_ROUTES };
         if !self.routes.contains_key(name) {
-            self.routes.insert(name.to_owned(), Sides::default());
+            self.routes.insert(name.to_owned(), VersionOutcomes::default());
         }
         self.routes.entry(name.to_owned()).or_default()
     }
@@ -114,8 +114,8 @@
     }
 
     /// Returns the outcomes of all routes together.
-    pub fn total(&self) -> Sides {
-        let mut all = Sides::default();
+    pub fn total(&self) -> VersionOutcomes {
+        let mut all = VersionOutcomes::default();
         for s in self.routes.values() {
             all.old.add(&s.old);
             all.new.add(&s.new);
--- a/crates/core/src/fleet/rollout/fault.rs
+++ b/crates/core/src/fleet/rollout/fault.rs
@@ -9,7 +9,7 @@
 //! - **Latency.** A rank test on the ratio of actual to expected latency, with the old version's raised
 //!   by half: a version that is merely not warmed up yet is not slow.
 
-use super::evidence::{Evidence, LATENCY_CLASSES, Outcomes, Sides};
+use super::evidence::{Evidence, LATENCY_CLASSES, Outcomes, VersionOutcomes};
 
 /// Minimum score of a fault by failures: one false positive in `exp(12)`, about 160,000, tests of a route.
 const MIN_SCORE: f64 = 12.0;
@@ -62,7 +62,7 @@
     of_route.or_else(|| Some((String::new(), total_fault(e)?)))
 }
 
-fn route_fault(s: &Sides) -> Option<Fault> {
+fn route_fault(s: &VersionOutcomes) -> Option<Fault> {
     is_significant(failure_score(s), s.new.bad)
         .then(|| failure_fault(s))
         .or_else(|| latency_fault(s))
@@ -72,7 +72,7 @@
 /// failures.
 fn total_fault(e: &Evidence) -> Option<Fault> {
     let total = e.total();
-    let above_chance = |s: &Sides| (failure_score(s) - CHANCE_SCORE).max(0.0);
+    let above_chance = |s: &VersionOutcomes| (failure_score(s) - CHANCE_SCORE).max(0.0);
     let score = e.routes.values().map(above_chance).sum();
     is_significant(score, total.new.bad)
         .then(|| failure_fault(&total))
@@ -84,7 +84,7 @@
         && (score >= MIN_SCORE || (bad >= MANY_FAILURES && score >= MIN_SCORE_OF_MANY))
 }
 
-fn failure_fault(s: &Sides) -> Fault {
+fn failure_fault(s: &VersionOutcomes) -> Fault {
     Fault::Fails { new: (s.new.bad, s.new.ended), old: (s.old.bad, s.old.ended) }
 }
 
@@ -97,7 +97,7 @@
 
 /// Returns the score for a higher failure rate of the new version: the negated logarithm of the bound on
 /// its probability by chance.
-fn failure_score(s: &Sides) -> f64 {
+fn failure_score(s: &VersionOutcomes) -> f64 {
     let expected = max_failure_rate(&s.old);
     let rate = s.new.bad as f64 / s.new.ended.max(1) as f64;
     if rate <= expected {
@@ -114,7 +114,7 @@
 
 /// Tests whether the new version is slower than the old one with its latency classes raised by one, which
 /// is half as long again.
-fn latency_fault(s: &Sides) -> Option<Fault> {
+fn latency_fault(s: &VersionOutcomes) -> Option<Fault> {
     let raised = |n: usize| n.checked_sub(1).map_or(0, |n| u64::from(s.old.slow[n]));
     let old = |n: usize| match n + 1 {
         LATENCY_CLASSES => raised(n) + u64::from(s.old.slow[n]),
