--- a/crates/core/src/fleet/transfer.rs
+++ b/crates/core/src/fleet/transfer.rs
@@ -138,7 +138,7 @@
 
 impl Assembly {
     /// Returns the request for the next part, with the document of version `held` in force.
-    pub fn want(&self, held: Version) -> PartRequest {
+    pub fn next_request(&self, held: Version) -> PartRequest {
         let offset = self.bytes.len() as u64;
         PartRequest { held, version: self.version, digest: self.digest, offset }
     }
@@ -146,7 +146,7 @@
     /// Adds a part, with the document of version `held` in force. The first part of another
     /// document that is not older replaces what has been received. Ignores parts that are out of
     /// order, too old or of a document that is too large.
-    pub fn take(&mut self, held: Version, p: Part) -> PartOutcome {
+    pub fn add(&mut self, held: Version, p: Part) -> PartOutcome {
         if p.version <= held || p.version < self.version || p.total > MAX_PACKED_BYTES {
             return PartOutcome::Ignored;
         }
--- a/crates/core/tests/transfer.rs
+++ b/crates/core/tests/transfer.rs
@@ -38,8 +38,8 @@
     mut part: impl FnMut(&PartRequest) -> Option<Part>,
 ) -> (Vec<u8>, usize) {
     for n in 1.. {
-        let p = part(&a.want(held)).expect("no newer document");
-        if let PartOutcome::Complete(bytes) = a.take(held, p) {
+        let p = part(&a.next_request(held)).expect("no newer document");
+        if let PartOutcome::Complete(bytes) = a.add(held, p) {
             return (bytes, n);
         }
         assert!(n < 10_000, "the transfer does not end");
@@ -117,8 +117,8 @@
     let mut different = PackedDocuments::default();
     different.insert(3, packed(9, 3 * PART_BYTES));
     let mut a = Assembly::default();
-    let first = one.part(&a.want(0)).unwrap();
-    assert_eq!(a.take(0, first), PartOutcome::Incomplete);
+    let first = one.part(&a.next_request(0)).unwrap();
+    assert_eq!(a.add(0, first), PartOutcome::Incomplete);
     let (bytes, parts) = fetch(&mut a, 0, |w| different.part(w));
     assert_eq!((bytes, parts), (packed(9, 3 * PART_BYTES), 3));
 }
@@ -130,8 +130,8 @@
     let mut part = all.part(&PartRequest::default()).unwrap();
     part.bytes[4] ^= 1;
     let mut a = Assembly::default();
-    assert_eq!(a.take(0, part), PartOutcome::Corrupt);
-    assert_eq!(a.want(0).offset, 0, "the transfer restarts");
+    assert_eq!(a.add(0, part), PartOutcome::Corrupt);
+    assert_eq!(a.next_request(0).offset, 0, "the transfer restarts");
 }
 
 /// Fixed, so that every run has the same cases.
@@ -157,7 +157,7 @@
             let want =
                 PartRequest { offset: (part * PART_BYTES) as u64, digest: first.digest, ..whole };
             let p = all[doc].part(&want).unwrap();
-            if let PartOutcome::Complete(bytes) = a.take(held, p) {
+            if let PartOutcome::Complete(bytes) = a.add(held, p) {
                 prop_assert!(version > held);
                 held = version;
                 prop_assert_eq!(&bytes, &packed(version, bytes.len()));
--- a/crates/router/src/gateway/documents.rs
+++ b/crates/router/src/gateway/documents.rs
@@ -60,7 +60,7 @@
     /// process at `address`.
     pub fn part_request(&self, address: SocketAddr) -> Option<PartRequest> {
         let is_source = self.fetch.borrow().is_source(address);
-        is_source.then(|| self.assembly.borrow().want(self.version()))
+        is_source.then(|| self.assembly.borrow().next_request(self.version()))
     }
 
     /// Returns whether a control process has announced a newer document than the one in force here.
@@ -116,7 +116,7 @@
 
 /// Logs that the fetch from a control process was abandoned, and fetches from another one.
 fn replace_source(gw: &Rc<Gateway>, abandoned: AbandonedSource, why: &str) {
-    let has = gw.documents.assembly.borrow().want(0).offset;
+    let has = gw.documents.assembly.borrow().next_request(0).offset;
     emit!(
         Event::DocumentGivenUp,
         from = abandoned.from,
@@ -135,7 +135,7 @@
     let Some(address) = docs.fetch.borrow_mut().choose_source(gw.now(), held, after) else {
         return;
     };
-    let has = docs.assembly.borrow().want(held).offset;
+    let has = docs.assembly.borrow().next_request(held).offset;
     let version = docs.fetch.borrow().version_at(address);
     emit!(Event::DocumentAsked, version = version, from = address, held = held, has = has);
     gw.poll_now(address);
@@ -160,7 +160,7 @@
 fn add_part<F: DocumentFormat>(gw: &Gateway, from: SocketAddr, part: Part) {
     let docs = &gw.documents;
     docs.fetch.borrow_mut().record_progress(gw.now(), from);
-    let outcome = docs.assembly.borrow_mut().take(docs.version(), part);
+    let outcome = docs.assembly.borrow_mut().add(docs.version(), part);
     match outcome {
         PartOutcome::Complete(bytes) => {
             docs.fetch.borrow_mut().finish();
