--- a/crates/control/src/leader_tasks.rs
+++ b/crates/control/src/leader_tasks.rs
@@ -69,8 +69,8 @@
         let followers: BTreeMap<_, _> = self.raft.followers().collect();
         let health = |n: NodeId| {
             let p = followers.get(&n);
-            let silent = p.map_or(Millis(u64::MAX), |p| at.now.since(p.last_response));
-            Health { silent, caught_up: p.is_some_and(|p| p.matched >= committed) }
+            let silent_for = p.map_or(Millis(u64::MAX), |p| at.now.since(p.last_response));
+            Health { silent_for, caught_up: p.is_some_and(|p| p.matched >= committed) }
         };
         let me = self.raft.id();
         let change = next_change(self.raft.members(), me, health, candidates, want);
--- a/crates/core/src/fleet/repair.rs
+++ b/crates/core/src/fleet/repair.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Health {
     /// Time since its last answer.
-    pub silent: Millis,
+    pub silent_for: Millis,
     /// Whether its log contains all committed entries.
     pub caught_up: bool,
 }
@@ -52,7 +52,7 @@
     candidates: &Candidates,
     target_voters: usize,
 ) -> Option<MemberChange> {
-    let answers = |n: NodeId| n == me || health(n).silent < SILENT_AFTER;
+    let answers = |n: NodeId| n == me || health(n).silent_for < SILENT_AFTER;
     let safe = |c: MemberChange| {
         let after = members.with(&c)?;
         after.has_quorum(answers).then_some(c)
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -161,7 +161,7 @@
     }
     let health = |n: NodeId| {
         let lost = silent.contains(&n);
-        Health { silent: Millis(if lost { 10_000 } else { 0 }), caught_up: !lost }
+        Health { silent_for: Millis(if lost { 10_000 } else { 0 }), caught_up: !lost }
     };
     next_change(&members, 1, health, &announced, 5)
 }
@@ -194,7 +194,7 @@
     c.record(Time(0), Announce { node: 4, address: "d:1".into() });
     c.tick(Time(3_000));
     let members = Members::from_voters([(1, "a:1".to_owned())]);
-    let health = |_| Health { silent: Millis(0), caught_up: true };
+    let health = |_| Health { silent_for: Millis(0), caught_up: true };
     assert_eq!(next_change(&members, 1, health, &c, 5), None);
 }
 
