--- a/crates/core/src/fleet/load_shedding.rs
+++ b/crates/core/src/fleet/load_shedding.rs
@@ -40,8 +40,8 @@
     pub busy: bool,
 }
 
-/// The share of answers that omit each busy gateway, and the share of remote gateways that answers
-/// to callers in a busy data centre list.
+/// The share of answers that omit each busy gateway, and the share of remote gateways that are
+/// listed for callers in a busy data centre.
 #[derive(Clone, Debug, Default)]
 pub struct LoadShedding {
     omitted: BTreeMap<String, u64>,
--- a/crates/core/src/fleet/quarantine/mod.rs
+++ b/crates/core/src/fleet/quarantine/mod.rs
@@ -13,8 +13,9 @@
 //!   at [`STRIKES_IF_AMBIGUOUS`] strikes.
 //! - A request that any gateway answers completely is no cause, and gets no strikes for a while.
 //!
-//! The state is replicated, so it survives the loss of every gateway and of power everywhere. A gateway
-//! that reaches no control process uses a local state of the terminations that it detected itself.
+//! The state is replicated, so it survives the loss of all gateways and a power failure of all data
+//! centres. A gateway that reaches no control process uses a local state of the terminations that it
+//! detected itself.
 
 mod attribution;
 mod message;
--- a/crates/core/src/fleet/registry.rs
+++ b/crates/core/src/fleet/registry.rs
@@ -299,7 +299,7 @@
         )
     }
 
-    /// Marks a replica as draining that announced this in a response to another process. Returns
+    /// Marks a replica as draining that announced to a router, in a response, that it leaves. Returns
     /// whether that is new for this incarnation.
     pub fn apply_leaving(&mut self, now: Time, l: &Leaving) -> bool {
         let known = self.get(&l.replica);
--- a/crates/core/src/fleet/rollout/plan.rs
+++ b/crates/core/src/fleet/rollout/plan.rs
@@ -40,7 +40,7 @@
 /// Plans a rollout with the duration `within`, in which a bad version may get `allowed` thousandths of
 /// the requests.
 pub fn plan(within: Millis, allowed: u64) -> Plan {
-    // The planned requests, as milliseconds of all requests.
+    // The planned requests, as the time in milliseconds in which the service receives that many.
     let budget = within.0 * allowed * PLANNED_PERMILLE / 1_000_000;
     let reserved = (within.0 * MOVE_PERMILLE / 1_000).min(budget * MOVE_BUDGET_PERMILLE / 1_000);
     let move_for = reserved.max(MIN_MOVE.0).min(within.0 / 2);
