--- a/crates/core/src/fleet/mod.rs
+++ b/crates/core/src/fleet/mod.rs
@@ -3,6 +3,7 @@
 
 pub mod admission;
 pub mod clocks;
+pub mod completed;
 pub mod connection_loss;
 pub mod contacts;
 pub mod demand;
@@ -15,6 +16,9 @@
 pub mod homes;
 pub mod limit;
 pub mod load_monitor;
+pub mod load_shedding;
+pub mod message_rate;
+pub mod peer;
 pub mod quarantine;
 pub mod regions;
 pub mod registry;
@@ -25,10 +29,6 @@
 pub mod router_directory;
 pub mod router_heartbeats;
 pub mod routes;
-pub mod share;
-pub mod sound;
 pub mod sources;
-pub mod spill;
-pub mod telling;
 pub mod transfer;
 pub mod watch;
