--- a/crates/core/src/raft/election.rs
+++ b/crates/core/src/raft/election.rs
@@ -33,7 +33,7 @@
     /// While this process is busy or suspended, messages queue up unread and the other members only
     /// seem silent. An entry that is slow to apply would otherwise make all members time out their
     /// leader together. A process that is always slow still counts one heartbeat interval per call.
-    pub(super) fn discount_own_pause(&mut self, now: Time) {
+    pub(super) fn exclude_pause_from_timeouts(&mut self, now: Time) {
         let Millis(passed) = now.since(self.last_run);
         self.last_run = self.last_run.max(now);
         let pause = Millis(passed.saturating_sub(self.settings.heartbeat.0));
@@ -64,7 +64,7 @@
     /// Asks the other members whether they would vote for this one, without starting a term.
     fn pre_campaign(&mut self, now: Time) {
         self.role = Role::PreCandidate(BTreeMap::from([(self.id, true)]));
-        let last = self.last();
+        let last = self.last_position();
         let term = self.hard.term + 1;
         for n in self.others() {
             let body = Body::PreVote(last);
@@ -74,7 +74,7 @@
     }
 
     /// Returns the position of the last log entry.
-    fn last(&self) -> Position {
+    fn last_position(&self) -> Position {
         Position { index: self.log.last_index(), term: self.log.last_term() }
     }
 
@@ -119,12 +119,12 @@
         }
         self.hard.term += 1;
         self.hard.vote = Some(self.id);
-        self.save();
+        self.save_hard_state();
         self.leader = None;
         self.last_contact = now;
         self.draw_timeout();
         self.role = Role::Candidate(BTreeMap::from([(self.id, true)]));
-        let last = self.last();
+        let last = self.last_position();
         for n in self.others() {
             self.send(n, Body::Vote(last));
         }
@@ -138,7 +138,7 @@
         let granted = may_vote && self.leader.is_none() && self.log.is_covered_by(last);
         if granted && self.hard.vote.is_none() {
             self.hard.vote = Some(from);
-            self.save();
+            self.save_hard_state();
             self.last_contact = now;
         }
         self.send(from, Body::VoteReply(granted));
@@ -198,7 +198,7 @@
         if term > self.hard.term {
             self.hard.term = term;
             self.hard.vote = None;
-            self.save();
+            self.save_hard_state();
         }
         self.role = Role::Follower;
         self.leader = leader;
--- a/crates/core/src/raft/mod.rs
+++ b/crates/core/src/raft/mod.rs
@@ -223,7 +223,7 @@
 
     /// Handles timeouts that are due at `now`.
     pub fn tick(&mut self, now: Time) {
-        self.discount_own_pause(now);
+        self.exclude_pause_from_timeouts(now);
         match &self.role {
             Role::Outdated => {}
             Role::Rejoining(_) => self.tick_rejoin(now),
@@ -237,7 +237,7 @@
         if matches!(self.role, Role::Outdated) || m.to != self.id {
             return;
         }
-        self.discount_own_pause(now);
+        self.exclude_pause_from_timeouts(now);
         match m.body {
             Body::Rejoin(state) => return self.on_rejoin(m.from, state),
             Body::RejoinReply { boot, accepted } => {
@@ -339,7 +339,7 @@
         self.members().all().filter(|n| *n != self.id).collect()
     }
 
-    fn save(&mut self) {
+    fn save_hard_state(&mut self) {
         self.actions.push(Action::Save(self.hard));
     }
 }
--- a/crates/core/src/raft/rejoin.rs
+++ b/crates/core/src/raft/rejoin.rs
@@ -96,8 +96,8 @@
         let stored = self.peers.get(&from).copied().unwrap_or_default();
         let is_resend = state.boot == stored.boot;
         let newer = state.incarnation > stored.incarnation;
-        let complete = (state.term, state.last) >= (stored.term, stored.last);
-        let accepted = is_resend || (newer && complete);
+        let up_to_date = (state.term, state.last) >= (stored.term, stored.last);
+        let accepted = is_resend || (newer && up_to_date);
         if accepted && !is_resend {
             self.peers.insert(from, state);
             self.actions.push(Action::SavePeer(from, state));
--- a/crates/core/src/raft/replicate.rs
+++ b/crates/core/src/raft/replicate.rs
@@ -18,13 +18,13 @@
         self.log.push(e.clone());
         self.actions.push(Action::Append(vec![e]));
         if changes {
-            self.adopt_members(now);
+            self.update_followers(now);
         }
         index
     }
 
     /// Updates the followers of a leader after a change of the members.
-    fn adopt_members(&mut self, now: Time) {
+    fn update_followers(&mut self, now: Time) {
         let others = self.others();
         let next = self.log.last_index();
         let Role::Leader(l) = &mut self.role else { return };
@@ -133,8 +133,8 @@
         self.actions.push(Action::Append(missing));
     }
 
-    /// Records that a follower has synced entries; advances the commit index and sends it the next
-    /// ones.
+    /// Records that a follower has synced entries, advances the commit index and sends the follower
+    /// the next entries.
     pub(super) fn on_appended(&mut self, now: Time, from: NodeId, matched: Index, round: u64) {
         let Role::Leader(l) = &mut self.role else { return };
         let Some(p) = l.followers.get_mut(&from) else { return };
@@ -156,7 +156,8 @@
         l.followers.get(&n).is_some_and(|p| p.next <= self.log.last_index())
     }
 
-    /// Moves back to the last entry that may match, and probes it with an empty message.
+    /// Moves the follower's next index back to the entry after `hint`, the last one that may match,
+    /// and probes it with an empty message.
     pub(super) fn on_rejected(&mut self, now: Time, from: NodeId, hint: Index, round: u64) {
         let Role::Leader(l) = &mut self.role else { return };
         let Some(p) = l.followers.get_mut(&from) else { return };
