--- a/crates/core/src/config/mod.rs
+++ b/crates/core/src/config/mod.rs
@@ -102,7 +102,7 @@
     /// Applies a change as the next version and returns that version, or rejects it as a whole.
     ///
     /// A resend of an accepted change returns the version that the change created. `spent` returns
-    /// the tokens spent of a budget, below which the change must not reduce it.
+    /// the tokens spent of a budget; a change that would reduce the budget below them is rejected.
     pub fn apply(
         &mut self,
         now: Time,
@@ -120,7 +120,7 @@
             d.check(&spent)?;
             Ok(d)
         });
-        let draft = draft.map_err(|f| self.refusal(f))?;
+        let draft = draft.map_err(|e| self.refusal(e))?;
         let undo = change.items.iter().map(|i| self.inverse(i)).collect();
         *self = draft;
         self.history.push(now, self.version, change.clone(), undo);
@@ -136,8 +136,8 @@
         Err(self.refusal(ConfigError::new(Code::OperationReused, "op", why)))
     }
 
-    fn refusal(&self, f: ConfigError) -> Refusal {
-        Refusal { code: f.code, place: f.place, why: f.why, version: self.version }
+    fn refusal(&self, e: ConfigError) -> Refusal {
+        Refusal { code: e.code, place: e.place, why: e.why, version: self.version }
     }
 
     /// Returns the next version with the items applied and rendered, but without the checks across
--- a/crates/core/src/config/object.rs
+++ b/crates/core/src/config/object.rs
@@ -203,14 +203,14 @@
 )]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
-    /// Moves of a live game, writes of an order.
+    /// Such as moves in a live game or writes of an order.
     Live,
-    /// Hints and stock questions.
+    /// Such as hints or stock queries.
     Prompt,
-    /// Coaching and drafts.
+    /// Such as coaching or drafts.
     #[default]
     Normal,
-    /// Annotation of finished games.
+    /// Such as the annotation of finished games.
     Bulk,
 }
 
--- a/crates/core/src/config/template.rs
+++ b/crates/core/src/config/template.rs
@@ -180,7 +180,7 @@
     values: &BTreeMap<&str, &Value>,
 ) -> Result<Json, ConfigError> {
     match content {
-        Json::String(s) => match whole_placeholder(s) {
+        Json::String(s) => match single_placeholder(s) {
             Some(p) => lookup(place, p, values).cloned(),
             None => substitute_text(place, s, values).map(Json::String),
         },
@@ -194,7 +194,7 @@
 }
 
 /// Returns the parameter name, if the string is a single placeholder.
-fn whole_placeholder(s: &str) -> Option<&str> {
+fn single_placeholder(s: &str) -> Option<&str> {
     let p = s.strip_prefix("${")?.strip_suffix('}')?;
     (!p.contains('}')).then_some(p)
 }
