--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -157,9 +157,9 @@
 
     fn set_outcome(&mut self, now: Time, id: RequestId, stage: Stage) {
         if let Some(c) = self.by_id.get_mut(&id) {
-            let first = matches!(c.stage, Stage::Started { .. });
+            let was_in_progress = matches!(c.stage, Stage::Started { .. });
             c.stage = stage;
-            if first {
+            if was_in_progress {
                 self.outcomes.push_back((now, id));
             }
         }
--- a/crates/core/src/command.rs
+++ b/crates/core/src/command.rs
@@ -25,8 +25,8 @@
         address: String,
         /// Random number drawn when the process started.
         nonce: u64,
-        /// Least time that the process had run when it sent this; its predecessor on the `Vm`
-        /// died before that.
+        /// Minimum time that the process had run when it sent this; its predecessor on the `Vm`
+        /// had died before that time began.
         #[serde(default)]
         age: Millis,
         /// Address for other routers; empty if it has none.
@@ -95,7 +95,7 @@
     Apply(Change),
     /// Adds tokens to a budget.
     TopUp {
-        /// Operation id, which makes a resend harmless.
+        /// Operation id; a resend with the same id is not applied again.
         op: String,
         /// Budget name.
         budget: String,
@@ -104,7 +104,7 @@
     },
     /// Closes a lost holder's lease and frees its unreported tokens, by order of an operator.
     Release {
-        /// Operation id, which makes a resend harmless.
+        /// Operation id; a resend with the same id is not applied again.
         op: String,
         /// The lease.
         lease: LeaseId,
--- a/crates/core/src/hash.rs
+++ b/crates/core/src/hash.rs
@@ -39,7 +39,7 @@
     }
     bytes[16..].copy_from_slice(&address.port().to_be_bytes());
     let mixed = Fnv::new().part(&key.to_be_bytes()).part(&bytes).value();
-    // The last bytes of an FNV hash's input barely reach its high bits.
+    // The last input bytes barely affect the high bits of an FNV hash.
     let mixed = (mixed ^ (mixed >> 32)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     mixed ^ (mixed >> 29)
 }
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -96,14 +96,14 @@
 }
 
 impl Reserves {
-    /// Registers the reserve on `vm` and returns its holder id: `fresh`, or the earlier one if the
-    /// reserve still has its disk and therefore the same `nonce`.
-    pub fn register(&mut self, vm: &str, nonce: u64, fresh: HolderId) -> HolderId {
+    /// Registers the reserve on `vm` and returns its holder id: `new_holder`, or the earlier one if
+    /// the reserve still has its disk and therefore the same `nonce`.
+    pub fn register(&mut self, vm: &str, nonce: u64, new_holder: HolderId) -> HolderId {
         match self.by_vm.get(vm) {
             Some((holder, n)) if *n == nonce => *holder,
             _ => {
-                self.by_vm.insert(vm.to_owned(), (fresh, nonce));
-                fresh
+                self.by_vm.insert(vm.to_owned(), (new_holder, nonce));
+                new_holder
             }
         }
     }
@@ -168,6 +168,6 @@
 
     /// Returns the time since the last heartbeat of `holder`, or since the election if there is none.
     pub fn since_last(&self, now: Time, holder: HolderId) -> Millis {
-        now.since(self.last.get(&holder).map_or(self.since, |s| s.at))
+        now.since(self.last.get(&holder).map_or(self.since, |h| h.at))
     }
 }
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -110,8 +110,8 @@
                 self.register(now, r, *age)
             }
             Command::Enlist { vm, nonce } => {
-                let fresh = HolderId(pos.index);
-                Answer::Registered(self.reserves.register(vm, *nonce, fresh))
+                let new_holder = HolderId(pos.index);
+                Answer::Registered(self.reserves.register(vm, *nonce, new_holder))
             }
             Command::Leave(h) => {
                 self.routers.leave(*h);
@@ -280,7 +280,7 @@
     /// Applies a configuration change and updates the ledger.
     fn apply_change(&mut self, now: Time, change: &Change) -> Answer {
         let before = self.config.version();
-        let spent = |b: &str| self.ledger.get(b).map_or(0, |f| f.spent());
+        let spent = |b: &str| self.ledger.get(b).map_or(0, |s| s.spent());
         let topped_up = |b: &str| self.topped_up.get(b).copied().unwrap_or(0);
         let spent_of_prepaid = |b: &str| spent(b).saturating_sub(topped_up(b));
         let result = self.config.apply(now, change, spent_of_prepaid);
@@ -308,13 +308,13 @@
 
     /// Adds tokens to a budget and returns its new total.
     fn top_up(&mut self, budget: &str, tokens: Tokens) -> Answer {
-        let Some(f) = self.ledger.get(budget) else {
+        let Some(b) = self.ledger.get(budget) else {
             return Answer::Refused(Code::BudgetUnknown);
         };
-        let Some(funded) = f.funded.checked_add(tokens) else {
+        let Some(funded) = b.funded.checked_add(tokens) else {
             return Answer::Refused(Code::ParameterBad);
         };
-        let policy = f.policy;
+        let policy = b.policy;
         *self.topped_up.entry(budget.to_owned()).or_default() += tokens;
         self.ledger.fund(budget, funded, policy);
         Answer::Funded(funded)
@@ -374,8 +374,8 @@
         }
     }
 
-    /// Iterates over the replaced holders whose leases are not written off yet. The time is how long
-    /// the successor had been running when it registered, at least.
+    /// Iterates over the replaced holders whose leases are not written off yet, each with the minimum
+    /// time that its successor had been running when it registered.
     pub fn unsettled_holders(&self) -> impl Iterator<Item = (HolderId, Millis)> {
         self.dead.iter().map(|(holder, age)| (*holder, *age))
     }
@@ -412,36 +412,36 @@
 
     /// Returns the status of all budgets, or of budget `only`.
     pub fn budgets(&self, now: Time, only: Option<&str>) -> Vec<BudgetStatus> {
-        let named = |n: &str| only.is_none_or(|o| o == n);
+        let is_selected = |n: &str| only.is_none_or(|o| o == n);
         self.ledger
             .iter()
-            .filter(|(n, _)| named(n))
+            .filter(|(n, _)| is_selected(n))
             .map(|(n, _)| self.budget_status(now, n))
             .collect()
     }
 
     fn budget_status(&self, now: Time, name: &str) -> BudgetStatus {
-        let f = self.ledger.get(name).cloned().unwrap_or_default();
+        let b = self.ledger.get(name).cloned().unwrap_or_default();
         let client_account = match self.config.object(&ObjectName::budget(name)) {
-            Some(Object::Budget(b)) => b.client_account.clone(),
+            Some(Object::Budget(o)) => o.client_account.clone(),
             _ => String::new(),
         };
         BudgetStatus {
             name: name.to_owned(),
             client_account,
-            funded: f.funded,
-            spent: f.spent(),
-            held: f.open(),
-            stranded: f.stranded(now),
-            free: f.free(),
+            funded: b.funded,
+            spent: b.spent(),
+            held: b.open(),
+            stranded: b.stranded(now),
+            free: b.free(),
             total: self.bills.total(name),
         }
     }
 
     /// Returns the open leases of a budget, none if the budget is unknown.
     pub fn leases(&self, now: Time, budget: &str) -> Vec<LeaseStatus> {
-        let Some(f) = self.ledger.get(budget) else { return Vec::new() };
-        f.leases()
+        let Some(b) = self.ledger.get(budget) else { return Vec::new() };
+        b.leases()
             .map(|(id, l)| LeaseStatus {
                 id: *id,
                 vm: self.holder_name(l.holder),
