--- a/crates/control/src/server/fleet.rs
+++ b/crates/control/src/server/fleet.rs
@@ -88,7 +88,9 @@
                 CallAnswer::Refused(Code::RegistrationBad, why)
             }
             // Acknowledged, because a document that names the service may follow soon.
-            Call::Heartbeat(r) if !self.machine.state().names_service(&r.registration.service) => {
+            Call::Heartbeat(r)
+                if !self.machine.state().declares_service(&r.registration.service) =>
+            {
                 counter!(metric::UNKNOWN_SERVICES).increment(1);
                 let Registration { id, service, .. } = &r.registration;
                 emit!(Event::ServiceUnnamed, replica = id, service = service);
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -209,7 +209,7 @@
         version: &str,
         within: Millis,
     ) -> Answer {
-        if !self.names_service(service) {
+        if !self.declares_service(service) {
             return Answer::Refused(Code::RolloutBad);
         }
         done_or_refused(self.rollouts.start(now, pos, service, version, within))
@@ -342,7 +342,7 @@
 
     /// Returns whether the document in force declares a service; true if no document is in force or
     /// it declares no services.
-    pub fn names_service(&self, service: &str) -> bool {
+    pub fn declares_service(&self, service: &str) -> bool {
         self.published.services.is_empty() || self.published.services.contains(service)
     }
 
