--- a/crates/control/src/leader_tasks.rs
+++ b/crates/control/src/leader_tasks.rs
@@ -76,7 +76,7 @@
         let change = next_change(self.raft.members(), me, health, candidates, want);
         let Some(change) = change else { return };
         // The change is refused while another one is in progress, and tried again later.
-        if self.raft.change(at.now, &change).is_ok() {
+        if self.raft.propose_member_change(at.now, &change).is_ok() {
             emit!(Event::RepairBegun, change = format_args!("{change:?}"));
         }
     }
--- a/crates/control/src/machine/proposals.rs
+++ b/crates/control/src/machine/proposals.rs
@@ -117,7 +117,7 @@
     pub(super) fn change_members(&mut self, at: Moment, order: &MemberOrder, from: T) {
         let changed = member_change(order)
             .map_err(|_| Code::MessageBad)
-            .and_then(|c| self.raft.change(at.now, &c));
+            .and_then(|c| self.raft.propose_member_change(at.now, &c));
         match changed {
             Ok(index) => self.add_pending(at, index, from),
             Err(code) => self.reply(from, Err(code)),
--- a/crates/core/src/raft/mod.rs
+++ b/crates/core/src/raft/mod.rs
@@ -302,7 +302,11 @@
     /// Fails with `NotLeader`, with `MemberChangeBusy` while an earlier change is uncommitted, or
     /// with `MemberBad` if the change does not apply or would promote a learner that has not caught
     /// up.
-    pub fn change(&mut self, now: Time, change: &MemberChange) -> Result<Index, Code> {
+    pub fn propose_member_change(
+        &mut self,
+        now: Time,
+        change: &MemberChange,
+    ) -> Result<Index, Code> {
         let Role::Leader(l) = &self.role else { return Err(Code::NotLeader) };
         if self.log.last_member_change() > self.commit || l.first_index > self.commit {
             return Err(Code::MemberChangeBusy);
