--- a/crates/core/src/fleet/repair.rs
+++ b/crates/core/src/fleet/repair.rs
@@ -54,7 +54,7 @@
 ) -> Option<MemberChange> {
     let answers = |n: NodeId| n == me || health(n).silent < SILENT_AFTER;
     let safe = |c: MemberChange| {
-        let after = members.with(&c)?;
+        let after = members.with_change(&c)?;
         after.has_quorum(answers).then_some(c)
     };
     disk_lost_member(members, candidates)
--- a/crates/core/src/raft/members.rs
+++ b/crates/core/src/raft/members.rs
@@ -65,7 +65,7 @@
 
     /// Returns the members after a change, or `None` if it does not apply to the current members or
     /// would leave no voters.
-    pub fn with(&self, change: &MemberChange) -> Option<Members> {
+    pub fn with_change(&self, change: &MemberChange) -> Option<Members> {
         let mut m = self.clone();
         let changed = match change {
             MemberChange::AddLearner(n, address) => {
--- a/crates/core/src/raft/mod.rs
+++ b/crates/core/src/raft/mod.rs
@@ -317,7 +317,7 @@
                 return Err(Code::MemberBad);
             }
         }
-        let next = self.members().with(change).ok_or(Code::MemberBad)?;
+        let next = self.members().with_change(change).ok_or(Code::MemberBad)?;
         Ok(self.append_entry(now, Payload::Members(next)))
     }
 
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -153,7 +153,7 @@
     let address = |n: NodeId| ADDRESSES[n as usize - 1].to_owned();
     let mut members = Members::from_voters(voters.iter().map(|n| (*n, address(*n))));
     for n in learners {
-        members = members.with(&MemberChange::AddLearner(*n, address(*n))).unwrap();
+        members = members.with_change(&MemberChange::AddLearner(*n, address(*n))).unwrap();
     }
     let mut announced = Candidates::default();
     for (node, address) in candidates {
