--- a/crates/control/src/disk.rs
+++ b/crates/control/src/disk.rs
@@ -7,7 +7,7 @@
 
 use cypressfork_core::code::Code;
 use cypressfork_core::raft::{
-    Entry, HardState, Members, Payload, PeerState, Restored, SnapshotMeta,
+    Entry, HardState, Members, Payload, PeerState, PersistentState, SnapshotMeta,
 };
 use cypressfork_core::unit::{Index, NodeId, Term};
 use cypressfork_node::metric;
@@ -61,7 +61,7 @@
     /// Returns the size of the log in bytes.
     fn log_size(&self) -> u64;
     /// Reopens the storage after a failed sync, and returns the state that is stored.
-    fn reopen(&mut self) -> Result<Restored, Error>;
+    fn reopen(&mut self) -> Result<PersistentState, Error>;
 }
 
 /// The contents of a log after it was compacted into a snapshot.
@@ -152,7 +152,7 @@
 
 /// Applies one record of the log to the restored state. Returns false if the record is malformed or out
 /// of order.
-fn replay(restored: &mut Restored, r: &Record) -> bool {
+fn replay(restored: &mut PersistentState, r: &Record) -> bool {
     fn read<T: DeserializeOwned>(r: &Record) -> Option<T> {
         rmp_serde::from_slice(&r.payload).ok()
     }
@@ -179,9 +179,9 @@
 }
 
 /// Returns the state that the records of a folder's log restore.
-fn replay_all(folder: &Folder, records: &[Record]) -> Result<Restored, Error> {
+fn replay_all(folder: &Folder, records: &[Record]) -> Result<PersistentState, Error> {
     let incarnation = folder.identity().incarnation;
-    let mut restored = Restored { incarnation, ..Restored::default() };
+    let mut restored = PersistentState { incarnation, ..PersistentState::default() };
     for (n, r) in records.iter().enumerate() {
         if !replay(&mut restored, r) {
             return Err(Error::Damaged(format!("record {n} of the log").into(), 0));
@@ -192,7 +192,7 @@
 
 impl Disk {
     /// Opens the folder's log, and returns the state restored from it.
-    pub fn open(folder: Folder) -> Result<(Disk, Restored), Error> {
+    pub fn open(folder: Folder) -> Result<(Disk, PersistentState), Error> {
         let (log, records) = folder.log()?;
         let restored = replay_all(&folder, &records)?;
         Ok((Disk { folder, log }, restored))
@@ -251,7 +251,7 @@
         self.log.size()
     }
 
-    fn reopen(&mut self) -> Result<Restored, Error> {
+    fn reopen(&mut self) -> Result<PersistentState, Error> {
         self.folder.increment_incarnation()?;
         let (mut log, records) = self.folder.log()?;
         let restored = replay_all(&self.folder, &records)?;
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -16,7 +16,7 @@
 use cypressfork_core::member::HolderHeartbeats;
 use cypressfork_core::query::{Identity, Query};
 use cypressfork_core::raft::{
-    Action, Entry, Members, Message, Payload, Raft, Restored, Settings as RaftSettings,
+    Action, Entry, Members, Message, Payload, PersistentState, Raft, Settings as RaftSettings,
     SnapshotMeta,
 };
 use cypressfork_core::state::State;
@@ -95,7 +95,7 @@
         region: &str,
         settings: Settings,
         storage: S,
-        (node, restored): (u64, Restored),
+        (node, restored): (u64, PersistentState),
         seed: u64,
     ) -> Result<Machine<S, T>, Error> {
         let snapshot = restored.snapshot.clone();
@@ -331,7 +331,7 @@
             return Err(Code::MemberBad);
         }
         let meta = SnapshotMeta { index: 0, term: 0, members };
-        let restored = Restored { snapshot: meta.clone(), ..self.raft.restored() };
+        let restored = PersistentState { snapshot: meta.clone(), ..self.raft.persistent_state() };
         self.compacted_log = CompactedLog {
             meta: meta.clone(),
             hard: restored.hard,
--- a/crates/control/src/run.rs
+++ b/crates/control/src/run.rs
@@ -9,7 +9,7 @@
 use cypressfork_core::code::Code;
 use cypressfork_core::fleet::contacts::GroupStatus;
 use cypressfork_core::fleet::regions::Regions;
-use cypressfork_core::raft::Restored;
+use cypressfork_core::raft::PersistentState;
 use cypressfork_http::operators;
 use cypressfork_node::event::Event;
 use cypressfork_node::group::GroupClient;
@@ -54,7 +54,7 @@
 
 /// Opens the data folder, and retries while the disk fails: a process that exits would only be
 /// restarted into the same failure.
-async fn open_disk(s: &Settings) -> Result<(Disk, Restored), Error> {
+async fn open_disk(s: &Settings) -> Result<(Disk, PersistentState), Error> {
     loop {
         let fresh_node = rand::random::<u64>() >> 1;
         let opened = Folder::open(&s.data_folder, &s.base.region, fresh_node).and_then(Disk::open);
--- a/crates/control/tests/support/memory.rs
+++ b/crates/control/tests/support/memory.rs
@@ -6,14 +6,14 @@
 use std::rc::Rc;
 
 use cypressfork_control::disk::{CompactedLog, Storage};
-use cypressfork_core::raft::{Entry, HardState, PeerState, Restored};
+use cypressfork_core::raft::{Entry, HardState, PeerState, PersistentState};
 use cypressfork_core::unit::{Index, NodeId};
 use cypressfork_store::Error;
 
 /// The contents of the disk and its pending failures.
 #[derive(Clone, Debug, Default)]
 pub struct Image {
-    pub state: Restored,
+    pub state: PersistentState,
     pub snapshots: BTreeMap<Index, Vec<u8>>,
     /// Number of syncs before the next one fails, and whether that one still writes its data.
     pub fail_in: Option<(u32, bool)>,
@@ -38,7 +38,7 @@
 
 impl Memory {
     /// Opens the disk as a new process, and returns the restored state.
-    pub fn open(image: &Rc<RefCell<Image>>) -> (Memory, Restored) {
+    pub fn open(image: &Rc<RefCell<Image>>) -> (Memory, PersistentState) {
         image.borrow_mut().state.incarnation += 1;
         image.borrow_mut().fail_in = None;
         let restored = image.borrow().state.clone();
@@ -137,7 +137,7 @@
         0
     }
 
-    fn reopen(&mut self) -> Result<Restored, Error> {
+    fn reopen(&mut self) -> Result<PersistentState, Error> {
         self.pending.clear();
         if self.image.borrow().full {
             return Memory::failed();
--- a/crates/core/examples/embed.rs
+++ b/crates/core/examples/embed.rs
@@ -8,7 +8,9 @@
 use cypressfork_core::budget::{Ledger, Policy, SliceStore};
 use cypressfork_core::claim::{ClaimDecision, ClaimEnd, Claims, Outcome};
 use cypressfork_core::config::{Upstream, Vm};
-use cypressfork_core::raft::{Action, Members, Payload, Raft, Restored, Settings, SnapshotMeta};
+use cypressfork_core::raft::{
+    Action, Members, Payload, PersistentState, Raft, Settings, SnapshotMeta,
+};
 use cypressfork_core::route::{Pool, RequestProfile};
 use cypressfork_core::unit::{HolderId, LeaseId, RequestId, Time};
 use rand::SeedableRng;
@@ -48,7 +50,7 @@
 fn log() {
     let members = Members::from_voters([(1, "127.0.0.1:7001".to_owned())]);
     let snapshot = SnapshotMeta { members, ..SnapshotMeta::default() };
-    let restored = Restored { snapshot, ..Restored::default() };
+    let restored = PersistentState { snapshot, ..PersistentState::default() };
     let mut raft = Raft::new(Time(0), 1, Settings::default(), restored, 1);
     raft.tick(Time(2_000));
     let index = raft.propose(Time(2_000), Payload::Command(Arc::from(&b"hello"[..])));
--- a/crates/core/src/raft/mod.rs
+++ b/crates/core/src/raft/mod.rs
@@ -58,7 +58,7 @@
 
 /// The stored state that a member starts from.
 #[derive(Clone, Debug, Default)]
-pub struct Restored {
+pub struct PersistentState {
     /// Number of times that the data folder was opened, including this time.
     pub incarnation: u64,
     /// The term and vote.
@@ -123,15 +123,21 @@
 
 impl Raft {
     /// Creates a member from its stored state. It has to rejoin its group unless it is alone in it.
-    pub fn new(now: Time, id: NodeId, settings: Settings, found: Restored, seed: u64) -> Raft {
-        let commit = found.snapshot.index;
-        let log = Log::new(found.snapshot, found.entries);
+    pub fn new(
+        now: Time,
+        id: NodeId,
+        settings: Settings,
+        state: PersistentState,
+        seed: u64,
+    ) -> Raft {
+        let commit = state.snapshot.index;
+        let log = Log::new(state.snapshot, state.entries);
         let mut r = Raft {
             id,
             settings,
-            incarnation: found.incarnation,
+            incarnation: state.incarnation,
             boot: 0,
-            hard: found.hard,
+            hard: state.hard,
             synced: log.last_index(),
             commit,
             log,
@@ -140,7 +146,7 @@
             last_contact: now,
             last_run: now,
             election_timeout: settings.election,
-            peers: found.peers,
+            peers: state.peers,
             incoming: None,
             rng: SmallRng::seed_from_u64(seed ^ id),
             actions: Vec::new(),
@@ -166,9 +172,9 @@
         self.leader
     }
 
-    /// Returns the state that a restart would begin with if everything in memory were stored.
-    pub fn restored(&self) -> Restored {
-        Restored {
+    /// Returns the persistent state of this member, including changes that are not stored yet.
+    pub fn persistent_state(&self) -> PersistentState {
+        PersistentState {
             incarnation: self.incarnation,
             hard: self.hard,
             snapshot: self.log.base().clone(),
--- a/crates/core/tests/raft.rs
+++ b/crates/core/tests/raft.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use cypressfork_core::raft::{
-    Action, Append, Body, Entry, HardState, Members, Message, Payload, PeerState, Position, Raft,
-    Restored, Settings, SnapshotMeta,
+    Action, Append, Body, Entry, HardState, Members, Message, Payload, PeerState, PersistentState,
+    Position, Raft, Settings, SnapshotMeta,
 };
 use cypressfork_core::unit::{NodeId, Term, Time};
 use rstest::rstest;
@@ -29,7 +29,8 @@
     let entries = terms.iter().enumerate().map(|(n, t)| entry(*t, n as u64 + 1)).collect();
     let snapshot = SnapshotMeta { members: members(), ..SnapshotMeta::default() };
     let hard = HardState { term, vote: None };
-    let restored = Restored { incarnation: 1, hard, snapshot, entries, ..Restored::default() };
+    let restored =
+        PersistentState { incarnation: 1, hard, snapshot, entries, ..PersistentState::default() };
     let mut r = Raft::new(Time(0), 1, Settings::default(), restored, 1);
     let boot = r.take_actions().iter().find_map(|a| match a {
         Action::Send(Message { body: Body::Rejoin(PeerState { boot, .. }), .. }) => Some(*boot),
