--- a/crates/control/src/leader_tasks.rs
+++ b/crates/control/src/leader_tasks.rs
@@ -91,7 +91,7 @@
             return;
         }
         self.leader_tasks.next_write_off = at.now.after(WRITE_OFF_INTERVAL);
-        let dead: Vec<_> = self.state.unsettled_holders().collect();
+        let dead: Vec<_> = self.state.holders_to_write_off().collect();
         for (holder, age) in dead {
             let reports = self.state.ledger().last_reports(holder);
             // The holder has spent nothing since its successor started, which is at least `age` ago.
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -376,7 +376,7 @@
 
     /// Iterates over the replaced holders whose leases are not written off yet, each with the minimum
     /// time that its successor had been running when it registered.
-    pub fn unsettled_holders(&self) -> impl Iterator<Item = (HolderId, Millis)> {
+    pub fn holders_to_write_off(&self) -> impl Iterator<Item = (HolderId, Millis)> {
         self.dead.iter().map(|(holder, age)| (*holder, *age))
     }
 
--- a/crates/core/tests/bound.rs
+++ b/crates/core/tests/bound.rs
@@ -246,7 +246,7 @@
     let write_off = Command::WriteOff { holder: old, elapsed };
     apply(&write_off);
     apply(&write_off);
-    assert_eq!(state.unsettled_holders().count(), 0);
+    assert_eq!(state.holders_to_write_off().count(), 0);
     let f = state.ledger().get(BUDGET).unwrap();
     assert_eq!((f.spent(), f.open(), f.free()), (23_000, 0, TOTAL - 23_000));
 }
@@ -266,7 +266,7 @@
         };
         state.apply(Time(index), LeaseId { term: 1, index }, &c);
     }
-    assert_eq!(state.unsettled_holders().collect::<Vec<_>>(), [(HolderId(1), Millis(700))]);
+    assert_eq!(state.holders_to_write_off().collect::<Vec<_>>(), [(HolderId(1), Millis(700))]);
 }
 
 /// Whether a report and its answer arrive.
