--- a/crates/core/src/raft/election.rs
+++ b/crates/core/src/raft/election.rs
@@ -14,7 +14,7 @@
 
 impl Raft {
     /// Sets a random election timeout between one and two times the configured minimum.
-    pub(super) fn draw_timeout(&mut self) {
+    pub(super) fn draw_election_timeout(&mut self) {
         let min = self.settings.election.0;
         self.election_timeout = Millis(self.rng.random_range(min..min * 2));
     }
@@ -55,7 +55,7 @@
         }
         self.last_contact = now;
         self.leader = None;
-        self.draw_timeout();
+        self.draw_election_timeout();
         if self.is_voter() {
             self.pre_campaign(now);
         }
@@ -122,7 +122,7 @@
         self.save_hard_state();
         self.leader = None;
         self.last_contact = now;
-        self.draw_timeout();
+        self.draw_election_timeout();
         self.role = Role::Candidate(BTreeMap::from([(self.id, true)]));
         let last = self.last_position();
         for n in self.others() {
@@ -203,11 +203,11 @@
         self.role = Role::Follower;
         self.leader = leader;
         self.last_contact = now;
-        self.draw_timeout();
+        self.draw_election_timeout();
     }
 
     /// Records contact from `leader`, the leader of this term, and follows it.
-    pub(super) fn follow(&mut self, now: Time, leader: NodeId) {
+    pub(super) fn follow_leader(&mut self, now: Time, leader: NodeId) {
         self.last_contact = now;
         self.leader = Some(leader);
         if !matches!(self.role, Role::Follower) {
--- a/crates/core/src/raft/mod.rs
+++ b/crates/core/src/raft/mod.rs
@@ -152,7 +152,7 @@
             actions: Vec::new(),
         };
         r.boot = r.rng.random();
-        r.draw_timeout();
+        r.draw_election_timeout();
         r.begin_rejoin(now);
         r
     }
@@ -273,13 +273,13 @@
             Body::Vote(last) => self.on_vote(now, from, last),
             Body::VoteReply(granted) => self.on_vote_reply(now, from, granted),
             Body::Append(a) => {
-                self.follow(now, from);
+                self.follow_leader(now, from);
                 self.on_append(from, a);
             }
             Body::Appended { matched, round } => self.on_appended(now, from, matched, round),
             Body::Rejected { hint, round } => self.on_rejected(now, from, hint, round),
             Body::Snapshot(chunk) => {
-                self.follow(now, from);
+                self.follow_leader(now, from);
                 self.on_snapshot(from, chunk);
             }
             Body::SnapshotReply { index, offset, done } => {
--- a/crates/core/src/raft/read.rs
+++ b/crates/core/src/raft/read.rs
@@ -1,7 +1,8 @@
 //! Linearizable reads, confirmed by a quorum.
 //!
-//! A read uses the state at the commit index of its arrival. It waits for responses from a quorum to
-//! messages sent after its arrival, which prove that no other leader had committed anything by then.
+//! A read returns the state as of the commit index when it arrived, or a later state. It waits for
+//! responses from a quorum to messages sent after its arrival, which prove that no other leader had
+//! committed anything by then.
 
 use std::collections::VecDeque;
 
