--- a/crates/core/src/fleet/homes.rs
+++ b/crates/core/src/fleet/homes.rs
@@ -9,7 +9,7 @@
 use std::cmp::Reverse;
 use std::net::SocketAddr;
 
-use crate::hash::{Fnv, rendezvous};
+use crate::hash::{Fnv, rendezvous_rank};
 
 /// Minimum number of routers in a data centre for budgets to have homes there. With fewer, each router
 /// holds its own slices.
@@ -24,7 +24,7 @@
 /// Returns the candidates for homes of a budget, best rank first, by rendezvous hashing of its name.
 pub fn home_candidates(budget: &str, routers: &[SocketAddr]) -> Vec<SocketAddr> {
     let key = Fnv::new().part(budget.as_bytes()).value();
-    let mut all: Vec<_> = routers.iter().map(|a| (Reverse(rendezvous(key, *a)), *a)).collect();
+    let mut all: Vec<_> = routers.iter().map(|a| (Reverse(rendezvous_rank(key, *a)), *a)).collect();
     all.sort_unstable();
     all.into_iter().take(MAX_CANDIDATES).map(|(_, a)| a).collect()
 }
@@ -53,6 +53,6 @@
 /// Returns the index among `n` items at which router `own` starts, a hash of its address that spreads
 /// routers evenly; 0 if `n` is 0.
 pub fn start_index(own: SocketAddr, n: usize) -> usize {
-    let hash = rendezvous(0, own) as usize;
+    let hash = rendezvous_rank(0, own) as usize;
     hash.checked_rem(n).unwrap_or(0)
 }
--- a/crates/core/src/fleet/sources.rs
+++ b/crates/core/src/fleet/sources.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use crate::hash::rendezvous;
+use crate::hash::rendezvous_rank;
 use crate::unit::{Millis, Time};
 
 /// Number of sources per router.
@@ -128,7 +128,7 @@
                 usable.then_some(self.nearness(a)),
                 usable && is_selected,
                 answers,
-                rendezvous(self.key, *a),
+                rendezvous_rank(self.key, *a),
             )
         };
         let mut all: Vec<_> = self.contacts.keys().copied().collect();
--- a/crates/core/src/hash.rs
+++ b/crates/core/src/hash.rs
@@ -31,7 +31,7 @@
 
 /// Returns the rank of an address for a key, by rendezvous hashing. The address with the highest
 /// rank is the key's home, so removing an address moves only the keys that it was home of.
-pub(crate) fn rendezvous(key: u64, address: SocketAddr) -> u64 {
+pub(crate) fn rendezvous_rank(key: u64, address: SocketAddr) -> u64 {
     let mut bytes = [0; 18];
     match address {
         SocketAddr::V4(a) => bytes[..4].copy_from_slice(&a.ip().octets()),
--- a/crates/core/src/route/ring.rs
+++ b/crates/core/src/route/ring.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeSet;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-use crate::hash::rendezvous;
+use crate::hash::rendezvous_rank;
 
 /// Positions that a key probes. With 21 the busiest of 140 replicas gets 1.2 times the mean of
 /// 20,000 keys; with one it gets 5 times (`homes_are_spread_evenly`).
@@ -28,7 +28,7 @@
 impl Ring {
     /// Adds a replica if `present`, and removes it otherwise.
     pub(super) fn set(&mut self, address: SocketAddr, present: bool) {
-        let point = (rendezvous(0, address), address);
+        let point = (rendezvous_rank(0, address), address);
         match present {
             true => self.points.insert(point),
             false => self.points.remove(&point),
