--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -260,7 +260,7 @@
             self.store_action(a)?;
         }
         self.storage.sync()?;
-        self.raft.synced(at.now, self.raft.log().last_index());
+        self.raft.record_synced(at.now, self.raft.log().last_index());
         for a in actions {
             self.perform_action(at, a)?;
         }
--- a/crates/core/examples/embed.rs
+++ b/crates/core/examples/embed.rs
@@ -55,7 +55,7 @@
     raft.tick(Time(2_000));
     let index = raft.propose(Time(2_000), Payload::Command(Arc::from(&b"hello"[..])));
     let stored = raft.take_actions().iter().filter(|a| matches!(a, Action::Append(_))).count();
-    raft.synced(Time(2_001), raft.log().last_index());
+    raft.record_synced(Time(2_001), raft.log().last_index());
     println!("log: {stored} appends stored, {index:?} proposed, committed {}", raft.committed());
 }
 
--- a/crates/core/src/raft/message.rs
+++ b/crates/core/src/raft/message.rs
@@ -131,7 +131,7 @@
 ///
 /// The caller stores [`Action::Save`], [`Action::SavePeer`], [`Action::Truncate`],
 /// [`Action::Append`] and [`Action::Install`] in order and syncs them before it sends any message of
-/// the same batch; then it calls [`super::Raft::synced`].
+/// the same batch; then it calls [`super::Raft::record_synced`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Store the term and vote.
--- a/crates/core/src/raft/mod.rs
+++ b/crates/core/src/raft/mod.rs
@@ -328,7 +328,7 @@
     }
 
     /// Records that the log up to index `upto`, and everything that earlier actions store, is synced.
-    pub fn synced(&mut self, now: Time, upto: Index) {
+    pub fn record_synced(&mut self, now: Time, upto: Index) {
         self.synced = upto.min(self.log.last_index());
         if self.is_leader() {
             self.advance_commit(now);
--- a/crates/core/tests/raft.rs
+++ b/crates/core/tests/raft.rs
@@ -105,7 +105,7 @@
 #[test]
 fn an_earlier_terms_entry_is_committed_only_with_one_of_its_own() {
     let mut r = leader(3, &[1, 2]);
-    r.synced(Time(5_000), 3);
+    r.record_synced(Time(5_000), 3);
     r.step(Time(5_001), message(2, 4, Body::Appended { matched: 2, round: 0 }));
     assert_eq!(r.committed(), 0, "entry 2 is on a quorum but has term 2");
     r.step(Time(5_002), message(2, 4, Body::Appended { matched: 3, round: 0 }));
@@ -116,13 +116,13 @@
 #[test]
 fn a_leader_counts_its_own_entry_once_it_is_synced() {
     let mut r = leader(0, &[]);
-    r.synced(Time(5_000), 1);
+    r.record_synced(Time(5_000), 1);
     r.step(Time(5_001), message(2, 1, Body::Appended { matched: 1, round: 0 }));
     assert_eq!(r.committed(), 1);
     let index = r.propose(Time(5_002), entry(1, 2).payload).unwrap();
     r.step(Time(5_003), message(2, 1, Body::Appended { matched: index, round: 0 }));
     assert_eq!(r.committed(), 1, "one synced copy out of three");
-    r.synced(Time(5_004), index);
+    r.record_synced(Time(5_004), index);
     assert_eq!(r.committed(), index);
 }
 
@@ -136,7 +136,7 @@
 #[test]
 fn a_read_waits_for_a_quorums_word_given_after_it() {
     let mut r = leader(0, &[]);
-    r.synced(Time(5_000), 1);
+    r.record_synced(Time(5_000), 1);
     r.step(Time(5_001), message(2, 1, Body::Appended { matched: 1, round: 0 }));
     r.take_actions();
     r.read(7).unwrap();
@@ -168,7 +168,7 @@
     r.read(7).unwrap();
     r.step(Time(5_001), message(2, 4, Body::Appended { matched: 0, round: 1 }));
     assert!(!read_is_ready(&mut r, 7));
-    r.synced(Time(5_002), 3);
+    r.record_synced(Time(5_002), 3);
     r.step(Time(5_002), message(2, 4, Body::Appended { matched: 3, round: 1 }));
     assert!(read_is_ready(&mut r, 7));
 }
