--- a/crates/core/src/fleet/fingerprint.rs
+++ b/crates/core/src/fleet/fingerprint.rs
@@ -31,8 +31,8 @@
         let length = (self.body.len() as u64).to_be_bytes();
         let account = self.account.unwrap_or_default();
         let parts = [account, self.method, self.host, self.path];
-        let hash = parts.iter().fold(Fnv::new(), |h, part| h.part(part.as_bytes()));
-        hash.part(&length).value()
+        let hash = parts.iter().fold(Fnv::new(), |h, part| h.add_part(part.as_bytes()));
+        hash.add_part(&length).finish()
     }
 }
 
--- a/crates/core/src/fleet/homes.rs
+++ b/crates/core/src/fleet/homes.rs
@@ -23,7 +23,7 @@
 
 /// Returns the candidates for homes of a budget, best rank first, by rendezvous hashing of its name.
 pub fn home_candidates(budget: &str, routers: &[SocketAddr]) -> Vec<SocketAddr> {
-    let key = Fnv::new().part(budget.as_bytes()).value();
+    let key = Fnv::new().add_part(budget.as_bytes()).finish();
     let mut all: Vec<_> = routers.iter().map(|a| (Reverse(rendezvous_rank(key, *a)), *a)).collect();
     all.sort_unstable();
     all.into_iter().take(MAX_CANDIDATES).map(|(_, a)| a).collect()
--- a/crates/core/src/fleet/neighbours.rs
+++ b/crates/core/src/fleet/neighbours.rs
@@ -29,7 +29,7 @@
 /// across processes and releases.
 pub fn digest(areas: &[DataCentreRouters]) -> u64 {
     let links = areas.iter().flat_map(|a| &a.links);
-    links.fold(Fnv::new(), |h, l| h.part(l.as_bytes())).value()
+    links.fold(Fnv::new(), |h, l| h.add_part(l.as_bytes())).finish()
 }
 
 /// The routers of all data centres, as known to one control process.
--- a/crates/core/src/fleet/rollout/split.rs
+++ b/crates/core/src/fleet/rollout/split.rs
@@ -69,7 +69,7 @@
 
 /// Returns the hash of an id, reduced to a number below 1,000.
 pub fn request_permille(id: &str) -> u64 {
-    Fnv::new().part(id.as_bytes()).value() % PERMILLE
+    Fnv::new().add_part(id.as_bytes()).finish() % PERMILLE
 }
 
 /// Returns the side of the replica `id`, which runs `version`.
--- a/crates/core/src/fleet/routes.rs
+++ b/crates/core/src/fleet/routes.rs
@@ -104,5 +104,5 @@
 
 /// Returns a number derived from a request's id, the same for every attempt.
 pub fn request_hash(id: &str) -> u64 {
-    Fnv::new().part(id.as_bytes()).value()
+    Fnv::new().add_part(id.as_bytes()).finish()
 }
--- a/crates/core/src/fleet/spill.rs
+++ b/crates/core/src/fleet/spill.rs
@@ -85,7 +85,7 @@
     /// Returns whether answer number `n` omits the gateway `vm`.
     pub fn omits(&self, vm: &str, n: u64) -> bool {
         let Some(share) = self.omitted.get(vm) else { return false };
-        Fnv::new().part(vm.as_bytes()).part(&n.to_be_bytes()).value() % FULL_SHARE < *share
+        Fnv::new().add_part(vm.as_bytes()).add_part(&n.to_be_bytes()).finish() % FULL_SHARE < *share
     }
 
     /// Returns how many of `others` gateways of other data centres to list for a caller in
--- a/crates/core/src/fleet/transfer.rs
+++ b/crates/core/src/fleet/transfer.rs
@@ -61,7 +61,7 @@
 
 /// Returns the digest of packed bytes, which must be the same in every process and release.
 fn digest(bytes: &[u8]) -> u64 {
-    Fnv::new().part(bytes).value()
+    Fnv::new().add_part(bytes).finish()
 }
 
 /// The packed documents that a control process serves.
--- a/crates/core/src/fleet/watch.rs
+++ b/crates/core/src/fleet/watch.rs
@@ -37,7 +37,7 @@
 /// Returns the digest of a list of control process addresses, which must be the same in every
 /// process and release.
 pub fn controls_digest(controls: &[String]) -> u64 {
-    controls.iter().fold(Fnv::new(), |h, a| h.part(a.as_bytes())).value()
+    controls.iter().fold(Fnv::new(), |h, a| h.add_part(a.as_bytes())).finish()
 }
 
 /// The addresses of a router and whether it accepts callers.
--- a/crates/core/src/hash.rs
+++ b/crates/core/src/hash.rs
@@ -14,17 +14,17 @@
     }
 
     /// Adds a part and a separator, so that the boundaries between parts affect the hash.
-    pub(crate) fn part(self, bytes: &[u8]) -> Fnv {
-        bytes.iter().chain(&[0xff]).fold(self, |h, b| h.byte(*b))
+    pub(crate) fn add_part(self, bytes: &[u8]) -> Fnv {
+        bytes.iter().chain(&[0xff]).fold(self, |h, b| h.add_byte(*b))
     }
 
     /// Adds a byte.
-    pub(crate) fn byte(self, b: u8) -> Fnv {
+    pub(crate) fn add_byte(self, b: u8) -> Fnv {
         Fnv((self.0 ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01b3))
     }
 
     /// Returns the hash of the bytes added.
-    pub(crate) fn value(self) -> u64 {
+    pub(crate) fn finish(self) -> u64 {
         self.0
     }
 }
@@ -38,7 +38,7 @@
         SocketAddr::V6(a) => bytes[..16].copy_from_slice(&a.ip().octets()),
     }
     bytes[16..].copy_from_slice(&address.port().to_be_bytes());
-    let mixed = Fnv::new().part(&key.to_be_bytes()).part(&bytes).value();
+    let mixed = Fnv::new().add_part(&key.to_be_bytes()).add_part(&bytes).finish();
     // The last input bytes barely affect the high bits of an FNV hash.
     let mixed = (mixed ^ (mixed >> 32)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     mixed ^ (mixed >> 29)
--- a/crates/core/src/query.rs
+++ b/crates/core/src/query.rs
@@ -72,10 +72,10 @@
 /// releases.
 pub fn sites_digest(sites: &[Site]) -> u64 {
     let add = |h: Fnv, s: &Site| {
-        let h = h.part(s.vm.as_bytes()).part(s.data_centre.as_bytes());
-        h.part(s.address.as_bytes()).byte(u8::from(s.usable))
+        let h = h.add_part(s.vm.as_bytes()).add_part(s.data_centre.as_bytes());
+        h.add_part(s.address.as_bytes()).add_byte(u8::from(s.usable))
     };
-    sites.iter().fold(Fnv::new(), add).value()
+    sites.iter().fold(Fnv::new(), add).finish()
 }
 
 /// Changes for a router since its last watch.
--- a/crates/core/src/route/prefix.rs
+++ b/crates/core/src/route/prefix.rs
@@ -31,9 +31,9 @@
         let (mut hash, mut size) = (Fnv::new(), 0);
         let mut steps = Vec::new();
         for part in parts {
-            hash = hash.part(part);
+            hash = hash.add_part(part);
             size += part.len() as u64;
-            steps.push((hash.value(), size));
+            steps.push((hash.finish(), size));
         }
         PromptPrefixes { steps }
     }
@@ -43,9 +43,9 @@
         let (mut hash, mut size) = (Fnv::new(), 0);
         let mut steps = Vec::new();
         for (id, tokens) in parts {
-            hash = hash.part(&id.to_be_bytes());
+            hash = hash.add_part(&id.to_be_bytes());
             size += tokens;
-            steps.push((hash.value(), size));
+            steps.push((hash.finish(), size));
         }
         PromptPrefixes { steps }
     }
