--- a/crates/control/src/leader_tasks.rs
+++ b/crates/control/src/leader_tasks.rs
@@ -76,7 +76,7 @@
         let change = next_change(self.raft.members(), me, health, candidates, want);
         let Some(change) = change else { return };
         // The change is refused while another one is in progress, and tried again later.
-        if self.raft.change(at.now, &change).is_ok() {
+        if self.raft.propose_member_change(at.now, &change).is_ok() {
             emit!(Event::RepairBegun, change = format_args!("{change:?}"));
         }
     }
@@ -91,7 +91,7 @@
             return;
         }
         self.leader_tasks.next_write_off = at.now.after(WRITE_OFF_INTERVAL);
-        let dead: Vec<_> = self.state.unsettled_holders().collect();
+        let dead: Vec<_> = self.state.holders_to_write_off().collect();
         for (holder, age) in dead {
             let reports = self.state.ledger().last_reports(holder);
             // The holder has spent nothing since its successor started, which is at least `age` ago.
--- a/crates/core/src/fleet/routes.rs
+++ b/crates/core/src/fleet/routes.rs
@@ -105,5 +105,5 @@
 
 /// Returns the hash of a request's id, which is the same for every attempt of the request.
 pub fn request_hash(id: &str) -> u64 {
-    Fnv::new().part(id.as_bytes()).value()
+    Fnv::new().add_part(id.as_bytes()).finish()
 }
--- a/crates/core/src/raft/mod.rs
+++ b/crates/core/src/raft/mod.rs
@@ -58,7 +58,7 @@
 
 /// The stored state that a member starts from.
 #[derive(Clone, Debug, Default)]
-pub struct Restored {
+pub struct PersistentState {
     /// Number of times that the data folder was opened, including this time.
     pub incarnation: u64,
     /// The term and vote.
@@ -123,15 +123,21 @@
 
 impl Raft {
     /// Creates a member from its stored state. It has to rejoin its group unless it is alone in it.
-    pub fn new(now: Time, id: NodeId, settings: Settings, found: Restored, seed: u64) -> Raft {
-        let commit = found.snapshot.index;
-        let log = Log::new(found.snapshot, found.entries);
+    pub fn new(
+        now: Time,
+        id: NodeId,
+        settings: Settings,
+        state: PersistentState,
+        seed: u64,
+    ) -> Raft {
+        let commit = state.snapshot.index;
+        let log = Log::new(state.snapshot, state.entries);
         let mut r = Raft {
             id,
             settings,
-            incarnation: found.incarnation,
+            incarnation: state.incarnation,
             boot: 0,
-            hard: found.hard,
+            hard: state.hard,
             synced: log.last_index(),
             commit,
             log,
@@ -140,13 +146,13 @@
             last_contact: now,
             last_run: now,
             election_timeout: settings.election,
-            peers: found.peers,
+            peers: state.peers,
             incoming: None,
             rng: SmallRng::seed_from_u64(seed ^ id),
             actions: Vec::new(),
         };
         r.boot = r.rng.random();
-        r.draw_timeout();
+        r.draw_election_timeout();
         r.begin_rejoin(now);
         r
     }
@@ -166,9 +172,9 @@
         self.leader
     }
 
-    /// Returns the state that a restart would begin with if everything in memory were stored.
-    pub fn restored(&self) -> Restored {
-        Restored {
+    /// Returns the persistent state of this member, including changes that are not stored yet.
+    pub fn persistent_state(&self) -> PersistentState {
+        PersistentState {
             incarnation: self.incarnation,
             hard: self.hard,
             snapshot: self.log.base().clone(),
@@ -223,7 +229,7 @@
 
     /// Handles timeouts that are due at `now`.
     pub fn tick(&mut self, now: Time) {
-        self.discount_own_pause(now);
+        self.exclude_pause_from_timeouts(now);
         match &self.role {
             Role::Outdated => {}
             Role::Rejoining(_) => self.tick_rejoin(now),
@@ -237,7 +243,7 @@
         if matches!(self.role, Role::Outdated) || m.to != self.id {
             return;
         }
-        self.discount_own_pause(now);
+        self.exclude_pause_from_timeouts(now);
         match m.body {
             Body::Rejoin(state) => return self.on_rejoin(m.from, state),
             Body::RejoinReply { boot, accepted } => {
@@ -267,13 +273,13 @@
             Body::Vote(last) => self.on_vote(now, from, last),
             Body::VoteReply(granted) => self.on_vote_reply(now, from, granted),
             Body::Append(a) => {
-                self.follow(now, from);
+                self.follow_leader(now, from);
                 self.on_append(from, a);
             }
             Body::Appended { matched, round } => self.on_appended(now, from, matched, round),
             Body::Rejected { hint, round } => self.on_rejected(now, from, hint, round),
             Body::Snapshot(chunk) => {
-                self.follow(now, from);
+                self.follow_leader(now, from);
                 self.on_snapshot(from, chunk);
             }
             Body::SnapshotReply { index, offset, done } => {
@@ -302,7 +308,11 @@
     /// Fails with `NotLeader`, with `MemberChangeBusy` while an earlier change is uncommitted, or
     /// with `MemberBad` if the change does not apply or would promote a learner that has not caught
     /// up.
-    pub fn change(&mut self, now: Time, change: &MemberChange) -> Result<Index, Code> {
+    pub fn propose_member_change(
+        &mut self,
+        now: Time,
+        change: &MemberChange,
+    ) -> Result<Index, Code> {
         let Role::Leader(l) = &self.role else { return Err(Code::NotLeader) };
         if self.log.last_member_change() > self.commit || l.first_index > self.commit {
             return Err(Code::MemberChangeBusy);
@@ -313,12 +323,12 @@
                 return Err(Code::MemberBad);
             }
         }
-        let next = self.members().with(change).ok_or(Code::MemberBad)?;
+        let next = self.members().with_change(change).ok_or(Code::MemberBad)?;
         Ok(self.append_entry(now, Payload::Members(next)))
     }
 
     /// Records that the log up to index `upto`, and everything that earlier actions store, is synced.
-    pub fn synced(&mut self, now: Time, upto: Index) {
+    pub fn record_synced(&mut self, now: Time, upto: Index) {
         self.synced = upto.min(self.log.last_index());
         if self.is_leader() {
             self.advance_commit(now);
@@ -339,7 +349,7 @@
         self.members().all().filter(|n| *n != self.id).collect()
     }
 
-    fn save(&mut self) {
+    fn save_hard_state(&mut self) {
         self.actions.push(Action::Save(self.hard));
     }
 }
--- a/crates/core/src/route/ring.rs
+++ b/crates/core/src/route/ring.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeSet;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-use crate::hash::rendezvous;
+use crate::hash::rendezvous_rank;
 
 /// Positions that a key probes. More probes spread the keys more evenly, and take longer.
 const PROBES: u64 = 21;
@@ -26,7 +26,7 @@
 impl Ring {
     /// Adds a replica if `present`, and removes it otherwise.
     pub(super) fn set(&mut self, address: SocketAddr, present: bool) {
-        let point = (rendezvous(0, address), address);
+        let point = (rendezvous_rank(0, address), address);
         match present {
             true => self.points.insert(point),
             false => self.points.remove(&point),
