--- a/crates/control/src/disk.rs
+++ b/crates/control/src/disk.rs
@@ -26,7 +26,7 @@
     pub(super) const BASE: u8 = 5;
 }
 
-/// Returns the result code of an error of the data folder.
+/// Returns the result code for an error of the data folder.
 fn code(e: &Error) -> Code {
     match e {
         Error::InUse(_) => Code::FolderInUse,
@@ -38,7 +38,7 @@
 }
 
 /// Returns the failure with which a process ends if its data folder cannot be used.
-pub(crate) fn disk_failed(e: Error) -> Failure {
+pub(crate) fn disk_failure(e: Error) -> Failure {
     (code(&e), format!("CF{}: {e}", code(&e).number()))
 }
 
@@ -47,7 +47,7 @@
     /// Appends the term and vote.
     fn append_hard_state(&mut self, h: HardState);
     /// Appends the state that is kept of another member.
-    fn append_peer_state(&mut self, node: NodeId, m: PeerState);
+    fn append_peer_state(&mut self, node: NodeId, p: PeerState);
     /// Appends log entries.
     fn append_entries(&mut self, entries: &[Entry]);
     /// Appends the removal of the entries from index `from` on.
@@ -84,7 +84,7 @@
 }
 
 #[derive(Serialize, Deserialize)]
-struct HardRecord {
+struct HardStateRecord {
     term: Term,
     vote: Option<NodeId>,
 }
@@ -98,7 +98,7 @@
 }
 
 #[derive(Serialize, Deserialize)]
-struct MarkRecord {
+struct PeerStateRecord {
     node: NodeId,
     incarnation: u64,
     boot: u64,
@@ -118,13 +118,13 @@
     Record { kind, payload }
 }
 
-fn hard_record(h: HardState) -> Record {
-    record(kind::HARD_STATE, &HardRecord { term: h.term, vote: h.vote })
+fn hard_state_record(h: HardState) -> Record {
+    record(kind::HARD_STATE, &HardStateRecord { term: h.term, vote: h.vote })
 }
 
-fn peer_record(node: NodeId, m: &PeerState) -> Record {
-    let PeerState { incarnation, boot, term, last } = *m;
-    record(kind::PEER_STATE, &MarkRecord { node, incarnation, boot, term, last })
+fn peer_state_record(node: NodeId, p: &PeerState) -> Record {
+    let PeerState { incarnation, boot, term, last } = *p;
+    record(kind::PEER_STATE, &PeerStateRecord { node, incarnation, boot, term, last })
 }
 
 fn entry_record(e: &Entry) -> Record {
@@ -158,15 +158,15 @@
     }
     let next = restored.entries.last().map_or(restored.snapshot.index, |e| e.index) + 1;
     let applied = match r.kind {
-        kind::HARD_STATE => read(r).map(|h: HardRecord| {
+        kind::HARD_STATE => read(r).map(|h: HardStateRecord| {
             restored.hard = HardState { term: h.term, vote: h.vote };
         }),
         kind::ENTRY => read(r)
             .filter(|e: &EntryRecord| e.index == next)
             .map(|e| restored.entries.push(entry(e))),
         kind::TRUNCATE => read(r).map(|from: Index| restored.entries.retain(|e| e.index < from)),
-        kind::PEER_STATE => read(r).map(|m: MarkRecord| {
-            let MarkRecord { node, incarnation, boot, term, last } = m;
+        kind::PEER_STATE => read(r).map(|p: PeerStateRecord| {
+            let PeerStateRecord { node, incarnation, boot, term, last } = p;
             restored.peers.insert(node, PeerState { incarnation, boot, term, last });
         }),
         kind::BASE => read(r).map(|b: BaseRecord| {
@@ -210,11 +210,11 @@
 
 impl Storage for Disk {
     fn append_hard_state(&mut self, h: HardState) {
-        self.append(&hard_record(h));
+        self.append(&hard_state_record(h));
     }
 
-    fn append_peer_state(&mut self, node: NodeId, m: PeerState) {
-        self.append(&peer_record(node, &m));
+    fn append_peer_state(&mut self, node: NodeId, p: PeerState) {
+        self.append(&peer_state_record(node, &p));
     }
 
     fn append_entries(&mut self, entries: &[Entry]) {
@@ -236,8 +236,8 @@
         let index = compacted.meta.index;
         self.log.sync()?;
         self.folder.save_snapshot(index, bytes)?;
-        let mut records = vec![base_record(&compacted.meta), hard_record(compacted.hard)];
-        records.extend(compacted.peers.iter().map(|(n, m)| peer_record(*n, m)));
+        let mut records = vec![base_record(&compacted.meta), hard_state_record(compacted.hard)];
+        records.extend(compacted.peers.iter().map(|(n, m)| peer_state_record(*n, m)));
         records.extend(compacted.entries.iter().map(entry_record));
         self.log.replace(&records)?;
         self.folder.drop_snapshots_below(index)
--- a/crates/control/src/leader_tasks.rs
+++ b/crates/control/src/leader_tasks.rs
@@ -30,7 +30,7 @@
 /// outcomes.
 const ROLLOUT_INTERVAL: Millis = Millis(100);
 
-/// A gateway without a heartbeat for this long is not connected: twice the span of a watch request.
+/// A gateway without a heartbeat for this long counts as disconnected: twice the timeout of a watch.
 const CONNECTED_WITHIN: Millis = Millis::seconds(2);
 
 /// State of the leader's tasks, reset when it gains the leadership.
@@ -40,13 +40,14 @@
     next_repair: Time,
     next_write_off: Time,
     next_rollouts: Time,
-    /// When each running rollout was ordered, on this process's monotonic clock.
+    /// When each running rollout was started, on this process's monotonic clock.
     rollouts_ordered: BTreeMap<Index, Time>,
     /// Silent holders whose lapse was proposed.
     lapsed: BTreeSet<HolderId>,
 }
 
 impl<S: Storage, T> Machine<S, T> {
+    /// Lapses silent routers and ends expired quarantines, if this member leads and a check is due.
     pub(crate) fn tick_leader_tasks(&mut self, at: Moment) {
         if !self.raft.is_leader() || at.now < self.leader_tasks.next_check {
             return;
@@ -59,8 +60,8 @@
     }
 
     /// Starts the next membership change that repairs the group, if this member leads and a change is
-    /// needed. `want` is the target number of voters.
-    pub fn repair_group(&mut self, at: Moment, candidates: &Candidates, want: usize) {
+    /// needed.
+    pub fn repair_group(&mut self, at: Moment, candidates: &Candidates, target_voters: usize) {
         if !self.raft.is_leader() || at.now < self.leader_tasks.next_repair {
             return;
         }
@@ -73,7 +74,7 @@
             Health { silent, caught_up: p.is_some_and(|p| p.matched >= committed) }
         };
         let me = self.raft.id();
-        let change = next_change(self.raft.members(), me, health, candidates, want);
+        let change = next_change(self.raft.members(), me, health, candidates, target_voters);
         let Some(change) = change else { return };
         // The change is refused while another one is in progress, and tried again later.
         if self.raft.change(at.now, &change).is_ok() {
@@ -116,8 +117,8 @@
     }
 
     /// Proposes the due steps of all running rollouts, if this member leads. A bad version may get at
-    /// most `allowed` permille of its service's requests.
-    pub fn step_rollouts<W>(&mut self, at: Moment, view: &mut FleetView<W>, allowed: u64) {
+    /// most `max_permille` of its service's requests.
+    pub fn step_rollouts<W>(&mut self, at: Moment, view: &mut FleetView<W>, max_permille: u64) {
         if !self.raft.is_leader() || at.now < self.leader_tasks.next_rollouts {
             return;
         }
@@ -132,7 +133,7 @@
         let gateways = view.routers.count_since(since);
         let mut steps = Vec::new();
         for (service, r) in under_way {
-            // A leader elected after the order measures the time since by the wall clock.
+            // A leader elected after the start measures the time since by the wall clock.
             let since_order = at.wall.since(r.ordered);
             let ordered =
                 *ordered_at.entry(r.order).or_insert(Time(at.now.0.saturating_sub(since_order.0)));
@@ -141,7 +142,7 @@
             let slots = view.registry.ready_slots(service);
             let elapsed = at.now.since(ordered);
             let v = View { elapsed, slots: &slots, evidence: &evidence, progress, gateways };
-            steps.extend(step::next_step(service, r, &plan(r.within, allowed), &v));
+            steps.extend(step::next_step(service, r, &plan(r.within, max_permille), &v));
         }
         for s in steps {
             self.propose_internal(at, &Command::StepRollout(s));
--- a/crates/control/src/reserve.rs
+++ b/crates/control/src/reserve.rs
@@ -51,16 +51,16 @@
 }
 
 impl<T> Reserve<T> {
-    /// Opens the reserve in the folder at `path`, and restores it from the log. `fresh` is the identity of
-    /// a folder that is new.
+    /// Opens the reserve in the folder at `path`, and restores it from the log. A new folder gets
+    /// the identity `fresh_node`.
     pub fn open(
         path: &Path,
         region: &str,
         vm: &str,
         data_centre: &str,
-        fresh: u64,
+        fresh_node: u64,
     ) -> Result<Reserve<T>, Error> {
-        let folder = Folder::open(path, region, fresh)?;
+        let folder = Folder::open(path, region, fresh_node)?;
         let (log, records) = folder.log()?;
         let mut reserve_ledger = ReserveLedger::default();
         for (n, r) in records.iter().enumerate() {
--- a/crates/control/src/run.rs
+++ b/crates/control/src/run.rs
@@ -24,7 +24,7 @@
 
 use crate::api::{self, Api};
 use crate::dialect::Dialect;
-use crate::disk::{Disk, disk_failed};
+use crate::disk::{Disk, disk_failure};
 use crate::fleet_view::FleetView;
 use crate::founding::maintain_membership;
 use crate::machine::{Machine, Moment};
@@ -44,12 +44,14 @@
     load::<File>(path).map_err(|e| (e.code(), e.to_string()))
 }
 
+/// Opens the reserve of the data centre, if this process keeps it.
 fn open_reserve(s: &Settings) -> Result<Option<Reserve<ReplyTo>>, Error> {
     if !s.reserve {
         return Ok(None);
     }
-    let (path, b) = (s.data_folder.join("reserve"), &s.base);
-    Reserve::open(&path, &b.region, &b.vm, &b.data_centre, rand::random::<u64>()).map(Some)
+    let (path, common) = (s.data_folder.join("reserve"), &s.base);
+    Reserve::open(&path, &common.region, &common.vm, &common.data_centre, rand::random::<u64>())
+        .map(Some)
 }
 
 /// Opens the data folder, and retries while the disk fails: a process that exits would only be
@@ -110,7 +112,7 @@
         regions,
         entry_keep: f.entry_keep,
         voters: f.voters,
-        rollout_allowed: f.rollout_allowed,
+        rollout_share_permille: f.rollout_share_permille,
     })
 }
 
@@ -132,19 +134,19 @@
         opened = open_disk(&s) => opened,
         () = stop_signal() => return Ok(()),
     };
-    let (disk, found) = opened.map_err(disk_failed)?;
+    let (disk, restored) = opened.map_err(disk_failure)?;
     let node = disk.node();
     let clock = Clock::start();
     let at = Moment { now: clock.now(), wall: unix_time() };
     let mut machine =
-        Machine::start(at, &s.base.region, s.machine, disk, (node, found), rand::random())
-            .map_err(disk_failed)?;
+        Machine::start(at, &s.base.region, s.machine, disk, (node, restored), rand::random())
+            .map_err(disk_failure)?;
     if let Some(f) = &s.fleet {
         machine.set_data_centres(f.data_centres.iter().cloned());
     }
     let listener = listen(s.listen).await?;
     emit!(Event::Started, listen = s.listen, node = format_args!("{node:016x}"));
-    let reserve = open_reserve(&s).map_err(disk_failed)?;
+    let reserve = open_reserve(&s).map_err(disk_failure)?;
     let me = Credentials { key: s.base.key, cluster: s.base.cluster, name: s.base.vm };
     let seeds = s.base.control;
     let group = GroupClient::new(me.clone(), seeds.clone());
@@ -155,16 +157,16 @@
         }
         None => None,
     };
-    let g = group.clone();
+    let reloaded_group = group.clone();
     actix_rt::spawn(reload_forever(
         move || settings(&file),
-        move |s| g.set_addresses(s.base.control),
+        move |s| reloaded_group.set_addresses(s.base.control),
     ));
     let server = Server::new(machine, clock, me, s.advertise, reserve, group, fleet);
     let ended = server.run(listener).await;
     if let (Err((Code::FolderForeign, _)), Some(_)) = (&ended, &s.fleet) {
         // The next start joins the group as a new member, which replaces this one.
-        set_aside(&s.data_folder).map_err(disk_failed)?;
+        set_aside(&s.data_folder).map_err(disk_failure)?;
         emit!(Event::FolderSetAside, node = format_args!("{node:016x}"));
     }
     ended?;
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -32,7 +32,7 @@
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep};
 
 use crate::api::LocalCall;
-use crate::disk::{Disk, disk_failed};
+use crate::disk::{Disk, disk_failure};
 use crate::fleet_view::FleetView;
 use crate::leaderless::LeaderlessTimer;
 use crate::links::{accept_links, send_messages};
@@ -41,7 +41,7 @@
 use crate::server::fleet::next_call;
 use crate::turns::{InputKind, LoopStats};
 
-/// Minimum and maximum of the tick interval, which is a fifth of the leader's heartbeat interval.
+/// Minimum and maximum of the tick interval, which is otherwise a fifth of the heartbeat interval.
 const TICK_RANGE: (Duration, Duration) = (Duration::from_millis(10), Duration::from_millis(20));
 
 /// Maximum number of inputs that share one sync.
@@ -107,7 +107,7 @@
     /// Target number of voters in the group.
     pub voters: usize,
     /// Maximum share of a service's requests that a bad version may get, in permille.
-    pub rollout_allowed: u64,
+    pub rollout_share_permille: u64,
 }
 
 /// Delay before a failed disk is tried again.
@@ -189,8 +189,8 @@
     pub async fn run(mut self, listener: TcpListener) -> Result<(), Failure> {
         let (tx, mut rx) = mpsc::channel(MAX_QUEUED_MESSAGES);
         actix_rt::spawn(accept_links(listener, self.credentials.clone(), tx.clone()));
-        let between = Duration::from_millis(self.machine.settings.raft.heartbeat.0);
-        let mut ticks = interval((between / 5).clamp(TICK_RANGE.0, TICK_RANGE.1));
+        let heartbeat = Duration::from_millis(self.machine.settings.raft.heartbeat.0);
+        let mut ticks = interval((heartbeat / 5).clamp(TICK_RANGE.0, TICK_RANGE.1));
         ticks.set_missed_tick_behavior(MissedTickBehavior::Skip);
         let stop = stop_signal();
         tokio::pin!(stop);
@@ -253,9 +253,9 @@
             Input::ReserveAnswered(c, result) => {
                 self.pending_reserve_commands -= 1;
                 if let (Some(r), Ok(a)) = (&mut self.reserve, result) {
-                    let known = r.is_registered();
+                    let was_registered = r.is_registered();
                     r.handle_answer(at.wall, &c, &a, self.machine.state());
-                    if !known && r.is_registered() {
+                    if !was_registered && r.is_registered() {
                         emit!(Event::ReserveEnlisted);
                     }
                 }
@@ -269,14 +269,19 @@
                 let result = self.handle_announce(at, &bytes);
                 self.reply(to, result);
             }
-            Input::PeerUpdate(from, seen) => {
-                self.clocks.record(at.now, from, Time(seen.wall));
-                seen.controls.iter().for_each(|a| self.contacts.record(at.now, a));
-                if let Some(lead) = &seen.lead {
+            Input::PeerUpdate(from, response) => {
+                self.clocks.record(at.now, from, Time(response.wall));
+                response.controls.iter().for_each(|a| self.contacts.record(at.now, a));
+                if let Some(lead) = &response.lead {
                     self.contacts.record_leader(at.now, lead);
                 }
                 if let Some(f) = &mut self.fleet {
-                    f.view.apply_peer_update(at.now, seen.replicas, &seen.beats, &seen.limits);
+                    f.view.apply_peer_update(
+                        at.now,
+                        response.replicas,
+                        &response.beats,
+                        &response.limits,
+                    );
                 }
             }
             Input::Call(ask, to) => self.machine.handle_request(at, ask, to),
@@ -337,9 +342,10 @@
         }
     }
 
+    /// Answers what is due, and carries out the member's effects. Returns an error if it cannot continue.
     fn finish(&mut self) -> Result<(), Failure> {
         self.finish_reserve();
-        self.finish_fleet();
+        self.answer_watches();
         let at = self.moment();
         for out in self.machine.finish(at) {
             match out {
@@ -371,7 +377,7 @@
                 self.disk_retry_at = Some(at.now.after(DISK_RETRY_DELAY));
                 emit!(Event::DiskFailed, why = e);
             }
-            Err(e) => return Err(disk_failed(e)),
+            Err(e) => return Err(disk_failure(e)),
         }
         Ok(())
     }
--- a/crates/control/src/server/fleet.rs
+++ b/crates/control/src/server/fleet.rs
@@ -35,6 +35,7 @@
 const MAX_ENTRY_ADDRESSES: usize = 64;
 
 impl Server {
+    /// Records a watch request; [`Server::answer_watches`] answers it.
     pub(super) fn handle_watch(&mut self, at: Moment, bytes: &[u8], to: ReplyTo) {
         let request = body::unpack::<Watch>(bytes);
         match (&mut self.fleet, request) {
@@ -48,6 +49,7 @@
         }
     }
 
+    /// Records, on the leader, a process that seeks its group.
     pub(super) fn handle_announce(&mut self, at: Moment, bytes: &[u8]) -> Result<Vec<u8>, Code> {
         let a = body::unpack::<Announce>(bytes).map_err(|_| Code::MessageBad)?;
         let f = self.fleet.as_mut().ok_or(Code::MessageBad)?;
@@ -58,6 +60,7 @@
         Ok(Vec::new())
     }
 
+    /// Answers an HTTP call and those queued behind it.
     pub(super) fn handle_http_calls(&mut self, first: LocalCall) {
         self.handle_http_call(first);
         for _ in 1..MAX_BATCH {
@@ -129,7 +132,7 @@
         let quorum = self.machine.members().quorum();
         let margin = self.clocks.margin(at.now, unix_time(), quorum);
         self.machine.write_off_dead_holders(at, margin);
-        self.machine.step_rollouts(at, &mut f.view, f.rollout_allowed);
+        self.machine.step_rollouts(at, &mut f.view, f.rollout_share_permille);
         if at.now >= self.next_watch {
             self.next_watch = at.now.after(WATCH_INTERVAL);
             self.watch_all(at, tx);
@@ -161,7 +164,7 @@
     }
 
     /// Answers the watch requests that are due.
-    pub(super) fn finish_fleet(&mut self) {
+    pub(super) fn answer_watches(&mut self) {
         let now = self.moment().now;
         let Some(f) = self.fleet.as_mut().filter(|f| f.view.is_poll_due(now)) else { return };
         let (version, source) = self.machine.state().published();
@@ -171,7 +174,7 @@
         let evacuations = self.machine.state().evacuations();
         let quarantine = self.machine.state().quarantine();
         let rollouts = self.machine.state().rollouts();
-        let followed = WatchedState {
+        let state = WatchedState {
             version,
             source,
             controls,
@@ -183,9 +186,9 @@
             quarantine,
             rollouts,
         };
-        let answers = f.view.due_responses(now, &followed);
-        for (to, seen) in answers {
-            self.reply(to, Ok(body::pack(&seen)));
+        let responses = f.view.due_responses(now, &state);
+        for (to, response) in responses {
+            self.reply(to, Ok(body::pack(&response)));
         }
     }
 }
@@ -219,8 +222,8 @@
 impl Watcher for PeerWatch {
     fn next_request(&self, to: SocketAddr) -> Option<Watch> {
         let feed = self.feeds.borrow().get(&to).copied().unwrap_or_default();
-        let is_wanted = !self.tx.is_closed() && self.watched.borrow().contains(&to);
-        is_wanted.then(|| Watch {
+        let is_watched = !self.tx.is_closed() && self.watched.borrow().contains(&to);
+        is_watched.then(|| Watch {
             router: None,
             feed,
             version: 0,
@@ -238,10 +241,10 @@
         })
     }
 
-    fn handle_response(&self, from: SocketAddr, seen: WatchResponse) {
-        let feed = seen.feed;
+    fn handle_response(&self, from: SocketAddr, response: WatchResponse) {
+        let feed = response.feed;
         // If the queue is full, the next request asks for the same update again.
-        if self.tx.try_send(Input::PeerUpdate(from, Box::new(seen))).is_ok() {
+        if self.tx.try_send(Input::PeerUpdate(from, Box::new(response))).is_ok() {
             self.feeds.borrow_mut().insert(from, feed);
         }
     }
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -104,9 +104,9 @@
     pub voters: usize,
     /// Data centres that may be evacuated; any if the list is empty.
     pub data_centres: Vec<String>,
-    /// Maximum share of a service's requests, in thousandths, that a bad version may get during a
+    /// Maximum share of a service's requests, in permille, that a bad version may get during a
     /// rollout.
-    pub rollout_allowed: u64,
+    pub rollout_share_permille: u64,
 }
 
 impl FleetFile {
@@ -135,7 +135,7 @@
             voters: check_range("fleet.voters", self.voters, 1, 9)? as usize,
             data_centres: self.data_centres,
             // Rounded down, because it is an upper bound.
-            rollout_allowed: (share * 1_000.0) as u64,
+            rollout_share_permille: (share * 1_000.0) as u64,
         })
     }
 }
