--- a/crates/control/src/fleet_view.rs
+++ b/crates/control/src/fleet_view.rs
@@ -97,7 +97,7 @@
     /// Time of the next check of the pending watches.
     next_poll: Time,
     boot: u64,
-    heartbeat: Millis,
+    heartbeat_interval: Millis,
     pending: Vec<PendingWatch<T>>,
     packed_documents: PackedDocuments,
     feed_cache: FeedCache,
@@ -146,14 +146,14 @@
 
     /// Returns whether the watcher requests a part of a document and holds a version below `version`.
     fn is_behind(&self, version: Version) -> bool {
-        self.watch.fetch.is_some_and(|w| version > w.held)
+        self.watch.fetch.is_some_and(|fetch| version > fetch.held)
     }
 }
 
 impl<T> FleetView<T> {
-    /// Creates an empty view. `boot` is a random number of this process's start; `heartbeat` is the
-    /// interval at which replicas send heartbeats.
-    pub fn new(boot: u64, heartbeat: Millis) -> FleetView<T> {
+    /// Creates an empty view. `boot` is a random number that identifies this start of the process.
+    /// Replicas send a heartbeat every `heartbeat_interval`.
+    pub fn new(boot: u64, heartbeat_interval: Millis) -> FleetView<T> {
         FleetView {
             registry: Registry::default(),
             routers: RouterHeartbeats::default(),
@@ -164,7 +164,7 @@
             directory: RouterDirectory::default(),
             next_poll: Time(0),
             boot,
-            heartbeat,
+            heartbeat_interval,
             pending: Vec::new(),
             packed_documents: PackedDocuments::default(),
             feed_cache: FeedCache::default(),
@@ -238,7 +238,7 @@
 
     /// Expires heartbeats, candidates and rate limits that are out of date at `now`.
     pub fn tick(&mut self, now: Time) {
-        self.registry.tick(now, self.heartbeat);
+        self.registry.tick(now, self.heartbeat_interval);
         self.candidates.tick(now);
         if now >= self.next_limit_expiry {
             self.next_limit_expiry = now.after(LIMIT_EXPIRY_INTERVAL);
@@ -281,9 +281,9 @@
 
     fn is_due(&self, now: Time, w: &PendingWatch<T>, f: &WatchedState) -> bool {
         let waited = now.since(w.received);
-        let newer = w.watch.router.is_some() && f.version > w.watch.version;
+        let has_newer_version = w.watch.router.is_some() && f.version > w.watch.version;
         let relays_heartbeats = w.watch.router.is_none() && waited >= HEARTBEAT_BATCH_DELAY;
-        newer
+        has_newer_version
             || w.is_behind(f.version)
             || f.evacuations.revision > w.watch.evacuations
             || f.quarantine.quarantined_revision() > w.watch.quarantine
@@ -297,13 +297,13 @@
     }
 
     fn response(&mut self, now: Time, w: &PendingWatch<T>, f: &WatchedState) -> WatchResponse {
-        let router = w.watch.router.is_some();
+        let is_router = w.watch.router.is_some();
         let mut heartbeats = Vec::new();
         let mut leaves = self.registry.position();
-        let changes = match router {
+        let changes = match is_router {
             true if w.watch.without_replicas => {
-                let (records, upto) = self.registry.direct_leaves(w.leaves, MAX_RECORDS);
-                leaves = upto;
+                let (records, position) = self.registry.direct_leaves(w.leaves, MAX_RECORDS);
+                leaves = position;
                 Changes { records, position: w.since, ..Changes::default() }
             }
             true => self.feed_cache.changes(now, &self.registry, w.since, MAX_RECORDS),
@@ -316,12 +316,12 @@
         let has_homes = |r: &RouterStatus| self.directory.has_homes(&r.data_centre);
         let needs_peers = w.watch.router.as_ref().is_some_and(|r| !has_homes(r));
         let controls = controls_digest(&f.controls);
-        let same_controls = w.watch.feed.boot == self.boot && w.watch.feed.controls == controls;
-        let has_areas =
+        let has_controls = w.watch.feed.boot == self.boot && w.watch.feed.controls == controls;
+        let has_routers_with_homes =
             w.watch.areas == NOT_WANTED || w.watch.areas == self.directory.with_homes_digest();
-        let has_few =
+        let has_routers_without_homes =
             w.watch.few == NOT_WANTED || w.watch.few == self.directory.without_homes_digest();
-        let (limits, upto) = match w.watch.without_replicas {
+        let (limits, limits_position) = match w.watch.without_replicas {
             true => (Vec::new(), w.limits),
             false => self.limits.changes(now, w.limits, MAX_LIMITS),
         };
@@ -331,18 +331,18 @@
                 position: changes.position,
                 leaves,
                 controls,
-                limits: upto,
+                limits: limits_position,
             },
             replicas: changes.records,
             packed: changes.packed,
             beats: heartbeats,
             version: f.version,
-            part: w.watch.fetch.and_then(|want| self.packed_documents.part(&want)),
-            controls: if same_controls { Vec::new() } else { f.controls.clone() },
+            part: w.watch.fetch.and_then(|fetch| self.packed_documents.part(&fetch)),
+            controls: if has_controls { Vec::new() } else { f.controls.clone() },
             routers: self.routers.count(now),
             peers: if needs_peers { self.routers.links(now, MAX_PEERS) } else { Vec::new() },
             wall: f.wall.0,
-            areas: (!has_areas).then(|| self.directory.with_homes().to_vec()),
+            areas: (!has_routers_with_homes).then(|| self.directory.with_homes().to_vec()),
             lead: f.lead.clone(),
             data_centre: match w.watch.feed.boot == self.boot {
                 true => String::new(),
@@ -355,7 +355,7 @@
                 .has_quarantine_changes(f.quarantine)
                 .then(|| self.quarantine_list(f.quarantine)),
             limits,
-            few: (!has_few).then(|| self.directory.without_homes().to_vec()),
+            few: (!has_routers_without_homes).then(|| self.directory.without_homes().to_vec()),
         }
     }
 }
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -79,7 +79,7 @@
     pending: BTreeMap<Index, PendingEntry<T>>,
     /// Spending reports that wait to share a commit.
     queued_reports: Vec<QueuedReport<T>>,
-    /// Data centres that orders may name; empty if any name is accepted.
+    /// Data centres that may be evacuated; empty if any name is accepted.
     data_centres: BTreeSet<String>,
     seed: u64,
     snapshot: SnapshotMeta,
@@ -88,8 +88,8 @@
 }
 
 impl<S: Storage, T> Machine<S, T> {
-    /// Creates the member `node` from what its storage holds. Returns an error if the stored snapshot
-    /// cannot be loaded.
+    /// Creates the member `node` from the state restored from its storage; `seed` seeds its random
+    /// election timeouts. Returns an error if the stored snapshot cannot be loaded.
     pub fn start(
         at: Moment,
         region: &str,
@@ -145,7 +145,7 @@
                 let result = self.found_group(at, &f);
                 self.reply(from, result);
             }
-            // The server handles the first three itself; the last is for routers.
+            // The server handles the first three itself; routers handle the last.
             Ask::Reserve(_) | Ask::Watch(_) | Ask::Announce(_) | Ask::Share(_) => {
                 self.reply(from, Err(Code::MessageBad))
             }
@@ -400,7 +400,7 @@
         answer
     }
 
-    /// Logs an order or a step of a rollout.
+    /// Logs the state of a rollout after a command that starts, aborts or steps it.
     fn log_rollout(&self, c: &Command, answer: &Answer) {
         let service = match c {
             Command::StartRollout { service, .. } | Command::AbortRollout(service) => service,
--- a/crates/control/src/machine/proposals.rs
+++ b/crates/control/src/machine/proposals.rs
@@ -13,8 +13,8 @@
 use super::{Machine, Moment, STAMP_BYTES};
 use crate::disk::Storage;
 
-/// Number of routers from which on their spending reports share commits. Every router reports once a
-/// second, and a commit takes a round trip to and a sync on each follower.
+/// Minimum number of routers for which spending reports are batched into shared commits. Every router
+/// reports once a second, and a commit takes a round trip to and a sync on each follower.
 const MIN_ROUTERS_TO_BATCH: usize = 32;
 
 /// Maximum time that a spending report waits to share a commit. It delays requests that wait for a
@@ -42,6 +42,7 @@
 }
 
 impl<S: Storage, T> Machine<S, T> {
+    /// Proposes a caller's command. A spending report may wait to share a commit with others.
     pub(super) fn propose(&mut self, at: Moment, command: Vec<u8>, from: T) {
         let Ok(c) = body::unpack::<Command>(&command) else {
             return self.reply(from, Err(Code::MessageBad));
@@ -90,17 +91,18 @@
         }
     }
 
-    /// Returns whether orders may name this data centre. Any name is valid if the settings list none.
+    /// Returns whether this data centre may be evacuated. Any name is valid if the settings list none.
     fn is_known_data_centre(&self, data_centre: &str) -> bool {
         let all = &self.data_centres;
         !data_centre.is_empty() && (all.is_empty() || all.contains(data_centre))
     }
 
-    /// Sets the data centres that orders may name; an empty list allows any name.
+    /// Sets the data centres that may be evacuated; an empty list allows any name.
     pub fn set_data_centres(&mut self, names: impl IntoIterator<Item = String>) {
         self.data_centres = names.into_iter().collect();
     }
 
+    /// Keeps the caller of a proposal until its entry is applied.
     fn add_pending(&mut self, at: Moment, index: Index, to: T) {
         let term = self.raft.term();
         self.pending.insert(index, PendingEntry { term, at: at.now, to });
--- a/crates/control/src/turns.rs
+++ b/crates/control/src/turns.rs
@@ -9,8 +9,8 @@
 use metrics::{counter, histogram};
 use tokio::time::Instant;
 
-/// Time between two ticks from which on the delay is logged. A little more, and followers start an
-/// election.
+/// Time between two ticks at which a stall is logged. A leader that stalls for the election timeout is
+/// replaced.
 const LATE_TICK: Duration = Duration::from_millis(200);
 
 /// The kind of an input to a control process.
