--- a/crates/control/tests/feed_cache.rs
+++ b/crates/control/tests/feed_cache.rs
@@ -32,7 +32,7 @@
 
 /// Every router ends with the registry's records, whatever changes while it receives them in parts.
 #[test]
-fn what_is_told_again_misses_no_change() {
+fn cached_changes_miss_no_record() {
     let (mut registry, mut cache) = (Registry::default(), FeedCache::default());
     let mut routers: Vec<(u64, BTreeMap<String, Record>)> = vec![(0, BTreeMap::new()); 7];
     for n in 0..3_000 {
--- a/crates/control/tests/leaves.rs
+++ b/crates/control/tests/leaves.rs
@@ -86,8 +86,8 @@
 }
 
 #[rstest]
-#[case::it_told_this_process(RecordSource::Replica, &["i-2"])]
-#[case::another_process_passed_it_on(RecordSource::Peer, &[])]
+#[case::reported_by_the_replica(RecordSource::Replica, &["i-2"])]
+#[case::relayed_by_another_process(RecordSource::Peer, &[])]
 fn every_router_receives_leaves_from_the_process_that_acknowledged_them(
     #[case] source: RecordSource,
     #[case] expected: &[&str],
--- a/crates/control/tests/held_up.rs
+++ b/crates/control/tests/stalls.rs
@@ -7,7 +7,7 @@
 
 use cypressfork_core::unit::NodeId;
 use rstest::rstest;
-use support::world::World;
+use support::simulation::Simulation;
 
 /// Number of voters.
 const VOTERS: u64 = 9;
@@ -30,26 +30,26 @@
 }
 
 /// Runs for `span` milliseconds, with processes that stall for `ms` out of each `every` milliseconds.
-fn run_with_stalls(w: &mut World, who: Stalled, ms: u64, every: u64, span: u64) {
+fn run_with_stalls(sim: &mut Simulation, who: Stalled, ms: u64, every: u64, span: u64) {
     for n in 0..span / every {
-        let live = w.live();
+        let live = sim.live();
         let stalled: Vec<NodeId> = match who {
             Stalled::All => live,
-            Stalled::Leader => w.leader().into_iter().collect(),
+            Stalled::Leader => sim.leader().into_iter().collect(),
             Stalled::Followers => {
-                let leader = w.leader();
+                let leader = sim.leader();
                 let is_next = |id: &NodeId| (id + n).is_multiple_of(3) && Some(*id) != leader;
                 live.into_iter().filter(is_next).collect()
             }
         };
-        stalled.into_iter().for_each(|id| w.stall(id, ms));
-        w.run(every);
+        stalled.into_iter().for_each(|id| sim.stall(id, ms));
+        sim.run(every);
     }
 }
 
 /// Returns the highest term of all running processes.
-fn term(w: &World) -> u64 {
-    w.live().into_iter().map(|id| w.machine(id).raft().term()).max().unwrap()
+fn term(sim: &Simulation) -> u64 {
+    sim.live().into_iter().map(|id| sim.machine(id).raft().term()).max().unwrap()
 }
 
 /// Stalls shorter and longer than the election timeout.
@@ -61,13 +61,13 @@
 #[case::followers_in_turn(Stalled::Followers, 1_200)]
 fn a_stalled_group_keeps_its_leader(#[case] who: Stalled, #[case] ms: u64) {
     for seed in 1..=5 {
-        let mut w = World::new(VOTERS, seed);
-        w.run(1_000);
-        let (leader, before) = (w.leader().unwrap(), term(&w));
-        run_with_stalls(&mut w, who, ms, ms + 400, OBSERVED);
-        w.run(200);
-        assert_eq!((w.leader(), term(&w)), (Some(leader), before), "seed {seed}");
-        w.heal_and_check();
+        let mut sim = Simulation::new(VOTERS, seed);
+        sim.run(1_000);
+        let (leader, before) = (sim.leader().unwrap(), term(&sim));
+        run_with_stalls(&mut sim, who, ms, ms + 400, OBSERVED);
+        sim.run(200);
+        assert_eq!((sim.leader(), term(&sim)), (Some(leader), before), "seed {seed}");
+        sim.heal_and_check();
     }
 }
 
@@ -78,18 +78,18 @@
     #[values(1, 2, 3)] seed: u64,
 ) {
     let (ms, every) = (300, 500);
-    let mut w = World::new(VOTERS, seed);
-    w.run(1_000);
-    let old = w.leader().unwrap();
+    let mut sim = Simulation::new(VOTERS, seed);
+    sim.run(1_000);
+    let old = sim.leader().unwrap();
     let victim =
-        if leader_crashes { old } else { w.live().into_iter().find(|n| *n != old).unwrap() };
-    w.crash(victim);
-    run_with_stalls(&mut w, who, ms, every, ELECTION_TIME + 500);
-    let leader = w.leader().expect("a leader within two election timeouts");
-    let after = term(&w);
-    run_with_stalls(&mut w, who, ms, every, OBSERVED);
-    assert_eq!((w.leader(), term(&w)), (Some(leader), after), "one leader for ten seconds");
-    w.heal_and_check();
+        if leader_crashes { old } else { sim.live().into_iter().find(|n| *n != old).unwrap() };
+    sim.crash(victim);
+    run_with_stalls(&mut sim, who, ms, every, ELECTION_TIME + 500);
+    let leader = sim.leader().expect("a leader within two election timeouts");
+    let after = term(&sim);
+    run_with_stalls(&mut sim, who, ms, every, OBSERVED);
+    assert_eq!((sim.leader(), term(&sim)), (Some(leader), after), "one leader for ten seconds");
+    sim.heal_and_check();
 }
 
 /// Rounds within which processes that stall all the time replace a lost leader: timeout, pre-vote, vote and
@@ -99,11 +99,11 @@
 #[rstest]
 fn a_group_that_always_stalls_replaces_its_leader(#[values(1, 2, 3)] seed: u64) {
     let (ms, every) = (1_900, 2_000);
-    let mut w = World::new(VOTERS, seed);
-    w.run(1_000);
-    let old = w.leader().unwrap();
-    w.crash(old);
-    run_with_stalls(&mut w, Stalled::All, ms, every, every * ROUNDS);
-    assert!(w.leader().is_some(), "a leader within {ROUNDS} turns");
-    w.heal_and_check();
+    let mut sim = Simulation::new(VOTERS, seed);
+    sim.run(1_000);
+    let old = sim.leader().unwrap();
+    sim.crash(old);
+    run_with_stalls(&mut sim, Stalled::All, ms, every, every * ROUNDS);
+    assert!(sim.leader().is_some(), "a leader within {ROUNDS} rounds");
+    sim.heal_and_check();
 }
--- a/crates/control/tests/support/places.rs
+++ b/crates/control/tests/support/membership.rs
@@ -5,7 +5,7 @@
 use cypressfork_core::raft::Members;
 use cypressfork_core::unit::{Millis, NodeId};
 
-use super::world::{World, address};
+use super::simulation::{Simulation, address};
 
 /// Interval at which a process watches the others and announces itself.
 const POLL_INTERVAL: Millis = Millis(250);
@@ -13,21 +13,21 @@
 /// Target number of voters.
 const TARGET_VOTERS: usize = 5;
 
-impl World {
+impl Simulation {
     /// Returns a group of `n` founded by three seeds; each process is configured with the seeds only.
-    pub fn with_seeds(n: u64, seed: u64) -> World {
-        World::with_crashed_seeds(n, &[], seed)
+    pub fn with_seeds(n: u64, seed: u64) -> Simulation {
+        Simulation::with_crashed_seeds(n, &[], seed)
     }
 
     /// Returns the same, where the seeds `crashed` crash right after the founding request.
-    pub fn with_crashed_seeds(n: u64, crashed: &[NodeId], seed: u64) -> World {
-        let mut w = World::with_crashed(3, crashed, seed);
-        w.seeds = (1..=3).map(address).collect();
+    pub fn with_crashed_seeds(n: u64, crashed: &[NodeId], seed: u64) -> Simulation {
+        let mut sim = Simulation::with_crashed(3, crashed, seed);
+        sim.seeds = (1..=3).map(address).collect();
         for _ in 3..n {
-            w.add_fresh();
+            sim.add_fresh();
         }
-        w.until(20_000, |w| w.all_are_voters());
-        w
+        sim.until(20_000, |sim| sim.all_are_voters());
+        sim
     }
 
     /// Returns whether there is a leader and every running process is a voter in its member list.
@@ -115,8 +115,8 @@
     /// Announces a process that seeks its group to the leader: tries the known leader or one other process,
     /// and the leader that this one reports.
     fn announce(&mut self, id: NodeId) {
-        let place = self.machine(id).group_status();
-        if !place.seeks_group(self.now.since(self.nodes[&id].started)) {
+        let status = self.machine(id).group_status();
+        if !status.seeks_group(self.now.since(self.nodes[&id].started)) {
             return;
         }
         let all = self.known_addresses(id);
--- a/crates/control/tests/support/memory.rs
+++ b/crates/control/tests/support/memory.rs
@@ -31,18 +31,18 @@
 }
 
 #[derive(Clone, Default)]
-pub struct Memory {
+pub struct MemoryStorage {
     pub image: Rc<RefCell<Image>>,
     pending: Vec<Write>,
 }
 
-impl Memory {
+impl MemoryStorage {
     /// Opens the disk as a new process, and returns the restored state.
-    pub fn open(image: &Rc<RefCell<Image>>) -> (Memory, Restored) {
+    pub fn open(image: &Rc<RefCell<Image>>) -> (MemoryStorage, Restored) {
         image.borrow_mut().state.incarnation += 1;
         image.borrow_mut().fail_in = None;
         let restored = image.borrow().state.clone();
-        (Memory { image: image.clone(), pending: Vec::new() }, restored)
+        (MemoryStorage { image: image.clone(), pending: Vec::new() }, restored)
     }
 
     /// Counts a sync. Returns `None` if it succeeds, else whether its data is still written.
@@ -82,13 +82,13 @@
     }
 }
 
-impl Storage for Memory {
+impl Storage for MemoryStorage {
     fn append_hard_state(&mut self, h: HardState) {
         self.pending.push(Write::HardState(h));
     }
 
-    fn append_peer_state(&mut self, node: NodeId, m: PeerState) {
-        self.pending.push(Write::PeerState(node, m));
+    fn append_peer_state(&mut self, node: NodeId, p: PeerState) {
+        self.pending.push(Write::PeerState(node, p));
     }
 
     fn append_entries(&mut self, entries: &[Entry]) {
@@ -109,7 +109,7 @@
                 if written {
                     self.write();
                 }
-                return Memory::failed();
+                return MemoryStorage::failed();
             }
         }
         Ok(())
@@ -126,7 +126,7 @@
             image.state.peers = compacted.peers.clone();
             image.state.entries = compacted.entries.clone();
         }
-        if failure.is_some() { Memory::failed() } else { Ok(()) }
+        if failure.is_some() { MemoryStorage::failed() } else { Ok(()) }
     }
 
     fn load_snapshot(&self, index: Index) -> Result<Vec<u8>, Error> {
@@ -140,8 +140,8 @@
     fn reopen(&mut self) -> Result<Restored, Error> {
         self.pending.clear();
         if self.image.borrow().full {
-            return Memory::failed();
+            return MemoryStorage::failed();
         }
-        Ok(Memory::open(&self.image).1)
+        Ok(MemoryStorage::open(&self.image).1)
     }
 }
--- a/crates/control/tests/support/mod.rs
+++ b/crates/control/tests/support/mod.rs
@@ -2,6 +2,6 @@
 
 #![allow(dead_code, missing_docs)]
 
+pub mod membership;
 pub mod memory;
-pub mod places;
-pub mod world;
+pub mod simulation;
--- a/crates/control/tests/support/world.rs
+++ b/crates/control/tests/support/simulation.rs
@@ -1,4 +1,5 @@
-//! A group of members with its network, its clients and the invariants that are checked every round.
+//! A simulated control group: its members, network and clients, and the invariants that are checked every
+//! round.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,15 +19,16 @@
 use rand::{Rng, SeedableRng};
 use serde_json::json;
 
-use super::memory::{Image, Memory};
+use super::memory::{Image, MemoryStorage};
 
 /// Virtual time that one round takes.
 const ROUND: Millis = Millis(10);
 
 type Disk = Rc<RefCell<Image>>;
 
+/// A control process and its disk.
 pub struct Node {
-    pub machine: Option<Machine<Memory, u64>>,
+    pub machine: Option<Machine<MemoryStorage, u64>>,
     pub disk: Disk,
     pub frozen: bool,
     /// Time until which the process is stalled: its messages wait while its clock goes on.
@@ -53,27 +55,35 @@
     Router,
 }
 
-pub struct World {
+/// A control group in virtual time, with an unreliable network and disks that fail.
+pub struct Simulation {
     pub now: Time,
     pub nodes: BTreeMap<NodeId, Node>,
     pub settings: Settings,
     rng: SmallRng,
     /// Messages on their way, with their time of arrival.
     in_flight: Vec<(Time, Message)>,
+    /// Links that lose all messages, as sender and receiver.
     pub cut: BTreeSet<(NodeId, NodeId)>,
     pub drop_percent: u32,
-    /// Whether members whose disk failed keep running, to be restarted in place.
+    /// Whether members whose disk failed keep running, for [`Simulation::restart_in_place`].
     pub in_place: bool,
     pub duplicate_percent: u32,
     pending: BTreeMap<u64, PendingCall>,
     calls: u64,
+    /// Leader of each term.
     leaders: BTreeMap<Term, NodeId>,
+    /// Committed entries of all members.
     committed: BTreeMap<Index, (Term, Payload)>,
+    /// Index up to which each member's committed entries are checked.
     checked: BTreeMap<NodeId, Index>,
-    topups: Vec<bool>,
+    /// Whether each top-up is acknowledged.
+    top_ups: Vec<bool>,
     /// Base version of each change, and its result.
     changes: Vec<(Version, Option<Result<Version, Code>>)>,
+    /// Highest configuration version that was acknowledged.
     pub acked_version: Version,
+    /// Number of answered reads.
     pub reads: u64,
     pub last_member_answer: Option<Result<(), Code>>,
     /// Number of messages sent between members.
@@ -89,22 +99,27 @@
     format!("10.0.0.{n}:7000")
 }
 
-impl World {
+impl Simulation {
     /// Returns a group of new members 1 to `n` with a first configuration.
-    pub fn new(n: u64, seed: u64) -> World {
-        World::with_crashed(n, &[], seed)
+    pub fn new(n: u64, seed: u64) -> Simulation {
+        Simulation::with_crashed(n, &[], seed)
     }
 
     /// Returns the same, where the members `crashed` crash right after the founding request.
-    pub fn with_crashed(n: u64, crashed: &[NodeId], seed: u64) -> World {
-        World::with_late_founders(n, crashed, &[], seed)
+    pub fn with_crashed(n: u64, crashed: &[NodeId], seed: u64) -> Simulation {
+        Simulation::with_late_founders(n, crashed, &[], seed)
     }
 
     /// Returns the same, where the members `late` receive the founding request only once there is a leader,
     /// which has requested their votes and sent them entries.
-    pub fn with_late_founders(n: u64, crashed: &[NodeId], late: &[NodeId], seed: u64) -> World {
+    pub fn with_late_founders(
+        n: u64,
+        crashed: &[NodeId],
+        late: &[NodeId],
+        seed: u64,
+    ) -> Simulation {
         let raft = RaftSettings { chunk_bytes: 512, ..RaftSettings::default() };
-        let mut w = World {
+        let mut sim = Simulation {
             now: Time(10_000),
             nodes: BTreeMap::new(),
             settings: Settings { raft, snapshot_every: 40 },
@@ -119,7 +134,7 @@
             leaders: BTreeMap::new(),
             committed: BTreeMap::new(),
             checked: BTreeMap::new(),
-            topups: Vec::new(),
+            top_ups: Vec::new(),
             changes: Vec::new(),
             acked_version: 0,
             reads: 0,
@@ -130,26 +145,26 @@
             next_id: 1,
         };
         for _ in 0..n {
-            w.add_fresh();
+            sim.add_fresh();
         }
         let peers: Vec<_> = (1..=n).map(|i| Peer::new(i as i64, address(i))).collect();
-        let found = |w: &mut World, i: NodeId| {
-            let at = w.moment();
-            let m = w.nodes.get_mut(&i).unwrap().machine.as_mut().unwrap();
+        let found = |sim: &mut Simulation, i: NodeId| {
+            let at = sim.moment();
+            let m = sim.nodes.get_mut(&i).unwrap().machine.as_mut().unwrap();
             m.handle_request(at, Ask::Founders(Founders::new(peers.clone())), 0);
         };
-        (1..=n).filter(|i| !late.contains(i)).for_each(|i| found(&mut w, i));
+        (1..=n).filter(|i| !late.contains(i)).for_each(|i| found(&mut sim, i));
         for id in crashed {
-            w.crash(*id);
+            sim.crash(*id);
         }
-        w.until(5_000, |w| w.leader().is_some());
-        late.iter().for_each(|i| found(&mut w, *i));
-        w.change();
-        while w.acked_version == 0 {
-            w.run(100);
-            w.resend();
+        sim.until(5_000, |sim| sim.leader().is_some());
+        late.iter().for_each(|i| found(&mut sim, *i));
+        sim.change();
+        while sim.acked_version == 0 {
+            sim.run(100);
+            sim.resend();
         }
-        w
+        sim
     }
 
     /// Starts a process with an empty disk. Returns its id.
@@ -186,7 +201,7 @@
         if node.machine.is_some() {
             return;
         }
-        let (memory, restored) = Memory::open(&node.disk);
+        let (memory, restored) = MemoryStorage::open(&node.disk);
         let machine =
             Machine::start(at, "tas-north", settings, memory, (id, restored), seed).unwrap();
         node.machine = Some(machine);
@@ -247,7 +262,7 @@
         self.nodes.iter().filter(|(_, n)| n.machine.is_some()).map(|(i, _)| *i).collect()
     }
 
-    pub fn machine(&self, id: NodeId) -> &Machine<Memory, u64> {
+    pub fn machine(&self, id: NodeId) -> &Machine<MemoryStorage, u64> {
         self.nodes[&id].machine.as_ref().unwrap()
     }
 
@@ -274,10 +289,10 @@
         live.get(n).copied()
     }
 
-    /// A client adds a token; [`World::resend`] repeats the operation until it is answered.
+    /// A client adds a token; [`Simulation::resend`] repeats the operation until it is answered.
     pub fn top_up(&mut self) {
-        self.topups.push(false);
-        self.send_top_up(self.topups.len() - 1);
+        self.top_ups.push(false);
+        self.send_top_up(self.top_ups.len() - 1);
     }
 
     fn send_top_up(&mut self, n: usize) {
@@ -359,7 +374,7 @@
     }
 
     /// Runs until `done` returns true, and fails after `ms` milliseconds of virtual time.
-    pub fn until(&mut self, ms: u64, done: impl Fn(&World) -> bool) {
+    pub fn until(&mut self, ms: u64, done: impl Fn(&Simulation) -> bool) {
         for _ in 0..ms.div_ceil(ROUND.0) {
             if done(self) {
                 return;
@@ -437,7 +452,7 @@
             (PendingCall::TopUp(n), Ok(bytes)) => {
                 let a: Answer = body::unpack(&bytes).unwrap();
                 assert!(matches!(a, Answer::Funded(_)), "{a:?}");
-                self.topups[n] = true;
+                self.top_ups[n] = true;
             }
             (PendingCall::Change(n), Ok(bytes)) => {
                 let Answer::Applied(result) = body::unpack(&bytes).unwrap() else { panic!() };
@@ -462,8 +477,8 @@
     /// Resends every top-up and change that is not answered.
     pub fn resend(&mut self) {
         self.pending.clear();
-        for n in 0..self.topups.len() {
-            if !self.topups[n] {
+        for n in 0..self.top_ups.len() {
+            if !self.top_ups[n] {
                 self.send_top_up(n);
             }
         }
@@ -497,7 +512,7 @@
         self.cut.clear();
         self.drop_percent = 0;
         self.duplicate_percent = 0;
-        let acked = self.topups.iter().filter(|a| **a).count() as u64;
+        let acked = self.top_ups.iter().filter(|a| **a).count() as u64;
         for id in self.nodes.keys().copied().collect::<Vec<_>>() {
             self.freeze(id, false);
             self.nodes[&id].disk.borrow_mut().fail_in = None;
@@ -513,11 +528,11 @@
             self.resend();
             self.run(200);
         }
-        self.until(10_000, |w| w.topups.iter().all(|a| *a));
+        self.until(10_000, |sim| sim.top_ups.iter().all(|a| *a));
         let leader = self.leader().expect("a leader");
         let funded = self.machine(leader).state().ledger().get("club-talk").unwrap().funded;
         let version = self.machine(leader).state().config().version();
-        assert_eq!(funded, 1_000 + self.topups.len() as u64, "{acked} were acknowledged before");
+        assert_eq!(funded, 1_000 + self.top_ups.len() as u64, "{acked} were acknowledged before");
         assert!(version >= self.acked_version);
         let reads = self.reads;
         for _ in 0..60 {
