--- a/crates/control/src/leader_tasks.rs
+++ b/crates/control/src/leader_tasks.rs
@@ -15,7 +15,7 @@
 
 use crate::disk::Storage;
 use crate::fleet_view::FleetView;
-use crate::machine::{Machine, Moment};
+use crate::machine::{GroupMember, Moment};
 
 /// Interval between checks for silent routers and expired quarantines.
 const CHECK_INTERVAL: Millis = Millis(500);
@@ -46,7 +46,7 @@
     lapsed: BTreeSet<HolderId>,
 }
 
-impl<S: Storage, T> Machine<S, T> {
+impl<S: Storage, T> GroupMember<S, T> {
     /// Lapses silent routers and ends expired quarantines, if this member leads and a check is due.
     pub(crate) fn tick_leader_tasks(&mut self, at: Moment) {
         if !self.raft.is_leader() || at.now < self.leader_tasks.next_check {
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -1,7 +1,7 @@
 //! One member of the control group: the replicated log, the state machine and the storage, without
 //! sockets or clocks.
 //!
-//! Inputs are handled one at a time. [`Machine::finish`] then stores, syncs, sends and applies their
+//! Inputs are handled one at a time. [`GroupMember::finish`] then stores, syncs, sends and applies their
 //! effects, so that all inputs since its last call share one sync.
 
 mod proposals;
@@ -43,7 +43,7 @@
     pub wall: Time,
 }
 
-/// An effect that the caller of [`Machine::finish`] has to carry out.
+/// An effect that the caller of [`GroupMember::finish`] has to carry out.
 #[derive(Debug)]
 pub enum Output<T> {
     /// Send an answer to a caller.
@@ -64,7 +64,7 @@
 }
 
 /// One member of the control group; `T` identifies the caller that an answer goes to.
-pub struct Machine<S, T> {
+pub struct GroupMember<S, T> {
     pub(crate) region: String,
     pub(crate) settings: Settings,
     pub(crate) raft: Raft,
@@ -87,7 +87,7 @@
     stopped: bool,
 }
 
-impl<S: Storage, T> Machine<S, T> {
+impl<S: Storage, T> GroupMember<S, T> {
     /// Creates the member `node` from the state restored from its storage; `seed` seeds its random
     /// election timeouts. Returns an error if the stored snapshot cannot be loaded.
     pub fn start(
@@ -97,7 +97,7 @@
         storage: S,
         (node, restored): (u64, Restored),
         seed: u64,
-    ) -> Result<Machine<S, T>, Error> {
+    ) -> Result<GroupMember<S, T>, Error> {
         let snapshot = restored.snapshot.clone();
         let state = load_state(&storage, &snapshot)?;
         let compacted_log = CompactedLog {
@@ -106,7 +106,7 @@
             ..CompactedLog::default()
         };
         let raft = Raft::new(at.now, node, settings.raft, restored, seed);
-        Ok(Machine {
+        Ok(GroupMember {
             region: region.to_owned(),
             settings,
             raft,
@@ -128,7 +128,7 @@
     }
 
     /// Handles a request of a caller. Its answer is returned by this or a later
-    /// [`Machine::finish`].
+    /// [`GroupMember::finish`].
     pub fn handle_request(&mut self, at: Moment, ask: Ask, from: T) {
         match ask {
             Ask::Command(bytes) => self.propose(at, bytes, from),
--- a/crates/control/src/machine/proposals.rs
+++ b/crates/control/src/machine/proposals.rs
@@ -10,7 +10,7 @@
 use cypressfork_wire::{MemberOrder, body, member_change};
 use metrics::histogram;
 
-use super::{Machine, Moment, STAMP_BYTES};
+use super::{GroupMember, Moment, STAMP_BYTES};
 use crate::disk::Storage;
 
 /// Minimum number of routers for which spending reports are batched into shared commits. Every router
@@ -41,7 +41,7 @@
     pub(super) to: T,
 }
 
-impl<S: Storage, T> Machine<S, T> {
+impl<S: Storage, T> GroupMember<S, T> {
     /// Proposes a caller's command. A spending report may wait to share a commit with others.
     pub(super) fn propose(&mut self, at: Moment, command: Vec<u8>, from: T) {
         let Ok(c) = body::unpack::<Command>(&command) else {
--- a/crates/control/src/read.rs
+++ b/crates/control/src/read.rs
@@ -16,7 +16,7 @@
 use cypressfork_wire::body;
 
 use crate::disk::Storage;
-use crate::machine::{Machine, Moment};
+use crate::machine::{GroupMember, Moment};
 
 /// Time after which a router's watch is answered even without changes.
 const WATCH_TIMEOUT: Millis = Millis(1_000);
@@ -83,7 +83,7 @@
     }
 }
 
-impl<S: Storage, T> Machine<S, T> {
+impl<S: Storage, T> GroupMember<S, T> {
     /// Starts a confirmed read for a query, or adds a router's watch to the next batch.
     pub(crate) fn query(&mut self, q: Query, from: T) {
         if matches!(q, Query::Follow { .. }) && self.raft.is_leader() {
--- a/crates/control/src/run.rs
+++ b/crates/control/src/run.rs
@@ -27,7 +27,7 @@
 use crate::disk::{Disk, disk_failure};
 use crate::fleet_view::FleetView;
 use crate::founding::maintain_membership;
-use crate::machine::{Machine, Moment};
+use crate::machine::{GroupMember, Moment};
 use crate::native::Native;
 use crate::reserve::Reserve;
 use crate::server::{FleetContext, ReplyTo, Server};
@@ -138,11 +138,11 @@
     let node = disk.node();
     let clock = Clock::start();
     let at = Moment { now: clock.now(), wall: unix_time() };
-    let mut machine =
-        Machine::start(at, &s.base.region, s.machine, disk, (node, restored), rand::random())
+    let mut member =
+        GroupMember::start(at, &s.base.region, s.member, disk, (node, restored), rand::random())
             .map_err(disk_failure)?;
     if let Some(f) = &s.fleet {
-        machine.set_data_centres(f.data_centres.iter().cloned());
+        member.set_data_centres(f.data_centres.iter().cloned());
     }
     let listener = listen(s.listen).await?;
     emit!(Event::Started, listen = s.listen, node = format_args!("{node:016x}"));
@@ -162,7 +162,7 @@
         move || settings(&file),
         move |s| reloaded_group.set_addresses(s.base.control),
     ));
-    let server = Server::new(machine, clock, me, s.advertise, reserve, group, fleet);
+    let server = Server::new(member, clock, me, s.advertise, reserve, group, fleet);
     let ended = server.run(listener).await;
     if let (Err((Code::FolderForeign, _)), Some(_)) = (&ended, &s.fleet) {
         // The next start joins the group as a new member, which replaces this one.
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -1,4 +1,4 @@
-//! The event loop of a control process: connects the [`Machine`] to its links, timers and HTTP calls.
+//! The event loop of a control process: connects the [`GroupMember`] to its links, timers and HTTP calls.
 
 mod fleet;
 
@@ -36,7 +36,7 @@
 use crate::fleet_view::FleetView;
 use crate::leaderless::LeaderlessTimer;
 use crate::links::{accept_links, send_messages};
-use crate::machine::{Machine, Moment, Output};
+use crate::machine::{GroupMember, Moment, Output};
 use crate::reserve::Reserve;
 use crate::server::fleet::next_call;
 use crate::turns::{InputKind, LoopStats};
@@ -115,7 +115,7 @@
 
 /// A running control process.
 pub struct Server {
-    machine: Machine<Disk, ReplyTo>,
+    member: GroupMember<Disk, ReplyTo>,
     clock: Clock,
     credentials: Credentials,
     /// Address on which other control processes reach this one.
@@ -153,7 +153,7 @@
 impl Server {
     /// Creates the server of a member. A process without `fleet` serves no HTTP calls.
     pub fn new(
-        machine: Machine<Disk, ReplyTo>,
+        member: GroupMember<Disk, ReplyTo>,
         clock: Clock,
         credentials: Credentials,
         advertise: SocketAddr,
@@ -162,7 +162,7 @@
         fleet: Option<FleetContext>,
     ) -> Server {
         Server {
-            machine,
+            member,
             clock,
             credentials,
             address: advertise.to_string(),
@@ -189,7 +189,7 @@
     pub async fn run(mut self, listener: TcpListener) -> Result<(), Failure> {
         let (tx, mut rx) = mpsc::channel(MAX_QUEUED_MESSAGES);
         actix_rt::spawn(accept_links(listener, self.credentials.clone(), tx.clone()));
-        let heartbeat = Duration::from_millis(self.machine.settings.raft.heartbeat.0);
+        let heartbeat = Duration::from_millis(self.member.settings.raft.heartbeat.0);
         let mut ticks = interval((heartbeat / 5).clamp(TICK_RANGE.0, TICK_RANGE.1));
         ticks.set_missed_tick_behavior(MissedTickBehavior::Skip);
         let stop = stop_signal();
@@ -213,7 +213,7 @@
                     started = Instant::now();
                     self.loop_stats.record_tick();
                     self.retry_disk()?;
-                    self.machine.tick(self.moment());
+                    self.member.tick(self.moment());
                     self.update_metrics();
                     self.send_reserve_commands(&tx);
                     self.tick_fleet(&tx);
@@ -223,7 +223,7 @@
             self.loop_stats.record_iteration(started);
         }
         emit!(Event::Stopping);
-        self.machine.transfer_leadership();
+        self.member.transfer_leadership();
         self.finish()?;
         sleep(TRANSFER_TIMEOUT).await;
         Ok(())
@@ -254,7 +254,7 @@
                 self.pending_reserve_commands -= 1;
                 if let (Some(r), Ok(a)) = (&mut self.reserve, result) {
                     let was_registered = r.is_registered();
-                    r.handle_answer(at.wall, &c, &a, self.machine.state());
+                    r.handle_answer(at.wall, &c, &a, self.member.state());
                     if !was_registered && r.is_registered() {
                         emit!(Event::ReserveEnlisted);
                     }
@@ -284,12 +284,12 @@
                     );
                 }
             }
-            Input::Call(ask, to) => self.machine.handle_request(at, ask, to),
+            Input::Call(ask, to) => self.member.handle_request(at, ask, to),
             Input::Raft(m, reply_to) => {
                 if let Some(a) = reply_to {
                     self.sender_addresses.insert(m.from, a);
                 }
-                self.machine.step(at, m);
+                self.member.step(at, m);
             }
         }
     }
@@ -303,7 +303,7 @@
     /// Updates the metrics of this member.
     fn update_metrics(&mut self) {
         let now = self.moment().now;
-        let raft = self.machine.raft();
+        let raft = self.member.raft();
         self.leaderless.update(now, raft.leader().is_some());
         gauge!(metric::IS_LEADER).set(f64::from(u8::from(raft.is_leader())));
         gauge!(metric::TERM).set(raft.term() as f64);
@@ -318,7 +318,7 @@
             return;
         }
         self.next_reserve_command = at.now.after(RESERVE_INTERVAL);
-        for c in r.commands_due(at.wall, self.machine.state()) {
+        for c in r.commands_due(at.wall, self.member.state()) {
             self.pending_reserve_commands += 1;
             let (group, tx) = (self.group.clone(), tx.clone());
             actix_rt::spawn(async move {
@@ -347,7 +347,7 @@
         self.finish_reserve();
         self.answer_watches();
         let at = self.moment();
-        for out in self.machine.finish(at) {
+        for out in self.member.finish(at) {
             match out {
                 Output::Reply(to, result) => self.reply(to, result),
                 Output::Send(m) => self.send(m),
@@ -368,7 +368,7 @@
         if self.disk_retry_at.is_none_or(|due| at.now < due) {
             return Ok(());
         }
-        match self.machine.restart(at, rand::random()) {
+        match self.member.restart(at, rand::random()) {
             Ok(()) => {
                 self.disk_retry_at = None;
                 emit!(Event::DiskRecovered);
@@ -402,11 +402,11 @@
     /// by other processes, so that it can redirect callers too.
     fn leader_address(&self) -> Option<String> {
         let reported = || self.contacts.leader(self.clock.now()).map(|l| l.address.clone());
-        self.machine.leader_address().or_else(reported)
+        self.member.leader_address().or_else(reported)
     }
 
     fn send(&mut self, m: Message) {
-        let known = self.machine.raft().address(m.to);
+        let known = self.member.raft().address(m.to);
         let address = known.or_else(|| self.sender_addresses.get(&m.to).map(String::as_str));
         let Some(address) = address.map(str::to_owned) else { return };
         let is_connected =
--- a/crates/control/src/server/fleet.rs
+++ b/crates/control/src/server/fleet.rs
@@ -53,7 +53,7 @@
     pub(super) fn handle_announce(&mut self, at: Moment, bytes: &[u8]) -> Result<Vec<u8>, Code> {
         let a = body::unpack::<Announce>(bytes).map_err(|_| Code::MessageBad)?;
         let f = self.fleet.as_mut().ok_or(Code::MessageBad)?;
-        if !self.machine.raft().is_leader() {
+        if !self.member.raft().is_leader() {
             return Err(Code::NotLeader);
         }
         f.view.announce(at.now, a);
@@ -75,7 +75,7 @@
     pub(super) fn handle_http_call(&mut self, local: LocalCall) {
         self.loop_stats.record_input(InputKind::Http);
         let now = self.moment().now;
-        let has_leader = self.machine.raft().leader().is_some();
+        let has_leader = self.member.raft().leader().is_some();
         let Some(f) = &mut self.fleet else { return };
         let answer = match local.call {
             Call::Entry(data_centre) => {
@@ -91,7 +91,7 @@
                 CallAnswer::Refused(Code::RegistrationBad, why)
             }
             // Acknowledged, because a document that names the service may follow soon.
-            Call::Heartbeat(r) if !self.machine.state().names_service(&r.registration.service) => {
+            Call::Heartbeat(r) if !self.member.state().names_service(&r.registration.service) => {
                 counter!(metric::UNKNOWN_SERVICES).increment(1);
                 let Registration { id, service, .. } = &r.registration;
                 emit!(Event::ServiceUnnamed, replica = id, service = service);
@@ -124,15 +124,15 @@
         let Some(f) = &mut self.fleet else { return };
         f.view.tick(at.now);
         while let Ok(members) = f.rejoin_members.try_recv() {
-            self.machine.set_rejoin_members(at, members);
+            self.member.set_rejoin_members(at, members);
         }
-        let status = self.machine.group_status();
+        let status = self.member.group_status();
         f.group_status.send_if_modified(|s| std::mem::replace(s, status.clone()) != status);
-        self.machine.repair_group(at, &f.view.candidates, f.voters);
-        let quorum = self.machine.members().quorum();
+        self.member.repair_group(at, &f.view.candidates, f.voters);
+        let quorum = self.member.members().quorum();
         let margin = self.clocks.margin(at.now, unix_time(), quorum);
-        self.machine.write_off_dead_holders(at, margin);
-        self.machine.step_rollouts(at, &mut f.view, f.rollout_share_permille);
+        self.member.write_off_dead_holders(at, margin);
+        self.member.step_rollouts(at, &mut f.view, f.rollout_share_permille);
         if at.now >= self.next_watch {
             self.next_watch = at.now.after(WATCH_INTERVAL);
             self.watch_all(at, tx);
@@ -143,12 +143,12 @@
     pub(super) fn watch_all(&mut self, at: Moment, tx: &mpsc::Sender<Input>) {
         let Some(f) = &self.fleet else { return };
         self.contacts.tick(at.now);
-        let members = raft_addresses(self.machine.members());
+        let members = raft_addresses(self.member.members());
         let reported = self.contacts.addresses().filter_map(|a| a.parse().ok());
         let all = members.into_iter().chain(f.seeds.iter().copied()).chain(reported);
         let all: BTreeSet<_> = all.filter(|a| a.to_string() != self.address).collect();
         self.group.add_addresses(all.iter().copied());
-        let lead = self.machine.known_leader().or_else(|| self.contacts.leader(at.now).cloned());
+        let lead = self.member.known_leader().or_else(|| self.contacts.leader(at.now).cloned());
         if let Some(lead) = &lead
             && let Ok(leader) = lead.address.parse()
         {
@@ -167,13 +167,13 @@
     pub(super) fn answer_watches(&mut self) {
         let now = self.moment().now;
         let Some(f) = self.fleet.as_mut().filter(|f| f.view.is_poll_due(now)) else { return };
-        let (version, source) = self.machine.state().published();
-        let controls = self.machine.members().addresses.values().cloned().collect();
-        let registered = self.machine.state().routers();
-        let lead = self.machine.known_leader();
-        let evacuations = self.machine.state().evacuations();
-        let quarantine = self.machine.state().quarantine();
-        let rollouts = self.machine.state().rollouts();
+        let (version, source) = self.member.state().published();
+        let controls = self.member.members().addresses.values().cloned().collect();
+        let registered = self.member.state().routers();
+        let lead = self.member.known_leader();
+        let evacuations = self.member.state().evacuations();
+        let quarantine = self.member.state().quarantine();
+        let rollouts = self.member.state().rollouts();
         let state = WatchedState {
             version,
             source,
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -171,7 +171,7 @@
     /// Whether to keep the reserve of the data centre.
     pub reserve: bool,
     /// Timing of the replicated log and snapshot interval.
-    pub machine: machine::Settings,
+    pub member: machine::Settings,
     /// Fleet settings, if the process serves the HTTP API.
     pub fleet: Option<FleetSettings>,
 }
@@ -195,7 +195,7 @@
             data_folder: existing_folder("data_folder", &self.data_folder)?,
             metrics: self.metrics.map(|a| parse_address("metrics", &a)).transpose()?,
             reserve: self.reserve,
-            machine: machine::Settings { raft, snapshot_every },
+            member: machine::Settings { raft, snapshot_every },
             fleet: self.fleet.map(FleetFile::check).transpose()?,
         })
     }
--- a/crates/control/tests/batching.rs
+++ b/crates/control/tests/batching.rs
@@ -35,7 +35,7 @@
 
 fn holders(sim: &Simulation) -> Vec<HolderId> {
     let leader = sim.leader().unwrap();
-    sim.machine(leader).state().routers().iter().map(|r| r.holder).collect()
+    sim.member(leader).state().routers().iter().map(|r| r.holder).collect()
 }
 
 /// Three members and 300 registered routers.
--- a/crates/control/tests/group.rs
+++ b/crates/control/tests/group.rs
@@ -44,7 +44,7 @@
     let mut sim = Simulation::with_late_founders(3, &[], &[late], seed);
     sim.run(2_000);
     assert_eq!(sim.nodes[&late].stopped, None);
-    assert_eq!(sim.machine(late).members().voters.len(), 3);
+    assert_eq!(sim.member(late).members().voters.len(), 3);
     let old = sim.leader().unwrap();
     sim.crash(old);
     sim.until(4_000, |sim| sim.leader().is_some_and(|l| l != old));
@@ -60,7 +60,7 @@
         sim.cut.insert(if outgoing { (old, o) } else { (o, old) });
     }
     sim.run(4_000);
-    assert!(!sim.machine(old).raft().is_leader(), "it has no quorum");
+    assert!(!sim.member(old).raft().is_leader(), "it has no quorum");
     sim.until(4_000, |sim| sim.leader().is_some_and(|l| l != old));
     sim.top_up();
     sim.heal_and_check();
@@ -71,14 +71,14 @@
     let mut sim = Simulation::new(3, 3);
     let old = sim.leader().unwrap();
     cut_off(&mut sim, old);
-    let committed = sim.machine(old).raft().committed();
+    let committed = sim.member(old).raft().committed();
     for _ in 0..50 {
         sim.top_up();
         sim.read();
         sim.change();
         sim.run(100);
     }
-    assert!(sim.machine(old).raft().committed() <= committed + 1);
+    assert!(sim.member(old).raft().committed() <= committed + 1);
     assert!(sim.acked_version > 1, "the majority goes on");
     sim.heal_and_check();
 }
@@ -93,11 +93,11 @@
         sim.read();
         sim.run(10_000);
     }
-    let term = sim.machine(sim.leader().unwrap()).raft().term();
+    let term = sim.member(sim.leader().unwrap()).raft().term();
     sim.freeze(old, false);
     sim.run(2_000);
     let leader = sim.leader().unwrap();
-    assert_eq!(sim.machine(leader).raft().term(), term, "it starts no election");
+    assert_eq!(sim.member(leader).raft().term(), term, "it starts no election");
     sim.heal_and_check();
 }
 
@@ -106,13 +106,13 @@
 fn pre_vote_keeps_a_returning_replica_from_deposing_the_leader() {
     let mut sim = Simulation::new(3, 5);
     let leader = sim.leader().unwrap();
-    let term = sim.machine(leader).raft().term();
+    let term = sim.member(leader).raft().term();
     let away = others(leader)[0];
     cut_off(&mut sim, away);
     sim.run(20_000);
     sim.cut.clear();
     sim.run(3_000);
-    assert_eq!((sim.leader(), sim.machine(leader).raft().term()), (Some(leader), term));
+    assert_eq!((sim.leader(), sim.member(leader).raft().term()), (Some(leader), term));
 }
 
 /// A disk fails once at one of its first syncs, with the data written or not.
@@ -149,17 +149,15 @@
         sim.run(40);
     }
     assert_eq!(sim.nodes[&victim].stopped, Some(Code::DiskFailed));
-    assert!(
-        !sim.machine(victim).raft().is_leader() && sim.machine(victim).raft().leader().is_none()
-    );
+    assert!(!sim.member(victim).raft().is_leader() && sim.member(victim).raft().leader().is_none());
     assert!(sim.leader().is_some_and(|l| l != victim), "the others go on");
     assert!(!sim.restart_in_place(victim), "it is still full");
     sim.nodes[&victim].disk.borrow_mut().full = false;
     assert!(sim.restart_in_place(victim));
-    sim.until(10_000, |sim| sim.machine(victim).raft().is_active());
+    sim.until(10_000, |sim| sim.member(victim).raft().is_active());
     sim.until(10_000, |sim| {
         let l = sim.leader().unwrap();
-        sim.machine(victim).raft().committed() == sim.machine(l).raft().committed()
+        sim.member(victim).raft().committed() == sim.member(l).raft().committed()
     });
     sim.heal_and_check();
 }
@@ -197,13 +195,13 @@
         sim.run(20);
     }
     sim.start(away);
-    sim.until(10_000, |sim| sim.machine(away).raft().is_active());
+    sim.until(10_000, |sim| sim.member(away).raft().is_active());
     sim.until(10_000, |sim| {
         let l = sim.leader().unwrap();
-        sim.machine(away).raft().committed() == sim.machine(l).raft().committed()
+        sim.member(away).raft().committed() == sim.member(l).raft().committed()
     });
     let funded =
-        |sim: &Simulation, n| sim.machine(n).state().ledger().get("club-talk").unwrap().funded;
+        |sim: &Simulation, n| sim.member(n).state().ledger().get("club-talk").unwrap().funded;
     let leader = sim.leader().unwrap();
     assert_eq!(funded(&sim, away), funded(&sim, leader));
     sim.heal_and_check();
@@ -245,8 +243,8 @@
     sim.crash(victim);
     let fresh = sim.add_fresh();
     sim.run(5_000);
-    assert!(sim.machine(fresh).members().voters.is_empty());
-    assert!(!sim.machine(fresh).raft().is_leader());
+    assert!(sim.member(fresh).members().voters.is_empty());
+    assert!(!sim.member(fresh).raft().is_leader());
     sim.heal_and_check();
 }
 
@@ -315,7 +313,7 @@
         replace(&mut sim, lost);
     }
     let l = sim.leader().unwrap();
-    assert_eq!(sim.machine(l).members().voters, [4, 5, 6].into());
+    assert_eq!(sim.member(l).members().voters, [4, 5, 6].into());
     sim.heal_and_check();
 }
 
@@ -388,14 +386,14 @@
         let mut sim = Simulation::new(5, seed);
         sim.run(3_000);
         let leader = sim.leader().unwrap();
-        let term = sim.machine(leader).raft().term();
+        let term = sim.member(leader).raft().term();
         let other = sim.live().into_iter().find(|n| *n != leader).unwrap();
         sim.crash(other);
         sim.run(50);
         sim.start(other);
         sim.run(3_000);
         assert_eq!(sim.leader(), Some(leader), "seed {seed}");
-        assert_eq!(sim.machine(leader).raft().term(), term, "seed {seed}");
+        assert_eq!(sim.member(leader).raft().term(), term, "seed {seed}");
     }
 }
 
--- a/crates/control/tests/rejoin.rs
+++ b/crates/control/tests/rejoin.rs
@@ -18,7 +18,7 @@
     sim.crash(1);
     sim.crash(2);
     sim.until(REMOVAL_TIME + 3_000, |sim| {
-        let leader = sim.leader().map(|l| sim.machine(l).members().clone());
+        let leader = sim.leader().map(|l| sim.member(l).members().clone());
         leader.is_some_and(|m| !m.contains(1) && !m.contains(2))
     });
     sim
@@ -61,7 +61,7 @@
     sim.start(1);
     sim.run(500);
     let leader = sim.leader().unwrap();
-    let address = sim.machine(1).leader_address().or(sim.contacts_leader(1));
+    let address = sim.member(1).leader_address().or(sim.contacts_leader(1));
     assert_eq!(address, Some(sim.nodes[&leader].address.clone()));
 }
 
@@ -106,7 +106,7 @@
 fn a_founder_with_an_empty_log_finds_the_group(#[values(1, 2)] seed: u64) {
     let mut sim = Simulation::with_crashed_seeds(9, &[3], seed);
     sim.until(REMOVAL_TIME + 3_000, |sim| {
-        let leader = sim.leader().map(|l| sim.machine(l).members().clone());
+        let leader = sim.leader().map(|l| sim.member(l).members().clone());
         leader.is_some_and(|m| !m.contains(3))
     });
     sim.start(3);
--- a/crates/control/tests/stalls.rs
+++ b/crates/control/tests/stalls.rs
@@ -49,7 +49,7 @@
 
 /// Returns the highest term of all running processes.
 fn term(sim: &Simulation) -> u64 {
-    sim.live().into_iter().map(|id| sim.machine(id).raft().term()).max().unwrap()
+    sim.live().into_iter().map(|id| sim.member(id).raft().term()).max().unwrap()
 }
 
 /// Stalls shorter and longer than the election timeout.
--- a/crates/control/tests/support/membership.rs
+++ b/crates/control/tests/support/membership.rs
@@ -33,7 +33,7 @@
     /// Returns whether there is a leader and every running process is a voter in its member list.
     pub fn all_are_voters(&self) -> bool {
         let Some(leader) = self.leader() else { return false };
-        let voters = &self.machine(leader).members().voters;
+        let voters = &self.member(leader).members().voters;
         self.live().iter().all(|n| voters.contains(n))
     }
 
@@ -61,7 +61,7 @@
     /// Returns the addresses of other processes that a process knows.
     fn known_addresses(&self, id: NodeId) -> Vec<String> {
         let node = &self.nodes[&id];
-        let members = self.machine(id).members().addresses.values().cloned();
+        let members = self.member(id).members().addresses.values().cloned();
         let heard = node.contacts.addresses().map(str::to_owned);
         let mut all: Vec<_> = self.seeds.iter().cloned().chain(members).chain(heard).collect();
         all.sort();
@@ -85,7 +85,7 @@
             node.contacts.tick(at.now);
             node.candidates.tick(at.now);
             let candidates = node.candidates.clone();
-            node.machine.as_mut().unwrap().repair_group(at, &candidates, TARGET_VOTERS);
+            node.member.as_mut().unwrap().repair_group(at, &candidates, TARGET_VOTERS);
             if due {
                 self.watch_peers(id);
                 self.announce(id);
@@ -100,8 +100,8 @@
             let Some(to) = self.node_at(&address).filter(|to| self.can_reach(id, *to)) else {
                 continue;
             };
-            let addresses = self.machine(to).members().addresses.clone();
-            let lead = self.machine(to).known_leader();
+            let addresses = self.member(to).members().addresses.clone();
+            let lead = self.member(to).known_leader();
             let own = self.nodes[&id].address.clone();
             self.nodes.get_mut(&to).unwrap().contacts.record(now, &own);
             let contacts = &mut self.nodes.get_mut(&id).unwrap().contacts;
@@ -115,7 +115,7 @@
     /// Announces a process that seeks its group to the leader: tries the known leader or one other process,
     /// and the leader that this one reports.
     fn announce(&mut self, id: NodeId) {
-        let status = self.machine(id).group_status();
+        let status = self.member(id).group_status();
         if !status.seeks_group(self.now.since(self.nodes[&id].started)) {
             return;
         }
@@ -125,9 +125,9 @@
         let leader = node.contacts.leader(self.now).map(|l| l.address.clone());
         let first = leader.unwrap_or_else(|| all[node.announcements % all.len()].clone());
         let Some(first) = self.node_at(&first).filter(|to| self.can_reach(id, *to)) else { return };
-        let reported = self.machine(first).leader_address().and_then(|a| self.node_at(&a));
+        let reported = self.member(first).leader_address().and_then(|a| self.node_at(&a));
         for to in [Some(first), reported].into_iter().flatten() {
-            if self.machine(to).raft().is_leader() && self.can_reach(id, to) {
+            if self.member(to).raft().is_leader() && self.can_reach(id, to) {
                 self.deliver_announcement(id, to);
             }
         }
@@ -135,10 +135,10 @@
 
     fn deliver_announcement(&mut self, id: NodeId, leader: NodeId) {
         let at = self.moment();
-        let members: Members = self.machine(leader).raft().committed_members().clone();
+        let members: Members = self.member(leader).raft().committed_members().clone();
         let a = Announce { node: id, address: self.nodes[&id].address.clone() };
         self.nodes.get_mut(&leader).unwrap().candidates.record(at.now, a);
-        let machine = self.nodes.get_mut(&id).unwrap().machine.as_mut().unwrap();
-        machine.set_rejoin_members(at, members);
+        let member = self.nodes.get_mut(&id).unwrap().member.as_mut().unwrap();
+        member.set_rejoin_members(at, members);
     }
 }
--- a/crates/control/tests/support/simulation.rs
+++ b/crates/control/tests/support/simulation.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-use cypressfork_control::machine::{Machine, Moment, Output, Settings};
+use cypressfork_control::machine::{GroupMember, Moment, Output, Settings};
 use cypressfork_core::code::Code;
 use cypressfork_core::command::{Answer, Command};
 use cypressfork_core::config::{Application, Change, Item, Template};
@@ -28,7 +28,7 @@
 
 /// A control process and its disk.
 pub struct Node {
-    pub machine: Option<Machine<MemoryStorage, u64>>,
+    pub member: Option<GroupMember<MemoryStorage, u64>>,
     pub disk: Disk,
     pub frozen: bool,
     /// Time until which the process is stalled: its messages wait while its clock goes on.
@@ -150,7 +150,7 @@
         let peers: Vec<_> = (1..=n).map(|i| Peer::new(i as i64, address(i))).collect();
         let found = |sim: &mut Simulation, i: NodeId| {
             let at = sim.moment();
-            let m = sim.nodes.get_mut(&i).unwrap().machine.as_mut().unwrap();
+            let m = sim.nodes.get_mut(&i).unwrap().member.as_mut().unwrap();
             m.handle_request(at, Ask::Founders(Founders::new(peers.clone())), 0);
         };
         (1..=n).filter(|i| !late.contains(i)).for_each(|i| found(&mut sim, i));
@@ -177,7 +177,7 @@
         let id = self.next_id;
         self.next_id += 1;
         let node = Node {
-            machine: None,
+            member: None,
             disk: Disk::default(),
             frozen: false,
             stalled_until: Time(0),
@@ -198,13 +198,13 @@
         let (at, seed) = (self.moment(), self.rng.random());
         let settings = self.settings;
         let node = self.nodes.get_mut(&id).unwrap();
-        if node.machine.is_some() {
+        if node.member.is_some() {
             return;
         }
         let (memory, restored) = MemoryStorage::open(&node.disk);
-        let machine =
-            Machine::start(at, "tas-north", settings, memory, (id, restored), seed).unwrap();
-        node.machine = Some(machine);
+        let member =
+            GroupMember::start(at, "tas-north", settings, memory, (id, restored), seed).unwrap();
+        node.member = Some(member);
         node.stopped = None;
         node.started = at.now;
         node.contacts = Contacts::default();
@@ -217,7 +217,7 @@
     pub fn restart_in_place(&mut self, id: NodeId) -> bool {
         let (at, seed) = (self.moment(), self.rng.random());
         let node = self.nodes.get_mut(&id).unwrap();
-        let done = node.machine.as_mut().unwrap().restart(at, seed).is_ok();
+        let done = node.member.as_mut().unwrap().restart(at, seed).is_ok();
         if done {
             node.stopped = None;
             self.checked.remove(&id);
@@ -228,7 +228,7 @@
     /// Kills a process: what was not synced is lost.
     pub fn crash(&mut self, id: NodeId) {
         let node = self.nodes.get_mut(&id).unwrap();
-        node.machine = None;
+        node.member = None;
         node.frozen = false;
     }
 
@@ -259,17 +259,17 @@
     }
 
     pub fn live(&self) -> Vec<NodeId> {
-        self.nodes.iter().filter(|(_, n)| n.machine.is_some()).map(|(i, _)| *i).collect()
+        self.nodes.iter().filter(|(_, n)| n.member.is_some()).map(|(i, _)| *i).collect()
     }
 
-    pub fn machine(&self, id: NodeId) -> &Machine<MemoryStorage, u64> {
-        self.nodes[&id].machine.as_ref().unwrap()
+    pub fn member(&self, id: NodeId) -> &GroupMember<MemoryStorage, u64> {
+        self.nodes[&id].member.as_ref().unwrap()
     }
 
     /// Returns the running leader of the newest term.
     pub fn leader(&self) -> Option<NodeId> {
-        let is_leader = |i: &NodeId| self.machine(*i).raft().is_leader() && !self.nodes[i].frozen;
-        let term = |i: &NodeId| self.machine(*i).raft().term();
+        let is_leader = |i: &NodeId| self.member(*i).raft().is_leader() && !self.nodes[i].frozen;
+        let term = |i: &NodeId| self.member(*i).raft().term();
         self.live().into_iter().filter(is_leader).max_by_key(term)
     }
 
@@ -277,7 +277,7 @@
         self.calls += 1;
         let (at, token) = (self.moment(), self.calls);
         let node = self.nodes.get_mut(&to).unwrap();
-        if let Some(m) = node.machine.as_mut().filter(|_| !node.frozen) {
+        if let Some(m) = node.member.as_mut().filter(|_| !node.frozen) {
             self.pending.insert(token, pending);
             m.handle_request(at, ask, token);
         }
@@ -352,8 +352,7 @@
             if self.last_member_answer == Some(Ok(())) {
                 return;
             }
-            let done =
-                self.leader().is_some_and(|l| has_change(self.machine(l).members(), &change));
+            let done = self.leader().is_some_and(|l| has_change(self.member(l).members(), &change));
             rounds += 1;
             if done {
                 return;
@@ -408,7 +407,7 @@
         if node.frozen || node.stalled_until > at.now {
             return;
         }
-        let m = node.machine.as_mut().unwrap();
+        let m = node.member.as_mut().unwrap();
         if node.stalled_until.0 > 0 {
             // A process that was stalled may handle its timer before the waiting messages.
             node.stalled_until = Time(0);
@@ -425,7 +424,7 @@
                 Output::Stop(code, _) => {
                     let node = self.nodes.get_mut(&id).unwrap();
                     if !self.in_place {
-                        node.machine = None;
+                        node.member = None;
                     }
                     node.stopped = Some(code);
                 }
@@ -492,7 +491,7 @@
     /// Checks that each term has one leader and that committed entries never differ.
     fn check(&mut self) {
         for id in self.live() {
-            let raft = self.nodes[&id].machine.as_ref().unwrap().raft();
+            let raft = self.nodes[&id].member.as_ref().unwrap().raft();
             if raft.is_leader() {
                 let first = *self.leaders.entry(raft.term()).or_insert(id);
                 assert_eq!(first, id, "two leaders in term {}", raft.term());
@@ -530,8 +529,8 @@
         }
         self.until(10_000, |sim| sim.top_ups.iter().all(|a| *a));
         let leader = self.leader().expect("a leader");
-        let funded = self.machine(leader).state().ledger().get("club-talk").unwrap().funded;
-        let version = self.machine(leader).state().config().version();
+        let funded = self.member(leader).state().ledger().get("club-talk").unwrap().funded;
+        let version = self.member(leader).state().config().version();
         assert_eq!(funded, 1_000 + self.top_ups.len() as u64, "{acked} were acknowledged before");
         assert!(version >= self.acked_version);
         let reads = self.reads;
