--- a/crates/control/src/leader_tasks.rs
+++ b/crates/control/src/leader_tasks.rs
@@ -15,7 +15,7 @@
 
 use crate::disk::Storage;
 use crate::fleet_view::FleetView;
-use crate::machine::{GroupMember, Moment};
+use crate::machine::{ClockReading, GroupMember};
 
 /// Interval between checks for silent routers and expired quarantines.
 const CHECK_INTERVAL: Millis = Millis(500);
@@ -48,7 +48,7 @@
 
 impl<S: Storage, T> GroupMember<S, T> {
     /// Lapses silent routers and ends expired quarantines, if this member leads and a check is due.
-    pub(crate) fn tick_leader_tasks(&mut self, at: Moment) {
+    pub(crate) fn tick_leader_tasks(&mut self, at: ClockReading) {
         if !self.raft.is_leader() || at.now < self.leader_tasks.next_check {
             return;
         }
@@ -61,7 +61,12 @@
 
     /// Starts the next membership change that repairs the group, if this member leads and a change is
     /// needed.
-    pub fn repair_group(&mut self, at: Moment, candidates: &Candidates, target_voters: usize) {
+    pub fn repair_group(
+        &mut self,
+        at: ClockReading,
+        candidates: &Candidates,
+        target_voters: usize,
+    ) {
         if !self.raft.is_leader() || at.now < self.leader_tasks.next_repair {
             return;
         }
@@ -87,7 +92,7 @@
     ///
     /// Times that began before this member led are measured by the wall clock. `margin` is its maximum
     /// error; holders that need it have to wait while it is `None`.
-    pub fn write_off_dead_holders(&mut self, at: Moment, margin: Option<Millis>) {
+    pub fn write_off_dead_holders(&mut self, at: ClockReading, margin: Option<Millis>) {
         if !self.raft.is_leader() || at.now < self.leader_tasks.next_write_off {
             return;
         }
@@ -118,7 +123,12 @@
 
     /// Proposes the due steps of all running rollouts, if this member leads. A bad version may get at
     /// most `max_permille` of its service's requests.
-    pub fn step_rollouts<W>(&mut self, at: Moment, view: &mut FleetView<W>, max_permille: u64) {
+    pub fn step_rollouts<W>(
+        &mut self,
+        at: ClockReading,
+        view: &mut FleetView<W>,
+        max_permille: u64,
+    ) {
         if !self.raft.is_leader() || at.now < self.leader_tasks.next_rollouts {
             return;
         }
@@ -152,7 +162,7 @@
     /// Returns the maximum time since a bounds report was recorded, or `None` while it is not known.
     fn since_report(
         &self,
-        at: Moment,
+        at: ClockReading,
         holder: HolderId,
         report: BoundsReport,
         margin: Option<Millis>,
@@ -166,7 +176,7 @@
     }
 
     /// Proposes to lapse the routers that have become silent: their open claims get an unknown outcome.
-    fn lapse_silent_routers(&mut self, at: Moment) {
+    fn lapse_silent_routers(&mut self, at: ClockReading) {
         let is_silent = |h: HolderId| self.heartbeats.since_last(at.now, h) >= CLAIM_HOLDER_TIMEOUT;
         let all: Vec<_> = self.state.routers().iter().map(|r| r.holder).collect();
         let (silent, live): (Vec<_>, Vec<_>) = all.into_iter().partition(|h| is_silent(*h));
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -34,9 +34,9 @@
 /// Length of the time stamp that precedes each command in the log.
 const STAMP_BYTES: usize = 8;
 
-/// The current time on two clocks.
+/// A reading of the monotonic clock and of the wall clock, taken when an input is handled.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Moment {
+pub struct ClockReading {
     /// Monotonic time since the start of the process.
     pub now: Time,
     /// Wall clock time since 1970.
@@ -91,7 +91,7 @@
     /// Creates the member `node` from the state restored from its storage; `seed` seeds its random
     /// election timeouts. Returns an error if the stored snapshot cannot be loaded.
     pub fn start(
-        at: Moment,
+        at: ClockReading,
         region: &str,
         settings: Settings,
         storage: S,
@@ -129,7 +129,7 @@
 
     /// Handles a request of a caller. Its answer is returned by this or a later
     /// [`GroupMember::finish`].
-    pub fn handle_request(&mut self, at: Moment, ask: Ask, from: T) {
+    pub fn handle_request(&mut self, at: ClockReading, ask: Ask, from: T) {
         match ask {
             Ask::Command(bytes) => self.propose(at, bytes, from),
             Ask::Query(bytes) => match body::unpack::<Query>(&bytes) {
@@ -153,13 +153,13 @@
     }
 
     /// Handles a message of another member.
-    pub fn step(&mut self, at: Moment, m: Message) {
+    pub fn step(&mut self, at: ClockReading, m: Message) {
         self.raft.step(at.now, m);
     }
 
     /// Runs what is due: Raft timers, queued reads and reports, leader tasks and answers to routers'
     /// long polls.
-    pub fn tick(&mut self, at: Moment) {
+    pub fn tick(&mut self, at: ClockReading) {
         self.raft.tick(at.now);
         self.tick_reads(at);
         self.tick_reports(at);
@@ -192,7 +192,7 @@
     }
 
     /// Sets the members whose acceptance a rejoin needs, as received from the group's leader.
-    pub fn set_rejoin_members(&mut self, at: Moment, members: Members) {
+    pub fn set_rejoin_members(&mut self, at: ClockReading, members: Members) {
         self.raft.set_rejoin_members(at.now, members);
     }
 
@@ -213,7 +213,7 @@
 
     /// Stores, syncs and applies the effects of the inputs handled so far. Returns the effects that the
     /// caller has to carry out.
-    pub fn finish(&mut self, at: Moment) -> Vec<Output<T>> {
+    pub fn finish(&mut self, at: ClockReading) -> Vec<Output<T>> {
         while !self.stopped {
             self.raft.flush();
             let actions = self.raft.take_actions();
@@ -229,7 +229,7 @@
     }
 
     /// Restarts from the stored state after a disk failure. Returns an error if the disk still fails.
-    pub fn restart(&mut self, at: Moment, seed: u64) -> Result<(), Error> {
+    pub fn restart(&mut self, at: ClockReading, seed: u64) -> Result<(), Error> {
         let restored = self.storage.reopen()?;
         self.snapshot = restored.snapshot.clone();
         self.state = load_state(&self.storage, &self.snapshot)?;
@@ -255,7 +255,7 @@
         self.outputs.push(Output::Stop(code, why));
     }
 
-    fn process_actions(&mut self, at: Moment, actions: Vec<Action>) -> Result<(), Error> {
+    fn process_actions(&mut self, at: ClockReading, actions: Vec<Action>) -> Result<(), Error> {
         for a in &actions {
             self.store_action(a)?;
         }
@@ -285,7 +285,7 @@
         Ok(())
     }
 
-    fn perform_action(&mut self, at: Moment, a: Action) -> Result<(), Error> {
+    fn perform_action(&mut self, at: ClockReading, a: Action) -> Result<(), Error> {
         match a {
             Action::Send(m) => self.outputs.push(Output::Send(m)),
             Action::Commit(up_to) => self.apply_up_to(at, up_to),
@@ -318,7 +318,7 @@
     ///
     /// Its vote and the entries that it received from other founding members before the request are
     /// kept.
-    fn found_group(&mut self, at: Moment, f: &Founders) -> Result<Vec<u8>, Code> {
+    fn found_group(&mut self, at: ClockReading, f: &Founders) -> Result<Vec<u8>, Code> {
         let members =
             Members::from_voters(f.peers.iter().map(|p| (p.node as u64, p.address.clone())));
         let me = self.raft.id();
@@ -347,7 +347,7 @@
         Ok(Vec::new())
     }
 
-    fn apply_up_to(&mut self, at: Moment, up_to: Index) {
+    fn apply_up_to(&mut self, at: ClockReading, up_to: Index) {
         while self.applied < up_to {
             let Some(e) = self.raft.log().get(self.applied + 1).cloned() else { break };
             self.applied = e.index;
--- a/crates/control/src/machine/proposals.rs
+++ b/crates/control/src/machine/proposals.rs
@@ -10,7 +10,7 @@
 use cypressfork_wire::{MemberOrder, body, member_change};
 use metrics::histogram;
 
-use super::{GroupMember, Moment, STAMP_BYTES};
+use super::{ClockReading, GroupMember, STAMP_BYTES};
 use crate::disk::Storage;
 
 /// Minimum number of routers for which spending reports are batched into shared commits. Every router
@@ -34,7 +34,7 @@
 /// A spending report that waits to share a commit.
 pub(super) struct QueuedReport<T> {
     /// Time of arrival.
-    pub(super) at: Moment,
+    pub(super) at: ClockReading,
     /// The encoded command.
     pub(super) command: Vec<u8>,
     /// Where the answer goes.
@@ -43,7 +43,7 @@
 
 impl<S: Storage, T> GroupMember<S, T> {
     /// Proposes a caller's command. A spending report may wait to share a commit with others.
-    pub(super) fn propose(&mut self, at: Moment, command: Vec<u8>, from: T) {
+    pub(super) fn propose(&mut self, at: ClockReading, command: Vec<u8>, from: T) {
         let Ok(c) = body::unpack::<Command>(&command) else {
             return self.reply(from, Err(Code::MessageBad));
         };
@@ -68,7 +68,7 @@
     }
 
     /// Proposes the queued reports if the oldest has waited long enough.
-    pub(super) fn tick_reports(&mut self, at: Moment) {
+    pub(super) fn tick_reports(&mut self, at: ClockReading) {
         if self.queued_reports.first().is_some_and(|r| at.now.since(r.at.now) >= MAX_REPORT_DELAY) {
             self.propose_reports();
         }
@@ -81,7 +81,7 @@
         }
     }
 
-    fn propose_now(&mut self, at: Moment, command: Vec<u8>, from: T) {
+    fn propose_now(&mut self, at: ClockReading, command: Vec<u8>, from: T) {
         let mut bytes = Vec::with_capacity(STAMP_BYTES + command.len());
         bytes.extend_from_slice(&at.wall.0.to_be_bytes());
         bytes.extend_from_slice(&command);
@@ -103,20 +103,20 @@
     }
 
     /// Keeps the caller of a proposal until its entry is applied.
-    fn add_pending(&mut self, at: Moment, index: Index, to: T) {
+    fn add_pending(&mut self, at: ClockReading, index: Index, to: T) {
         let term = self.raft.term();
         self.pending.insert(index, PendingEntry { term, at: at.now, to });
     }
 
     /// Proposes a command of the leader itself, whose answer is not needed.
-    pub(crate) fn propose_internal(&mut self, at: Moment, c: &Command) {
+    pub(crate) fn propose_internal(&mut self, at: ClockReading, c: &Command) {
         let mut bytes = at.wall.0.to_be_bytes().to_vec();
         bytes.extend_from_slice(&body::pack(c));
         // If the proposal fails, a later run of the task repeats it.
         let _ = self.raft.propose(at.now, Payload::Command(Arc::from(bytes)));
     }
 
-    pub(super) fn change_members(&mut self, at: Moment, order: &MemberOrder, from: T) {
+    pub(super) fn change_members(&mut self, at: ClockReading, order: &MemberOrder, from: T) {
         let changed = member_change(order)
             .map_err(|_| Code::MessageBad)
             .and_then(|c| self.raft.change(at.now, &c));
@@ -126,7 +126,13 @@
         }
     }
 
-    pub(super) fn answer_proposal(&mut self, at: Moment, index: Index, term: Term, answer: Answer) {
+    pub(super) fn answer_proposal(
+        &mut self,
+        at: ClockReading,
+        index: Index,
+        term: Term,
+        answer: Answer,
+    ) {
         let Some(p) = self.pending.remove(&index) else { return };
         histogram!(metric::COMMIT).record(at.now.since(p.at).0 as f64 / 1000.0);
         let result = if p.term == term { Ok(body::pack(&answer)) } else { Err(Code::NotLeader) };
--- a/crates/control/src/read.rs
+++ b/crates/control/src/read.rs
@@ -16,7 +16,7 @@
 use cypressfork_wire::body;
 
 use crate::disk::Storage;
-use crate::machine::{GroupMember, Moment};
+use crate::machine::{ClockReading, GroupMember};
 
 /// Time after which a router's watch is answered even without changes.
 const WATCH_TIMEOUT: Millis = Millis(1_000);
@@ -94,7 +94,7 @@
     }
 
     /// Starts one confirmed read for the batched watches, if it is due.
-    pub(crate) fn tick_reads(&mut self, at: Moment) {
+    pub(crate) fn tick_reads(&mut self, at: ClockReading) {
         if self.reads.batched.is_empty() || at.now < self.reads.next_read {
             return;
         }
@@ -116,7 +116,7 @@
     }
 
     /// Handles the confirmation of a read: its queries are answered once `index` is applied.
-    pub(crate) fn confirm_read(&mut self, at: Moment, token: u64, index: Index) {
+    pub(crate) fn confirm_read(&mut self, at: ClockReading, token: u64, index: Index) {
         if let Some(queries) = self.reads.unconfirmed.remove(&token) {
             let confirmed = queries.into_iter().map(|(q, to)| (index, q, to));
             self.reads.confirmed.extend(confirmed);
@@ -145,7 +145,7 @@
     }
 
     /// Answers the confirmed queries whose index is applied.
-    pub(crate) fn answer_reads(&mut self, at: Moment) {
+    pub(crate) fn answer_reads(&mut self, at: ClockReading) {
         let applied = self.applied;
         let (due, rest) =
             std::mem::take(&mut self.reads.confirmed).into_iter().partition(|r| r.0 <= applied);
@@ -156,7 +156,7 @@
         }
     }
 
-    fn answer(&mut self, at: Moment, q: Query, to: T) {
+    fn answer(&mut self, at: ClockReading, q: Query, to: T) {
         let reply = match q {
             Query::Follow { holder, version, sites } => {
                 self.heartbeats.record(at.now, holder, version);
@@ -195,7 +195,7 @@
     }
 
     /// Answers the pending watches with changes or with an expired deadline, if a check is due.
-    pub(crate) fn answer_watches(&mut self, at: Moment) {
+    pub(crate) fn answer_watches(&mut self, at: ClockReading) {
         if self.reads.pending.is_empty() || at.now < self.reads.next_poll {
             return;
         }
@@ -219,7 +219,12 @@
         }
     }
 
-    fn router_update(&self, at: Moment, q: &Follow, routers: &RoutersSnapshot) -> RouterUpdate {
+    fn router_update(
+        &self,
+        at: ClockReading,
+        q: &Follow,
+        routers: &RoutersSnapshot,
+    ) -> RouterUpdate {
         let recalls = self.state.ledger().recalls(at.wall, q.holder);
         let up_to_date = q.sites == routers.digest || q.sites == NO_SITES;
         RouterUpdate {
@@ -230,7 +235,7 @@
         }
     }
 
-    fn site(&self, at: Moment, r: &Router) -> Site {
+    fn site(&self, at: ClockReading, r: &Router) -> Site {
         let heard = self.heartbeats.since_last(at.now, r.holder) < SUSPECT_AFTER;
         Site {
             vm: r.vm.clone(),
@@ -240,11 +245,11 @@
         }
     }
 
-    fn sites(&self, at: Moment) -> Vec<Site> {
+    fn sites(&self, at: ClockReading) -> Vec<Site> {
         self.state.routers().iter().map(|r| self.site(at, r)).collect()
     }
 
-    fn quarantined(&self, at: Moment) -> Vec<QuarantineStatus> {
+    fn quarantined(&self, at: ClockReading) -> Vec<QuarantineStatus> {
         let status = |(f, q): (&Fingerprint, &Quarantined)| QuarantineStatus {
             fingerprint: *f,
             account: q.account.clone(),
@@ -261,7 +266,7 @@
         all.map(|(s, r)| (s.to_owned(), r.clone())).collect()
     }
 
-    fn status(&self, at: Moment) -> Status {
+    fn status(&self, at: ClockReading) -> Status {
         let nodes = self.nodes(at);
         let heard = nodes.iter().filter(|n| n.voter && n.heard).count();
         let up_to_date = nodes.iter().filter(|n| n.voter).all(|n| n.heard && n.behind == 0);
@@ -279,7 +284,7 @@
         }
     }
 
-    fn nodes(&self, at: Moment) -> Vec<NodeStatus> {
+    fn nodes(&self, at: ClockReading) -> Vec<NodeStatus> {
         let members = self.raft.members();
         let me = self.raft.id();
         let last = self.raft.log().last_index();
@@ -299,7 +304,7 @@
         members.all().map(node).collect()
     }
 
-    fn router(&self, at: Moment, r: &Router) -> RouterStatus {
+    fn router(&self, at: ClockReading, r: &Router) -> RouterStatus {
         RouterStatus {
             site: self.site(at, r),
             holder: r.holder,
--- a/crates/control/src/run.rs
+++ b/crates/control/src/run.rs
@@ -27,7 +27,7 @@
 use crate::disk::{Disk, disk_failure};
 use crate::fleet_view::FleetView;
 use crate::founding::maintain_membership;
-use crate::machine::{GroupMember, Moment};
+use crate::machine::{ClockReading, GroupMember};
 use crate::native::Native;
 use crate::reserve::Reserve;
 use crate::server::{FleetContext, ReplyTo, Server};
@@ -137,7 +137,7 @@
     let (disk, restored) = opened.map_err(disk_failure)?;
     let node = disk.node();
     let clock = Clock::start();
-    let at = Moment { now: clock.now(), wall: unix_time() };
+    let at = ClockReading { now: clock.now(), wall: unix_time() };
     let mut member =
         GroupMember::start(at, &s.base.region, s.member, disk, (node, restored), rand::random())
             .map_err(disk_failure)?;
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -36,7 +36,7 @@
 use crate::fleet_view::FleetView;
 use crate::leaderless::LeaderlessTimer;
 use crate::links::{accept_links, send_messages};
-use crate::machine::{GroupMember, Moment, Output};
+use crate::machine::{ClockReading, GroupMember, Output};
 use crate::reserve::Reserve;
 use crate::server::fleet::next_call;
 use crate::turns::{InputKind, LoopStats};
@@ -213,7 +213,7 @@
                     started = Instant::now();
                     self.loop_stats.record_tick();
                     self.retry_disk()?;
-                    self.member.tick(self.moment());
+                    self.member.tick(self.read_clocks());
                     self.update_metrics();
                     self.send_reserve_commands(&tx);
                     self.tick_fleet(&tx);
@@ -229,9 +229,10 @@
         Ok(())
     }
 
-    fn moment(&self) -> Moment {
+    /// Reads the monotonic clock, and the wall clock as agreed with the other control processes.
+    fn read_clocks(&self) -> ClockReading {
         let now = self.clock.now();
-        Moment { now, wall: self.clocks.agreed(now, unix_time()) }
+        ClockReading { now, wall: self.clocks.agreed(now, unix_time()) }
     }
 
     fn handle_batch(&mut self, first: Input, rx: &mut mpsc::Receiver<Input>) {
@@ -243,7 +244,7 @@
     }
 
     fn handle(&mut self, input: Input) {
-        let at = self.moment();
+        let at = self.read_clocks();
         self.loop_stats.record_input(input.kind());
         match input {
             Input::Call(Ask::Reserve(bytes), to) => match &mut self.reserve {
@@ -302,7 +303,7 @@
 
     /// Updates the metrics of this member.
     fn update_metrics(&mut self) {
-        let now = self.moment().now;
+        let now = self.read_clocks().now;
         let raft = self.member.raft();
         self.leaderless.update(now, raft.leader().is_some());
         gauge!(metric::IS_LEADER).set(f64::from(u8::from(raft.is_leader())));
@@ -312,7 +313,7 @@
 
     /// Sends the reserve's due commands to the group, once the previous ones are answered.
     fn send_reserve_commands(&mut self, tx: &mpsc::Sender<Input>) {
-        let at = self.moment();
+        let at = self.read_clocks();
         let Some(r) = &mut self.reserve else { return };
         if self.pending_reserve_commands > 0 || at.now < self.next_reserve_command {
             return;
@@ -346,7 +347,7 @@
     fn finish(&mut self) -> Result<(), Failure> {
         self.finish_reserve();
         self.answer_watches();
-        let at = self.moment();
+        let at = self.read_clocks();
         for out in self.member.finish(at) {
             match out {
                 Output::Reply(to, result) => self.reply(to, result),
@@ -364,7 +365,7 @@
 
     /// Restarts the member from a disk that has failed, if a retry is due.
     fn retry_disk(&mut self) -> Result<(), Failure> {
-        let at = self.moment();
+        let at = self.read_clocks();
         if self.disk_retry_at.is_none_or(|due| at.now < due) {
             return Ok(());
         }
--- a/crates/control/src/server/fleet.rs
+++ b/crates/control/src/server/fleet.rs
@@ -25,7 +25,7 @@
 use crate::api::LocalCall;
 use crate::dialect::{Call, CallAnswer};
 use crate::fleet_view::WatchedState;
-use crate::machine::Moment;
+use crate::machine::ClockReading;
 use crate::turns::InputKind;
 
 /// Interval between checks for control processes that are not watched yet.
@@ -36,7 +36,7 @@
 
 impl Server {
     /// Records a watch request; [`Server::answer_watches`] answers it.
-    pub(super) fn handle_watch(&mut self, at: Moment, bytes: &[u8], to: ReplyTo) {
+    pub(super) fn handle_watch(&mut self, at: ClockReading, bytes: &[u8], to: ReplyTo) {
         let request = body::unpack::<Watch>(bytes);
         match (&mut self.fleet, request) {
             (Some(f), Ok(w)) => {
@@ -50,7 +50,11 @@
     }
 
     /// Records, on the leader, a process that seeks its group.
-    pub(super) fn handle_announce(&mut self, at: Moment, bytes: &[u8]) -> Result<Vec<u8>, Code> {
+    pub(super) fn handle_announce(
+        &mut self,
+        at: ClockReading,
+        bytes: &[u8],
+    ) -> Result<Vec<u8>, Code> {
         let a = body::unpack::<Announce>(bytes).map_err(|_| Code::MessageBad)?;
         let f = self.fleet.as_mut().ok_or(Code::MessageBad)?;
         if !self.member.raft().is_leader() {
@@ -74,7 +78,7 @@
     /// Answers an HTTP call from this process's own state.
     pub(super) fn handle_http_call(&mut self, local: LocalCall) {
         self.loop_stats.record_input(InputKind::Http);
-        let now = self.moment().now;
+        let now = self.read_clocks().now;
         let has_leader = self.member.raft().leader().is_some();
         let Some(f) = &mut self.fleet else { return };
         let answer = match local.call {
@@ -120,7 +124,7 @@
     /// Runs the periodic work of the fleet side: expires old records, watches the other control
     /// processes and, on the leader, repairs the group, writes off dead holders and steps rollouts.
     pub(super) fn tick_fleet(&mut self, tx: &mpsc::Sender<Input>) {
-        let at = self.moment();
+        let at = self.read_clocks();
         let Some(f) = &mut self.fleet else { return };
         f.view.tick(at.now);
         while let Ok(members) = f.rejoin_members.try_recv() {
@@ -140,7 +144,7 @@
     }
 
     /// Watches all other control processes that are known.
-    pub(super) fn watch_all(&mut self, at: Moment, tx: &mpsc::Sender<Input>) {
+    pub(super) fn watch_all(&mut self, at: ClockReading, tx: &mpsc::Sender<Input>) {
         let Some(f) = &self.fleet else { return };
         self.contacts.tick(at.now);
         let members = raft_addresses(self.member.members());
@@ -165,7 +169,7 @@
 
     /// Answers the watch requests that are due.
     pub(super) fn answer_watches(&mut self) {
-        let now = self.moment().now;
+        let now = self.read_clocks().now;
         let Some(f) = self.fleet.as_mut().filter(|f| f.view.is_poll_due(now)) else { return };
         let (version, source) = self.member.state().published();
         let controls = self.member.members().addresses.values().cloned().collect();
--- a/crates/control/tests/support/membership.rs
+++ b/crates/control/tests/support/membership.rs
@@ -77,7 +77,7 @@
         }
         let due = self.now.0 % POLL_INTERVAL.0 < 10;
         for id in self.live() {
-            let (at, frozen) = (self.moment(), self.nodes[&id].frozen);
+            let (at, frozen) = (self.read_clocks(), self.nodes[&id].frozen);
             let node = self.nodes.get_mut(&id).unwrap();
             if frozen {
                 continue;
@@ -134,7 +134,7 @@
     }
 
     fn deliver_announcement(&mut self, id: NodeId, leader: NodeId) {
-        let at = self.moment();
+        let at = self.read_clocks();
         let members: Members = self.member(leader).raft().committed_members().clone();
         let a = Announce { node: id, address: self.nodes[&id].address.clone() };
         self.nodes.get_mut(&leader).unwrap().candidates.record(at.now, a);
--- a/crates/control/tests/support/simulation.rs
+++ b/crates/control/tests/support/simulation.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-use cypressfork_control::machine::{GroupMember, Moment, Output, Settings};
+use cypressfork_control::machine::{ClockReading, GroupMember, Output, Settings};
 use cypressfork_core::code::Code;
 use cypressfork_core::command::{Answer, Command};
 use cypressfork_core::config::{Application, Change, Item, Template};
@@ -149,7 +149,7 @@
         }
         let peers: Vec<_> = (1..=n).map(|i| Peer::new(i as i64, address(i))).collect();
         let found = |sim: &mut Simulation, i: NodeId| {
-            let at = sim.moment();
+            let at = sim.read_clocks();
             let m = sim.nodes.get_mut(&i).unwrap().member.as_mut().unwrap();
             m.handle_request(at, Ask::Founders(Founders::new(peers.clone())), 0);
         };
@@ -195,7 +195,7 @@
     }
 
     pub fn start(&mut self, id: NodeId) {
-        let (at, seed) = (self.moment(), self.rng.random());
+        let (at, seed) = (self.read_clocks(), self.rng.random());
         let settings = self.settings;
         let node = self.nodes.get_mut(&id).unwrap();
         if node.member.is_some() {
@@ -215,7 +215,7 @@
 
     /// Reopens the disk of a member that has stopped. Returns whether it runs again.
     pub fn restart_in_place(&mut self, id: NodeId) -> bool {
-        let (at, seed) = (self.moment(), self.rng.random());
+        let (at, seed) = (self.read_clocks(), self.rng.random());
         let node = self.nodes.get_mut(&id).unwrap();
         let done = node.member.as_mut().unwrap().restart(at, seed).is_ok();
         if done {
@@ -254,8 +254,8 @@
         self.nodes[&id].disk.borrow_mut().fail_in = Some((n, written));
     }
 
-    pub fn moment(&self) -> Moment {
-        Moment { now: self.now, wall: self.now.after(Millis(1_000_000)) }
+    pub fn read_clocks(&self) -> ClockReading {
+        ClockReading { now: self.now, wall: self.now.after(Millis(1_000_000)) }
     }
 
     pub fn live(&self) -> Vec<NodeId> {
@@ -275,7 +275,7 @@
 
     fn call(&mut self, to: NodeId, ask: Ask, pending: PendingCall) {
         self.calls += 1;
-        let (at, token) = (self.moment(), self.calls);
+        let (at, token) = (self.read_clocks(), self.calls);
         let node = self.nodes.get_mut(&to).unwrap();
         if let Some(m) = node.member.as_mut().filter(|_| !node.frozen) {
             self.pending.insert(token, pending);
@@ -402,7 +402,7 @@
     }
 
     fn step_node(&mut self, id: NodeId) {
-        let at = self.moment();
+        let at = self.read_clocks();
         let node = self.nodes.get_mut(&id).unwrap();
         if node.frozen || node.stalled_until > at.now {
             return;
