--- a/crates/control/src/api.rs
+++ b/crates/control/src/api.rs
@@ -58,7 +58,7 @@
         Some(bytes) => {
             let (path, query) = (uri.path(), uri.query().unwrap_or_default());
             let incoming = Incoming { method: &method, path, query, body: &bytes };
-            match D::call(&incoming) {
+            match D::parse_call(&incoming) {
                 Ok(call) => dispatch::<D>(&api, call).await,
                 Err(refused) => refused,
             }
@@ -69,7 +69,7 @@
         counter!(metric::CALLS_REFUSED, "code" => code.number().to_string()).increment(1);
         emit!(Event::CallRefused, code = code.number(), path = uri.path(), why = why);
     }
-    D::write(answer)
+    D::encode_answer(answer)
 }
 
 /// Returns the request's body, or `None` if it is too large, late or cut off.
--- a/crates/control/src/dialect.rs
+++ b/crates/control/src/dialect.rs
@@ -64,7 +64,7 @@
 /// A format of calls and answers over HTTP.
 pub trait Dialect: DocumentFormat {
     /// Parses a request into a call. Returns the answer to send if it is refused.
-    fn call(r: &Incoming) -> Result<Call, CallAnswer>;
+    fn parse_call(r: &Incoming) -> Result<Call, CallAnswer>;
     /// Encodes an answer as an HTTP response.
-    fn write(a: CallAnswer) -> Response<Body>;
+    fn encode_answer(a: CallAnswer) -> Response<Body>;
 }
--- a/crates/control/src/native.rs
+++ b/crates/control/src/native.rs
@@ -57,7 +57,7 @@
 }
 
 impl Dialect for Native {
-    fn call(r: &Incoming) -> Result<Call, CallAnswer> {
+    fn parse_call(r: &Incoming) -> Result<Call, CallAnswer> {
         let text = || String::from_utf8(r.body.to_vec()).map_err(|e| invalid_json(e.to_string()));
         match (r.method, r.path, r.path.strip_prefix("/v1/replicas/")) {
             (&Method::PUT, "/v1/document", _) => Ok(Call::Publish(text()?)),
@@ -79,7 +79,7 @@
         }
     }
 
-    fn write(a: CallAnswer) -> Response<Body> {
+    fn encode_answer(a: CallAnswer) -> Response<Body> {
         match a {
             CallAnswer::Published(version) => {
                 respond(StatusCode::OK, json!({ "version": version }))
--- a/crates/cypressfork/tests/foreign_heartbeats.rs
+++ b/crates/cypressfork/tests/foreign_heartbeats.rs
@@ -52,7 +52,7 @@
 /// Parses `body` as a heartbeat of replica `b-1`.
 fn parse(body: &[u8]) -> Result<Call, CallAnswer> {
     let (method, path) = (&actix_http::Method::PUT, "/v1/replicas/b-1");
-    Native::call(&Incoming { method, path, query: "", body })
+    Native::parse_call(&Incoming { method, path, query: "", body })
 }
 
 proptest! {
