--- a/crates/control/src/disk.rs
+++ b/crates/control/src/disk.rs
@@ -27,7 +27,7 @@
 }
 
 /// Returns the result code for an error of the data folder.
-fn code(e: &Error) -> Code {
+fn result_code(e: &Error) -> Code {
     match e {
         Error::InUse(_) => Code::FolderInUse,
         Error::Foreign(..) => Code::FolderForeign,
@@ -39,7 +39,7 @@
 
 /// Returns the failure with which a process ends if its data folder cannot be used.
 pub(crate) fn disk_failure(e: Error) -> Failure {
-    (code(&e), format!("CF{}: {e}", code(&e).number()))
+    (result_code(&e), format!("CF{}: {e}", result_code(&e).number()))
 }
 
 /// The durable storage of a member. What is appended is stored by the next [`Storage::sync`].
@@ -141,7 +141,7 @@
     record(kind::BASE, &BaseRecord { index: m.index, term: m.term, members })
 }
 
-fn entry(r: EntryRecord) -> Entry {
+fn decode_entry(r: EntryRecord) -> Entry {
     let payload = match (r.command, r.members) {
         (Some(c), _) => Payload::Command(Arc::from(c)),
         (None, Some(m)) => Payload::Members(m),
@@ -163,7 +163,7 @@
         }),
         kind::ENTRY => read(r)
             .filter(|e: &EntryRecord| e.index == next)
-            .map(|e| restored.entries.push(entry(e))),
+            .map(|e| restored.entries.push(decode_entry(e))),
         kind::TRUNCATE => read(r).map(|from: Index| restored.entries.retain(|e| e.index < from)),
         kind::PEER_STATE => read(r).map(|p: PeerStateRecord| {
             let PeerStateRecord { node, incarnation, boot, term, last } = p;
--- a/crates/control/src/fleet_view.rs
+++ b/crates/control/src/fleet_view.rs
@@ -108,11 +108,11 @@
 struct PendingWatch<T> {
     watch: Watch,
     /// Position up to which the watcher has received the changes of replicas.
-    since: u64,
+    replica_position: u64,
     /// Position up to which it has received the leaves that replicas reported to this process directly.
-    leaves: u64,
+    leave_position: u64,
     /// Position up to which it has received the changes of rate limits.
-    limits: u64,
+    limit_position: u64,
     received: Time,
     to: T,
 }
@@ -120,20 +120,20 @@
 impl<T> PendingWatch<T> {
     /// Returns whether there are changes of replicas to send.
     fn has_replica_changes(&self, registry: &Registry) -> bool {
-        !self.watch.without_replicas && registry.has_changes(self.since)
+        !self.watch.without_replicas && registry.has_changes(self.replica_position)
     }
 
     /// Returns whether replicas have reported to this process that they leave, and the watcher gets its
     /// replica records from other control processes. This process has acknowledged the leaves and may
     /// be cut off before it relays them.
     fn has_direct_leaves(&self, registry: &Registry) -> bool {
-        self.watch.without_replicas && registry.has_direct_leaves(self.leaves)
+        self.watch.without_replicas && registry.has_direct_leaves(self.leave_position)
     }
 
     /// Returns whether there are changes of rate limits to send. A router gets them from the same control
     /// processes as its replica records.
     fn has_limit_changes(&self, limits: &Limits) -> bool {
-        !self.watch.without_replicas && limits.has_changes(self.limits)
+        !self.watch.without_replicas && limits.has_changes(self.limit_position)
     }
 
     /// Returns whether there are changes of the quarantine list to send. Suspects change often and are
@@ -190,12 +190,20 @@
         if watch.fetch.is_some() {
             self.next_poll = now;
         }
-        let (since, leaves, limits) = match watch.feed.boot == self.boot {
+        let (replica_position, leave_position, limit_position) = match watch.feed.boot == self.boot
+        {
             true => (watch.feed.position, watch.feed.leaves, watch.feed.limits),
             // The watcher gets earlier leaves from its replica sources.
             false => (0, self.registry.position(), 0),
         };
-        self.pending.push(PendingWatch { watch, since, leaves, limits, received: now, to });
+        self.pending.push(PendingWatch {
+            watch,
+            replica_position,
+            leave_position,
+            limit_position,
+            received: now,
+            to,
+        });
     }
 
     /// Records a process's announcement that it belongs to no group.
@@ -293,7 +301,7 @@
             || (waited >= CHANGE_BATCH_DELAY && w.has_replica_changes(&self.registry))
             || (waited >= CHANGE_BATCH_DELAY && w.has_direct_leaves(&self.registry))
             || (waited >= CHANGE_BATCH_DELAY && w.has_limit_changes(&self.limits))
-            || (relays_heartbeats && self.registry.has_heartbeats(w.since))
+            || (relays_heartbeats && self.registry.has_heartbeats(w.replica_position))
     }
 
     fn response(&mut self, now: Time, w: &PendingWatch<T>, f: &WatchedState) -> WatchResponse {
@@ -302,13 +310,15 @@
         let mut leaves = self.registry.position();
         let changes = match is_router {
             true if w.watch.without_replicas => {
-                let (records, position) = self.registry.direct_leaves(w.leaves, MAX_RECORDS);
+                let (records, position) =
+                    self.registry.direct_leaves(w.leave_position, MAX_RECORDS);
                 leaves = position;
-                Changes { records, position: w.since, ..Changes::default() }
+                Changes { records, position: w.replica_position, ..Changes::default() }
             }
-            true => self.feed_cache.changes(now, &self.registry, w.since, MAX_RECORDS),
+            true => self.feed_cache.changes(now, &self.registry, w.replica_position, MAX_RECORDS),
             false => {
-                let batch = self.registry.relay_batch(w.since, MAX_RECORDS, MAX_HEARTBEATS);
+                let batch =
+                    self.registry.relay_batch(w.replica_position, MAX_RECORDS, MAX_HEARTBEATS);
                 heartbeats = batch.heartbeats;
                 Changes { records: batch.records, packed: None, position: batch.position }
             }
@@ -322,8 +332,8 @@
         let has_routers_without_homes =
             w.watch.few == NOT_WANTED || w.watch.few == self.directory.without_homes_digest();
         let (limits, limits_position) = match w.watch.without_replicas {
-            true => (Vec::new(), w.limits),
-            false => self.limits.changes(now, w.limits, MAX_LIMITS),
+            true => (Vec::new(), w.limit_position),
+            false => self.limits.changes(now, w.limit_position, MAX_LIMITS),
         };
         WatchResponse {
             feed: FeedCursor {
--- a/crates/control/src/native.rs
+++ b/crates/control/src/native.rs
@@ -70,7 +70,7 @@
                 parse_evacuation(r, EVACUATIONS, false)
             }
             (method, path, _) if path.starts_with(ROLLOUTS) => parse_rollout(method, r),
-            (&Method::PUT, _, Some(id)) if !id.is_empty() => heartbeat(id, r.body),
+            (&Method::PUT, _, Some(id)) if !id.is_empty() => parse_heartbeat(id, r.body),
             (&Method::DELETE, _, Some(id)) if !id.is_empty() => Ok(Call::Leave(id.to_owned())),
             _ => Err(CallAnswer::Refused(
                 Code::PathUnknown,
@@ -90,7 +90,7 @@
                 respond(StatusCode::OK, json!({ "addresses": addresses, "keep_ms": ttl.0 }))
             }
             CallAnswer::Rollout(r) => respond(StatusCode::OK, json!(r)),
-            CallAnswer::Refused(code, reason) => refuse(code, &reason),
+            CallAnswer::Refused(code, reason) => error_response(code, &reason),
         }
     }
 }
@@ -142,7 +142,7 @@
     CallAnswer::Refused(Code::BodyNotJson, reason)
 }
 
-fn heartbeat(id: &str, body: &[u8]) -> Result<Call, CallAnswer> {
+fn parse_heartbeat(id: &str, body: &[u8]) -> Result<Call, CallAnswer> {
     let b: Beat = serde_json::from_slice(body).map_err(|e| invalid_json(e.to_string()))?;
     let standing = if b.draining { ReplicaStatus::Draining } else { ReplicaStatus::Ready };
     let registration = Registration {
@@ -176,7 +176,7 @@
     json_response(status, v.to_string())
 }
 
-fn refuse(code: Code, reason: &str) -> Response<Body> {
+fn error_response(code: Code, reason: &str) -> Response<Body> {
     let error =
         json!({ "code": format!("CF{}", code.number()), "message": code.text(), "why": reason });
     // A code without a status of its own means that the group cannot answer now.
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -67,7 +67,9 @@
 
 /// An input from a link or from a background task.
 pub(crate) enum Input {
+    /// A request of a router, an operator or another control process.
     Call(Ask, ReplyTo),
+    /// A message of another member, and the address under which the sender is reached.
     Raft(Message, Option<String>),
     /// The group's answer to a command of the reserve.
     ReserveAnswered(Box<Command>, Result<Answer, Code>),
--- a/crates/control/tests/group.rs
+++ b/crates/control/tests/group.rs
@@ -175,7 +175,7 @@
                 sim.top_up();
                 sim.run(40);
             }
-            let stopped = sim.live().into_iter().filter(|id| sim.nodes[id].stopped.is_some());
+            let stopped = sim.running().into_iter().filter(|id| sim.nodes[id].stopped.is_some());
             for id in stopped.collect::<Vec<_>>() {
                 assert!(sim.restart_in_place(id));
             }
@@ -344,7 +344,7 @@
         sim.run(10);
     }
     for pause in [50, 700, 3_000] {
-        for id in sim.live() {
+        for id in sim.running() {
             sim.crash(id);
         }
         for id in 1..=3 {
@@ -364,7 +364,7 @@
         let mut sim = Simulation::new(5, seed);
         sim.top_up();
         sim.run(2_000);
-        for id in sim.live() {
+        for id in sim.running() {
             sim.crash(id);
         }
         for id in 1..=5 {
@@ -387,7 +387,7 @@
         sim.run(3_000);
         let leader = sim.leader().unwrap();
         let term = sim.member(leader).raft().term();
-        let other = sim.live().into_iter().find(|n| *n != leader).unwrap();
+        let other = sim.running().into_iter().find(|n| *n != leader).unwrap();
         sim.crash(other);
         sim.run(50);
         sim.start(other);
--- a/crates/control/tests/rejoin.rs
+++ b/crates/control/tests/rejoin.rs
@@ -26,7 +26,7 @@
 
 /// Crashes all running processes at once and restarts them with their disks.
 fn restart_all(sim: &mut Simulation) {
-    for id in sim.live() {
+    for id in sim.running() {
         sim.crash(id);
         sim.start(id);
     }
@@ -50,7 +50,7 @@
     sim.start(2);
     let third = sim.wipe(3);
     sim.until(2 * REJOIN_TIME, Simulation::all_are_voters);
-    assert!(sim.live().contains(&third));
+    assert!(sim.running().contains(&third));
     sim.heal_and_check();
 }
 
@@ -77,7 +77,7 @@
     sim.run(300);
     restart_all(&mut sim);
     sim.until(3 * REJOIN_TIME, Simulation::all_are_voters);
-    let wiped: Vec<_> = sim.live().into_iter().filter(|n| [5, 8].contains(n)).collect();
+    let wiped: Vec<_> = sim.running().into_iter().filter(|n| [5, 8].contains(n)).collect();
     for id in wiped {
         sim.wipe(id);
     }
--- a/crates/control/tests/stalls.rs
+++ b/crates/control/tests/stalls.rs
@@ -32,14 +32,14 @@
 /// Runs for `span` milliseconds, with processes that stall for `ms` out of each `every` milliseconds.
 fn run_with_stalls(sim: &mut Simulation, who: Stalled, ms: u64, every: u64, span: u64) {
     for n in 0..span / every {
-        let live = sim.live();
+        let running = sim.running();
         let stalled: Vec<NodeId> = match who {
-            Stalled::All => live,
+            Stalled::All => running,
             Stalled::Leader => sim.leader().into_iter().collect(),
             Stalled::Followers => {
                 let leader = sim.leader();
                 let is_next = |id: &NodeId| (id + n).is_multiple_of(3) && Some(*id) != leader;
-                live.into_iter().filter(is_next).collect()
+                running.into_iter().filter(is_next).collect()
             }
         };
         stalled.into_iter().for_each(|id| sim.stall(id, ms));
@@ -49,7 +49,7 @@
 
 /// Returns the highest term of all running processes.
 fn term(sim: &Simulation) -> u64 {
-    sim.live().into_iter().map(|id| sim.member(id).raft().term()).max().unwrap()
+    sim.running().into_iter().map(|id| sim.member(id).raft().term()).max().unwrap()
 }
 
 /// Stalls shorter and longer than the election timeout.
@@ -82,7 +82,7 @@
     sim.run(1_000);
     let old = sim.leader().unwrap();
     let victim =
-        if leader_crashes { old } else { sim.live().into_iter().find(|n| *n != old).unwrap() };
+        if leader_crashes { old } else { sim.running().into_iter().find(|n| *n != old).unwrap() };
     sim.crash(victim);
     run_with_stalls(&mut sim, who, ms, every, ELECTION_TIME + 500);
     let leader = sim.leader().expect("a leader within two election timeouts");
--- a/crates/control/tests/support/membership.rs
+++ b/crates/control/tests/support/membership.rs
@@ -34,7 +34,7 @@
     pub fn all_are_voters(&self) -> bool {
         let Some(leader) = self.leader() else { return false };
         let voters = &self.member(leader).members().voters;
-        self.live().iter().all(|n| voters.contains(n))
+        self.running().iter().all(|n| voters.contains(n))
     }
 
     /// Returns the leader's address that a process learned from others.
@@ -51,7 +51,7 @@
 
     fn node_at(&self, address: &str) -> Option<NodeId> {
         let is_at = |n: &NodeId| self.nodes[n].address == address && !self.nodes[n].frozen;
-        self.live().into_iter().find(is_at)
+        self.running().into_iter().find(is_at)
     }
 
     fn can_reach(&self, from: NodeId, to: NodeId) -> bool {
@@ -76,7 +76,7 @@
             return;
         }
         let due = self.now.0 % POLL_INTERVAL.0 < 10;
-        for id in self.live() {
+        for id in self.running() {
             let (at, frozen) = (self.read_clocks(), self.nodes[&id].frozen);
             let node = self.nodes.get_mut(&id).unwrap();
             if frozen {
--- a/crates/control/tests/support/simulation.rs
+++ b/crates/control/tests/support/simulation.rs
@@ -232,6 +232,7 @@
         node.frozen = false;
     }
 
+    /// Pauses a process, or lets it continue.
     pub fn freeze(&mut self, id: NodeId, frozen: bool) {
         self.nodes.get_mut(&id).unwrap().frozen = frozen;
     }
@@ -258,7 +259,8 @@
         ClockReading { now: self.now, wall: self.now.after(Millis(1_000_000)) }
     }
 
-    pub fn live(&self) -> Vec<NodeId> {
+    /// Returns the processes that have not crashed.
+    pub fn running(&self) -> Vec<NodeId> {
         self.nodes.iter().filter(|(_, n)| n.member.is_some()).map(|(i, _)| *i).collect()
     }
 
@@ -270,7 +272,7 @@
     pub fn leader(&self) -> Option<NodeId> {
         let is_leader = |i: &NodeId| self.member(*i).raft().is_leader() && !self.nodes[i].frozen;
         let term = |i: &NodeId| self.member(*i).raft().term();
-        self.live().into_iter().filter(is_leader).max_by_key(term)
+        self.running().into_iter().filter(is_leader).max_by_key(term)
     }
 
     fn call(&mut self, to: NodeId, ask: Ask, pending: PendingCall) {
@@ -283,10 +285,11 @@
         }
     }
 
-    fn any_live(&mut self) -> Option<NodeId> {
-        let live = self.live();
-        let n = self.rng.random_range(0..live.len().max(1));
-        live.get(n).copied()
+    /// Returns a running process at random.
+    fn any_running(&mut self) -> Option<NodeId> {
+        let running = self.running();
+        let n = self.rng.random_range(0..running.len().max(1));
+        running.get(n).copied()
     }
 
     /// A client adds a token; [`Simulation::resend`] repeats the operation until it is answered.
@@ -298,7 +301,7 @@
     fn send_top_up(&mut self, n: usize) {
         let budget = "club-talk".to_owned();
         let c = Command::TopUp { op: format!("t{n}"), budget, tokens: 1 };
-        if let Some(to) = self.any_live() {
+        if let Some(to) = self.any_running() {
             self.call(to, Ask::Command(body::pack(&c)), PendingCall::TopUp(n));
         }
     }
@@ -313,7 +316,7 @@
         let base = self.changes[n].0;
         let items = vec![Item::Template(template()), Item::Application(application(n))];
         let change = Change { op: format!("c{n}"), base, by: "ann".into(), items };
-        if let Some(to) = self.any_live() {
+        if let Some(to) = self.any_running() {
             let ask = Ask::Command(body::pack(&Command::Apply(change)));
             self.call(to, ask, PendingCall::Change(n));
         }
@@ -322,7 +325,7 @@
     /// A client reads the configuration; the answer must include every version acknowledged before.
     pub fn read(&mut self) {
         let acked = self.acked_version;
-        if let Some(to) = self.any_live() {
+        if let Some(to) = self.any_running() {
             let ask = Ask::Query(body::pack(&Query::Config));
             self.call(to, ask, PendingCall::Read { acked });
         }
@@ -383,6 +386,7 @@
         assert!(done(self), "not within {ms} ms");
     }
 
+    /// Delivers the messages that are due, steps all processes and checks the invariants.
     pub fn round(&mut self) {
         self.now = self.now.after(ROUND);
         let now = self.now;
@@ -394,7 +398,7 @@
                 node.inbox.push(m);
             }
         }
-        for id in self.live() {
+        for id in self.running() {
             self.step_node(id);
         }
         self.maintain_membership();
@@ -490,7 +494,7 @@
 
     /// Checks that each term has one leader and that committed entries never differ.
     fn check(&mut self) {
-        for id in self.live() {
+        for id in self.running() {
             let raft = self.nodes[&id].member.as_ref().unwrap().raft();
             if raft.is_leader() {
                 let first = *self.leaders.entry(raft.term()).or_insert(id);
