--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -1,7 +1,7 @@
 //! One member of the control group: the replicated log, the state machine and the storage, without
 //! sockets or clocks.
 //!
-//! Inputs are handled one at a time. [`Machine::finish`] then stores, syncs, sends and applies their
+//! Inputs are handled one at a time. [`GroupMember::finish`] then stores, syncs, sends and applies their
 //! effects, so that all inputs since its last call share one sync.
 
 mod proposals;
@@ -34,16 +34,16 @@
 /// Length of the time stamp that precedes each command in the log.
 const STAMP_BYTES: usize = 8;
 
-/// The current time on two clocks.
+/// A reading of the monotonic clock and of the wall clock, taken when an input is handled.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Moment {
+pub struct ClockReading {
     /// Monotonic time since the start of the process.
     pub now: Time,
     /// Wall clock time since 1970.
     pub wall: Time,
 }
 
-/// An effect that the caller of [`Machine::finish`] has to carry out.
+/// An effect that the caller of [`GroupMember::finish`] has to carry out.
 #[derive(Debug)]
 pub enum Output<T> {
     /// Send an answer to a caller.
@@ -64,7 +64,7 @@
 }
 
 /// One member of the control group; `T` identifies the caller that an answer goes to.
-pub struct Machine<S, T> {
+pub struct GroupMember<S, T> {
     pub(crate) region: String,
     pub(crate) settings: Settings,
     pub(crate) raft: Raft,
@@ -79,7 +79,7 @@
     pending: BTreeMap<Index, PendingEntry<T>>,
     /// Spending reports that wait to share a commit.
     queued_reports: Vec<QueuedReport<T>>,
-    /// Data centres that orders may name; empty if any name is accepted.
+    /// Data centres that may be evacuated; empty if any name is accepted.
     data_centres: BTreeSet<String>,
     seed: u64,
     snapshot: SnapshotMeta,
@@ -87,17 +87,17 @@
     stopped: bool,
 }
 
-impl<S: Storage, T> Machine<S, T> {
-    /// Creates the member `node` from what its storage holds. Returns an error if the stored snapshot
-    /// cannot be loaded.
+impl<S: Storage, T> GroupMember<S, T> {
+    /// Creates the member `node` from the state restored from its storage; `seed` seeds its random
+    /// election timeouts. Returns an error if the stored snapshot cannot be loaded.
     pub fn start(
-        at: Moment,
+        at: ClockReading,
         region: &str,
         settings: Settings,
         storage: S,
         (node, restored): (u64, PersistentState),
         seed: u64,
-    ) -> Result<Machine<S, T>, Error> {
+    ) -> Result<GroupMember<S, T>, Error> {
         let snapshot = restored.snapshot.clone();
         let state = load_state(&storage, &snapshot)?;
         let compacted_log = CompactedLog {
@@ -106,7 +106,7 @@
             ..CompactedLog::default()
         };
         let raft = Raft::new(at.now, node, settings.raft, restored, seed);
-        Ok(Machine {
+        Ok(GroupMember {
             region: region.to_owned(),
             settings,
             raft,
@@ -128,8 +128,8 @@
     }
 
     /// Handles a request of a caller. Its answer is returned by this or a later
-    /// [`Machine::finish`].
-    pub fn handle_request(&mut self, at: Moment, ask: Ask, from: T) {
+    /// [`GroupMember::finish`].
+    pub fn handle_request(&mut self, at: ClockReading, ask: Ask, from: T) {
         match ask {
             Ask::Command(bytes) => self.propose(at, bytes, from),
             Ask::Query(bytes) => match body::unpack::<Query>(&bytes) {
@@ -145,7 +145,7 @@
                 let result = self.found_group(at, &f);
                 self.reply(from, result);
             }
-            // The server handles the first three itself; the last is for routers.
+            // The server handles the first three itself; routers handle the last.
             Ask::Reserve(_) | Ask::Watch(_) | Ask::Announce(_) | Ask::Share(_) => {
                 self.reply(from, Err(Code::MessageBad))
             }
@@ -153,13 +153,13 @@
     }
 
     /// Handles a message of another member.
-    pub fn step(&mut self, at: Moment, m: Message) {
+    pub fn step(&mut self, at: ClockReading, m: Message) {
         self.raft.step(at.now, m);
     }
 
     /// Runs what is due: Raft timers, queued reads and reports, leader tasks and answers to routers'
     /// long polls.
-    pub fn tick(&mut self, at: Moment) {
+    pub fn tick(&mut self, at: ClockReading) {
         self.raft.tick(at.now);
         self.tick_reads(at);
         self.tick_reports(at);
@@ -192,7 +192,7 @@
     }
 
     /// Sets the members whose acceptance a rejoin needs, as received from the group's leader.
-    pub fn set_rejoin_members(&mut self, at: Moment, members: Members) {
+    pub fn set_rejoin_members(&mut self, at: ClockReading, members: Members) {
         self.raft.set_rejoin_members(at.now, members);
     }
 
@@ -213,7 +213,7 @@
 
     /// Stores, syncs and applies the effects of the inputs handled so far. Returns the effects that the
     /// caller has to carry out.
-    pub fn finish(&mut self, at: Moment) -> Vec<Output<T>> {
+    pub fn finish(&mut self, at: ClockReading) -> Vec<Output<T>> {
         while !self.stopped {
             self.raft.flush();
             let actions = self.raft.take_actions();
@@ -229,7 +229,7 @@
     }
 
     /// Restarts from the stored state after a disk failure. Returns an error if the disk still fails.
-    pub fn restart(&mut self, at: Moment, seed: u64) -> Result<(), Error> {
+    pub fn restart(&mut self, at: ClockReading, seed: u64) -> Result<(), Error> {
         let restored = self.storage.reopen()?;
         self.snapshot = restored.snapshot.clone();
         self.state = load_state(&self.storage, &self.snapshot)?;
@@ -255,7 +255,7 @@
         self.outputs.push(Output::Stop(code, why));
     }
 
-    fn process_actions(&mut self, at: Moment, actions: Vec<Action>) -> Result<(), Error> {
+    fn process_actions(&mut self, at: ClockReading, actions: Vec<Action>) -> Result<(), Error> {
         for a in &actions {
             self.store_action(a)?;
         }
@@ -285,7 +285,7 @@
         Ok(())
     }
 
-    fn perform_action(&mut self, at: Moment, a: Action) -> Result<(), Error> {
+    fn perform_action(&mut self, at: ClockReading, a: Action) -> Result<(), Error> {
         match a {
             Action::Send(m) => self.outputs.push(Output::Send(m)),
             Action::Commit(up_to) => self.apply_up_to(at, up_to),
@@ -318,7 +318,7 @@
     ///
     /// Its vote and the entries that it received from other founding members before the request are
     /// kept.
-    fn found_group(&mut self, at: Moment, f: &Founders) -> Result<Vec<u8>, Code> {
+    fn found_group(&mut self, at: ClockReading, f: &Founders) -> Result<Vec<u8>, Code> {
         let members =
             Members::from_voters(f.peers.iter().map(|p| (p.node as u64, p.address.clone())));
         let me = self.raft.id();
@@ -347,7 +347,7 @@
         Ok(Vec::new())
     }
 
-    fn apply_up_to(&mut self, at: Moment, up_to: Index) {
+    fn apply_up_to(&mut self, at: ClockReading, up_to: Index) {
         while self.applied < up_to {
             let Some(e) = self.raft.log().get(self.applied + 1).cloned() else { break };
             self.applied = e.index;
@@ -400,7 +400,7 @@
         answer
     }
 
-    /// Logs an order or a step of a rollout.
+    /// Logs the state of a rollout after a command that starts, aborts or steps it.
     fn log_rollout(&self, c: &Command, answer: &Answer) {
         let service = match c {
             Command::StartRollout { service, .. } | Command::AbortRollout(service) => service,
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -1,4 +1,4 @@
-//! The event loop of a control process: connects the [`Machine`] to its links, timers and HTTP calls.
+//! The event loop of a control process: connects the [`GroupMember`] to its links, timers and HTTP calls.
 
 mod fleet;
 
@@ -32,16 +32,16 @@
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep};
 
 use crate::api::LocalCall;
-use crate::disk::{Disk, disk_failed};
+use crate::disk::{Disk, disk_failure};
 use crate::fleet_view::FleetView;
 use crate::leaderless::LeaderlessTimer;
 use crate::links::{accept_links, send_messages};
-use crate::machine::{Machine, Moment, Output};
+use crate::machine::{ClockReading, GroupMember, Output};
 use crate::reserve::Reserve;
 use crate::server::fleet::next_call;
 use crate::turns::{InputKind, LoopStats};
 
-/// Minimum and maximum of the tick interval, which is a fifth of the leader's heartbeat interval.
+/// Minimum and maximum of the tick interval, which is otherwise a fifth of the heartbeat interval.
 const TICK_RANGE: (Duration, Duration) = (Duration::from_millis(10), Duration::from_millis(20));
 
 /// Maximum number of inputs that share one sync.
@@ -67,7 +67,9 @@
 
 /// An input from a link or from a background task.
 pub(crate) enum Input {
+    /// A request of a router, an operator or another control process.
     Call(Ask, ReplyTo),
+    /// A message of another member, and the address under which the sender is reached.
     Raft(Message, Option<String>),
     /// The group's answer to a command of the reserve.
     ReserveAnswered(Box<Command>, Result<Answer, Code>),
@@ -107,7 +109,7 @@
     /// Target number of voters in the group.
     pub voters: usize,
     /// Maximum share of a service's requests that a bad version may get, in permille.
-    pub rollout_allowed: u64,
+    pub rollout_share_permille: u64,
 }
 
 /// Delay before a failed disk is tried again.
@@ -115,7 +117,7 @@
 
 /// A running control process.
 pub struct Server {
-    machine: Machine<Disk, ReplyTo>,
+    member: GroupMember<Disk, ReplyTo>,
     clock: Clock,
     credentials: Credentials,
     /// Address on which other control processes reach this one.
@@ -153,7 +155,7 @@
 impl Server {
     /// Creates the server of a member. A process without `fleet` serves no HTTP calls.
     pub fn new(
-        machine: Machine<Disk, ReplyTo>,
+        member: GroupMember<Disk, ReplyTo>,
         clock: Clock,
         credentials: Credentials,
         advertise: SocketAddr,
@@ -162,7 +164,7 @@
         fleet: Option<FleetContext>,
     ) -> Server {
         Server {
-            machine,
+            member,
             clock,
             credentials,
             address: advertise.to_string(),
@@ -189,8 +191,8 @@
     pub async fn run(mut self, listener: TcpListener) -> Result<(), Failure> {
         let (tx, mut rx) = mpsc::channel(MAX_QUEUED_MESSAGES);
         actix_rt::spawn(accept_links(listener, self.credentials.clone(), tx.clone()));
-        let between = Duration::from_millis(self.machine.settings.raft.heartbeat.0);
-        let mut ticks = interval((between / 5).clamp(TICK_RANGE.0, TICK_RANGE.1));
+        let heartbeat = Duration::from_millis(self.member.settings.raft.heartbeat.0);
+        let mut ticks = interval((heartbeat / 5).clamp(TICK_RANGE.0, TICK_RANGE.1));
         ticks.set_missed_tick_behavior(MissedTickBehavior::Skip);
         let stop = stop_signal();
         tokio::pin!(stop);
@@ -213,7 +215,7 @@
                     started = Instant::now();
                     self.loop_stats.record_tick();
                     self.retry_disk()?;
-                    self.machine.tick(self.moment());
+                    self.member.tick(self.read_clocks());
                     self.update_metrics();
                     self.send_reserve_commands(&tx);
                     self.tick_fleet(&tx);
@@ -223,15 +225,16 @@
             self.loop_stats.record_iteration(started);
         }
         emit!(Event::Stopping);
-        self.machine.transfer_leadership();
+        self.member.transfer_leadership();
         self.finish()?;
         sleep(TRANSFER_TIMEOUT).await;
         Ok(())
     }
 
-    fn moment(&self) -> Moment {
+    /// Reads the monotonic clock, and the wall clock as agreed with the other control processes.
+    fn read_clocks(&self) -> ClockReading {
         let now = self.clock.now();
-        Moment { now, wall: self.clocks.agreed(now, unix_time()) }
+        ClockReading { now, wall: self.clocks.agreed(now, unix_time()) }
     }
 
     fn handle_batch(&mut self, first: Input, rx: &mut mpsc::Receiver<Input>) {
@@ -243,7 +246,7 @@
     }
 
     fn handle(&mut self, input: Input) {
-        let at = self.moment();
+        let at = self.read_clocks();
         self.loop_stats.record_input(input.kind());
         match input {
             Input::Call(Ask::Reserve(bytes), to) => match &mut self.reserve {
@@ -253,9 +256,9 @@
             Input::ReserveAnswered(c, result) => {
                 self.pending_reserve_commands -= 1;
                 if let (Some(r), Ok(a)) = (&mut self.reserve, result) {
-                    let known = r.is_registered();
-                    r.handle_answer(at.wall, &c, &a, self.machine.state());
-                    if !known && r.is_registered() {
+                    let was_registered = r.is_registered();
+                    r.handle_answer(at.wall, &c, &a, self.member.state());
+                    if !was_registered && r.is_registered() {
                         emit!(Event::ReserveEnlisted);
                     }
                 }
@@ -269,22 +272,27 @@
                 let result = self.handle_announce(at, &bytes);
                 self.reply(to, result);
             }
-            Input::PeerUpdate(from, seen) => {
-                self.clocks.record(at.now, from, Time(seen.wall));
-                seen.controls.iter().for_each(|a| self.contacts.record(at.now, a));
-                if let Some(lead) = &seen.lead {
+            Input::PeerUpdate(from, response) => {
+                self.clocks.record(at.now, from, Time(response.wall));
+                response.controls.iter().for_each(|a| self.contacts.record(at.now, a));
+                if let Some(lead) = &response.lead {
                     self.contacts.record_leader(at.now, lead);
                 }
                 if let Some(f) = &mut self.fleet {
-                    f.view.apply_peer_update(at.now, seen.replicas, &seen.beats, &seen.limits);
+                    f.view.apply_peer_update(
+                        at.now,
+                        response.replicas,
+                        &response.beats,
+                        &response.limits,
+                    );
                 }
             }
-            Input::Call(ask, to) => self.machine.handle_request(at, ask, to),
+            Input::Call(ask, to) => self.member.handle_request(at, ask, to),
             Input::Raft(m, reply_to) => {
                 if let Some(a) = reply_to {
                     self.sender_addresses.insert(m.from, a);
                 }
-                self.machine.step(at, m);
+                self.member.step(at, m);
             }
         }
     }
@@ -297,8 +305,8 @@
 
     /// Updates the metrics of this member.
     fn update_metrics(&mut self) {
-        let now = self.moment().now;
-        let raft = self.machine.raft();
+        let now = self.read_clocks().now;
+        let raft = self.member.raft();
         self.leaderless.update(now, raft.leader().is_some());
         gauge!(metric::IS_LEADER).set(f64::from(u8::from(raft.is_leader())));
         gauge!(metric::TERM).set(raft.term() as f64);
@@ -307,13 +315,13 @@
 
     /// Sends the reserve's due commands to the group, once the previous ones are answered.
     fn send_reserve_commands(&mut self, tx: &mpsc::Sender<Input>) {
-        let at = self.moment();
+        let at = self.read_clocks();
         let Some(r) = &mut self.reserve else { return };
         if self.pending_reserve_commands > 0 || at.now < self.next_reserve_command {
             return;
         }
         self.next_reserve_command = at.now.after(RESERVE_INTERVAL);
-        for c in r.commands_due(at.wall, self.machine.state()) {
+        for c in r.commands_due(at.wall, self.member.state()) {
             self.pending_reserve_commands += 1;
             let (group, tx) = (self.group.clone(), tx.clone());
             actix_rt::spawn(async move {
@@ -337,11 +345,12 @@
         }
     }
 
+    /// Answers what is due, and carries out the member's effects. Returns an error if it cannot continue.
     fn finish(&mut self) -> Result<(), Failure> {
         self.finish_reserve();
-        self.finish_fleet();
-        let at = self.moment();
-        for out in self.machine.finish(at) {
+        self.answer_watches();
+        let at = self.read_clocks();
+        for out in self.member.finish(at) {
             match out {
                 Output::Reply(to, result) => self.reply(to, result),
                 Output::Send(m) => self.send(m),
@@ -358,11 +367,11 @@
 
     /// Restarts the member from a disk that has failed, if a retry is due.
     fn retry_disk(&mut self) -> Result<(), Failure> {
-        let at = self.moment();
+        let at = self.read_clocks();
         if self.disk_retry_at.is_none_or(|due| at.now < due) {
             return Ok(());
         }
-        match self.machine.restart(at, rand::random()) {
+        match self.member.restart(at, rand::random()) {
             Ok(()) => {
                 self.disk_retry_at = None;
                 emit!(Event::DiskRecovered);
@@ -371,7 +380,7 @@
                 self.disk_retry_at = Some(at.now.after(DISK_RETRY_DELAY));
                 emit!(Event::DiskFailed, why = e);
             }
-            Err(e) => return Err(disk_failed(e)),
+            Err(e) => return Err(disk_failure(e)),
         }
         Ok(())
     }
@@ -396,11 +405,11 @@
     /// by other processes, so that it can redirect callers too.
     fn leader_address(&self) -> Option<String> {
         let reported = || self.contacts.leader(self.clock.now()).map(|l| l.address.clone());
-        self.machine.leader_address().or_else(reported)
+        self.member.leader_address().or_else(reported)
     }
 
     fn send(&mut self, m: Message) {
-        let known = self.machine.raft().address(m.to);
+        let known = self.member.raft().address(m.to);
         let address = known.or_else(|| self.sender_addresses.get(&m.to).map(String::as_str));
         let Some(address) = address.map(str::to_owned) else { return };
         let is_connected =
--- a/crates/control/src/server/fleet.rs
+++ b/crates/control/src/server/fleet.rs
@@ -25,7 +25,7 @@
 use crate::api::LocalCall;
 use crate::dialect::{Call, CallAnswer};
 use crate::fleet_view::WatchedState;
-use crate::machine::Moment;
+use crate::machine::ClockReading;
 use crate::turns::InputKind;
 
 /// Interval between checks for control processes that are not watched yet.
@@ -35,7 +35,8 @@
 const MAX_ENTRY_ADDRESSES: usize = 64;
 
 impl Server {
-    pub(super) fn handle_watch(&mut self, at: Moment, bytes: &[u8], to: ReplyTo) {
+    /// Records a watch request; [`Server::answer_watches`] answers it.
+    pub(super) fn handle_watch(&mut self, at: ClockReading, bytes: &[u8], to: ReplyTo) {
         let request = body::unpack::<Watch>(bytes);
         match (&mut self.fleet, request) {
             (Some(f), Ok(w)) => {
@@ -48,16 +49,22 @@
         }
     }
 
-    pub(super) fn handle_announce(&mut self, at: Moment, bytes: &[u8]) -> Result<Vec<u8>, Code> {
+    /// Records, on the leader, a process that seeks its group.
+    pub(super) fn handle_announce(
+        &mut self,
+        at: ClockReading,
+        bytes: &[u8],
+    ) -> Result<Vec<u8>, Code> {
         let a = body::unpack::<Announce>(bytes).map_err(|_| Code::MessageBad)?;
         let f = self.fleet.as_mut().ok_or(Code::MessageBad)?;
-        if !self.machine.raft().is_leader() {
+        if !self.member.raft().is_leader() {
             return Err(Code::NotLeader);
         }
         f.view.announce(at.now, a);
         Ok(Vec::new())
     }
 
+    /// Answers an HTTP call and those queued behind it.
     pub(super) fn handle_http_calls(&mut self, first: LocalCall) {
         self.handle_http_call(first);
         for _ in 1..MAX_BATCH {
@@ -71,8 +78,8 @@
     /// Answers an HTTP call from this process's own state.
     pub(super) fn handle_http_call(&mut self, local: LocalCall) {
         self.loop_stats.record_input(InputKind::Http);
-        let now = self.moment().now;
-        let has_leader = self.machine.raft().leader().is_some();
+        let now = self.read_clocks().now;
+        let has_leader = self.member.raft().leader().is_some();
         let Some(f) = &mut self.fleet else { return };
         let answer = match local.call {
             Call::Entry(data_centre) => {
@@ -89,7 +96,7 @@
             }
             // Acknowledged, because a document that names the service may follow soon.
             Call::Heartbeat(r)
-                if !self.machine.state().declares_service(&r.registration.service) =>
+                if !self.member.state().declares_service(&r.registration.service) =>
             {
                 counter!(metric::UNKNOWN_SERVICES).increment(1);
                 let Registration { id, service, .. } = &r.registration;
@@ -119,19 +126,19 @@
     /// Runs the periodic work of the fleet side: expires old records, watches the other control
     /// processes and, on the leader, repairs the group, writes off dead holders and steps rollouts.
     pub(super) fn tick_fleet(&mut self, tx: &mpsc::Sender<Input>) {
-        let at = self.moment();
+        let at = self.read_clocks();
         let Some(f) = &mut self.fleet else { return };
         f.view.tick(at.now);
         while let Ok(members) = f.rejoin_members.try_recv() {
-            self.machine.set_rejoin_members(at, members);
+            self.member.set_rejoin_members(at, members);
         }
-        let status = self.machine.group_status();
+        let status = self.member.group_status();
         f.group_status.send_if_modified(|s| std::mem::replace(s, status.clone()) != status);
-        self.machine.repair_group(at, &f.view.candidates, f.voters);
-        let quorum = self.machine.members().quorum();
+        self.member.repair_group(at, &f.view.candidates, f.voters);
+        let quorum = self.member.members().quorum();
         let margin = self.clocks.margin(at.now, unix_time(), quorum);
-        self.machine.write_off_dead_holders(at, margin);
-        self.machine.step_rollouts(at, &mut f.view, f.rollout_allowed);
+        self.member.write_off_dead_holders(at, margin);
+        self.member.step_rollouts(at, &mut f.view, f.rollout_share_permille);
         if at.now >= self.next_watch {
             self.next_watch = at.now.after(WATCH_INTERVAL);
             self.watch_all(at, tx);
@@ -139,15 +146,15 @@
     }
 
     /// Watches all other control processes that are known.
-    pub(super) fn watch_all(&mut self, at: Moment, tx: &mpsc::Sender<Input>) {
+    pub(super) fn watch_all(&mut self, at: ClockReading, tx: &mpsc::Sender<Input>) {
         let Some(f) = &self.fleet else { return };
         self.contacts.tick(at.now);
-        let members = raft_addresses(self.machine.members());
+        let members = raft_addresses(self.member.members());
         let reported = self.contacts.addresses().filter_map(|a| a.parse().ok());
         let all = members.into_iter().chain(f.seeds.iter().copied()).chain(reported);
         let all: BTreeSet<_> = all.filter(|a| a.to_string() != self.address).collect();
         self.group.add_addresses(all.iter().copied());
-        let lead = self.machine.known_leader().or_else(|| self.contacts.leader(at.now).cloned());
+        let lead = self.member.known_leader().or_else(|| self.contacts.leader(at.now).cloned());
         if let Some(lead) = &lead
             && let Ok(leader) = lead.address.parse()
         {
@@ -163,17 +170,17 @@
     }
 
     /// Answers the watch requests that are due.
-    pub(super) fn finish_fleet(&mut self) {
-        let now = self.moment().now;
+    pub(super) fn answer_watches(&mut self) {
+        let now = self.read_clocks().now;
         let Some(f) = self.fleet.as_mut().filter(|f| f.view.is_poll_due(now)) else { return };
-        let (version, source) = self.machine.state().published();
-        let controls = self.machine.members().addresses.values().cloned().collect();
-        let registered = self.machine.state().routers();
-        let lead = self.machine.known_leader();
-        let evacuations = self.machine.state().evacuations();
-        let quarantine = self.machine.state().quarantine();
-        let rollouts = self.machine.state().rollouts();
-        let followed = WatchedState {
+        let (version, source) = self.member.state().published();
+        let controls = self.member.members().addresses.values().cloned().collect();
+        let registered = self.member.state().routers();
+        let lead = self.member.known_leader();
+        let evacuations = self.member.state().evacuations();
+        let quarantine = self.member.state().quarantine();
+        let rollouts = self.member.state().rollouts();
+        let state = WatchedState {
             version,
             source,
             controls,
@@ -185,9 +192,9 @@
             quarantine,
             rollouts,
         };
-        let answers = f.view.due_responses(now, &followed);
-        for (to, seen) in answers {
-            self.reply(to, Ok(body::pack(&seen)));
+        let responses = f.view.due_responses(now, &state);
+        for (to, response) in responses {
+            self.reply(to, Ok(body::pack(&response)));
         }
     }
 }
@@ -221,8 +228,8 @@
 impl Watcher for PeerWatch {
     fn next_request(&self, to: SocketAddr) -> Option<Watch> {
         let feed = self.feeds.borrow().get(&to).copied().unwrap_or_default();
-        let is_wanted = !self.tx.is_closed() && self.watched.borrow().contains(&to);
-        is_wanted.then(|| Watch {
+        let is_watched = !self.tx.is_closed() && self.watched.borrow().contains(&to);
+        is_watched.then(|| Watch {
             router: None,
             feed,
             version: 0,
@@ -240,10 +247,10 @@
         })
     }
 
-    fn handle_response(&self, from: SocketAddr, seen: WatchResponse) {
-        let feed = seen.feed;
+    fn handle_response(&self, from: SocketAddr, response: WatchResponse) {
+        let feed = response.feed;
         // If the queue is full, the next request asks for the same update again.
-        if self.tx.try_send(Input::PeerUpdate(from, Box::new(seen))).is_ok() {
+        if self.tx.try_send(Input::PeerUpdate(from, Box::new(response))).is_ok() {
             self.feeds.borrow_mut().insert(from, feed);
         }
     }
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -104,9 +104,9 @@
     pub voters: usize,
     /// Data centres that may be evacuated; any if the list is empty.
     pub data_centres: Vec<String>,
-    /// Maximum share of a service's requests, in thousandths, that a bad version may get during a
+    /// Maximum share of a service's requests, in permille, that a bad version may get during a
     /// rollout.
-    pub rollout_allowed: u64,
+    pub rollout_share_permille: u64,
 }
 
 impl FleetFile {
@@ -135,7 +135,7 @@
             voters: check_range("fleet.voters", self.voters, 1, 9)? as usize,
             data_centres: self.data_centres,
             // Rounded down, because it is an upper bound.
-            rollout_allowed: (share * 1_000.0) as u64,
+            rollout_share_permille: (share * 1_000.0) as u64,
         })
     }
 }
@@ -171,7 +171,7 @@
     /// Whether to keep the reserve of the data centre.
     pub reserve: bool,
     /// Timing of the replicated log and snapshot interval.
-    pub machine: machine::Settings,
+    pub member: machine::Settings,
     /// Fleet settings, if the process serves the HTTP API.
     pub fleet: Option<FleetSettings>,
 }
@@ -195,7 +195,7 @@
             data_folder: existing_folder("data_folder", &self.data_folder)?,
             metrics: self.metrics.map(|a| parse_address("metrics", &a)).transpose()?,
             reserve: self.reserve,
-            machine: machine::Settings { raft, snapshot_every },
+            member: machine::Settings { raft, snapshot_every },
             fleet: self.fleet.map(FleetFile::check).transpose()?,
         })
     }
--- a/crates/control/tests/support/places.rs
+++ b/crates/control/tests/support/membership.rs
@@ -5,7 +5,7 @@
 use cypressfork_core::raft::Members;
 use cypressfork_core::unit::{Millis, NodeId};
 
-use super::world::{World, address};
+use super::simulation::{Simulation, address};
 
 /// Interval at which a process watches the others and announces itself.
 const POLL_INTERVAL: Millis = Millis(250);
@@ -13,28 +13,28 @@
 /// Target number of voters.
 const TARGET_VOTERS: usize = 5;
 
-impl World {
+impl Simulation {
     /// Returns a group of `n` founded by three seeds; each process is configured with the seeds only.
-    pub fn with_seeds(n: u64, seed: u64) -> World {
-        World::with_crashed_seeds(n, &[], seed)
+    pub fn with_seeds(n: u64, seed: u64) -> Simulation {
+        Simulation::with_crashed_seeds(n, &[], seed)
     }
 
     /// Returns the same, where the seeds `crashed` crash right after the founding request.
-    pub fn with_crashed_seeds(n: u64, crashed: &[NodeId], seed: u64) -> World {
-        let mut w = World::with_crashed(3, crashed, seed);
-        w.seeds = (1..=3).map(address).collect();
+    pub fn with_crashed_seeds(n: u64, crashed: &[NodeId], seed: u64) -> Simulation {
+        let mut sim = Simulation::with_crashed(3, crashed, seed);
+        sim.seeds = (1..=3).map(address).collect();
         for _ in 3..n {
-            w.add_fresh();
+            sim.add_fresh();
         }
-        w.until(20_000, |w| w.all_are_voters());
-        w
+        sim.until(20_000, |sim| sim.all_are_voters());
+        sim
     }
 
     /// Returns whether there is a leader and every running process is a voter in its member list.
     pub fn all_are_voters(&self) -> bool {
         let Some(leader) = self.leader() else { return false };
-        let voters = &self.machine(leader).members().voters;
-        self.live().iter().all(|n| voters.contains(n))
+        let voters = &self.member(leader).members().voters;
+        self.running().iter().all(|n| voters.contains(n))
     }
 
     /// Returns the leader's address that a process learned from others.
@@ -51,7 +51,7 @@
 
     fn node_at(&self, address: &str) -> Option<NodeId> {
         let is_at = |n: &NodeId| self.nodes[n].address == address && !self.nodes[n].frozen;
-        self.live().into_iter().find(is_at)
+        self.running().into_iter().find(is_at)
     }
 
     fn can_reach(&self, from: NodeId, to: NodeId) -> bool {
@@ -61,7 +61,7 @@
     /// Returns the addresses of other processes that a process knows.
     fn known_addresses(&self, id: NodeId) -> Vec<String> {
         let node = &self.nodes[&id];
-        let members = self.machine(id).members().addresses.values().cloned();
+        let members = self.member(id).members().addresses.values().cloned();
         let heard = node.contacts.addresses().map(str::to_owned);
         let mut all: Vec<_> = self.seeds.iter().cloned().chain(members).chain(heard).collect();
         all.sort();
@@ -76,8 +76,8 @@
             return;
         }
         let due = self.now.0 % POLL_INTERVAL.0 < 10;
-        for id in self.live() {
-            let (at, frozen) = (self.moment(), self.nodes[&id].frozen);
+        for id in self.running() {
+            let (at, frozen) = (self.read_clocks(), self.nodes[&id].frozen);
             let node = self.nodes.get_mut(&id).unwrap();
             if frozen {
                 continue;
@@ -85,7 +85,7 @@
             node.contacts.tick(at.now);
             node.candidates.tick(at.now);
             let candidates = node.candidates.clone();
-            node.machine.as_mut().unwrap().repair_group(at, &candidates, TARGET_VOTERS);
+            node.member.as_mut().unwrap().repair_group(at, &candidates, TARGET_VOTERS);
             if due {
                 self.watch_peers(id);
                 self.announce(id);
@@ -100,8 +100,8 @@
             let Some(to) = self.node_at(&address).filter(|to| self.can_reach(id, *to)) else {
                 continue;
             };
-            let addresses = self.machine(to).members().addresses.clone();
-            let lead = self.machine(to).known_leader();
+            let addresses = self.member(to).members().addresses.clone();
+            let lead = self.member(to).known_leader();
             let own = self.nodes[&id].address.clone();
             self.nodes.get_mut(&to).unwrap().contacts.record(now, &own);
             let contacts = &mut self.nodes.get_mut(&id).unwrap().contacts;
@@ -115,8 +115,8 @@
     /// Announces a process that seeks its group to the leader: tries the known leader or one other process,
     /// and the leader that this one reports.
     fn announce(&mut self, id: NodeId) {
-        let place = self.machine(id).group_status();
-        if !place.must_announce(self.now.since(self.nodes[&id].started)) {
+        let status = self.member(id).group_status();
+        if !status.must_announce(self.now.since(self.nodes[&id].started)) {
             return;
         }
         let all = self.known_addresses(id);
@@ -125,20 +125,20 @@
         let leader = node.contacts.leader(self.now).map(|l| l.address.clone());
         let first = leader.unwrap_or_else(|| all[node.announcements % all.len()].clone());
         let Some(first) = self.node_at(&first).filter(|to| self.can_reach(id, *to)) else { return };
-        let reported = self.machine(first).leader_address().and_then(|a| self.node_at(&a));
+        let reported = self.member(first).leader_address().and_then(|a| self.node_at(&a));
         for to in [Some(first), reported].into_iter().flatten() {
-            if self.machine(to).raft().is_leader() && self.can_reach(id, to) {
+            if self.member(to).raft().is_leader() && self.can_reach(id, to) {
                 self.deliver_announcement(id, to);
             }
         }
     }
 
     fn deliver_announcement(&mut self, id: NodeId, leader: NodeId) {
-        let at = self.moment();
-        let members: Members = self.machine(leader).raft().committed_members().clone();
+        let at = self.read_clocks();
+        let members: Members = self.member(leader).raft().committed_members().clone();
         let a = Announce { node: id, address: self.nodes[&id].address.clone() };
         self.nodes.get_mut(&leader).unwrap().candidates.record(at.now, a);
-        let machine = self.nodes.get_mut(&id).unwrap().machine.as_mut().unwrap();
-        machine.set_rejoin_members(at, members);
+        let member = self.nodes.get_mut(&id).unwrap().member.as_mut().unwrap();
+        member.set_rejoin_members(at, members);
     }
 }
--- a/crates/control/tests/support/world.rs
+++ b/crates/control/tests/support/simulation.rs
@@ -1,10 +1,11 @@
-//! A group of members with its network, its clients and the invariants that are checked every round.
+//! A simulated control group: its members, network and clients, and the invariants that are checked every
+//! round.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-use cypressfork_control::machine::{Machine, Moment, Output, Settings};
+use cypressfork_control::machine::{ClockReading, GroupMember, Output, Settings};
 use cypressfork_core::code::Code;
 use cypressfork_core::command::{Answer, Command};
 use cypressfork_core::config::{Application, Change, Item, Template};
@@ -18,15 +19,16 @@
 use rand::{Rng, SeedableRng};
 use serde_json::json;
 
-use super::memory::{Image, Memory};
+use super::memory::{Image, MemoryStorage};
 
 /// Virtual time that one round takes.
 const ROUND: Millis = Millis(10);
 
 type Disk = Rc<RefCell<Image>>;
 
+/// A control process and its disk.
 pub struct Node {
-    pub machine: Option<Machine<Memory, u64>>,
+    pub member: Option<GroupMember<MemoryStorage, u64>>,
     pub disk: Disk,
     pub frozen: bool,
     /// Time until which the process is stalled: its messages wait while its clock goes on.
@@ -53,27 +55,35 @@
     Router,
 }
 
-pub struct World {
+/// A control group in virtual time, with an unreliable network and disks that fail.
+pub struct Simulation {
     pub now: Time,
     pub nodes: BTreeMap<NodeId, Node>,
     pub settings: Settings,
     rng: SmallRng,
     /// Messages on their way, with their time of arrival.
     in_flight: Vec<(Time, Message)>,
+    /// Links that lose all messages, as sender and receiver.
     pub cut: BTreeSet<(NodeId, NodeId)>,
     pub drop_percent: u32,
-    /// Whether members whose disk failed keep running, to be restarted in place.
+    /// Whether members whose disk failed keep running, for [`Simulation::restart_in_place`].
     pub in_place: bool,
     pub duplicate_percent: u32,
     pending: BTreeMap<u64, PendingCall>,
     calls: u64,
+    /// Leader of each term.
     leaders: BTreeMap<Term, NodeId>,
+    /// Committed entries of all members.
     committed: BTreeMap<Index, (Term, Payload)>,
+    /// Index up to which each member's committed entries are checked.
     checked: BTreeMap<NodeId, Index>,
-    topups: Vec<bool>,
+    /// Whether each top-up is acknowledged.
+    top_ups: Vec<bool>,
     /// Base version of each change, and its result.
     changes: Vec<(Version, Option<Result<Version, Code>>)>,
+    /// Highest configuration version that was acknowledged.
     pub acked_version: Version,
+    /// Number of answered reads.
     pub reads: u64,
     pub last_member_answer: Option<Result<(), Code>>,
     /// Number of messages sent between members.
@@ -89,22 +99,27 @@
     format!("10.0.0.{n}:7000")
 }
 
-impl World {
+impl Simulation {
     /// Returns a group of new members 1 to `n` with a first configuration.
-    pub fn new(n: u64, seed: u64) -> World {
-        World::with_crashed(n, &[], seed)
+    pub fn new(n: u64, seed: u64) -> Simulation {
+        Simulation::with_crashed(n, &[], seed)
     }
 
     /// Returns the same, where the members `crashed` crash right after the founding request.
-    pub fn with_crashed(n: u64, crashed: &[NodeId], seed: u64) -> World {
-        World::with_late_founders(n, crashed, &[], seed)
+    pub fn with_crashed(n: u64, crashed: &[NodeId], seed: u64) -> Simulation {
+        Simulation::with_late_founders(n, crashed, &[], seed)
     }
 
     /// Returns the same, where the members `late` receive the founding request only once there is a leader,
     /// which has requested their votes and sent them entries.
-    pub fn with_late_founders(n: u64, crashed: &[NodeId], late: &[NodeId], seed: u64) -> World {
+    pub fn with_late_founders(
+        n: u64,
+        crashed: &[NodeId],
+        late: &[NodeId],
+        seed: u64,
+    ) -> Simulation {
         let raft = RaftSettings { chunk_bytes: 512, ..RaftSettings::default() };
-        let mut w = World {
+        let mut sim = Simulation {
             now: Time(10_000),
             nodes: BTreeMap::new(),
             settings: Settings { raft, snapshot_every: 40 },
@@ -119,7 +134,7 @@
             leaders: BTreeMap::new(),
             committed: BTreeMap::new(),
             checked: BTreeMap::new(),
-            topups: Vec::new(),
+            top_ups: Vec::new(),
             changes: Vec::new(),
             acked_version: 0,
             reads: 0,
@@ -130,26 +145,26 @@
             next_id: 1,
         };
         for _ in 0..n {
-            w.add_fresh();
+            sim.add_fresh();
         }
         let peers: Vec<_> = (1..=n).map(|i| Peer::new(i as i64, address(i))).collect();
-        let found = |w: &mut World, i: NodeId| {
-            let at = w.moment();
-            let m = w.nodes.get_mut(&i).unwrap().machine.as_mut().unwrap();
+        let found = |sim: &mut Simulation, i: NodeId| {
+            let at = sim.read_clocks();
+            let m = sim.nodes.get_mut(&i).unwrap().member.as_mut().unwrap();
             m.handle_request(at, Ask::Founders(Founders::new(peers.clone())), 0);
         };
-        (1..=n).filter(|i| !late.contains(i)).for_each(|i| found(&mut w, i));
+        (1..=n).filter(|i| !late.contains(i)).for_each(|i| found(&mut sim, i));
         for id in crashed {
-            w.crash(*id);
+            sim.crash(*id);
         }
-        w.until(5_000, |w| w.leader().is_some());
-        late.iter().for_each(|i| found(&mut w, *i));
-        w.change();
-        while w.acked_version == 0 {
-            w.run(100);
-            w.resend();
+        sim.until(5_000, |sim| sim.leader().is_some());
+        late.iter().for_each(|i| found(&mut sim, *i));
+        sim.change();
+        while sim.acked_version == 0 {
+            sim.run(100);
+            sim.resend();
         }
-        w
+        sim
     }
 
     /// Starts a process with an empty disk. Returns its id.
@@ -162,7 +177,7 @@
         let id = self.next_id;
         self.next_id += 1;
         let node = Node {
-            machine: None,
+            member: None,
             disk: Disk::default(),
             frozen: false,
             stalled_until: Time(0),
@@ -180,16 +195,16 @@
     }
 
     pub fn start(&mut self, id: NodeId) {
-        let (at, seed) = (self.moment(), self.rng.random());
+        let (at, seed) = (self.read_clocks(), self.rng.random());
         let settings = self.settings;
         let node = self.nodes.get_mut(&id).unwrap();
-        if node.machine.is_some() {
+        if node.member.is_some() {
             return;
         }
-        let (memory, restored) = Memory::open(&node.disk);
-        let machine =
-            Machine::start(at, "tas-north", settings, memory, (id, restored), seed).unwrap();
-        node.machine = Some(machine);
+        let (memory, restored) = MemoryStorage::open(&node.disk);
+        let member =
+            GroupMember::start(at, "tas-north", settings, memory, (id, restored), seed).unwrap();
+        node.member = Some(member);
         node.stopped = None;
         node.started = at.now;
         node.contacts = Contacts::default();
@@ -200,9 +215,9 @@
 
     /// Reopens the disk of a member that has stopped. Returns whether it runs again.
     pub fn restart_in_place(&mut self, id: NodeId) -> bool {
-        let (at, seed) = (self.moment(), self.rng.random());
+        let (at, seed) = (self.read_clocks(), self.rng.random());
         let node = self.nodes.get_mut(&id).unwrap();
-        let done = node.machine.as_mut().unwrap().restart(at, seed).is_ok();
+        let done = node.member.as_mut().unwrap().restart(at, seed).is_ok();
         if done {
             node.stopped = None;
             self.checked.remove(&id);
@@ -213,10 +228,11 @@
     /// Kills a process: what was not synced is lost.
     pub fn crash(&mut self, id: NodeId) {
         let node = self.nodes.get_mut(&id).unwrap();
-        node.machine = None;
+        node.member = None;
         node.frozen = false;
     }
 
+    /// Pauses a process, or lets it continue.
     pub fn freeze(&mut self, id: NodeId, frozen: bool) {
         self.nodes.get_mut(&id).unwrap().frozen = frozen;
     }
@@ -239,51 +255,53 @@
         self.nodes[&id].disk.borrow_mut().fail_in = Some((n, written));
     }
 
-    pub fn moment(&self) -> Moment {
-        Moment { now: self.now, wall: self.now.after(Millis(1_000_000)) }
+    pub fn read_clocks(&self) -> ClockReading {
+        ClockReading { now: self.now, wall: self.now.after(Millis(1_000_000)) }
     }
 
-    pub fn live(&self) -> Vec<NodeId> {
-        self.nodes.iter().filter(|(_, n)| n.machine.is_some()).map(|(i, _)| *i).collect()
+    /// Returns the processes that have not crashed.
+    pub fn running(&self) -> Vec<NodeId> {
+        self.nodes.iter().filter(|(_, n)| n.member.is_some()).map(|(i, _)| *i).collect()
     }
 
-    pub fn machine(&self, id: NodeId) -> &Machine<Memory, u64> {
-        self.nodes[&id].machine.as_ref().unwrap()
+    pub fn member(&self, id: NodeId) -> &GroupMember<MemoryStorage, u64> {
+        self.nodes[&id].member.as_ref().unwrap()
     }
 
     /// Returns the running leader of the newest term.
     pub fn leader(&self) -> Option<NodeId> {
-        let is_leader = |i: &NodeId| self.machine(*i).raft().is_leader() && !self.nodes[i].frozen;
-        let term = |i: &NodeId| self.machine(*i).raft().term();
-        self.live().into_iter().filter(is_leader).max_by_key(term)
+        let is_leader = |i: &NodeId| self.member(*i).raft().is_leader() && !self.nodes[i].frozen;
+        let term = |i: &NodeId| self.member(*i).raft().term();
+        self.running().into_iter().filter(is_leader).max_by_key(term)
     }
 
     fn call(&mut self, to: NodeId, ask: Ask, pending: PendingCall) {
         self.calls += 1;
-        let (at, token) = (self.moment(), self.calls);
+        let (at, token) = (self.read_clocks(), self.calls);
         let node = self.nodes.get_mut(&to).unwrap();
-        if let Some(m) = node.machine.as_mut().filter(|_| !node.frozen) {
+        if let Some(m) = node.member.as_mut().filter(|_| !node.frozen) {
             self.pending.insert(token, pending);
             m.handle_request(at, ask, token);
         }
     }
 
-    fn any_live(&mut self) -> Option<NodeId> {
-        let live = self.live();
-        let n = self.rng.random_range(0..live.len().max(1));
-        live.get(n).copied()
+    /// Returns a running process at random.
+    fn any_running(&mut self) -> Option<NodeId> {
+        let running = self.running();
+        let n = self.rng.random_range(0..running.len().max(1));
+        running.get(n).copied()
     }
 
-    /// A client adds a token; [`World::resend`] repeats the operation until it is answered.
+    /// A client adds a token; [`Simulation::resend`] repeats the operation until it is answered.
     pub fn top_up(&mut self) {
-        self.topups.push(false);
-        self.send_top_up(self.topups.len() - 1);
+        self.top_ups.push(false);
+        self.send_top_up(self.top_ups.len() - 1);
     }
 
     fn send_top_up(&mut self, n: usize) {
         let budget = "club-talk".to_owned();
         let c = Command::TopUp { op: format!("t{n}"), budget, tokens: 1 };
-        if let Some(to) = self.any_live() {
+        if let Some(to) = self.any_running() {
             self.call(to, Ask::Command(body::pack(&c)), PendingCall::TopUp(n));
         }
     }
@@ -298,7 +316,7 @@
         let base = self.changes[n].0;
         let items = vec![Item::Template(template()), Item::Application(application(n))];
         let change = Change { op: format!("c{n}"), base, by: "ann".into(), items };
-        if let Some(to) = self.any_live() {
+        if let Some(to) = self.any_running() {
             let ask = Ask::Command(body::pack(&Command::Apply(change)));
             self.call(to, ask, PendingCall::Change(n));
         }
@@ -307,7 +325,7 @@
     /// A client reads the configuration; the answer must include every version acknowledged before.
     pub fn read(&mut self) {
         let acked = self.acked_version;
-        if let Some(to) = self.any_live() {
+        if let Some(to) = self.any_running() {
             let ask = Ask::Query(body::pack(&Query::Config));
             self.call(to, ask, PendingCall::Read { acked });
         }
@@ -337,8 +355,7 @@
             if self.last_member_answer == Some(Ok(())) {
                 return;
             }
-            let done =
-                self.leader().is_some_and(|l| has_change(self.machine(l).members(), &change));
+            let done = self.leader().is_some_and(|l| has_change(self.member(l).members(), &change));
             rounds += 1;
             if done {
                 return;
@@ -359,7 +376,7 @@
     }
 
     /// Runs until `done` returns true, and fails after `ms` milliseconds of virtual time.
-    pub fn until(&mut self, ms: u64, done: impl Fn(&World) -> bool) {
+    pub fn until(&mut self, ms: u64, done: impl Fn(&Simulation) -> bool) {
         for _ in 0..ms.div_ceil(ROUND.0) {
             if done(self) {
                 return;
@@ -369,6 +386,7 @@
         assert!(done(self), "not within {ms} ms");
     }
 
+    /// Delivers the messages that are due, steps all processes and checks the invariants.
     pub fn round(&mut self) {
         self.now = self.now.after(ROUND);
         let now = self.now;
@@ -380,7 +398,7 @@
                 node.inbox.push(m);
             }
         }
-        for id in self.live() {
+        for id in self.running() {
             self.step_node(id);
         }
         self.maintain_membership();
@@ -388,12 +406,12 @@
     }
 
     fn step_node(&mut self, id: NodeId) {
-        let at = self.moment();
+        let at = self.read_clocks();
         let node = self.nodes.get_mut(&id).unwrap();
         if node.frozen || node.stalled_until > at.now {
             return;
         }
-        let m = node.machine.as_mut().unwrap();
+        let m = node.member.as_mut().unwrap();
         if node.stalled_until.0 > 0 {
             // A process that was stalled may handle its timer before the waiting messages.
             node.stalled_until = Time(0);
@@ -410,7 +428,7 @@
                 Output::Stop(code, _) => {
                     let node = self.nodes.get_mut(&id).unwrap();
                     if !self.in_place {
-                        node.machine = None;
+                        node.member = None;
                     }
                     node.stopped = Some(code);
                 }
@@ -437,7 +455,7 @@
             (PendingCall::TopUp(n), Ok(bytes)) => {
                 let a: Answer = body::unpack(&bytes).unwrap();
                 assert!(matches!(a, Answer::Funded(_)), "{a:?}");
-                self.topups[n] = true;
+                self.top_ups[n] = true;
             }
             (PendingCall::Change(n), Ok(bytes)) => {
                 let Answer::Applied(result) = body::unpack(&bytes).unwrap() else { panic!() };
@@ -462,8 +480,8 @@
     /// Resends every top-up and change that is not answered.
     pub fn resend(&mut self) {
         self.pending.clear();
-        for n in 0..self.topups.len() {
-            if !self.topups[n] {
+        for n in 0..self.top_ups.len() {
+            if !self.top_ups[n] {
                 self.send_top_up(n);
             }
         }
@@ -476,8 +494,8 @@
 
     /// Checks that each term has one leader and that committed entries never differ.
     fn check(&mut self) {
-        for id in self.live() {
-            let raft = self.nodes[&id].machine.as_ref().unwrap().raft();
+        for id in self.running() {
+            let raft = self.nodes[&id].member.as_ref().unwrap().raft();
             if raft.is_leader() {
                 let first = *self.leaders.entry(raft.term()).or_insert(id);
                 assert_eq!(first, id, "two leaders in term {}", raft.term());
@@ -497,7 +515,7 @@
         self.cut.clear();
         self.drop_percent = 0;
         self.duplicate_percent = 0;
-        let acked = self.topups.iter().filter(|a| **a).count() as u64;
+        let acked = self.top_ups.iter().filter(|a| **a).count() as u64;
         for id in self.nodes.keys().copied().collect::<Vec<_>>() {
             self.freeze(id, false);
             self.nodes[&id].disk.borrow_mut().fail_in = None;
@@ -513,11 +531,11 @@
             self.resend();
             self.run(200);
         }
-        self.until(10_000, |w| w.topups.iter().all(|a| *a));
+        self.until(10_000, |sim| sim.top_ups.iter().all(|a| *a));
         let leader = self.leader().expect("a leader");
-        let funded = self.machine(leader).state().ledger().get("club-talk").unwrap().funded;
-        let version = self.machine(leader).state().config().version();
-        assert_eq!(funded, 1_000 + self.topups.len() as u64, "{acked} were acknowledged before");
+        let funded = self.member(leader).state().ledger().get("club-talk").unwrap().funded;
+        let version = self.member(leader).state().config().version();
+        assert_eq!(funded, 1_000 + self.top_ups.len() as u64, "{acked} were acknowledged before");
         assert!(version >= self.acked_version);
         let reads = self.reads;
         for _ in 0..60 {
