--- a/crates/router/src/app.rs
+++ b/crates/router/src/app.rs
@@ -26,7 +26,7 @@
 /// Timeout for connecting to an upstream.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Concurrent calls per replica of a plain service.
+/// The most concurrent calls per replica of a plain service.
 const PLAIN_SLOTS_PER_REPLICA: u32 = 64;
 
 /// The most calls of a plain service that one router queues.
@@ -51,7 +51,7 @@
     queues: RefCell<HashMap<String, Rc<Queue>>>,
     vms: RefCell<VmTracker>,
     retries: RefCell<HashMap<String, RetryBudget>>,
-    /// The routers of the region, for entry answers.
+    /// The routers of the region, listed in responses of `/v1/entry`.
     pub sites: RefCell<Vec<Site>>,
     /// HTTP client with keep-alive, for requests that may be sent again.
     pub client: Client,
@@ -67,7 +67,7 @@
     pub active: Cell<usize>,
     token_store: RefCell<Option<Rc<TokenStore>>>,
     rng: RefCell<SmallRng>,
-    runs: Cell<u64>,
+    run_count: Cell<u64>,
 }
 
 fn build_client(keep_alive: Duration) -> Client {
@@ -103,7 +103,7 @@
             active: Cell::new(0),
             token_store: RefCell::default(),
             rng: RefCell::new(SmallRng::from_os_rng()),
-            runs: Cell::new(0),
+            run_count: Cell::new(0),
         }
     }
 
@@ -120,9 +120,9 @@
     /// Returns a run number that is unique across the requests of this registration: the holder's
     /// id in the upper half, a counter in the lower.
     pub fn next_run_id(&self) -> u64 {
-        self.runs.set(self.runs.get() + 1);
+        self.run_count.set(self.run_count.get() + 1);
         let holder = self.token_store().map_or(0, |store| store.holder().0);
-        (holder << 32) | self.runs.get()
+        (holder << 32) | self.run_count.get()
     }
 
     /// Returns a random number, for example for a request id.
@@ -182,17 +182,17 @@
     pub fn choose(
         &self,
         service: &str,
-        work: &RequestProfile,
+        profile: &RequestProfile,
         tried: &[SocketAddr],
     ) -> Option<Choice> {
         let mut pools = self.pools.borrow_mut();
         let dc = &self.settings.base.data_centre;
         let mut rng = self.rng.borrow_mut();
-        pools.get_mut(service)?.choose(self.clock.now(), dc, work, tried, &mut *rng)
+        pools.get_mut(service)?.choose(self.clock.now(), dc, profile, tried, &mut *rng)
     }
 
     /// Returns whether a request may be sent after `tries` earlier tries. The first try is always
-    /// allowed, further ones only within the service's retry budget, from which they are taken.
+    /// allowed; each retry takes one from the service's retry budget and is refused if it is empty.
     pub fn allow_send(&self, service: &str, tries: usize) -> bool {
         let mut all = self.retries.borrow_mut();
         let budget = all.entry(service.to_owned()).or_default();
@@ -203,7 +203,7 @@
         true
     }
 
-    /// Records the time to the first token of a request, for the choice of replicas.
+    /// Records the time to the first token of a request, which later choices of a replica use.
     pub fn record_first_token(&self, service: &str, c: &Choice, first: Duration) {
         if let Some(pool) = self.pools.borrow_mut().get_mut(service) {
             pool.record_first_event(self.clock.now(), c, first.as_micros() as u64);
--- a/crates/router/src/budget_slices.rs
+++ b/crates/router/src/budget_slices.rs
@@ -15,9 +15,9 @@
     /// The slice store.
     pub slices: RefCell<SliceStore>,
     /// Whether a lease request is in flight.
-    pub asking: Cell<bool>,
+    pub request_in_flight: Cell<bool>,
     /// The result of the last lease request, until it is taken.
-    pub answer: Cell<Option<LeaseOutcome>>,
+    pub last_outcome: Cell<Option<LeaseOutcome>>,
     /// Notified when tokens may have become available.
     pub changed: Notify,
 }
@@ -34,26 +34,31 @@
         let mut all = self.by_budget.borrow_mut();
         let new_slices = || {
             let slices = RefCell::new(SliceStore::new(policy, 0));
-            let (asking, answer) = (Cell::new(false), Cell::new(None));
-            Rc::new(BudgetSlices { slices, asking, answer, changed: Notify::new() })
+            let (request_in_flight, last_outcome) = (Cell::new(false), Cell::new(None));
+            Rc::new(BudgetSlices {
+                slices,
+                request_in_flight,
+                last_outcome,
+                changed: Notify::new(),
+            })
         };
-        let p = all.entry(budget.to_owned()).or_insert_with(new_slices);
-        p.slices.borrow_mut().set_policy(policy);
-        p.clone()
+        let entry = all.entry(budget.to_owned()).or_insert_with(new_slices);
+        entry.slices.borrow_mut().set_policy(policy);
+        entry.clone()
     }
 
     /// Ends a reservation of which `used` tokens were spent. Returns the number of tokens charged.
     pub fn settle(&self, now: Time, budget: &str, r: Reservation, used: Tokens) -> Tokens {
-        let Some(p) = self.by_budget.borrow().get(budget).cloned() else { return 0 };
-        let charged = p.slices.borrow_mut().settle(now, r, used);
-        p.changed.notify_waiters();
+        let Some(entry) = self.by_budget.borrow().get(budget).cloned() else { return 0 };
+        let charged = entry.slices.borrow_mut().settle(now, r, used);
+        entry.changed.notify_waiters();
         charged
     }
 
     /// Returns the idle tokens of a budget to the grantor.
     pub fn return_idle(&self, budget: &str) {
-        if let Some(p) = self.by_budget.borrow().get(budget) {
-            p.slices.borrow_mut().return_idle();
+        if let Some(entry) = self.by_budget.borrow().get(budget) {
+            entry.slices.borrow_mut().return_idle();
         }
     }
 
@@ -61,27 +66,28 @@
     /// whether any of them has slices.
     pub fn return_idle_where(&self, matches: impl Fn(&str) -> bool) -> bool {
         let all = self.by_budget.borrow();
-        let matching =
-            all.iter().filter(|(budget, p)| matches(budget) && !p.slices.borrow().is_empty());
-        matching.map(|(_, p)| p.slices.borrow_mut().return_idle()).count() > 0
+        let matching = all
+            .iter()
+            .filter(|(budget, entry)| matches(budget) && !entry.slices.borrow().is_empty());
+        matching.map(|(_, entry)| entry.slices.borrow_mut().return_idle()).count() > 0
     }
 
     /// Returns the idle tokens of all budgets to the grantor.
     pub fn return_all_idle(&self) {
-        self.by_budget.borrow().values().for_each(|p| p.slices.borrow_mut().return_idle());
+        self.by_budget.borrow().values().for_each(|entry| entry.slices.borrow_mut().return_idle());
     }
 
     /// Returns whether no budget has slices.
     pub fn is_empty(&self) -> bool {
-        self.by_budget.borrow().values().all(|p| p.slices.borrow().is_empty())
+        self.by_budget.borrow().values().all(|entry| entry.slices.borrow().is_empty())
     }
 
     /// Returns the usage reports to send to the grantor, after marking excess tokens for
     /// return.
     pub fn reports(&self, now: Time) -> Vec<(String, Report)> {
         let mut out = Vec::new();
-        for (budget, p) in self.by_budget.borrow().iter() {
-            let mut slices = p.slices.borrow_mut();
+        for (budget, entry) in self.by_budget.borrow().iter() {
+            let mut slices = entry.slices.borrow_mut();
             slices.return_excess(now);
             out.extend(slices.reports(now).into_iter().map(|r| (budget.clone(), r)));
         }
@@ -91,16 +97,18 @@
     /// Returns the spending bounds to send to the grantor.
     pub fn bounds(&self, now: Time) -> Vec<Bound> {
         let all = self.by_budget.borrow();
-        all.iter().filter_map(|(budget, p)| p.slices.borrow_mut().bound(now, budget)).collect()
+        all.iter()
+            .filter_map(|(budget, entry)| entry.slices.borrow_mut().bound(now, budget))
+            .collect()
     }
 
     /// Records that the grantor has accepted `bounds`.
     pub fn confirm_bounds(&self, now: Time, bounds: &[Bound]) {
         let all = self.by_budget.borrow();
         for b in bounds {
-            if let Some(p) = all.get(&b.budget) {
-                p.slices.borrow_mut().confirm_bound(now, b);
-                p.changed.notify_waiters();
+            if let Some(entry) = all.get(&b.budget) {
+                entry.slices.borrow_mut().confirm_bound(now, b);
+                entry.changed.notify_waiters();
             }
         }
     }
@@ -109,8 +117,8 @@
     /// each report whether its lease exists.
     pub fn acknowledge(&self, sent: Time, reports: &[(String, Report)], known: &[bool]) {
         for ((budget, r), known) in reports.iter().zip(known) {
-            if let Some(p) = self.by_budget.borrow().get(budget) {
-                p.slices.borrow_mut().acknowledge(sent, r, *known);
+            if let Some(entry) = self.by_budget.borrow().get(budget) {
+                entry.slices.borrow_mut().acknowledge(sent, r, *known);
             }
         }
     }
--- a/crates/router/src/caller.rs
+++ b/crates/router/src/caller.rs
@@ -37,7 +37,7 @@
     /// Completes when the client has disconnected.
     pub async fn closed(&mut self) {
         match &mut self.response_tx {
-            Some(f) => f.closed().await,
+            Some(response_tx) => response_tx.closed().await,
             None => self.chunk_tx.closed().await,
         }
     }
--- a/crates/router/src/count.rs
+++ b/crates/router/src/count.rs
@@ -1,4 +1,4 @@
-//! Counts the tokens that an engine's stream has used.
+//! Counts the tokens that a run on an engine has used.
 
 use cypressfork_core::unit::Tokens;
 use serde_json::Value;
--- a/crates/router/src/drain.rs
+++ b/crates/router/src/drain.rs
@@ -20,8 +20,8 @@
 /// How often to log what the shutdown waits for.
 const LOG_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Shuts the router down: removes it from entry answers, serves until cached entry answers have
-/// expired, waits for active requests, returns all slices, and ends the registration. Waits at most
+/// Shuts the router down: removes it from responses of `/v1/entry`, serves until the cached ones
+/// have expired, waits for active requests, returns all slices, and ends the registration. Waits at most
 /// the configured drain time for requests and slices.
 pub async fn drain(app: Rc<App>) {
     emit!(Event::Stopping);
@@ -40,7 +40,7 @@
 
 async fn announce_leaving(app: &App, token_store: &TokenStore) {
     let leave = Command::Leave(token_store.holder());
-    // If this fails, the router is soon suspected and left out of entry answers anyway.
+    // If this fails, the router is soon suspected and no longer listed anyway.
     let _ = app.group.command(&leave, COMMAND_TIMEOUT).await;
 }
 
--- a/crates/router/src/entry.rs
+++ b/crates/router/src/entry.rs
@@ -12,8 +12,9 @@
 /// The most addresses in one answer.
 const MAX_ADDRESSES: usize = 8;
 
-/// Returns the usable sites in the order in which a client should try them: those in `data_centre`
-/// first. Each of the two groups is rotated by `rotation` to spread clients.
+/// Returns the usable routers in the order in which a client should try them: those in
+/// `data_centre` first. Each of the two groups is rotated by `rotation` to spread clients.
+/// Returns at most `MAX_ADDRESSES`.
 pub fn order_sites<'a>(sites: &'a [Site], data_centre: &str, rotation: usize) -> Vec<&'a Site> {
     let is_local = |s: &&Site| s.data_centre == data_centre;
     let usable = sites.iter().filter(|s| s.usable);
@@ -27,8 +28,8 @@
     local
 }
 
-/// Returns the addresses of usable routers and how long a client may cache them. Lists only this
-/// router if there is no other usable one and it is not draining.
+/// Returns the response with the addresses of usable routers and how long a client may cache them.
+/// If no router is known to be usable, lists this one unless it is draining.
 pub fn entry(app: &App) -> Response<Body> {
     let sites = app.sites.borrow();
     let rotation = app.random_u128() as usize;
--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -68,8 +68,8 @@
 }
 
 impl From<SendError> for AttemptError {
-    fn from(u: SendError) -> AttemptError {
-        match u {
+    fn from(e: SendError) -> AttemptError {
+        match e {
             SendError::Disconnected => AttemptError::CallerDisconnected,
             SendError::DeadlinePassed => AttemptError::DeadlinePassed,
         }
@@ -226,9 +226,9 @@
             .post(url)
             .insert_header(("content-type", "application/json"))
             .insert_header(("x-request-id", format!("{:016x}", self.run)));
-        let mut hop = plan.trace.span("dispatch");
-        hop.note(address.to_string());
-        req = req.insert_header(("traceparent", hop.traceparent()));
+        let mut span = plan.trace.span("dispatch");
+        span.note(address.to_string());
+        req = req.insert_header(("traceparent", span.traceparent()));
         if let Some(c) = &self.claim {
             c.mark_started();
         }
@@ -327,8 +327,8 @@
     Refusal::from(Code::DeadlinePassed).ran(ran).retry_after(DEADLINE_RETRY_AFTER)
 }
 
-fn refusal_for(f: AttemptError) -> Refusal {
-    match f {
+fn refusal_for(e: AttemptError) -> Refusal {
+    match e {
         AttemptError::DeadlinePassed => deadline_refusal(Ran::Unknown),
         AttemptError::CallerDisconnected => {
             upstream_failure(Code::UpstreamFailed, "the caller has gone")
--- a/crates/router/src/follow.rs
+++ b/crates/router/src/follow.rs
@@ -18,7 +18,7 @@
 const REGISTER_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Timeout of one watch request (long poll).
-const FOLLOW_TIMEOUT: Duration = Duration::from_secs(4);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Delay after a failed request.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
@@ -30,8 +30,8 @@
         let holder = register(&app).await;
         let token_store =
             Rc::new(TokenStore::new(holder, app.group.clone(), app.reserve.clone(), app.clock));
-        let every = app.settings.tally;
-        actix_rt::spawn(token_store.clone().send_reports_forever(move || every));
+        let interval = app.settings.tally;
+        actix_rt::spawn(token_store.clone().send_reports_forever(move || interval));
         if let Some(old) = app.set_token_store(token_store) {
             old.retire();
         }
@@ -66,7 +66,7 @@
         let version = app.view.borrow().version();
         let sites = sites_digest(&app.sites.borrow());
         let q = Query::Follow { holder, version, sites };
-        match app.group.query(&q, FOLLOW_TIMEOUT).await {
+        match app.group.query(&q, WATCH_TIMEOUT).await {
             Ok(Reply::News(update)) => {
                 if !connected {
                     emit!(Event::ControlFound);
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,5 +1,5 @@
-//! The router: lists entry addresses and admits, routes and bills the requests of language-model
-//! clients.
+//! The router, which lists entry addresses and admits, routes and bills the requests of
+//! language-model clients, and the gateway.
 
 mod app;
 mod ask;
--- a/crates/router/src/plain.rs
+++ b/crates/router/src/plain.rs
@@ -38,14 +38,14 @@
 
 const TRACEPARENT: HeaderName = HeaderName::from_static("traceparent");
 
-/// A call as received from the caller.
+/// A call as received from the client.
 pub struct Call {
     /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub path: String,
     /// `Content-Type` header, if any.
-    pub kind: Option<HeaderValue>,
+    pub content_type: Option<HeaderValue>,
     /// Request body.
     pub body: Bytes,
 }
@@ -61,7 +61,7 @@
 }
 
 /// Serves a call to a plain service. Returns the response of a replica or the stored one of a
-/// claimed request, or the refusal for the caller.
+/// claimed request, or the refusal for the client.
 pub async fn plain(
     app: &Rc<App>,
     head: &Head,
@@ -99,7 +99,7 @@
     let (app, head, service) = (app.clone(), head.clone(), service.name.clone());
     let pending = PendingCall { id: head.id.clone(), call, can_resend, deadline };
     let trace = trace.clone();
-    // Runs in its own task, so that the outcome is recorded even if the caller disconnects.
+    // Runs in its own task, so that the outcome is recorded even if the client disconnects.
     let active = ActiveRequest::new(&app);
     let running = actix_rt::spawn(async move {
         let result = run_and_record(&app, &service, &pending, claim, &trace).await;
@@ -135,7 +135,7 @@
 async fn try_replicas(
     app: &App,
     service: &str,
-    s: &PendingCall,
+    pending: &PendingCall,
     trace: &Rc<Trace>,
 ) -> Result<Answer, Refusal> {
     let mut tried = Vec::new();
@@ -146,7 +146,7 @@
         tried.push(address);
         let mut span = trace.span("dispatch");
         span.note(address.to_string());
-        let sent = timeout_at(s.deadline, send(address, s, &span)).await;
+        let sent = timeout_at(pending.deadline, send(address, pending, &span)).await;
         drop(span);
         let failed = matches!(sent, Ok(Err(_)));
         app.record_end(service, &choice, failed);
@@ -159,7 +159,7 @@
             Ok(Err(ExchangeError::Sent(why))) => {
                 emit!(Event::UpstreamFailed, service = service, address = address, why = why);
                 last = Refusal::from(Code::UpstreamFailed).ran(Ran::Unknown).detail(why);
-                if !s.can_resend {
+                if !pending.can_resend {
                     break;
                 }
             }
@@ -168,20 +168,25 @@
     Err(last)
 }
 
-async fn send(address: SocketAddr, s: &PendingCall, span: &Span) -> Result<Answer, ExchangeError> {
+async fn send(
+    address: SocketAddr,
+    pending: &PendingCall,
+    span: &Span,
+) -> Result<Answer, ExchangeError> {
     let mut headers = HeaderMap::new();
     let mut set = |name: HeaderName, value: &str| {
         if let Ok(v) = HeaderValue::from_str(value) {
             headers.insert(name, v);
         }
     };
-    set(REQUEST_ID, &s.id);
-    set(IDEMPOTENCY_KEY, &s.id);
+    set(REQUEST_ID, &pending.id);
+    set(IDEMPOTENCY_KEY, &pending.id);
     set(TRACEPARENT, &span.traceparent());
-    if let Some(kind) = &s.call.kind {
-        headers.insert(header::CONTENT_TYPE, kind.clone());
+    if let Some(content_type) = &pending.call.content_type {
+        headers.insert(header::CONTENT_TYPE, content_type.clone());
     }
-    let (method, path, body) = (s.call.method.clone(), s.call.path.clone(), s.call.body.clone());
+    let (method, path, body) =
+        (pending.call.method.clone(), pending.call.path.clone(), pending.call.body.clone());
     exchange(address, Request { method, path, headers, body }, MAX_RESPONSE_BYTES).await
 }
 
@@ -194,8 +199,8 @@
 
 fn response(a: Answer) -> Response<Body> {
     let mut r = Response::with_body(a.head.status, Body::Whole(a.body));
-    if let Some(kind) = a.head.headers.get(header::CONTENT_TYPE) {
-        r.headers_mut().insert(header::CONTENT_TYPE, kind.clone());
+    if let Some(content_type) = a.head.headers.get(header::CONTENT_TYPE) {
+        r.headers_mut().insert(header::CONTENT_TYPE, content_type.clone());
     }
     r.headers_mut().insert(RAN, HeaderValue::from_static(Ran::Yes.as_str()));
     r
--- a/crates/router/src/platform.rs
+++ b/crates/router/src/platform.rs
@@ -39,12 +39,12 @@
     Leaving,
 }
 
-/// Polls the list at `url` until the process ends and applies it. If a poll fails, the last list
-/// remains.
+/// Polls the list at `url` and applies it, until the process ends. If a poll fails, the last list
+/// remains in effect.
 pub async fn poll_vms(app: Rc<App>, url: String) {
     let mut reachable = true;
     loop {
-        match fetch(&app, &url).await {
+        match fetch_vms(&app, &url).await {
             Some(list) => {
                 reachable = true;
                 app.observe_vms(&list);
@@ -59,7 +59,7 @@
     }
 }
 
-async fn fetch(app: &App, url: &str) -> Option<BTreeMap<String, ListedState>> {
+async fn fetch_vms(app: &App, url: &str) -> Option<BTreeMap<String, ListedState>> {
     let mut response = app.client.get(url).timeout(POLL_TIMEOUT).send().await.ok()?;
     let bytes = response.body().limit(MAX_LIST_BYTES).await.ok()?;
     let list: List = serde_json::from_slice(&bytes).ok()?;
--- a/crates/router/src/serve.rs
+++ b/crates/router/src/serve.rs
@@ -1,4 +1,4 @@
-//! Dispatches callers' requests by path.
+//! Dispatches clients' requests by path.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -32,7 +32,7 @@
 /// Retry delay while the router is not ready.
 const NOT_READY_RETRY_AFTER: Millis = Millis::seconds(1);
 
-/// Serves one request of a caller. Counts and logs its result and returns the response.
+/// Serves one request of a client. Counts and logs its result and returns the response.
 pub async fn serve(app: Rc<App>, req: Request) -> Response<Body> {
     let new_id = app.random_u128();
     let head = head::read(req.headers(), app.settings.head_cap, new_id);
@@ -105,7 +105,7 @@
     require_method(&req, &Method::POST)?;
     let head = head?;
     require_ready(app)?;
-    // Check the caller before reading the body.
+    // Check the client before reading the body.
     app.view.borrow().client(&head.key)?;
     let span = trace.span("entry");
     let bytes = read_body(req, app.settings.body_cap).await?;
@@ -124,9 +124,9 @@
     app.view.borrow().plain(&client, req.path())?;
     let method = req.method().clone();
     let path = req.uri().path_and_query().map_or("/", |p| p.as_str()).to_owned();
-    let kind = req.headers().get(header::CONTENT_TYPE).cloned();
+    let content_type = req.headers().get(header::CONTENT_TYPE).cloned();
     let body = read_body(req, app.settings.body_cap).await?;
-    plain(app, &head, Call { method, path, kind, body }, trace).await
+    plain(app, &head, Call { method, path, content_type, body }, trace).await
 }
 
 fn list_models(app: &App, head: &Head) -> Result<Response<Body>, Refusal> {
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -13,7 +13,7 @@
 pub struct File {
     /// Settings common to all processes.
     pub common: Common,
-    /// Address for callers.
+    /// Address for clients.
     pub listen: String,
     /// Address that is returned to clients by `/v1/entry`; `listen` if not given.
     #[serde(default)]
@@ -44,7 +44,8 @@
     /// Milliseconds between reports to the control group.
     #[serde(default = "tally_default")]
     pub tally_ms: u64,
-    /// Maximum seconds for which a planned stop waits for open streams.
+    /// Maximum seconds for which a graceful shutdown waits for requests to finish and slices to be
+    /// returned.
     #[serde(default = "drain_default")]
     pub drain_s: u64,
 }
@@ -78,7 +79,7 @@
 pub struct Settings {
     /// Settings common to all processes.
     pub base: CheckedCommon,
-    /// Address for callers.
+    /// Address for clients.
     pub listen: SocketAddr,
     /// Address that is returned to clients by `/v1/entry`.
     pub public: SocketAddr,
@@ -100,7 +101,8 @@
     pub deadline: Duration,
     /// Interval between reports to the control group.
     pub tally: Duration,
-    /// Maximum time for which a planned stop waits for open streams.
+    /// Maximum time for which a graceful shutdown waits for requests to finish and slices to be
+    /// returned.
     pub drain: Duration,
 }
 
--- a/crates/router/src/token_store.rs
+++ b/crates/router/src/token_store.rs
@@ -116,7 +116,7 @@
     /// Reserves `n` tokens of a budget. Requests more from the control group if too few are idle,
     /// or from the reserve if the group is unreachable, and waits no longer than `deadline`.
     ///
-    /// Returns the reservation and its grantor, or the refusal for the caller.
+    /// Returns the reservation and its grantor, or the refusal for the client.
     pub async fn reserve(
         self: &Rc<Self>,
         budget: &str,
@@ -124,30 +124,30 @@
         n: Tokens,
         deadline: Instant,
     ) -> Result<(Source, Reservation), Refusal> {
-        let p = self.group_slices.get(budget, policy);
+        let entry = self.group_slices.get(budget, policy);
         loop {
             let now = self.clock.now();
-            let found = p.slices.borrow_mut().reserve(now, n);
+            let found = entry.slices.borrow_mut().reserve(now, n);
             if let Some(r) = found {
-                self.refill(budget, &p);
+                self.refill(budget, &entry);
                 return Ok((Source::Group, r));
             }
-            if self.is_limited(&p, now, n) {
-                let allowed_at = self.limit_allows_at(&p, now, n, deadline);
+            if self.is_limited(&entry, now, n) {
+                let allowed_at = self.limit_allows_at(&entry, now, n, deadline);
                 if allowed_at.is_some() || !self.group_unreachable.get() {
-                    self.wait_for_limit(&p, n, allowed_at, deadline).await?;
+                    self.wait_for_limit(&entry, n, allowed_at, deadline).await?;
                     continue;
                 }
             }
             if self.group_unreachable.get() {
                 return self.reserve_from_data_centre(budget, policy, n, deadline).await;
             }
-            if !p.asking.get() {
-                self.start_lease_request(budget, &p, n);
+            if !entry.request_in_flight.get() {
+                self.start_lease_request(budget, &entry, n);
             }
-            let changed = timeout_at(deadline, p.changed.notified()).await;
+            let changed = timeout_at(deadline, entry.changed.notified()).await;
             changed.map_err(|_| Refusal::from(Code::BudgetBusy).retry_after(Millis::seconds(1)))?;
-            let wait = match p.answer.take() {
+            let wait = match entry.last_outcome.take() {
                 Some(LeaseOutcome::Decided(Err(s))) => wait_or_refusal(s)?,
                 Some(LeaseOutcome::Refused(code)) if !is_unreachable(code) => {
                     return Err(lease_refusal(code));
@@ -160,25 +160,25 @@
                 return Err(Refusal::from(Code::BudgetBusy).retry_after(wait));
             }
             // The wait ends early when running requests return tokens.
-            let _ = timeout_at(until, p.changed.notified()).await;
+            let _ = timeout_at(until, entry.changed.notified()).await;
         }
     }
 
     /// Returns whether `n` tokens are idle but the spending limit does not allow them.
-    fn is_limited(&self, p: &BudgetSlices, now: Time, n: Tokens) -> bool {
-        let slices = p.slices.borrow();
+    fn is_limited(&self, entry: &BudgetSlices, now: Time, n: Tokens) -> bool {
+        let slices = entry.slices.borrow();
         slices.idle(now) >= n && slices.exceeds_limit(now, n)
     }
 
     /// Returns when the current limit allows `n` more tokens, if that is no later than `deadline`.
     fn limit_allows_at(
         &self,
-        p: &BudgetSlices,
+        entry: &BudgetSlices,
         now: Time,
         n: Tokens,
         deadline: Instant,
     ) -> Option<Instant> {
-        let span = p.slices.borrow().limit_wait(now, n)?;
+        let span = entry.slices.borrow().limit_wait(now, n)?;
         let at = Instant::now() + Duration::from_millis(span.0);
         (at <= deadline).then_some(at)
     }
@@ -188,23 +188,23 @@
     /// `BudgetBusy` at `deadline`.
     async fn wait_for_limit(
         &self,
-        p: &BudgetSlices,
+        entry: &BudgetSlices,
         n: Tokens,
         allowed_at: Option<Instant>,
         deadline: Instant,
     ) -> Result<(), Refusal> {
-        p.slices.borrow_mut().add_limit_demand(n);
+        entry.slices.borrow_mut().add_limit_demand(n);
         self.report_due.notify_one();
-        let accepted = timeout_at(allowed_at.unwrap_or(deadline), p.changed.notified()).await;
-        p.slices.borrow_mut().remove_limit_demand(n);
+        let accepted = timeout_at(allowed_at.unwrap_or(deadline), entry.changed.notified()).await;
+        entry.slices.borrow_mut().remove_limit_demand(n);
         if accepted.is_err() && allowed_at.is_none() {
             return Err(Refusal::from(Code::BudgetBusy).retry_after(Millis::seconds(1)));
         }
         Ok(())
     }
 
-    /// Reserves `n` tokens of the data centre's reserve. It receives only one request: it cannot
-    /// recall tokens from other holders, so a later request would not get more.
+    /// Reserves `n` tokens of the data centre's reserve. Sends it one request at most: the reserve
+    /// cannot recall tokens from other holders, so a second request would not get more.
     async fn reserve_from_data_centre(
         &self,
         budget: &str,
@@ -212,22 +212,22 @@
         n: Tokens,
         deadline: Instant,
     ) -> Result<(Source, Reservation), Refusal> {
-        let p = self.reserve_slices.get(budget, policy);
+        let entry = self.reserve_slices.get(budget, policy);
         let unreachable =
             || Refusal::from(Code::BudgetUnreachable).retry_after(UNREACHABLE_RETRY_AFTER);
         for _ in 0..2 {
             let now = self.clock.now();
-            let found = p.slices.borrow_mut().reserve(now, n);
+            let found = entry.slices.borrow_mut().reserve(now, n);
             if let Some(r) = found {
                 return Ok((Source::Reserve, r));
             }
-            let request = p.slices.borrow_mut().next_request(now, self.holder, budget, n);
+            let request = entry.slices.borrow_mut().next_request(now, self.holder, budget, n);
             let (Some(group), Some(request)) = (&self.reserve, request) else { break };
             emit!(Event::ReserveUsed, budget = budget, tokens = n);
             let timeout = RESERVE_TIMEOUT.min(deadline.saturating_duration_since(Instant::now()));
             let seq = request.seq;
             match send_to_reserve(group, &ReserveCommand::Ask(request), timeout).await {
-                Ok(ReserveAnswer::Decided(d)) => p.slices.borrow_mut().apply_decision(seq, &d),
+                Ok(ReserveAnswer::Decided(d)) => entry.slices.borrow_mut().apply_decision(seq, &d),
                 _ => break,
             }
         }
@@ -236,44 +236,49 @@
 
     /// Requests a lease in the background. The answer reaches other waiting requests even if the
     /// one that needed it has timed out.
-    fn start_lease_request(self: &Rc<Self>, budget: &str, p: &Rc<BudgetSlices>, need: Tokens) {
-        p.asking.set(true);
-        p.answer.set(None);
-        let (me, p, budget) = (self.clone(), p.clone(), budget.to_owned());
+    fn start_lease_request(self: &Rc<Self>, budget: &str, entry: &Rc<BudgetSlices>, need: Tokens) {
+        entry.request_in_flight.set(true);
+        entry.last_outcome.set(None);
+        let (store, entry, budget) = (self.clone(), entry.clone(), budget.to_owned());
         actix_rt::spawn(async move {
-            let outcome = me.request_lease(&budget, &p, need).await;
+            let outcome = store.request_lease(&budget, &entry, need).await;
             if matches!(outcome, LeaseOutcome::Refused(code) if is_unreachable(code)) {
-                me.set_group_unreachable(true);
+                store.set_group_unreachable(true);
             }
-            p.answer.set(Some(outcome));
-            p.asking.set(false);
-            p.changed.notify_waiters();
+            entry.last_outcome.set(Some(outcome));
+            entry.request_in_flight.set(false);
+            entry.changed.notify_waiters();
         });
     }
 
-    async fn request_lease(&self, budget: &str, p: &BudgetSlices, need: Tokens) -> LeaseOutcome {
+    async fn request_lease(
+        &self,
+        budget: &str,
+        entry: &BudgetSlices,
+        need: Tokens,
+    ) -> LeaseOutcome {
         let now = self.clock.now();
-        let request = p.slices.borrow_mut().next_request(now, self.holder, budget, need);
+        let request = entry.slices.borrow_mut().next_request(now, self.holder, budget, need);
         let Some(request) = request else {
             return LeaseOutcome::Decided(Err(Shortage::Busy(Millis(1))));
         };
-        self.send_lease_request(p, request, LEASE_TIMEOUT).await
+        self.send_lease_request(entry, request, LEASE_TIMEOUT).await
     }
 
     async fn send_lease_request(
         &self,
-        p: &BudgetSlices,
+        entry: &BudgetSlices,
         request: LeaseRequest,
         timeout: Duration,
     ) -> LeaseOutcome {
         let seq = request.seq;
         match self.group.command(&Command::Ask(request), timeout).await {
             Ok(Answer::Decided(d)) => {
-                p.slices.borrow_mut().apply_decision(seq, &d);
+                entry.slices.borrow_mut().apply_decision(seq, &d);
                 LeaseOutcome::Decided(d)
             }
             Ok(Answer::Refused(code)) => {
-                p.slices.borrow_mut().apply_decision(seq, &Err(Shortage::Spent));
+                entry.slices.borrow_mut().apply_decision(seq, &Err(Shortage::Spent));
                 LeaseOutcome::Refused(code)
             }
             Ok(_) => LeaseOutcome::Refused(Code::MessageBad),
@@ -282,13 +287,13 @@
     }
 
     /// Requests more tokens in the background if few are idle.
-    fn refill(self: &Rc<Self>, budget: &str, p: &Rc<BudgetSlices>) {
-        if p.asking.get() || self.group_unreachable.get() {
+    fn refill(self: &Rc<Self>, budget: &str, entry: &Rc<BudgetSlices>) {
+        if entry.request_in_flight.get() || self.group_unreachable.get() {
             return;
         }
-        let is_low = p.slices.borrow_mut().is_low(self.clock.now());
+        let is_low = entry.slices.borrow_mut().is_low(self.clock.now());
         if is_low {
-            self.start_lease_request(budget, p, 0);
+            self.start_lease_request(budget, entry, 0);
         }
     }
 
@@ -319,34 +324,34 @@
     /// Reserves up to `n` idle tokens without waiting. Returns the reservation and the reason for a
     /// shortfall.
     pub fn reserve_available(&self, budget: &str, policy: Policy, n: Tokens) -> PartialReservation {
-        let p = self.group_slices.get(budget, policy);
-        let wait = p.slices.borrow().limit_wait(self.clock.now(), n);
+        let entry = self.group_slices.get(budget, policy);
+        let wait = entry.slices.borrow().limit_wait(self.clock.now(), n);
         let reserved = self.reserve_part(budget, policy, n).map(|r| (Source::Group, r));
         let is_whole = reserved.as_ref().is_some_and(|(_, r)| r.amount() == n);
         let shortfall = wait.map_or(Shortfall::Busy(BUSY_RETRY_AFTER), Shortfall::Limited);
         PartialReservation { reserved, shortfall: (!is_whole).then_some(shortfall) }
     }
 
-    /// Returns the idle tokens of the budgets for which `of` is true to the control group
+    /// Returns the idle tokens of the budgets that `matches` selects to the control group
     /// immediately.
-    pub fn return_idle_where(&self, of: impl Fn(&str) -> bool) {
-        if self.group_slices.return_idle_where(of) {
+    pub fn return_idle_where(&self, matches: impl Fn(&str) -> bool) {
+        if self.group_slices.return_idle_where(matches) {
             self.report_due.notify_one();
         }
     }
 
     /// Reserves up to `n` idle tokens of a budget. Returns `None` if none are available.
     pub fn reserve_part(&self, budget: &str, policy: Policy, n: Tokens) -> Option<Reservation> {
-        let p = self.group_slices.get(budget, policy);
-        let mut slices = p.slices.borrow_mut();
+        let entry = self.group_slices.get(budget, policy);
+        let mut slices = entry.slices.borrow_mut();
         slices.reserve_part(self.clock.now(), n)
     }
 
     /// Returns the idle tokens of a budget and how many more the spending limit allows.
     pub fn available(&self, budget: &str, policy: Policy) -> (Tokens, Tokens) {
         let now = self.clock.now();
-        let p = self.group_slices.get(budget, policy);
-        let slices = p.slices.borrow();
+        let entry = self.group_slices.get(budget, policy);
+        let slices = entry.slices.borrow();
         (slices.idle(now), slices.limit_remaining(now))
     }
 
@@ -386,13 +391,13 @@
         all_sent && self.group_slices.is_empty() && self.reserve_slices.is_empty()
     }
 
-    /// Sends reports after each interval that `every` returns and whenever tokens are to be
+    /// Sends reports after each `interval` and whenever tokens are to be
     /// returned or a higher limit is needed. Returns once the store is retired, settled and used by
     /// nothing else.
-    pub async fn send_reports_forever(self: Rc<Self>, every: impl Fn() -> Duration) {
+    pub async fn send_reports_forever(self: Rc<Self>, interval: impl Fn() -> Duration) {
         loop {
             tokio::select! {
-                () = sleep(every()) => {}
+                () = sleep(interval()) => {}
                 () = self.report_due.notified() => {}
             }
             tokio::join!(self.send_reports(), self.send_reserve_reports());
--- a/crates/router/src/trace.rs
+++ b/crates/router/src/trace.rs
@@ -46,45 +46,46 @@
     }
 }
 
-/// A caller's trace context: its trace id and the request's parent span.
+/// A client's trace context: its trace id and the request's parent span.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Parent {
-    trace: u128,
-    span: u64,
+struct TraceContext {
+    trace_id: u128,
+    span_id: u64,
 }
 
 /// Parses a `traceparent` header. Returns `None` if it is invalid.
-fn parse_traceparent(header: &str) -> Option<Parent> {
+fn parse_traceparent(header: &str) -> Option<TraceContext> {
     let mut parts = header.split('-');
     let (version, trace, span) = (parts.next()?, parts.next()?, parts.next()?);
     if version.len() != 2 || trace.len() != 32 || span.len() != 16 {
         return None;
     }
-    let p = Parent {
-        trace: u128::from_str_radix(trace, 16).ok()?,
-        span: u64::from_str_radix(span, 16).ok()?,
+    let context = TraceContext {
+        trace_id: u128::from_str_radix(trace, 16).ok()?,
+        span_id: u64::from_str_radix(span, 16).ok()?,
     };
-    (p.trace != 0 && p.span != 0).then_some(p)
+    (context.trace_id != 0 && context.span_id != 0).then_some(context)
 }
 
 struct FinishedSpan {
     name: &'static str,
     id: u64,
-    parent: u64,
-    begin: u64,
-    end: u64,
+    /// 0 if the span has no parent.
+    parent_id: u64,
+    start_ns: u64,
+    end_ns: u64,
     note: String,
 }
 
 /// One request's trace, exported when its last reference is dropped.
 pub struct Trace {
     exporter: Option<Exporter>,
-    trace: u128,
-    parent: Option<u64>,
-    root: u64,
-    begin: Instant,
+    trace_id: u128,
+    parent_id: Option<u64>,
+    root_id: u64,
+    started_at: Instant,
     /// Start time in nanoseconds since 1970.
-    begin_ns: u64,
+    start_ns: u64,
     spans: RefCell<Vec<FinishedSpan>>,
 }
 
@@ -93,43 +94,44 @@
     trace: Rc<Trace>,
     name: &'static str,
     id: u64,
-    begin: u64,
+    start_ns: u64,
     note: String,
 }
 
 impl Trace {
-    /// Starts a request's trace, under the caller's context if `traceparent` is valid.
+    /// Starts a request's trace, under the client's context if `traceparent` is valid.
     pub fn begin(exporter: Option<Exporter>, traceparent: Option<&str>) -> Rc<Trace> {
-        let parent = traceparent.and_then(parse_traceparent);
-        let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let context = traceparent.and_then(parse_traceparent);
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Rc::new(Trace {
             exporter,
-            trace: parent.map_or_else(rand::random, |p| p.trace),
-            parent: parent.map(|p| p.span),
-            root: rand::random::<u64>() | 1,
-            begin: Instant::now(),
-            begin_ns: since.as_nanos() as u64,
+            trace_id: context.map_or_else(rand::random, |c| c.trace_id),
+            parent_id: context.map(|c| c.span_id),
+            root_id: rand::random::<u64>() | 1,
+            started_at: Instant::now(),
+            start_ns: since_epoch.as_nanos() as u64,
             spans: RefCell::default(),
         })
     }
 
-    fn now(&self) -> u64 {
-        self.begin_ns + self.begin.elapsed().as_nanos() as u64
+    /// Returns the current time in nanoseconds since 1970.
+    fn now_ns(&self) -> u64 {
+        self.start_ns + self.started_at.elapsed().as_nanos() as u64
     }
 
-    /// Starts a span under the request.
+    /// Starts a span that is a child of the request's root span.
     pub fn span(self: &Rc<Self>, name: &'static str) -> Span {
-        let (id, begin) = (rand::random::<u64>() | 1, self.now());
-        Span { trace: self.clone(), name, id, begin, note: String::new() }
+        let (id, start_ns) = (rand::random::<u64>() | 1, self.now_ns());
+        Span { trace: self.clone(), name, id, start_ns, note: String::new() }
     }
 
-    fn otlp_line(&self, vm: &str) -> Value {
+    fn otlp_json(&self, vm: &str) -> Value {
         let root = FinishedSpan {
             name: "request",
-            id: self.root,
-            parent: self.parent.unwrap_or(0),
-            begin: self.begin_ns,
-            end: self.now(),
+            id: self.root_id,
+            parent_id: self.parent_id.unwrap_or(0),
+            start_ns: self.start_ns,
+            end_ns: self.now_ns(),
             note: String::new(),
         };
         let spans: Vec<Value> =
@@ -146,15 +148,15 @@
 
     fn span_json(&self, s: &FinishedSpan) -> Value {
         let mut v = json!({
-            "traceId": format!("{:032x}", self.trace),
+            "traceId": format!("{:032x}", self.trace_id),
             "spanId": format!("{:016x}", s.id),
             "name": s.name,
             "kind": 1,
-            "startTimeUnixNano": s.begin.to_string(),
-            "endTimeUnixNano": s.end.to_string(),
+            "startTimeUnixNano": s.start_ns.to_string(),
+            "endTimeUnixNano": s.end_ns.to_string(),
         });
-        if s.parent != 0 {
-            v["parentSpanId"] = format!("{:016x}", s.parent).into();
+        if s.parent_id != 0 {
+            v["parentSpanId"] = format!("{:016x}", s.parent_id).into();
         }
         if !s.note.is_empty() {
             v["attributes"] = json!([{ "key": "note", "value": { "stringValue": s.note } }]);
@@ -167,7 +169,7 @@
     fn drop(&mut self) {
         if let Some(e) = &self.exporter {
             // If the queue is full, the line is dropped.
-            let _ = e.tx.try_send(self.otlp_line(&e.vm).to_string());
+            let _ = e.tx.try_send(self.otlp_json(&e.vm).to_string());
         }
     }
 }
@@ -180,7 +182,7 @@
 
     /// Returns the `traceparent` header for a request sent within this span.
     pub fn traceparent(&self) -> String {
-        format!("00-{:032x}-{:016x}-01", self.trace.trace, self.id)
+        format!("00-{:032x}-{:016x}-01", self.trace.trace_id, self.id)
     }
 }
 
@@ -189,9 +191,9 @@
         let finished = FinishedSpan {
             name: self.name,
             id: self.id,
-            parent: self.trace.root,
-            begin: self.begin,
-            end: self.trace.now(),
+            parent_id: self.trace.root_id,
+            start_ns: self.start_ns,
+            end_ns: self.trace.now_ns(),
             note: std::mem::take(&mut self.note),
         };
         self.trace.spans.borrow_mut().push(finished);
