--- a/crates/router/src/chat.rs
+++ b/crates/router/src/chat.rs
@@ -17,12 +17,12 @@
 use tokio::time::Instant;
 
 use crate::app::{ActiveRequest, App};
-use crate::ask::{Form, ModelRequest};
 use crate::caller::Caller;
 use crate::claim::{Claim, ClaimResult, claim};
 use crate::exchange::Exchange;
 use crate::head::Head;
 use crate::hold::ReservationGuard;
+use crate::model_request::{Api, ModelRequest};
 use crate::queue::Permit;
 use crate::reply::{Refusal, json_response};
 use crate::trace::Trace;
@@ -68,10 +68,10 @@
     policy: Policy,
 }
 
-fn resolve_target(app: &App, form: Form, head: &Head, bytes: &[u8]) -> Result<Target, Refusal> {
+fn resolve_target(app: &App, api: Api, head: &Head, bytes: &[u8]) -> Result<Target, Refusal> {
     let view = app.view.borrow();
     let client = view.client(&head.key)?;
-    let request = ModelRequest::parse(form, bytes)?;
+    let request = ModelRequest::parse(api, bytes)?;
     let model = view.model(&client, &request.model)?;
     let (name, b) = view.budget(&client, &model.name)?;
     let (budget, policy) = (name.to_owned(), b.policy());
@@ -81,13 +81,13 @@
 /// Serves a model request. Returns when the response has started or was refused.
 pub async fn chat(
     app: &Rc<App>,
-    form: Form,
+    api: Api,
     head: &Head,
     bytes: &[u8],
     trace: &Rc<Trace>,
 ) -> Result<Response<Body>, Refusal> {
     let deadline = Instant::now() + head.deadline.unwrap_or(app.settings.deadline);
-    let Target { client, model, request, budget, policy } = resolve_target(app, form, head, bytes)?;
+    let Target { client, model, request, budget, policy } = resolve_target(app, api, head, bytes)?;
     let id = request_id(&client.name, &head.id);
     let cap = request.output_cap(model.service.max_output);
     let need = request.prompt_bound + cap;
@@ -107,7 +107,7 @@
         false => None,
         true => {
             let _claiming = trace.span("claim");
-            match claim(app, id, body_digest("POST", form.path(), bytes), deadline).await? {
+            match claim(app, id, body_digest("POST", api.path(), bytes), deadline).await? {
                 ClaimResult::Run(c) => Some(c),
                 ClaimResult::Done(o) => return Ok(replay(&o)),
             }
--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -220,7 +220,7 @@
 
     async fn send(&mut self, address: SocketAddr) -> Result<awc::ClientResponse, AttemptError> {
         let plan = &self.plan;
-        let url = format!("http://{address}{}", plan.request.form.path());
+        let url = format!("http://{address}{}", plan.request.api.path());
         let client = if self.claim.is_some() { &self.app.once_client } else { &self.app.client };
         let mut req = client
             .post(url)
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -2,7 +2,6 @@
 //! language-model clients, and the gateway.
 
 mod app;
-mod ask;
 mod attempt;
 mod budget_slices;
 mod caller;
@@ -16,6 +15,7 @@
 pub mod gateway;
 mod head;
 mod hold;
+mod model_request;
 mod oneshot;
 mod ops;
 mod plain;
--- a/crates/router/src/ask.rs
+++ b/crates/router/src/model_request.rs
@@ -18,19 +18,19 @@
 
 /// The API that a model request uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Form {
+pub enum Api {
     /// `/v1/chat/completions`.
     Chat,
     /// `/v1/completions`.
     Text,
 }
 
-impl Form {
+impl Api {
     /// Returns the request path, which is the same at the router and at engines.
     pub fn path(self) -> &'static str {
         match self {
-            Form::Chat => "/v1/chat/completions",
-            Form::Text => "/v1/completions",
+            Api::Chat => "/v1/chat/completions",
+            Api::Text => "/v1/completions",
         }
     }
 }
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ModelRequest {
     /// The API it uses.
-    pub form: Form,
+    pub api: Api,
     /// The model's name.
     pub model: String,
     /// Whether the client requested a streamed response.
@@ -88,20 +88,20 @@
     }
 }
 
-fn prompt_bound(form: Form, body: &Map<String, Value>) -> Result<Tokens, Refusal> {
+fn prompt_bound(api: Api, body: &Map<String, Value>) -> Result<Tokens, Refusal> {
     let extra = ["tools", "functions", "response_format", "suffix"];
     let extra: u64 = extra.iter().filter_map(|k| body.get(*k)).map(text_bytes).sum();
-    let prompt = match (form, body.get("messages"), body.get("prompt")) {
-        (Form::Chat, Some(Value::Array(m)), _)
+    let prompt = match (api, body.get("messages"), body.get("prompt")) {
+        (Api::Chat, Some(Value::Array(m)), _)
             if !m.is_empty() && m.iter().all(Value::is_object) =>
         {
             m.iter().map(|m| text_bytes(m) + MESSAGE_OVERHEAD).sum()
         }
-        (Form::Chat, ..) => {
+        (Api::Chat, ..) => {
             return Err(invalid_body("messages must be a list of objects, not empty"));
         }
-        (Form::Text, _, Some(Value::String(s))) => s.len() as u64,
-        (Form::Text, ..) => return Err(invalid_body("prompt must be a text")),
+        (Api::Text, _, Some(Value::String(s))) => s.len() as u64,
+        (Api::Text, ..) => return Err(invalid_body("prompt must be a text")),
     };
     Ok(prompt + extra + PROMPT_OVERHEAD)
 }
@@ -109,7 +109,7 @@
 impl ModelRequest {
     /// Parses a request body. Returns a refusal if it is not JSON, a field has the wrong type, or
     /// more than one completion is requested.
-    pub fn parse(form: Form, bytes: &[u8]) -> Result<ModelRequest, Refusal> {
+    pub fn parse(api: Api, bytes: &[u8]) -> Result<ModelRequest, Refusal> {
         let body: Value = serde_json::from_slice(bytes).map_err(|e| invalid_body(e.to_string()))?;
         let Value::Object(body) = body else { return Err(invalid_body("expected an object")) };
         let Some(Value::String(model)) = body.get("model") else {
@@ -123,11 +123,11 @@
         let usage = body.get("stream_options").and_then(|o| o.get("include_usage"));
         let completion = positive_field(&body, "max_completion_tokens")?;
         Ok(ModelRequest {
-            form,
+            api,
             model: model.clone(),
             stream: bool_field(&body, "stream")?,
             include_usage: usage == Some(&Value::Bool(true)),
-            prompt_bound: prompt_bound(form, &body)?,
+            prompt_bound: prompt_bound(api, &body)?,
             max_output: completion.or(positive_field(&body, "max_tokens")?),
             body,
         })
@@ -166,15 +166,15 @@
     }
 
     fn continue_from(&self, body: &mut Map<String, Value>, text: &str) {
-        match self.form {
-            Form::Chat => {
+        match self.api {
+            Api::Chat => {
                 if let Some(Value::Array(messages)) = body.get_mut("messages") {
                     messages.push(json!({ "role": "assistant", "content": text }));
                 }
                 body.insert("continue_final_message".into(), true.into());
                 body.insert("add_generation_prompt".into(), false.into());
             }
-            Form::Text => {
+            Api::Text => {
                 let prompt = body.get("prompt").and_then(Value::as_str).unwrap_or_default();
                 let prompt = format!("{prompt}{text}");
                 body.insert("prompt".into(), prompt.into());
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -12,10 +12,10 @@
 use serde_json::{Value, json};
 use tokio::time::{timeout, timeout_at};
 
-use crate::ask::Form;
 use crate::attempt::EngineResponse;
 use crate::count::{event_text, event_usage};
 use crate::exchange::{AttemptError, Exchange};
+use crate::model_request::Api;
 use crate::sse::Parser;
 
 /// Interval at which comments are sent on an idle stream to keep connections alive.
@@ -139,13 +139,13 @@
     /// Returns the complete answer as a response body that is not streamed.
     pub(crate) fn completion(&self) -> Value {
         let usage = self.usage();
-        let (object, choice) = match self.plan.request.form {
-            Form::Chat => (
+        let (object, choice) = match self.plan.request.api {
+            Api::Chat => (
                 "chat.completion",
                 json!({ "index": 0, "finish_reason": self.finish_reason,
                     "message": { "role": "assistant", "content": self.generated_text } }),
             ),
-            Form::Text => (
+            Api::Text => (
                 "text_completion",
                 json!({ "index": 0, "finish_reason": self.finish_reason, "text": self.generated_text }),
             ),
--- a/crates/router/src/serve.rs
+++ b/crates/router/src/serve.rs
@@ -18,10 +18,10 @@
 use tokio::time::timeout;
 
 use crate::app::App;
-use crate::ask::Form;
 use crate::chat::chat;
 use crate::entry::entry;
 use crate::head::{self, Head};
+use crate::model_request::Api;
 use crate::plain::{Call, plain};
 use crate::reply::{REQUEST_ID, Refusal, json_response};
 use crate::trace::Trace;
@@ -75,8 +75,8 @@
             require_method(&req, &Method::GET)?;
             list_models(app, &head?)
         }
-        "/v1/chat/completions" => serve_model(app, Form::Chat, req, head, trace).await,
-        "/v1/completions" => serve_model(app, Form::Text, req, head, trace).await,
+        "/v1/chat/completions" => serve_model(app, Api::Chat, req, head, trace).await,
+        "/v1/completions" => serve_model(app, Api::Text, req, head, trace).await,
         _ => serve_plain(app, req, head?, trace).await,
     }
 }
@@ -97,7 +97,7 @@
 
 async fn serve_model(
     app: &Rc<App>,
-    form: Form,
+    api: Api,
     req: Request,
     head: Result<Head, Refusal>,
     trace: &Rc<Trace>,
@@ -110,7 +110,7 @@
     let span = trace.span("entry");
     let bytes = read_body(req, app.settings.body_cap).await?;
     drop(span);
-    chat(app, form, &head, &bytes, trace).await
+    chat(app, api, &head, &bytes, trace).await
 }
 
 async fn serve_plain(
