--- a/crates/router/src/budget_slices.rs
+++ b/crates/router/src/budget_slices.rs
@@ -8,7 +8,7 @@
 use cypressfork_core::unit::{Time, Tokens};
 use tokio::sync::Notify;
 
-use crate::taken::LeaseOutcome;
+use crate::reservation_result::LeaseOutcome;
 
 /// The slice store of one budget, with the state of lease requests to its grantor.
 pub struct BudgetSlices {
--- a/crates/router/src/gateway/budget.rs
+++ b/crates/router/src/gateway/budget.rs
@@ -17,7 +17,7 @@
 use super::share::BorrowedTokens;
 use super::state::Gateway;
 use crate::reply::Refusal;
-use crate::taken::{PartialReservation, Source};
+use crate::reservation_result::{Grantor, PartialReservation};
 use crate::token_store::TokenStore;
 
 /// How long a request waits for more tokens before other gateways are asked.
@@ -71,14 +71,14 @@
 /// Tokens reserved in this gateway's own slices.
 struct OwnReservation {
     token_store: Rc<TokenStore>,
-    source: Source,
+    grantor: Grantor,
     budget: String,
     reservation: Reservation,
 }
 
 impl OwnReservation {
     fn settle(self, used: Tokens) {
-        self.token_store.settle(self.source, &self.budget, self.reservation, used);
+        self.token_store.settle(self.grantor, &self.budget, self.reservation, used);
     }
 }
 
@@ -212,10 +212,10 @@
     };
     let PartialReservation { reserved, shortfall } =
         token_store.reserve_up_to(&demand.budget, demand.policy, tokens, until).await;
-    let to_part = |(source, reservation)| {
+    let to_part = |(grantor, reservation)| {
         Part::Own(OwnReservation {
             token_store,
-            source,
+            grantor,
             budget: demand.budget.clone(),
             reservation,
         })
@@ -257,17 +257,17 @@
     let (policy, max_tokens, deadline) = (*policy, *max_tokens, *deadline);
     let registered = deadline.min(Instant::now() + RECALL_WAIT);
     let token_store = gw.wait_for_token_store(registered).await.ok_or_else(not_ready)?;
-    let to_part = |source, reservation| {
+    let to_part = |grantor, reservation| {
         let (token_store, budget) = (token_store.clone(), budget.clone());
-        Part::Own(OwnReservation { token_store, source, budget, reservation })
+        Part::Own(OwnReservation { token_store, grantor, budget, reservation })
     };
     // The order is: tokens available at short notice, idle tokens of other gateways, recalled tokens.
     let short_until = deadline.min(Instant::now() + SHORT_WAIT);
-    if let Ok((source, r)) = token_store.reserve(budget, policy, max_tokens, short_until).await {
-        return Ok(vec![to_part(source, r)]);
+    if let Ok((grantor, r)) = token_store.reserve(budget, policy, max_tokens, short_until).await {
+        return Ok(vec![to_part(grantor, r)]);
     }
     let part =
-        token_store.reserve_part(budget, policy, max_tokens).map(|r| to_part(Source::Group, r));
+        token_store.reserve_part(budget, policy, max_tokens).map(|r| to_part(Grantor::Group, r));
     let reserved = part.as_ref().map_or(0, Part::amount);
     if let Some(borrowed) = gw.peers.borrow(gw, account, max_tokens - reserved).await {
         return Ok(part.into_iter().chain(borrowed.into_iter().map(Part::Borrowed)).collect());
@@ -277,7 +277,7 @@
     }
     let until = deadline.min(Instant::now() + RECALL_WAIT);
     match token_store.reserve(budget, policy, max_tokens, until).await {
-        Ok((source, r)) => Ok(vec![to_part(source, r)]),
+        Ok((grantor, r)) => Ok(vec![to_part(grantor, r)]),
         Err(r) => Err(local_refusal(r, account, max_tokens, token_store.available(budget, policy))),
     }
 }
--- a/crates/router/src/gateway/share.rs
+++ b/crates/router/src/gateway/share.rs
@@ -28,7 +28,7 @@
 
 use super::homes::Homes;
 use super::state::Gateway;
-use crate::taken::{PartialReservation, Source};
+use crate::reservation_result::{Grantor, PartialReservation};
 use crate::token_store::TokenStore;
 
 /// Timeout of a lender's response.
@@ -64,7 +64,7 @@
 /// A loan made by this gateway, with its reservation.
 struct Loan {
     token_store: Rc<TokenStore>,
-    source: Source,
+    grantor: Grantor,
     budget: String,
     reservation: Reservation,
 }
@@ -72,7 +72,7 @@
 impl Loan {
     /// Settles the reservation with `used` tokens; the rest returns to the token store.
     fn settle(self, used: Tokens) {
-        self.token_store.settle(self.source, &self.budget, self.reservation, used);
+        self.token_store.settle(self.grantor, &self.budget, self.reservation, used);
     }
 }
 
@@ -370,9 +370,9 @@
                 token_store.reserve_up_to(&budget, policy, tokens, Instant::now() + within).await
             }
         };
-        let Some((source, reservation)) = reserved else { return PeerReply::Held(0, shortfall) };
+        let Some((grantor, reservation)) = reserved else { return PeerReply::Held(0, shortfall) };
         let mut loans = self.loans.borrow_mut();
-        let loan = Loan { token_store, source, budget, reservation };
+        let loan = Loan { token_store, grantor, budget, reservation };
         // The borrower may have settled the loan meanwhile, or sent the request twice.
         if let Err(loan) = loans.open_once(gw.now(), id, loan) {
             loan.settle(0);
@@ -404,8 +404,8 @@
         };
         let Some(reservation) = reservation else { return Ok(PeerReply::Reserved(0)) };
         let amount = reservation.amount();
-        let source = Source::Group;
-        loans.open(gw.now(), id, Loan { token_store, source, budget, reservation });
+        let grantor = Grantor::Group;
+        loans.open(gw.now(), id, Loan { token_store, grantor, budget, reservation });
         Ok(PeerReply::Reserved(amount))
     }
 }
--- a/crates/router/src/hold.rs
+++ b/crates/router/src/hold.rs
@@ -5,7 +5,7 @@
 use cypressfork_core::budget::Reservation;
 use cypressfork_core::unit::Tokens;
 
-use crate::taken::Source;
+use crate::reservation_result::Grantor;
 use crate::token_store::TokenStore;
 
 /// A reservation that settles itself when dropped: the last charged amount is spent, the rest is
@@ -13,7 +13,7 @@
 pub struct ReservationGuard {
     token_store: Rc<TokenStore>,
     budget: String,
-    reservation: Option<(Source, Reservation)>,
+    reservation: Option<(Grantor, Reservation)>,
     used: Tokens,
 }
 
@@ -22,7 +22,7 @@
     pub fn new(
         token_store: Rc<TokenStore>,
         budget: String,
-        r: (Source, Reservation),
+        r: (Grantor, Reservation),
     ) -> ReservationGuard {
         ReservationGuard { token_store, budget, reservation: Some(r), used: 0 }
     }
@@ -45,8 +45,8 @@
 
 impl Drop for ReservationGuard {
     fn drop(&mut self) {
-        if let Some((from, r)) = self.reservation.take() {
-            self.token_store.settle(from, &self.budget, r, self.used);
+        if let Some((grantor, r)) = self.reservation.take() {
+            self.token_store.settle(grantor, &self.budget, r, self.used);
         }
     }
 }
--- a/crates/router/src/taken.rs
+++ b/crates/router/src/reservation_result.rs
@@ -15,7 +15,7 @@
 
 /// The grantor of a slice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Source {
+pub enum Grantor {
     /// The control group.
     Group,
     /// The data centre's reserve.
@@ -25,7 +25,7 @@
 /// A reservation of all or some of the requested tokens.
 pub struct PartialReservation {
     /// The reserved tokens and their grantor, if any.
-    pub reserved: Option<(Source, Reservation)>,
+    pub reserved: Option<(Grantor, Reservation)>,
     /// Why some are missing; `None` if all are reserved.
     pub shortfall: Option<Shortfall>,
 }
--- a/crates/router/src/token_store.rs
+++ b/crates/router/src/token_store.rs
@@ -26,8 +26,8 @@
 
 use crate::budget_slices::{BudgetSlices, SlicesByBudget};
 use crate::reply::Refusal;
-use crate::taken::{
-    LeaseOutcome, PartialReservation, Source, UNREACHABLE_RETRY_AFTER, is_unreachable,
+use crate::reservation_result::{
+    Grantor, LeaseOutcome, PartialReservation, UNREACHABLE_RETRY_AFTER, is_unreachable,
     lease_refusal, wait_or_refusal,
 };
 
@@ -123,14 +123,14 @@
         policy: Policy,
         n: Tokens,
         deadline: Instant,
-    ) -> Result<(Source, Reservation), Refusal> {
+    ) -> Result<(Grantor, Reservation), Refusal> {
         let entry = self.group_slices.get(budget, policy);
         loop {
             let now = self.clock.now();
             let found = entry.slices.borrow_mut().reserve(now, n);
             if let Some(r) = found {
                 self.refill(budget, &entry);
-                return Ok((Source::Group, r));
+                return Ok((Grantor::Group, r));
             }
             if self.is_limited(&entry, now, n) {
                 let allowed_at = self.limit_allows_at(&entry, now, n, deadline);
@@ -211,7 +211,7 @@
         policy: Policy,
         n: Tokens,
         deadline: Instant,
-    ) -> Result<(Source, Reservation), Refusal> {
+    ) -> Result<(Grantor, Reservation), Refusal> {
         let entry = self.reserve_slices.get(budget, policy);
         let unreachable =
             || Refusal::from(Code::BudgetUnreachable).retry_after(UNREACHABLE_RETRY_AFTER);
@@ -219,7 +219,7 @@
             let now = self.clock.now();
             let found = entry.slices.borrow_mut().reserve(now, n);
             if let Some(r) = found {
-                return Ok((Source::Reserve, r));
+                return Ok((Grantor::Reserve, r));
             }
             let request = entry.slices.borrow_mut().next_request(now, self.holder, budget, n);
             let (Some(group), Some(request)) = (&self.reserve, request) else { break };
@@ -326,7 +326,7 @@
     pub fn reserve_available(&self, budget: &str, policy: Policy, n: Tokens) -> PartialReservation {
         let entry = self.group_slices.get(budget, policy);
         let wait = entry.slices.borrow().limit_wait(self.clock.now(), n);
-        let reserved = self.reserve_part(budget, policy, n).map(|r| (Source::Group, r));
+        let reserved = self.reserve_part(budget, policy, n).map(|r| (Grantor::Group, r));
         let is_whole = reserved.as_ref().is_some_and(|(_, r)| r.amount() == n);
         let shortfall = wait.map_or(Shortfall::Busy(BUSY_RETRY_AFTER), Shortfall::Limited);
         PartialReservation { reserved, shortfall: (!is_whole).then_some(shortfall) }
@@ -356,14 +356,14 @@
     }
 
     /// Settles a reservation of which `used` tokens were spent. Returns the tokens charged.
-    pub fn settle(&self, from: Source, budget: &str, r: Reservation, used: Tokens) -> Tokens {
-        self.slices_of(from).settle(self.clock.now(), budget, r, used)
+    pub fn settle(&self, grantor: Grantor, budget: &str, r: Reservation, used: Tokens) -> Tokens {
+        self.slices_of(grantor).settle(self.clock.now(), budget, r, used)
     }
 
-    fn slices_of(&self, from: Source) -> &SlicesByBudget {
-        match from {
-            Source::Group => &self.group_slices,
-            Source::Reserve => &self.reserve_slices,
+    fn slices_of(&self, grantor: Grantor) -> &SlicesByBudget {
+        match grantor {
+            Grantor::Group => &self.group_slices,
+            Grantor::Reserve => &self.reserve_slices,
         }
     }
 
