--- a/crates/router/src/attempt.rs
+++ b/crates/router/src/attempt.rs
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 
 use crate::count::{Counter, Usage};
-use crate::hold::ReservationGuard;
+use crate::reservation_guard::ReservationGuard;
 
 /// One run of a request on one engine, with the tokens reserved for it.
 pub struct Attempt {
--- a/crates/router/src/chat.rs
+++ b/crates/router/src/chat.rs
@@ -21,10 +21,10 @@
 use crate::claim::{Claim, ClaimResult, claim};
 use crate::exchange::Exchange;
 use crate::head::Head;
-use crate::hold::ReservationGuard;
 use crate::model_request::{Api, ModelRequest};
 use crate::queue::Permit;
 use crate::reply::{Refusal, json_response};
+use crate::reservation_guard::ReservationGuard;
 use crate::trace::Trace;
 use crate::view::{Client, Model};
 
--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -21,8 +21,8 @@
 use crate::chat::{ExchangePlan, ResponseStart};
 use crate::claim::Claim;
 use crate::count::Usage;
-use crate::hold::ReservationGuard;
 use crate::reply::Refusal;
+use crate::reservation_guard::ReservationGuard;
 
 /// The most engines that one attempt is tried on.
 const MAX_TRIES: usize = 3;
