--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -20,9 +20,9 @@
 use crate::caller::{Caller, SendError};
 use crate::chat::{ExchangePlan, ResponseStart};
 use crate::claim::Claim;
-use crate::count::Usage;
 use crate::reply::Refusal;
 use crate::reservation_guard::ReservationGuard;
+use crate::usage::Usage;
 
 /// The most engines that one attempt is tried on.
 const MAX_TRIES: usize = 3;
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -13,10 +13,10 @@
 use tokio::time::{timeout, timeout_at};
 
 use crate::attempt::EngineResponse;
-use crate::count::{event_text, event_usage};
 use crate::exchange::{AttemptError, Exchange};
 use crate::model_request::Api;
 use crate::sse::Parser;
+use crate::usage::{event_text, event_usage};
 
 /// Interval at which comments are sent on an idle stream to keep connections alive.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(10);
@@ -85,7 +85,7 @@
         }
         let usage = event_usage(&v);
         let (text, finish) = event_text(&v);
-        self.attempt.add(text.len(), usage);
+        self.attempt.add_event(text.len(), usage);
         if self.attempt.exceeds_cap() {
             emit!(Event::OutputLimitExceeded, service = self.plan.service, cap = self.attempt.cap);
             return Err(AttemptError::Failed(
--- a/crates/router/src/count.rs
+++ b/crates/router/src/usage.rs
@@ -26,7 +26,7 @@
 
 /// Counts the tokens of a stream from its events and the usage that the engine reports.
 #[derive(Clone, Copy, Debug)]
-pub struct Counter {
+pub struct UsageCounter {
     prompt_bound: Tokens,
     output_cap: Tokens,
     reported: Option<Usage>,
@@ -37,17 +37,23 @@
     unreported_bytes: u64,
 }
 
-impl Counter {
+impl UsageCounter {
     /// Creates a counter for a stream with tokens reserved up to these bounds.
-    pub fn new(prompt_bound: Tokens, output_cap: Tokens) -> Counter {
-        Counter { prompt_bound, output_cap, reported: None, text_events: 0, unreported_bytes: 0 }
+    pub fn new(prompt_bound: Tokens, output_cap: Tokens) -> UsageCounter {
+        UsageCounter {
+            prompt_bound,
+            output_cap,
+            reported: None,
+            text_events: 0,
+            unreported_bytes: 0,
+        }
     }
 
-    /// Counts an event of `text` bytes and the usage it reports.
-    pub fn add(&mut self, text: usize, usage: Option<Usage>) {
-        if text > 0 {
+    /// Counts an event with `text_len` bytes of text and the usage it reports.
+    pub fn add_event(&mut self, text_len: usize, usage: Option<Usage>) {
+        if text_len > 0 {
             self.text_events += 1;
-            self.unreported_bytes += text as u64;
+            self.unreported_bytes += text_len as u64;
         }
         if let Some(u) = usage {
             let last = self.reported.unwrap_or_default();
