--- a/crates/router/src/plain.rs
+++ b/crates/router/src/plain.rs
@@ -21,9 +21,9 @@
 use crate::chat::replay;
 use crate::claim::{Claim, ClaimResult, claim};
 use crate::head::Head;
-use crate::oneshot::{Answer, ExchangeError, Request, exchange};
 use crate::reply::{RAN, REQUEST_ID, Refusal};
 use crate::trace::{Span, Trace};
+use crate::unpooled::{BufferedResponse, ExchangeError, Request, exchange};
 
 /// Maximum size of a forwarded response body in bytes.
 const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
@@ -122,7 +122,7 @@
     }
     let result = try_replicas(app, service, pending, trace).await;
     let end = match &result {
-        Ok(a) => ClaimEnd::Answered(stored_outcome(a)),
+        Ok(buffered) => ClaimEnd::Answered(stored_outcome(buffered)),
         Err(r) if r.ran == Ran::No => ClaimEnd::NotRun,
         Err(_) => ClaimEnd::Unknown,
     };
@@ -137,7 +137,7 @@
     service: &str,
     pending: &PendingCall,
     trace: &Rc<Trace>,
-) -> Result<Answer, Refusal> {
+) -> Result<BufferedResponse, Refusal> {
     let mut tried = Vec::new();
     let mut last = Refusal::from(Code::NoUpstream).retry_after(NO_UPSTREAM_RETRY_AFTER);
     while tried.len() < MAX_TRIES && app.allow_send(service, tried.len()) {
@@ -156,7 +156,7 @@
             Ok(Err(ExchangeError::NotSent(why))) => {
                 emit!(Event::UpstreamFailed, service = service, address = address, why = why);
             }
-            Ok(Err(ExchangeError::Sent(why))) => {
+            Ok(Err(ExchangeError::MaybeSent(why))) => {
                 emit!(Event::UpstreamFailed, service = service, address = address, why = why);
                 last = Refusal::from(Code::UpstreamFailed).ran(Ran::Unknown).detail(why);
                 if !pending.can_resend {
@@ -172,7 +172,7 @@
     address: SocketAddr,
     pending: &PendingCall,
     span: &Span,
-) -> Result<Answer, ExchangeError> {
+) -> Result<BufferedResponse, ExchangeError> {
     let mut headers = HeaderMap::new();
     let mut set = |name: HeaderName, value: &str| {
         if let Ok(v) = HeaderValue::from_str(value) {
@@ -190,16 +190,16 @@
     exchange(address, Request { method, path, headers, body }, MAX_RESPONSE_BYTES).await
 }
 
-fn stored_outcome(a: &Answer) -> Outcome {
-    let kind = a.head.headers.get(header::CONTENT_TYPE);
+fn stored_outcome(buffered: &BufferedResponse) -> Outcome {
+    let kind = buffered.head.headers.get(header::CONTENT_TYPE);
     let kind = kind.and_then(|k| k.to_str().ok()).unwrap_or_default().to_owned();
-    let body = (a.body.len() <= MAX_STORED_BODY).then(|| a.body.to_vec());
-    Outcome { status: a.head.status.as_u16(), kind, body }
+    let body = (buffered.body.len() <= MAX_STORED_BODY).then(|| buffered.body.to_vec());
+    Outcome { status: buffered.head.status.as_u16(), kind, body }
 }
 
-fn response(a: Answer) -> Response<Body> {
-    let mut r = Response::with_body(a.head.status, Body::Whole(a.body));
-    if let Some(content_type) = a.head.headers.get(header::CONTENT_TYPE) {
+fn response(buffered: BufferedResponse) -> Response<Body> {
+    let mut r = Response::with_body(buffered.head.status, Body::Whole(buffered.body));
+    if let Some(content_type) = buffered.head.headers.get(header::CONTENT_TYPE) {
         r.headers_mut().insert(header::CONTENT_TYPE, content_type.clone());
     }
     r.headers_mut().insert(RAN, HeaderValue::from_static(Ran::Yes.as_str()));
--- a/crates/router/src/oneshot.rs
+++ b/crates/router/src/unpooled.rs
@@ -25,7 +25,7 @@
     /// No byte of the request was sent.
     NotSent(String),
     /// Some bytes of the request may have been sent.
-    Sent(String),
+    MaybeSent(String),
 }
 
 /// An HTTP request.
@@ -41,15 +41,15 @@
 }
 
 /// A complete HTTP response.
-pub struct Answer {
+pub struct BufferedResponse {
     /// Status and headers.
     pub head: ResponseHead,
     /// Response body.
     pub body: Bytes,
 }
 
-fn sent_error(e: impl ToString) -> ExchangeError {
-    ExchangeError::Sent(e.to_string())
+fn maybe_sent(e: impl ToString) -> ExchangeError {
+    ExchangeError::MaybeSent(e.to_string())
 }
 
 fn request_head(address: SocketAddr, r: &Request) -> Result<RequestHead, ExchangeError> {
@@ -78,7 +78,7 @@
     address: SocketAddr,
     r: Request,
     cap: usize,
-) -> Result<Answer, ExchangeError> {
+) -> Result<BufferedResponse, ExchangeError> {
     let head = request_head(address, &r)?;
     let stream = connect(address).await?;
     // An error here is harmless: it only delays small requests.
@@ -86,22 +86,22 @@
     let mut framed = Framed::new(stream, ClientCodec::default());
     let size = BodySize::Sized(r.body.len() as u64);
     let item = Message::Item((RequestHeadType::Owned(head), size));
-    framed.feed(item).await.map_err(sent_error)?;
+    framed.feed(item).await.map_err(maybe_sent)?;
     if !r.body.is_empty() {
-        framed.feed(Message::Chunk(Some(r.body))).await.map_err(sent_error)?;
+        framed.feed(Message::Chunk(Some(r.body))).await.map_err(maybe_sent)?;
     }
-    framed.feed(Message::Chunk(None)).await.map_err(sent_error)?;
-    framed.flush().await.map_err(sent_error)?;
+    framed.feed(Message::Chunk(None)).await.map_err(maybe_sent)?;
+    framed.flush().await.map_err(maybe_sent)?;
     let head = match framed.next().await {
         Some(Ok(head)) => head,
-        Some(Err(e)) => return Err(sent_error(e)),
-        None => return Err(sent_error("the connection closed before an answer")),
+        Some(Err(e)) => return Err(maybe_sent(e)),
+        None => return Err(maybe_sent("the connection closed before an answer")),
     };
     let body = match framed.codec_ref().message_type() {
         MessageType::None => Bytes::new(),
         _ => read_body(framed, cap).await?,
     };
-    Ok(Answer { head, body })
+    Ok(BufferedResponse { head, body })
 }
 
 async fn read_body(
@@ -115,13 +115,13 @@
     loop {
         match framed.next().await {
             Some(Ok(Some(chunk))) if all.len() + chunk.len() > cap => {
-                return Err(sent_error("the answer is too large"));
+                return Err(maybe_sent("the answer is too large"));
             }
             Some(Ok(Some(chunk))) => all.extend_from_slice(&chunk),
             Some(Ok(None)) => return Ok(all.freeze()),
-            Some(Err(e)) => return Err(sent_error(e)),
+            Some(Err(e)) => return Err(maybe_sent(e)),
             None if until_close => return Ok(all.freeze()),
-            None => return Err(sent_error("the connection closed before the answer was whole")),
+            None => return Err(maybe_sent("the connection closed before the answer was whole")),
         }
     }
 }
