--- a/crates/router/src/app.rs
+++ b/crates/router/src/app.rs
@@ -54,11 +54,11 @@
     /// The routers of the region, listed in responses of `/v1/entry`.
     pub sites: RefCell<Vec<Site>>,
     /// HTTP client with keep-alive, for requests that may be sent again.
-    pub client: Client,
+    pub pooled_client: Client,
     /// HTTP client without keep-alive, for requests that may run at most once. An upstream can
     /// close a reused connection while a request is being sent, which leaves unknown whether it
     /// ran.
-    pub once_client: Client,
+    pub unpooled_client: Client,
     /// Whether a graceful shutdown is in progress.
     pub draining: Cell<bool>,
     /// Whether the control group has confirmed the configuration since this process started.
@@ -96,8 +96,8 @@
             vms: RefCell::default(),
             retries: RefCell::default(),
             sites: RefCell::default(),
-            client: build_client(Duration::from_secs(15)),
-            once_client: build_client(Duration::ZERO),
+            pooled_client: build_client(Duration::from_secs(15)),
+            unpooled_client: build_client(Duration::ZERO),
             draining: Cell::new(false),
             ready: Cell::new(false),
             active: Cell::new(0),
--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -221,7 +221,8 @@
     async fn send(&mut self, address: SocketAddr) -> Result<awc::ClientResponse, AttemptError> {
         let plan = &self.plan;
         let url = format!("http://{address}{}", plan.request.api.path());
-        let client = if self.claim.is_some() { &self.app.once_client } else { &self.app.client };
+        let client =
+            if self.claim.is_some() { &self.app.unpooled_client } else { &self.app.pooled_client };
         let mut req = client
             .post(url)
             .insert_header(("content-type", "application/json"))
--- a/crates/router/src/platform.rs
+++ b/crates/router/src/platform.rs
@@ -60,7 +60,7 @@
 }
 
 async fn fetch_vms(app: &App, url: &str) -> Option<BTreeMap<String, ListedState>> {
-    let mut response = app.client.get(url).timeout(POLL_TIMEOUT).send().await.ok()?;
+    let mut response = app.pooled_client.get(url).timeout(POLL_TIMEOUT).send().await.ok()?;
     let bytes = response.body().limit(MAX_LIST_BYTES).await.ok()?;
     let list: List = serde_json::from_slice(&bytes).ok()?;
     let listed_state = |s: State| match s {
