--- a/crates/router/src/chat.rs
+++ b/crates/router/src/chat.rs
@@ -17,7 +17,6 @@
 use tokio::time::Instant;
 
 use crate::app::{ActiveRequest, App};
-use crate::caller::Caller;
 use crate::claim::{Claim, ClaimResult, claim};
 use crate::exchange::Exchange;
 use crate::head::Head;
@@ -25,6 +24,7 @@
 use crate::queue::Permit;
 use crate::reply::{Refusal, json_response};
 use crate::reservation_guard::ReservationGuard;
+use crate::response_sender::ResponseSender;
 use crate::trace::Trace;
 use crate::view::{Client, Model};
 
@@ -128,10 +128,10 @@
     permit: Permit,
 ) -> Result<Response<Body>, Refusal> {
     let stream = plan.request.stream;
-    let (tx, rx) = mpsc::channel(MAX_BUFFERED_CHUNKS);
-    let (first_tx, first_rx) = oneshot::channel();
-    let caller = Caller::new(first_tx, tx, stream);
-    let exchange = Exchange::new(app.clone(), plan, guard, claim, caller);
+    let (chunk_tx, chunk_rx) = mpsc::channel(MAX_BUFFERED_CHUNKS);
+    let (response_tx, response_rx) = oneshot::channel();
+    let sender = ResponseSender::new(response_tx, chunk_tx, stream);
+    let exchange = Exchange::new(app.clone(), plan, guard, claim, sender);
     let active = ActiveRequest::new(app);
     // A separate task, so that tokens are settled even if the client disconnects.
     actix_rt::spawn(async move {
@@ -139,10 +139,10 @@
         drop(permit);
         drop(active);
     });
-    match first_rx.await {
+    match response_rx.await {
         Ok(Ok(ResponseStart::Streaming)) => {
             debug_assert!(stream);
-            Ok(streaming_response(rx))
+            Ok(streaming_response(chunk_rx))
         }
         Ok(Ok(ResponseStart::Whole(v))) => Ok(json_response(StatusCode::OK, &v)),
         Ok(Err(refusal)) => Err(refusal),
@@ -150,8 +150,8 @@
     }
 }
 
-fn streaming_response(rx: mpsc::Receiver<Bytes>) -> Response<Body> {
-    let mut r = Response::with_body(StatusCode::OK, Body::Pieces(rx));
+fn streaming_response(chunk_rx: mpsc::Receiver<Bytes>) -> Response<Body> {
+    let mut r = Response::with_body(StatusCode::OK, Body::Pieces(chunk_rx));
     let h = r.headers_mut();
     h.insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
     h.insert(CACHE_CONTROL, HeaderValue::from_static("no-store"));
--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -17,11 +17,11 @@
 
 use crate::app::App;
 use crate::attempt::{Attempt, EngineResponse};
-use crate::caller::{Caller, SendError};
 use crate::chat::{ExchangePlan, ResponseStart};
 use crate::claim::Claim;
 use crate::reply::Refusal;
 use crate::reservation_guard::ReservationGuard;
+use crate::response_sender::{ResponseSender, SendError};
 use crate::usage::Usage;
 
 /// The most engines that one attempt is tried on.
@@ -41,7 +41,7 @@
     pub(crate) app: Rc<App>,
     pub(crate) plan: ExchangePlan,
     pub(crate) claim: Option<Claim>,
-    pub(crate) caller: Caller,
+    pub(crate) sender: ResponseSender,
     pub(crate) attempt: Attempt,
     /// Earlier attempts that broke off; the client has received their text.
     pub(crate) earlier_attempts: Vec<Attempt>,
@@ -64,13 +64,13 @@
     /// The deadline has passed.
     DeadlinePassed,
     /// The client has disconnected.
-    CallerDisconnected,
+    ClientDisconnected,
 }
 
 impl From<SendError> for AttemptError {
     fn from(e: SendError) -> AttemptError {
         match e {
-            SendError::Disconnected => AttemptError::CallerDisconnected,
+            SendError::Disconnected => AttemptError::ClientDisconnected,
             SendError::DeadlinePassed => AttemptError::DeadlinePassed,
         }
     }
@@ -83,7 +83,7 @@
         plan: ExchangePlan,
         reservation: ReservationGuard,
         claim: Option<Claim>,
-        caller: Caller,
+        sender: ResponseSender,
     ) -> Exchange {
         let run = app.next_run_id();
         let attempt = Attempt::new(reservation, plan.request.prompt_bound, plan.cap, 0);
@@ -91,7 +91,7 @@
             app,
             plan,
             claim,
-            caller,
+            sender,
             attempt,
             earlier_attempts: Vec::new(),
             generated_text: String::new(),
@@ -109,7 +109,7 @@
             Ok(a) => a,
             Err(refusal) => return self.finish_refused(refusal),
         };
-        self.caller.start_stream();
+        self.sender.start_stream();
         loop {
             let stream = self.plan.trace.span("stream");
             let ended = self.relay(&mut engine_response).await;
@@ -187,12 +187,12 @@
                 Err(f) => f,
             };
             let is_fault =
-                !matches!(failed, AttemptError::DeadlinePassed | AttemptError::CallerDisconnected);
+                !matches!(failed, AttemptError::DeadlinePassed | AttemptError::ClientDisconnected);
             self.app.record_end(&self.plan.service, &choice, is_fault);
             match failed {
                 AttemptError::NotSent => {}
                 AttemptError::DeadlinePassed => return Err(deadline_refusal(self.ran_so_far())),
-                AttemptError::CallerDisconnected => {
+                AttemptError::ClientDisconnected => {
                     return Err(upstream_failure(Code::UpstreamFailed, "the caller has gone"));
                 }
                 // A claimed request is sent to one engine only, as it may run at most once.
@@ -238,9 +238,9 @@
         self.attempt.mark_sent();
         let sent = tokio::select! {
             sent = timeout_at(plan.deadline, sending) => sent,
-            () = self.caller.closed() => {
+            () = self.sender.closed() => {
                 self.attempt.dispatched = true;
-                return Err(AttemptError::CallerDisconnected);
+                return Err(AttemptError::ClientDisconnected);
             }
         };
         let not_sent = matches!(&sent, Ok(Err(e)) if is_not_sent(e));
@@ -265,7 +265,7 @@
     /// Settles an exchange without a response and sends the refusal.
     fn finish_refused(mut self, refusal: Refusal) {
         self.settle(false, refusal.ran);
-        self.caller.respond(Err(refusal));
+        self.sender.respond(Err(refusal));
     }
 
     async fn finish(mut self, ended: Result<(), AttemptError>, address: SocketAddr) {
@@ -281,9 +281,9 @@
                 (Err(refusal), event)
             }
         };
-        if !self.caller.respond(response) {
+        if !self.sender.respond(response) {
             // Fails only if the client has disconnected or the deadline has passed.
-            let _ = self.caller.send(last.into(), self.plan.deadline).await;
+            let _ = self.sender.send_chunk(last.into(), self.plan.deadline).await;
         }
     }
 
@@ -331,7 +331,7 @@
 fn refusal_for(e: AttemptError) -> Refusal {
     match e {
         AttemptError::DeadlinePassed => deadline_refusal(Ran::Unknown),
-        AttemptError::CallerDisconnected => {
+        AttemptError::ClientDisconnected => {
             upstream_failure(Code::UpstreamFailed, "the caller has gone")
         }
         AttemptError::Failed(why) | AttemptError::Rejected(why) => {
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -4,7 +4,6 @@
 mod app;
 mod attempt;
 mod budget_slices;
-mod caller;
 mod chat;
 mod claim;
 mod drain;
@@ -22,6 +21,7 @@
 pub mod reply;
 mod reservation_guard;
 mod reservation_result;
+mod response_sender;
 pub mod run;
 mod serve;
 pub mod settings;
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -34,13 +34,13 @@
                     self.plan.deadline,
                     timeout(KEEP_ALIVE_INTERVAL, a.response.next()),
                 ) => p,
-                () = self.caller.closed() => return Err(AttemptError::CallerDisconnected),
+                () = self.sender.closed() => return Err(AttemptError::ClientDisconnected),
             };
             let bytes = match next {
                 Err(_) => return Err(AttemptError::DeadlinePassed),
                 Ok(Err(_)) => {
                     let comment = Bytes::from_static(b": keep-alive\n\n");
-                    self.caller.send(comment, self.plan.deadline).await?;
+                    self.sender.send_chunk(comment, self.plan.deadline).await?;
                     continue;
                 }
                 Ok(Ok(None)) => {
@@ -106,7 +106,7 @@
         }
         self.sent_events += 1;
         let chunk = Bytes::from(format!("id: {}\ndata: {v}\n\n", self.sent_events));
-        Ok(self.caller.send(chunk, self.plan.deadline).await?)
+        Ok(self.sender.send_chunk(chunk, self.plan.deadline).await?)
     }
 
     /// Returns the answer's id for the client: that of the first attempt, also if another engine
--- a/crates/router/src/caller.rs
+++ b/crates/router/src/response_sender.rs
@@ -16,22 +16,22 @@
 }
 
 /// Sends the response of one model request to its handler.
-pub struct Caller {
+pub struct ResponseSender {
     /// Sends the initial response; `None` once it is sent.
     response_tx: Option<oneshot::Sender<Result<ResponseStart, Refusal>>>,
     chunk_tx: mpsc::Sender<Bytes>,
     stream: bool,
 }
 
-impl Caller {
+impl ResponseSender {
     /// Creates a channel that sends the initial response through `response_tx` and, if `stream` is
     /// set, the chunks through `chunk_tx`.
     pub fn new(
         response_tx: oneshot::Sender<Result<ResponseStart, Refusal>>,
         chunk_tx: mpsc::Sender<Bytes>,
         stream: bool,
-    ) -> Caller {
-        Caller { response_tx: Some(response_tx), chunk_tx, stream }
+    ) -> ResponseSender {
+        ResponseSender { response_tx: Some(response_tx), chunk_tx, stream }
     }
 
     /// Completes when the client has disconnected.
@@ -53,7 +53,7 @@
     }
 
     /// Sends a chunk of a streamed response. Does nothing if the client requested no stream.
-    pub async fn send(&self, chunk: Bytes, deadline: Instant) -> Result<(), SendError> {
+    pub async fn send_chunk(&self, chunk: Bytes, deadline: Instant) -> Result<(), SendError> {
         if !self.stream {
             return Ok(());
         }
