--- a/crates/router/src/app.rs
+++ b/crates/router/src/app.rs
@@ -17,11 +17,11 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
+use crate::config_index::ConfigIndex;
 use crate::queue::Queue;
 use crate::settings::Settings;
 use crate::token_store::TokenStore;
 use crate::trace::Exporter;
-use crate::view::View;
 
 /// Timeout for connecting to an upstream.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -45,7 +45,7 @@
     /// Writes traces, if enabled.
     pub exporter: Option<Exporter>,
     /// The current configuration.
-    pub view: RefCell<View>,
+    pub config: RefCell<ConfigIndex>,
     /// The replicas of each service, by service name.
     pub pools: RefCell<HashMap<String, Pool>>,
     queues: RefCell<HashMap<String, Rc<Queue>>>,
@@ -90,7 +90,7 @@
             group,
             reserve,
             exporter,
-            view: RefCell::default(),
+            config: RefCell::default(),
             pools: RefCell::default(),
             queues: RefCell::default(),
             vms: RefCell::default(),
@@ -133,13 +133,13 @@
     /// Updates the pools and queues from the services of the current configuration and removes
     /// those of deleted services.
     pub fn refresh_services(&self) {
-        let view = self.view.borrow();
+        let config = self.config.borrow();
         let mut pools = self.pools.borrow_mut();
         let mut queues = self.queues.borrow_mut();
         let now = self.clock.now();
-        pools.retain(|name, _| view.services().any(|(n, _)| n == name));
-        queues.retain(|name, _| view.services().any(|(n, _)| n == name));
-        for (name, s) in view.services() {
+        pools.retain(|name, _| config.services().any(|(n, _)| n == name));
+        queues.retain(|name, _| config.services().any(|(n, _)| n == name));
+        for (name, s) in config.services() {
             let (slots, queue_limit) = match s {
                 Service::Model(m) => (m.slots, m.queue),
                 Service::Plain(_) => (PLAIN_SLOTS_PER_REPLICA, MAX_QUEUED_PLAIN_CALLS),
--- a/crates/router/src/chat.rs
+++ b/crates/router/src/chat.rs
@@ -18,6 +18,7 @@
 
 use crate::app::{ActiveRequest, App};
 use crate::claim::{Claim, ClaimResult, claim};
+use crate::config_index::{ClientAccount, NamedModelService};
 use crate::exchange::Exchange;
 use crate::head::Head;
 use crate::model_request::{Api, ModelRequest};
@@ -26,7 +27,6 @@
 use crate::reservation_guard::ReservationGuard;
 use crate::response_sender::ResponseSender;
 use crate::trace::Trace;
-use crate::view::{Client, Model};
 
 /// The most chunks of a response that are buffered for a slow client.
 const MAX_BUFFERED_CHUNKS: usize = 32;
@@ -61,19 +61,19 @@
 
 /// The parsed request with the client account, model and budget found in the configuration.
 struct Target {
-    client: Rc<Client>,
-    model: Rc<Model>,
+    client: Rc<ClientAccount>,
+    model: Rc<NamedModelService>,
     request: ModelRequest,
     budget: String,
     policy: Policy,
 }
 
 fn resolve_target(app: &App, api: Api, head: &Head, bytes: &[u8]) -> Result<Target, Refusal> {
-    let view = app.view.borrow();
-    let client = view.client(&head.key)?;
+    let config = app.config.borrow();
+    let client = config.client_by_key(&head.key)?;
     let request = ModelRequest::parse(api, bytes)?;
-    let model = view.model(&client, &request.model)?;
-    let (name, b) = view.budget(&client, &model.name)?;
+    let model = config.model_service(&client, &request.model)?;
+    let (name, b) = config.budget(&client, &model.name)?;
     let (budget, policy) = (name.to_owned(), b.policy());
     Ok(Target { client, model, request, budget, policy })
 }
--- a/crates/router/src/view.rs
+++ b/crates/router/src/config_index.rs
@@ -11,7 +11,7 @@
 
 /// A client account and its name.
 #[derive(Clone, Debug)]
-pub struct Client {
+pub struct ClientAccount {
     /// Name of the account.
     pub name: String,
     /// Settings of the account.
@@ -20,7 +20,7 @@
 
 /// A service of model engines and its name.
 #[derive(Clone, Debug)]
-pub struct Model {
+pub struct NamedModelService {
     /// Name of the service.
     pub name: String,
     /// Settings of the service.
@@ -29,7 +29,7 @@
 
 /// A plain service and its name.
 #[derive(Clone, Debug)]
-pub struct Plain {
+pub struct NamedPlainService {
     /// Name of the service.
     pub name: String,
     /// Settings of the service.
@@ -38,16 +38,16 @@
 
 /// The current configuration and its indexes.
 #[derive(Clone, Debug, Default)]
-pub struct View {
+pub struct ConfigIndex {
     version: Version,
     objects: BTreeMap<ObjectName, Object>,
-    by_key: HashMap<String, Rc<Client>>,
-    by_model: HashMap<String, Rc<Model>>,
-    plain: Vec<Rc<Plain>>,
+    by_key: HashMap<String, Rc<ClientAccount>>,
+    by_model: HashMap<String, Rc<NamedModelService>>,
+    plain_services: Vec<Rc<NamedPlainService>>,
     budgets: HashMap<(String, String), String>,
 }
 
-impl View {
+impl ConfigIndex {
     /// Returns the version of the current configuration.
     pub fn version(&self) -> Version {
         self.version
@@ -72,13 +72,13 @@
     fn rebuild_indexes(&mut self) {
         self.by_key.clear();
         self.by_model.clear();
-        self.plain.clear();
+        self.plain_services.clear();
         self.budgets.clear();
         for (name, object) in &self.objects {
             let name = name.name.clone();
             match object {
                 Object::Account(a) => {
-                    let client = Rc::new(Client { name, account: a.clone() });
+                    let client = Rc::new(ClientAccount { name, account: a.clone() });
                     let keys = a.keys.iter().map(|k| (k.clone(), client.clone()));
                     self.by_key.extend(keys);
                 }
@@ -89,36 +89,41 @@
                     self.budgets.extend(pairs);
                 }
                 Object::Service(Service::Model(s)) => {
-                    let model = Rc::new(Model { name, service: s.clone() });
+                    let model = Rc::new(NamedModelService { name, service: s.clone() });
                     let models = s.models.iter().map(|m| (m.clone(), model.clone()));
                     self.by_model.extend(models);
                 }
                 Object::Service(Service::Plain(s)) => {
-                    self.plain.push(Rc::new(Plain { name, service: s.clone() }));
+                    self.plain_services
+                        .push(Rc::new(NamedPlainService { name, service: s.clone() }));
                 }
             }
         }
-        // `plain` takes the first match, which is to be the longest prefix.
-        self.plain.sort_by_key(|p| std::cmp::Reverse(p.service.prefix.len()));
+        // Longest prefix first, as `plain_service` takes the first match.
+        self.plain_services.sort_by_key(|p| std::cmp::Reverse(p.service.prefix.len()));
     }
 
-    /// Returns the client account with the key of this digest. Fails if there is none or it is
+    /// Returns the client account with a key that has this digest. Fails if there is none or it is
     /// closed.
-    pub fn client(&self, digest: &str) -> Result<Rc<Client>, Code> {
-        let client = self.by_key.get(digest).ok_or(Code::KeyUnknown)?;
+    pub fn client_by_key(&self, key_digest: &str) -> Result<Rc<ClientAccount>, Code> {
+        let client = self.by_key.get(key_digest).ok_or(Code::KeyUnknown)?;
         if client.account.closed { Err(Code::AccountClosed) } else { Ok(client.clone()) }
     }
 
     /// Returns the service of a model. Fails if there is none or the client account may not use it.
-    pub fn model(&self, client: &Client, model: &str) -> Result<Rc<Model>, Code> {
+    pub fn model_service(
+        &self,
+        client: &ClientAccount,
+        model: &str,
+    ) -> Result<Rc<NamedModelService>, Code> {
         let m = self.by_model.get(model).ok_or(Code::ModelUnknown)?;
         require_access(client, &m.name)?;
         Ok(m.clone())
     }
 
     /// Returns the names of the models that a client account may use, in order.
-    pub fn models(&self, client: &Client) -> Vec<String> {
-        let has_access = |m: &Model| client.account.services.contains(&m.name);
+    pub fn model_names(&self, client: &ClientAccount) -> Vec<String> {
+        let has_access = |m: &NamedModelService| client.account.services.contains(&m.name);
         let mut all: Vec<_> =
             self.by_model.iter().filter(|(_, m)| has_access(m)).map(|(n, _)| n.clone()).collect();
         all.sort();
@@ -127,8 +132,12 @@
 
     /// Returns the plain service with the longest prefix of a path. Fails if there is none or the
     /// client account may not use it.
-    pub fn plain(&self, client: &Client, path: &str) -> Result<Rc<Plain>, Code> {
-        let p = self.plain.iter().find(|p| path.starts_with(&p.service.prefix));
+    pub fn plain_service(
+        &self,
+        client: &ClientAccount,
+        path: &str,
+    ) -> Result<Rc<NamedPlainService>, Code> {
+        let p = self.plain_services.iter().find(|p| path.starts_with(&p.service.prefix));
         let p = p.ok_or(Code::PathUnknown)?;
         require_access(client, &p.name)?;
         Ok(p.clone())
@@ -136,7 +145,7 @@
 
     /// Returns the name and settings of the budget that pays for a client account's use of a
     /// service. Fails if there is none.
-    pub fn budget(&self, client: &Client, service: &str) -> Result<(&str, &Budget), Code> {
+    pub fn budget(&self, client: &ClientAccount, service: &str) -> Result<(&str, &Budget), Code> {
         let name = self.budgets.get(&(client.name.clone(), service.to_owned()));
         let name = name.ok_or(Code::BudgetNone)?;
         match self.objects.get(&ObjectName::budget(name)) {
@@ -154,7 +163,7 @@
     }
 }
 
-fn require_access(client: &Client, service: &str) -> Result<(), Code> {
+fn require_access(client: &ClientAccount, service: &str) -> Result<(), Code> {
     let has_access = client.account.services.iter().any(|s| s == service);
     if has_access { Ok(()) } else { Err(Code::ServiceForbidden) }
 }
--- a/crates/router/src/follow.rs
+++ b/crates/router/src/follow.rs
@@ -63,7 +63,7 @@
 async fn watch_updates(app: &App, holder: HolderId) {
     let mut connected = true;
     loop {
-        let version = app.view.borrow().version();
+        let version = app.config.borrow().version();
         let sites = sites_digest(&app.sites.borrow());
         let q = Query::Follow { holder, version, sites };
         match app.group.query(&q, WATCH_TIMEOUT).await {
@@ -101,7 +101,7 @@
         *app.sites.borrow_mut() = sites;
     }
     let version = update.difference.version;
-    if app.view.borrow_mut().update(update.difference) {
+    if app.config.borrow_mut().update(update.difference) {
         app.refresh_services();
         emit!(Event::ConfigApplied, version = version);
     }
--- a/crates/router/src/ops.rs
+++ b/crates/router/src/ops.rs
@@ -31,7 +31,7 @@
 /// Updates the gauges that are computed on demand.
 fn update_gauges(app: &App) {
     gauge!(metric::ACTIVE).set(app.active.get() as f64);
-    gauge!(metric::VERSION).set(app.view.borrow().version() as f64);
+    gauge!(metric::VERSION).set(app.config.borrow().version() as f64);
     let now = app.clock.now();
     for (service, pool) in app.pools.borrow().iter() {
         gauge!(metric::USABLE, "service" => service.clone()).set(pool.usable_count(now) as f64);
@@ -47,7 +47,7 @@
     let v = json!({
         "ready": ready,
         "draining": app.draining.get(),
-        "configuration": app.view.borrow().version(),
+        "configuration": app.config.borrow().version(),
         "active": app.active.get(),
     });
     json_response(status, &v)
--- a/crates/router/src/plain.rs
+++ b/crates/router/src/plain.rs
@@ -69,9 +69,9 @@
     trace: &Rc<Trace>,
 ) -> Result<Response<Body>, Refusal> {
     let deadline = Instant::now() + head.deadline.unwrap_or(app.settings.deadline);
-    let client = app.view.borrow().client(&head.key)?;
+    let client = app.config.borrow().client_by_key(&head.key)?;
     let path = call.path.split('?').next().unwrap_or_default().to_owned();
-    let service = app.view.borrow().plain(&client, &path)?;
+    let service = app.config.borrow().plain_service(&client, &path)?;
     let is_safe = matches!(call.method, Method::GET | Method::HEAD);
     let needs_claim = head.at_most_once || (service.service.writes_once && !is_safe);
     if needs_claim && !head.id_given {
