--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -17,8 +17,8 @@
 
 use crate::app::App;
 use crate::attempt::{Attempt, EngineResponse};
-use crate::chat::{ExchangePlan, ResponseStart};
 use crate::claim::Claim;
+use crate::model_handler::{ExchangePlan, ResponseStart};
 use crate::reply::Refusal;
 use crate::reservation_guard::ReservationGuard;
 use crate::response_sender::{ResponseSender, SendError};
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -4,7 +4,6 @@
 mod app;
 mod attempt;
 mod budget_slices;
-mod chat;
 mod claim;
 mod config_index;
 mod drain;
@@ -13,6 +12,7 @@
 mod follow;
 pub mod gateway;
 mod head;
+mod model_handler;
 mod model_request;
 mod ops;
 mod plain;
--- a/crates/router/src/chat.rs
+++ b/crates/router/src/model_handler.rs
@@ -78,8 +78,8 @@
     Ok(Target { client, model, request, budget, policy })
 }
 
-/// Serves a model request. Returns when the response has started or was refused.
-pub async fn chat(
+/// Handles a model request. Returns when the response has started or was refused.
+pub async fn handle_model_request(
     app: &Rc<App>,
     api: Api,
     head: &Head,
--- a/crates/router/src/plain.rs
+++ b/crates/router/src/plain.rs
@@ -18,9 +18,9 @@
 use tokio::time::{Instant, timeout_at};
 
 use crate::app::{ActiveRequest, App};
-use crate::chat::replay;
 use crate::claim::{Claim, ClaimResult, claim};
 use crate::head::Head;
+use crate::model_handler::replay;
 use crate::reply::{RAN, REQUEST_ID, Refusal};
 use crate::trace::{Span, Trace};
 use crate::unpooled::{BufferedResponse, ExchangeError, Request, exchange};
@@ -60,9 +60,9 @@
     deadline: Instant,
 }
 
-/// Serves a call to a plain service. Returns the response of a replica or the stored one of a
+/// Handles a call to a plain service. Returns the response of a replica or the stored one of a
 /// claimed request, or the refusal for the client.
-pub async fn plain(
+pub async fn handle_call(
     app: &Rc<App>,
     head: &Head,
     call: Call,
--- a/crates/router/src/response_sender.rs
+++ b/crates/router/src/response_sender.rs
@@ -4,7 +4,7 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, timeout_at};
 
-use crate::chat::ResponseStart;
+use crate::model_handler::ResponseStart;
 use crate::reply::Refusal;
 
 /// Why a chunk could not be sent to the client.
--- a/crates/router/src/serve.rs
+++ b/crates/router/src/serve.rs
@@ -18,11 +18,11 @@
 use tokio::time::timeout;
 
 use crate::app::App;
-use crate::chat::chat;
 use crate::entry::entry;
 use crate::head::{self, Head};
+use crate::model_handler::handle_model_request;
 use crate::model_request::Api;
-use crate::plain::{Call, plain};
+use crate::plain::{Call, handle_call};
 use crate::reply::{REQUEST_ID, Refusal, json_response};
 use crate::trace::Trace;
 
@@ -110,7 +110,7 @@
     let span = trace.span("entry");
     let bytes = read_body(req, app.settings.body_cap).await?;
     drop(span);
-    chat(app, api, &head, &bytes, trace).await
+    handle_model_request(app, api, &head, &bytes, trace).await
 }
 
 async fn serve_plain(
@@ -126,7 +126,7 @@
     let path = req.uri().path_and_query().map_or("/", |p| p.as_str()).to_owned();
     let content_type = req.headers().get(header::CONTENT_TYPE).cloned();
     let body = read_body(req, app.settings.body_cap).await?;
-    plain(app, &head, Call { method, path, content_type, body }, trace).await
+    handle_call(app, &head, Call { method, path, content_type, body }, trace).await
 }
 
 fn list_models(app: &App, head: &Head) -> Result<Response<Body>, Refusal> {
