--- a/crates/router/src/drain.rs
+++ b/crates/router/src/drain.rs
@@ -29,8 +29,8 @@
     let Some(token_store) = app.token_store() else { return };
     announce_leaving(&app, &token_store).await;
     emit!(Event::DrainWaiting, why = "cached entry answers have not expired");
-    sleep(app.settings.entry_keep).await;
-    let until = Instant::now() + app.settings.drain;
+    sleep(app.settings.entry_max_age).await;
+    let until = Instant::now() + app.settings.drain_timeout;
     wait_for_requests(&app, until).await;
     return_slices(&token_store, until).await;
     let gone = Command::Gone(token_store.holder());
--- a/crates/router/src/entry.rs
+++ b/crates/router/src/entry.rs
@@ -44,7 +44,7 @@
         let local = json!({ "address": own, "vm": base.vm, "data_centre": base.data_centre });
         addresses.push(local);
     }
-    let keep = app.settings.entry_keep.as_secs();
+    let keep = app.settings.entry_max_age.as_secs();
     let v = json!({ "addresses": addresses, "keep_s": keep });
     let mut r = json_response(StatusCode::OK, &v);
     if let Ok(v) = HeaderValue::from_str(&format!("max-age={keep}")) {
--- a/crates/router/src/follow.rs
+++ b/crates/router/src/follow.rs
@@ -30,7 +30,7 @@
         let holder = register(&app).await;
         let token_store =
             Rc::new(TokenStore::new(holder, app.group.clone(), app.reserve.clone(), app.clock));
-        let interval = app.settings.tally;
+        let interval = app.settings.report_interval;
         actix_rt::spawn(token_store.clone().send_reports_forever(move || interval));
         if let Some(old) = app.set_token_store(token_store) {
             old.retire();
--- a/crates/router/src/model_handler.rs
+++ b/crates/router/src/model_handler.rs
@@ -86,7 +86,7 @@
     bytes: &[u8],
     trace: &Rc<Trace>,
 ) -> Result<Response<Body>, Refusal> {
-    let deadline = Instant::now() + head.deadline.unwrap_or(app.settings.deadline);
+    let deadline = Instant::now() + head.deadline.unwrap_or(app.settings.default_deadline);
     let Target { client, model, request, budget, policy } = resolve_target(app, api, head, bytes)?;
     let id = request_id(&client.name, &head.id);
     let cap = request.output_cap(model.service.max_output);
--- a/crates/router/src/plain.rs
+++ b/crates/router/src/plain.rs
@@ -68,7 +68,7 @@
     call: Call,
     trace: &Rc<Trace>,
 ) -> Result<Response<Body>, Refusal> {
-    let deadline = Instant::now() + head.deadline.unwrap_or(app.settings.deadline);
+    let deadline = Instant::now() + head.deadline.unwrap_or(app.settings.default_deadline);
     let client = app.config.borrow().client_by_key(&head.key)?;
     let path = call.path.split('?').next().unwrap_or_default().to_owned();
     let service = app.config.borrow().plain_service(&client, &path)?;
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -96,14 +96,14 @@
     /// Maximum size of request headers in bytes.
     pub head_cap: usize,
     /// How long clients may cache a response of `/v1/entry`.
-    pub entry_keep: Duration,
+    pub entry_max_age: Duration,
     /// Deadline of a request without one of its own.
-    pub deadline: Duration,
+    pub default_deadline: Duration,
     /// Interval between reports to the control group.
-    pub tally: Duration,
+    pub report_interval: Duration,
     /// Maximum time for which a graceful shutdown waits for requests to finish and slices to be
     /// returned.
-    pub drain: Duration,
+    pub drain_timeout: Duration,
 }
 
 impl Raw for File {
@@ -129,20 +129,25 @@
             trace_file: self.trace_file.map(PathBuf::from),
             body_cap: check_range("body_cap", self.body_cap, 1024, 64 * 1024 * 1024)? as usize,
             head_cap: check_range("head_cap", self.head_cap, 1024, 64 * 1024)? as usize,
-            entry_keep: Duration::from_secs(check_range(
+            entry_max_age: Duration::from_secs(check_range(
                 "entry_keep_s",
                 self.entry_keep_s,
                 1,
                 3600,
             )?),
-            deadline: Duration::from_millis(check_range(
+            default_deadline: Duration::from_millis(check_range(
                 "deadline_ms",
                 self.deadline_ms,
                 10,
                 3_600_000,
             )?),
-            tally: Duration::from_millis(check_range("tally_ms", self.tally_ms, 10, 10_000)?),
-            drain: Duration::from_secs(check_range("drain_s", self.drain_s, 1, 86_400)?),
+            report_interval: Duration::from_millis(check_range(
+                "tally_ms",
+                self.tally_ms,
+                10,
+                10_000,
+            )?),
+            drain_timeout: Duration::from_secs(check_range("drain_s", self.drain_s, 1, 86_400)?),
         })
     }
 }
