--- a/crates/router/src/attempt.rs
+++ b/crates/router/src/attempt.rs
@@ -56,7 +56,7 @@
 
     /// Records the arrival of response bytes. The first call returns the time since the request was
     /// sent, later calls return `None`.
-    pub fn begin(&mut self) -> Option<Duration> {
+    pub fn record_first_byte(&mut self) -> Option<Duration> {
         let first = !std::mem::replace(&mut self.response_started, true);
         first.then(|| self.sent_at.elapsed())
     }
@@ -80,7 +80,7 @@
 
     /// Returns whether an event with this id belongs to this attempt's response. The first event
     /// sets the id; all later ones must match it.
-    pub fn is_own(&mut self, id: &str) -> bool {
+    pub fn accept_event_id(&mut self, id: &str) -> bool {
         self.engine_id.get_or_insert_with(|| id.to_owned()) == id
     }
 
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -63,7 +63,7 @@
     }
 
     fn record_first_chunk(&mut self, a: &EngineResponse) {
-        if let Some(span) = self.attempt.begin() {
+        if let Some(span) = self.attempt.record_first_byte() {
             let service = self.plan.service.clone();
             histogram!(metric::FIRST_TOKEN, "service" => service).record(span);
             self.app.record_first_token(&self.plan.service, &a.choice, span);
@@ -80,7 +80,7 @@
     async fn process_event(&mut self, event: &[u8]) -> Result<(), AttemptError> {
         let mut v: Value = serde_json::from_slice(event)
             .map_err(|e| AttemptError::Failed(format!("an event is not JSON: {e}")))?;
-        if !self.attempt.is_own(v["id"].as_str().unwrap_or_default()) {
+        if !self.attempt.accept_event_id(v["id"].as_str().unwrap_or_default()) {
             return Err(AttemptError::Failed("an event belongs to another answer".into()));
         }
         let usage = event_usage(&v);
