--- a/crates/router/src/entry.rs
+++ b/crates/router/src/entry.rs
@@ -30,7 +30,7 @@
 
 /// Returns the response with the addresses of usable routers and how long a client may cache them.
 /// If no router is known to be usable, lists this one unless it is draining.
-pub fn entry(app: &App) -> Response<Body> {
+pub fn entry_response(app: &App) -> Response<Body> {
     let sites = app.sites.borrow();
     let rotation = app.random_u128() as usize;
     let ordered = order_sites(&sites, &app.settings.base.data_centre, rotation);
@@ -44,10 +44,10 @@
         let local = json!({ "address": own, "vm": base.vm, "data_centre": base.data_centre });
         addresses.push(local);
     }
-    let keep = app.settings.entry_max_age.as_secs();
-    let v = json!({ "addresses": addresses, "keep_s": keep });
+    let max_age = app.settings.entry_max_age.as_secs();
+    let v = json!({ "addresses": addresses, "keep_s": max_age });
     let mut r = json_response(StatusCode::OK, &v);
-    if let Ok(v) = HeaderValue::from_str(&format!("max-age={keep}")) {
+    if let Ok(v) = HeaderValue::from_str(&format!("max-age={max_age}")) {
         r.headers_mut().insert(CACHE_CONTROL, v);
     }
     r
--- a/crates/router/src/follow.rs
+++ b/crates/router/src/follow.rs
@@ -25,7 +25,7 @@
 
 /// Registers and applies updates until the router drains. Registers again, with a new token store,
 /// whenever the registration is no longer valid.
-pub async fn follow(app: Rc<App>) {
+pub async fn register_and_watch(app: Rc<App>) {
     while !app.draining.get() {
         let holder = register(&app).await;
         let token_store =
--- a/crates/router/src/head.rs
+++ b/crates/router/src/head.rs
@@ -92,7 +92,7 @@
 /// Parses the headers of a request, which may have `cap` bytes in total. If there is no request id,
 /// it becomes `generated_id`. Returns a refusal if the headers are too large, the key is missing, a
 /// value is invalid, or an at-most-once request has no id.
-pub fn read(h: &HeaderMap, cap: usize, generated_id: u128) -> Result<Head, Refusal> {
+pub fn parse(h: &HeaderMap, cap: usize, generated_id: u128) -> Result<Head, Refusal> {
     let size: usize = h.iter().map(|(n, v)| n.as_str().len() + v.len() + 4).sum();
     if size > cap {
         let detail = format!("{size} bytes, the cap is {cap}");
--- a/crates/router/src/run.rs
+++ b/crates/router/src/run.rs
@@ -15,7 +15,7 @@
 
 use crate::app::App;
 use crate::drain::drain;
-use crate::follow::follow;
+use crate::follow::register_and_watch;
 use crate::ops::serve_operator;
 use crate::platform::poll_vms;
 use crate::serve::serve;
@@ -63,7 +63,7 @@
     if let Some(url) = app.settings.platform.clone() {
         actix_rt::spawn(poll_vms(app.clone(), url));
     }
-    actix_rt::spawn(follow(app.clone()));
+    actix_rt::spawn(register_and_watch(app.clone()));
     let group = app.group.clone();
     actix_rt::spawn(reload_forever(
         move || settings(&file),
--- a/crates/router/src/serve.rs
+++ b/crates/router/src/serve.rs
@@ -18,7 +18,7 @@
 use tokio::time::timeout;
 
 use crate::app::App;
-use crate::entry::entry;
+use crate::entry::entry_response;
 use crate::head::{self, Head};
 use crate::model_handler::handle_model_request;
 use crate::model_request::Api;
@@ -35,7 +35,7 @@
 /// Serves one request of a client. Counts and logs its result and returns the response.
 pub async fn serve(app: Rc<App>, req: Request) -> Response<Body> {
     let new_id = app.random_u128();
-    let head = head::read(req.headers(), app.settings.head_cap, new_id);
+    let head = head::parse(req.headers(), app.settings.head_cap, new_id);
     let id = head.as_ref().map_or_else(|_| format!("{new_id:032x}"), |h| h.id.clone());
     let path = req.path().to_owned();
     let traceparent = head.as_ref().ok().and_then(|h| h.traceparent.as_deref());
@@ -69,7 +69,7 @@
     match path.as_str() {
         "/v1/entry" => {
             require_method(&req, &Method::GET)?;
-            Ok(entry(app))
+            Ok(entry_response(app))
         }
         "/v1/models" => {
             require_method(&req, &Method::GET)?;
