--- a/crates/router/src/budget_slices.rs
+++ b/crates/router/src/budget_slices.rs
@@ -55,15 +55,15 @@
         charged
     }
 
-    /// Returns the idle tokens of a budget to the grantor.
+    /// Gives the idle tokens of a budget back to the grantor with the next reports.
     pub fn return_idle(&self, budget: &str) {
         if let Some(entry) = self.by_budget.borrow().get(budget) {
             entry.slices.borrow_mut().return_idle();
         }
     }
 
-    /// Returns the idle tokens of all budgets that `matches` selects to the grantor. Returns
-    /// whether any of them has slices.
+    /// Gives the idle tokens of all budgets that `matches` selects back to the grantor with the next
+    /// reports. Returns whether any of them has slices.
     pub fn return_idle_where(&self, matches: impl Fn(&str) -> bool) -> bool {
         let all = self.by_budget.borrow();
         let matching = all
@@ -72,7 +72,7 @@
         matching.map(|(_, entry)| entry.slices.borrow_mut().return_idle()).count() > 0
     }
 
-    /// Returns the idle tokens of all budgets to the grantor.
+    /// Gives the idle tokens of all budgets back to the grantor with the next reports.
     pub fn return_all_idle(&self) {
         self.by_budget.borrow().values().for_each(|entry| entry.slices.borrow_mut().return_idle());
     }
@@ -82,8 +82,7 @@
         self.by_budget.borrow().values().all(|entry| entry.slices.borrow().is_empty())
     }
 
-    /// Returns the usage reports to send to the grantor, after marking excess tokens for
-    /// return.
+    /// Returns the usage reports to send to the grantor. They also give excess idle tokens back.
     pub fn reports(&self, now: Time) -> Vec<(String, Report)> {
         let mut out = Vec::new();
         for (budget, entry) in self.by_budget.borrow().iter() {
--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -112,11 +112,11 @@
         self.sender.start_stream();
         loop {
             let stream = self.plan.trace.span("stream");
-            let ended = self.relay(&mut engine_response).await;
+            let result = self.relay(&mut engine_response).await;
             drop(stream);
-            let failed = matches!(ended, Err(AttemptError::Failed(_)));
+            let failed = matches!(result, Err(AttemptError::Failed(_)));
             self.app.record_end(&self.plan.service, &engine_response.choice, failed);
-            if let Err(AttemptError::Failed(why)) = &ended {
+            if let Err(AttemptError::Failed(why)) = &result {
                 let (service, address) = (&self.plan.service, engine_response.choice.address);
                 emit!(Event::UpstreamFailed, service = service, address = address, why = why);
                 if let Some(next) = self.resume().await {
@@ -124,7 +124,7 @@
                     continue;
                 }
             }
-            return self.finish(ended, engine_response.choice.address).await;
+            return self.finish(result, engine_response.choice.address).await;
         }
     }
 
@@ -268,12 +268,12 @@
         self.sender.respond(Err(refusal));
     }
 
-    async fn finish(mut self, ended: Result<(), AttemptError>, address: SocketAddr) {
-        if self.attempt.is_implausible() && ended.is_ok() {
+    async fn finish(mut self, result: Result<(), AttemptError>, address: SocketAddr) {
+        if self.attempt.is_implausible() && result.is_ok() {
             emit!(Event::UpstreamMiscounted, service = self.plan.service, address = address);
         }
-        self.settle(ended.is_ok(), Ran::Unknown);
-        let (response, last) = match ended {
+        self.settle(result.is_ok(), Ran::Unknown);
+        let (response, last) = match result {
             Ok(()) => (Ok(ResponseStart::Whole(self.completion())), self.stream_end()),
             Err(f) => {
                 let refusal = refusal_for(f);
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -25,14 +25,17 @@
 const END_OF_STREAM: &str = "data: [DONE]\n\n";
 
 impl Exchange {
-    /// Relays the engine's events until the end of its stream. Returns why if it fails before.
-    pub(crate) async fn relay(&mut self, a: &mut EngineResponse) -> Result<(), AttemptError> {
+    /// Relays the engine's events until the end of its stream. Returns an error if it fails before.
+    pub(crate) async fn relay(
+        &mut self,
+        engine_response: &mut EngineResponse,
+    ) -> Result<(), AttemptError> {
         let mut parser = Parser::default();
         loop {
             let next = tokio::select! {
                 p = timeout_at(
                     self.plan.deadline,
-                    timeout(KEEP_ALIVE_INTERVAL, a.response.next()),
+                    timeout(KEEP_ALIVE_INTERVAL, engine_response.response.next()),
                 ) => p,
                 () = self.sender.closed() => return Err(AttemptError::ClientDisconnected),
             };
@@ -51,7 +54,7 @@
                 Ok(Ok(Some(Err(e)))) => return Err(AttemptError::Failed(e.to_string())),
                 Ok(Ok(Some(Ok(bytes)))) => bytes,
             };
-            self.record_first_chunk(a);
+            self.record_first_chunk(engine_response);
             let events = parser.feed(&bytes);
             for event in events.map_err(|_| AttemptError::Failed("an event is too large".into()))? {
                 if event == b"[DONE]" {
@@ -62,11 +65,11 @@
         }
     }
 
-    fn record_first_chunk(&mut self, a: &EngineResponse) {
+    fn record_first_chunk(&mut self, engine_response: &EngineResponse) {
         if let Some(span) = self.attempt.record_first_byte() {
             let service = self.plan.service.clone();
             histogram!(metric::FIRST_TOKEN, "service" => service).record(span);
-            self.app.record_first_token(&self.plan.service, &a.choice, span);
+            self.app.record_first_token(&self.plan.service, &engine_response.choice, span);
         }
     }
 
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -125,7 +125,7 @@
             public,
             operators: parse_address("operators", &self.operators)?,
             reserve: self.reserve.as_deref().map(|a| parse_address("reserve", a)).transpose()?,
-            platform: self.platform.map(check_platform).transpose()?,
+            platform: self.platform.map(check_platform_url).transpose()?,
             trace_file: self.trace_file.map(PathBuf::from),
             body_cap: check_range("body_cap", self.body_cap, 1024, 64 * 1024 * 1024)? as usize,
             head_cap: check_range("head_cap", self.head_cap, 1024, 64 * 1024)? as usize,
@@ -152,7 +152,7 @@
     }
 }
 
-fn check_platform(url: String) -> Result<String, Error> {
+fn check_platform_url(url: String) -> Result<String, Error> {
     let rest = url.strip_prefix("http://").unwrap_or_default();
     let host = rest.split('/').next().unwrap_or_default();
     if host.parse::<SocketAddr>().is_ok() {
--- a/crates/router/src/token_store.rs
+++ b/crates/router/src/token_store.rs
@@ -332,8 +332,8 @@
         PartialReservation { reserved, shortfall: (!is_whole).then_some(shortfall) }
     }
 
-    /// Returns the idle tokens of the budgets that `matches` selects to the control group
-    /// immediately.
+    /// Gives the idle tokens of the budgets that `matches` selects back to the control group with a
+    /// report that is sent immediately.
     pub fn return_idle_where(&self, matches: impl Fn(&str) -> bool) {
         if self.group_slices.return_idle_where(matches) {
             self.report_due.notify_one();
@@ -372,13 +372,15 @@
         self.bills.borrow_mut().push_back(b);
     }
 
-    /// Returns the idle tokens of a budget to the control group immediately.
+    /// Gives the idle tokens of a budget back to the control group with a report that is sent
+    /// immediately.
     pub fn return_idle(&self, budget: &str) {
         self.group_slices.return_idle(budget);
         self.report_due.notify_one();
     }
 
-    /// Returns all idle tokens to the control group and the reserve immediately.
+    /// Gives all idle tokens back to the control group and the reserve with reports that are sent
+    /// immediately.
     pub fn return_all_idle(&self) {
         self.group_slices.return_all_idle();
         self.reserve_slices.return_all_idle();
