--- a/crates/router/src/token_store.rs
+++ b/crates/router/src/token_store.rs
@@ -393,9 +393,8 @@
         all_sent && self.group_slices.is_empty() && self.reserve_slices.is_empty()
     }
 
-    /// Sends reports after each `interval` and whenever tokens are to be
-    /// returned or a higher limit is needed. Returns once the store is retired, settled and used by
-    /// nothing else.
+    /// Sends reports after each `interval` and whenever tokens are to be given back or a higher limit
+    /// is needed. Returns once the store is retired, settled and used by nothing else.
     pub async fn send_reports_forever(self: Rc<Self>, interval: impl Fn() -> Duration) {
         loop {
             tokio::select! {
--- a/crates/router/src/unpooled.rs
+++ b/crates/router/src/unpooled.rs
@@ -72,8 +72,8 @@
     }
 }
 
-/// Sends a request to `address` and returns the complete response, with a body of at most `cap`
-/// bytes.
+/// Sends a request to `address` over a new connection and returns the complete response. Fails if
+/// its body is larger than `cap` bytes.
 pub async fn exchange(
     address: SocketAddr,
     r: Request,
