--- a/crates/router/src/app.rs
+++ b/crates/router/src/app.rs
@@ -17,16 +17,16 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
+use crate::config_index::ConfigIndex;
 use crate::queue::Queue;
 use crate::settings::Settings;
 use crate::token_store::TokenStore;
 use crate::trace::Exporter;
-use crate::view::View;
 
 /// Timeout for connecting to an upstream.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Concurrent calls per replica of a plain service.
+/// The most concurrent calls per replica of a plain service.
 const PLAIN_SLOTS_PER_REPLICA: u32 = 64;
 
 /// The most calls of a plain service that one router queues.
@@ -45,20 +45,20 @@
     /// Writes traces, if enabled.
     pub exporter: Option<Exporter>,
     /// The current configuration.
-    pub view: RefCell<View>,
+    pub config: RefCell<ConfigIndex>,
     /// The replicas of each service, by service name.
     pub pools: RefCell<HashMap<String, Pool>>,
     queues: RefCell<HashMap<String, Rc<Queue>>>,
     vms: RefCell<VmTracker>,
     retries: RefCell<HashMap<String, RetryBudget>>,
-    /// The routers of the region, for entry answers.
+    /// The routers of the region, listed in responses of `/v1/entry`.
     pub sites: RefCell<Vec<Site>>,
     /// HTTP client with keep-alive, for requests that may be sent again.
-    pub client: Client,
+    pub pooled_client: Client,
     /// HTTP client without keep-alive, for requests that may run at most once. An upstream can
     /// close a reused connection while a request is being sent, which leaves unknown whether it
     /// ran.
-    pub once_client: Client,
+    pub unpooled_client: Client,
     /// Whether a graceful shutdown is in progress.
     pub draining: Cell<bool>,
     /// Whether the control group has confirmed the configuration since this process started.
@@ -67,7 +67,7 @@
     pub active: Cell<usize>,
     token_store: RefCell<Option<Rc<TokenStore>>>,
     rng: RefCell<SmallRng>,
-    runs: Cell<u64>,
+    run_count: Cell<u64>,
 }
 
 fn build_client(keep_alive: Duration) -> Client {
@@ -90,20 +90,20 @@
             group,
             reserve,
             exporter,
-            view: RefCell::default(),
+            config: RefCell::default(),
             pools: RefCell::default(),
             queues: RefCell::default(),
             vms: RefCell::default(),
             retries: RefCell::default(),
             sites: RefCell::default(),
-            client: build_client(Duration::from_secs(15)),
-            once_client: build_client(Duration::ZERO),
+            pooled_client: build_client(Duration::from_secs(15)),
+            unpooled_client: build_client(Duration::ZERO),
             draining: Cell::new(false),
             ready: Cell::new(false),
             active: Cell::new(0),
             token_store: RefCell::default(),
             rng: RefCell::new(SmallRng::from_os_rng()),
-            runs: Cell::new(0),
+            run_count: Cell::new(0),
         }
     }
 
@@ -120,9 +120,9 @@
     /// Returns a run number that is unique across the requests of this registration: the holder's
     /// id in the upper half, a counter in the lower.
     pub fn next_run_id(&self) -> u64 {
-        self.runs.set(self.runs.get() + 1);
+        self.run_count.set(self.run_count.get() + 1);
         let holder = self.token_store().map_or(0, |store| store.holder().0);
-        (holder << 32) | self.runs.get()
+        (holder << 32) | self.run_count.get()
     }
 
     /// Returns a random number, for example for a request id.
@@ -133,13 +133,13 @@
     /// Updates the pools and queues from the services of the current configuration and removes
     /// those of deleted services.
     pub fn refresh_services(&self) {
-        let view = self.view.borrow();
+        let config = self.config.borrow();
         let mut pools = self.pools.borrow_mut();
         let mut queues = self.queues.borrow_mut();
         let now = self.clock.now();
-        pools.retain(|name, _| view.services().any(|(n, _)| n == name));
-        queues.retain(|name, _| view.services().any(|(n, _)| n == name));
-        for (name, s) in view.services() {
+        pools.retain(|name, _| config.services().any(|(n, _)| n == name));
+        queues.retain(|name, _| config.services().any(|(n, _)| n == name));
+        for (name, s) in config.services() {
             let (slots, queue_limit) = match s {
                 Service::Model(m) => (m.slots, m.queue),
                 Service::Plain(_) => (PLAIN_SLOTS_PER_REPLICA, MAX_QUEUED_PLAIN_CALLS),
@@ -182,17 +182,17 @@
     pub fn choose(
         &self,
         service: &str,
-        work: &RequestProfile,
+        profile: &RequestProfile,
         tried: &[SocketAddr],
     ) -> Option<Choice> {
         let mut pools = self.pools.borrow_mut();
         let dc = &self.settings.base.data_centre;
         let mut rng = self.rng.borrow_mut();
-        pools.get_mut(service)?.choose(self.clock.now(), dc, work, tried, &mut *rng)
+        pools.get_mut(service)?.choose(self.clock.now(), dc, profile, tried, &mut *rng)
     }
 
     /// Returns whether a request may be sent after `tries` earlier tries. The first try is always
-    /// allowed, further ones only within the service's retry budget, from which they are taken.
+    /// allowed; each retry takes one from the service's retry budget and is refused if it is empty.
     pub fn allow_send(&self, service: &str, tries: usize) -> bool {
         let mut all = self.retries.borrow_mut();
         let budget = all.entry(service.to_owned()).or_default();
@@ -203,7 +203,7 @@
         true
     }
 
-    /// Records the time to the first token of a request, for the choice of replicas.
+    /// Records the time to the first token of a request, which later choices of a replica use.
     pub fn record_first_token(&self, service: &str, c: &Choice, first: Duration) {
         if let Some(pool) = self.pools.borrow_mut().get_mut(service) {
             pool.record_first_event(self.clock.now(), c, first.as_micros() as u64);
--- a/crates/router/src/follow.rs
+++ b/crates/router/src/follow.rs
@@ -18,20 +18,20 @@
 const REGISTER_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Timeout of one watch request (long poll).
-const FOLLOW_TIMEOUT: Duration = Duration::from_secs(4);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Delay after a failed request.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Registers and applies updates until the router drains. Registers again, with a new token store,
 /// whenever the registration is no longer valid.
-pub async fn follow(app: Rc<App>) {
+pub async fn register_and_watch(app: Rc<App>) {
     while !app.draining.get() {
         let holder = register(&app).await;
         let token_store =
             Rc::new(TokenStore::new(holder, app.group.clone(), app.reserve.clone(), app.clock));
-        let every = app.settings.tally;
-        actix_rt::spawn(token_store.clone().send_reports_forever(move || every));
+        let interval = app.settings.report_interval;
+        actix_rt::spawn(token_store.clone().send_reports_forever(move || interval));
         if let Some(old) = app.set_token_store(token_store) {
             old.retire();
         }
@@ -63,10 +63,10 @@
 async fn watch_updates(app: &App, holder: HolderId) {
     let mut connected = true;
     loop {
-        let version = app.view.borrow().version();
+        let version = app.config.borrow().version();
         let sites = sites_digest(&app.sites.borrow());
         let q = Query::Follow { holder, version, sites };
-        match app.group.query(&q, FOLLOW_TIMEOUT).await {
+        match app.group.query(&q, WATCH_TIMEOUT).await {
             Ok(Reply::News(update)) => {
                 if !connected {
                     emit!(Event::ControlFound);
@@ -101,7 +101,7 @@
         *app.sites.borrow_mut() = sites;
     }
     let version = update.difference.version;
-    if app.view.borrow_mut().update(update.difference) {
+    if app.config.borrow_mut().update(update.difference) {
         app.refresh_services();
         emit!(Event::ConfigApplied, version = version);
     }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,33 +1,33 @@
-//! The router: lists entry addresses and admits, routes and bills the requests of language-model
-//! clients.
+//! The router, which lists entry addresses and admits, routes and bills the requests of
+//! language-model clients, and the gateway.
 
 mod app;
-mod ask;
 mod attempt;
 mod budget_slices;
-mod caller;
-mod chat;
 mod claim;
-mod count;
+mod config_index;
 mod drain;
 mod entry;
 mod exchange;
 mod follow;
 pub mod gateway;
 mod head;
-mod hold;
-mod oneshot;
+mod model_handler;
+mod model_request;
 mod ops;
 mod plain;
 mod platform;
 mod queue;
 mod relay;
 pub mod reply;
+mod reservation_guard;
+mod reservation_result;
+mod response_sender;
 pub mod run;
 mod serve;
 pub mod settings;
 mod sse;
-mod taken;
 mod token_store;
 mod trace;
-mod view;
+mod unpooled;
+mod usage;
--- a/crates/router/src/chat.rs
+++ b/crates/router/src/model_handler.rs
@@ -17,16 +17,16 @@
 use tokio::time::Instant;
 
 use crate::app::{ActiveRequest, App};
-use crate::ask::{Form, ModelRequest};
-use crate::caller::Caller;
 use crate::claim::{Claim, ClaimResult, claim};
+use crate::config_index::{ClientAccount, NamedModelService};
 use crate::exchange::Exchange;
 use crate::head::Head;
-use crate::hold::ReservationGuard;
+use crate::model_request::{Api, ModelRequest};
 use crate::queue::Permit;
 use crate::reply::{Refusal, json_response};
+use crate::reservation_guard::ReservationGuard;
+use crate::response_sender::ResponseSender;
 use crate::trace::Trace;
-use crate::view::{Client, Model};
 
 /// The most chunks of a response that are buffered for a slow client.
 const MAX_BUFFERED_CHUNKS: usize = 32;
@@ -61,33 +61,33 @@
 
 /// The parsed request with the client account, model and budget found in the configuration.
 struct Target {
-    client: Rc<Client>,
-    model: Rc<Model>,
+    client: Rc<ClientAccount>,
+    model: Rc<NamedModelService>,
     request: ModelRequest,
     budget: String,
     policy: Policy,
 }
 
-fn resolve_target(app: &App, form: Form, head: &Head, bytes: &[u8]) -> Result<Target, Refusal> {
-    let view = app.view.borrow();
-    let client = view.client(&head.key)?;
-    let request = ModelRequest::parse(form, bytes)?;
-    let model = view.model(&client, &request.model)?;
-    let (name, b) = view.budget(&client, &model.name)?;
+fn resolve_target(app: &App, api: Api, head: &Head, bytes: &[u8]) -> Result<Target, Refusal> {
+    let config = app.config.borrow();
+    let client = config.client_by_key(&head.key)?;
+    let request = ModelRequest::parse(api, bytes)?;
+    let model = config.model_service(&client, &request.model)?;
+    let (name, b) = config.budget(&client, &model.name)?;
     let (budget, policy) = (name.to_owned(), b.policy());
     Ok(Target { client, model, request, budget, policy })
 }
 
-/// Serves a model request. Returns when the response has started or was refused.
-pub async fn chat(
+/// Handles a model request. Returns when the response has started or was refused.
+pub async fn handle_model_request(
     app: &Rc<App>,
-    form: Form,
+    api: Api,
     head: &Head,
     bytes: &[u8],
     trace: &Rc<Trace>,
 ) -> Result<Response<Body>, Refusal> {
-    let deadline = Instant::now() + head.deadline.unwrap_or(app.settings.deadline);
-    let Target { client, model, request, budget, policy } = resolve_target(app, form, head, bytes)?;
+    let deadline = Instant::now() + head.deadline.unwrap_or(app.settings.default_deadline);
+    let Target { client, model, request, budget, policy } = resolve_target(app, api, head, bytes)?;
     let id = request_id(&client.name, &head.id);
     let cap = request.output_cap(model.service.max_output);
     let need = request.prompt_bound + cap;
@@ -107,7 +107,7 @@
         false => None,
         true => {
             let _claiming = trace.span("claim");
-            match claim(app, id, body_digest("POST", form.path(), bytes), deadline).await? {
+            match claim(app, id, body_digest("POST", api.path(), bytes), deadline).await? {
                 ClaimResult::Run(c) => Some(c),
                 ClaimResult::Done(o) => return Ok(replay(&o)),
             }
@@ -128,10 +128,10 @@
     permit: Permit,
 ) -> Result<Response<Body>, Refusal> {
     let stream = plan.request.stream;
-    let (tx, rx) = mpsc::channel(MAX_BUFFERED_CHUNKS);
-    let (first_tx, first_rx) = oneshot::channel();
-    let caller = Caller::new(first_tx, tx, stream);
-    let exchange = Exchange::new(app.clone(), plan, guard, claim, caller);
+    let (chunk_tx, chunk_rx) = mpsc::channel(MAX_BUFFERED_CHUNKS);
+    let (response_tx, response_rx) = oneshot::channel();
+    let sender = ResponseSender::new(response_tx, chunk_tx, stream);
+    let exchange = Exchange::new(app.clone(), plan, guard, claim, sender);
     let active = ActiveRequest::new(app);
     // A separate task, so that tokens are settled even if the client disconnects.
     actix_rt::spawn(async move {
@@ -139,10 +139,10 @@
         drop(permit);
         drop(active);
     });
-    match first_rx.await {
+    match response_rx.await {
         Ok(Ok(ResponseStart::Streaming)) => {
             debug_assert!(stream);
-            Ok(streaming_response(rx))
+            Ok(streaming_response(chunk_rx))
         }
         Ok(Ok(ResponseStart::Whole(v))) => Ok(json_response(StatusCode::OK, &v)),
         Ok(Err(refusal)) => Err(refusal),
@@ -150,8 +150,8 @@
     }
 }
 
-fn streaming_response(rx: mpsc::Receiver<Bytes>) -> Response<Body> {
-    let mut r = Response::with_body(StatusCode::OK, Body::Pieces(rx));
+fn streaming_response(chunk_rx: mpsc::Receiver<Bytes>) -> Response<Body> {
+    let mut r = Response::with_body(StatusCode::OK, Body::Pieces(chunk_rx));
     let h = r.headers_mut();
     h.insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
     h.insert(CACHE_CONTROL, HeaderValue::from_static("no-store"));
--- a/crates/router/src/plain.rs
+++ b/crates/router/src/plain.rs
@@ -18,12 +18,12 @@
 use tokio::time::{Instant, timeout_at};
 
 use crate::app::{ActiveRequest, App};
-use crate::chat::replay;
 use crate::claim::{Claim, ClaimResult, claim};
 use crate::head::Head;
-use crate::oneshot::{Answer, ExchangeError, Request, exchange};
+use crate::model_handler::replay;
 use crate::reply::{RAN, REQUEST_ID, Refusal};
 use crate::trace::{Span, Trace};
+use crate::unpooled::{BufferedResponse, ExchangeError, Request, exchange};
 
 /// Maximum size of a forwarded response body in bytes.
 const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
@@ -38,14 +38,14 @@
 
 const TRACEPARENT: HeaderName = HeaderName::from_static("traceparent");
 
-/// A call as received from the caller.
+/// A call as received from the client.
 pub struct Call {
     /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub path: String,
     /// `Content-Type` header, if any.
-    pub kind: Option<HeaderValue>,
+    pub content_type: Option<HeaderValue>,
     /// Request body.
     pub body: Bytes,
 }
@@ -60,18 +60,18 @@
     deadline: Instant,
 }
 
-/// Serves a call to a plain service. Returns the response of a replica or the stored one of a
-/// claimed request, or the refusal for the caller.
-pub async fn plain(
+/// Handles a call to a plain service. Returns the response of a replica or the stored one of a
+/// claimed request, or the refusal for the client.
+pub async fn handle_call(
     app: &Rc<App>,
     head: &Head,
     call: Call,
     trace: &Rc<Trace>,
 ) -> Result<Response<Body>, Refusal> {
-    let deadline = Instant::now() + head.deadline.unwrap_or(app.settings.deadline);
-    let client = app.view.borrow().client(&head.key)?;
+    let deadline = Instant::now() + head.deadline.unwrap_or(app.settings.default_deadline);
+    let client = app.config.borrow().client_by_key(&head.key)?;
     let path = call.path.split('?').next().unwrap_or_default().to_owned();
-    let service = app.view.borrow().plain(&client, &path)?;
+    let service = app.config.borrow().plain_service(&client, &path)?;
     let is_safe = matches!(call.method, Method::GET | Method::HEAD);
     let needs_claim = head.at_most_once || (service.service.writes_once && !is_safe);
     if needs_claim && !head.id_given {
@@ -99,7 +99,7 @@
     let (app, head, service) = (app.clone(), head.clone(), service.name.clone());
     let pending = PendingCall { id: head.id.clone(), call, can_resend, deadline };
     let trace = trace.clone();
-    // Runs in its own task, so that the outcome is recorded even if the caller disconnects.
+    // Runs in its own task, so that the outcome is recorded even if the client disconnects.
     let active = ActiveRequest::new(&app);
     let running = actix_rt::spawn(async move {
         let result = run_and_record(&app, &service, &pending, claim, &trace).await;
@@ -122,7 +122,7 @@
     }
     let result = try_replicas(app, service, pending, trace).await;
     let end = match &result {
-        Ok(a) => ClaimEnd::Answered(stored_outcome(a)),
+        Ok(buffered) => ClaimEnd::Answered(stored_outcome(buffered)),
         Err(r) if r.ran == Ran::No => ClaimEnd::NotRun,
         Err(_) => ClaimEnd::Unknown,
     };
@@ -135,9 +135,9 @@
 async fn try_replicas(
     app: &App,
     service: &str,
-    s: &PendingCall,
+    pending: &PendingCall,
     trace: &Rc<Trace>,
-) -> Result<Answer, Refusal> {
+) -> Result<BufferedResponse, Refusal> {
     let mut tried = Vec::new();
     let mut last = Refusal::from(Code::NoUpstream).retry_after(NO_UPSTREAM_RETRY_AFTER);
     while tried.len() < MAX_TRIES && app.allow_send(service, tried.len()) {
@@ -146,7 +146,7 @@
         tried.push(address);
         let mut span = trace.span("dispatch");
         span.note(address.to_string());
-        let sent = timeout_at(s.deadline, send(address, s, &span)).await;
+        let sent = timeout_at(pending.deadline, send(address, pending, &span)).await;
         drop(span);
         let failed = matches!(sent, Ok(Err(_)));
         app.record_end(service, &choice, failed);
@@ -156,10 +156,10 @@
             Ok(Err(ExchangeError::NotSent(why))) => {
                 emit!(Event::UpstreamFailed, service = service, address = address, why = why);
             }
-            Ok(Err(ExchangeError::Sent(why))) => {
+            Ok(Err(ExchangeError::MaybeSent(why))) => {
                 emit!(Event::UpstreamFailed, service = service, address = address, why = why);
                 last = Refusal::from(Code::UpstreamFailed).ran(Ran::Unknown).detail(why);
-                if !s.can_resend {
+                if !pending.can_resend {
                     break;
                 }
             }
@@ -168,34 +168,39 @@
     Err(last)
 }
 
-async fn send(address: SocketAddr, s: &PendingCall, span: &Span) -> Result<Answer, ExchangeError> {
+async fn send(
+    address: SocketAddr,
+    pending: &PendingCall,
+    span: &Span,
+) -> Result<BufferedResponse, ExchangeError> {
     let mut headers = HeaderMap::new();
     let mut set = |name: HeaderName, value: &str| {
         if let Ok(v) = HeaderValue::from_str(value) {
             headers.insert(name, v);
         }
     };
-    set(REQUEST_ID, &s.id);
-    set(IDEMPOTENCY_KEY, &s.id);
+    set(REQUEST_ID, &pending.id);
+    set(IDEMPOTENCY_KEY, &pending.id);
     set(TRACEPARENT, &span.traceparent());
-    if let Some(kind) = &s.call.kind {
-        headers.insert(header::CONTENT_TYPE, kind.clone());
+    if let Some(content_type) = &pending.call.content_type {
+        headers.insert(header::CONTENT_TYPE, content_type.clone());
     }
-    let (method, path, body) = (s.call.method.clone(), s.call.path.clone(), s.call.body.clone());
+    let (method, path, body) =
+        (pending.call.method.clone(), pending.call.path.clone(), pending.call.body.clone());
     exchange(address, Request { method, path, headers, body }, MAX_RESPONSE_BYTES).await
 }
 
-fn stored_outcome(a: &Answer) -> Outcome {
-    let kind = a.head.headers.get(header::CONTENT_TYPE);
+fn stored_outcome(buffered: &BufferedResponse) -> Outcome {
+    let kind = buffered.head.headers.get(header::CONTENT_TYPE);
     let kind = kind.and_then(|k| k.to_str().ok()).unwrap_or_default().to_owned();
-    let body = (a.body.len() <= MAX_STORED_BODY).then(|| a.body.to_vec());
-    Outcome { status: a.head.status.as_u16(), kind, body }
+    let body = (buffered.body.len() <= MAX_STORED_BODY).then(|| buffered.body.to_vec());
+    Outcome { status: buffered.head.status.as_u16(), kind, body }
 }
 
-fn response(a: Answer) -> Response<Body> {
-    let mut r = Response::with_body(a.head.status, Body::Whole(a.body));
-    if let Some(kind) = a.head.headers.get(header::CONTENT_TYPE) {
-        r.headers_mut().insert(header::CONTENT_TYPE, kind.clone());
+fn response(buffered: BufferedResponse) -> Response<Body> {
+    let mut r = Response::with_body(buffered.head.status, Body::Whole(buffered.body));
+    if let Some(content_type) = buffered.head.headers.get(header::CONTENT_TYPE) {
+        r.headers_mut().insert(header::CONTENT_TYPE, content_type.clone());
     }
     r.headers_mut().insert(RAN, HeaderValue::from_static(Ran::Yes.as_str()));
     r
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -1,4 +1,4 @@
-//! Relays an engine's event stream to the caller: counts, checks and forwards each event.
+//! Relays an engine's event stream to the client: counts, checks and forwards each event.
 
 use std::time::Duration;
 
@@ -12,11 +12,11 @@
 use serde_json::{Value, json};
 use tokio::time::{timeout, timeout_at};
 
-use crate::ask::Form;
 use crate::attempt::EngineResponse;
-use crate::count::{event_text, event_usage};
 use crate::exchange::{AttemptError, Exchange};
+use crate::model_request::Api;
 use crate::sse::Parser;
+use crate::usage::{event_text, event_usage};
 
 /// Interval at which comments are sent on an idle stream to keep connections alive.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(10);
@@ -25,22 +25,25 @@
 const END_OF_STREAM: &str = "data: [DONE]\n\n";
 
 impl Exchange {
-    /// Relays the engine's events until the end of its stream. Returns why if it fails before.
-    pub(crate) async fn relay(&mut self, a: &mut EngineResponse) -> Result<(), AttemptError> {
+    /// Relays the engine's events until the end of its stream. Returns an error if it fails before.
+    pub(crate) async fn relay(
+        &mut self,
+        engine_response: &mut EngineResponse,
+    ) -> Result<(), AttemptError> {
         let mut parser = Parser::default();
         loop {
             let next = tokio::select! {
                 p = timeout_at(
                     self.plan.deadline,
-                    timeout(KEEP_ALIVE_INTERVAL, a.response.next()),
+                    timeout(KEEP_ALIVE_INTERVAL, engine_response.response.next()),
                 ) => p,
-                () = self.caller.closed() => return Err(AttemptError::CallerDisconnected),
+                () = self.sender.closed() => return Err(AttemptError::ClientDisconnected),
             };
             let bytes = match next {
                 Err(_) => return Err(AttemptError::DeadlinePassed),
                 Ok(Err(_)) => {
                     let comment = Bytes::from_static(b": keep-alive\n\n");
-                    self.caller.send(comment, self.plan.deadline).await?;
+                    self.sender.send_chunk(comment, self.plan.deadline).await?;
                     continue;
                 }
                 Ok(Ok(None)) => {
@@ -51,7 +54,7 @@
                 Ok(Ok(Some(Err(e)))) => return Err(AttemptError::Failed(e.to_string())),
                 Ok(Ok(Some(Ok(bytes)))) => bytes,
             };
-            self.record_first_chunk(a);
+            self.record_first_chunk(engine_response);
             let events = parser.feed(&bytes);
             for event in events.map_err(|_| AttemptError::Failed("an event is too large".into()))? {
                 if event == b"[DONE]" {
@@ -62,11 +65,11 @@
         }
     }
 
-    fn record_first_chunk(&mut self, a: &EngineResponse) {
-        if let Some(span) = self.attempt.begin() {
+    fn record_first_chunk(&mut self, engine_response: &EngineResponse) {
+        if let Some(span) = self.attempt.record_first_byte() {
             let service = self.plan.service.clone();
             histogram!(metric::FIRST_TOKEN, "service" => service).record(span);
-            self.app.record_first_token(&self.plan.service, &a.choice, span);
+            self.app.record_first_token(&self.plan.service, &engine_response.choice, span);
         }
     }
 
@@ -80,12 +83,12 @@
     async fn process_event(&mut self, event: &[u8]) -> Result<(), AttemptError> {
         let mut v: Value = serde_json::from_slice(event)
             .map_err(|e| AttemptError::Failed(format!("an event is not JSON: {e}")))?;
-        if !self.attempt.is_own(v["id"].as_str().unwrap_or_default()) {
+        if !self.attempt.accept_event_id(v["id"].as_str().unwrap_or_default()) {
             return Err(AttemptError::Failed("an event belongs to another answer".into()));
         }
         let usage = event_usage(&v);
         let (text, finish) = event_text(&v);
-        self.attempt.add(text.len(), usage);
+        self.attempt.add_event(text.len(), usage);
         if self.attempt.exceeds_cap() {
             emit!(Event::OutputLimitExceeded, service = self.plan.service, cap = self.attempt.cap);
             return Err(AttemptError::Failed(
@@ -106,17 +109,17 @@
         }
         self.sent_events += 1;
         let chunk = Bytes::from(format!("id: {}\ndata: {v}\n\n", self.sent_events));
-        Ok(self.caller.send(chunk, self.plan.deadline).await?)
+        Ok(self.sender.send_chunk(chunk, self.plan.deadline).await?)
     }
 
-    /// Returns the answer's id for the caller: that of the first attempt, also if another engine
+    /// Returns the answer's id for the client: that of the first attempt, also if another engine
     /// continues the answer.
     fn answer_id(&self) -> &str {
         let first = self.earlier_attempts.iter().chain([&self.attempt]).next();
-        first.and_then(|l| l.engine_id()).unwrap_or_default()
+        first.and_then(|a| a.engine_id()).unwrap_or_default()
     }
 
-    /// Returns the events that end a complete stream: the billed usage, if the caller requested it,
+    /// Returns the events that end a complete stream: the billed usage, if the client requested it,
     /// and `[DONE]`.
     pub(crate) fn stream_end(&self) -> String {
         if !self.plan.request.include_usage {
@@ -139,13 +142,13 @@
     /// Returns the complete answer as a response body that is not streamed.
     pub(crate) fn completion(&self) -> Value {
         let usage = self.usage();
-        let (object, choice) = match self.plan.request.form {
-            Form::Chat => (
+        let (object, choice) = match self.plan.request.api {
+            Api::Chat => (
                 "chat.completion",
                 json!({ "index": 0, "finish_reason": self.finish_reason,
                     "message": { "role": "assistant", "content": self.generated_text } }),
             ),
-            Form::Text => (
+            Api::Text => (
                 "text_completion",
                 json!({ "index": 0, "finish_reason": self.finish_reason, "text": self.generated_text }),
             ),
--- a/crates/router/src/taken.rs
+++ b/crates/router/src/reservation_result.rs
@@ -1,4 +1,4 @@
-//! Results of token reservations and lease requests, and the refusals that callers get for them.
+//! Results of token reservations and lease requests, and the refusals that clients get for them.
 
 use cypressfork_core::budget::{Decision, Reservation, Shortage};
 use cypressfork_core::code::Code;
@@ -15,7 +15,7 @@
 
 /// The grantor of a slice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Source {
+pub enum Grantor {
     /// The control group.
     Group,
     /// The data centre's reserve.
@@ -25,7 +25,7 @@
 /// A reservation of all or some of the requested tokens.
 pub struct PartialReservation {
     /// The reserved tokens and their grantor, if any.
-    pub reserved: Option<(Source, Reservation)>,
+    pub reserved: Option<(Grantor, Reservation)>,
     /// Why some are missing; `None` if all are reserved.
     pub shortfall: Option<Shortfall>,
 }
@@ -39,7 +39,7 @@
     Refused(Code),
 }
 
-/// Returns how long to wait after a shortage, or the refusal for the caller.
+/// Returns how long to wait after a shortage, or the refusal for the client.
 pub fn wait_or_refusal(s: Shortage) -> Result<Millis, Refusal> {
     match s {
         Shortage::Busy(span) => Ok(span),
@@ -53,7 +53,7 @@
     matches!(code, Code::NoQuorum | Code::LinkBroken | Code::NotLeader | Code::QueueFull)
 }
 
-/// Returns the refusal for the caller whose lease request failed with `code`.
+/// Returns the refusal for the client whose lease request failed with `code`.
 pub fn lease_refusal(code: Code) -> Refusal {
     match code {
         Code::AccountClosed => Refusal::from(code),
--- a/crates/router/src/serve.rs
+++ b/crates/router/src/serve.rs
@@ -1,4 +1,4 @@
-//! Dispatches callers' requests by path.
+//! Dispatches clients' requests by path.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,11 +18,11 @@
 use tokio::time::timeout;
 
 use crate::app::App;
-use crate::ask::Form;
-use crate::chat::chat;
-use crate::entry::entry;
+use crate::entry::entry_response;
 use crate::head::{self, Head};
-use crate::plain::{Call, plain};
+use crate::model_handler::handle_model_request;
+use crate::model_request::Api;
+use crate::plain::{Call, handle_call};
 use crate::reply::{REQUEST_ID, Refusal, json_response};
 use crate::trace::Trace;
 
@@ -32,10 +32,10 @@
 /// Retry delay while the router is not ready.
 const NOT_READY_RETRY_AFTER: Millis = Millis::seconds(1);
 
-/// Serves one request of a caller. Counts and logs its result and returns the response.
+/// Serves one request of a client. Counts and logs its result and returns the response.
 pub async fn serve(app: Rc<App>, req: Request) -> Response<Body> {
     let new_id = app.random_u128();
-    let head = head::read(req.headers(), app.settings.head_cap, new_id);
+    let head = head::parse(req.headers(), app.settings.head_cap, new_id);
     let id = head.as_ref().map_or_else(|_| format!("{new_id:032x}"), |h| h.id.clone());
     let path = req.path().to_owned();
     let traceparent = head.as_ref().ok().and_then(|h| h.traceparent.as_deref());
@@ -69,14 +69,14 @@
     match path.as_str() {
         "/v1/entry" => {
             require_method(&req, &Method::GET)?;
-            Ok(entry(app))
+            Ok(entry_response(app))
         }
         "/v1/models" => {
             require_method(&req, &Method::GET)?;
             list_models(app, &head?)
         }
-        "/v1/chat/completions" => serve_model(app, Form::Chat, req, head, trace).await,
-        "/v1/completions" => serve_model(app, Form::Text, req, head, trace).await,
+        "/v1/chat/completions" => serve_model(app, Api::Chat, req, head, trace).await,
+        "/v1/completions" => serve_model(app, Api::Text, req, head, trace).await,
         _ => serve_plain(app, req, head?, trace).await,
     }
 }
@@ -97,7 +97,7 @@
 
 async fn serve_model(
     app: &Rc<App>,
-    form: Form,
+    api: Api,
     req: Request,
     head: Result<Head, Refusal>,
     trace: &Rc<Trace>,
@@ -105,12 +105,12 @@
     require_method(&req, &Method::POST)?;
     let head = head?;
     require_ready(app)?;
-    // Check the caller before reading the body.
-    app.view.borrow().client(&head.key)?;
+    // Check the client before reading the body.
+    app.config.borrow().client_by_key(&head.key)?;
     let span = trace.span("entry");
     let bytes = read_body(req, app.settings.body_cap).await?;
     drop(span);
-    chat(app, form, &head, &bytes, trace).await
+    handle_model_request(app, api, &head, &bytes, trace).await
 }
 
 async fn serve_plain(
@@ -120,21 +120,21 @@
     trace: &Rc<Trace>,
 ) -> Result<Response<Body>, Refusal> {
     require_ready(app)?;
-    let client = app.view.borrow().client(&head.key)?;
-    app.view.borrow().plain(&client, req.path())?;
+    let client = app.config.borrow().client_by_key(&head.key)?;
+    app.config.borrow().plain_service(&client, req.path())?;
     let method = req.method().clone();
     let path = req.uri().path_and_query().map_or("/", |p| p.as_str()).to_owned();
-    let kind = req.headers().get(header::CONTENT_TYPE).cloned();
+    let content_type = req.headers().get(header::CONTENT_TYPE).cloned();
     let body = read_body(req, app.settings.body_cap).await?;
-    plain(app, &head, Call { method, path, kind, body }, trace).await
+    handle_call(app, &head, Call { method, path, content_type, body }, trace).await
 }
 
 fn list_models(app: &App, head: &Head) -> Result<Response<Body>, Refusal> {
     require_ready(app)?;
-    let view = app.view.borrow();
-    let client = view.client(&head.key)?;
-    let data: Vec<_> = view
-        .models(&client)
+    let config = app.config.borrow();
+    let client = config.client_by_key(&head.key)?;
+    let data: Vec<_> = config
+        .model_names(&client)
         .into_iter()
         .map(|m| json!({ "id": m, "object": "model", "owned_by": "cypressfork" }))
         .collect();
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -13,7 +13,7 @@
 pub struct File {
     /// Settings common to all processes.
     pub common: Common,
-    /// Address for callers.
+    /// Address for clients.
     pub listen: String,
     /// Address that is returned to clients by `/v1/entry`; `listen` if not given.
     #[serde(default)]
@@ -44,7 +44,8 @@
     /// Milliseconds between reports to the control group.
     #[serde(default = "tally_default")]
     pub tally_ms: u64,
-    /// Maximum seconds for which a planned stop waits for open streams.
+    /// Maximum seconds for which a graceful shutdown waits for requests to finish and slices to be
+    /// returned.
     #[serde(default = "drain_default")]
     pub drain_s: u64,
 }
@@ -78,7 +79,7 @@
 pub struct Settings {
     /// Settings common to all processes.
     pub base: CheckedCommon,
-    /// Address for callers.
+    /// Address for clients.
     pub listen: SocketAddr,
     /// Address that is returned to clients by `/v1/entry`.
     pub public: SocketAddr,
@@ -95,13 +96,14 @@
     /// Maximum size of request headers in bytes.
     pub head_cap: usize,
     /// How long clients may cache a response of `/v1/entry`.
-    pub entry_keep: Duration,
+    pub entry_max_age: Duration,
     /// Deadline of a request without one of its own.
-    pub deadline: Duration,
+    pub default_deadline: Duration,
     /// Interval between reports to the control group.
-    pub tally: Duration,
-    /// Maximum time for which a planned stop waits for open streams.
-    pub drain: Duration,
+    pub report_interval: Duration,
+    /// Maximum time for which a graceful shutdown waits for requests to finish and slices to be
+    /// returned.
+    pub drain_timeout: Duration,
 }
 
 impl Raw for File {
@@ -123,29 +125,34 @@
             public,
             operators: parse_address("operators", &self.operators)?,
             reserve: self.reserve.as_deref().map(|a| parse_address("reserve", a)).transpose()?,
-            platform: self.platform.map(check_platform).transpose()?,
+            platform: self.platform.map(check_platform_url).transpose()?,
             trace_file: self.trace_file.map(PathBuf::from),
             body_cap: check_range("body_cap", self.body_cap, 1024, 64 * 1024 * 1024)? as usize,
             head_cap: check_range("head_cap", self.head_cap, 1024, 64 * 1024)? as usize,
-            entry_keep: Duration::from_secs(check_range(
+            entry_max_age: Duration::from_secs(check_range(
                 "entry_keep_s",
                 self.entry_keep_s,
                 1,
                 3600,
             )?),
-            deadline: Duration::from_millis(check_range(
+            default_deadline: Duration::from_millis(check_range(
                 "deadline_ms",
                 self.deadline_ms,
                 10,
                 3_600_000,
             )?),
-            tally: Duration::from_millis(check_range("tally_ms", self.tally_ms, 10, 10_000)?),
-            drain: Duration::from_secs(check_range("drain_s", self.drain_s, 1, 86_400)?),
+            report_interval: Duration::from_millis(check_range(
+                "tally_ms",
+                self.tally_ms,
+                10,
+                10_000,
+            )?),
+            drain_timeout: Duration::from_secs(check_range("drain_s", self.drain_s, 1, 86_400)?),
         })
     }
 }
 
-fn check_platform(url: String) -> Result<String, Error> {
+fn check_platform_url(url: String) -> Result<String, Error> {
     let rest = url.strip_prefix("http://").unwrap_or_default();
     let host = rest.split('/').next().unwrap_or_default();
     if host.parse::<SocketAddr>().is_ok() {
