--- a/crates/core/tests/bound.rs
+++ b/crates/core/tests/bound.rs
@@ -19,26 +19,26 @@
     Bound { budget: BUDGET.to_owned(), spent, limit, rate }
 }
 
-fn span(ms: u64) -> Option<Millis> {
+fn some_ms(ms: u64) -> Option<Millis> {
     Some(Millis(ms))
 }
 
 /// Guards against a write-off that underestimates unreported spending. Reports are (seq, after,
 /// bound); `last` and `before` are the ages of the last two.
 #[rstest]
-#[case::nothing_told(&[], (span(0), span(0)), 0)]
-#[case::one_told(&[(1, 0, bound(10, 100, 0))], (span(5_000), span(9_000)), 90)]
-#[case::rate_since_the_last(&[(1, 0, bound(10, 100, 20))], (span(2_000), span(9_000)), 130)]
-#[case::the_one_before_allows_more(
-    &[(1, 0, bound(0, 500, 0)), (2, 1, bound(50, 100, 0))], (span(10), span(20)), 450)]
-#[case::the_rate_of_the_one_before_runs_longer(
-    &[(1, 0, bound(0, 100, 100)), (2, 1, bound(100, 200, 0))], (span(10), span(9_000)), 900)]
+#[case::no_report(&[], (some_ms(0), some_ms(0)), 0)]
+#[case::one_report(&[(1, 0, bound(10, 100, 0))], (some_ms(5_000), some_ms(9_000)), 90)]
+#[case::rate_since_the_last(&[(1, 0, bound(10, 100, 20))], (some_ms(2_000), some_ms(9_000)), 130)]
+#[case::the_previous_report_allows_more(
+    &[(1, 0, bound(0, 500, 0)), (2, 1, bound(50, 100, 0))], (some_ms(10), some_ms(20)), 450)]
+#[case::the_rate_of_the_previous_report_applies_longer(
+    &[(1, 0, bound(0, 100, 100)), (2, 1, bound(100, 200, 0))], (some_ms(10), some_ms(9_000)), 900)]
 #[case::a_late_copy_changes_nothing(
     &[(1, 0, bound(0, 100, 0)), (2, 1, bound(90, 400, 0)), (1, 0, bound(0, 100, 0))],
-    (span(10), span(20)), 310)]
-#[case::an_unanswered_one_keeps_the_one_before(
+    (some_ms(10), some_ms(20)), 310)]
+#[case::an_unanswered_report_keeps_the_previous_one(
     &[(1, 0, bound(0, 700, 0)), (2, 1, bound(0, 100, 0)), (3, 1, bound(50, 100, 0))],
-    (span(10), span(20)), 650)]
+    (some_ms(10), some_ms(20)), 650)]
 #[case::an_unknown_span_frees_nothing(
     &[(1, 0, bound(10, 100, 5))], (None, None), Tokens::MAX - 10)]
 #[case::without_a_rate_the_span_does_not_matter(&[(1, 0, bound(10, 100, 0))], (None, None), 90)]
@@ -86,7 +86,7 @@
 
 /// Guards against a partial reservation that exceeds the limit.
 #[test]
-fn a_part_is_set_aside_where_the_whole_does_not_fit() {
+fn a_partial_reservation_fits_the_limit() {
     let mut sim = Simulation::new();
     sim.request_lease(0, 50_000);
     sim.wait_for_limit(0, 8_000);
@@ -102,7 +102,7 @@
 
 /// Guards against one large request that raises the bound far above the usual spending.
 #[test]
-fn one_large_request_hardly_raises_what_a_death_strands() {
+fn one_large_request_hardly_raises_the_allowance() {
     let policy = policy();
     let mut rate = Rate::default();
     for second in 0..20 {
@@ -124,19 +124,19 @@
 
 /// Guards against an allowance that grows with the budget instead of with idle tokens and spending.
 #[test]
-fn a_holder_with_little_idle_binds_itself_to_little() {
+fn a_holder_with_few_idle_tokens_has_a_small_allowance() {
     let huge = Policy::for_prepaid(1_000_000_000);
     assert_eq!(huge.unreported_allowance(&Rate::default(), 1_600), (100, 100));
 }
 
 /// Guards against a write-off that differs from the amounts announced in its event.
 #[test]
-fn a_write_off_is_told_beforehand() {
+fn a_write_off_matches_its_announcement() {
     let mut sim = Simulation::new();
     sim.request_lease(0, 100_000);
     sim.send_report(0, Delivery::Answered);
     let holder = sim.holders[0].id;
-    let elapsed = Elapsed { last: span(1_000), before: span(1_000) };
+    let elapsed = Elapsed { last: some_ms(1_000), before: some_ms(1_000) };
     let open = sim.open_tokens(0);
     let announced = sim.ledger.write_off_amounts(holder, &elapsed);
     assert_eq!(announced.counted + announced.freed, open);
@@ -161,7 +161,7 @@
     assert!(sim.reserve(0, later).is_some());
 }
 
-/// Guards against a wait that ends before the growing limit allows the request.
+/// Guards against a wait that is too short or too long for the growing limit.
 #[test]
 fn limit_wait_returns_when_the_growing_limit_allows_a_request() {
     let mut sim = Simulation::new();
@@ -199,10 +199,14 @@
     let held = sim.open_tokens(0);
     sim.advance(500);
     sim.replace(0);
-    let f = sim.ledger.get(BUDGET).unwrap();
-    assert_eq!(f.open_tokens(), sim.open_tokens(1), "tokens of the dead holder are still open");
-    assert!(f.spent() >= 3_000);
-    assert!(f.spent() < held / 2, "too few of its {held} tokens were freed");
+    let budget_state = sim.ledger.get(BUDGET).unwrap();
+    assert_eq!(
+        budget_state.open_tokens(),
+        sim.open_tokens(1),
+        "tokens of the dead holder are still open"
+    );
+    assert!(budget_state.spent() >= 3_000);
+    assert!(budget_state.spent() < held / 2, "too few of its {held} tokens were freed");
 }
 
 /// Guards against a repeated registration or write-off command that frees a predecessor's tokens
@@ -242,13 +246,16 @@
     let Answer::Registered(new) = apply(&register(2, 700)) else { panic!() };
     assert_ne!(old, new);
     assert_eq!(apply(&register(2, 700)), Answer::Registered(new), "a resend");
-    let elapsed = Elapsed { last: span(3_000), before: span(9_000) };
+    let elapsed = Elapsed { last: some_ms(3_000), before: some_ms(9_000) };
     let write_off = Command::WriteOff { holder: old, elapsed };
     apply(&write_off);
     apply(&write_off);
     assert_eq!(state.holders_to_write_off().count(), 0);
-    let f = state.ledger().get(BUDGET).unwrap();
-    assert_eq!((f.spent(), f.open_tokens(), f.free()), (23_000, 0, TOTAL - 23_000));
+    let budget_state = state.ledger().get(BUDGET).unwrap();
+    assert_eq!(
+        (budget_state.spent(), budget_state.open_tokens(), budget_state.free()),
+        (23_000, 0, TOTAL - 23_000)
+    );
 }
 
 /// Guards against losing the successor's age, which bounds how long its predecessor ran.
@@ -306,7 +313,7 @@
     now: Time,
     ledger: Ledger,
     holders: Vec<Holder>,
-    ids: u64,
+    last_id: u64,
     consumed: Tokens,
     /// When a report first arrived, by holder and sequence number.
     received_at: BTreeMap<(HolderId, u64), Time>,
@@ -325,7 +332,7 @@
             now: Time(1_000),
             ledger,
             holders: Vec::new(),
-            ids: 0,
+            last_id: 0,
             consumed: 0,
             received_at: BTreeMap::new(),
             delayed: Vec::new(),
@@ -339,8 +346,8 @@
     }
 
     fn new_holder(&mut self) -> Holder {
-        self.ids += 1;
-        let id = HolderId(self.ids);
+        self.last_id += 1;
+        let id = HolderId(self.last_id);
         Holder {
             id,
             slices: SliceStore::new(policy(), 0),
@@ -360,8 +367,8 @@
 
     /// Returns the tokens of the holder's leases that are not reported as spent.
     fn open_tokens(&self, n: usize) -> Tokens {
-        let f = self.ledger.get(BUDGET).unwrap();
-        let own = f.leases().filter(|(_, l)| l.holder == self.holders[n].id);
+        let budget_state = self.ledger.get(BUDGET).unwrap();
+        let own = budget_state.leases().filter(|(_, l)| l.holder == self.holders[n].id);
         own.map(|(_, l)| l.open_tokens()).sum()
     }
 
@@ -372,8 +379,8 @@
         else {
             return;
         };
-        self.ids += 1;
-        let lease = LeaseId { term: 1, index: self.ids };
+        self.last_id += 1;
+        let lease = LeaseId { term: 1, index: self.last_id };
         let decision = self.ledger.request_lease(now, lease, &request).unwrap();
         self.slices(n).apply_decision(request.seq, &decision);
     }
@@ -424,7 +431,7 @@
                 }
                 h.report_seqs.1 = sent.seq;
                 sent.bounds.iter().for_each(|b| h.slices.confirm_bound(now, b));
-                h.waiting.drain(..).for_each(|n| h.slices.remove_limit_demand(n));
+                h.waiting.drain(..).for_each(|tokens| h.slices.remove_limit_demand(tokens));
             }
         }
     }
@@ -453,36 +460,39 @@
             self.settle(n, r, amount);
         }
         let id = self.holders[n].id;
-        let chain = self.ledger.last_reports(id);
+        let last_reports = self.ledger.last_reports(id);
         let since = |seq| match seq {
             0 => Some(Millis(0)),
             seq => self.received_at.get(&(id, seq)).map(|at| self.now.since(*at)),
         };
-        let elapsed = Elapsed { last: since(chain.last.seq), before: since(chain.before.seq) };
+        let elapsed =
+            Elapsed { last: since(last_reports.last.seq), before: since(last_reports.before.seq) };
         self.ledger.write_off(id, &elapsed);
         self.holders[n] = self.new_holder();
     }
 
     /// Asserts that the ledger stays within the budget and covers all consumed and reserved tokens.
     fn assert_invariants(&self) {
-        let f = self.ledger.get(BUDGET).unwrap();
+        let budget_state = self.ledger.get(BUDGET).unwrap();
         assert!(self.ledger.consistent());
-        assert!(f.spent() + f.open_tokens() + f.free() <= TOTAL);
+        assert!(budget_state.spent() + budget_state.open_tokens() + budget_state.free() <= TOTAL);
         let outstanding: Tokens =
             self.holders.iter().flat_map(|h| &h.open).map(Reservation::amount).sum();
         assert!(
-            self.consumed + outstanding <= f.spent() + f.open_tokens(),
+            self.consumed + outstanding <= budget_state.spent() + budget_state.open_tokens(),
             "{} consumed and {outstanding} reserved, {} spent and {} open",
             self.consumed,
-            f.spent(),
-            f.open_tokens()
+            budget_state.spent(),
+            budget_state.open_tokens()
         );
     }
 }
 
+/// An event of the simulation; a `usize` is the index of a holder.
 #[derive(Clone, Debug)]
 enum Step {
     Reserve(usize, Tokens),
+    /// Settles the latest reservation; the `u8` is the used part of it, in 255ths.
     Settle(usize, u8),
     RequestLease(usize, Tokens),
     SendReport(usize, Delivery),
@@ -547,11 +557,11 @@
 /// Guards against a report rate that overloads the grantor. Times are in milliseconds.
 #[rstest]
 #[case::few(7, 1_000, 250)]
-#[case::some_seventy(70, 1_000, 250)]
+#[case::seventy(70, 1_000, 250)]
 #[case::more(140, 1_000, 500)]
 #[case::many(691, 1_000, 1_000)]
 #[case::none_known_yet(0, 1_000, 250)]
-#[case::a_setting_that_is_shorter_stands(7, 50, 50)]
+#[case::a_shorter_setting_applies(7, 50, 50)]
 fn fewer_holders_report_more_often(
     #[case] holders: u64,
     #[case] max_interval: u64,
--- a/crates/core/tests/cold.rs
+++ b/crates/core/tests/cold.rs
@@ -92,8 +92,8 @@
             .random_range(0..if busy_gateway { load.gateways.div_ceil(10) } else { load.gateways });
         let prefix = if rng.random_range(0..load.hot) == 0 { 0 } else { rng.random_range(1..800) };
         let prefixes = PromptPrefixes::from_sized_parts([(prefix, 13_000), (1 << 40 | ms, 3_700)]);
-        let work = RequestProfile { prefixes, ..RequestProfile::default() };
-        let Some(c) = pools[g].choose(now, "a", &work, &[], &mut rng) else {
+        let profile = RequestProfile { prefixes, ..RequestProfile::default() };
+        let Some(c) = pools[g].choose(now, "a", &profile, &[], &mut rng) else {
             refused += 1;
             continue;
         };
@@ -111,7 +111,7 @@
 
 /// Checks that the simulated load overloads a cold replica if there is no rate limit.
 #[test]
-fn the_pattern_breaks_the_promise_without_a_bound() {
+fn the_load_overloads_a_cold_replica_without_a_rate_limit() {
     let worst = (0..20).map(|seed| run(&FULL_LOAD, None, seed).peak).max();
     let all_cold = Load { cold: 140, ..FULL_LOAD };
     let worst = worst.max((0..3).map(|seed| run(&all_cold, None, seed).peak).max());
@@ -127,7 +127,7 @@
 #[case::few_replicas(Load { replicas: 12, cold: 4, per_second: 150, ..FULL_LOAD })]
 #[case::few_replicas_all_cold(Load { replicas: 3, cold: 3, per_second: 184, ..FULL_LOAD })]
 #[case::twice_the_traffic(Load { per_second: 808, ..FULL_LOAD })]
-fn a_cold_replica_gets_no_more_than_it_bears(#[case] load: Load) {
+fn a_cold_replica_is_not_overloaded(#[case] load: Load) {
     for seed in 0..20 {
         let result = run(&load, Some(COLD_RATE_LIMIT), seed);
         assert!(result.peak <= MAX_PER_SECOND, "seed {seed}: {result:?}");
@@ -148,18 +148,18 @@
 
 /// Guards against a replica that stays limited after it has become warm.
 #[test]
-fn a_replica_gets_its_prompts_again_once_it_is_warm() {
+fn a_warm_replica_is_no_longer_limited() {
     let load = Load { gateways: 70, replicas: 3, cold: 1, per_second: 0, hot: 1 };
     let mut pool = gateways(&load, Some(COLD_RATE_LIMIT)).remove(0);
     let mut rng = SmallRng::seed_from_u64(1);
     let mut served = |now: u64| -> Vec<_> {
         let replicas = (0..60).map(|n| {
-            let work = RequestProfile {
+            let profile = RequestProfile {
                 prefixes: PromptPrefixes::from_sized_parts([(now + n, 9_000), (99, 1)]),
                 ..RequestProfile::default()
             };
             let at = Time(now + 20 * n);
-            let c = pool.choose(at, "a", &work, &[], &mut rng).unwrap();
+            let c = pool.choose(at, "a", &profile, &[], &mut rng).unwrap();
             pool.finish(at, &c, false);
             c.address
         });
--- a/crates/core/tests/evacuation.rs
+++ b/crates/core/tests/evacuation.rs
@@ -26,7 +26,7 @@
 #[case::withdrawn(&[("a", true), ("b", true), ("a", false)], 3, &["b"])]
 #[case::withdrawn_twice(&[("a", true), ("a", false), ("a", false)], 2, &[])]
 #[case::never_ordered(&[("a", false)], 0, &[])]
-fn orders_in_the_log(
+fn orders_set_the_evacuated_data_centres(
     #[case] orders: &[(&str, bool)],
     #[case] revision: u64,
     #[case] evacuated: &[&str],
@@ -43,7 +43,7 @@
 
 /// Guards against an older revision from a lagging control process that replaces a newer one.
 #[test]
-fn a_follower_keeps_the_newest_word() {
+fn an_older_revision_does_not_replace_a_newer_one() {
     let old = Evacuations { revision: 4, data_centres: names(&["a"]) };
     let new = Evacuations { revision: 9, data_centres: names(&[]) };
     let mut current = Evacuations::default();
@@ -64,8 +64,8 @@
     let mut used = BTreeSet::new();
     for n in 0..400_u64 {
         let prefixes = PromptPrefixes::from_sized_parts([(n % 40, 13_000), (1_000 + n, 3_000)]);
-        let work = RequestProfile { prefixes, ..RequestProfile::default() };
-        let Some(c) = pool.choose(Time(n * 10), "a", &work, &[], &mut rng) else { continue };
+        let profile = RequestProfile { prefixes, ..RequestProfile::default() };
+        let Some(c) = pool.choose(Time(n * 10), "a", &profile, &[], &mut rng) else { continue };
         used.insert(pool.get(c.address).unwrap().upstream.vm.data_centre.clone());
         pool.finish(Time(n * 10 + 5), &c, false);
     }
--- a/crates/core/tests/lateness.rs
+++ b/crates/core/tests/lateness.rs
@@ -15,24 +15,25 @@
 #[case::waited_at_the_gateway([50, 400, 100, 0, 0], Some(LateCause::Gateway))]
 #[case::the_replica_was_slow([100, 0, 401, 0, 0], Some(LateCause::FirstEvent))]
 #[case::it_paused([0, 0, 100, 401, 0], Some(LateCause::Pause))]
-#[case::passed_on_late([0, 0, 100, 300, 101], Some(LateCause::Forwarding))]
+#[case::forwarded_late([0, 0, 100, 300, 101], Some(LateCause::Forwarding))]
 #[case::a_late_start_counts_before_a_pause([0, 0, 501, 600, 0], Some(LateCause::FirstEvent))]
 fn a_late_stream_has_a_cause(#[case] ms: [u64; 5], #[case] expected: Option<LateCause>) {
     let [reservation, gateway, first_event, pause, forwarding] = ms.map(Duration::from_millis);
-    let spans = LatencyBreakdown { reservation, gateway, first_event, pause, forwarding };
+    let breakdown = LatencyBreakdown { reservation, gateway, first_event, pause, forwarding };
     let objective = LatencyObjective {
         first_event: Duration::from_millis(500),
         max_pause: Some(Duration::from_millis(400)),
     };
-    assert_eq!(late_cause(&spans, &objective), expected);
+    assert_eq!(late_cause(&breakdown, &objective), expected);
 }
 
 #[test]
 fn a_route_without_a_pause_objective_accepts_any_pause() {
-    let spans = LatencyBreakdown { pause: Duration::from_secs(9), ..LatencyBreakdown::default() };
+    let breakdown =
+        LatencyBreakdown { pause: Duration::from_secs(9), ..LatencyBreakdown::default() };
     assert_eq!(
         late_cause(
-            &spans,
+            &breakdown,
             &LatencyObjective { first_event: Duration::from_secs(1), max_pause: None }
         ),
         None
--- a/crates/core/tests/loans.rs
+++ b/crates/core/tests/loans.rs
@@ -80,7 +80,7 @@
     running: Vec<Run>,
     /// Tokens that requests have actually used, by home.
     used: Vec<Tokens>,
-    ids: u64,
+    last_id: u64,
 }
 
 #[derive(Clone, Debug)]
@@ -132,8 +132,8 @@
     }
 
     fn borrow(&mut self, home: usize, wanted: Tokens, answered: bool) {
-        self.ids += 1;
-        let id = self.ids;
+        self.last_id += 1;
+        let id = self.last_id;
         let request = Message::Hold { id, wanted };
         self.sent.push((home, request));
         if !answered {
@@ -218,11 +218,11 @@
 
     /// Guards against overspending and lost tokens under message faults and crashes.
     #[test]
-    fn no_order_of_messages_uses_more_than_was_set_aside(steps in prop::collection::vec(step(), 1..150)) {
-        let mut w = Simulation::new();
+    fn no_order_of_messages_uses_more_than_was_reserved(steps in prop::collection::vec(step(), 1..150)) {
+        let mut sim = Simulation::new();
         for s in &steps {
-            w.step(s);
-            w.check_invariants();
+            sim.step(s);
+            sim.check_invariants();
         }
     }
 }
