--- a/crates/core/tests/escrow.rs
+++ b/crates/core/tests/escrow.rs
@@ -6,18 +6,24 @@
 use cypressfork_core::budget::Shortage;
 use cypressfork_core::unit::{Millis, Time};
 use rstest::rstest;
-use support::escrow::{Escrow, Step};
+use support::escrow::{Escrow, MessageKind};
 
 const TOTAL: u64 = 10_000;
 
-/// Guards against overspending and stranded tokens when a message of the exchange is lost.
+/// Guards against overspending and stranded tokens when a message is lost.
 #[rstest]
-fn a_lost_message_costs_nothing(
-    #[values(Step::AskSent, Step::AskAnswered, Step::ReportSent, Step::ReportAnswered)] step: Step,
+fn a_lost_message_strands_no_tokens(
+    #[values(
+        MessageKind::Request,
+        MessageKind::RequestAnswer,
+        MessageKind::Report,
+        MessageKind::ReportAnswer
+    )]
+    kind: MessageKind,
     #[values(1, 3)] times: u32,
 ) {
     let mut e = Escrow::new(TOTAL, 2);
-    e.drop_messages(step, times);
+    e.drop_messages(kind, times);
     for n in 0..40 {
         e.spend(n % 2, 100, 90);
         e.exchange();
@@ -32,10 +38,16 @@
 /// Guards against counting a duplicate or reordered message.
 #[rstest]
 fn a_doubled_or_late_message_changes_nothing(
-    #[values(Step::AskSent, Step::AskAnswered, Step::ReportSent, Step::ReportAnswered)] step: Step,
+    #[values(
+        MessageKind::Request,
+        MessageKind::RequestAnswer,
+        MessageKind::Report,
+        MessageKind::ReportAnswer
+    )]
+    kind: MessageKind,
 ) {
     let mut e = Escrow::new(TOTAL, 2);
-    e.duplicate_messages(step);
+    e.duplicate_messages(kind);
     for n in 0..40 {
         e.spend(n % 2, 100, 90);
         e.exchange();
@@ -52,7 +64,7 @@
 #[test]
 fn a_grant_that_is_asked_for_again_is_one_lease() {
     let mut e = Escrow::new(TOTAL, 1);
-    e.drop_messages(Step::AskAnswered, 1);
+    e.drop_messages(MessageKind::RequestAnswer, 1);
     e.spend(0, 500, 500);
     e.exchange();
     let open = e.ledger_open();
@@ -98,7 +110,7 @@
     e.exchange();
     e.return_all();
     e.assert_invariants();
-    assert_eq!(e.stranded_or_open(), held);
+    assert_eq!(e.ledger_open(), held);
 }
 
 /// Guards against new reservations on leases that ended while the router was paused; a running
@@ -124,7 +136,7 @@
 /// Guards against a holder that starts requests on a lease that has ended at its grantor, with
 /// clocks up to 10% fast or slow.
 #[rstest]
-fn a_holder_stops_before_its_grantor_gives_up(
+fn a_lease_ends_at_its_holder_before_its_grantor(
     #[values(90, 100, 110)] holder: u64,
     #[values(90, 100, 110)] grantor: u64,
 ) {
@@ -153,7 +165,8 @@
     assert_eq!(e.ledger_open(), 0);
 }
 
-/// Guards against counting figures outside the grant.
+/// Guards against a report that uses or keeps more tokens than were granted, or keeps fewer than it
+/// used.
 #[rstest]
 #[case::used_above_keep(700, 600, 600)]
 #[case::keep_above_grant(10, 1_000_000, 10)]
@@ -168,10 +181,10 @@
 
 /// Guards against refusing a request of 900 tokens while 8 routers hold 1,000 idle ones.
 #[test]
-fn scattered_tokens_are_called_back_before_a_refusal() {
+fn idle_tokens_are_recalled_before_a_refusal() {
     let mut e = Escrow::new(1_000, 8);
     for n in 0..8 {
-        e.force_slice(n, 125);
+        e.lease_exactly(n, 125);
     }
     assert_eq!(e.ledger_free(), 0);
     let (_, waited) = e.reserve_with_recalls(3, 900, Millis(1_000)).expect("idle tokens suffice");
@@ -184,13 +197,13 @@
 fn a_refusal_comes_only_when_what_is_reachable_is_too_little() {
     let mut e = Escrow::new(1_000, 4);
     for n in 0..4 {
-        e.force_slice(n, 250);
+        e.lease_exactly(n, 250);
     }
-    let busy = e.reserve(0, 200).expect("fits its slice");
+    let running = e.reserve(0, 200).expect("fits its slice");
     let timeout = Millis(3_000);
     let waiting = e.reserve_with_recalls(1, 900, timeout).map(|_| ());
     assert_eq!(waiting, Err(Shortage::Busy(Millis(250))), "a running request may return tokens");
-    e.settle(0, busy, 0);
+    e.settle(0, running, 0);
     e.exchange();
     assert!(
         e.reserve_with_recalls(1, 900, timeout).is_ok(),
@@ -206,7 +219,7 @@
 #[test]
 fn a_holder_that_does_not_answer_is_not_waited_for() {
     let mut e = Escrow::new(1_000, 2);
-    e.force_slice(0, 600);
+    e.lease_exactly(0, 600);
     e.kill(0);
     let start = e.now();
     let refused = e.reserve_with_recalls(1, 900, Millis::seconds(60)).map(|_| ());
@@ -217,9 +230,9 @@
 
 /// Guards against a large request that blocks small ones for longer than the recall timeout.
 #[test]
-fn a_recall_keeps_others_out_for_a_second_only() {
+fn a_recall_blocks_other_requests_for_a_limited_time() {
     let mut e = Escrow::new(1_000, 3);
-    e.force_slice(0, 600);
+    e.lease_exactly(0, 600);
     let running = e.reserve(0, 600).expect("fits its slice");
     assert!(e.reserve_with_recalls(1, 900, Millis(500)).is_err());
     assert_eq!(
@@ -236,9 +249,9 @@
 /// Guards against a request that exceeds all open tokens waiting for another request's recall
 /// instead of being refused at once.
 #[test]
-fn an_ask_that_nothing_can_meet_does_not_wait_for_a_recall() {
+fn a_request_above_all_open_tokens_does_not_wait_for_a_recall() {
     let mut e = Escrow::new(1_000, 3);
-    e.force_slice(0, 600);
+    e.lease_exactly(0, 600);
     e.reserve(0, 600).expect("fits its slice");
     assert_eq!(e.request_lease(1, 900), Err(Shortage::Busy(Millis(50))), "the recall starts");
     assert_eq!(e.request_lease(2, 1_001), Err(Shortage::Spent));
@@ -248,7 +261,7 @@
 #[test]
 fn a_recall_ends_with_its_refusal() {
     let mut e = Escrow::new(1_000, 3);
-    e.force_slice(0, 600);
+    e.lease_exactly(0, 600);
     let running = e.reserve(0, 600).expect("fits its slice");
     assert_eq!(e.request_lease(1, 900), Err(Shortage::Busy(Millis(50))), "the recall starts");
     e.settle(0, running, 600);
@@ -260,7 +273,7 @@
 
 /// Guards against a refusal that outlasts a top-up.
 #[test]
-fn a_top_up_in_the_moment_of_refusal_lets_the_next_ask_through() {
+fn a_request_after_a_top_up_is_granted() {
     let mut e = Escrow::new(100, 1);
     let timeout = Millis(1_000);
     assert_eq!(e.reserve_with_recalls(0, 500, timeout).map(|_| ()), Err(Shortage::Spent));
@@ -270,10 +283,10 @@
 
 /// Guards against granting from a budget that was cut below its open leases.
 #[test]
-fn a_budget_cut_below_what_is_leased_grants_no_more_and_calls_back() {
+fn a_budget_cut_below_its_leases_grants_nothing_and_recalls_idle_tokens() {
     let mut e = Escrow::new(TOTAL, 4);
     for n in 0..4 {
-        e.force_slice(n, 2_000);
+        e.lease_exactly(n, 2_000);
     }
     e.spend(0, 500, 500);
     e.fund(1_000);
@@ -293,7 +306,7 @@
     for budget in [4_000, 1_000, 400] {
         e = Escrow::new(budget, 8);
         for n in 0..8 {
-            e.force_slice(n, 10);
+            e.lease_exactly(n, 10);
         }
         let got = e.request_lease(0, 10).map(|g| g.amount).unwrap();
         assert!(got < last, "{got} of {budget}");
--- a/crates/core/tests/escrow_levels.rs
+++ b/crates/core/tests/escrow_levels.rs
@@ -27,7 +27,7 @@
 /// A region: a holder of home leases that grants leases to its routers.
 struct Region {
     holder: HolderId,
-    region: RegionLedger,
+    region_ledger: RegionLedger,
     routers: Vec<Router>,
     seq: u64,
     /// Whether the region cannot reach the home group.
@@ -45,46 +45,52 @@
 /// The home group's ledger, the regions and the messages in flight.
 struct Simulation {
     home: Ledger,
-    sites: Vec<Region>,
+    regions: Vec<Region>,
     now: Time,
-    index: u64,
-    holders: u64,
+    last_lease_index: u64,
+    last_holder_id: u64,
     funded: u64,
     consumed: u64,
     in_flight: VecDeque<Message>,
 }
 
+/// An event of the simulation; `region` and `router` are indexes.
 #[derive(Clone, Debug)]
 enum Step {
     Advance(u64),
-    Request { site: usize, router: usize, bound: u64, used: u64 },
-    Report { site: usize, router: usize },
-    Recall { site: usize, router: usize },
-    RequestAllotment { site: usize, want: u64 },
-    ReturnTokens { site: usize, tokens: u64 },
-    ReportToHome { site: usize, lost: bool },
-    Disconnect { site: usize, disconnected: bool },
-    Restart { site: usize, router: usize },
+    Request { region: usize, router: usize, tokens: u64, used: u64 },
+    Report { region: usize, router: usize },
+    Recall { region: usize, router: usize },
+    RequestAllotment { region: usize, want: u64 },
+    ReturnTokens { region: usize, tokens: u64 },
+    ReportToHome { region: usize, lost: bool },
+    Disconnect { region: usize, disconnected: bool },
+    Restart { region: usize, router: usize },
     TopUp(u64),
     Deliver { index: usize, duplicate: bool },
     Drop { index: usize },
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let site = || 0..REGIONS;
+    let region = || 0..REGIONS;
     let router = || 0..ROUTERS;
     prop_oneof![
         2 => (1u64..20_000).prop_map(Step::Advance),
-        8 => (site(), router(), 1u64..400, 0u64..500)
-            .prop_map(|(site, router, bound, used)| Step::Request { site, router, bound, used }),
-        4 => (site(), router()).prop_map(|(site, router)| Step::Report { site, router }),
-        1 => (site(), router()).prop_map(|(site, router)| Step::Recall { site, router }),
-        3 => (site(), 1u64..3_000).prop_map(|(site, want)| Step::RequestAllotment { site, want }),
-        1 => (site(), 1u64..3_000).prop_map(|(site, tokens)| Step::ReturnTokens { site, tokens }),
-        2 => (site(), any::<bool>()).prop_map(|(site, lost)| Step::ReportToHome { site, lost }),
-        1 => (site(), any::<bool>())
-            .prop_map(|(site, disconnected)| Step::Disconnect { site, disconnected }),
-        1 => (site(), router()).prop_map(|(site, router)| Step::Restart { site, router }),
+        8 => (region(), router(), 1u64..400, 0u64..500)
+            .prop_map(|(region, router, tokens, used)| {
+                Step::Request { region, router, tokens, used }
+            }),
+        4 => (region(), router()).prop_map(|(region, router)| Step::Report { region, router }),
+        1 => (region(), router()).prop_map(|(region, router)| Step::Recall { region, router }),
+        3 => (region(), 1u64..3_000)
+            .prop_map(|(region, want)| Step::RequestAllotment { region, want }),
+        1 => (region(), 1u64..3_000)
+            .prop_map(|(region, tokens)| Step::ReturnTokens { region, tokens }),
+        2 => (region(), any::<bool>())
+            .prop_map(|(region, lost)| Step::ReportToHome { region, lost }),
+        1 => (region(), any::<bool>())
+            .prop_map(|(region, disconnected)| Step::Disconnect { region, disconnected }),
+        1 => (region(), router()).prop_map(|(region, router)| Step::Restart { region, router }),
         1 => (1u64..500).prop_map(Step::TopUp),
         12 => (any::<usize>(), prop::bool::weighted(0.2))
             .prop_map(|(index, duplicate)| Step::Deliver { index, duplicate }),
@@ -98,10 +104,10 @@
         home.fund(BUDGET, funded, policy());
         let mut sim = Simulation {
             home,
-            sites: Vec::new(),
+            regions: Vec::new(),
             now: Time(1_000),
-            index: 0,
-            holders: 0,
+            last_lease_index: 0,
+            last_holder_id: 0,
             funded,
             consumed: 0,
             in_flight: VecDeque::new(),
@@ -109,16 +115,22 @@
         for _ in 0..REGIONS {
             let holder = sim.new_holder();
             let routers = (0..ROUTERS).map(|_| sim.new_router()).collect();
-            let region = RegionLedger::default();
-            sim.sites.push(Region { holder, region, routers, seq: 0, disconnected: false });
+            let region_ledger = RegionLedger::default();
+            sim.regions.push(Region {
+                holder,
+                region_ledger,
+                routers,
+                seq: 0,
+                disconnected: false,
+            });
         }
         sim
     }
 
     /// Returns an unused holder id.
     fn new_holder(&mut self) -> HolderId {
-        self.holders += 1;
-        HolderId(self.holders)
+        self.last_holder_id += 1;
+        HolderId(self.last_holder_id)
     }
 
     fn new_router(&mut self) -> Router {
@@ -127,27 +139,33 @@
 
     /// Returns an unused lease id.
     fn next_lease_id(&mut self) -> LeaseId {
-        self.index += 1;
-        LeaseId { term: 1, index: self.index }
+        self.last_lease_index += 1;
+        LeaseId { term: 1, index: self.last_lease_index }
     }
 
     /// Applies a step and checks the invariants.
     fn apply(&mut self, s: Step) {
         match s {
             Step::Advance(ms) => self.now = self.now.after(Millis(ms)),
-            Step::Request { site, router, bound, used } => self.request(site, router, bound, used),
-            Step::Report { site, router } => self.send_report(site, router),
-            Step::Recall { site, router } => {
-                self.sites[site].routers[router].slices.return_idle();
-                self.send_report(site, router);
+            Step::Request { region, router, tokens, used } => {
+                self.request(region, router, tokens, used)
             }
-            Step::RequestAllotment { site, want } => self.request_allotment(site, want),
-            Step::ReturnTokens { site, tokens } => {
-                self.sites[site].region.give_back(BUDGET, tokens)
+            Step::Report { region, router } => self.send_report(region, router),
+            Step::Recall { region, router } => {
+                self.regions[region].routers[router].slices.return_idle();
+                self.send_report(region, router);
+            }
+            Step::RequestAllotment { region, want } => self.request_allotment(region, want),
+            Step::ReturnTokens { region, tokens } => {
+                self.regions[region].region_ledger.give_back(BUDGET, tokens)
+            }
+            Step::ReportToHome { region, lost } => self.report_to_home(region, lost),
+            Step::Disconnect { region, disconnected } => {
+                self.regions[region].disconnected = disconnected
+            }
+            Step::Restart { region, router } => {
+                self.regions[region].routers[router] = self.new_router()
             }
-            Step::ReportToHome { site, lost } => self.report_to_home(site, lost),
-            Step::Disconnect { site, disconnected } => self.sites[site].disconnected = disconnected,
-            Step::Restart { site, router } => self.sites[site].routers[router] = self.new_router(),
             Step::TopUp(n) => {
                 self.funded += n;
                 self.home.fund(BUDGET, self.funded, policy());
@@ -162,50 +180,50 @@
     }
 
     /// Serves a request from the router's slices, or requests a lease if they do not suffice.
-    fn request(&mut self, site: usize, router: usize, bound: u64, used: u64) {
+    fn request(&mut self, region: usize, router: usize, tokens: u64, used: u64) {
         let now = self.now;
-        let r = &mut self.sites[site].routers[router];
-        if let Some(held) = r.slices.reserve(now, bound) {
+        let r = &mut self.regions[region].routers[router];
+        if let Some(held) = r.slices.reserve(now, tokens) {
             // Settling caps the used tokens at the reservation.
             self.consumed += r.slices.settle(now, held, used);
-        } else if let Some(request) = r.slices.next_request(now, r.holder, BUDGET, bound) {
-            self.in_flight.push_back(Message::Request(site, router, request));
+        } else if let Some(request) = r.slices.next_request(now, r.holder, BUDGET, tokens) {
+            self.in_flight.push_back(Message::Request(region, router, request));
         }
     }
 
-    fn send_report(&mut self, site: usize, router: usize) {
-        let r = &mut self.sites[site].routers[router];
+    fn send_report(&mut self, region: usize, router: usize) {
+        let r = &mut self.regions[region].routers[router];
         r.slices.return_excess(self.now);
         let reports = r.slices.reports(self.now);
-        self.in_flight.push_back(Message::Report(site, router, r.holder, self.now, reports));
+        self.in_flight.push_back(Message::Report(region, router, r.holder, self.now, reports));
     }
 
     /// Requests an allotment from the home group.
-    fn request_allotment(&mut self, site: usize, want: u64) {
-        let s = &mut self.sites[site];
-        if s.disconnected {
+    fn request_allotment(&mut self, region: usize, want: u64) {
+        let r = &mut self.regions[region];
+        if r.disconnected {
             return;
         }
         let request =
-            LeaseRequest { holder: s.holder, budget: BUDGET.into(), seq: s.seq + 1, need: 1, want };
+            LeaseRequest { holder: r.holder, budget: BUDGET.into(), seq: r.seq + 1, need: 1, want };
         let id = self.next_lease_id();
         if let Some(Ok(g)) = self.home.request_lease(self.now, id, &request) {
-            let s = &mut self.sites[site];
-            s.seq += 1;
-            s.region.add_allotment(BUDGET, &g, policy());
+            let r = &mut self.regions[region];
+            r.seq += 1;
+            r.region_ledger.add_allotment(BUDGET, &g, policy());
         }
     }
 
     /// Reports the region's spending to the home group; `lost` loses the answer.
-    fn report_to_home(&mut self, site: usize, lost: bool) {
-        if self.sites[site].disconnected {
+    fn report_to_home(&mut self, region: usize, lost: bool) {
+        if self.regions[region].disconnected {
             return;
         }
-        let (now, s) = (self.now, &mut self.sites[site]);
-        for r in s.region.reports(BUDGET) {
-            let known = self.home.apply_report(now, s.holder, &r);
+        let (now, r) = (self.now, &mut self.regions[region]);
+        for report in r.region_ledger.reports(BUDGET) {
+            let known = self.home.apply_report(now, r.holder, &report);
             if known && !lost {
-                s.region.acknowledge(BUDGET, &r);
+                r.region_ledger.acknowledge(BUDGET, &report);
             }
         }
     }
@@ -216,40 +234,42 @@
             return;
         }
         let at = index % self.in_flight.len();
-        let Some(p) = self.in_flight.remove(at) else { return };
-        let answer = self.handle(&p);
+        let Some(message) = self.in_flight.remove(at) else { return };
+        let answer = self.handle(&message);
         self.in_flight.extend(answer);
         if duplicate {
-            self.in_flight.push_back(p);
+            self.in_flight.push_back(message);
         }
     }
 
     /// Processes a message. Returns the answer.
-    fn handle(&mut self, p: &Message) -> Option<Message> {
+    fn handle(&mut self, message: &Message) -> Option<Message> {
         let now = self.now;
-        match p {
-            Message::Request(site, router, request) => {
+        match message {
+            Message::Request(region, router, request) => {
                 let id = self.next_lease_id();
-                let d = self.sites[*site].region.request_lease(now, id, request)?;
-                Some(Message::Answer(*site, *router, request.seq, d))
+                let d = self.regions[*region].region_ledger.request_lease(now, id, request)?;
+                Some(Message::Answer(*region, *router, request.seq, d))
             }
-            Message::Answer(site, router, seq, d) => {
+            Message::Answer(region, router, seq, d) => {
                 // An answer to a replaced process is dropped.
-                let holder = self.sites[*site].routers[*router].holder;
+                let holder = self.regions[*region].routers[*router].holder;
                 let lease = d.ok().map(|g| g.lease);
-                if lease.is_none_or(|l| self.leased_to(*site, l) == Some(holder)) {
-                    self.sites[*site].routers[*router].slices.apply_decision(*seq, d);
+                if lease.is_none_or(|l| self.leased_to(*region, l) == Some(holder)) {
+                    self.regions[*region].routers[*router].slices.apply_decision(*seq, d);
                 }
                 None
             }
-            Message::Report(site, router, holder, sent, reports) => {
-                let region = &mut self.sites[*site].region;
-                let acks =
-                    reports.iter().map(|r| (*r, region.apply_report(now, *holder, r))).collect();
-                Some(Message::Ack(*site, *router, *holder, *sent, acks))
+            Message::Report(region, router, holder, sent, reports) => {
+                let region_ledger = &mut self.regions[*region].region_ledger;
+                let acks = reports
+                    .iter()
+                    .map(|r| (*r, region_ledger.apply_report(now, *holder, r)))
+                    .collect();
+                Some(Message::Ack(*region, *router, *holder, *sent, acks))
             }
-            Message::Ack(site, router, holder, sent, acks) => {
-                let r = &mut self.sites[*site].routers[*router];
+            Message::Ack(region, router, holder, sent, acks) => {
+                let r = &mut self.regions[*region].routers[*router];
                 if r.holder == *holder {
                     acks.iter().for_each(|(rep, known)| r.slices.acknowledge(*sent, rep, *known));
                 }
@@ -258,9 +278,9 @@
         }
     }
 
-    fn leased_to(&self, site: usize, lease: LeaseId) -> Option<HolderId> {
-        let f = self.sites[site].region.ledger().get(BUDGET)?;
-        f.leases().find(|(id, _)| **id == lease).map(|(_, l)| l.holder)
+    fn leased_to(&self, region: usize, lease: LeaseId) -> Option<HolderId> {
+        let budget_state = self.regions[region].region_ledger.ledger().get(BUDGET)?;
+        budget_state.leases().find(|(id, _)| **id == lease).map(|(_, l)| l.holder)
     }
 
     /// Asserts that nothing is overspent and all ledgers are consistent.
@@ -269,27 +289,27 @@
         assert!(self.home.consistent());
         let home = self.home.get(BUDGET).unwrap();
         assert!(home.spent() <= self.consumed, "the home ledger counts more than was consumed");
-        for s in &self.sites {
-            assert!(s.region.ledger().consistent());
+        for r in &self.regions {
+            assert!(r.region_ledger.ledger().consistent());
         }
     }
 
     /// Reconnects all regions, and lets routers and regions return their tokens.
     fn return_all(&mut self) {
         self.in_flight.clear();
-        for site in 0..REGIONS {
-            self.sites[site].disconnected = false;
+        for region in 0..REGIONS {
+            self.regions[region].disconnected = false;
             for _ in 0..4 {
                 for router in 0..ROUTERS {
-                    self.sites[site].routers[router].slices.return_idle();
-                    self.send_report(site, router);
+                    self.regions[region].routers[router].slices.return_idle();
+                    self.send_report(region, router);
                 }
                 while !self.in_flight.is_empty() {
                     self.deliver(0, false);
                 }
             }
-            self.sites[site].region.give_back(BUDGET, u64::MAX);
-            self.report_to_home(site, false);
+            self.regions[region].region_ledger.give_back(BUDGET, u64::MAX);
+            self.report_to_home(region, false);
         }
         self.assert_invariants();
     }
@@ -323,25 +343,25 @@
 
 /// Guards against a disconnected region that stops early or spends more than its allotment.
 #[test]
-fn a_region_cut_off_lives_on_its_allotment_and_no_longer() {
+fn a_disconnected_region_spends_its_allotment_and_no_more() {
     let mut sim = Simulation::new(10_000);
-    sim.apply(Step::RequestAllotment { site: 0, want: 2_000 });
-    sim.apply(Step::RequestAllotment { site: 1, want: 2_000 });
-    sim.apply(Step::Disconnect { site: 0, disconnected: true });
+    sim.apply(Step::RequestAllotment { region: 0, want: 2_000 });
+    sim.apply(Step::RequestAllotment { region: 1, want: 2_000 });
+    sim.apply(Step::Disconnect { region: 0, disconnected: true });
     for n in 0..400 {
         sim.apply(Step::Advance(60_000));
-        for site in 0..REGIONS {
+        for region in 0..REGIONS {
             let router = n % ROUTERS;
-            sim.apply(Step::Request { site, router, bound: 50, used: 50 });
-            sim.apply(Step::Recall { site, router });
+            sim.apply(Step::Request { region, router, tokens: 50, used: 50 });
+            sim.apply(Step::Recall { region, router });
             while !sim.in_flight.is_empty() {
                 sim.apply(Step::Deliver { index: 0, duplicate: false });
             }
         }
-        sim.apply(Step::RequestAllotment { site: 1, want: 2_000 });
+        sim.apply(Step::RequestAllotment { region: 1, want: 2_000 });
     }
-    let spent = |sim: &Simulation, site: usize| {
-        sim.sites[site].region.ledger().get(BUDGET).unwrap().spent()
+    let spent = |sim: &Simulation, region: usize| {
+        sim.regions[region].region_ledger.ledger().get(BUDGET).unwrap().spent()
     };
     let allotted = 2_000;
     assert!(spent(&sim, 0) <= allotted && spent(&sim, 0) > allotted - 100, "{}", spent(&sim, 0));
--- a/crates/core/tests/support/escrow.rs
+++ b/crates/core/tests/support/escrow.rs
@@ -7,13 +7,13 @@
 
 pub const BUDGET: &str = "club-talk";
 
-/// A message of the exchange between a router and the ledger.
+/// A kind of message between a router and the ledger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
-    AskSent,
-    AskAnswered,
-    ReportSent,
-    ReportAnswered,
+pub enum MessageKind {
+    Request,
+    RequestAnswer,
+    Report,
+    ReportAnswer,
 }
 
 /// A copy of a delivered message, for a second delivery.
@@ -25,7 +25,7 @@
 }
 
 /// A router's process.
-struct Node {
+struct Router {
     holder: HolderId,
     slices: SliceStore,
     alive: bool,
@@ -37,17 +37,17 @@
 /// One budget's ledger and the routers that lease from it.
 pub struct Escrow {
     ledger: Ledger,
-    nodes: Vec<Node>,
+    routers: Vec<Router>,
     now: Time,
     /// Clock speeds of the holders and the grantor, in percent of true time.
     clocks: (u64, u64),
-    index: u64,
-    holders: u64,
+    last_lease_index: u64,
+    last_holder_id: u64,
     consumed: u64,
-    /// The message to lose, and how many more times.
-    drop_rule: Option<(Step, u32)>,
-    /// The message to record for a second delivery.
-    duplicate_step: Option<Step>,
+    /// The kind of message to lose, and how many more times.
+    drop_rule: Option<(MessageKind, u32)>,
+    /// The kind of message to record for a second delivery.
+    duplicate_kind: Option<MessageKind>,
     duplicates: Vec<Duplicate>,
 }
 
@@ -67,32 +67,38 @@
         ledger.fund(BUDGET, total, policy());
         let mut e = Escrow {
             ledger,
-            nodes: Vec::new(),
+            routers: Vec::new(),
             now: Time(1_000_000),
             clocks,
-            index: 0,
-            holders: 0,
+            last_lease_index: 0,
+            last_holder_id: 0,
             consumed: 0,
             drop_rule: None,
-            duplicate_step: None,
+            duplicate_kind: None,
             duplicates: Vec::new(),
         };
         for _ in 0..routers {
-            let n = e.new_node();
-            e.nodes.push(n);
+            let r = e.new_router();
+            e.routers.push(r);
         }
         e
     }
 
-    fn new_node(&mut self) -> Node {
-        self.holders += 1;
+    fn new_router(&mut self) -> Router {
+        self.last_holder_id += 1;
         let slices = SliceStore::new(policy(), 0);
-        Node { holder: HolderId(self.holders), slices, alive: true, paused: false, waiting: None }
+        Router {
+            holder: HolderId(self.last_holder_id),
+            slices,
+            alive: true,
+            paused: false,
+            waiting: None,
+        }
     }
 
     fn next_lease_id(&mut self) -> LeaseId {
-        self.index += 1;
-        LeaseId { term: 1, index: self.index }
+        self.last_lease_index += 1;
+        LeaseId { term: 1, index: self.last_lease_index }
     }
 
     fn holder_now(&self) -> Time {
@@ -112,19 +118,19 @@
         self.now = self.now.after(span);
     }
 
-    /// Loses the next `times` messages of this step.
-    pub fn drop_messages(&mut self, step: Step, times: u32) {
-        self.drop_rule = Some((step, times));
+    /// Loses the next `times` messages of this kind.
+    pub fn drop_messages(&mut self, kind: MessageKind, times: u32) {
+        self.drop_rule = Some((kind, times));
     }
 
-    /// Records every message of this step for [`Escrow::replay_duplicates`].
-    pub fn duplicate_messages(&mut self, step: Step) {
-        self.duplicate_step = Some(step);
+    /// Records every message of this kind for [`Escrow::replay_duplicates`].
+    pub fn duplicate_messages(&mut self, kind: MessageKind) {
+        self.duplicate_kind = Some(kind);
     }
 
-    fn should_drop(&mut self, step: Step) -> bool {
+    fn should_drop(&mut self, kind: MessageKind) -> bool {
         match &mut self.drop_rule {
-            Some((s, n)) if *s == step && *n > 0 => {
+            Some((k, n)) if *k == kind && *n > 0 => {
                 *n -= 1;
                 true
             }
@@ -132,59 +138,59 @@
         }
     }
 
-    /// Starts a request on router `n` that reserves `bound` tokens and spends `used`. Without enough
+    /// Starts a request on router `n` that reserves `tokens` and spends `used`. Without enough
     /// idle tokens it waits for the next exchange.
-    pub fn spend(&mut self, n: usize, bound: u64, used: u64) {
-        self.nodes[n].waiting = Some((bound, used));
+    pub fn spend(&mut self, n: usize, tokens: u64, used: u64) {
+        self.routers[n].waiting = Some((tokens, used));
         self.retry_waiting(n);
     }
 
     fn retry_waiting(&mut self, n: usize) {
-        let Some((bound, used)) = self.nodes[n].waiting else { return };
-        if let Some(r) = self.try_reserve(n, bound) {
-            self.nodes[n].waiting = None;
+        let Some((tokens, used)) = self.routers[n].waiting else { return };
+        if let Some(r) = self.try_reserve(n, tokens) {
+            self.routers[n].waiting = None;
             self.settle(n, r, used);
         }
     }
 
     /// Reserves from the slices that router `n` holds, without requesting a lease.
-    pub fn try_reserve(&mut self, n: usize, bound: u64) -> Option<Reservation> {
+    pub fn try_reserve(&mut self, n: usize, tokens: u64) -> Option<Reservation> {
         let now = self.holder_now();
-        self.nodes[n].slices.reserve(now, bound)
+        self.routers[n].slices.reserve(now, tokens)
     }
 
     /// Reserves, after one lease request if the slices do not suffice.
-    pub fn reserve(&mut self, n: usize, bound: u64) -> Option<Reservation> {
-        if let Some(r) = self.try_reserve(n, bound) {
+    pub fn reserve(&mut self, n: usize, tokens: u64) -> Option<Reservation> {
+        if let Some(r) = self.try_reserve(n, tokens) {
             return Some(r);
         }
-        self.request_lease(n, bound).ok()?;
-        self.try_reserve(n, bound)
+        self.request_lease(n, tokens).ok()?;
+        self.try_reserve(n, tokens)
     }
 
     pub fn settle(&mut self, n: usize, r: Reservation, used: u64) {
         let now = self.holder_now();
-        self.consumed += self.nodes[n].slices.settle(now, r, used);
+        self.consumed += self.routers[n].slices.settle(now, r, used);
     }
 
     /// Requests a lease, without message faults.
     pub fn request_lease(&mut self, n: usize, need: u64) -> Decision {
         let now = self.holder_now();
-        let holder = self.nodes[n].holder;
-        let Some(request) = self.nodes[n].slices.next_request(now, holder, BUDGET, need) else {
+        let holder = self.routers[n].holder;
+        let Some(request) = self.routers[n].slices.next_request(now, holder, BUDGET, need) else {
             return Err(Shortage::Busy(Millis(1)));
         };
         let id = self.next_lease_id();
         let decision = self.ledger.request_lease(self.grantor_now(), id, &request).unwrap();
-        self.nodes[n].slices.apply_decision(request.seq, &decision);
+        self.routers[n].slices.apply_decision(request.seq, &decision);
         decision
     }
 
     /// Requests a lease from another ledger; the granted answer never arrives.
     pub fn request_lease_from(&mut self, mut other: Ledger, n: usize, need: u64) {
         let now = self.holder_now();
-        let holder = self.nodes[n].holder;
-        let request = self.nodes[n].slices.next_request(now, holder, BUDGET, need).unwrap();
+        let holder = self.routers[n].holder;
+        let request = self.routers[n].slices.next_request(now, holder, BUDGET, need).unwrap();
         let id = self.next_lease_id();
         assert!(other.request_lease(self.grantor_now(), id, &request).unwrap().is_ok());
     }
@@ -198,15 +204,15 @@
     pub fn reserve_with_recalls(
         &mut self,
         n: usize,
-        bound: u64,
+        tokens: u64,
         timeout: Millis,
     ) -> Result<(Reservation, Millis), Shortage> {
         let start = self.now;
         loop {
-            if let Some(r) = self.try_reserve(n, bound) {
+            if let Some(r) = self.try_reserve(n, tokens) {
                 return Ok((r, self.now.since(start)));
             }
-            match self.request_lease(n, bound) {
+            match self.request_lease(n, tokens) {
                 Ok(_) => {}
                 Err(Shortage::Busy(span)) if self.now.since(start) < timeout => {
                     self.advance(span);
@@ -219,11 +225,11 @@
 
     /// Lets every live router that has a recall pending return its idle tokens.
     fn recall_all(&mut self) {
-        for n in 0..self.nodes.len() {
-            let holder = self.nodes[n].holder;
+        for n in 0..self.routers.len() {
+            let holder = self.routers[n].holder;
             let recalled = self.ledger.recalls(self.grantor_now(), holder).count() > 0;
-            if recalled && self.nodes[n].alive && !self.nodes[n].paused {
-                self.nodes[n].slices.return_idle();
+            if recalled && self.routers[n].alive && !self.routers[n].paused {
+                self.routers[n].slices.return_idle();
                 self.report_all(n);
             }
         }
@@ -231,16 +237,16 @@
 
     /// Runs one round of lease requests, reports and recalls for every live router.
     pub fn exchange(&mut self) {
-        for n in 0..self.nodes.len() {
-            if self.nodes[n].alive && !self.nodes[n].paused {
+        for n in 0..self.routers.len() {
+            if self.routers[n].alive && !self.routers[n].paused {
                 self.request_lease_with_faults(n);
                 self.retry_waiting(n);
             }
         }
-        for n in 0..self.nodes.len() {
-            if self.nodes[n].alive && !self.nodes[n].paused {
+        for n in 0..self.routers.len() {
+            if self.routers[n].alive && !self.routers[n].paused {
                 let now = self.holder_now();
-                self.nodes[n].slices.return_excess(now);
+                self.routers[n].slices.return_excess(now);
                 self.report_all(n);
             }
         }
@@ -249,76 +255,76 @@
 
     fn request_lease_with_faults(&mut self, n: usize) {
         let now = self.holder_now();
-        let need = self.nodes[n].waiting.map_or(0, |w| w.0);
-        let holder = self.nodes[n].holder;
-        if need == 0 && !self.nodes[n].slices.is_low(now) {
+        let need = self.routers[n].waiting.map_or(0, |w| w.0);
+        let holder = self.routers[n].holder;
+        if need == 0 && !self.routers[n].slices.is_low(now) {
             return;
         }
-        let Some(request) = self.nodes[n].slices.next_request(now, holder, BUDGET, need) else {
+        let Some(request) = self.routers[n].slices.next_request(now, holder, BUDGET, need) else {
             return;
         };
-        if self.should_drop(Step::AskSent) {
+        if self.should_drop(MessageKind::Request) {
             return;
         }
-        if self.duplicate_step == Some(Step::AskSent) {
+        if self.duplicate_kind == Some(MessageKind::Request) {
             self.duplicates.push(Duplicate::Request(request.clone()));
         }
         let id = self.next_lease_id();
         let decision = self.ledger.request_lease(self.grantor_now(), id, &request).unwrap();
-        if self.should_drop(Step::AskAnswered) {
+        if self.should_drop(MessageKind::RequestAnswer) {
             return;
         }
-        if self.duplicate_step == Some(Step::AskAnswered) {
+        if self.duplicate_kind == Some(MessageKind::RequestAnswer) {
             self.duplicates.push(Duplicate::Answer(n, request.seq, decision));
         }
-        self.nodes[n].slices.apply_decision(request.seq, &decision);
+        self.routers[n].slices.apply_decision(request.seq, &decision);
     }
 
     /// Sends the pending reports of router `n`.
     pub fn report_all(&mut self, n: usize) {
         let now = self.holder_now();
-        let reports = self.nodes[n].slices.reports(now);
-        if reports.is_empty() || self.should_drop(Step::ReportSent) {
+        let reports = self.routers[n].slices.reports(now);
+        if reports.is_empty() || self.should_drop(MessageKind::Report) {
             return;
         }
-        if self.duplicate_step == Some(Step::ReportSent) {
+        if self.duplicate_kind == Some(MessageKind::Report) {
             self.duplicates.push(Duplicate::Report(n, reports.clone()));
         }
         let acks = self.deliver(n, &reports);
-        if self.should_drop(Step::ReportAnswered) {
+        if self.should_drop(MessageKind::ReportAnswer) {
             return;
         }
-        if self.duplicate_step == Some(Step::ReportAnswered) {
+        if self.duplicate_kind == Some(MessageKind::ReportAnswer) {
             self.duplicates.push(Duplicate::Ack(n, now, acks.clone()));
         }
         for (r, known) in acks {
-            self.nodes[n].slices.acknowledge(now, &r, known);
+            self.routers[n].slices.acknowledge(now, &r, known);
         }
     }
 
     fn deliver(&mut self, n: usize, reports: &[Report]) -> Vec<(Report, bool)> {
-        let (now, holder) = (self.grantor_now(), self.nodes[n].holder);
+        let (now, holder) = (self.grantor_now(), self.routers[n].holder);
         reports.iter().map(|r| (*r, self.ledger.apply_report(now, holder, r))).collect()
     }
 
     /// Delivers every recorded message a second time, newest first.
     pub fn replay_duplicates(&mut self) {
-        for c in std::mem::take(&mut self.duplicates).into_iter().rev() {
-            match c {
+        for duplicate in std::mem::take(&mut self.duplicates).into_iter().rev() {
+            match duplicate {
                 Duplicate::Request(request) => {
                     let id = self.next_lease_id();
                     let decision =
                         self.ledger.request_lease(self.grantor_now(), id, &request).unwrap();
-                    let n = self.nodes.iter().position(|n| n.holder == request.holder).unwrap();
-                    self.nodes[n].slices.apply_decision(request.seq, &decision);
+                    let n = self.routers.iter().position(|r| r.holder == request.holder).unwrap();
+                    self.routers[n].slices.apply_decision(request.seq, &decision);
                 }
-                Duplicate::Answer(n, seq, d) => self.nodes[n].slices.apply_decision(seq, &d),
+                Duplicate::Answer(n, seq, d) => self.routers[n].slices.apply_decision(seq, &d),
                 Duplicate::Report(n, reports) => {
                     self.deliver(n, &reports);
                 }
                 Duplicate::Ack(n, sent, acks) => {
                     for (r, known) in acks {
-                        self.nodes[n].slices.acknowledge(sent, &r, known);
+                        self.routers[n].slices.acknowledge(sent, &r, known);
                     }
                 }
             }
@@ -328,11 +334,11 @@
     /// Lets every live router report and return all idle tokens.
     pub fn return_all(&mut self) {
         for _ in 0..8 {
-            for n in 0..self.nodes.len() {
-                if self.nodes[n].alive && !self.nodes[n].paused {
+            for n in 0..self.routers.len() {
+                if self.routers[n].alive && !self.routers[n].paused {
                     self.request_lease_with_faults(n);
-                    self.nodes[n].waiting = None;
-                    self.nodes[n].slices.return_idle();
+                    self.routers[n].waiting = None;
+                    self.routers[n].slices.return_idle();
                     self.report_all(n);
                 }
             }
@@ -341,7 +347,7 @@
 
     /// Spends as much as possible on all routers but `except`, in requests of 50 tokens.
     pub fn drain_others(&mut self, except: usize) {
-        for n in (0..self.nodes.len()).filter(|n| *n != except) {
+        for n in (0..self.routers.len()).filter(|n| *n != except) {
             while let Ok((r, _)) = self.reserve_with_recalls(n, 50, Millis(5_000)) {
                 self.settle(n, r, 50);
                 self.assert_invariants();
@@ -351,46 +357,46 @@
     }
 
     pub fn kill(&mut self, n: usize) {
-        self.nodes[n].alive = false;
+        self.routers[n].alive = false;
     }
 
     pub fn pause(&mut self, n: usize) {
-        self.nodes[n].paused = true;
+        self.routers[n].paused = true;
     }
 
     pub fn resume(&mut self, n: usize) {
-        self.nodes[n].paused = false;
+        self.routers[n].paused = false;
     }
 
     /// Replaces the process of router `n`. Returns a report of the old process.
     pub fn restart(&mut self, n: usize) -> Report {
-        let old = self.nodes[n].slices.reports(Time(u64::MAX))[0];
-        self.nodes[n] = self.new_node();
+        let old = self.routers[n].slices.reports(Time(u64::MAX))[0];
+        self.routers[n] = self.new_router();
         old
     }
 
     /// Sends a report under the registration of router `n`. Returns whether the ledger knows the
     /// lease as its own.
     pub fn report_as(&mut self, n: usize, r: Report) -> bool {
-        let (now, holder) = (self.grantor_now(), self.nodes[n].holder);
+        let (now, holder) = (self.grantor_now(), self.routers[n].holder);
         self.ledger.apply_report(now, holder, &r)
     }
 
     /// Releases all leases of router `n`. Returns the freed tokens.
     pub fn release(&mut self, n: usize) -> u64 {
-        let holder = self.nodes[n].holder;
-        let f = self.ledger.get(BUDGET).unwrap();
+        let holder = self.routers[n].holder;
+        let budget_state = self.ledger.get(BUDGET).unwrap();
         let ids: Vec<_> =
-            f.leases().filter(|(_, l)| l.holder == holder).map(|(id, _)| *id).collect();
+            budget_state.leases().filter(|(_, l)| l.holder == holder).map(|(id, _)| *id).collect();
         ids.into_iter().filter_map(|id| self.ledger.release(id)).sum()
     }
 
     /// Grants a lease of exactly this size that no slice store receives.
     pub fn grant_exactly(&mut self, n: usize, amount: u64) -> LeaseId {
         let request = LeaseRequest {
-            holder: self.nodes[n].holder,
+            holder: self.routers[n].holder,
             budget: BUDGET.to_owned(),
-            seq: 1_000_000 + self.index,
+            seq: 1_000_000 + self.last_lease_index,
             need: amount,
             want: amount,
         };
@@ -401,21 +407,22 @@
         g.lease
     }
 
-    /// Gives router `n` a slice of exactly this size.
-    pub fn force_slice(&mut self, n: usize, amount: u64) {
+    /// Leases a slice of exactly this size to router `n`.
+    pub fn lease_exactly(&mut self, n: usize, amount: u64) {
         let now = self.holder_now();
-        let holder = self.nodes[n].holder;
-        let mut request = self.nodes[n].slices.next_request(now, holder, BUDGET, amount).unwrap();
+        let holder = self.routers[n].holder;
+        let mut request = self.routers[n].slices.next_request(now, holder, BUDGET, amount).unwrap();
         request.need = amount;
         request.want = amount;
         let id = self.next_lease_id();
         let d = self.ledger.request_lease(self.grantor_now(), id, &request).unwrap();
-        self.nodes[n].slices.apply_decision(request.seq, &d);
+        self.routers[n].slices.apply_decision(request.seq, &d);
         assert_eq!(d.unwrap().amount, amount);
     }
 
+    /// Applies a report of router `n` on one lease to the ledger.
     pub fn report(&mut self, n: usize, lease: LeaseId, used: u64, keep: u64) {
-        let (now, holder) = (self.grantor_now(), self.nodes[n].holder);
+        let (now, holder) = (self.grantor_now(), self.routers[n].holder);
         self.ledger.apply_report(now, holder, &Report { lease, used, keep, tight: false });
     }
 
@@ -423,6 +430,7 @@
         self.ledger.fund(BUDGET, total, policy());
     }
 
+    /// Returns the tokens that all requests have spent.
     pub fn consumed(&self) -> u64 {
         self.consumed
     }
@@ -439,22 +447,24 @@
         self.ledger.get(BUDGET).unwrap().free()
     }
 
+    /// Returns the unreported tokens of expired leases.
     pub fn stranded(&self) -> u64 {
         self.ledger.get(BUDGET).unwrap().stranded(self.grantor_now())
     }
 
-    pub fn stranded_or_open(&self) -> u64 {
-        self.ledger_open()
-    }
-
+    /// Returns the unreported tokens of router `n`'s leases.
     pub fn held_by(&self, n: usize) -> u64 {
-        let holder = self.nodes[n].holder;
-        let f = self.ledger.get(BUDGET).unwrap();
-        f.leases().filter(|(_, l)| l.holder == holder).map(|(_, l)| l.open_tokens()).sum()
+        let holder = self.routers[n].holder;
+        let budget_state = self.ledger.get(BUDGET).unwrap();
+        budget_state
+            .leases()
+            .filter(|(_, l)| l.holder == holder)
+            .map(|(_, l)| l.open_tokens())
+            .sum()
     }
 
     pub fn idle(&self, n: usize) -> u64 {
-        self.nodes[n].slices.idle(self.holder_now())
+        self.routers[n].slices.idle(self.holder_now())
     }
 
     pub fn is_consistent(&self) -> bool {
@@ -464,9 +474,12 @@
     /// Asserts that the ledger is consistent and covers all consumption.
     pub fn assert_invariants(&self) {
         assert!(self.is_consistent());
-        let f = self.ledger.get(BUDGET).unwrap();
-        assert!(f.spent() <= self.consumed, "the ledger counts more than was consumed");
-        assert!(self.consumed <= f.spent() + f.open_tokens(), "more was consumed than was leased");
+        let budget_state = self.ledger.get(BUDGET).unwrap();
+        assert!(budget_state.spent() <= self.consumed, "the ledger counts more than was consumed");
+        assert!(
+            self.consumed <= budget_state.spent() + budget_state.open_tokens(),
+            "more was consumed than was leased"
+        );
     }
 }
 
