--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Tests of the fleet model: documents, routes, group repair, retry budgets, entry responses, clocks,
+//! Tests of the fleet model: documents, routes, group repair, retry budgets, router addresses, clocks,
 //! loans and admission.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -117,7 +117,7 @@
     }
     let routes = Routes::new(d);
     let route = routes.route("club.example", "/").unwrap();
-    assert_eq!(routes.account(route, key).map(|t| t.map(|t| t.name.as_str())), name);
+    assert_eq!(routes.account(route, key).map(|a| a.map(|a| a.name.as_str())), name);
 }
 
 #[test]
@@ -144,7 +144,7 @@
 
 /// Returns the next membership change for a group led by node 1. `silent` are the members without
 /// contact, `candidates` the processes that announce themselves and their addresses.
-fn repair(
+fn next_repair(
     voters: &[NodeId],
     learners: &[NodeId],
     silent: &[NodeId],
@@ -168,16 +168,16 @@
 
 #[rstest]
 #[case::whole(&[1, 2, 3, 4, 5], &[], &[], &[], None)]
-#[case::a_newcomer_learns(&[1, 2, 3], &[], &[], &[(4, "d:1")], Some(MemberChange::AddLearner(4, "d:1".into())))]
-#[case::one_newcomer_at_a_time(&[1, 2, 3], &[4], &[4], &[(4, "d:1"), (5, "e:1")], Some(MemberChange::Remove(4)))]
-#[case::a_learner_that_has_caught_up_counts(&[1, 2, 3], &[4], &[], &[(4, "d:1")], Some(MemberChange::Promote(4)))]
+#[case::a_candidate_becomes_a_learner(&[1, 2, 3], &[], &[], &[(4, "d:1")], Some(MemberChange::AddLearner(4, "d:1".into())))]
+#[case::one_learner_at_a_time(&[1, 2, 3], &[4], &[4], &[(4, "d:1"), (5, "e:1")], Some(MemberChange::Remove(4)))]
+#[case::a_learner_that_has_caught_up_is_promoted(&[1, 2, 3], &[4], &[], &[(4, "d:1")], Some(MemberChange::Promote(4)))]
 #[case::an_emptied_disk_replaces_its_old_identity(&[1, 2, 3, 4, 5], &[], &[5], &[(9, "e:1")], Some(MemberChange::Remove(5)))]
 #[case::a_silent_one_stays_without_a_successor(&[1, 2, 3, 4, 5], &[], &[5], &[], None)]
-#[case::a_successor_elsewhere_learns_first(&[1, 2, 3, 4, 5], &[], &[5], &[(6, "f:1")], Some(MemberChange::AddLearner(6, "f:1".into())))]
-#[case::the_surplus_one_that_is_lost_goes(&[1, 2, 3, 4, 5, 6], &[], &[5], &[], Some(MemberChange::Remove(5)))]
-#[case::a_surplus_that_answers_stays(&[1, 2, 3, 4, 5, 6], &[], &[], &[], None)]
+#[case::a_successor_at_another_address_is_a_learner_first(&[1, 2, 3, 4, 5], &[], &[5], &[(6, "f:1")], Some(MemberChange::AddLearner(6, "f:1".into())))]
+#[case::a_surplus_member_that_is_silent_is_removed(&[1, 2, 3, 4, 5, 6], &[], &[5], &[], Some(MemberChange::Remove(5)))]
+#[case::a_surplus_member_that_answers_stays(&[1, 2, 3, 4, 5, 6], &[], &[], &[], None)]
 #[case::no_repair_that_costs_the_quorum(&[1, 2, 3], &[], &[2, 3], &[(9, "b:1")], None)]
-#[case::a_member_that_lost_touch_is_no_successor_of_itself(&[1, 2, 3], &[], &[3], &[(3, "c:1")], None)]
+#[case::a_member_that_lost_contact_is_no_successor_of_itself(&[1, 2, 3], &[], &[3], &[(3, "c:1")], None)]
 fn the_next_repair(
     #[case] voters: &[NodeId],
     #[case] learners: &[NodeId],
@@ -185,7 +185,7 @@
     #[case] candidates: &[(NodeId, &str)],
     #[case] change: Option<MemberChange>,
 ) {
-    assert_eq!(repair(voters, learners, silent, candidates), change);
+    assert_eq!(next_repair(voters, learners, silent, candidates), change);
 }
 
 #[test]
@@ -267,12 +267,12 @@
 /// Records samples of clocks that are ahead by `leads` milliseconds. Returns them and the local wall
 /// clock after a step of `step` milliseconds.
 fn clocks(leads: &[i64], step: i64) -> (Clocks, Time) {
-    let mut w = Clocks::default();
+    let mut clocks = Clocks::default();
     for (n, lead) in leads.iter().enumerate() {
         let from = format!("10.0.0.{n}:1").parse().unwrap();
-        w.record(SAMPLED_AT, from, Time((WALL_CLOCK_MS + lead) as u64));
+        clocks.record(SAMPLED_AT, from, Time((WALL_CLOCK_MS + lead) as u64));
     }
-    (w, Time((WALL_CLOCK_MS + step) as u64))
+    (clocks, Time((WALL_CLOCK_MS + step) as u64))
 }
 
 /// Lead of the other clocks over the local one, step of the local clock, and lead of the agreed time,
@@ -284,11 +284,15 @@
 #[case::another_stepped(&[0, 2_400, 0, 0], 0, 0)]
 #[case::two_of_five_stepped(&[2_400, -2_400, 0, 0], 0, 0)]
 #[case::an_even_number_takes_the_lower(&[0, 2_400, 2_400], 0, 0)]
-fn most_clocks_decide(#[case] others: &[i64], #[case] step: i64, #[case] agreed: i64) {
-    let (w, own) = clocks(others, step);
-    assert_eq!(w.agreed(SAMPLED_AT, own), Time((WALL_CLOCK_MS + agreed) as u64));
-    assert_eq!(w.has_quorum(SAMPLED_AT, 3), others.len() >= 2);
-    assert!(!w.has_quorum(Time(60_000), 3), "outdated samples must not count");
+fn the_agreed_time_follows_most_clocks(
+    #[case] others: &[i64],
+    #[case] step: i64,
+    #[case] agreed: i64,
+) {
+    let (clocks, own) = clocks(others, step);
+    assert_eq!(clocks.agreed(SAMPLED_AT, own), Time((WALL_CLOCK_MS + agreed) as u64));
+    assert_eq!(clocks.has_quorum(SAMPLED_AT, 3), others.len() >= 2);
+    assert!(!clocks.has_quorum(Time(60_000), 3), "outdated samples must not count");
 }
 
 /// Lead of the other clocks over the local one, step of the local clock, and margin of the agreed
@@ -301,13 +305,13 @@
 #[case::the_own_clock_stepped(&[0, 0, 0, 0], 2_400, Some(500))]
 #[case::all_others_heard_late(&[-100, -100, -100, -100], 0, Some(250))]
 #[case::no_two_agree(&[1_000, 2_000, -1_000, -2_000], 0, Some(500))]
-fn the_margin_is_what_clocks_show(
+fn the_margin_covers_the_spread_of_the_clocks(
     #[case] others: &[i64],
     #[case] step: i64,
     #[case] margin: Option<u64>,
 ) {
-    let (w, own) = clocks(others, step);
-    assert_eq!(w.margin(SAMPLED_AT, own, 3), margin.map(Millis));
+    let (clocks, own) = clocks(others, step);
+    assert_eq!(clocks.margin(SAMPLED_AT, own, 3), margin.map(Millis));
 }
 
 #[test]
@@ -356,7 +360,7 @@
 #[case::within_the_first(&[5, 7], 4, &[4, 0])]
 #[case::over_several(&[5, 7, 9], 13, &[5, 7, 1])]
 #[case::all_of_it(&[5, 7], 12, &[5, 7])]
-#[case::more_than_was_set_aside(&[5, 7], 20, &[5, 7])]
+#[case::more_than_was_reserved(&[5, 7], 20, &[5, 7])]
 #[case::nothing_of_its_own(&[0, 7], 6, &[0, 6])]
 fn a_request_is_charged_to_the_parts_of_its_reservation(
     #[case] parts: &[u64],
@@ -393,7 +397,7 @@
 #[case::one_too_many_of_the_more_urgent(309, 1, false)]
 #[case::the_last_of_the_most_urgent(352, 0, true)]
 #[case::one_too_many(353, 0, false)]
-fn a_gateway_takes_what_it_can_bear(
+fn admission_depends_on_active_requests_and_priority(
     #[case] active: u64,
     #[case] priority: u8,
     #[case] admitted: bool,
--- a/crates/core/tests/homes.rs
+++ b/crates/core/tests/homes.rs
@@ -25,7 +25,7 @@
     format!("account/{n}")
 }
 
-fn none_out(_: &SocketAddr) -> bool {
+fn none_unavailable(_: &SocketAddr) -> bool {
     false
 }
 
@@ -42,27 +42,30 @@
 #[test]
 fn homes_are_spread_over_routers() {
     let all = routers(58);
-    let mut kept: BTreeMap<SocketAddr, usize> = BTreeMap::new();
+    let mut budgets_per_home: BTreeMap<SocketAddr, usize> = BTreeMap::new();
     for n in 0..1_000 {
         for home in home_candidates(&budget(n), &all).into_iter().take(HOMES_PER_BUDGET) {
-            *kept.entry(home).or_default() += 1;
+            *budgets_per_home.entry(home).or_default() += 1;
         }
     }
     let mean = 1_000 * HOMES_PER_BUDGET / 58;
-    assert_eq!(kept.len(), 58);
-    assert!(kept.values().all(|n| (mean / 2..mean * 2).contains(n)), "{kept:?}");
+    assert_eq!(budgets_per_home.len(), 58);
+    assert!(
+        budgets_per_home.values().all(|n| (mean / 2..mean * 2).contains(n)),
+        "{budgets_per_home:?}"
+    );
 }
 
 #[test]
 fn removing_a_router_moves_only_the_budgets_homed_there() {
     let all = routers(58);
-    let left: Vec<_> = all.iter().copied().filter(|a| *a != address(7)).collect();
+    let remaining: Vec<_> = all.iter().copied().filter(|a| *a != address(7)).collect();
     let mut moved = 0;
     for n in 0..400 {
         let before: Vec<_> =
             home_candidates(&budget(n), &all).into_iter().take(HOMES_PER_BUDGET).collect();
         let after: Vec<_> =
-            home_candidates(&budget(n), &left).into_iter().take(HOMES_PER_BUDGET).collect();
+            home_candidates(&budget(n), &remaining).into_iter().take(HOMES_PER_BUDGET).collect();
         let kept = before.iter().filter(|a| after.contains(a)).count();
         assert_eq!(
             kept,
@@ -79,7 +82,7 @@
     let ranked = home_candidates(&budget(1), &all);
     let mut first: BTreeMap<SocketAddr, usize> = BTreeMap::new();
     for own in &all {
-        *first.entry(ask_order(&ranked, *own, none_out)[0]).or_default() += 1;
+        *first.entry(ask_order(&ranked, *own, none_unavailable)[0]).or_default() += 1;
     }
     assert_eq!(
         first.keys().copied().collect::<BTreeSet<_>>(),
@@ -95,24 +98,24 @@
 #[case::it_is_the_second_home(&[], Some(1), &[1, 0])]
 #[case::the_next_in_line_serves(&[0], Some(1), &[1, 2])]
 #[case::it_is_the_next_in_line(&[0], Some(2), &[2, 1])]
-#[case::two_are_out(&[0, 1], Some(3), &[3, 2])]
+#[case::two_do_not_answer(&[0, 1], Some(3), &[3, 2])]
 #[case::nobody_answers(&[0, 1, 2, 3], Some(0), &[0, 1, 2, 3])]
 fn a_home_that_does_not_answer_is_skipped(
-    #[case] out: &[usize],
+    #[case] unavailable: &[usize],
     #[case] own: Option<usize>,
     #[case] asked: &[usize],
 ) {
     let ranked = home_candidates(&budget(1), &routers(30));
     let own = own.map_or(address(99), |n| ranked[n]);
-    let is_out = |a: &SocketAddr| out.iter().any(|n| ranked[*n] == *a);
-    let homes = ask_order(&ranked, own, is_out);
+    let is_unavailable = |a: &SocketAddr| unavailable.iter().any(|n| ranked[*n] == *a);
+    let homes = ask_order(&ranked, own, is_unavailable);
     let expected: Vec<_> = asked.iter().map(|n| ranked[*n]).collect();
     assert_eq!(homes, expected);
 }
 
 #[test]
 fn a_data_centre_without_routers_has_no_homes() {
-    assert_eq!(ask_order(&home_candidates(&budget(1), &[]), address(1), none_out), []);
+    assert_eq!(ask_order(&home_candidates(&budget(1), &[]), address(1), none_unavailable), []);
 }
 
 fn router(n: usize, leaving: bool) -> Router {
--- a/crates/core/tests/limits.rs
+++ b/crates/core/tests/limits.rs
@@ -33,26 +33,27 @@
     assert_eq!(Rate::parse(text), thousandths.map(Rate));
 }
 
+/// Returns a limit of `n` requests a second; 0 is no limit.
 fn rate(n: u64) -> Option<Rate> {
     (n > 0).then_some(Rate(n * 1_000))
 }
 
 /// Responses as (time sent, time received, announced limit; 0 is none), and the resulting limit.
 #[rstest]
-#[case::named(&[(0, 10, 2)], 2)]
+#[case::announced(&[(0, 10, 2)], 2)]
 #[case::lifted_by_a_later_request(&[(0, 10, 2), (11, 20, 0)], 0)]
-#[case::not_lifted_by_one_under_way(&[(0, 10, 2), (9, 20, 0)], 2)]
-#[case::lowered_by_one_under_way(&[(0, 10, 2), (9, 20, 1)], 1)]
-#[case::not_raised_by_one_under_way(&[(0, 10, 1), (9, 20, 2)], 1)]
+#[case::not_lifted_by_an_earlier_request(&[(0, 10, 2), (9, 20, 0)], 2)]
+#[case::lowered_by_an_earlier_request(&[(0, 10, 2), (9, 20, 1)], 1)]
+#[case::not_raised_by_an_earlier_request(&[(0, 10, 1), (9, 20, 2)], 1)]
 #[case::raised_by_a_later_request(&[(0, 10, 1), (10, 20, 2)], 2)]
-#[case::named_again_after_its_end(&[(0, 10, 2), (11, 20, 0), (21, 30, 3)], 3)]
-#[case::a_late_answer_names_it_after_its_end(&[(0, 10, 2), (11, 20, 0), (9, 30, 2)], 2)]
-#[case::and_the_next_one_lifts_it(&[(0, 10, 2), (11, 20, 0), (9, 30, 2), (31, 40, 0)], 0)]
-#[case::never_named(&[(0, 10, 0)], 0)]
+#[case::announced_again_after_it_was_lifted(&[(0, 10, 2), (11, 20, 0), (21, 30, 3)], 3)]
+#[case::announced_by_a_late_response_after_it_was_lifted(&[(0, 10, 2), (11, 20, 0), (9, 30, 2)], 2)]
+#[case::lifted_again_after_a_late_response(&[(0, 10, 2), (11, 20, 0), (9, 30, 2), (31, 40, 0)], 0)]
+#[case::never_announced(&[(0, 10, 0)], 0)]
 fn responses_out_of_order(#[case] responses: &[(u64, u64, u64)], #[case] expected: u64) {
     let mut limits = RateLimits::default();
-    for (sent, came, named) in responses {
-        limits.record_response(Time(*came), REPLICA, 1, Time(*sent), rate(*named));
+    for (sent, received, announced) in responses {
+        limits.record_response(Time(*received), REPLICA, 1, Time(*sent), rate(*announced));
     }
     assert_eq!(limits.rate(REPLICA), rate(expected));
 }
@@ -66,20 +67,20 @@
     assert_eq!(limits.rate(REPLICA), None);
 }
 
-fn report(born: u64, named: u64, age: u64) -> LimitReport {
-    LimitReport { replica: REPLICA.to_owned(), born, rate: rate(named), age: Millis(age) }
+fn report(born: u64, announced: u64, age: u64) -> LimitReport {
+    LimitReport { replica: REPLICA.to_owned(), born, rate: rate(announced), age: Millis(age) }
 }
 
 /// Reports of other routers with their times of arrival, and the resulting limit.
 #[rstest]
-#[case::named(&[(1_000, report(1, 2, 100))], 2)]
+#[case::announced(&[(1_000, report(1, 2, 100))], 2)]
 #[case::lifted_later(&[(1_000, report(1, 2, 100)), (2_000, report(1, 0, 100))], 0)]
-#[case::an_older_word_that_comes_later(&[(1_000, report(1, 0, 0)), (1_000, report(1, 2, 0)), (2_000, report(1, 0, 1_900))], 2)]
+#[case::an_older_report_that_arrives_later(&[(1_000, report(1, 0, 0)), (1_000, report(1, 2, 0)), (2_000, report(1, 0, 1_900))], 2)]
 #[case::of_two_at_once_the_lower(&[(1_000, report(1, 1, 0)), (1_100, report(1, 2, 0))], 1)]
 #[case::of_two_at_once_the_lower_in_the_other_order(&[(1_000, report(1, 2, 0)), (1_100, report(1, 1, 0))], 1)]
-#[case::of_an_earlier_life(&[(1_000, report(2, 1, 0)), (2_000, report(1, 5, 0))], 1)]
-#[case::of_a_later_life(&[(1_000, report(1, 1, 0)), (1_010, report(2, 5, 0))], 5)]
-#[case::the_end_of_what_was_never_known(&[(1_000, report(1, 0, 0))], 0)]
+#[case::of_an_earlier_incarnation(&[(1_000, report(2, 1, 0)), (2_000, report(1, 5, 0))], 1)]
+#[case::of_a_later_incarnation(&[(1_000, report(1, 1, 0)), (1_010, report(2, 5, 0))], 5)]
+#[case::lifted_but_never_known(&[(1_000, report(1, 0, 0))], 0)]
 fn reports_of_other_routers(#[case] reports: &[(u64, LimitReport)], #[case] expected: u64) {
     let mut limits = RateLimits::default();
     for (at, report) in reports {
@@ -102,8 +103,8 @@
             for n in [0, 1] {
                 let (reports, upto) = all[n].changes(Time(at), seen[n], 10);
                 seen[n] = upto;
-                for w in reports {
-                    all[1 - n].apply(Time(at + 10), &w);
+                for r in reports {
+                    all[1 - n].apply(Time(at + 10), &r);
                 }
             }
         }
@@ -262,9 +263,9 @@
     }
 
     fn routers(n: u16) -> BTreeMap<String, Vec<SocketAddr>> {
-        let of =
+        let addresses =
             |from: u16| (from..from + n).map(|p| SocketAddr::from(([10, 0, 0, 1], p))).collect();
-        BTreeMap::from([("a".to_owned(), of(1_000)), ("b".to_owned(), of(2_000))])
+        BTreeMap::from([("a".to_owned(), addresses(1_000)), ("b".to_owned(), addresses(2_000))])
     }
 
     #[test]
@@ -378,7 +379,7 @@
     #[rstest]
     fn a_limit_is_used_while_its_primary_is_killed_repeatedly(
         #[values(500, 1_000, 2_000)] thousandths: u64,
-        #[values(0, 250, 1_000)] begins: u64,
+        #[values(0, 250, 1_000)] first_crash: u64,
     ) {
         let all = routers(5);
         let [primary, secondary] = issuers_of(&all);
@@ -386,7 +387,7 @@
         let (mut backoff_until, mut sends) = (0, Vec::new());
         for now in 0..24_000 {
             let span = if processes[0].down { 700 } else { 1_500 };
-            if now >= begins && now - processes[0].changed_at >= span {
+            if now >= first_crash && now - processes[0].changed_at >= span {
                 let down = !processes[0].down;
                 processes[0] = Process { down, ..Process::new(now, &all) };
             }
