--- a/crates/core/tests/ends.rs
+++ b/crates/core/tests/connection_loss.rs
@@ -25,19 +25,22 @@
     losses.iter().flat_map(|l| l.requests.iter().copied()).collect()
 }
 
-/// Guards against blaming a replica without evidence, and against missing evidence.
+/// Guards against taking a replica for ended without evidence, and against overlooking evidence.
 #[rstest]
 #[case::another_replica(
     ReplicaEvent::Registered(address(80), "new"),
     Some(EndEvidence::AddressReused)
 )]
-#[case::another_elsewhere(ReplicaEvent::Registered(address(82), "new"), None)]
-#[case::itself(ReplicaEvent::Registered(address(80), "r"), None)]
-#[case::denied_by_what_is_there(ReplicaEvent::NotThere("r"), Some(EndEvidence::AddressReused))]
-#[case::a_later_life(ReplicaEvent::Restarted("r"), Some(EndEvidence::Restarted))]
-#[case::a_later_life_of_another(ReplicaEvent::Restarted("x"), None)]
-#[case::silence(ReplicaEvent::Silent("r"), Some(EndEvidence::Silent))]
-#[case::a_planned_end(ReplicaEvent::Leaving("r"), None)]
+#[case::another_replica_at_another_address(ReplicaEvent::Registered(address(82), "new"), None)]
+#[case::the_same_replica(ReplicaEvent::Registered(address(80), "r"), None)]
+#[case::the_address_belongs_to_another_replica(
+    ReplicaEvent::NotThere("r"),
+    Some(EndEvidence::AddressReused)
+)]
+#[case::restarted(ReplicaEvent::Restarted("r"), Some(EndEvidence::Restarted))]
+#[case::another_replica_restarted(ReplicaEvent::Restarted("x"), None)]
+#[case::silent(ReplicaEvent::Silent("r"), Some(EndEvidence::Silent))]
+#[case::leaving(ReplicaEvent::Leaving("r"), None)]
 fn events_are_evidence_of_an_end(
     #[case] event: ReplicaEvent<'_>,
     #[case] evidence: Option<EndEvidence>,
@@ -45,7 +48,7 @@
     let mut tracker = recorded_losses();
     tracker.end_probe(address(80), "r");
     let found = tracker.apply(event);
-    assert_eq!(found.as_ref().map(|(s, _)| *s), evidence);
+    assert_eq!(found.as_ref().map(|(e, _)| *e), evidence);
     if let Some((_, losses)) = found {
         assert_eq!(requests(&losses), ["a", "b"]);
         assert_eq!(losses[0].since, Time(1_000));
@@ -54,7 +57,7 @@
 
 /// Guards against counting a loss twice.
 #[test]
-fn each_loss_is_explained_once() {
+fn each_loss_is_returned_once() {
     let mut tracker = recorded_losses();
     assert_eq!(requests(&tracker.confirm_ended(address(80), "r")), ["a", "b"]);
     assert!(!tracker.is_open(address(80), "r"));
--- a/crates/core/tests/lives.rs
+++ b/crates/core/tests/incarnations.rs
@@ -50,9 +50,9 @@
 /// Returns a control process's record of the replica after `reports`.
 fn record_at_control(reports: &[Report]) -> Record {
     let mut r = Registry::default();
-    for (n, w) in reports.iter().enumerate() {
+    for (n, report) in reports.iter().enumerate() {
         let source = if n % 2 == 0 { RecordSource::Replica } else { RecordSource::Peer };
-        r.apply(Time(1_000 + n as u64), record(*w), source);
+        r.apply(Time(1_000 + n as u64), record(*report), source);
     }
     r.iter().next().unwrap().clone()
 }
@@ -61,8 +61,8 @@
 fn ports_at_router(reports: &[Report]) -> Vec<u16> {
     let mut replicas = ReplicaTable::default();
     let mut ports = BTreeMap::new();
-    for (n, w) in reports.iter().enumerate() {
-        let Some((_, changes)) = replicas.apply(Time(n as u64), record(*w)) else { continue };
+    for (n, report) in reports.iter().enumerate() {
+        let Some((_, changes)) = replicas.apply(Time(n as u64), record(*report)) else { continue };
         for c in changes {
             ports.insert(c.address.port(), c.upstream.is_some());
         }
@@ -73,19 +73,19 @@
 use ReplicaStatus::{Draining, Left, Ready};
 
 #[rstest]
-#[case::numbers_begin_anew(&[(10, 80, 50, Ready), (20, 80, 1, Ready)], (20, 1, Ready), &[80])]
+#[case::sequence_numbers_restart(&[(10, 80, 50, Ready), (20, 80, 1, Ready)], (20, 1, Ready), &[80])]
 #[case::at_another_address(&[(10, 80, 50, Ready), (20, 81, 1, Ready)], (20, 1, Ready), &[81])]
 #[case::after_it_drained(
     &[(10, 80, 50, Ready), (10, 80, 51, Draining), (20, 80, 1, Ready)], (20, 1, Ready), &[80])]
 #[case::after_it_left(
     &[(10, 80, 50, Draining), (10, 80, 51, Left), (20, 81, 1, Ready)], (20, 1, Ready), &[81])]
-#[case::drains_again(
+#[case::the_new_incarnation_drains(
     &[(10, 80, 50, Left), (20, 80, 1, Ready), (20, 80, 2, Draining)], (20, 2, Draining), &[])]
-#[case::three_lives(
+#[case::three_incarnations(
     &[(10, 80, 9, Left), (20, 81, 99, Draining), (30, 82, 1, Ready), (30, 82, 2, Ready)],
     (30, 2, Ready), &[82])]
-#[case::does_not_say(&[(0, 80, 1, Ready), (0, 80, 2, Ready)], (0, 2, Ready), &[80])]
-fn all_orders_come_to_the_same(
+#[case::no_incarnation_in_reports(&[(0, 80, 1, Ready), (0, 80, 2, Ready)], (0, 2, Ready), &[80])]
+fn the_last_incarnation_wins_in_any_order_of_reports(
     #[case] reports: &[Report],
     #[case] (born, sequence, standing): (u64, u64, ReplicaStatus),
     #[case] ports: &[u16],
@@ -124,12 +124,12 @@
 
 /// Guards against carrying ejection and outstanding requests over to a restarted replica.
 #[test]
-fn nothing_is_left_of_the_former_life() {
+fn a_restarted_replica_starts_with_clean_pool_state() {
     let mut replicas = ReplicaTable::default();
     let mut pool = Pool::default();
     let mut rng = SmallRng::seed_from_u64(7);
-    let mut apply = |pool: &mut Pool, now: Time, w: Report| {
-        for c in replicas.apply(now, record(w)).unwrap().1 {
+    let mut apply = |pool: &mut Pool, now: Time, report: Report| {
+        for c in replicas.apply(now, record(report)).unwrap().1 {
             match c.upstream {
                 Some((u, condition)) => pool.upsert(now, &u, &condition),
                 None => pool.remove(now, c.address),
@@ -141,13 +141,13 @@
     let vm = Vm { name: "i-2".to_owned(), data_centre: "a".to_owned() };
     let upstream = Upstream { vm, address: other, checks_orders: false };
     pool.upsert(Time(0), &upstream, &ReplicaInfo { slots: 8, ..ReplicaInfo::default() });
-    let work = RequestProfile::default();
+    let profile = RequestProfile::default();
     let first = SocketAddr::from(([10, 0, 0, 1], 80));
     for _ in 0..3 {
-        let c = pool.choose(Time(10), "a", &work, &[other], &mut rng).unwrap();
+        let c = pool.choose(Time(10), "a", &profile, &[other], &mut rng).unwrap();
         pool.finish(Time(10), &c, true);
     }
-    pool.choose(Time(400), "a", &work, &[other], &mut rng);
+    pool.choose(Time(400), "a", &profile, &[other], &mut rng);
     assert!(pool.get(first).unwrap().is_unavailable(Time(400)));
     assert_eq!(pool.get(first).unwrap().outstanding, 1);
     apply(&mut pool, Time(700), (20, 80, 1, Ready));
