--- a/crates/soak/src/check.rs
+++ b/crates/soak/src/check.rs
@@ -3,7 +3,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-use crate::history::{Arrival, At, Change, Disruption, History, Kind, Limited, Outcome, Request};
+use crate::history::{
+    AnnouncedLimit, Arrival, Change, Disruption, History, Kind, Outcome, Request, Timestamp,
+};
 
 /// The limits within which the promises hold.
 #[derive(Clone, Debug)]
@@ -11,10 +13,10 @@
     /// Prepaid tokens, by account.
     pub prepaid: BTreeMap<&'static str, u64>,
     /// Maximum time until an acknowledged change is in force at every gateway, in milliseconds.
-    pub in_force_ms: u64,
+    pub propagation_ms: u64,
     /// Time without disruptions, in milliseconds, before checks that assume an undisturbed fleet apply.
-    pub calm_ms: u64,
-    /// Maximum time from the announcement that a replica leaves until it gets no new requests, in milliseconds.
+    pub undisturbed_ms: u64,
+    /// Maximum time from the announcement that a replica drains until it gets no new requests, in milliseconds.
     pub drain_ms: u64,
     /// Maximum ratio of retries to requests of a service in a window.
     pub retry_ratio: f64,
@@ -25,54 +27,54 @@
     /// Maximum duration of a planned stop, in milliseconds.
     pub stop_ms: u64,
     /// Maximum time after the end of all faults until each gateway answers again, in milliseconds.
-    pub back_ms: u64,
+    pub recovery_ms: u64,
     /// Maximum time that a caller waits for an answer, in milliseconds.
-    pub patience_ms: u64,
+    pub caller_timeout_ms: u64,
     /// Maximum time from the third crash that a poison request causes until every gateway refuses it, in
     /// milliseconds.
-    pub known_ms: u64,
+    pub quarantine_ms: u64,
     /// Maximum number of times that replicas may run a poison request after that.
-    pub poisoned: usize,
+    pub max_late_poison_runs: usize,
     /// Time after a replica first announces a rate limit until the limit is checked, in milliseconds.
     pub limit_counts_after_ms: u64,
     /// The window for counting requests to a rate-limited replica, in milliseconds.
-    pub limit_span_ms: u64,
+    pub limit_window_ms: u64,
     /// Factor applied to the number of requests that the rate limit allows in that window.
-    pub limit_share: f64,
-    /// Requests allowed in that window in addition.
+    pub limit_factor: f64,
+    /// Number of requests allowed in that window in addition.
     pub limit_slack: f64,
     /// Time after a gateway forwards an answer with a rate limit until its requests are counted, in
     /// milliseconds.
-    pub told_ms: u64,
+    pub limit_grace_ms: u64,
     /// Time after a `Retry-After` until requests of the gateway that got it are counted, in milliseconds.
-    pub rest_counts_after_ms: u64,
+    pub backoff_counts_after_ms: u64,
     /// Maximum number of requests that the gateway may send from then until the backoff period ends.
-    pub rest_most: usize,
+    pub max_backoff_requests: usize,
     /// Maximum time that an undisturbed control group is without a leader, in milliseconds.
-    pub led_within_ms: u64,
+    pub max_leaderless_ms: u64,
 }
 
 /// A promise that was broken.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Broken {
+pub struct BrokenPromise {
     /// The name of the promise.
     pub promise: &'static str,
     /// When it was broken.
-    pub at: At,
+    pub at: Timestamp,
     /// A description of the observation.
     pub why: String,
     /// Request ids, replica ids and process names to search for in the logs.
     pub about: Vec<String>,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for BrokenPromise {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} at {} ms: {}", self.promise, self.at, self.why)
     }
 }
 
 /// A check of one promise. Returns each violation that it finds in the history.
-type Check = fn(&History, &Bounds) -> Vec<Broken>;
+type Check = fn(&History, &Bounds) -> Vec<BrokenPromise>;
 
 /// All checks.
 const CHECKS: &[Check] = &[
@@ -83,7 +85,7 @@
     answers_are_complete,
     replicas_get_the_right_account,
     streams_are_in_order,
-    no_new_requests_after_leave,
+    no_new_requests_after_acked_drain,
     planned_stops_cut_no_requests,
     reads_return_acknowledged_versions,
     gateway_versions_never_decrease,
@@ -93,26 +95,31 @@
     other_requests_are_not_quarantined,
     rate_limits_are_respected,
     backoff_is_respected,
-    no_new_requests_after_announced_leave,
+    no_new_requests_after_announced_drain,
     undisturbed_group_has_a_leader,
     gateways_recover,
     no_process_exits_unexpectedly,
 ];
 
 /// Runs all checks and returns the broken promises, earliest first.
-pub fn check(h: &History, b: &Bounds) -> Vec<Broken> {
+pub fn check(h: &History, b: &Bounds) -> Vec<BrokenPromise> {
     let mut all: Vec<_> = CHECKS.iter().flat_map(|c| c(h, b)).collect();
     all.sort_by_key(|b| b.at);
     all
 }
 
-fn broken(promise: &'static str, at: At, why: String, about: &[&str]) -> Broken {
+fn broken_promise(
+    promise: &'static str,
+    at: Timestamp,
+    why: String,
+    about: &[&str],
+) -> BrokenPromise {
     let about = about.iter().map(|s| (*s).to_owned()).collect();
-    Broken { promise, at, why, about }
+    BrokenPromise { promise, at, why, about }
 }
 
 /// Returns whether no disruption overlaps the period from `from` to `until`.
-fn is_undisturbed(h: &History, from: At, until: At) -> bool {
+fn is_undisturbed(h: &History, from: Timestamp, until: Timestamp) -> bool {
     let overlaps = |d: &Disruption| d.from <= until && d.until >= from;
     !h.disruptions.iter().any(overlaps)
 }
@@ -132,51 +139,54 @@
     let mut all = BTreeMap::new();
     for id in executed_ids(h) {
         let Some(r) = requests.get(id).filter(|r| r.kind == Kind::Stream) else { continue };
-        let made = h.made.get(id).copied().unwrap_or(0);
-        *all.entry(r.account).or_default() += r.prompt + made;
+        let generated = h.generated.get(id).copied().unwrap_or(0);
+        *all.entry(r.account).or_default() += r.prompt + generated;
     }
     all
 }
 
-fn spend_is_within_prepaid_tokens(h: &History, b: &Bounds) -> Vec<Broken> {
+fn spend_is_within_prepaid_tokens(h: &History, b: &Bounds) -> Vec<BrokenPromise> {
     let over = |(account, used): (&'static str, u64)| {
         let prepaid = b.prepaid.get(account).copied()?;
-        let why = format!("replicas gave {account} {used} tokens of {prepaid}");
-        (used > prepaid).then(|| broken("spend", h.healed, why, &[]))
+        let why = format!("{account} used {used} tokens, but only {prepaid} are prepaid");
+        (used > prepaid).then(|| broken_promise("spend", h.healed, why, &[]))
     };
     tokens_used(h).into_iter().filter_map(over).collect()
 }
 
 /// Checks that the spend that the control group counts covers what callers received and does not exceed the
 /// prepaid tokens.
-fn counted_spend_covers_usage(h: &History, b: &Bounds) -> Vec<Broken> {
-    let mut had: BTreeMap<&str, u64> = BTreeMap::new();
+fn counted_spend_covers_usage(h: &History, b: &Bounds) -> Vec<BrokenPromise> {
+    let mut received: BTreeMap<&str, u64> = BTreeMap::new();
     for r in h.requests.iter().filter(|r| r.kind == Kind::Stream) {
         if let Outcome::Answered { events, .. } = &r.outcome {
             let distinct: BTreeSet<_> = events.iter().collect();
-            *had.entry(r.account).or_default() += r.prompt + distinct.len() as u64;
+            *received.entry(r.account).or_default() += r.prompt + distinct.len() as u64;
         }
     }
     let wrong = |(account, spent): (&&'static str, &u64)| {
-        let had = had.get(account).copied().unwrap_or(0);
+        let received = received.get(account).copied().unwrap_or(0);
         let prepaid = b.prepaid.get(account).copied().unwrap_or(u64::MAX);
-        let why = format!("the group counts {spent} for {account}, who had {had} of {prepaid}");
-        (*spent < had || *spent > prepaid).then(|| broken("billing", h.healed, why, &[]))
+        let why = format!(
+            "the control group counts {spent} tokens for {account}, which received {received} and prepaid {prepaid}"
+        );
+        (*spent < received || *spent > prepaid)
+            .then(|| broken_promise("billing", h.healed, why, &[]))
     };
     h.spent.iter().filter_map(wrong).collect()
 }
 
-fn unsafe_requests_run_at_most_once(h: &History, _: &Bounds) -> Vec<Broken> {
+fn unsafe_requests_run_at_most_once(h: &History, _: &Bounds) -> Vec<BrokenPromise> {
     let requests = requests_by_id(h);
     let mut runs: BTreeMap<&str, u32> = BTreeMap::new();
     let mut all = Vec::new();
     for a in h.arrivals.iter().filter(|a| a.run) {
         let n = runs.entry(&a.id).or_default();
         *n += 1;
-        let once = requests.get(a.id.as_str()).is_some_and(|r| r.kind == Kind::Unsafe);
-        if once && *n == 2 {
+        let is_unsafe = requests.get(a.id.as_str()).is_some_and(|r| r.kind == Kind::Unsafe);
+        if is_unsafe && *n == 2 {
             let why = format!("{} ran again at {}", a.id, a.replica);
-            all.push(broken("at most once", a.at, why, &[&a.id]));
+            all.push(broken_promise("at most once", a.at, why, &[&a.id]));
         }
     }
     all
@@ -185,42 +195,42 @@
 /// Statuses by which a gateway states that a request was not run.
 const NOT_RUN: [u16; 4] = [408, 421, 429, 503];
 
-fn refused_requests_did_not_run(h: &History, _: &Bounds) -> Vec<Broken> {
+fn refused_requests_did_not_run(h: &History, _: &Bounds) -> Vec<BrokenPromise> {
     let executed = executed_ids(h);
     let is_violation = |r: &&Request| {
         let claims_not_run = matches!(r.outcome, Outcome::Refused(s) if NOT_RUN.contains(&s));
         claims_not_run && executed.contains(r.id.as_str())
     };
     let violation = |r: &Request| {
-        let why = format!("{} ran, and was answered {:?}", r.id, r.outcome);
-        broken("not run", r.ended, why, &[&r.id])
+        let why = format!("{} ran, but its outcome was {:?}", r.id, r.outcome);
+        broken_promise("not run", r.ended, why, &[&r.id])
     };
     h.requests.iter().filter(is_violation).map(violation).collect()
 }
 
-fn answers_are_complete(h: &History, _: &Bounds) -> Vec<Broken> {
+fn answers_are_complete(h: &History, _: &Bounds) -> Vec<BrokenPromise> {
     let is_incomplete = |r: &&Request| matches!(r.outcome, Outcome::Answered { whole: false, .. });
     let violation = |r: &Request| {
-        let why = format!("{} got a success that is not its whole answer", r.id);
-        broken("whole answer", r.ended, why, &[&r.id])
+        let why = format!("{} got a success status, but not its complete answer", r.id);
+        broken_promise("whole answer", r.ended, why, &[&r.id])
     };
     h.requests.iter().filter(is_incomplete).map(violation).collect()
 }
 
-fn replicas_get_the_right_account(h: &History, _: &Bounds) -> Vec<Broken> {
+fn replicas_get_the_right_account(h: &History, _: &Bounds) -> Vec<BrokenPromise> {
     let requests = requests_by_id(h);
     let mut all = Vec::new();
     for a in &h.arrivals {
         let is_right = requests.get(a.id.as_str()).is_none_or(|r| r.account == a.account);
         if !is_right {
-            let why = format!("{} reached {} as of account {}", a.id, a.replica, a.account);
-            all.push(broken("account", a.at, why, &[&a.id]));
+            let why = format!("{} reached {} with account {}", a.id, a.replica, a.account);
+            all.push(broken_promise("account", a.at, why, &[&a.id]));
         }
     }
     all
 }
 
-fn streams_are_in_order(h: &History, _: &Bounds) -> Vec<Broken> {
+fn streams_are_in_order(h: &History, _: &Bounds) -> Vec<BrokenPromise> {
     let mut all = Vec::new();
     for r in &h.requests {
         let (Outcome::Answered { events, .. } | Outcome::Cut { events, .. }) = &r.outcome else {
@@ -232,33 +242,36 @@
             || events.len() as u64 == r.events;
         if !in_order || !complete {
             let why = format!("{} got events {events:?} of {}", r.id, r.events);
-            all.push(broken("stream", r.ended, why, &[&r.id]));
+            all.push(broken_promise("stream", r.ended, why, &[&r.id]));
         }
     }
     all
 }
 
-fn no_new_requests_after_leave(h: &History, b: &Bounds) -> Vec<Broken> {
-    let acked: BTreeMap<&str, At> =
-        h.leaving.iter().map(|l| (l.replica.as_str(), l.acked)).collect();
+fn no_new_requests_after_acked_drain(h: &History, b: &Bounds) -> Vec<BrokenPromise> {
+    let acked: BTreeMap<&str, Timestamp> =
+        h.acked_drains.iter().map(|l| (l.replica.as_str(), l.acked)).collect();
     let requests = requests_by_id(h);
     let mut all = Vec::new();
     for a in &h.arrivals {
         let Some(acked) = acked.get(a.replica.as_str()) else { continue };
         let late = a.at > acked + b.drain_ms;
-        let calm = is_undisturbed(h, acked.saturating_sub(b.calm_ms), a.at);
+        let undisturbed = is_undisturbed(h, acked.saturating_sub(b.undisturbed_ms), a.at);
         // A request that the gateway had queued before does not count as new.
         let sent_late = requests.get(a.id.as_str()).is_some_and(|r| r.sent > acked + b.drain_ms);
-        if late && calm && sent_late {
-            let why = format!("{} reached {}, which left at {acked} ms", a.id, a.replica);
-            all.push(broken("leaving", a.at, why, &[&a.id, &a.replica]));
+        if late && undisturbed && sent_late {
+            let why = format!(
+                "{} reached {}, whose drain was acknowledged at {acked} ms",
+                a.id, a.replica
+            );
+            all.push(broken_promise("leaving", a.at, why, &[&a.id, &a.replica]));
         }
     }
     all
 }
 
 /// Returns whether no disruption other than `stop` overlaps the period from `from` to `until`.
-fn is_undisturbed_except(h: &History, stop: &str, from: At, until: At) -> bool {
+fn is_undisturbed_except(h: &History, stop: &str, from: Timestamp, until: Timestamp) -> bool {
     let others = h.disruptions.iter().filter(|d| d.what != stop);
     !others.into_iter().any(|d| d.from <= until && d.until >= from)
 }
@@ -268,31 +281,37 @@
     format!("planned stop of gateway-{gateway}")
 }
 
-fn planned_stops_cut_no_requests(h: &History, b: &Bounds) -> Vec<Broken> {
+fn planned_stops_cut_no_requests(h: &History, b: &Bounds) -> Vec<BrokenPromise> {
     let executed = executed_ids(h);
     let mut all = Vec::new();
     for s in &h.stops {
         let name = stop_of(s.gateway);
-        let end = s.ended.unwrap_or(s.asked + b.stop_ms);
-        if end > s.asked + b.stop_ms {
-            let why = format!("it took {} ms", end - s.asked);
-            all.push(broken("planned stop", end, why, &[&format!("gateway-{}", s.gateway)]));
+        let end = s.ended.unwrap_or(s.requested + b.stop_ms);
+        if end > s.requested + b.stop_ms {
+            let why = format!("the stop took {} ms", end - s.requested);
+            all.push(broken_promise(
+                "planned stop",
+                end,
+                why,
+                &[&format!("gateway-{}", s.gateway)],
+            ));
         }
         for r in h.requests.iter().filter(|r| r.gateway == s.gateway) {
-            let around = r.sent <= end && r.ended >= s.asked;
+            let overlaps = r.sent <= end && r.ended >= s.requested;
             let cut = matches!(r.outcome, Outcome::Cut { .. }) && executed.contains(r.id.as_str());
-            let calm = is_undisturbed_except(h, &name, r.sent.saturating_sub(b.calm_ms), r.ended);
-            if around && cut && calm {
+            let undisturbed =
+                is_undisturbed_except(h, &name, r.sent.saturating_sub(b.undisturbed_ms), r.ended);
+            if overlaps && cut && undisturbed {
                 let why = format!("{} was cut by the {name}", r.id);
-                all.push(broken("planned stop", r.ended, why, &[&r.id]));
+                all.push(broken_promise("planned stop", r.ended, why, &[&r.id]));
             }
         }
     }
     all
 }
 
-fn reads_return_acknowledged_versions(h: &History, _: &Bounds) -> Vec<Broken> {
-    let newest = |at: At| {
+fn reads_return_acknowledged_versions(h: &History, _: &Bounds) -> Vec<BrokenPromise> {
+    let newest = |at: Timestamp| {
         let before = h.changes.iter().filter(|c| c.acked.is_some_and(|a| a <= at));
         before.map(|c| c.version).max().unwrap_or(0)
     };
@@ -301,74 +320,80 @@
         let newest = newest(r.sent);
         if r.version < newest {
             let why = format!("version {} was read after {newest} was acknowledged", r.version);
-            all.push(broken("configuration", r.sent, why, &[]));
+            all.push(broken_promise("configuration", r.sent, why, &[]));
         }
     }
     all
 }
 
-fn gateway_versions_never_decrease(h: &History, _: &Bounds) -> Vec<Broken> {
+fn gateway_versions_never_decrease(h: &History, _: &Bounds) -> Vec<BrokenPromise> {
     let mut highest: BTreeMap<(usize, u32), u64> = BTreeMap::new();
     let mut all = Vec::new();
-    for s in &h.held {
+    for s in &h.version_reports {
         let known = highest.entry((s.gateway, s.incarnation)).or_default();
         if s.version < *known {
             let why = format!("gateway-{} went from {known} back to {}", s.gateway, s.version);
-            all.push(broken("configuration", s.at, why, &[&format!("gateway-{}", s.gateway)]));
+            all.push(broken_promise(
+                "configuration",
+                s.at,
+                why,
+                &[&format!("gateway-{}", s.gateway)],
+            ));
         }
         *known = (*known).max(s.version);
     }
     all
 }
 
-fn changes_take_effect_in_time(h: &History, b: &Bounds) -> Vec<Broken> {
-    let acked: BTreeMap<u64, At> =
+fn changes_take_effect_in_time(h: &History, b: &Bounds) -> Vec<BrokenPromise> {
+    let acked: BTreeMap<u64, Timestamp> =
         h.changes.iter().filter_map(|c: &Change| Some((c.version, c.acked?))).collect();
     let mut all = Vec::new();
     for r in &h.requests {
         let (Kind::Probe(version), Outcome::Refused(404)) = (r.kind, &r.outcome) else { continue };
         let Some(acked) = acked.get(&version) else { continue };
-        let due = acked + b.in_force_ms;
-        if r.sent > due && is_undisturbed(h, r.sent.saturating_sub(b.calm_ms), r.ended) {
+        let due = acked + b.propagation_ms;
+        if r.sent > due && is_undisturbed(h, r.sent.saturating_sub(b.undisturbed_ms), r.ended) {
             let gateway = format!("gateway-{}", r.gateway);
-            let why = format!("{gateway} did not know version {version}, due at {due} ms");
-            all.push(broken("configuration", r.sent, why, &[&r.id, &gateway]));
+            let why = format!("{gateway} did not have version {version} in force, due at {due} ms");
+            all.push(broken_promise("configuration", r.sent, why, &[&r.id, &gateway]));
         }
     }
     // Requests that every document version allows are never denied, not even by a gateway that is cut off.
     let denied = |r: &&Request| {
-        let always = !matches!(r.kind, Kind::Probe(_));
-        always && matches!(r.outcome, Outcome::Refused(401 | 403 | 404))
+        let always_allowed = !matches!(r.kind, Kind::Probe(_));
+        always_allowed && matches!(r.outcome, Outcome::Refused(401 | 403 | 404))
     };
     all.extend(h.requests.iter().filter(denied).map(|r| {
         let why = format!("{} was denied: {:?}", r.id, r.outcome);
-        broken("denied", r.sent, why, &[&r.id])
+        broken_promise("denied", r.sent, why, &[&r.id])
     }));
     all
 }
 
-fn retries_are_within_budget(h: &History, b: &Bounds) -> Vec<Broken> {
+fn retries_are_within_budget(h: &History, b: &Bounds) -> Vec<BrokenPromise> {
     let mut all = Vec::new();
     let services: BTreeSet<_> = h.arrivals.iter().map(|a| a.service).collect();
     for service in services {
         let mut seen = BTreeSet::new();
         let of_service = h.arrivals.iter().filter(|a| a.service == service);
-        let retry_times: Vec<At> =
+        let retry_times: Vec<Timestamp> =
             of_service.filter(|a| !seen.insert(&a.id)).map(|a| a.at).collect();
         let is_for_service = |r: &&Request| r.kind.service() == service;
-        let sent: Vec<At> = h.requests.iter().filter(is_for_service).map(|r| r.sent).collect();
+        let sent: Vec<Timestamp> =
+            h.requests.iter().filter(is_for_service).map(|r| r.sent).collect();
         for end in &retry_times {
             let from = end.saturating_sub(b.retry_window_ms);
             let retries =
                 retry_times.iter().filter(|at| (from..=*end).contains(*at)).count() as f64;
             // A request counts when it is sent. Retries can follow until the caller times out, so requests
             // from before the window count as well.
-            let first = from.saturating_sub(b.patience_ms);
+            let first = from.saturating_sub(b.caller_timeout_ms);
             let requests = sent.iter().filter(|at| (first..=*end).contains(*at)).count() as f64;
             let allowed = requests * b.retry_ratio + b.retry_extra as f64;
             if retries > allowed {
                 let why = format!("{service}: {retries} retries, {allowed:.1} allowed");
-                all.push(broken("retries", *end, why, &[]));
+                all.push(broken_promise("retries", *end, why, &[]));
                 break;
             }
         }
@@ -384,45 +409,51 @@
 
 /// Checks that few copies of a poison request run at replicas once it has crashed [`QUARANTINE_AFTER`] of
 /// them. Copies that run shortly after any other disruption are not counted.
-fn poison_requests_are_quarantined(h: &History, b: &Bounds) -> Vec<Broken> {
+fn poison_requests_are_quarantined(h: &History, b: &Bounds) -> Vec<BrokenPromise> {
     let requests = requests_by_id(h);
-    let disturbed = |from: At, to: At| {
+    let disturbed = |from: Timestamp, to: Timestamp| {
         h.disruptions.iter().any(|d| d.what != POISONED && d.from <= to && d.until >= from)
     };
-    let numbers: BTreeSet<usize> = h.ends.iter().map(|e| e.poison).collect();
+    let numbers: BTreeSet<usize> = h.poison_crashes.iter().map(|e| e.poison).collect();
     let mut all = Vec::new();
     for poison in numbers {
-        let mut ends = h.ends.iter().filter(|e| e.poison == poison);
-        let Some(third) = ends.nth(QUARANTINE_AFTER - 1) else { continue };
+        let mut crashes = h.poison_crashes.iter().filter(|e| e.poison == poison);
+        let Some(third) = crashes.nth(QUARANTINE_AFTER - 1) else { continue };
         let is_copy = |id: &str| requests.get(id).is_some_and(|r| r.kind == Kind::Poison(poison));
-        let late = h.arrivals.iter().filter(|a| a.run && a.at > third.at + b.known_ms);
+        let late = h.arrivals.iter().filter(|a| a.run && a.at > third.at + b.quarantine_ms);
         let late = late.filter(|a| is_copy(&a.id));
         let late: Vec<_> =
-            late.filter(|a| !disturbed(a.at.saturating_sub(b.calm_ms), a.at)).collect();
-        if late.len() > b.poisoned {
+            late.filter(|a| !disturbed(a.at.saturating_sub(b.undisturbed_ms), a.at)).collect();
+        if late.len() > b.max_late_poison_runs {
             let why = format!(
-                "request {poison}, known at {} ms, reached replicas {} times later",
-                third.at + b.known_ms,
+                "poison request {poison}, due to be quarantined at {} ms, ran {} times after that",
+                third.at + b.quarantine_ms,
                 late.len()
             );
             let last = late[late.len() - 1];
-            all.push(broken("poison", last.at, why, &[&last.id]));
+            all.push(broken_promise("poison", last.at, why, &[&last.id]));
         }
     }
     all
 }
 
-fn other_requests_are_not_quarantined(h: &History, _: &Bounds) -> Vec<Broken> {
+fn other_requests_are_not_quarantined(h: &History, _: &Bounds) -> Vec<BrokenPromise> {
     let harmless = h.requests.iter().filter(|r| !matches!(r.kind, Kind::Poison(_)));
     let refused = harmless.filter(|r| r.outcome == Outcome::Quarantined);
-    let violation =
-        |r: &Request| broken("quarantine", r.sent, format!("{} ends no replica", r.id), &[&r.id]);
+    let violation = |r: &Request| {
+        broken_promise(
+            "quarantine",
+            r.sent,
+            format!("{} was quarantined, but crashes no replica", r.id),
+            &[&r.id],
+        )
+    };
     refused.map(violation).collect()
 }
 
-/// Returns whether a disruption that affects this gateway was in progress at `at` or had ended at most `calm`
-/// milliseconds before.
-fn is_disrupted(h: &History, gateway: usize, at: At, calm: u64) -> bool {
+/// Returns whether a disruption that affects this gateway was in progress at `at` or had ended at most
+/// `undisturbed_ms` before.
+fn is_disrupted(h: &History, gateway: usize, at: Timestamp, undisturbed_ms: u64) -> bool {
     let name = format!("Gateway({gateway})");
     let affects_gateway = |d: &Disruption| {
         d.what.contains(&name)
@@ -430,21 +461,23 @@
             || matches!(d.what.as_str(), "KillAll" | "CutAllGateways" | "Reset")
             || d.what.starts_with("Delay(")
     };
-    h.disruptions.iter().any(|d| affects_gateway(d) && d.from <= at && d.until + calm >= at)
+    h.disruptions
+        .iter()
+        .any(|d| affects_gateway(d) && d.from <= at && d.until + undisturbed_ms >= at)
 }
 
 /// Checks that a rate-limited replica gets no more requests than its limit allows, summed over the gateways
 /// that have forwarded the limit. Gateways with a recent disruption of their own are not counted.
-fn rate_limits_are_respected(h: &History, b: &Bounds) -> Vec<Broken> {
+fn rate_limits_are_respected(h: &History, b: &Bounds) -> Vec<BrokenPromise> {
     h.limits.iter().filter_map(|l| check_rate_limit(h, b, l)).collect()
 }
 
-fn check_rate_limit(h: &History, b: &Bounds, l: &Limited) -> Option<Broken> {
+fn check_rate_limit(h: &History, b: &Bounds, l: &AnnouncedLimit) -> Option<BrokenPromise> {
     let first = l.first?;
     let requests = requests_by_id(h);
     let is_at_replica = |a: &&Arrival| a.replica == l.replica && a.at >= first;
     let arrivals: Vec<_> = h.arrivals.iter().filter(is_at_replica).collect();
-    let mut forwarded_at: BTreeMap<usize, At> = BTreeMap::new();
+    let mut forwarded_at: BTreeMap<usize, Timestamp> = BTreeMap::new();
     for a in &arrivals {
         let Some(r) = requests.get(a.id.as_str()) else { continue };
         let answered = matches!(r.outcome, Outcome::Answered { .. });
@@ -455,78 +488,79 @@
     }
     let counts = |a: &&&Arrival| {
         let Some(r) = requests.get(a.id.as_str()) else { return false };
-        let has_forwarded = forwarded_at.get(&r.gateway).is_some_and(|at| at + b.told_ms <= a.at);
+        let has_forwarded =
+            forwarded_at.get(&r.gateway).is_some_and(|at| at + b.limit_grace_ms <= a.at);
         let in_force =
             a.at >= first + b.limit_counts_after_ms && l.until.is_none_or(|until| a.at < until);
-        has_forwarded && in_force && !is_disrupted(h, r.gateway, a.at, b.calm_ms)
+        has_forwarded && in_force && !is_disrupted(h, r.gateway, a.at, b.undisturbed_ms)
     };
     let counted: Vec<_> = arrivals.iter().filter(counts).collect();
-    let seconds = b.limit_span_ms as f64 / 1_000.0;
-    let allowed = l.thousandths as f64 / 1_000.0 * seconds * b.limit_share + b.limit_slack;
+    let seconds = b.limit_window_ms as f64 / 1_000.0;
+    let allowed = l.thousandths as f64 / 1_000.0 * seconds * b.limit_factor + b.limit_slack;
     for (n, from) in counted.iter().enumerate() {
-        let within = counted[n..].iter().take_while(|a| a.at < from.at + b.limit_span_ms);
+        let within = counted[n..].iter().take_while(|a| a.at < from.at + b.limit_window_ms);
         let ids: Vec<_> = within.map(|a| a.id.as_str()).collect();
         if ids.len() as f64 > allowed {
             let (replica, limit) = (&l.replica, l.thousandths as f64 / 1_000.0);
             let why = format!(
-                "{replica} takes {limit} a second and got {} in {seconds} s, {allowed:.0} allowed",
+                "{replica} announced {limit} requests per second and got {} in {seconds} s, {allowed:.0} allowed",
                 ids.len()
             );
-            return Some(broken("limit", from.at, why, &ids));
+            return Some(broken_promise("limit", from.at, why, &ids));
         }
     }
     None
 }
 
 /// Checks that a gateway sends a replica hardly any requests during the backoff period of a `Retry-After`.
-fn backoff_is_respected(h: &History, b: &Bounds) -> Vec<Broken> {
+fn backoff_is_respected(h: &History, b: &Bounds) -> Vec<BrokenPromise> {
     let requests = requests_by_id(h);
     let gateway = |id: &str| requests.get(id).map(|r| r.gateway);
     let mut all = Vec::new();
-    for rest in &h.rests {
-        let Some(asked) = gateway(&rest.request) else { continue };
+    for backoff in &h.backoffs {
+        let Some(rejected_gateway) = gateway(&backoff.request) else { continue };
         let counts = |a: &&Arrival| {
-            let in_rest = a.at > rest.at + b.rest_counts_after_ms && a.at < rest.until;
-            in_rest && a.replica == rest.replica && gateway(&a.id) == Some(asked)
+            let in_backoff = a.at > backoff.at + b.backoff_counts_after_ms && a.at < backoff.until;
+            in_backoff && a.replica == backoff.replica && gateway(&a.id) == Some(rejected_gateway)
         };
         let counted = h.arrivals.iter().filter(counts);
         let counted: Vec<_> = counted
-            .filter(|a| !is_disrupted(h, asked, a.at, b.calm_ms))
+            .filter(|a| !is_disrupted(h, rejected_gateway, a.at, b.undisturbed_ms))
             .map(|a| a.id.as_str())
             .collect();
-        if counted.len() > b.rest_most {
-            let (replica, n) = (&rest.replica, counted.len());
-            let span = rest.until - rest.at;
+        if counted.len() > b.max_backoff_requests {
+            let (replica, n) = (&backoff.replica, counted.len());
+            let span = backoff.until - backoff.at;
             let why = format!(
-                "{replica} asked gateway-{asked} for {span} ms of rest and got {n} requests"
+                "{replica} asked gateway-{rejected_gateway} to back off for {span} ms and got {n} requests"
             );
-            all.push(broken("rest", rest.at, why, &counted));
+            all.push(broken_promise("rest", backoff.at, why, &counted));
         }
     }
     all
 }
 
 /// Checks that a gateway sends no new requests to a replica after it has forwarded an answer in which the
-/// replica announced that it is leaving.
-fn no_new_requests_after_announced_leave(h: &History, b: &Bounds) -> Vec<Broken> {
+/// replica announced that it is draining.
+fn no_new_requests_after_announced_drain(h: &History, b: &Bounds) -> Vec<BrokenPromise> {
     let requests = requests_by_id(h);
     let mut all = Vec::new();
-    for told in &h.told {
-        let Some(first) = requests.get(told.request.as_str()) else { continue };
+    for drain in &h.announced_drains {
+        let Some(first) = requests.get(drain.request.as_str()) else { continue };
         if !matches!(first.outcome, Outcome::Answered { .. }) {
             continue;
         }
         let late = |a: &&Arrival| {
-            let same_instance = told.until.is_none_or(|until| a.at < until);
+            let same_instance = drain.until.is_none_or(|until| a.at < until);
             let Some(r) = requests.get(a.id.as_str()) else { return false };
             let is_late = r.gateway == first.gateway && r.sent > first.ended + b.drain_ms;
-            same_instance && a.replica == told.replica && is_late
+            same_instance && a.replica == drain.replica && is_late
         };
         let late = h.arrivals.iter().filter(late);
-        let mut late = late.filter(|a| !is_disrupted(h, first.gateway, a.at, b.calm_ms));
+        let mut late = late.filter(|a| !is_disrupted(h, first.gateway, a.at, b.undisturbed_ms));
         if let Some(a) = late.next() {
-            let why = format!("{} reached {}, which had said that it leaves", a.id, a.replica);
-            all.push(broken("leaving", a.at, why, &[&a.id, &a.replica]));
+            let why = format!("{} reached {}, which had announced its drain", a.id, a.replica);
+            all.push(broken_promise("leaving", a.at, why, &[&a.id, &a.replica]));
         }
     }
     all
@@ -534,39 +568,42 @@
 
 /// Checks that an undisturbed control group has a leader. Reads of the document need one, so reads that
 /// keep failing show that there is none.
-fn undisturbed_group_has_a_leader(h: &History, b: &Bounds) -> Vec<Broken> {
+fn undisturbed_group_has_a_leader(h: &History, b: &Bounds) -> Vec<BrokenPromise> {
     let mut all = Vec::new();
-    let mut since: Option<At> = None;
-    let mut last_read = h.reads.iter().map(|r| r.sent).peekable();
-    for u in &h.unread {
-        let calm = is_undisturbed(h, u.sent.saturating_sub(b.calm_ms), u.ended);
-        while last_read.next_if(|at| *at < u.sent).is_some() {
+    let mut since: Option<Timestamp> = None;
+    let mut reads = h.reads.iter().map(|r| r.sent).peekable();
+    for u in &h.failed_reads {
+        let undisturbed = is_undisturbed(h, u.sent.saturating_sub(b.undisturbed_ms), u.ended);
+        while reads.next_if(|at| *at < u.sent).is_some() {
             since = None;
         }
-        if !calm {
+        if !undisturbed {
             since = None;
             continue;
         }
         let from = *since.get_or_insert(u.sent);
-        if u.ended - from > b.led_within_ms {
-            let why = format!("no control process read the document for {} ms", u.ended - from);
-            all.push(broken("leader", from, why, &[]));
+        if u.ended - from > b.max_leaderless_ms {
+            let why = format!("no read of the document succeeded for {} ms", u.ended - from);
+            all.push(broken_promise("leader", from, why, &[]));
             since = None;
         }
     }
     all
 }
 
-fn gateways_recover(h: &History, b: &Bounds) -> Vec<Broken> {
-    let late = |(n, back): (usize, &Option<At>)| {
-        let in_time = back.is_some_and(|at| at <= h.healed + b.back_ms);
-        let why = format!("gateway-{n} answered again at {back:?}, healed at {} ms", h.healed);
-        (!in_time).then(|| broken("service back", h.healed, why, &[&format!("gateway-{n}")]))
+fn gateways_recover(h: &History, b: &Bounds) -> Vec<BrokenPromise> {
+    let late = |(n, recovered_at): (usize, &Option<Timestamp>)| {
+        let in_time = recovered_at.is_some_and(|at| at <= h.healed + b.recovery_ms);
+        let why =
+            format!("gateway-{n} answered at {recovered_at:?}, faults ended at {} ms", h.healed);
+        (!in_time)
+            .then(|| broken_promise("service back", h.healed, why, &[&format!("gateway-{n}")]))
     };
-    h.back.iter().enumerate().filter_map(late).collect()
+    h.recovered_at.iter().enumerate().filter_map(late).collect()
 }
 
-fn no_process_exits_unexpectedly(h: &History, _: &Bounds) -> Vec<Broken> {
-    let violation = |name: &String| broken("ends by itself", h.healed, name.clone(), &[name]);
-    h.ended.iter().map(violation).collect()
+fn no_process_exits_unexpectedly(h: &History, _: &Bounds) -> Vec<BrokenPromise> {
+    let violation =
+        |name: &String| broken_promise("ends by itself", h.healed, name.clone(), &[name]);
+    h.unexpected_exits.iter().map(violation).collect()
 }
--- a/crates/soak/src/command.rs
+++ b/crates/soak/src/command.rs
@@ -9,7 +9,7 @@
 
 use getopts::Options as Getopts;
 
-use crate::check::Broken;
+use crate::check::BrokenPromise;
 use crate::error::{Error, io};
 use crate::fleet::Programs;
 use crate::plan::Plan;
@@ -164,7 +164,7 @@
 }
 
 /// Returns the first log lines that name a request or process that the broken promise is about.
-fn log_lines(dir: &Path, b: &Broken) -> String {
+fn log_lines(dir: &Path, b: &BrokenPromise) -> String {
     let mut text = String::new();
     let Ok(files) = fs::read_dir(dir) else { return text };
     for file in files.flatten().filter(|f| f.path().extension().is_some_and(|e| e == "log")) {
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 /// A point in time, in milliseconds since the run's start.
-pub type At = u64;
+pub type Timestamp = u64;
 
 /// What a request asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -76,9 +76,9 @@
     /// The index of the gateway that it was sent to.
     pub gateway: usize,
     /// When it was sent.
-    pub sent: At,
+    pub sent: Timestamp,
     /// When it ended.
-    pub ended: At,
+    pub ended: Timestamp,
     /// How it ended.
     pub outcome: Outcome,
 }
@@ -93,7 +93,7 @@
     /// The id of the replica.
     pub replica: String,
     /// When the request arrived.
-    pub at: At,
+    pub at: Timestamp,
     /// The client account that the gateway named to the replica.
     pub account: String,
     /// Whether the replica ran the request.
@@ -106,9 +106,9 @@
     /// The fault, in its `Debug` form, or a description of the operation.
     pub what: String,
     /// When it began.
-    pub from: At,
+    pub from: Timestamp,
     /// When it ended, including time for restarted processes to start up.
-    pub until: At,
+    pub until: Timestamp,
 }
 
 /// A configuration document sent by the operator.
@@ -117,36 +117,36 @@
     /// The version of the document.
     pub version: u64,
     /// When it was acknowledged, or `None` if it was not.
-    pub acked: Option<At>,
+    pub acked: Option<Timestamp>,
 }
 
 /// A successful read of the document in force.
 #[derive(Clone, Debug)]
 pub struct Read {
     /// When the read was sent.
-    pub sent: At,
+    pub sent: Timestamp,
     /// The version that was read.
     pub version: u64,
 }
 
 /// A failed read of the document in force.
 #[derive(Clone, Debug)]
-pub struct Unread {
+pub struct FailedRead {
     /// When the read was sent.
-    pub sent: At,
+    pub sent: Timestamp,
     /// When it ended.
-    pub ended: At,
+    pub ended: Timestamp,
 }
 
 /// The document version that a gateway reported to have in force.
 #[derive(Clone, Debug)]
-pub struct Held {
+pub struct VersionReport {
     /// The index of the gateway.
     pub gateway: usize,
     /// How many times the gateway had been started.
     pub incarnation: u32,
     /// When the report arrived.
-    pub at: At,
+    pub at: Timestamp,
     /// The reported version.
     pub version: u64,
 }
@@ -157,65 +157,65 @@
     /// The index of the gateway.
     pub gateway: usize,
     /// When the stop was requested.
-    pub asked: At,
+    pub requested: Timestamp,
     /// When the process had exited, or `None` if that was not observed.
-    pub ended: Option<At>,
+    pub ended: Option<Timestamp>,
 }
 
 /// The crash of a replica while it ran a poison request.
 #[derive(Clone, Debug)]
-pub struct End {
+pub struct PoisonCrash {
     /// The number of the poison request.
     pub poison: usize,
     /// When the replica crashed.
-    pub at: At,
+    pub at: Timestamp,
 }
 
-/// A replica that reported in its heartbeats that it is draining.
+/// The drain of a replica that it reported in its heartbeats.
 #[derive(Clone, Debug)]
-pub struct Leaving {
+pub struct AckedDrain {
     /// The id of the replica.
     pub replica: String,
-    /// When a control process acknowledged this.
-    pub acked: At,
+    /// When a control process acknowledged the report.
+    pub acked: Timestamp,
 }
 
-/// A replica that announces a rate limit in its answers.
+/// A rate limit that a replica announces in its answers.
 #[derive(Clone, Debug)]
-pub struct Limited {
+pub struct AnnouncedLimit {
     /// The id of the replica.
     pub replica: String,
     /// The rate limit, in thousandths of a request per second.
     pub thousandths: u64,
     /// When an answer first announced the limit, or `None` before the first answer.
-    pub first: Option<At>,
+    pub first: Option<Timestamp>,
     /// When the replica stopped announcing it, or `None` while it still does.
-    pub until: Option<At>,
+    pub until: Option<Timestamp>,
 }
 
-/// A request that a replica rejected with `Retry-After`.
+/// A period in which a gateway must not send requests to a replica that rejected one with `Retry-After`.
 #[derive(Clone, Debug)]
-pub struct Rested {
+pub struct Backoff {
     /// The id of the replica.
     pub replica: String,
     /// The id of the rejected request.
     pub request: String,
     /// When it was rejected.
-    pub at: At,
+    pub at: Timestamp,
     /// When the backoff period ends: after the `Retry-After` time, or when the replica restarts if that is
     /// earlier.
-    pub until: At,
+    pub until: Timestamp,
 }
 
-/// A replica that announces in the headers of its answers that it is leaving.
+/// A replica that announces in the headers of its answers that it is draining.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct AnnouncedDrain {
     /// The id of the replica.
     pub replica: String,
     /// The id of the first request whose answer announced it.
     pub request: String,
     /// When that instance of the replica ended, or `None` while it runs.
-    pub until: Option<At>,
+    pub until: Option<Timestamp>,
 }
 
 /// Everything observed in one run.
@@ -228,33 +228,33 @@
     /// Arrivals at replicas.
     pub arrivals: Vec<Arrival>,
     /// The highest event number that replicas generated, by request id.
-    pub made: BTreeMap<String, u64>,
+    pub generated: BTreeMap<String, u64>,
     /// Documents sent by the operator.
     pub changes: Vec<Change>,
     /// Successful reads of the document in force.
     pub reads: Vec<Read>,
     /// Failed reads of the document in force.
-    pub unread: Vec<Unread>,
+    pub failed_reads: Vec<FailedRead>,
     /// Document versions reported by gateways.
-    pub held: Vec<Held>,
+    pub version_reports: Vec<VersionReport>,
     /// Planned stops of gateways.
     pub stops: Vec<Stop>,
     /// Replicas that reported in heartbeats that they are draining.
-    pub leaving: Vec<Leaving>,
+    pub acked_drains: Vec<AckedDrain>,
     /// Crashes of replicas caused by poison requests.
-    pub ends: Vec<End>,
+    pub poison_crashes: Vec<PoisonCrash>,
     /// Rate limits announced by replicas.
-    pub limits: Vec<Limited>,
-    /// Requests rejected with `Retry-After`.
-    pub rests: Vec<Rested>,
-    /// Replicas that announced in answers that they are leaving.
-    pub told: Vec<Told>,
+    pub limits: Vec<AnnouncedLimit>,
+    /// Backoff periods that replicas requested with `Retry-After`.
+    pub backoffs: Vec<Backoff>,
+    /// Replicas that announced in answers that they are draining.
+    pub announced_drains: Vec<AnnouncedDrain>,
     /// When the last fault ended.
-    pub healed: At,
-    /// When each gateway first answered after that, or `None` if it did not.
-    pub back: Vec<Option<At>>,
+    pub healed: Timestamp,
+    /// When each gateway first answered a request after that, or `None` if it did not.
+    pub recovered_at: Vec<Option<Timestamp>>,
     /// Names of processes that exited unexpectedly.
-    pub ended: Vec<String>,
+    pub unexpected_exits: Vec<String>,
     /// Tokens that the control group counts as spent at the end, by account. Empty if the query failed.
     pub spent: BTreeMap<&'static str, u64>,
 }
--- a/crates/soak/src/operator.rs
+++ b/crates/soak/src/operator.rs
@@ -9,7 +9,7 @@
 use tokio::time::sleep;
 
 use crate::document::document;
-use crate::history::{At, Change, Held, Read, Unread};
+use crate::history::{Change, FailedRead, Read, Timestamp, VersionReport};
 use crate::http::call;
 use crate::world::World;
 
@@ -52,7 +52,7 @@
     false
 }
 
-fn record_change(w: &World, version: u64, acked: Option<At>) {
+fn record_change(w: &World, version: u64, acked: Option<Timestamp>) {
     if acked.is_some() {
         w.acked.set(w.acked.get().max(version));
     }
@@ -65,7 +65,7 @@
     let sent = w.at();
     let answer = call(w.any_api(), Method::GET, "/v1/document", Bytes::new(), CALL_TIMEOUT).await;
     let Some((200, body)) = answer else {
-        w.history.borrow_mut().unread.push(Unread { sent, ended: w.at() });
+        w.history.borrow_mut().failed_reads.push(FailedRead { sent, ended: w.at() });
         return None;
     };
     let version = serde_json::from_slice::<Value>(&body).ok()?["version"].as_u64()?;
@@ -94,8 +94,8 @@
         if let (Some(version), true) =
             (v["document"].as_u64(), w.incarnations[gateway].get() == incarnation)
         {
-            let held = Held { gateway, incarnation, at: w.at(), version };
-            w.history.borrow_mut().held.push(held);
+            let report = VersionReport { gateway, incarnation, at: w.at(), version };
+            w.history.borrow_mut().version_reports.push(report);
         }
     }
 }
--- a/crates/soak/src/replica.rs
+++ b/crates/soak/src/replica.rs
@@ -16,7 +16,7 @@
 use tokio::task::AbortHandle;
 use tokio::time::sleep;
 
-use crate::history::{Arrival, End, Leaving, Limited, Rested, Told};
+use crate::history::{AckedDrain, AnnouncedDrain, AnnouncedLimit, Arrival, Backoff, PoisonCrash};
 use crate::http::call;
 use crate::plan::Resting;
 use crate::proxy::Gate;
@@ -89,7 +89,7 @@
     resting: Cell<Option<Resting>>,
     /// Whether its responses announce that it drains.
     drains_quietly: Cell<bool>,
-    leaving: Cell<bool>,
+    draining: Cell<bool>,
     heartbeats: Cell<u64>,
     /// Start time, in milliseconds since the Unix epoch.
     born: u64,
@@ -107,7 +107,7 @@
         service: &'static str,
         id: String,
     ) -> io::Result<Rc<Replica>> {
-        w.end_words_of(&id);
+        w.end_announcements(&id);
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let gate = Gate::start(listener.local_addr()?).await?;
         let replica = Rc::new(Replica {
@@ -118,7 +118,7 @@
             limit: Cell::new(None),
             resting: Cell::new(None),
             drains_quietly: Cell::new(false),
-            leaving: Cell::new(false),
+            draining: Cell::new(false),
             heartbeats: Cell::new(0),
             born: w.next_born(),
             serve_task: Cell::new(None),
@@ -145,9 +145,10 @@
         if self.limit.get().is_some() {
             return;
         }
-        let limited = Limited { replica: self.id.clone(), thousandths, first: None, until: None };
+        let limit =
+            AnnouncedLimit { replica: self.id.clone(), thousandths, first: None, until: None };
         let n = w.history.borrow().limits.len();
-        w.history.borrow_mut().limits.push(limited);
+        w.history.borrow_mut().limits.push(limit);
         self.limit.set(Some(n));
         sleep(span).await;
         self.limit.set(None);
@@ -180,8 +181,8 @@
         mut r: Response<Body>,
     ) -> Response<Body> {
         if self.drains_quietly.get() {
-            let told = Told { replica: self.id.clone(), request, until: None };
-            w.history.borrow_mut().told.push(told);
+            let drain = AnnouncedDrain { replica: self.id.clone(), request, until: None };
+            w.history.borrow_mut().announced_drains.push(drain);
             r.headers_mut().insert(LEAVING, HeaderValue::from_static("1"));
         }
         r
@@ -191,13 +192,13 @@
     fn reject_with_retry_after(&self, w: &World, id: &str) -> Option<Response<Body>> {
         let resting = self.resting.get().filter(|r| w.happens(r.share))?;
         let at = w.at();
-        let rested = Rested {
+        let backoff = Backoff {
             replica: self.id.clone(),
             request: id.to_owned(),
             at,
             until: at + resting.rest,
         };
-        w.history.borrow_mut().rests.push(rested);
+        w.history.borrow_mut().backoffs.push(backoff);
         let mut r = reject(id, StatusCode::SERVICE_UNAVAILABLE);
         let seconds = format!("{}.{:03}", resting.rest / 1_000, resting.rest % 1_000);
         if let Ok(v) = HeaderValue::from_str(&seconds) {
@@ -248,12 +249,12 @@
 
     /// Announces its drain by heartbeat, goes on serving for a while, then deregisters and crashes.
     pub async fn leave(self: Rc<Self>, w: Rc<World>) {
-        self.leaving.set(true);
+        self.draining.set(true);
         for _ in 0..MAX_DRAIN_ATTEMPTS {
             if self.send_heartbeat(&w).await {
                 let acked = w.at();
-                let leaving = Leaving { replica: self.id.clone(), acked };
-                w.history.borrow_mut().leaving.push(leaving);
+                let drain = AckedDrain { replica: self.id.clone(), acked };
+                w.history.borrow_mut().acked_drains.push(drain);
                 break;
             }
             sleep(HEARTBEAT_INTERVAL / 5).await;
@@ -270,7 +271,7 @@
         self.heartbeats.set(self.heartbeats.get() + 1);
         let body = json!({
             "service": self.service, "address": self.gate.address.to_string(),
-            "data_centre": "tamar-a", "slots": 16, "draining": self.leaving.get(),
+            "data_centre": "tamar-a", "slots": 16, "draining": self.draining.get(),
             "sequence": self.heartbeats.get(), "born": self.born,
         });
         let path = format!("/v1/replicas/{}", self.id);
@@ -373,12 +374,12 @@
 /// the replica are not delivered.
 async fn crash_on_poison(r: &Rc<Replica>, w: &World, poison: usize) {
     sleep(POISON_CRASH_DELAY).await;
-    if w.ended.borrow().contains(&r.id) {
+    if w.crashed.borrow().contains(&r.id) {
         return;
     }
-    w.ended.borrow_mut().push(r.id.clone());
+    w.crashed.borrow_mut().push(r.id.clone());
     let at = w.at();
-    w.history.borrow_mut().ends.push(End { poison, at });
+    w.history.borrow_mut().poison_crashes.push(PoisonCrash { poison, at });
     r.crash();
 }
 
@@ -387,8 +388,8 @@
         sleep(EVENT_INTERVAL).await;
         {
             let mut h = w.history.borrow_mut();
-            let made = h.made.entry(id.clone()).or_default();
-            *made = (*made).max(n);
+            let generated = h.generated.entry(id.clone()).or_default();
+            *generated = (*generated).max(n);
         }
         // The caller disconnected.
         if tx.send(Bytes::from(event(&id, n))).await.is_err() {
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -15,11 +15,11 @@
 use tokio::time::{Instant, sleep};
 
 use crate::caller::{PATIENCE, ask, call_forever, poison, probe_forever};
-use crate::check::{Bounds, Broken, POISONED, check, stop_of};
+use crate::check::{Bounds, BrokenPromise, POISONED, check, stop_of};
 use crate::document::ACCOUNTS;
 use crate::error::{Error, io};
 use crate::fleet::{Fleet, Process, Programs, RETRY_EXTRA, STOP_WITHIN_S};
-use crate::history::{At, Disruption, History, Kind, Outcome, Stop};
+use crate::history::{Disruption, History, Kind, Outcome, Stop, Timestamp};
 use crate::operator::{publish, read, read_forever, send, watch_gateway};
 use crate::plan::{Fault, Limiting, Plan, QuietLeave, Resting, Step};
 use crate::proxy::{Cut, Side};
@@ -87,7 +87,7 @@
     /// The plan that was executed.
     pub plan: Plan,
     /// The promises that were broken.
-    pub broken: Vec<Broken>,
+    pub broken: Vec<BrokenPromise>,
     /// Number of requests sent and number of requests answered.
     pub requests: (usize, usize),
     /// Directory of the logs.
@@ -98,25 +98,25 @@
 pub fn bounds() -> Bounds {
     Bounds {
         prepaid: ACCOUNTS.iter().map(|a| (a.name, a.prepaid)).collect(),
-        in_force_ms: 2_500,
-        calm_ms: 4_000,
+        propagation_ms: 2_500,
+        undisturbed_ms: 4_000,
         drain_ms: 2_500,
         retry_ratio: 0.2,
         retry_extra: RETRY_EXTRA,
         retry_window_ms: 10_000,
         stop_ms: STOP_WITHIN_S * 1_000 + 1_000,
-        back_ms: RECOVERY_LIMIT_MS,
-        patience_ms: PATIENCE.as_millis() as u64,
-        known_ms: QUARANTINE_LIMIT_MS,
-        poisoned: MAX_SENDS_IN_QUARANTINE,
+        recovery_ms: RECOVERY_LIMIT_MS,
+        caller_timeout_ms: PATIENCE.as_millis() as u64,
+        quarantine_ms: QUARANTINE_LIMIT_MS,
+        max_late_poison_runs: MAX_SENDS_IN_QUARANTINE,
         limit_counts_after_ms: 3_000,
-        limit_span_ms: 4_000,
-        limit_share: 1.5,
+        limit_window_ms: 4_000,
+        limit_factor: 1.5,
         limit_slack: 5.0,
-        told_ms: 500,
-        rest_counts_after_ms: 500,
-        rest_most: 2,
-        led_within_ms: 2 * ELECTION_TIMEOUT_MS,
+        limit_grace_ms: 500,
+        backoff_counts_after_ms: 500,
+        max_backoff_requests: 2,
+        max_leaderless_ms: 2 * ELECTION_TIMEOUT_MS,
     }
 }
 
@@ -222,7 +222,7 @@
         if !self.w.happens(SAME_ID_PERCENT) {
             return self.add_replica(all).await;
         }
-        self.w.ended.borrow_mut().retain(|ended| *ended != id);
+        self.w.crashed.borrow_mut().retain(|crashed| *crashed != id);
         self.start_replica(all, id).await
     }
 
@@ -298,8 +298,8 @@
     /// Schedules the restart of replicas that poison requests crashed.
     fn restart_crashed_replicas(self: &Rc<Self>) {
         for all in [&self.talk, &self.board] {
-            let ended = self.w.ended.borrow().clone();
-            let has_crashed = |r: &mut Rc<Replica>| ended.contains(&r.id);
+            let ids = self.w.crashed.borrow().clone();
+            let has_crashed = |r: &mut Rc<Replica>| ids.contains(&r.id);
             let crashed: Vec<_> = all.borrow_mut().running.extract_if(.., has_crashed).collect();
             let talk = std::ptr::eq(all, &self.talk);
             for r in crashed {
@@ -359,14 +359,14 @@
         }
     }
 
-    /// Sends the poison requests again once the fleet has been undisturbed for `calm_ms`.
+    /// Sends the poison requests again once the fleet has been undisturbed for `undisturbed_ms`.
     async fn send_final_poisons(&self, plan: &Plan) {
         if plan.poisons.is_empty() {
             return;
         }
         let last = self.w.history.borrow().disruptions.iter().map(|d| d.until).max();
-        let calm = last.unwrap_or_default() + bounds().calm_ms;
-        sleep(Duration::from_millis(calm.saturating_sub(self.w.at()))).await;
+        let undisturbed_from = last.unwrap_or_default() + bounds().undisturbed_ms;
+        sleep(Duration::from_millis(undisturbed_from.saturating_sub(self.w.at()))).await;
         let all = plan.poisons.iter().map(|p| poison(self.w.clone(), p.number, FINAL_POISON_SPAN));
         futures_util::future::join_all(all).await;
     }
@@ -374,7 +374,7 @@
     fn record_exits(&self) {
         for p in self.fleet.processes().filter(|p| !p.busy.get()) {
             if p.has_ended() {
-                self.w.history.borrow_mut().ended.push(p.name.clone());
+                self.w.history.borrow_mut().unexpected_exits.push(p.name.clone());
             }
         }
     }
@@ -520,12 +520,13 @@
         if p.busy.replace(true) {
             return;
         }
-        let asked = self.w.at();
+        let requested = self.w.at();
         p.stop().await;
         let ended = self.w.at();
-        let d = Disruption { what: stop_of(n), from: asked, until: ended + START_DISRUPTION_MS };
+        let d =
+            Disruption { what: stop_of(n), from: requested, until: ended + START_DISRUPTION_MS };
         let mut h = self.w.history.borrow_mut();
-        h.stops.push(Stop { gateway: n, asked, ended: Some(ended) });
+        h.stops.push(Stop { gateway: n, requested, ended: Some(ended) });
         h.disruptions.push(d);
         drop(h);
         self.restart(p);
@@ -612,16 +613,16 @@
     /// keeps the callers running for `LOAD_AFTER_RECOVERY`.
     async fn wait_for_recovery(&self) {
         let healed = self.w.history.borrow().healed;
-        let mut back: Vec<Option<At>> = vec![None; self.fleet.gateways.len()];
-        while self.w.at() < healed + RECOVERY_LIMIT_MS && back.iter().any(Option::is_none) {
-            for (n, at) in back.iter_mut().enumerate().filter(|(_, at)| at.is_none()) {
+        let mut recovered_at: Vec<Option<Timestamp>> = vec![None; self.fleet.gateways.len()];
+        while self.w.at() < healed + RECOVERY_LIMIT_MS && recovered_at.iter().any(Option::is_none) {
+            for (n, at) in recovered_at.iter_mut().enumerate().filter(|(_, at)| at.is_none()) {
                 if self.is_serving(n).await {
                     *at = Some(self.w.at());
                 }
             }
             sleep(POLL_INTERVAL).await;
         }
-        self.w.history.borrow_mut().back = back;
+        self.w.history.borrow_mut().recovered_at = recovered_at;
         sleep(LOAD_AFTER_RECOVERY).await;
     }
 
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -8,7 +8,7 @@
 use rand::{Rng, SeedableRng};
 use tokio::time::Instant;
 
-use crate::history::{At, History};
+use crate::history::{History, Timestamp};
 
 /// State that all tasks of one run share.
 pub struct World {
@@ -30,7 +30,7 @@
     /// The highest document version that was sent.
     pub sent: Cell<u64>,
     /// Ids of replicas that have crashed and are to be restarted.
-    pub ended: RefCell<Vec<String>>,
+    pub crashed: RefCell<Vec<String>>,
     /// Start time of the last replica, in milliseconds since the Unix epoch.
     born: Cell<u64>,
     rng: RefCell<SmallRng>,
@@ -55,15 +55,15 @@
             over: Cell::new(false),
             acked: Cell::new(0),
             sent: Cell::new(0),
-            ended: RefCell::default(),
+            crashed: RefCell::default(),
             born: Cell::new(0),
             rng: RefCell::new(SmallRng::seed_from_u64(seed)),
         }
     }
 
     /// Returns the milliseconds since the start of the run.
-    pub fn at(&self) -> At {
-        self.started.elapsed().as_millis() as At
+    pub fn at(&self) -> Timestamp {
+        self.started.elapsed().as_millis() as Timestamp
     }
 
     /// Returns the start time of a new replica, in milliseconds since the Unix epoch. Each call
@@ -76,15 +76,15 @@
 
     /// Ends the announced limits, `Retry-After` periods and drains of a replica's previous
     /// incarnation. Called when a replica starts under the same id.
-    pub fn end_words_of(&self, replica: &str) {
+    pub fn end_announcements(&self, replica: &str) {
         let at = self.at();
         let mut h = self.history.borrow_mut();
         let limits = h.limits.iter_mut().filter(|l| l.replica == replica);
         limits.for_each(|l| l.until = Some(l.until.unwrap_or(at)));
-        let rests = h.rests.iter_mut().filter(|r| r.replica == replica);
-        rests.for_each(|r| r.until = r.until.min(at));
-        let told = h.told.iter_mut().filter(|t| t.replica == replica);
-        told.for_each(|t| t.until = Some(t.until.unwrap_or(at)));
+        let backoffs = h.backoffs.iter_mut().filter(|r| r.replica == replica);
+        backoffs.for_each(|r| r.until = r.until.min(at));
+        let drains = h.announced_drains.iter_mut().filter(|t| t.replica == replica);
+        drains.for_each(|t| t.until = Some(t.until.unwrap_or(at)));
     }
 
     /// Draws a number below `n`.
--- a/crates/soak/tests/check.rs
+++ b/crates/soak/tests/check.rs
@@ -2,12 +2,11 @@
 
 #![allow(missing_docs)]
 
-use cypressfork_soak::check::{Broken, check, stop_of};
+use cypressfork_soak::check::{BrokenPromise, check, stop_of};
 use cypressfork_soak::history::{
-    Arrival, Change, Disruption, End, Held, History, Kind, Leaving, Limited, Outcome, Read,
-    Request, Stop,
+    AckedDrain, AnnouncedDrain, AnnouncedLimit, Arrival, Backoff, Change, Disruption, FailedRead,
+    History, Kind, Outcome, PoisonCrash, Read, Request, Stop, VersionReport,
 };
-use cypressfork_soak::history::{Rested, Told, Unread};
 use cypressfork_soak::plan::{Fault, Plan};
 use cypressfork_soak::run::bounds;
 use rstest::rstest;
@@ -56,25 +55,26 @@
             Change { version: 3, acked: None },
         ],
         reads: vec![Read { sent: 6_000, version: 2 }],
-        held: vec![
-            Held { gateway: 0, incarnation: 1, at: 4_000, version: 1 },
-            Held { gateway: 0, incarnation: 1, at: 6_000, version: 2 },
-            Held { gateway: 0, incarnation: 2, at: 7_000, version: 1 },
+        version_reports: vec![
+            VersionReport { gateway: 0, incarnation: 1, at: 4_000, version: 1 },
+            VersionReport { gateway: 0, incarnation: 1, at: 6_000, version: 2 },
+            VersionReport { gateway: 0, incarnation: 2, at: 7_000, version: 1 },
         ],
-        stops: vec![Stop { gateway: 0, asked: 9_000, ended: Some(12_000) }],
-        leaving: vec![Leaving { replica: "talk-9".to_owned(), acked: 2_000 }],
+        stops: vec![Stop { gateway: 0, requested: 9_000, ended: Some(12_000) }],
+        acked_drains: vec![AckedDrain { replica: "talk-9".to_owned(), acked: 2_000 }],
         healed: 15_000,
-        back: vec![Some(15_500)],
+        recovered_at: vec![Some(15_500)],
         ..History::default()
     };
     h.disruptions.push(Disruption { what: stop_of(0), from: 9_000, until: 13_000 });
-    h.made.insert("s".to_owned(), 3);
+    h.generated.insert("s".to_owned(), 3);
     h.spent.insert("club", 43);
     h
 }
 
 fn broken_promises(h: &History) -> Vec<&'static str> {
-    let mut all: Vec<_> = check(h, &bounds()).into_iter().map(|b: Broken| b.promise).collect();
+    let mut all: Vec<_> =
+        check(h, &bounds()).into_iter().map(|b: BrokenPromise| b.promise).collect();
     all.dedup();
     all
 }
@@ -85,7 +85,7 @@
 }
 
 #[rstest]
-#[case::spend_by_events("spend", |h: &mut History| { h.made.insert("s".into(), 6_000_000); })]
+#[case::spend_by_events("spend", |h: &mut History| { h.generated.insert("s".into(), 6_000_000); })]
 #[case::spend_by_prompts("spend", |h: &mut History| { h.requests[0].prompt = 6_000_000; h.spent.clear(); h.requests[0].outcome = Outcome::Left; })]
 #[case::counted_below("billing", |h: &mut History| { h.spent.insert("club", 42); })]
 #[case::counted_above("billing", |h: &mut History| { h.spent.insert("mill", 1_000_000); })]
@@ -112,7 +112,7 @@
 #[case::stop_too_long("planned stop", |h: &mut History| h.stops[0].ended = Some(40_000))]
 #[case::stop_without_end("planned stop", |h: &mut History| { h.stops[0].ended = Some(u64::MAX / 2); })]
 #[case::read_older("configuration", |h: &mut History| h.reads[0].version = 1)]
-#[case::back_in_one_life("configuration", |h: &mut History| h.held[2].incarnation = 1)]
+#[case::decreases_in_one_incarnation("configuration", |h: &mut History| h.version_reports[2].incarnation = 1)]
 #[case::not_in_force("configuration", |h: &mut History| {
     h.disruptions.clear();
     h.requests[3].outcome = Outcome::Refused(404);
@@ -121,12 +121,12 @@
 #[case::retries("retries", |h: &mut History| {
     (0..12).for_each(|n| h.arrivals.push(arrival("s", "talk", 10_020 + n)));
 })]
-#[case::sent_on("poison", |h: &mut History| add_poison(h, 4))]
-#[case::sound_work("quarantine", |h: &mut History| h.requests[2].outcome = Outcome::Quarantined)]
+#[case::sent_after_quarantine("poison", |h: &mut History| add_poison(h, 4))]
+#[case::harmless_request("quarantine", |h: &mut History| h.requests[2].outcome = Outcome::Quarantined)]
 #[case::over_its_limit("limit", |h: &mut History| add_limited_replica(h, 12))]
-#[case::not_back("service back", |h: &mut History| h.back[0] = None)]
-#[case::back_late("service back", |h: &mut History| h.back[0] = Some(40_000))]
-#[case::ended("ends by itself", |h: &mut History| h.ended.push("gateway-0".into()))]
+#[case::not_back("service back", |h: &mut History| h.recovered_at[0] = None)]
+#[case::back_late("service back", |h: &mut History| h.recovered_at[0] = Some(40_000))]
+#[case::ended("ends by itself", |h: &mut History| h.unexpected_exits.push("gateway-0".into()))]
 fn a_fault_is_found(#[case] promise: &str, #[case] apply: fn(&mut History)) {
     let mut h = correct_history();
     apply(&mut h);
@@ -138,13 +138,13 @@
 fn add_limited_replica(h: &mut History, sends: u64) {
     let replica = "board-9".to_owned();
     let first = Some(11_010);
-    h.limits.push(Limited { replica, thousandths: 1_000, first, until: None });
+    h.limits.push(AnnouncedLimit { replica, thousandths: 1_000, first, until: None });
     for n in 0..=sends {
         // The response to the first request announces the limit to the gateway.
         let at = if n == 0 { 11_010 } else { 14_200 + 300 * n };
         let id = format!("l-{n}");
-        let asked = request(&id, Kind::Safe, answered(&[]));
-        h.requests.push(Request { gateway: 1, sent: at, ended: at + 20, ..asked });
+        let template = request(&id, Kind::Safe, answered(&[]));
+        h.requests.push(Request { gateway: 1, sent: at, ended: at + 20, ..template });
         h.arrivals.push(Arrival { replica: "board-9".into(), ..arrival(&id, "board", at) });
     }
 }
@@ -154,14 +154,14 @@
 fn add_poison(h: &mut History, later: u64) {
     let kind = Kind::Poison(0);
     h.requests.push(request("x", kind, Outcome::Quarantined));
-    h.ends.extend((0..3).map(|n| End { poison: 0, at: 11_000 + 100 * n }));
+    h.poison_crashes.extend((0..3).map(|n| PoisonCrash { poison: 0, at: 11_000 + 100 * n }));
     let at = |n| 20_000 + 100 * n;
     h.arrivals.extend((0..later).map(|n| arrival("x", "board", at(n))));
 }
 
 #[rstest]
 #[case::a_few_more(|h: &mut History| add_poison(h, 3))]
-#[case::sent_on_in_a_cut(|h: &mut History| {
+#[case::sent_in_a_partition(|h: &mut History| {
     add_poison(h, 4);
     h.disruptions.push(Disruption { what: "CutGateway".into(), from: 17_000, until: 19_000 });
 })]
@@ -174,7 +174,7 @@
     h.arrivals.remove(1);
 })]
 #[case::not_in_force_beside_a_fault(|h: &mut History| h.requests[3].outcome = Outcome::Refused(404))]
-#[case::behind_and_says_so(|h: &mut History| {
+#[case::behind_and_refuses(|h: &mut History| {
     h.disruptions.clear();
     h.requests[3].outcome = Outcome::Refused(503);
     h.arrivals.remove(2);
@@ -215,8 +215,8 @@
 
 /// Adds a request that `gateway` forwards to the replica `board-9`.
 fn add_forwarded(h: &mut History, id: &str, gateway: usize, sent: u64) {
-    let asked = request(id, Kind::Safe, answered(&[]));
-    h.requests.push(Request { gateway, sent, ended: sent + 20, ..asked });
+    let template = request(id, Kind::Safe, answered(&[]));
+    h.requests.push(Request { gateway, sent, ended: sent + 20, ..template });
     h.arrivals.push(Arrival { replica: "board-9".into(), ..arrival(id, "board", sent + 1) });
 }
 
@@ -226,7 +226,7 @@
     let mut h = correct_history();
     add_forwarded(&mut h, "first", 1, 11_000);
     let (replica, request) = ("board-9".to_owned(), "first".to_owned());
-    h.rests.push(Rested { replica, request, at: 11_001, until: 14_001 });
+    h.backoffs.push(Backoff { replica, request, at: 11_001, until: 14_001 });
     for n in 0..requests {
         add_forwarded(&mut h, &format!("in-rest-{n}"), 1, 12_000 + n as u64);
     }
@@ -270,7 +270,7 @@
     let mut h = correct_history();
     add_forwarded(&mut h, "first", 1, 11_000);
     let (replica, request) = ("board-9".to_owned(), "first".to_owned());
-    h.told.push(Told { replica, request, until: None });
+    h.announced_drains.push(AnnouncedDrain { replica, request, until: None });
     add_forwarded(&mut h, "late", gateway, sent);
     assert_eq!(broken_promises(&h), promises);
 }
@@ -282,7 +282,7 @@
 #[case::with_one_that_succeeds_between(&[(20_000, 20_400), (21_000, 21_100)], &[])]
 #[case::beside_a_stop(&[(9_000, 9_400), (10_600, 11_100)], &[])]
 fn an_undisturbed_group_without_a_leader_is_found(
-    #[case] unread: &[(u64, u64)],
+    #[case] failed_reads: &[(u64, u64)],
     #[case] promises: &[&str],
 ) {
     let mut h = correct_history();
@@ -290,6 +290,9 @@
     if promises == ["leader"] {
         h.reads.pop();
     }
-    h.unread = unread.iter().map(|(sent, ended)| Unread { sent: *sent, ended: *ended }).collect();
+    h.failed_reads = failed_reads
+        .iter()
+        .map(|(sent, ended)| FailedRead { sent: *sent, ended: *ended })
+        .collect();
     assert_eq!(broken_promises(&h), promises);
 }
