--- a/crates/soak/src/caller.rs
+++ b/crates/soak/src/caller.rs
@@ -14,12 +14,12 @@
 
 use crate::document::{ACCOUNTS, probe_path};
 use crate::history::{Kind, Outcome, Request};
-use crate::http::{call, exchange, headers, rest};
-use crate::replica::{EVENTS_MOST, POISON, answer, event, events_of};
+use crate::http::{call, exchange, headers, read_body};
+use crate::replica::{MAX_EVENTS, POISON, answer_body, event_count, event_text};
 use crate::world::World;
 
 /// How long a caller waits for a complete answer.
-pub const PATIENCE: Duration = Duration::from_millis(4_000);
+pub const CALLER_TIMEOUT: Duration = Duration::from_millis(4_000);
 
 /// The timeout that a caller sends with each request, in milliseconds.
 const DEADLINE_MS: u64 = 3_000;
@@ -46,24 +46,25 @@
 const POISON_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Sends copies of poison request `number` to random gateways for `span`.
-pub async fn poison(w: Rc<World>, number: usize, span: Duration) {
+pub async fn send_poison(w: Rc<World>, number: usize, span: Duration) {
     for _ in 0..span.as_millis() / POISON_INTERVAL.as_millis() {
-        let gateway = w.below(w.gateways.len());
-        let id = format!("x{number}-{}", w.at());
+        let gateway = w.random_below(w.gateways.len());
+        let id = format!("x{number}-{}", w.now());
         let w = w.clone();
         actix_rt::spawn(async move {
-            ask(&w, gateway, id, Kind::Poison(number), None).await;
+            send_recorded(&w, gateway, id, Kind::Poison(number), None).await;
         });
         sleep(POISON_INTERVAL).await;
     }
 }
 
 /// Sends the requests of one caller until the run is over.
-pub async fn call_forever(w: Rc<World>, caller: usize) {
-    let mut c = Caller { w: &w, caller, sent: 0, kept: None };
-    while !w.over.get() {
-        c.request().await;
-        sleep(Duration::from_millis(MIN_PAUSE_MS + w.below(MIN_PAUSE_MS as usize) as u64)).await;
+pub async fn run_caller(w: Rc<World>, caller: usize) {
+    let mut c = Caller { w: &w, caller, sent: 0, idle: None };
+    while !w.stop_callers.get() {
+        c.send_next().await;
+        sleep(Duration::from_millis(MIN_PAUSE_MS + w.random_below(MIN_PAUSE_MS as usize) as u64))
+            .await;
     }
 }
 
@@ -71,12 +72,13 @@
     w: &'a Rc<World>,
     caller: usize,
     sent: u64,
-    kept: Option<(usize, Connection)>,
+    /// The gateway index of the open connection, and the connection.
+    idle: Option<(usize, Connection)>,
 }
 
 impl Caller<'_> {
-    async fn request(&mut self) {
-        let gateway = match &self.kept {
+    async fn send_next(&mut self) {
+        let gateway = match &self.idle {
             Some((gateway, _)) => *gateway,
             None => match fetch_gateway(self.w).await {
                 Some(gateway) => gateway,
@@ -86,13 +88,13 @@
         self.sent += 1;
         let id = format!("c{}-{}", self.caller, self.sent);
         let kind = self.draw_kind();
-        let kept = self.kept.take().map(|(_, c)| c);
-        let keep = ask(self.w, gateway, id, kind, kept).await;
-        self.kept = keep.filter(|_| !self.w.happens(CLOSE_PERCENT)).map(|c| (gateway, c));
+        let idle = self.idle.take().map(|(_, c)| c);
+        let keep = send_recorded(self.w, gateway, id, kind, idle).await;
+        self.idle = keep.filter(|_| !self.w.random_bool(CLOSE_PERCENT)).map(|c| (gateway, c));
     }
 
     fn draw_kind(&self) -> Kind {
-        match self.w.below(10) {
+        match self.w.random_below(10) {
             0..4 => Kind::Stream,
             4..7 => Kind::Unsafe,
             _ => Kind::Safe,
@@ -103,50 +105,52 @@
 /// Asks a control process for gateways and returns the index of one of them, or `None` if the query fails.
 async fn fetch_gateway(w: &World) -> Option<usize> {
     let path = "/v1/entry?data_centre=tamar-a";
-    let (status, body) = call(w.any_api(), Method::GET, path, Bytes::new(), ENTRY_TIMEOUT).await?;
+    let (status, body) =
+        call(w.random_api(), Method::GET, path, Bytes::new(), ENTRY_TIMEOUT).await?;
     let v: Value = serde_json::from_slice(&body).ok().filter(|_| status == 200)?;
     let all = v["addresses"].as_array()?;
-    let chosen = all.get(w.below(all.len().max(1)))?;
+    let chosen = all.get(w.random_below(all.len().max(1)))?;
     let address: SocketAddr = chosen.as_str()?.parse().ok()?;
     w.gateways.iter().position(|a| *a == address)
 }
 
 /// Every `every`, sends a request for the route of the highest acknowledged version to a random gateway,
 /// until the run is over.
-pub async fn probe_forever(w: Rc<World>, every: Duration) {
+pub async fn run_prober(w: Rc<World>, every: Duration) {
     let mut sent = 0;
-    while !w.over.get() {
+    while !w.stop_callers.get() {
         sleep(every).await;
         sent += 1;
-        let gateway = w.below(w.gateways.len());
+        let gateway = w.random_below(w.gateways.len());
         let (id, kind) = (format!("p-{sent}"), Kind::Probe(w.acked.get()));
-        ask(&w, gateway, id, kind, None).await;
+        send_recorded(&w, gateway, id, kind, None).await;
     }
 }
 
 /// Sends one request and records its outcome. Returns the connection if it can be reused.
-pub async fn ask(
+pub async fn send_recorded(
     w: &Rc<World>,
     gateway: usize,
     id: String,
     kind: Kind,
-    kept: Option<Connection>,
+    idle: Option<Connection>,
 ) -> Option<Connection> {
     let account = match kind {
         // All copies share an account, as it is part of the fingerprint by which requests are quarantined.
         Kind::Poison(_) => &ACCOUNTS[0],
-        _ => &ACCOUNTS[usize::from(w.happens(30))],
+        _ => &ACCOUNTS[usize::from(w.random_bool(30))],
     };
-    let sent = w.at();
-    let abandons = kind == Kind::Stream && w.happens(ABANDON_PERCENT);
-    let patience = if abandons { Duration::from_millis(w.below(150) as u64) } else { PATIENCE };
-    let done = timeout(patience, send(w, gateway, &id, kind, account.key, kept)).await;
+    let sent = w.now();
+    let abandons = kind == Kind::Stream && w.random_bool(ABANDON_PERCENT);
+    let max_wait =
+        if abandons { Duration::from_millis(w.random_below(150) as u64) } else { CALLER_TIMEOUT };
+    let done = timeout(max_wait, send(w, gateway, &id, kind, account.key, idle)).await;
     let (outcome, keep) = done.unwrap_or((Outcome::Left, None));
     let (prompt, events) = match kind {
-        Kind::Stream => (PROMPT_TOKENS, events_of(&id)),
+        Kind::Stream => (PROMPT_TOKENS, event_count(&id)),
         _ => (0, 0),
     };
-    let (account, ended) = (account.name, w.at());
+    let (account, ended) = (account.name, w.now());
     let request = Request { id, kind, account, prompt, events, gateway, sent, ended, outcome };
     w.history.borrow_mut().requests.push(request);
     keep
@@ -159,7 +163,7 @@
         ("x-timeout-ms", DEADLINE_MS.to_string()),
     ];
     if kind == Kind::Stream {
-        all.push(("x-tokens", format!("{PROMPT_TOKENS},{EVENTS_MOST}")));
+        all.push(("x-tokens", format!("{PROMPT_TOKENS},{MAX_EVENTS}")));
     }
     headers(&all)
 }
@@ -170,9 +174,9 @@
     id: &str,
     kind: Kind,
     key: &str,
-    kept: Option<Connection>,
+    idle: Option<Connection>,
 ) -> (Outcome, Option<Connection>) {
-    let mut c = match kept {
+    let mut c = match idle {
         Some(c) => c,
         None => match Connection::open(w.gateways[gateway]).await {
             Ok(c) => c,
@@ -217,10 +221,10 @@
 }
 
 async fn read_plain(c: &mut Connection, id: &str, head: &ResponseHead) -> Outcome {
-    match rest(c).await {
+    match read_body(c).await {
         Err(_) => Outcome::Cut { begun: true, events: Vec::new() },
         Ok(body) if head.status.is_success() => {
-            let whole = is_own(head, id) && body == answer(id).as_bytes();
+            let whole = is_own(head, id) && body == answer_body(id).as_bytes();
             Outcome::Answered { whole, events: Vec::new() }
         }
         Ok(body) if String::from_utf8_lossy(&body).contains(QUARANTINED) => Outcome::Quarantined,
@@ -251,7 +255,7 @@
             let received: String = text.drain(..end + 2).collect();
             let n =
                 received.lines().find_map(|l| l.strip_prefix("id: ")?.parse().ok()).unwrap_or(0);
-            valid &= received == event(id, n);
+            valid &= received == event_text(id, n);
             events.push(n);
         }
     }
--- a/crates/soak/src/document.rs
+++ b/crates/soak/src/document.rs
@@ -43,8 +43,8 @@
 }
 
 /// Returns the document of `version` as JSON. It contains the probe routes of all versions up to this one and
-/// `more` unused routes with names derived from `version`.
-pub fn document(version: u64, more: usize) -> String {
+/// `extra_routes` unused routes with names derived from `version`.
+pub fn document(version: u64, extra_routes: usize) -> String {
     let mut rng = SmallRng::seed_from_u64(version);
     let mut routes = vec![
         route("/board/", "safe", "board"),
@@ -53,7 +53,7 @@
     ];
     routes.extend((1..=version).map(|v| route(&probe_path(v), "safe", "board")));
     let mut random_prefix = || format!("/{:032x}/", rng.random::<u128>());
-    routes.extend((0..more).map(|_| route(&random_prefix(), "safe", "board")));
+    routes.extend((0..extra_routes).map(|_| route(&random_prefix(), "safe", "board")));
     let account_json =
         |a: &Account| json!({ "name": a.name, "keys": [a.key], "prepaid": a.prepaid });
     let accounts: Vec<_> = ACCOUNTS.iter().map(account_json).collect();
--- a/crates/soak/src/http.rs
+++ b/crates/soak/src/http.rs
@@ -40,7 +40,7 @@
 }
 
 /// Reads the body of the current answer. Fails on a connection error or a body of more than 16 MiB.
-pub async fn rest(c: &mut Connection) -> Result<Bytes, ExchangeError> {
+pub async fn read_body(c: &mut Connection) -> Result<Bytes, ExchangeError> {
     let mut all = BytesMut::new();
     while let Some(chunk) = c.read_chunk().await? {
         all.extend_from_slice(&chunk);
@@ -63,7 +63,7 @@
     let answer = async {
         let mut c = Connection::open(to).await?;
         let head = exchange(&mut c, &method, path, headers(&[]), &body).await?;
-        Ok::<_, ExchangeError>((head.status.as_u16(), rest(&mut c).await?))
+        Ok::<_, ExchangeError>((head.status.as_u16(), read_body(&mut c).await?))
     };
     timeout(within, answer).await.ok()?.ok()
 }
--- a/crates/soak/src/operator.rs
+++ b/crates/soak/src/operator.rs
@@ -30,20 +30,20 @@
 
 /// Publishes a document of the next version with `more` additional routes, retrying until it is
 /// acknowledged. Returns whether it was.
-pub async fn publish(w: &Rc<World>, more: usize) -> bool {
+pub async fn publish(w: &Rc<World>, extra_routes: usize) -> bool {
     let version = w.sent.get() + 1;
     w.sent.set(version);
-    send(w, version, more).await
+    send(w, version, extra_routes).await
 }
 
 /// Sends a document of `version` with `more` additional routes, retrying until it is acknowledged.
 /// Returns whether it was.
-pub async fn send(w: &Rc<World>, version: u64, more: usize) -> bool {
-    let body = Bytes::from(document(version, more));
+pub async fn send(w: &Rc<World>, version: u64, extra_routes: usize) -> bool {
+    let body = Bytes::from(document(version, extra_routes));
     for _ in 0..MAX_ATTEMPTS {
-        let answer = call(w.any_api(), Method::PUT, "/v1/document", body.clone(), CALL_TIMEOUT);
+        let answer = call(w.random_api(), Method::PUT, "/v1/document", body.clone(), CALL_TIMEOUT);
         if let Some((200, _)) = answer.await {
-            record_change(w, version, Some(w.at()));
+            record_change(w, version, Some(w.now()));
             return true;
         }
         sleep(RETRY_DELAY).await;
@@ -62,10 +62,11 @@
 /// Reads the document version in force from a random control process and records the result.
 /// Returns `None` if the call fails.
 pub async fn read(w: &World) -> Option<u64> {
-    let sent = w.at();
-    let answer = call(w.any_api(), Method::GET, "/v1/document", Bytes::new(), CALL_TIMEOUT).await;
+    let sent = w.now();
+    let answer =
+        call(w.random_api(), Method::GET, "/v1/document", Bytes::new(), CALL_TIMEOUT).await;
     let Some((200, body)) = answer else {
-        w.history.borrow_mut().failed_reads.push(FailedRead { sent, ended: w.at() });
+        w.history.borrow_mut().failed_reads.push(FailedRead { sent, ended: w.now() });
         return None;
     };
     let version = serde_json::from_slice::<Value>(&body).ok()?["version"].as_u64()?;
@@ -94,7 +95,7 @@
         if let (Some(version), true) =
             (v["document"].as_u64(), w.incarnations[gateway].get() == incarnation)
         {
-            let report = VersionReport { gateway, incarnation, at: w.at(), version };
+            let report = VersionReport { gateway, incarnation, at: w.now(), version };
             w.history.borrow_mut().version_reports.push(report);
         }
     }
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -100,7 +100,7 @@
 
 /// A rate limit that replicas announce in their responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Limiting {
+pub struct RateLimit {
     /// Whether the replicas belong to `talk`; otherwise to `board`.
     pub talk: bool,
     /// Index of the replica, modulo the number of running replicas; `None` means all.
@@ -113,26 +113,27 @@
     pub span: u64,
 }
 
-/// Replicas that reject requests with `Retry-After`.
+/// A period in which replicas reject requests with `Retry-After`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Resting {
+pub struct RetryAfterPeriod {
     /// Whether the replicas belong to `talk`; otherwise to `board`.
     pub talk: bool,
     /// Index of the replica, modulo the number of running replicas; `None` means all.
     pub replica: Option<usize>,
     /// The value of `Retry-After`, in milliseconds.
-    pub rest: u64,
+    pub retry_after_ms: u64,
     /// Percentage of requests that are rejected.
-    pub share: u32,
+    pub percent: u32,
     /// Start, in milliseconds.
     pub at: u64,
     /// Duration in milliseconds.
     pub span: u64,
 }
 
-/// A replica that announces its drain only in its responses, after another has started.
+/// The drain of a replica that announces it only in a header of its responses. Another replica is started
+/// first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct QuietLeave {
+pub struct HeaderDrain {
     /// Whether the replica belongs to `talk`; otherwise to `board`.
     pub talk: bool,
     /// Index of the replica, modulo the number of running replicas.
@@ -155,11 +156,11 @@
     /// Requests that crash their replicas.
     pub poisons: Vec<Poison>,
     /// Rate limits that replicas announce.
-    pub limits: Vec<Limiting>,
+    pub limits: Vec<RateLimit>,
     /// Periods in which replicas reject requests with `Retry-After`.
-    pub rests: Vec<Resting>,
-    /// Drains that replicas announce only in their responses.
-    pub quiet_leaves: Vec<QuietLeave>,
+    pub retry_after_periods: Vec<RetryAfterPeriod>,
+    /// Drains that replicas announce only in response headers.
+    pub header_drains: Vec<HeaderDrain>,
 }
 
 /// Minimum and maximum number of steps in a run.
@@ -189,13 +190,23 @@
         let mut rng = SmallRng::seed_from_u64(seed);
         let size = if large { LARGE } else { draw_small_size(&mut rng) };
         let n = rng.random_range(STEP_COUNT.0..=STEP_COUNT.1);
-        let mut steps: Vec<_> = (0..n).map(|_| step(&mut rng, &size, millis)).collect();
+        let mut steps: Vec<_> = (0..n).map(|_| draw_step(&mut rng, &size, millis)).collect();
         steps.extend(draw_seeds_away(seed, &size, millis));
         steps.sort_by_key(|s| s.at);
         keep_first_emptied_disk(&mut steps);
-        let (poisons, limits) = (poisons(seed, millis), limits(seed, millis));
-        let (rests, quiet_leaves) = (rests(seed, millis), quiet_leaves(seed, millis));
-        Plan { seed, size, healed: millis, steps, poisons, limits, rests, quiet_leaves }
+        let (poisons, limits) = (draw_poisons(seed, millis), draw_limits(seed, millis));
+        let (retry_after_periods, header_drains) =
+            (draw_retry_after_periods(seed, millis), draw_header_drains(seed, millis));
+        Plan {
+            seed,
+            size,
+            healed: millis,
+            steps,
+            poisons,
+            limits,
+            retry_after_periods,
+            header_drains,
+        }
     }
 }
 
@@ -209,7 +220,7 @@
 const POISON_SPAN_MS: (u64, u64) = (1_500, 4_000);
 
 /// Draws the poison requests. A separate generator leaves the steps of a seed unchanged.
-fn poisons(seed: u64, millis: u64) -> Vec<Poison> {
+fn draw_poisons(seed: u64, millis: u64) -> Vec<Poison> {
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x9e37_79b9_7f4a_7c15);
     if rng.random_range(0..100) >= POISONED_PERCENT {
         return Vec::new();
@@ -233,35 +244,35 @@
 const LIMIT_SPAN_MS: (u64, u64) = (4_500, 9_000);
 
 /// Announced rate limits, in thousandths of a request per second.
-const LIMIT_VALUES: [u64; 6] = [0, 500, 1_000, 2_000, 5_000, 20_000];
+const RATE_LIMITS: [u64; 6] = [0, 500, 1_000, 2_000, 5_000, 20_000];
 
 /// Draws the rate limits. A separate generator leaves the steps of a seed unchanged.
-fn limits(seed: u64, millis: u64) -> Vec<Limiting> {
+fn draw_limits(seed: u64, millis: u64) -> Vec<RateLimit> {
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x5851_f42d_4c95_7f2d);
     if rng.random_range(0..100) >= LIMITED_PERCENT {
         return Vec::new();
     }
-    let limiting = |rng: &mut SmallRng| {
+    let limit = |rng: &mut SmallRng| {
         let span = rng.random_range(LIMIT_SPAN_MS.0..=LIMIT_SPAN_MS.1).min(millis);
-        Limiting {
+        RateLimit {
             talk: rng.random(),
             replica: rng.random_bool(0.6).then(|| rng.random_range(0..8)),
-            thousandths: LIMIT_VALUES[rng.random_range(0..LIMIT_VALUES.len())],
+            thousandths: RATE_LIMITS[rng.random_range(0..RATE_LIMITS.len())],
             at: rng.random_range(0..=millis - span),
             span,
         }
     };
-    (0..rng.random_range(1..=MAX_LIMITS)).map(|_| limiting(&mut rng)).collect()
+    (0..rng.random_range(1..=MAX_LIMITS)).map(|_| limit(&mut rng)).collect()
 }
 
 /// Percentage of seeds with replicas that send `Retry-After`.
-const RESTS_PERCENT: u32 = 60;
+const RETRY_AFTER_PERCENT: u32 = 60;
 
 /// Maximum number of `Retry-After` periods in a run.
-const MAX_RESTS: usize = 3;
+const MAX_RETRY_AFTER_PERIODS: usize = 3;
 
 /// Minimum and maximum duration of a `Retry-After` period, in milliseconds.
-const REST_SPAN_MS: (u64, u64) = (1_000, 8_000);
+const RETRY_AFTER_SPAN_MS: (u64, u64) = (1_000, 8_000);
 
 /// Values of `Retry-After`, in milliseconds.
 const RETRY_AFTER_MS: [u64; 5] = [600, 1_000, 2_500, 3_000, 6_000];
@@ -270,44 +281,44 @@
 const REJECT_PERCENTS: [u32; 3] = [30, 60, 100];
 
 /// Draws the `Retry-After` periods. A separate generator leaves the steps of a seed unchanged.
-fn rests(seed: u64, millis: u64) -> Vec<Resting> {
+fn draw_retry_after_periods(seed: u64, millis: u64) -> Vec<RetryAfterPeriod> {
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x2545_f491_4f6c_dd1d);
-    if rng.random_range(0..100) >= RESTS_PERCENT {
+    if rng.random_range(0..100) >= RETRY_AFTER_PERCENT {
         return Vec::new();
     }
-    let resting = |rng: &mut SmallRng| {
-        let span = rng.random_range(REST_SPAN_MS.0..=REST_SPAN_MS.1).min(millis);
-        Resting {
+    let period = |rng: &mut SmallRng| {
+        let span = rng.random_range(RETRY_AFTER_SPAN_MS.0..=RETRY_AFTER_SPAN_MS.1).min(millis);
+        RetryAfterPeriod {
             talk: rng.random(),
             replica: rng.random_bool(0.6).then(|| rng.random_range(0..8)),
-            rest: RETRY_AFTER_MS[rng.random_range(0..RETRY_AFTER_MS.len())],
-            share: REJECT_PERCENTS[rng.random_range(0..REJECT_PERCENTS.len())],
+            retry_after_ms: RETRY_AFTER_MS[rng.random_range(0..RETRY_AFTER_MS.len())],
+            percent: REJECT_PERCENTS[rng.random_range(0..REJECT_PERCENTS.len())],
             at: rng.random_range(0..=millis - span),
             span,
         }
     };
-    (0..rng.random_range(1..=MAX_RESTS)).map(|_| resting(&mut rng)).collect()
+    (0..rng.random_range(1..=MAX_RETRY_AFTER_PERIODS)).map(|_| period(&mut rng)).collect()
 }
 
-/// Percentage of seeds with drains that are announced only in responses.
-const LEAVES_PERCENT: u32 = 50;
+/// Percentage of seeds with drains that are announced only in response headers.
+const HEADER_DRAIN_PERCENT: u32 = 50;
 
 /// Maximum number of such drains in a run.
-const MAX_LEAVES: usize = 2;
+const MAX_HEADER_DRAINS: usize = 2;
 
-/// Draws the drains that are announced only in responses. A separate generator leaves the steps of
+/// Draws the drains that are announced only in response headers. A separate generator leaves the steps of
 /// a seed unchanged.
-fn quiet_leaves(seed: u64, millis: u64) -> Vec<QuietLeave> {
+fn draw_header_drains(seed: u64, millis: u64) -> Vec<HeaderDrain> {
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x1405_7b7e_f767_814f);
-    if rng.random_range(0..100) >= LEAVES_PERCENT {
+    if rng.random_range(0..100) >= HEADER_DRAIN_PERCENT {
         return Vec::new();
     }
-    let leave = |rng: &mut SmallRng| QuietLeave {
+    let drain = |rng: &mut SmallRng| HeaderDrain {
         talk: rng.random(),
         replica: rng.random_range(0..8),
         at: rng.random_range(0..=millis),
     };
-    (0..rng.random_range(1..=MAX_LEAVES)).map(|_| leave(&mut rng)).collect()
+    (0..rng.random_range(1..=MAX_HEADER_DRAINS)).map(|_| drain(&mut rng)).collect()
 }
 
 /// Percentage of plans in which a group of more than three members loses two seed processes.
@@ -327,13 +338,13 @@
     (drawn && size.controls > 3).then_some(Step { at, span, fault: Fault::SeedsAway })
 }
 
-fn step(rng: &mut SmallRng, size: &Size, millis: u64) -> Step {
+fn draw_step(rng: &mut SmallRng, size: &Size, millis: u64) -> Step {
     let at = rng.random_range(QUIET_START_MS..millis.max(QUIET_START_MS + 1));
     let span = rng.random_range(STEP_SPAN_MS.0..=STEP_SPAN_MS.1).min(millis - at);
-    Step { at, span, fault: fault(rng, size) }
+    Step { at, span, fault: draw_fault(rng, size) }
 }
 
-fn fault(rng: &mut SmallRng, size: &Size) -> Fault {
+fn draw_fault(rng: &mut SmallRng, size: &Size) -> Fault {
     let g = rng.random_range(0..size.gateways);
     let c = rng.random_range(0..size.controls);
     let (t, b) = (rng.random_range(0..size.talk), rng.random_range(0..size.board));
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -172,25 +172,25 @@
     }
 }
 
-/// A proxy in front of one server that can simulate its crash.
-pub struct Gate {
+/// A proxy in front of one simulated replica that can reset its connections and simulate its crash.
+pub struct ReplicaProxy {
     /// Address of the proxy.
     pub address: SocketAddr,
-    accepting: AbortHandle,
-    open: Rc<RefCell<Vec<AbortHandle>>>,
+    accept_task: AbortHandle,
+    connections: Rc<RefCell<Vec<AbortHandle>>>,
 }
 
-impl Gate {
+impl ReplicaProxy {
     /// Listens on a free port and forwards connections to `to`.
     ///
     /// # Errors
     /// Fails if no port can be bound.
-    pub async fn start(to: SocketAddr) -> io::Result<Gate> {
+    pub async fn start(to: SocketAddr) -> io::Result<ReplicaProxy> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let open: Rc<RefCell<Vec<AbortHandle>>> = Rc::default();
-        let all = open.clone();
-        let accepting = actix_rt::spawn(async move {
+        let connections: Rc<RefCell<Vec<AbortHandle>>> = Rc::default();
+        let all = connections.clone();
+        let accept_task = actix_rt::spawn(async move {
             while let Ok((mut client, _)) = listener.accept().await {
                 let connection = actix_rt::spawn(async move {
                     let Ok(mut server) = TcpStream::connect(to).await else { return };
@@ -202,17 +202,17 @@
                 all.push(connection.abort_handle());
             }
         });
-        Ok(Gate { address, accepting: accepting.abort_handle(), open })
+        Ok(ReplicaProxy { address, accept_task: accept_task.abort_handle(), connections })
     }
 
     /// Closes all open connections.
     pub fn reset(&self) {
-        self.open.borrow_mut().drain(..).for_each(|c| c.abort());
+        self.connections.borrow_mut().drain(..).for_each(|c| c.abort());
     }
 
     /// Stops listening and closes all open connections.
     pub fn close(&self) {
-        self.accepting.abort();
+        self.accept_task.abort();
         self.reset();
     }
 }
--- a/crates/soak/src/replica.rs
+++ b/crates/soak/src/replica.rs
@@ -18,8 +18,8 @@
 
 use crate::history::{AckedDrain, AnnouncedDrain, AnnouncedLimit, Arrival, Backoff, PoisonCrash};
 use crate::http::call;
-use crate::plan::Resting;
-use crate::proxy::Gate;
+use crate::plan::RetryAfterPeriod;
+use crate::proxy::ReplicaProxy;
 use crate::world::World;
 
 /// Interval between heartbeats.
@@ -38,7 +38,7 @@
 const RESET_INTERVAL: Duration = Duration::from_millis(150);
 
 /// Maximum number of events in a stream.
-pub const EVENTS_MOST: u64 = 30;
+pub const MAX_EVENTS: u64 = 30;
 
 /// Interval between two events of a stream.
 const EVENT_INTERVAL: Duration = Duration::from_millis(10);
@@ -58,18 +58,18 @@
 const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 
 /// Returns the number of events in the response to a request; every replica returns the same.
-pub fn events_of(id: &str) -> u64 {
+pub fn event_count(id: &str) -> u64 {
     let sum = id.bytes().fold(7u64, |h, b| h.wrapping_mul(31).wrapping_add(u64::from(b)));
-    1 + sum % EVENTS_MOST
+    1 + sum % MAX_EVENTS
 }
 
 /// Returns the text of event `n` of a response.
-pub fn event(id: &str, n: u64) -> String {
+pub fn event_text(id: &str, n: u64) -> String {
     format!("id: {n}\ndata: {id} {n}\n\n")
 }
 
 /// Returns the response body of a request to `board`.
-pub fn answer(id: &str) -> String {
+pub fn answer_body(id: &str) -> String {
     format!("answer to {id}")
 }
 
@@ -81,14 +81,14 @@
     /// Id of the replica.
     pub id: String,
     service: &'static str,
-    gate: Gate,
+    proxy: ReplicaProxy,
     full: Cell<bool>,
     /// Index in the history of the rate limit that it announces.
     limit: Cell<Option<usize>>,
-    /// Settings for rejecting requests with `Retry-After`, while it does so.
-    resting: Cell<Option<Resting>>,
+    /// The current period of rejecting requests with `Retry-After`, if any.
+    retry_after: Cell<Option<RetryAfterPeriod>>,
     /// Whether its responses announce that it drains.
-    drains_quietly: Cell<bool>,
+    drains_by_header: Cell<bool>,
     draining: Cell<bool>,
     heartbeats: Cell<u64>,
     /// Start time, in milliseconds since the Unix epoch.
@@ -109,15 +109,15 @@
     ) -> io::Result<Rc<Replica>> {
         w.end_announcements(&id);
         let listener = TcpListener::bind("127.0.0.1:0").await?;
-        let gate = Gate::start(listener.local_addr()?).await?;
+        let proxy = ReplicaProxy::start(listener.local_addr()?).await?;
         let replica = Rc::new(Replica {
             id,
             service,
-            gate,
+            proxy,
             full: Cell::new(false),
             limit: Cell::new(None),
-            resting: Cell::new(None),
-            drains_quietly: Cell::new(false),
+            retry_after: Cell::new(None),
+            drains_by_header: Cell::new(false),
             draining: Cell::new(false),
             heartbeats: Cell::new(0),
             born: w.next_born(),
@@ -141,7 +141,7 @@
 
     /// Announces a rate limit, in thousandths of a request per second, in its responses for `span`.
     /// Does nothing if it announces one already.
-    pub async fn name_limit(&self, w: &World, thousandths: u64, span: Duration) {
+    pub async fn announce_limit(&self, w: &World, thousandths: u64, span: Duration) {
         if self.limit.get().is_some() {
             return;
         }
@@ -152,35 +152,35 @@
         self.limit.set(Some(n));
         sleep(span).await;
         self.limit.set(None);
-        w.history.borrow_mut().limits[n].until.get_or_insert(w.at());
+        w.history.borrow_mut().limits[n].until.get_or_insert(w.now());
     }
 
-    /// Rejects a share of the requests with `Retry-After` for `r.span` milliseconds.
-    pub async fn turn_away(&self, r: Resting) {
-        self.resting.set(Some(r));
-        sleep(Duration::from_millis(r.span)).await;
-        self.resting.set(None);
+    /// Rejects a percentage of the requests with `Retry-After` for `p.span` milliseconds.
+    pub async fn run_retry_after_period(&self, p: RetryAfterPeriod) {
+        self.retry_after.set(Some(p));
+        sleep(Duration::from_millis(p.span)).await;
+        self.retry_after.set(None);
     }
 
-    /// Announces its drain only in responses, goes on serving for a while, then deregisters and
+    /// Announces its drain only in a response header, goes on serving for a while, then deregisters and
     /// crashes.
-    pub async fn leave_quietly(self: Rc<Self>, w: Rc<World>) {
-        self.drains_quietly.set(true);
+    pub async fn drain_by_header(self: Rc<Self>, w: Rc<World>) {
+        self.drains_by_header.set(true);
         sleep(DRAIN_TIME * 2).await;
         let path = format!("/v1/replicas/{}", self.id);
         // The replica ends even if the deregistration fails.
-        let _ = call(w.any_api(), Method::DELETE, &path, Bytes::new(), HEARTBEAT_TIMEOUT).await;
+        let _ = call(w.random_api(), Method::DELETE, &path, Bytes::new(), HEARTBEAT_TIMEOUT).await;
         self.crash();
     }
 
-    /// Adds the drain header to a response if the replica drains quietly, and records it.
+    /// Adds the drain header to a response if the replica announces its drain this way, and records it.
     fn add_drain_header(
         &self,
         w: &World,
         request: String,
         mut r: Response<Body>,
     ) -> Response<Body> {
-        if self.drains_quietly.get() {
+        if self.drains_by_header.get() {
             let drain = AnnouncedDrain { replica: self.id.clone(), request, until: None };
             w.history.borrow_mut().announced_drains.push(drain);
             r.headers_mut().insert(LEAVING, HeaderValue::from_static("1"));
@@ -190,17 +190,18 @@
 
     /// Returns a rejection with `Retry-After` if one is due for this request, and records it.
     fn reject_with_retry_after(&self, w: &World, id: &str) -> Option<Response<Body>> {
-        let resting = self.resting.get().filter(|r| w.happens(r.share))?;
-        let at = w.at();
+        let period = self.retry_after.get().filter(|p| w.random_bool(p.percent))?;
+        let at = w.now();
         let backoff = Backoff {
             replica: self.id.clone(),
             request: id.to_owned(),
             at,
-            until: at + resting.rest,
+            until: at + period.retry_after_ms,
         };
         w.history.borrow_mut().backoffs.push(backoff);
         let mut r = reject(id, StatusCode::SERVICE_UNAVAILABLE);
-        let seconds = format!("{}.{:03}", resting.rest / 1_000, resting.rest % 1_000);
+        let seconds =
+            format!("{}.{:03}", period.retry_after_ms / 1_000, period.retry_after_ms % 1_000);
         if let Ok(v) = HeaderValue::from_str(&seconds) {
             r.headers_mut().insert(RETRY_AFTER, v);
         }
@@ -212,7 +213,7 @@
         let Some(n) = self.limit.get() else { return r };
         let thousandths = {
             let l = &mut w.history.borrow_mut().limits[n];
-            l.first.get_or_insert(w.at());
+            l.first.get_or_insert(w.now());
             l.thousandths
         };
         let text = format!("{}.{:03}", thousandths / 1_000, thousandths % 1_000);
@@ -223,10 +224,10 @@
     }
 
     /// Resets all connections at intervals for `span`.
-    pub async fn turn_grey(&self, span: Duration) {
+    pub async fn reset_connections_for(&self, span: Duration) {
         for _ in 0..span.as_millis() / RESET_INTERVAL.as_millis() {
             sleep(RESET_INTERVAL).await;
-            self.gate.reset();
+            self.proxy.reset();
         }
     }
 
@@ -237,22 +238,22 @@
             task.abort();
         }
         if self.born.is_multiple_of(2) {
-            return self.gate.close();
+            return self.proxy.close();
         }
-        self.gate.reset();
+        self.proxy.reset();
         let own = self.clone();
         actix_rt::spawn(async move {
             sleep(EXIT_DELAY).await;
-            own.gate.close();
+            own.proxy.close();
         });
     }
 
     /// Announces its drain by heartbeat, goes on serving for a while, then deregisters and crashes.
-    pub async fn leave(self: Rc<Self>, w: Rc<World>) {
+    pub async fn drain_by_heartbeat(self: Rc<Self>, w: Rc<World>) {
         self.draining.set(true);
         for _ in 0..MAX_DRAIN_ATTEMPTS {
             if self.send_heartbeat(&w).await {
-                let acked = w.at();
+                let acked = w.now();
                 let drain = AckedDrain { replica: self.id.clone(), acked };
                 w.history.borrow_mut().acked_drains.push(drain);
                 break;
@@ -262,7 +263,7 @@
         sleep(DRAIN_TIME).await;
         let path = format!("/v1/replicas/{}", self.id);
         // The replica ends even if the deregistration fails.
-        let _ = call(w.any_api(), Method::DELETE, &path, Bytes::new(), HEARTBEAT_TIMEOUT).await;
+        let _ = call(w.random_api(), Method::DELETE, &path, Bytes::new(), HEARTBEAT_TIMEOUT).await;
         self.crash();
     }
 
@@ -270,13 +271,13 @@
     async fn send_heartbeat(&self, w: &World) -> bool {
         self.heartbeats.set(self.heartbeats.get() + 1);
         let body = json!({
-            "service": self.service, "address": self.gate.address.to_string(),
+            "service": self.service, "address": self.proxy.address.to_string(),
             "data_centre": "tamar-a", "slots": 16, "draining": self.draining.get(),
             "sequence": self.heartbeats.get(), "born": self.born,
         });
         let path = format!("/v1/replicas/{}", self.id);
         let body = Bytes::from(body.to_string());
-        let answer = call(w.any_api(), Method::PUT, &path, body, HEARTBEAT_TIMEOUT).await;
+        let answer = call(w.random_api(), Method::PUT, &path, body, HEARTBEAT_TIMEOUT).await;
         answer.is_some_and(|(status, _)| status == 200)
     }
 }
@@ -327,7 +328,7 @@
     let last: u64 = header_text(h, "last-event-id").parse().unwrap_or(0);
     let rejection = if addressed { r.reject_with_retry_after(&w, &id) } else { None };
     let run = addressed && !r.full.get() && rejection.is_none();
-    let at = w.at();
+    let at = w.now();
     let arrival =
         Arrival { id: id.clone(), service: r.service, replica: r.id.clone(), at, account, run };
     w.history.borrow_mut().arrivals.push(arrival);
@@ -342,7 +343,9 @@
     if !run {
         return reject(&id, StatusCode::SERVICE_UNAVAILABLE);
     }
-    if let Some(poison) = poison_of(&path).or_else(|| poison_of(&String::from_utf8_lossy(&body))) {
+    if let Some(poison) =
+        poison_number(&path).or_else(|| poison_number(&String::from_utf8_lossy(&body)))
+    {
         crash_on_poison(&r, &w, poison).await;
         return reject(&id, StatusCode::SERVICE_UNAVAILABLE);
     }
@@ -352,7 +355,7 @@
         return respond(&id, StatusCode::OK, Body::Pieces(rx));
     }
     sleep(RUN_TIME).await;
-    respond(&id, StatusCode::OK, Body::Whole(Bytes::from(answer(&id))))
+    respond(&id, StatusCode::OK, Body::Whole(Bytes::from(answer_body(&id))))
 }
 
 async fn read_all(req: Request) -> Vec<u8> {
@@ -365,7 +368,7 @@
 }
 
 /// Returns the number of the poison request that `text` contains, if any.
-fn poison_of(text: &str) -> Option<usize> {
+fn poison_number(text: &str) -> Option<usize> {
     let (_, number) = text.split_once(POISON)?;
     number.parse().ok()
 }
@@ -378,21 +381,21 @@
         return;
     }
     w.crashed.borrow_mut().push(r.id.clone());
-    let at = w.at();
+    let at = w.now();
     w.history.borrow_mut().poison_crashes.push(PoisonCrash { poison, at });
     r.crash();
 }
 
 async fn send_events(w: Rc<World>, id: String, last: u64, tx: mpsc::Sender<Bytes>) {
-    for n in last + 1..=events_of(&id) {
+    for n in last + 1..=event_count(&id) {
         sleep(EVENT_INTERVAL).await;
         {
             let mut h = w.history.borrow_mut();
             let generated = h.generated.entry(id.clone()).or_default();
             *generated = (*generated).max(n);
         }
-        // The caller disconnected.
-        if tx.send(Bytes::from(event(&id, n))).await.is_err() {
+        // Sending fails if the gateway has disconnected.
+        if tx.send(Bytes::from(event_text(&id, n))).await.is_err() {
             return;
         }
     }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -14,14 +14,14 @@
 use tokio::task::AbortHandle;
 use tokio::time::{Instant, sleep};
 
-use crate::caller::{PATIENCE, ask, call_forever, poison, probe_forever};
+use crate::caller::{CALLER_TIMEOUT, run_caller, run_prober, send_poison, send_recorded};
 use crate::check::{Bounds, BrokenPromise, POISONED, check, stop_of};
 use crate::document::ACCOUNTS;
 use crate::error::{Error, io};
 use crate::fleet::{Fleet, Process, Programs, RETRY_EXTRA, STOP_WITHIN_S};
 use crate::history::{Disruption, History, Kind, Outcome, Stop, Timestamp};
 use crate::operator::{publish, read, read_forever, send, watch_gateway};
-use crate::plan::{Fault, Limiting, Plan, QuietLeave, Resting, Step};
+use crate::plan::{Fault, HeaderDrain, Plan, RateLimit, RetryAfterPeriod, Step};
 use crate::proxy::{Cut, Side};
 use crate::replica::Replica;
 use crate::world::World;
@@ -46,8 +46,8 @@
 /// milliseconds.
 const QUARANTINE_LIMIT_MS: u64 = 3_000;
 
-/// Maximum number of times that a request may be sent to replicas after that.
-const MAX_SENDS_IN_QUARANTINE: usize = 3;
+/// Maximum number of times that replicas may run a request after that.
+const MAX_LATE_POISON_RUNS: usize = 3;
 
 /// Default election timeout of the control processes, in milliseconds.
 const ELECTION_TIMEOUT_MS: u64 = 500;
@@ -106,9 +106,9 @@
         retry_window_ms: 10_000,
         stop_ms: STOP_WITHIN_S * 1_000 + 1_000,
         recovery_ms: RECOVERY_LIMIT_MS,
-        caller_timeout_ms: PATIENCE.as_millis() as u64,
+        caller_timeout_ms: CALLER_TIMEOUT.as_millis() as u64,
         quarantine_ms: QUARANTINE_LIMIT_MS,
-        max_late_poison_runs: MAX_SENDS_IN_QUARANTINE,
+        max_late_poison_runs: MAX_LATE_POISON_RUNS,
         limit_counts_after_ms: 3_000,
         limit_window_ms: 4_000,
         limit_factor: 1.5,
@@ -219,7 +219,7 @@
 
     /// Restarts a crashed replica, under its own id or a new one as drawn.
     async fn restart_replica(&self, all: &RefCell<Replicas>, id: String) -> Result<(), Error> {
-        if !self.w.happens(SAME_ID_PERCENT) {
+        if !self.w.random_bool(SAME_ID_PERCENT) {
             return self.add_replica(all).await;
         }
         self.w.crashed.borrow_mut().retain(|crashed| *crashed != id);
@@ -236,8 +236,8 @@
     /// Returns whether a gateway completes a safe request.
     async fn is_serving(&self, gateway: usize) -> bool {
         let before = self.w.history.borrow().requests.len();
-        let id = format!("up-{gateway}-{}", self.w.at());
-        ask(&self.w, gateway, id, Kind::Safe, None).await;
+        let id = format!("up-{gateway}-{}", self.w.now());
+        send_recorded(&self.w, gateway, id, Kind::Safe, None).await;
         let h = self.w.history.borrow();
         let mut new = h.requests[before..].iter().filter(|r| r.gateway == gateway);
         new.any(|r| matches!(r.outcome, Outcome::Answered { whole: true, .. }))
@@ -250,9 +250,9 @@
     /// Spawns the callers, probes, operator reads, scheduled replica faults and process monitoring.
     fn spawn_tasks(self: &Rc<Self>, plan: &Plan) {
         for n in 0..plan.size.callers {
-            self.spawn(call_forever(self.w.clone(), n));
+            self.spawn(run_caller(self.w.clone(), n));
         }
-        self.spawn(probe_forever(self.w.clone(), PROBE_INTERVAL));
+        self.spawn(run_prober(self.w.clone(), PROBE_INTERVAL));
         self.spawn(read_forever(self.w.clone()));
         for n in 0..self.fleet.gateways.len() {
             self.spawn(watch_gateway(self.w.clone(), n));
@@ -261,7 +261,7 @@
             let w = self.w.clone();
             self.spawn(async move {
                 sleep(Duration::from_millis(p.at)).await;
-                poison(w, p.number, Duration::from_millis(p.span)).await;
+                send_poison(w, p.number, Duration::from_millis(p.span)).await;
             });
         }
         for l in plan.limits.iter().copied() {
@@ -271,18 +271,18 @@
                 run.announce_limit(l).await;
             });
         }
-        for r in plan.rests.iter().copied() {
+        for r in plan.retry_after_periods.iter().copied() {
             let run = self.clone();
             self.spawn(async move {
                 sleep(Duration::from_millis(r.at)).await;
                 run.reject_with_retry_after(r).await;
             });
         }
-        for l in plan.quiet_leaves.iter().copied() {
+        for l in plan.header_drains.iter().copied() {
             let run = self.clone();
             self.spawn(async move {
                 sleep(Duration::from_millis(l.at)).await;
-                run.leave_quietly(l).await;
+                run.drain_by_header(l).await;
             });
         }
         let run = self.clone();
@@ -307,7 +307,7 @@
                     POISONED.to_owned(),
                     RESTART_DELAY.as_millis() as u64 + START_DISRUPTION_MS,
                 );
-                let down = if self.w.happens(SHORT_DELAY_PERCENT) {
+                let down = if self.w.random_bool(SHORT_DELAY_PERCENT) {
                     SHORT_RESTART_DELAY
                 } else {
                     RESTART_DELAY
@@ -336,26 +336,26 @@
     }
 
     /// Makes replicas announce a rate limit.
-    async fn announce_limit(&self, l: Limiting) {
+    async fn announce_limit(&self, l: RateLimit) {
         let span = Duration::from_millis(l.span);
-        let limited = self.select_replicas(l.talk, l.replica);
-        let named = limited.iter().map(|r| r.name_limit(&self.w, l.thousandths, span));
-        futures_util::future::join_all(named).await;
+        let replicas = self.select_replicas(l.talk, l.replica);
+        let tasks = replicas.iter().map(|r| r.announce_limit(&self.w, l.thousandths, span));
+        futures_util::future::join_all(tasks).await;
     }
 
     /// Makes replicas reject requests with `Retry-After`.
-    async fn reject_with_retry_after(&self, r: Resting) {
-        let resting = self.select_replicas(r.talk, r.replica);
-        let all = resting.iter().map(|one| one.turn_away(r));
-        futures_util::future::join_all(all).await;
+    async fn reject_with_retry_after(&self, r: RetryAfterPeriod) {
+        let replicas = self.select_replicas(r.talk, r.replica);
+        let tasks = replicas.iter().map(|one| one.run_retry_after_period(r));
+        futures_util::future::join_all(tasks).await;
     }
 
-    /// Starts a replica, then drains another that announces it only in its responses.
-    async fn leave_quietly(&self, l: QuietLeave) {
+    /// Starts a replica, then drains another, which announces it only in a response header.
+    async fn drain_by_header(&self, l: HeaderDrain) {
         let all = self.replicas_of(l.talk);
         self.add_replica(all).await.expect("a replica can be started");
         if let Some(removed) = self.remove_replica(all, l.replica) {
-            removed.leave_quietly(self.w.clone()).await;
+            removed.drain_by_header(self.w.clone()).await;
         }
     }
 
@@ -366,8 +366,9 @@
         }
         let last = self.w.history.borrow().disruptions.iter().map(|d| d.until).max();
         let undisturbed_from = last.unwrap_or_default() + bounds().undisturbed_ms;
-        sleep(Duration::from_millis(undisturbed_from.saturating_sub(self.w.at()))).await;
-        let all = plan.poisons.iter().map(|p| poison(self.w.clone(), p.number, FINAL_POISON_SPAN));
+        sleep(Duration::from_millis(undisturbed_from.saturating_sub(self.w.now()))).await;
+        let all =
+            plan.poisons.iter().map(|p| send_poison(self.w.clone(), p.number, FINAL_POISON_SPAN));
         futures_util::future::join_all(all).await;
     }
 
@@ -394,12 +395,12 @@
             // A panic in a step is a fault of the soak itself and aborts the run.
             s.await.expect("the task of a step does not panic");
         }
-        let healed = self.w.at();
+        let healed = self.w.now();
         self.w.history.borrow_mut().healed = healed;
     }
 
     fn record_disruption(&self, what: String, lasts: u64) {
-        let from = self.w.at();
+        let from = self.w.now();
         let d = Disruption { what, from, until: from + lasts };
         self.w.history.borrow_mut().disruptions.push(d);
     }
@@ -409,7 +410,7 @@
         let (controls, gateways) = (&self.fleet.controls, &self.fleet.gateways);
         match s.fault {
             Fault::StopGateway(n) => return self.stop_gateway(n).await,
-            Fault::Grow(more) => return self.grow(more).await,
+            Fault::Grow(extra_routes) => return self.grow(extra_routes).await,
             Fault::Storm(n) => return self.storm(n).await,
             Fault::Race => return self.race().await,
             _ => self.record_disruption(format!("{:?}", s.fault), s.span + START_DISRUPTION_MS),
@@ -447,11 +448,11 @@
             Fault::Reset => self.fleet.net.reset(),
             Fault::CrashTalk(n) => self.crash(&self.talk, n).await,
             Fault::CrashBoard(n) => self.crash(&self.board, n).await,
-            Fault::LeaveTalk(n) => self.leave(&self.talk, n).await,
-            Fault::LeaveBoard(n) => self.leave(&self.board, n).await,
+            Fault::LeaveTalk(n) => self.drain_by_heartbeat(&self.talk, n).await,
+            Fault::LeaveBoard(n) => self.drain_by_heartbeat(&self.board, n).await,
             Fault::GreyTalk(n) => {
                 if let Some(r) = self.replica_at(&self.talk, n) {
-                    r.turn_grey(span).await;
+                    r.reset_connections_for(span).await;
                 }
             }
             Fault::FullBoard(n) => self.reject_for(n, span).await,
@@ -520,9 +521,9 @@
         if p.busy.replace(true) {
             return;
         }
-        let requested = self.w.at();
+        let requested = self.w.now();
         p.stop().await;
-        let ended = self.w.at();
+        let ended = self.w.now();
         let d =
             Disruption { what: stop_of(n), from: requested, until: ended + START_DISRUPTION_MS };
         let mut h = self.w.history.borrow_mut();
@@ -549,6 +550,7 @@
         self.fleet.net.heal(id);
     }
 
+    /// Crashes a replica and restarts it.
     async fn crash(&self, all: &RefCell<Replicas>, n: usize) {
         let Some(removed) = self.remove_replica(all, n) else { return };
         removed.crash();
@@ -556,10 +558,10 @@
         again.expect("a replica can be started");
     }
 
-    async fn leave(&self, all: &RefCell<Replicas>, n: usize) {
+    async fn drain_by_heartbeat(&self, all: &RefCell<Replicas>, n: usize) {
         self.add_replica(all).await.expect("a replica can be started");
         if let Some(removed) = self.remove_replica(all, n) {
-            removed.leave(self.w.clone()).await;
+            removed.drain_by_heartbeat(self.w.clone()).await;
         }
     }
 
@@ -578,9 +580,9 @@
     }
 
     /// Publishes a document with `more` additional routes.
-    async fn grow(&self, more: usize) {
+    async fn grow(&self, extra_routes: usize) {
         // `publish` records whether the document was acknowledged.
-        publish(&self.w, more).await;
+        publish(&self.w, extra_routes).await;
     }
 
     /// Publishes `n` documents without waiting for the acknowledgement of each.
@@ -614,10 +616,11 @@
     async fn wait_for_recovery(&self) {
         let healed = self.w.history.borrow().healed;
         let mut recovered_at: Vec<Option<Timestamp>> = vec![None; self.fleet.gateways.len()];
-        while self.w.at() < healed + RECOVERY_LIMIT_MS && recovered_at.iter().any(Option::is_none) {
+        while self.w.now() < healed + RECOVERY_LIMIT_MS && recovered_at.iter().any(Option::is_none)
+        {
             for (n, at) in recovered_at.iter_mut().enumerate().filter(|(_, at)| at.is_none()) {
                 if self.is_serving(n).await {
-                    *at = Some(self.w.at());
+                    *at = Some(self.w.now());
                 }
             }
             sleep(POLL_INTERVAL).await;
@@ -629,7 +632,7 @@
     /// Stops the callers, waits for running requests, then reads the document version and the spent
     /// tokens.
     async fn finish(&self) {
-        self.w.over.set(true);
+        self.w.stop_callers.set(true);
         sleep(SETTLE_TIME).await;
         read(&self.w).await;
         let spent = self.spent().await;
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -23,8 +23,8 @@
     pub operators: Vec<SocketAddr>,
     /// Number of starts of each gateway.
     pub incarnations: Vec<Cell<u32>>,
-    /// Whether callers stop sending requests.
-    pub over: Cell<bool>,
+    /// Whether callers must stop sending requests.
+    pub stop_callers: Cell<bool>,
     /// The highest document version that was acknowledged.
     pub acked: Cell<u64>,
     /// The highest document version that was sent.
@@ -52,7 +52,7 @@
             gateways,
             operators,
             incarnations,
-            over: Cell::new(false),
+            stop_callers: Cell::new(false),
             acked: Cell::new(0),
             sent: Cell::new(0),
             crashed: RefCell::default(),
@@ -62,7 +62,7 @@
     }
 
     /// Returns the milliseconds since the start of the run.
-    pub fn at(&self) -> Timestamp {
+    pub fn now(&self) -> Timestamp {
         self.started.elapsed().as_millis() as Timestamp
     }
 
@@ -77,7 +77,7 @@
     /// Ends the announced limits, `Retry-After` periods and drains of a replica's previous
     /// incarnation. Called when a replica starts under the same id.
     pub fn end_announcements(&self, replica: &str) {
-        let at = self.at();
+        let at = self.now();
         let mut h = self.history.borrow_mut();
         let limits = h.limits.iter_mut().filter(|l| l.replica == replica);
         limits.for_each(|l| l.until = Some(l.until.unwrap_or(at)));
@@ -87,18 +87,18 @@
         drains.for_each(|t| t.until = Some(t.until.unwrap_or(at)));
     }
 
-    /// Draws a number below `n`.
-    pub fn below(&self, n: usize) -> usize {
+    /// Draws a random number below `n`.
+    pub fn random_below(&self, n: usize) -> usize {
         self.rng.borrow_mut().random_range(0..n)
     }
 
     /// Draws `true` with a probability of `percent` percent.
-    pub fn happens(&self, percent: u32) -> bool {
+    pub fn random_bool(&self, percent: u32) -> bool {
         self.rng.borrow_mut().random_range(0..100) < percent
     }
 
     /// Returns the API address of a random control process.
-    pub fn any_api(&self) -> SocketAddr {
-        self.apis[self.below(self.apis.len())]
+    pub fn random_api(&self) -> SocketAddr {
+        self.apis[self.random_below(self.apis.len())]
     }
 }
