--- a/crates/soak/src/command.rs
+++ b/crates/soak/src/command.rs
@@ -63,13 +63,13 @@
         return Ok(Args::Print(o.usage(brief)));
     }
     if let Some(extra) = m.free.first() {
-        return Err(format!("'{extra}' is not expected"));
+        return Err(format!("unexpected argument '{extra}'"));
     }
     let number = |name: &str, default: u64, least: u64, most: u64| {
         let n = m.opt_get_default(name, default).map_err(|_| format!("--{name}: not a number"))?;
         match (least..=most).contains(&n) {
             true => Ok(n),
-            false => Err(format!("--{name}: {least} to {most}")),
+            false => Err(format!("--{name}: must be from {least} to {most}")),
         }
     };
     let folder = |name: &str, default: &str| {
@@ -87,7 +87,7 @@
 }
 
 /// Runs all seeds and prints the results. Returns a failure if a promise was broken or a run could not be
-/// played.
+/// executed.
 pub fn run(o: &Options) -> ExitCode {
     let next = AtomicU64::new(o.from);
     let broken = Mutex::new(0);
@@ -100,10 +100,10 @@
                     if seed >= o.from + o.seeds {
                         return;
                     }
-                    match play_seed(o, seed) {
+                    match run_seed(o, seed) {
                         Ok(v) => *broken.lock().expect("no thread panics") += print_verdict(o, &v),
                         Err(e) => {
-                            println!("seed {seed} was not played: {e}");
+                            println!("seed {seed} could not be run: {e}");
                             *failed.lock().expect("no thread panics") += 1;
                         }
                     }
@@ -116,26 +116,26 @@
         failed.into_inner().expect("no thread panics"),
     );
     if failed > 0 {
-        println!("{failed} seeds were not played");
+        println!("{failed} seeds could not be run");
     }
     println!("{} seeds, {broken} promises broken", o.seeds - failed);
     if broken + failed as usize > 0 { ExitCode::FAILURE } else { ExitCode::SUCCESS }
 }
 
 /// Runs one seed on a new actor system in the calling thread. Returns the verdict, or an error if the run
-/// could not be played.
-pub fn play_seed(o: &Options, seed: u64) -> Result<Verdict, Error> {
+/// could not be executed.
+pub fn run_seed(o: &Options, seed: u64) -> Result<Verdict, Error> {
     let plan = Plan::draw(seed, o.millis, o.large);
-    let dir =
-        std::path::absolute(o.keep.join(format!("seed-{seed}"))).map_err(io("find a folder"))?;
+    let dir = std::path::absolute(o.keep.join(format!("seed-{seed}")))
+        .map_err(io("resolve the folder of the run"))?;
     if dir.exists() {
-        fs::remove_dir_all(&dir).map_err(io("empty a folder"))?;
+        fs::remove_dir_all(&dir).map_err(io("remove the old folder of the run"))?;
     }
-    fs::create_dir_all(&dir).map_err(io("make a folder"))?;
+    fs::create_dir_all(&dir).map_err(io("create the folder of the run"))?;
     let programs = Programs::in_folder(&o.programs);
     let verdict = actix_rt::System::new().block_on(play(plan, &programs, &dir))?;
     if verdict.broken.is_empty() {
-        fs::remove_dir_all(&dir).map_err(io("remove a folder"))?;
+        fs::remove_dir_all(&dir).map_err(io("remove the folder of the run"))?;
     }
     Ok(verdict)
 }
@@ -155,7 +155,7 @@
         text.push_str(&log_lines(&v.dir, first));
         let large = if v.plan.size.gateways > 10 { " --large" } else { "" };
         text.push_str(&format!(
-            "  again: cypressfork-soak --from {seed} --seeds 1 --seconds {}{large}\n",
+            "  reproduce: cypressfork-soak --from {seed} --seeds 1 --seconds {}{large}\n",
             o.millis / 1_000
         ));
     }
--- a/crates/soak/src/error.rs
+++ b/crates/soak/src/error.rs
@@ -1,11 +1,11 @@
-//! Errors that prevent a run from being played. A broken promise is a result, not an error.
+//! Errors that prevent a run from being executed. A broken promise is a result, not an error.
 
 use std::io;
 
 use quick_error::quick_error;
 
 quick_error! {
-    /// An error that prevents a run from being played.
+    /// An error that prevents a run from being executed.
     #[derive(Debug)]
     pub enum Error {
         /// An operation on a file, socket or process failed.
@@ -14,8 +14,8 @@
             source(err)
         }
         /// The fleet did not become ready in time.
-        NotUp(what: &'static str) {
-            display("the fleet did not come up: no {}", what)
+        NotReady(what: &'static str) {
+            display("the fleet did not become ready: no {}", what)
         }
     }
 }
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -51,10 +51,10 @@
 /// Maximum duration of a planned stop of a gateway, in seconds.
 pub const STOP_WITHIN_S: u64 = 8;
 
-/// The part of it in which a gateway still serves requests, in seconds.
+/// The part of a planned stop in which a gateway still serves requests, in seconds.
 const STOP_SERVE_S: u64 = 3;
 
-/// Retries that the fleet may make in addition to the retry ratio.
+/// Number of retries that the fleet may make in addition to the retry ratio.
 pub const RETRY_EXTRA: u64 = 10;
 
 /// A process of the fleet, which can be started several times.
@@ -74,8 +74,8 @@
     /// program cannot be started.
     pub fn start(&self) -> Result<(), Error> {
         let log = File::options().create(true).append(true).open(&self.log);
-        let out = log.map_err(io("open a log"))?;
-        let err = out.try_clone().map_err(io("open a log"))?;
+        let out = log.map_err(io("open the log of a process"))?;
+        let err = out.try_clone().map_err(io("open the log of a process"))?;
         let child = Command::new(&self.program)
             .arg("--settings")
             .arg(&self.settings)
@@ -247,7 +247,7 @@
         programs: &Programs,
     ) -> Result<Control, Error> {
         let data = self.dir.join(format!("{name}-data"));
-        fs::create_dir_all(&data).map_err(io("make a data folder"))?;
+        fs::create_dir_all(&data).map_err(io("create a data folder"))?;
         let process =
             self.new_process(&name, &programs.control, &self.control_settings(&name, p, true))?;
         Ok(Control { process, api: p.first, link: p.link, data })
@@ -284,7 +284,7 @@
     }
 
     /// Returns the proxied link addresses of the seed control processes.
-    pub fn links(&self) -> Vec<SocketAddr> {
+    pub fn seed_links(&self) -> Vec<SocketAddr> {
         self.seeds.clone()
     }
 
@@ -295,7 +295,7 @@
     }
 
     /// Rewrites the settings of the control processes so that a restart does not found a second group.
-    pub fn founded(&self) -> Result<(), Error> {
+    pub fn disable_founding(&self) -> Result<(), Error> {
         for c in &self.controls {
             let file = &c.process.settings;
             let text = fs::read_to_string(file).map_err(io("read settings"))?;
@@ -309,7 +309,7 @@
     pub fn empty_disk(&self, n: usize) -> Result<(), Error> {
         let data = &self.controls[n].data;
         fs::remove_dir_all(data).map_err(io("empty a data folder"))?;
-        fs::create_dir_all(data).map_err(io("make a data folder"))
+        fs::create_dir_all(data).map_err(io("create a data folder"))
     }
 }
 
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -183,14 +183,14 @@
             self.add_replica(&self.board).await?;
         }
         if !publish(&self.w, 0).await {
-            return Err(Error::NotUp("acknowledged document"));
+            return Err(Error::NotReady("acknowledged document"));
         }
-        self.fleet.founded()?;
+        self.fleet.disable_founding()?;
         let until = Instant::now() + STARTUP_TIMEOUT;
         for n in 0..self.fleet.gateways.len() {
             while !self.is_serving(n).await {
                 if Instant::now() > until {
-                    return Err(Error::NotUp("gateway that answers"));
+                    return Err(Error::NotReady("answer from a gateway"));
                 }
                 sleep(POLL_INTERVAL).await;
             }
@@ -649,7 +649,7 @@
             cluster: "soak".to_owned(),
             name: "soak".to_owned(),
         };
-        let group = GroupClient::new(me, self.fleet.links());
+        let group = GroupClient::new(me, self.fleet.seed_links());
         let Ok(Reply::Budgets(all)) = group.query(&Query::Budgets(None), QUERY_TIMEOUT).await
         else {
             return BTreeMap::new();
