--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -182,7 +182,7 @@
 impl Fleet {
     /// Writes the settings of all processes into `dir` and starts the proxies in front of their links. Starts
     /// no process. Fails if a file cannot be written or a proxy cannot listen.
-    pub async fn lay_out(
+    pub async fn prepare(
         seed: u64,
         size: &Size,
         programs: &Programs,
