--- a/crates/cypressfork/tests/soak.rs
+++ b/crates/cypressfork/tests/soak.rs
@@ -7,7 +7,7 @@
 
 use cypressfork_soak::fleet::Programs;
 use cypressfork_soak::plan::Plan;
-use cypressfork_soak::run::play;
+use cypressfork_soak::run::execute;
 use rstest::rstest;
 
 /// Duration of the faults of a run, in milliseconds.
@@ -24,7 +24,7 @@
 fn run_seed(seed: u64, millis: u64) {
     let dir = tempfile::tempdir().unwrap();
     let plan = Plan::draw(seed, millis, false);
-    let verdict = actix_rt::System::new().block_on(play(plan, &programs(), dir.path())).unwrap();
+    let verdict = actix_rt::System::new().block_on(execute(plan, &programs(), dir.path())).unwrap();
     let steps: Vec<_> = verdict.plan.steps.iter().map(ToString::to_string).collect();
     let broken: Vec<_> = verdict.broken.iter().map(ToString::to_string).collect();
     if !broken.is_empty() {
--- a/crates/soak/src/command.rs
+++ b/crates/soak/src/command.rs
@@ -13,7 +13,7 @@
 use crate::error::{Error, io};
 use crate::fleet::Programs;
 use crate::plan::Plan;
-use crate::run::{Verdict, play};
+use crate::run::{Verdict, execute};
 
 /// Maximum number of broken promises printed per run, and of lines printed per log file.
 const MAX_LINES: usize = 12;
@@ -133,7 +133,7 @@
     }
     fs::create_dir_all(&dir).map_err(io("create the folder of the run"))?;
     let programs = Programs::in_folder(&o.programs);
-    let verdict = actix_rt::System::new().block_on(play(plan, &programs, &dir))?;
+    let verdict = actix_rt::System::new().block_on(execute(plan, &programs, &dir))?;
     if verdict.broken.is_empty() {
         fs::remove_dir_all(&dir).map_err(io("remove the folder of the run"))?;
     }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -139,7 +139,7 @@
 ///
 /// # Errors
 /// Fails if the fleet cannot be started.
-pub async fn play(plan: Plan, programs: &Programs, dir: &Path) -> Result<Verdict, Error> {
+pub async fn execute(plan: Plan, programs: &Programs, dir: &Path) -> Result<Verdict, Error> {
     let fleet = Fleet::prepare(plan.seed, &plan.size, programs, dir).await?;
     let apis = fleet.controls.iter().map(|c| c.api).collect();
     let gateways = fleet.gateways.iter().map(|g| g.callers).collect();
