--- a/crates/soak/src/caller.rs
+++ b/crates/soak/src/caller.rs
@@ -220,6 +220,7 @@
     head.headers.get("x-request-id").is_some_and(|v| v.as_bytes() == id.as_bytes())
 }
 
+/// Reads the answer to a request that is not a stream.
 async fn read_plain(c: &mut Connection, id: &str, head: &ResponseHead) -> Outcome {
     match read_body(c).await {
         Err(_) => Outcome::Cut { begun: true, events: Vec::new() },
--- a/crates/soak/src/command.rs
+++ b/crates/soak/src/command.rs
@@ -46,8 +46,8 @@
     Print(String),
 }
 
-/// Parses the command line without the program name. Returns a message for the user on invalid options.
-pub fn args(argv: &[String]) -> Result<Args, String> {
+/// Parses the arguments, which exclude the program name. Returns a message for the user on invalid options.
+pub fn parse_args(argv: &[String]) -> Result<Args, String> {
     let mut o = Getopts::new();
     o.optopt("f", "from", "the first seed (1)", "SEED");
     o.optopt("n", "seeds", "how many seeds (50)", "N");
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -207,12 +207,12 @@
     pub until: Timestamp,
 }
 
-/// A replica that announces in the headers of its answers that it is draining.
+/// An answer in whose headers a replica announced that it is draining.
 #[derive(Clone, Debug)]
 pub struct AnnouncedDrain {
     /// The id of the replica.
     pub replica: String,
-    /// The id of the first request whose answer announced it.
+    /// The id of the answered request.
     pub request: String,
     /// When that instance of the replica ended, or `None` while it runs.
     pub until: Option<Timestamp>,
@@ -247,7 +247,7 @@
     pub limits: Vec<AnnouncedLimit>,
     /// Backoff periods that replicas requested with `Retry-After`.
     pub backoffs: Vec<Backoff>,
-    /// Replicas that announced in answers that they are draining.
+    /// Answers in which replicas announced that they are draining.
     pub announced_drains: Vec<AnnouncedDrain>,
     /// When the last fault ended.
     pub healed: Timestamp,
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -2,11 +2,11 @@
 
 use std::process::ExitCode;
 
-use cypressfork_soak::command::{Args, args, run};
+use cypressfork_soak::command::{Args, parse_args, run};
 
 fn main() -> ExitCode {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
-    match args(&arguments) {
+    match parse_args(&arguments) {
         Ok(Args::Run(options)) => run(&options),
         Ok(Args::Print(text)) => {
             print!("{text}");
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -54,7 +54,7 @@
 pub struct Net {
     cuts: RefCell<Vec<(u64, Cut)>>,
     delays: RefCell<Vec<(u64, String, Duration)>>,
-    ids: Cell<u64>,
+    last_id: Cell<u64>,
     changed: Notify,
     links: RefCell<Vec<AbortHandle>>,
 }
@@ -62,8 +62,8 @@
 impl Net {
     /// Adds partitions. Returns the id to pass to [`Net::heal`].
     pub fn cut(&self, cuts: impl IntoIterator<Item = Cut>) -> u64 {
-        let id = self.ids.get() + 1;
-        self.ids.set(id);
+        let id = self.last_id.get() + 1;
+        self.last_id.set(id);
         self.cuts.borrow_mut().extend(cuts.into_iter().map(|c| (id, c)));
         id
     }
@@ -71,16 +71,16 @@
     /// Delays each chunk on links of the process `to` by `span`. Returns the id to pass to
     /// [`Net::heal`].
     pub fn delay(&self, to: &str, span: Duration) -> u64 {
-        let id = self.ids.get() + 1;
-        self.ids.set(id);
+        let id = self.last_id.get() + 1;
+        self.last_id.set(id);
         self.delays.borrow_mut().push((id, to.to_owned(), span));
         id
     }
 
     /// Removes the partitions or the delay added under `id`.
     pub fn heal(&self, id: u64) {
-        self.cuts.borrow_mut().retain(|(own, _)| *own != id);
-        self.delays.borrow_mut().retain(|(own, ..)| *own != id);
+        self.cuts.borrow_mut().retain(|(cut_id, _)| *cut_id != id);
+        self.delays.borrow_mut().retain(|(delay_id, ..)| *delay_id != id);
         self.changed.notify_waiters();
     }
 
@@ -89,14 +89,16 @@
         self.links.borrow_mut().drain(..).for_each(|l| l.abort());
     }
 
+    /// Returns whether traffic in this direction is held back by a partition.
     fn is_cut(&self, from: &str, to: &str) -> bool {
         self.cuts.borrow().iter().any(|(_, c)| c.from.contains(from) && c.to.contains(to))
     }
 
+    /// Returns the delay of each chunk in this direction: the longest set for one of the two processes.
     fn delay_of(&self, from: &str, to: &str) -> Duration {
         let delays = self.delays.borrow();
-        let own = delays.iter().filter(|(_, name, _)| name == from || name == to);
-        own.map(|(.., span)| *span).max().unwrap_or_default()
+        let matching = delays.iter().filter(|(_, name, _)| name == from || name == to);
+        matching.map(|(.., span)| *span).max().unwrap_or_default()
     }
 
     /// Forwards connections accepted by `listener` to the process `name` at address `to`.
@@ -114,6 +116,7 @@
     }
 }
 
+/// Forwards one link to the process `name` at `to` until either side closes it.
 async fn forward_link(
     net: Rc<Net>,
     client: TcpStream,
@@ -148,6 +151,7 @@
     }
 }
 
+/// Forwards one direction of a link until it ends, applying the faults for that direction.
 async fn forward(
     net: &Net,
     mut rx: OwnedReadHalf,
--- a/crates/soak/src/replica.rs
+++ b/crates/soak/src/replica.rs
@@ -282,6 +282,7 @@
     }
 }
 
+/// Sends heartbeats at intervals.
 async fn send_heartbeats(r: Rc<Replica>, w: Rc<World>) {
     loop {
         // After a failure, try another control process soon.
@@ -303,12 +304,14 @@
     r
 }
 
+/// Returns a response that states that the request was not run.
 fn reject(id: &str, status: StatusCode) -> Response<Body> {
     let mut r = respond(id, status, Body::Whole(Bytes::new()));
     r.headers_mut().insert(NOT_RUN, HeaderValue::from_static("true"));
     r
 }
 
+/// Handles a request and adds the headers that the replica currently announces.
 async fn respond_to(r: Rc<Replica>, w: Rc<World>, req: Request) -> Response<Body> {
     let id = header_text(req.headers(), "x-request-id").to_owned();
     let answer = handle(r.clone(), w.clone(), req).await;
@@ -320,6 +323,7 @@
     r.add_limit_header(&w, answer)
 }
 
+/// Records the arrival of a request and returns its response.
 async fn handle(r: Rc<Replica>, w: Rc<World>, req: Request) -> Response<Body> {
     let h = req.headers();
     let id = header_text(h, "x-request-id").to_owned();
@@ -386,6 +390,7 @@
     r.crash();
 }
 
+/// Sends the events after `last` of a stream and records how many were generated.
 async fn send_events(w: Rc<World>, id: String, last: u64, tx: mpsc::Sender<Bytes>) {
     for n in last + 1..=event_count(&id) {
         sleep(EVENT_INTERVAL).await;
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -307,14 +307,14 @@
                     POISONED.to_owned(),
                     RESTART_DELAY.as_millis() as u64 + START_DISRUPTION_MS,
                 );
-                let down = if self.w.random_bool(SHORT_DELAY_PERCENT) {
+                let delay = if self.w.random_bool(SHORT_DELAY_PERCENT) {
                     SHORT_RESTART_DELAY
                 } else {
                     RESTART_DELAY
                 };
                 let (run, id) = (self.clone(), r.id.clone());
                 self.spawn(async move {
-                    sleep(down).await;
+                    sleep(delay).await;
                     let all = if talk { &run.talk } else { &run.board };
                     run.restart_replica(all, id).await.expect("a replica can be started");
                 });
@@ -372,6 +372,7 @@
         futures_util::future::join_all(all).await;
     }
 
+    /// Records processes that exited while no step was using them.
     fn record_exits(&self) {
         for p in self.fleet.processes().filter(|p| !p.busy.get()) {
             if p.has_ended() {
@@ -399,6 +400,7 @@
         self.w.history.borrow_mut().healed = healed;
     }
 
+    /// Records a disruption that starts now and lasts `lasts` milliseconds.
     fn record_disruption(&self, what: String, lasts: u64) {
         let from = self.w.now();
         let d = Disruption { what, from, until: from + lasts };
@@ -488,6 +490,7 @@
         taken.into_iter().for_each(|p| self.restart(p));
     }
 
+    /// Starts a stopped process again and lets other steps use it.
     fn restart(&self, p: &Process) {
         if let Some(n) = self.fleet.gateways.iter().position(|g| g.process.name == p.name) {
             self.increment_incarnation(n);
@@ -558,6 +561,7 @@
         again.expect("a replica can be started");
     }
 
+    /// Starts a replica, then drains another, which announces it in its heartbeats.
     async fn drain_by_heartbeat(&self, all: &RefCell<Replicas>, n: usize) {
         self.add_replica(all).await.expect("a replica can be started");
         if let Some(removed) = self.remove_replica(all, n) {
