--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -8,7 +8,7 @@
 use rand::{Rng, SeedableRng};
 use tokio::time::Instant;
 
-use crate::history::{At, History};
+use crate::history::{History, Timestamp};
 
 /// State that all tasks of one run share.
 pub struct World {
@@ -23,14 +23,14 @@
     pub operators: Vec<SocketAddr>,
     /// Number of starts of each gateway.
     pub incarnations: Vec<Cell<u32>>,
-    /// Whether callers stop sending requests.
-    pub over: Cell<bool>,
+    /// Whether callers must stop sending requests.
+    pub stop_callers: Cell<bool>,
     /// The highest document version that was acknowledged.
     pub acked: Cell<u64>,
     /// The highest document version that was sent.
     pub sent: Cell<u64>,
     /// Ids of replicas that have crashed and are to be restarted.
-    pub ended: RefCell<Vec<String>>,
+    pub crashed: RefCell<Vec<String>>,
     /// Start time of the last replica, in milliseconds since the Unix epoch.
     born: Cell<u64>,
     rng: RefCell<SmallRng>,
@@ -52,18 +52,18 @@
             gateways,
             operators,
             incarnations,
-            over: Cell::new(false),
+            stop_callers: Cell::new(false),
             acked: Cell::new(0),
             sent: Cell::new(0),
-            ended: RefCell::default(),
+            crashed: RefCell::default(),
             born: Cell::new(0),
             rng: RefCell::new(SmallRng::seed_from_u64(seed)),
         }
     }
 
     /// Returns the milliseconds since the start of the run.
-    pub fn at(&self) -> At {
-        self.started.elapsed().as_millis() as At
+    pub fn now(&self) -> Timestamp {
+        self.started.elapsed().as_millis() as Timestamp
     }
 
     /// Returns the start time of a new replica, in milliseconds since the Unix epoch. Each call
@@ -76,29 +76,29 @@
 
     /// Ends the announced limits, `Retry-After` periods and drains of a replica's previous
     /// incarnation. Called when a replica starts under the same id.
-    pub fn end_words_of(&self, replica: &str) {
-        let at = self.at();
+    pub fn end_announcements(&self, replica: &str) {
+        let at = self.now();
         let mut h = self.history.borrow_mut();
         let limits = h.limits.iter_mut().filter(|l| l.replica == replica);
         limits.for_each(|l| l.until = Some(l.until.unwrap_or(at)));
-        let rests = h.rests.iter_mut().filter(|r| r.replica == replica);
-        rests.for_each(|r| r.until = r.until.min(at));
-        let told = h.told.iter_mut().filter(|t| t.replica == replica);
-        told.for_each(|t| t.until = Some(t.until.unwrap_or(at)));
+        let backoffs = h.backoffs.iter_mut().filter(|r| r.replica == replica);
+        backoffs.for_each(|r| r.until = r.until.min(at));
+        let drains = h.announced_drains.iter_mut().filter(|t| t.replica == replica);
+        drains.for_each(|t| t.until = Some(t.until.unwrap_or(at)));
     }
 
-    /// Draws a number below `n`.
-    pub fn below(&self, n: usize) -> usize {
+    /// Draws a random number below `n`.
+    pub fn random_below(&self, n: usize) -> usize {
         self.rng.borrow_mut().random_range(0..n)
     }
 
     /// Draws `true` with a probability of `percent` percent.
-    pub fn happens(&self, percent: u32) -> bool {
+    pub fn random_bool(&self, percent: u32) -> bool {
         self.rng.borrow_mut().random_range(0..100) < percent
     }
 
     /// Returns the API address of a random control process.
-    pub fn any_api(&self) -> SocketAddr {
-        self.apis[self.below(self.apis.len())]
+    pub fn random_api(&self) -> SocketAddr {
+        self.apis[self.random_below(self.apis.len())]
     }
 }
