--- a/crates/core/tests/message_rate.rs
+++ b/crates/core/tests/message_rate.rs
@@ -4,8 +4,8 @@
 use cypressfork_core::unit::Time;
 use rstest::rstest;
 
-/// Each case: prompts per second, peers, and how many prompts of ten seconds are announced to all
-/// peers.
+/// Each case: prompts per second, number of peers, and how many of the prompts sent in ten seconds
+/// are announced to all peers.
 #[rstest]
 #[case::few_gateways(20, 6, 200)]
 #[case::a_usual_gateway_of_many(2, 57, 20)]
@@ -18,8 +18,8 @@
 ) {
     let mut limit = MessageRateLimit::default();
     let at = |n: u64| Time(5_000 + n * 1_000 / prompts);
-    let taken = (0..prompts * 10).filter(|n| limit.try_take(at(*n), peers)).count();
-    assert_eq!(taken as u64, announced);
+    let announced_count = (0..prompts * 10).filter(|n| limit.try_take(at(*n), peers)).count();
+    assert_eq!(announced_count as u64, announced);
 }
 
 /// Guards against a refill of the token bucket by a clock that goes backwards.
--- a/crates/core/tests/overload.rs
+++ b/crates/core/tests/overload.rs
@@ -1,5 +1,5 @@
-//! Tests of overloaded gateways: when they refuse requests, and how many callers of their data centre
-//! are sent to gateways elsewhere.
+//! Tests of overloaded gateways: when they refuse requests, and how many callers of their data
+//! centre are sent to gateways elsewhere.
 
 use std::collections::BTreeSet;
 
@@ -37,7 +37,8 @@
     assert_eq!(monitor.was_overloaded(Time(now)), expected);
 }
 
-fn status(data_centre: &str, n: usize, pass: u64) -> RouterStatus {
+/// The status of gateway `n`, with the time of a pass through its run queue in milliseconds.
+fn status(data_centre: &str, n: usize, pass_ms: u64) -> RouterStatus {
     let vm = format!("{data_centre}-{n:02}");
     RouterStatus {
         address: format!("{vm}:80"),
@@ -45,15 +46,16 @@
         vm,
         data_centre: data_centre.to_owned(),
         open: true,
-        busy: pass >= 25,
+        busy: pass_ms >= 25,
     }
 }
 
 const DATA_CENTRES: [&str; 4] = ["a", "b", "c", "d"];
 const GATEWAYS: usize = 16;
 
-/// Returns the addresses that callers in data centre `a` get in each second. `pass_ms` returns the
-/// delay of its gateways from the percentage of their callers that still use them.
+/// Returns the addresses that callers in data centre `a` get in each second. `pass_ms` returns how
+/// long a pass through the run queue of its gateways takes, given the percentage of callers that
+/// still use them.
 fn simulate(seconds: u64, pass_ms: impl Fn(u64) -> u64) -> Vec<Vec<String>> {
     let mut routers = RouterHeartbeats::default();
     let mut percent_left = 100;
@@ -97,30 +99,36 @@
 #[test]
 fn load_on_one_gateway_is_spread_and_not_moved_to_the_next() {
     let mut routers = RouterHeartbeats::default();
-    let mut at = vec![0usize; 100];
-    let mut last = Vec::new();
+    let mut gateway_of = vec![0usize; 100];
+    let mut callers_per_gateway = Vec::new();
     for second in 1..=40u64 {
         let now = Time(second * 1_000);
-        let callers = |n: usize| at.iter().filter(|a| **a == n).count();
+        let callers = |n: usize| gateway_of.iter().filter(|a| **a == n).count();
         let busy: Vec<_> = (0..GATEWAYS).map(|n| callers(n) * 3 * 6_000 >= 625_000).collect();
         for (n, busy) in busy.iter().enumerate() {
             routers.record(now, &status("a", n, if *busy { 100 } else { 0 }));
         }
-        for (n, gateway) in at.iter_mut().enumerate().filter(|(n, _)| *n as u64 % 2 == second % 2) {
+        for (n, gateway) in
+            gateway_of.iter_mut().enumerate().filter(|(n, _)| *n as u64 % 2 == second % 2)
+        {
             let addresses = routers.addresses(now, "a", &Regions::default(), 64);
-            let own = status("a", *gateway, 0).address;
-            if !addresses.contains(&own) {
+            let current = status("a", *gateway, 0).address;
+            if !addresses.contains(&current) {
                 let next = &addresses[(n * 7 + second as usize) % addresses.len()];
                 *gateway = next[2..4].parse().unwrap();
             }
         }
-        last = (0..GATEWAYS).map(|n| at.iter().filter(|a| **a == n).count()).collect();
+        callers_per_gateway =
+            (0..GATEWAYS).map(|n| gateway_of.iter().filter(|a| **a == n).count()).collect();
         if second >= 8 {
-            let most = *last.iter().max().unwrap();
-            assert!(most < 50, "in second {second} one gateway has {most} of 100: {last:?}");
+            let most = *callers_per_gateway.iter().max().unwrap();
+            assert!(
+                most < 50,
+                "in second {second} one gateway has {most} of 100: {callers_per_gateway:?}"
+            );
         }
     }
-    assert!(last.iter().filter(|n| **n > 0).count() >= 4, "{last:?}");
+    assert!(callers_per_gateway.iter().filter(|n| **n > 0).count() >= 4, "{callers_per_gateway:?}");
 }
 
 #[test]
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -26,8 +26,8 @@
     TerminationReport { replica: replica.to_owned(), ago: Millis(ago), under_way }
 }
 
-/// Returns the quarantine after terminations of replicas. Terminations are separated by slashes; each
-/// is a time, a replica and its in-flight requests, as `name:age`, in milliseconds.
+/// Returns the quarantine after terminations of replicas. Terminations are separated by slashes;
+/// each is a time, a replica and its in-flight requests, as `name:age`, in milliseconds.
 fn replay(terminations: &str) -> Quarantine {
     let mut q = Quarantine::default();
     for (n, text) in terminations.split('/').enumerate() {
@@ -52,19 +52,19 @@
 }
 
 #[rstest]
-#[case::two_ends(
+#[case::two_terminations(
     "1000 r1 k:50 / 2000 r2 k:50",
     &[],
 )]
-#[case::three_ends(
+#[case::three_terminations(
     "1000 r1 k:50 / 2000 r2 k:50 / 3000 r3 k:50",
     &["k"],
 )]
-#[case::three_ends_of_one_replica_under_its_id(
+#[case::three_terminations_of_one_replica(
     "1000 r1 k:50 / 2000 r1 k:50 / 3000 r1 k:50",
     &["k"],
 )]
-#[case::several_reports_of_each_end(
+#[case::several_reports_of_each_termination(
     "1000 r1 k:50 / \
      1040 r1 k:90 / \
      1090 r1 k:10 / \
@@ -72,32 +72,32 @@
      2030 r2 k:50",
     &[],
 )]
-#[case::replicas_that_end_together_are_one_strike(
+#[case::simultaneous_terminations_are_one_strike(
     "1000 r1 hot:400 / 1010 r2 hot:300 / 1020 r3 hot:200 / 1030 r4 hot:500",
     &[],
 )]
-#[case::sent_before_the_strike_before(
+#[case::sent_before_the_previous_strike(
     "1000 r1 a:900 / 1500 r2 a:900 / 1900 r3 a:1200",
     &[],
 )]
-#[case::bystanders_of_one_or_two_ends(
+#[case::harmless_requests_in_one_or_two_terminations(
     "1000 r1 k:50 a:700 b:300 / \
      2000 r2 k:50 a:700 c:300 / \
      3000 r3 k:50 d:700 b:300",
     &["k"],
 )]
-#[case::rivals_are_told_apart_by_one_more_end(
+#[case::suspects_distinguished_by_one_more_termination(
     "1000 r1 k:50 a:700 / \
      2000 r2 k:50 a:700 / \
      3000 r3 k:50 a:700 / \
      4000 r4 k:50",
     &["k"],
 )]
-#[case::rivals_are_not_told_apart_yet(
+#[case::suspects_not_yet_distinguished(
     "1000 r1 k:50 a:700 / 2000 r2 k:50 a:700 / 3000 r3 k:50 a:700",
     &[],
 )]
-#[case::rivals_that_stay_together(
+#[case::suspects_that_are_never_distinguished(
     "1000 r1 k:50 a:700 / \
      2000 r2 k:50 a:700 / \
      3000 r3 k:50 a:700 / \
@@ -105,7 +105,7 @@
      5000 r5 k:50 a:700",
     &["a", "k"],
 )]
-#[case::two_at_a_time(
+#[case::two_poison_requests_at_once(
     "1000 r1 k:50 / \
      1100 r2 l:50 / \
      2000 r3 k:50 l:20 / \
@@ -115,7 +115,7 @@
      5100 r7 l:50",
     &["k", "l"],
 )]
-#[case::one_that_met_two_is_free_again(
+#[case::a_harmless_request_with_three_strikes(
     "1000 r1 k:50 a:20 / \
      2000 r2 l:50 a:20 / \
      3000 r3 k:50 a:20 / \
@@ -123,7 +123,7 @@
      5000 r5 k:50",
     &["k"],
 )]
-#[case::strikes_are_forgotten(
+#[case::strikes_expire(
     "1000 r1 k:50 / 2000 r2 k:50 / 603000 r3 k:50",
     &[],
 )]
@@ -206,16 +206,16 @@
 #[test]
 fn the_list_is_bounded_for_each_account() {
     let mut q = Quarantine::default();
-    let mut dropped = 0;
+    let mut evicted = 0;
     for n in 0..40 {
         for round in 0..3 {
             let at = Time(1_000 * n + 200 * round + 1_000);
-            let e = termination(&format!("r{n}-{round}"), 0, &[(&format!("k{n}"), 50)]);
-            let changes = q.record_terminations(at, n * 3 + round + 1, &[e]);
-            dropped += changes.iter().filter(|(_, c)| *c == QuarantineChange::Evicted).count();
+            let report = termination(&format!("r{n}-{round}"), 0, &[(&format!("k{n}"), 50)]);
+            let changes = q.record_terminations(at, n * 3 + round + 1, &[report]);
+            evicted += changes.iter().filter(|(_, c)| *c == QuarantineChange::Evicted).count();
         }
     }
-    assert_eq!((q.iter().count(), dropped), (32, 8));
+    assert_eq!((q.iter().count(), evicted), (32, 8));
     assert!(q.contains(&fingerprint("k39")) && !q.contains(&fingerprint("k0")));
 }
 
@@ -256,10 +256,10 @@
 
 #[test]
 fn recently_completed_requests_are_remembered_within_bounds() {
-    let mut s = CompletedRequests::default();
-    s.record(1);
-    (10..1_500).for_each(|n| s.record(n));
-    assert!(s.contains(1) && s.contains(1_499) && !s.contains(2));
-    (2_000..3_500).for_each(|n| s.record(n));
-    assert!(!s.contains(1), "the oldest entry must be evicted");
+    let mut completed = CompletedRequests::default();
+    completed.record(1);
+    (10..1_500).for_each(|n| completed.record(n));
+    assert!(completed.contains(1) && completed.contains(1_499) && !completed.contains(2));
+    (2_000..3_500).for_each(|n| completed.record(n));
+    assert!(!completed.contains(1), "the oldest entry must be evicted");
 }
--- a/crates/core/tests/quarantine_cost.rs
+++ b/crates/core/tests/quarantine_cost.rs
@@ -1,5 +1,5 @@
-//! Test of the processor time per termination report. Guards against a cost that grows with the square of
-//! the suspects and blocks the thread that receives the leader's heartbeats.
+//! Test of the processor time per termination report. Guards against a cost that grows with the
+//! square of the number of suspects and blocks the thread that receives the leader's heartbeats.
 
 use std::time::Duration;
 
@@ -20,8 +20,8 @@
 /// Distinct requests, from which those in flight are drawn.
 const DISTINCT_REQUESTS: u64 = 1_500;
 
-/// Maximum processor time per report: a fifth of the 75 ms that a control process with a seventh of a core
-/// gets in the half second after which followers miss their leader.
+/// Maximum processor time per report: a fifth of the 75 ms that a control process with a seventh of
+/// a core gets within the minimum election timeout of half a second.
 const MAX_REPORT_TIME: Duration = Duration::from_millis(15);
 
 fn request(n: u64) -> InFlightRequest {
@@ -45,7 +45,7 @@
 
 #[test]
 fn a_report_is_processed_in_time_with_many_suspects() {
-    // Takes the best of several runs, because other processes disturb the processor caches.
+    // The minimum of several runs, because other processes disturb the processor caches.
     let runs = (0..3).map(|_| {
         let (mut seed, mut longest) = (7, Duration::ZERO);
         let mut q = Quarantine::default();
--- a/crates/core/tests/quarantine_storm.rs
+++ b/crates/core/tests/quarantine_storm.rs
@@ -1,8 +1,10 @@
-//! Simulation of poison requests, which terminate the replicas that run them, among harmless requests:
-//! no harmless request may be refused, and each poison request may terminate only a few replicas.
+//! Simulation of poison requests, which terminate the replicas that run them, among harmless
+//! requests: no harmless request may be refused, and each poison request may terminate only a few
+//! replicas.
 //!
-//! The load: 12 replicas and 46 requests per second of one to three seconds, retried once on another
-//! replica; each poison request is sent five times per second; 20 copies per second of one short request.
+//! 12 replicas get 46 requests per second that take one to three seconds, 20 copies per second of
+//! one short request, and each poison request five times per second. Requests in flight on a
+//! replica that terminates are retried once on another.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -46,22 +48,25 @@
     running: Vec<Running>,
 }
 
-struct Storm {
+struct Simulation {
     rng: SmallRng,
     policy: Policy,
     poison_requests: u64,
     replicas: Vec<Replica>,
-    group: Quarantine,
+    /// State of the control group.
+    quarantine: Quarantine,
+    /// Numbers of the terminations of each request, for [`Policy::CountStrikes`].
     strikes: BTreeMap<u64, BTreeSet<u64>>,
     /// Reports in transit, as (time of arrival, number of the termination, report).
     reports: Vec<(u64, u64, TerminationReport)>,
     /// Lists in transit to the gateways, by time of arrival.
     lists: Vec<(u64, QuarantineList)>,
+    /// Quarantined requests in the list that the gateways have.
     quarantined: BTreeSet<u64>,
     suspects: BTreeSet<u64>,
     /// Suspects with one strike, and how often each was completed since.
     struck: BTreeMap<u64, u64>,
-    position: u64,
+    log_index: u64,
     terminations: u64,
     terminated_by: BTreeMap<u64, u64>,
     refused: BTreeMap<u64, u64>,
@@ -74,28 +79,28 @@
     /// Harmless requests that were refused, including copies of the short one.
     refused: u64,
     /// Replicas that poison requests terminated.
-    ended: u64,
+    terminated: u64,
 }
 
 fn fingerprint(request: u64) -> Fingerprint {
     Fingerprint { brief: request, digest: 0 }
 }
 
-impl Storm {
-    fn new(seed: u64, policy: Policy, poison_requests: u64) -> Storm {
-        Storm {
+impl Simulation {
+    fn new(seed: u64, policy: Policy, poison_requests: u64) -> Simulation {
+        Simulation {
             rng: SmallRng::seed_from_u64(seed),
             policy,
             poison_requests,
             replicas: (0..REPLICAS).map(|_| Replica::default()).collect(),
-            group: Quarantine::default(),
+            quarantine: Quarantine::default(),
             strikes: BTreeMap::new(),
             reports: Vec::new(),
             lists: Vec::new(),
             quarantined: BTreeSet::new(),
             suspects: BTreeSet::new(),
             struck: BTreeMap::new(),
-            position: 0,
+            log_index: 0,
             terminations: 0,
             terminated_by: BTreeMap::new(),
             refused: BTreeMap::new(),
@@ -111,7 +116,7 @@
         }
         let harmless = self.refused.iter().filter(|(request, _)| **request >= SHORT_REQUEST);
         let refused = harmless.map(|(_, n)| n).sum();
-        Outcome { refused, ended: self.terminated_by.values().sum() }
+        Outcome { refused, terminated: self.terminated_by.values().sum() }
     }
 
     /// Returns whether an event of this rate happens in the current step.
@@ -148,7 +153,7 @@
         self.replicas[n].running.push(Running { request, sent: now, until, retried });
     }
 
-    /// Terminates replicas whose poison requests are due, and completes the other requests that are due.
+    /// Terminates replicas whose poison requests are due, and completes all others that are due.
     fn finish_due(&mut self, now: u64) {
         for n in 0..REPLICAS {
             let is_due = |r: &Running| r.until <= now;
@@ -166,12 +171,12 @@
         }
     }
 
-    fn terminate(&mut self, now: u64, n: usize, poison: u64) {
-        *self.terminated_by.entry(poison).or_default() += 1;
+    fn terminate(&mut self, now: u64, n: usize, poison_request: u64) {
+        *self.terminated_by.entry(poison_request).or_default() += 1;
         self.terminations += 1;
-        let victims = std::mem::take(&mut self.replicas[n].running);
+        let in_flight = std::mem::take(&mut self.replicas[n].running);
         self.replicas[n].down_until = now + self.rng.random_range(2_000..5_000);
-        let under_way = victims.iter().map(|r| InFlightRequest {
+        let under_way = in_flight.iter().map(|r| InFlightRequest {
             fingerprint: fingerprint(r.request),
             account: String::new(),
             age: Millis(now - r.sent),
@@ -180,21 +185,21 @@
         let report = TerminationReport { replica, ago: Millis(0), under_way: under_way.collect() };
         let arrives = now + self.rng.random_range(30..60);
         self.reports.push((arrives, self.terminations, report));
-        for r in victims.into_iter().filter(|r| !r.retried) {
-            let left = r.until.saturating_sub(r.sent);
-            self.send(now, r.request, now + left, true);
+        for r in in_flight.into_iter().filter(|r| !r.retried) {
+            let work_ms = r.until.saturating_sub(r.sent);
+            self.send(now, r.request, now + work_ms, true);
         }
     }
 
     fn complete(&mut self, now: u64, request: u64) {
-        let again = self.struck.get_mut(&request).is_some_and(|n| {
+        let completed_again = self.struck.get_mut(&request).is_some_and(|n| {
             *n += 1;
             *n > 1
         });
         let listed = self.suspects.contains(&request) || self.quarantined.contains(&request);
-        if self.policy == Policy::Fleet && (listed || again) {
-            self.position += 1;
-            self.group.record_completions(Time(now), self.position, &[fingerprint(request)]);
+        if self.policy == Policy::Fleet && (listed || completed_again) {
+            self.log_index += 1;
+            self.quarantine.record_completions(Time(now), self.log_index, &[fingerprint(request)]);
             self.publish(now);
         }
     }
@@ -203,11 +208,11 @@
         let (due, rest): (Vec<_>, Vec<_>) = self.reports.drain(..).partition(|(at, ..)| *at <= now);
         self.reports = rest;
         for (_, number, report) in due {
-            self.position += 1;
+            self.log_index += 1;
             for u in &report.under_way {
                 self.strikes.entry(u.fingerprint.brief).or_default().insert(number);
             }
-            self.group.record_terminations(Time(now), self.position, &[report]);
+            self.quarantine.record_terminations(Time(now), self.log_index, &[report]);
             self.publish(now);
         }
         let (due, rest): (Vec<_>, Vec<_>) = self.lists.drain(..).partition(|(at, ..)| *at <= now);
@@ -222,7 +227,7 @@
     }
 
     fn publish(&mut self, now: u64) {
-        let mut list = self.group.list();
+        let mut list = self.quarantine.list();
         if self.policy == Policy::CountStrikes {
             let strikes = self.strikes.iter().filter(|(_, terminations)| terminations.len() >= 3);
             list.quarantined = strikes.map(|(r, _)| fingerprint(*r)).collect();
@@ -233,10 +238,10 @@
 
 /// Sums the results of the simulations with all seeds.
 fn run_all_seeds(policy: Policy, poison_requests: u64) -> Outcome {
-    let each = (0..SEEDS).map(|seed| Storm::new(seed, policy, poison_requests).run());
+    let each = (0..SEEDS).map(|seed| Simulation::new(seed, policy, poison_requests).run());
     each.fold(Outcome::default(), |all, o| Outcome {
         refused: all.refused + o.refused,
-        ended: all.ended + o.ended,
+        terminated: all.terminated + o.terminated,
     })
 }
 
@@ -249,6 +254,6 @@
     let fleet = run_all_seeds(Policy::Fleet, poison_requests);
     eprintln!("{poison_requests} poison requests: count strikes {baseline:?}, fleet {fleet:?}");
     assert_eq!(fleet.refused, 0);
-    let each = fleet.ended as f64 / (poison_requests * SEEDS) as f64;
+    let each = fleet.terminated as f64 / (poison_requests * SEEDS) as f64;
     assert!(each <= 6.0, "each poison request terminated {each} replicas");
 }
