--- a/crates/core/tests/raft.rs
+++ b/crates/core/tests/raft.rs
@@ -23,8 +23,8 @@
     Message { from, to: 1, term, body }
 }
 
-/// Member 1 of three, in term `term`, with log entries of `terms`, after both peers accepted its
-/// rejoin.
+/// Returns member 1 of three, in term `term`, with log entries of `terms`, after both peers
+/// accepted its rejoin.
 fn member(term: Term, terms: &[Term]) -> Raft {
     let entries = terms.iter().enumerate().map(|(n, t)| entry(*t, n as u64 + 1)).collect();
     let snapshot = SnapshotMeta { members: members(), ..SnapshotMeta::default() };
--- a/crates/core/tests/regions.rs
+++ b/crates/core/tests/regions.rs
@@ -27,11 +27,11 @@
 }
 
 #[rstest]
-#[case::bound_to_nothing(&[], "elsewhere", true)]
+#[case::unrestricted(&[], "elsewhere", true)]
 #[case::its_region(&["north"], "n2", true)]
-#[case::another(&["north"], "s1", false)]
+#[case::another_region(&["north"], "s1", false)]
 #[case::one_of_two(&["north", "south"], "s1", true)]
-#[case::nobody_knows_where(&["north"], "elsewhere", false)]
+#[case::unknown_data_centre(&["north"], "elsewhere", false)]
 fn a_request_is_allowed_in_its_regions_only(
     #[case] allowed: &[&str],
     #[case] dc: &str,
@@ -69,19 +69,20 @@
 fn pool(each: u8) -> (Pool, BTreeMap<SocketAddr, &'static str>) {
     let mut pool = Pool::default();
     pool.set_location("n1", &regions());
-    let mut at = BTreeMap::new();
+    let mut data_centre_of = BTreeMap::new();
     for (c, dc) in DATA_CENTRES.into_iter().enumerate() {
         for n in 0..each {
             let address = SocketAddr::from(([10, c as u8, 0, n], 80));
             let vm = Vm { name: format!("{dc}-{n}"), data_centre: dc.to_owned() };
             let upstream = Upstream { vm, address, checks_orders: false };
             pool.upsert(Time(0), &upstream, &ReplicaInfo { slots: 8, ..ReplicaInfo::default() });
-            at.insert(address, dc);
+            data_centre_of.insert(address, dc);
         }
     }
-    (pool, at)
+    (pool, data_centre_of)
 }
 
+/// Request `n`: one of 50 shared prefixes and a part of its own, with a latency objective.
 fn prompt(n: u64) -> RequestProfile {
     let objective =
         Some(LatencyObjective { first_event: Duration::from_millis(800), max_pause: None });
@@ -96,9 +97,10 @@
 /// the own region has the capacity to answer in time.
 #[test]
 fn requests_stay_in_their_region_while_its_replicas_meet_the_objective() {
-    let (mut pool, at) = pool(6);
+    let (mut pool, data_centre_of) = pool(6);
     let mut rng = SmallRng::seed_from_u64(1);
-    let remote: Vec<_> = at.iter().filter(|(_, dc)| dc.starts_with('s')).map(|(a, _)| *a).collect();
+    let remote: Vec<_> =
+        data_centre_of.iter().filter(|(_, dc)| dc.starts_with('s')).map(|(a, _)| *a).collect();
     for n in 0..50 {
         pool.record_peer_placement(
             Time(0),
@@ -111,9 +113,9 @@
         let now = Time(1_000 + n * 25);
         let choice = pool.choose(now, "n1", &prompt(n), &[], &mut rng).unwrap();
         assert!(
-            at[&choice.address].starts_with('n'),
+            data_centre_of[&choice.address].starts_with('n'),
             "request {n} goes to {}",
-            at[&choice.address]
+            data_centre_of[&choice.address]
         );
         pool.record_first_event(now, &choice, 60_000);
         pool.finish(now, &choice, false);
@@ -123,14 +125,14 @@
 /// Guards against overload of one region while another has free capacity.
 #[test]
 fn requests_that_would_be_late_go_to_another_region() {
-    let (mut pool, at) = pool(2);
+    let (mut pool, data_centre_of) = pool(2);
     let mut rng = SmallRng::seed_from_u64(2);
-    let mut remote = 0;
+    let mut remote_count = 0;
     for n in 0..200 {
         let choice = pool.choose(Time(1_000 + n), "n1", &prompt(n), &[], &mut rng).unwrap();
-        remote += u64::from(at[&choice.address].starts_with('s'));
+        remote_count += u64::from(data_centre_of[&choice.address].starts_with('s'));
     }
-    assert!((40..=140).contains(&remote), "{remote} of 200");
+    assert!((40..=140).contains(&remote_count), "{remote_count} of 200");
 }
 
 proptest! {
@@ -144,22 +146,22 @@
         removed in proptest::collection::vec(0usize..12, 0..8),
         requests in 1u64..60,
     ) {
-        let (mut pool, at) = pool(3);
+        let (mut pool, data_centre_of) = pool(3);
         let mut rng = SmallRng::seed_from_u64(seed);
         pool.set_evacuated_data_centres(Time(1), &names(&closed));
-        let all: Vec<_> = at.keys().copied().collect();
+        let all: Vec<_> = data_centre_of.keys().copied().collect();
         for n in removed {
             pool.remove(Time(2), all[n]);
         }
         let allowed = names(&allowed);
         let mut tried = Vec::new();
         for n in 0..requests {
-            let work = RequestProfile { regions: allowed.clone(), ..prompt(n) };
-            let Some(choice) = pool.choose(Time(10 + n), "n1", &work, &tried, &mut rng) else {
+            let profile = RequestProfile { regions: allowed.clone(), ..prompt(n) };
+            let Some(choice) = pool.choose(Time(10 + n), "n1", &profile, &tried, &mut rng) else {
                 tried.clear();
                 continue;
             };
-            let dc = at[&choice.address];
+            let dc = data_centre_of[&choice.address];
             prop_assert!(regions().allows(&allowed, dc) && !closed.contains(&dc));
             if n % 3 == 0 {
                 tried.push(choice.address);
--- a/crates/core/tests/registry.rs
+++ b/crates/core/tests/registry.rs
@@ -38,9 +38,9 @@
 #[case::a_late_heartbeat_does_not_revive(&[(5, ReplicaStatus::Draining), (4, ReplicaStatus::Ready)], ReplicaStatus::Draining)]
 #[case::draining_that_comes_late_counts(&[(5, ReplicaStatus::Ready), (4, ReplicaStatus::Draining)], ReplicaStatus::Draining)]
 #[case::left_is_for_good(&[(5, ReplicaStatus::Left), (9, ReplicaStatus::Ready)], ReplicaStatus::Left)]
-#[case::left_beats_draining(&[(5, ReplicaStatus::Left), (6, ReplicaStatus::Draining)], ReplicaStatus::Left)]
-#[case::silent_until_it_speaks(&[(5, ReplicaStatus::Silent), (6, ReplicaStatus::Ready)], ReplicaStatus::Ready)]
-#[case::old_news_of_silence(&[(6, ReplicaStatus::Ready), (5, ReplicaStatus::Silent)], ReplicaStatus::Ready)]
+#[case::left_overrides_draining(&[(5, ReplicaStatus::Left), (6, ReplicaStatus::Draining)], ReplicaStatus::Left)]
+#[case::silent_until_its_next_heartbeat(&[(5, ReplicaStatus::Silent), (6, ReplicaStatus::Ready)], ReplicaStatus::Ready)]
+#[case::a_late_record_of_silence(&[(6, ReplicaStatus::Ready), (5, ReplicaStatus::Silent)], ReplicaStatus::Ready)]
 fn what_a_replica_says(#[case] received: &[(u64, ReplicaStatus)], #[case] want: ReplicaStatus) {
     let mut r = Registry::default();
     for (sequence, standing) in received {
@@ -57,10 +57,10 @@
     let since = r.position();
     assert!(!r.apply(Time(900), record("i-1", 2, ReplicaStatus::Ready), RecordSource::Replica));
     assert_eq!(r.changes(since, MAX_RECORDS).records.len(), 0);
-    let beats = vec![Heartbeat { id: "i-1".to_owned(), sequence: 2, born: 0 }];
+    let heartbeats = vec![Heartbeat { id: "i-1".to_owned(), sequence: 2, born: 0 }];
     assert_eq!(
         r.relay_batch(since, MAX_RECORDS, MAX_RECORDS).heartbeats,
-        beats,
+        heartbeats,
         "heartbeats are relayed to control processes"
     );
     r.tick(Time(4_800), Millis(1_000));
@@ -75,7 +75,7 @@
 /// heartbeats over two hops. One of the heartbeats is lost.
 #[test]
 fn heartbeats_are_relayed_over_two_hops() {
-    let every = Millis(1_000);
+    let interval = Millis(1_000);
     let mut all = [Registry::default(), Registry::default(), Registry::default()];
     let mut since = [0; 2];
     let mut relayed = 0;
@@ -89,9 +89,9 @@
             since[to - 1] = batch.position;
             relayed += batch.heartbeats.len() * to.saturating_sub(1);
             batch.records.into_iter().for_each(|r| _ = all[to].apply(now, r, RecordSource::Peer));
-            batch.heartbeats.iter().for_each(|b| _ = all[to].apply_heartbeat(now, b));
+            batch.heartbeats.iter().for_each(|h| _ = all[to].apply_heartbeat(now, h));
         }
-        all.iter_mut().for_each(|r| r.tick(now, every));
+        all.iter_mut().for_each(|r| r.tick(now, interval));
         assert!(
             all.iter().all(|r| r.iter().all(|r| r.standing == ReplicaStatus::Ready)),
             "at {now:?}"
@@ -105,8 +105,8 @@
 #[rstest]
 #[case::newer(ReplicaStatus::Ready, 6, false, ReplicaStatus::Ready)]
 #[case::old(ReplicaStatus::Silent, 5, false, ReplicaStatus::Silent)]
-#[case::it_speaks_again(ReplicaStatus::Silent, 6, true, ReplicaStatus::Ready)]
-#[case::it_drains(ReplicaStatus::Draining, 6, false, ReplicaStatus::Draining)]
+#[case::a_heartbeat_ends_silence(ReplicaStatus::Silent, 6, true, ReplicaStatus::Ready)]
+#[case::draining(ReplicaStatus::Draining, 6, false, ReplicaStatus::Draining)]
 fn a_heartbeat_without_a_record(
     #[case] standing: ReplicaStatus,
     #[case] sequence: u64,
@@ -116,9 +116,9 @@
     let mut r = Registry::default();
     r.apply(Time(0), record("i-1", 5, standing), RecordSource::Peer);
     let since = r.position();
-    let beat = |id: &str| Heartbeat { id: id.to_owned(), sequence, born: 0 };
-    assert_eq!(r.apply_heartbeat(Time(9), &beat("i-1")), changes);
-    assert!(!r.apply_heartbeat(Time(9), &beat("i-2")), "unknown replica");
+    let heartbeat = |id: &str| Heartbeat { id: id.to_owned(), sequence, born: 0 };
+    assert_eq!(r.apply_heartbeat(Time(9), &heartbeat("i-1")), changes);
+    assert!(!r.apply_heartbeat(Time(9), &heartbeat("i-2")), "unknown replica");
     assert_eq!(r.iter().next().unwrap().standing, after);
     assert_eq!(r.changes(since, MAX_RECORDS).records.len(), usize::from(changes));
 }
@@ -135,7 +135,7 @@
             let batch = from.relay_batch(since, 3, 5);
             since = batch.position;
             batch.records.into_iter().for_each(|r| _ = to.apply(Time(n), r, RecordSource::Peer));
-            batch.heartbeats.iter().for_each(|b| _ = to.apply_heartbeat(Time(n), b));
+            batch.heartbeats.iter().for_each(|h| _ = to.apply_heartbeat(Time(n), h));
         }
     }
     while since < from.position() {
@@ -143,7 +143,7 @@
         assert!(batch.position > since);
         since = batch.position;
         batch.records.into_iter().for_each(|r| _ = to.apply(Time(400), r, RecordSource::Peer));
-        batch.heartbeats.iter().for_each(|b| _ = to.apply_heartbeat(Time(400), b));
+        batch.heartbeats.iter().for_each(|h| _ = to.apply_heartbeat(Time(400), h));
     }
     let sequences = |r: &Registry| -> Vec<_> {
         r.iter().map(|r| (r.registration.id.clone(), r.registration.sequence)).collect()
--- a/crates/core/tests/replicas.rs
+++ b/crates/core/tests/replicas.rs
@@ -61,12 +61,12 @@
 #[case::back(&[("a", 80, 1, Silent), ("a", 80, 2, Ready)], &[(80, "a")])]
 #[case::draining(&[("a", 80, 1, Ready), ("a", 80, 2, Draining)], &[])]
 #[case::late_heartbeat(&[("a", 80, 2, Draining), ("a", 80, 3, Ready)], &[])]
-#[case::old_news(&[("a", 80, 3, Ready), ("a", 80, 2, Silent)], &[(80, "a")])]
+#[case::late_record(&[("a", 80, 3, Ready), ("a", 80, 2, Silent)], &[(80, "a")])]
 #[case::moved(&[("a", 80, 1, Ready), ("a", 81, 2, Ready)], &[(81, "a")])]
-#[case::another_at_the_address(&[("a", 80, 1, Ready), ("b", 80, 1, Ready)], &[(80, "b")])]
-#[case::late_word_of_the_one_before(
+#[case::a_successor_at_the_address(&[("a", 80, 1, Ready), ("b", 80, 1, Ready)], &[(80, "b")])]
+#[case::late_heartbeat_of_the_predecessor(
     &[("a", 80, 7, Ready), ("b", 80, 1, Ready), ("a", 80, 8, Ready)], &[(80, "b")])]
-#[case::the_one_that_speaks(&[("a", 80, 7, Ready), ("b", 80, 1, Silent)], &[(80, "a")])]
+#[case::ready_before_silent(&[("a", 80, 7, Ready), ("b", 80, 1, Silent)], &[(80, "a")])]
 #[case::the_newer_one_leaves(
     &[("a", 80, 7, Ready), ("b", 80, 1, Ready), ("b", 80, 2, Left)], &[(80, "a")])]
 fn who_is_at_an_address(
@@ -97,11 +97,12 @@
     assert_eq!(by_port[&80], "new");
 }
 
-trait OrLeft {
+/// Replaces the result of an ignored record by [`Left`] without changes.
+trait UnwrapOrLeft {
     fn unwrap_or_left(self) -> (ReplicaStatus, Vec<AddressChange>);
 }
 
-impl OrLeft for Option<(ReplicaStatus, Vec<AddressChange>)> {
+impl UnwrapOrLeft for Option<(ReplicaStatus, Vec<AddressChange>)> {
     fn unwrap_or_left(self) -> (ReplicaStatus, Vec<AddressChange>) {
         self.unwrap_or((Left, Vec::new()))
     }
@@ -123,8 +124,8 @@
     (0..prompts)
         .map(|n| {
             let prefixes = PromptPrefixes::from_sized_parts([(n, 1_000_000), (1 << 32 | n, 10)]);
-            let work = RequestProfile { prefixes, ..RequestProfile::default() };
-            let c = pool.choose(Time(n), "dc-0", &work, &[], &mut rng).unwrap();
+            let profile = RequestProfile { prefixes, ..RequestProfile::default() };
+            let c = pool.choose(Time(n), "dc-0", &profile, &[], &mut rng).unwrap();
             pool.finish(Time(n), &c, false);
             c.address
         })
@@ -166,8 +167,8 @@
 /// replica, part of the variation is random.
 #[rstest]
 #[case::small_fleet(12, 130)]
-#[case::today(140, 150)]
-#[case::large(1_000, 240)]
+#[case::medium_fleet(140, 150)]
+#[case::large_fleet(1_000, 240)]
 fn homes_are_spread_evenly(#[case] replicas: u32, #[case] max_percent: u64) {
     const KEYS: u64 = 20_000;
     let mut pool = Pool::default();
--- a/crates/core/tests/rollout.rs
+++ b/crates/core/tests/rollout.rs
@@ -34,8 +34,8 @@
     }
 }
 
-/// The rollout of order 7 at `stage`.
-fn at(stage: Stage) -> Rollout {
+/// Returns the rollout of order 7 at `stage`.
+fn rollout_at(stage: Stage) -> Rollout {
     let mut all = ordered();
     if stage > Stage::Waiting {
         assert!(all.advance(8, &step(7, stage)));
@@ -123,7 +123,7 @@
 #[case::a_twentieth_fails((10_000, 20), (300, 15), true)]
 #[case::both_fail_as_often((1_000, 140), (100, 20), false)]
 #[case::a_third_where_a_seventh_is_usual((1_000, 140), (100, 34), true)]
-#[case::the_old_one_is_hardly_known((10, 0), (10, 4), false)]
+#[case::few_responses_of_the_old_version((10, 0), (10, 4), false)]
 #[case::many_bad_and_somewhat_more_than_usual((2_000, 280), (180, 50), true)]
 fn bad_responses_are_a_fault(#[case] old: (u64, u64), #[case] new: (u64, u64), #[case] bad: bool) {
     let found = find_fault(&counted(old, new));
@@ -144,9 +144,9 @@
 }
 
 #[rstest]
-#[case::alike(2_000, 100, false)]
+#[case::equal(2_000, 100, false)]
 #[case::a_little_slower(2_000, 125, false)]
-#[case::three_times_but_few_answers(15, 300, false)]
+#[case::three_times_but_few_responses(15, 300, false)]
 #[case::three_times(80, 300, true)]
 #[case::twice(400, 200, true)]
 #[case::eight_times(40, 800, true)]
@@ -196,11 +196,11 @@
 #[case::a_replica(Stage::Waiting, 100, (18, 6), Some(Stage::Trial))]
 #[case::on_trial(Stage::Trial, 6_000, (18, 18), None)]
 #[case::its_time_is_nearly_over(Stage::Trial, 11_400, (18, 18), Some(Stage::Moving))]
-#[case::too_few_places(Stage::Trial, 11_400, (18, 6), None)]
-#[case::too_few_places_to_the_end(Stage::Trial, 12_000, (18, 6), Some(Stage::RolledBack))]
+#[case::too_few_slots(Stage::Trial, 11_400, (18, 6), None)]
+#[case::too_few_slots_to_the_end(Stage::Trial, 12_000, (18, 6), Some(Stage::RolledBack))]
 #[case::nothing_else_is_left(Stage::Trial, 1_000, (0, 18), Some(Stage::Moving))]
 #[case::all_have_moved(Stage::Moving, 11_600, (18, 18), Some(Stage::Completed))]
-#[case::it_is_over(Stage::Completed, 20_000, (18, 18), None)]
+#[case::completed(Stage::Completed, 20_000, (18, 18), None)]
 fn the_next_step(
     #[case] stage: Stage,
     #[case] elapsed: u64,
@@ -208,20 +208,21 @@
     #[case] want: Option<Stage>,
 ) {
     let (slots, e) = (slots(old, new), Evidence::default());
-    let found = next_step("talk", &at(stage), &plan(WITHIN, 100), &view(elapsed, &slots, &e));
+    let found =
+        next_step("talk", &rollout_at(stage), &plan(WITHIN, 100), &view(elapsed, &slots, &e));
     assert_eq!(found.map(|s| s.stage), want);
 }
 
 /// Guards against completing a rollout, which stops the old replicas at once, while a connected
 /// gateway still sends requests to them or has some running there.
 #[rstest]
-#[case::one_has_not_heard(StepProgress { reporting: 3, moved: 2, at_old: 0 })]
-#[case::one_says_nothing(StepProgress { reporting: 2, moved: 2, at_old: 0 })]
+#[case::one_gateway_has_not_moved(StepProgress { reporting: 3, moved: 2, at_old: 0 })]
+#[case::one_gateway_does_not_report(StepProgress { reporting: 2, moved: 2, at_old: 0 })]
 #[case::a_stream_runs(StepProgress { reporting: 3, moved: 3, at_old: 1 })]
 fn a_rollout_is_not_completed_while_old_replicas_are_in_use(#[case] progress: StepProgress) {
     let (slots, e) = (slots(18, 18), Evidence::default());
     let v = View { progress, ..view(20_000, &slots, &e) };
-    assert_eq!(next_step("talk", &at(Stage::Moving), &plan(WITHIN, 100), &v), None);
+    assert_eq!(next_step("talk", &rollout_at(Stage::Moving), &plan(WITHIN, 100), &v), None);
 }
 
 #[rstest]
@@ -229,7 +230,8 @@
 #[case::while_all_moves(Stage::Moving)]
 fn a_bad_version_is_rolled_back_at_once(#[case] stage: Stage) {
     let (slots, e) = (slots(18, 18), counted((200, 0), (10, 6)));
-    let found = next_step("talk", &at(stage), &plan(WITHIN, 100), &view(500, &slots, &e)).unwrap();
+    let found =
+        next_step("talk", &rollout_at(stage), &plan(WITHIN, 100), &view(500, &slots, &e)).unwrap();
     assert_eq!(found.stage, Stage::RolledBack);
     assert_eq!(found.why, "on play 6 of 10 answers were bad, 0 of 200 of the old version");
 }
@@ -245,7 +247,7 @@
     #[case] new: Side,
     #[case] later: Side,
 ) {
-    let r = at(stage);
+    let r = rollout_at(stage);
     assert_eq!(["v1", "v2", "v3"].map(|v| side(&r, "i-1", v)), [old, new, later]);
 }
 
@@ -257,18 +259,18 @@
 #[case::on_trial(Stage::Trial, 39, CONNECTED, VersionPreference::Trial)]
 #[case::beside_the_trial(Stage::Trial, 40, CONNECTED, VersionPreference::Old)]
 #[case::cut_off(Stage::Trial, 0, DISCONNECTED, VersionPreference::Old)]
-#[case::by_what_it_saw(Stage::Trial, 0, STOPPED, VersionPreference::Old)]
+#[case::stopped_by_its_own_evidence(Stage::Trial, 0, STOPPED, VersionPreference::Old)]
 #[case::all_move(Stage::Moving, 999, CONNECTED, VersionPreference::New)]
 #[case::cut_off_as_all_move(Stage::Moving, 0, DISCONNECTED, VersionPreference::Old)]
 #[case::completed_and_cut_off(Stage::Completed, 0, DISCONNECTED, VersionPreference::New)]
 #[case::rolled_back(Stage::RolledBack, 0, CONNECTED, VersionPreference::Any)]
 fn the_version_that_a_request_prefers(
     #[case] stage: Stage,
-    #[case] drawn: u64,
-    #[case] local: GatewayView,
+    #[case] permille: u64,
+    #[case] gateway: GatewayView,
     #[case] want: VersionPreference,
 ) {
-    assert_eq!(version_preference(&at(stage), drawn, local), want);
+    assert_eq!(version_preference(&rollout_at(stage), permille, gateway), want);
 }
 
 fn report(life: u64, revision: u64, ended: u64, at_old: u64) -> Report {
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -36,12 +36,19 @@
     p
 }
 
-fn choice(p: &mut Pool, now: u64, work: &RequestProfile, r: &mut SmallRng) -> Choice {
-    p.choose(Time(now), "here", work, &[], r).unwrap()
+/// Selects a replica for a caller in data centre `here`.
+fn choice(p: &mut Pool, now: u64, profile: &RequestProfile, r: &mut SmallRng) -> Choice {
+    p.choose(Time(now), "here", profile, &[], r).unwrap()
 }
 
-fn choose(p: &mut Pool, now: u64, work: &RequestProfile, r: &mut SmallRng) -> Option<SocketAddr> {
-    p.choose(Time(now), "here", work, &[], r).map(|c| c.address)
+/// Like [`choice`], but returns only the address, and `None` if there is no replica to select.
+fn choose(
+    p: &mut Pool,
+    now: u64,
+    profile: &RequestProfile,
+    r: &mut SmallRng,
+) -> Option<SocketAddr> {
+    p.choose(Time(now), "here", profile, &[], r).map(|c| c.address)
 }
 
 /// Selects replica `n` by excluding all others.
@@ -58,18 +65,21 @@
 
 /// A limiter whose `limit` slots are taken by requests of account `a`, with an empty queue of
 /// `queue` places.
-fn full(limit: u32, queue: u32) -> Limiter {
-    let mut g = Limiter::new(limit, queue);
+fn full_limiter(limit: u32, queue: u32) -> Limiter {
+    let mut limiter = Limiter::new(limit, queue);
     for t in 0..u64::from(limit) {
-        assert_eq!(g.submit(Time(0), queued(1_000 + t, "a", Priority::Normal)), Admission::Started);
+        assert_eq!(
+            limiter.submit(Time(0), queued(1_000 + t, "a", Priority::Normal)),
+            Admission::Started
+        );
     }
-    g
+    limiter
 }
 
 /// Guards against a queue that is not ordered by priority, then by age.
 #[test]
 fn the_highest_priority_starts_first_and_within_it_the_oldest() {
-    let mut g = full(1, 9);
+    let mut limiter = full_limiter(1, 9);
     let order = [
         (1, Priority::Bulk),
         (2, Priority::Normal),
@@ -78,13 +88,13 @@
         (5, Priority::Live),
     ];
     for (t, p) in order {
-        assert_eq!(g.submit(Time(0), queued(t, "b", p)), Admission::Queued);
+        assert_eq!(limiter.submit(Time(0), queued(t, "b", p)), Admission::Queued);
     }
     let mut started = Vec::new();
-    g.release("a", Some(Millis(10)));
-    while let Some(t) = g.start_next() {
+    limiter.release("a", Some(Millis(10)));
+    while let Some(t) = limiter.start_next() {
         started.push(t);
-        g.release("b", Some(Millis(10)));
+        limiter.release("b", Some(Millis(10)));
     }
     assert_eq!(started, [3, 5, 4, 2, 1]);
 }
@@ -102,72 +112,72 @@
     #[case] new: (&str, Priority),
     #[case] displaced: Option<u64>,
 ) {
-    let mut g = full(1, 2);
+    let mut limiter = full_limiter(1, 2);
     for (t, a, p) in waiting {
-        assert_eq!(g.submit(Time(0), queued(*t, a, *p)), Admission::Queued);
+        assert_eq!(limiter.submit(Time(0), queued(*t, a, *p)), Admission::Queued);
     }
-    match (g.submit(Time(0), queued(9, new.0, new.1)), displaced) {
-        (Admission::Displaced(t, _), Some(v)) => assert_eq!(t, v),
+    match (limiter.submit(Time(0), queued(9, new.0, new.1)), displaced) {
+        (Admission::Displaced(t, _), Some(expected)) => assert_eq!(t, expected),
         (Admission::Refused(_), None) => {}
         other => panic!("{other:?}"),
     }
-    assert_eq!(g.waiting(), 2);
+    assert_eq!(limiter.waiting(), 2);
 }
 
 /// Guards against an account with many queued requests that delays all others.
 #[test]
 fn a_large_account_cannot_starve_a_small_one() {
-    let mut g = full(4, 100);
+    let mut limiter = full_limiter(4, 100);
     for t in 0..50 {
-        g.submit(Time(0), queued(t, "large", Priority::Normal));
+        limiter.submit(Time(0), queued(t, "large", Priority::Normal));
     }
-    g.submit(Time(0), queued(99, "small", Priority::Normal));
-    g.release("a", Some(Millis(10)));
-    assert_eq!(g.start_next(), Some(0));
-    g.release("a", Some(Millis(10)));
-    assert_eq!(g.start_next(), Some(99), "the small account has nothing running");
+    limiter.submit(Time(0), queued(99, "small", Priority::Normal));
+    limiter.release("a", Some(Millis(10)));
+    assert_eq!(limiter.start_next(), Some(0));
+    limiter.release("a", Some(Millis(10)));
+    assert_eq!(limiter.start_next(), Some(99), "the small account has nothing running");
 }
 
 /// Guards against a request over its account's concurrency limit that blocks the queue.
 #[test]
 fn an_account_at_its_limit_does_not_block_others() {
-    let mut g = Limiter::new(4, 10);
+    let mut limiter = Limiter::new(4, 10);
     let limited = |t| QueuedRequest { concurrency: 1, ..queued(t, "a", Priority::Live) };
-    assert_eq!(g.submit(Time(0), limited(1)), Admission::Started);
-    assert_eq!(g.submit(Time(0), limited(2)), Admission::Queued);
-    assert_eq!(g.submit(Time(0), queued(3, "b", Priority::Bulk)), Admission::Queued);
-    assert_eq!(g.start_next(), Some(3));
-    assert_eq!(g.start_next(), None);
-    g.release("a", Some(Millis(5)));
-    assert_eq!(g.start_next(), Some(2));
+    assert_eq!(limiter.submit(Time(0), limited(1)), Admission::Started);
+    assert_eq!(limiter.submit(Time(0), limited(2)), Admission::Queued);
+    assert_eq!(limiter.submit(Time(0), queued(3, "b", Priority::Bulk)), Admission::Queued);
+    assert_eq!(limiter.start_next(), Some(3));
+    assert_eq!(limiter.start_next(), None);
+    limiter.release("a", Some(Millis(5)));
+    assert_eq!(limiter.start_next(), Some(2));
 }
 
 /// Guards against queueing a request that cannot start before its deadline. The refusal carries the
 /// time until a retry can succeed.
 #[test]
 fn what_cannot_meet_its_deadline_is_refused_at_once() {
-    let mut g = full(2, 10);
+    let mut limiter = full_limiter(2, 10);
     for _ in 0..60 {
-        g.release("a", Some(Millis(1_000)));
-        g.submit(Time(0), queued(1, "a", Priority::Normal));
+        limiter.release("a", Some(Millis(1_000)));
+        limiter.submit(Time(0), queued(1, "a", Priority::Normal));
     }
     let urgent = QueuedRequest { deadline: Time(100), ..queued(7, "b", Priority::Live) };
-    match g.submit(Time(0), urgent) {
+    match limiter.submit(Time(0), urgent) {
         Admission::Refused(wait) => assert!((400..=600).contains(&wait.0), "{wait:?}"),
         other => panic!("{other:?}"),
     }
-    assert_eq!(g.submit(Time(0), queued(8, "b", Priority::Live)), Admission::Queued);
+    assert_eq!(limiter.submit(Time(0), queued(8, "b", Priority::Live)), Admission::Queued);
 }
 
 /// Guards against starting a queued request whose caller has disconnected.
 #[test]
 fn a_removed_request_leaves_the_queue() {
-    let mut g = full(1, 2);
-    g.submit(Time(0), queued(1, "b", Priority::Live));
-    g.remove(1);
-    g.release("a", None);
-    assert_eq!(g.start_next(), None);
-    assert_eq!((g.running(), g.waiting()), (0, 0));
+    let mut limiter = full_limiter(1, 2);
+    limiter.submit(Time(0), queued(1, "b", Priority::Live));
+    limiter.remove(1);
+    limiter.release("a", None);
+    assert_eq!(limiter.start_next(), None);
+    assert_eq!((limiter.running(), limiter.waiting()), (0, 0));
 }
 
 /// A conversation of `turns` turns. Each conversation is a prefix of every longer one.
@@ -205,19 +215,19 @@
 /// Guards against overestimating a cached prefix that is old, may be evicted or was cleared.
 #[test]
 fn an_old_or_uncertain_prefix_counts_less() {
-    let (mut p, work) = (pool(1), conversation(3));
+    let (mut p, profile) = (pool(1), conversation(3));
     let at = address(0);
-    let whole = work.prefixes.size();
-    let known = p.prefixes();
-    known.record_sent(Time(0), at, &work.prefixes);
-    assert_eq!(known.cached_size(Time(0), at, &work.prefixes), whole);
-    assert_eq!(known.cached_size(Time(300_000), at, &work.prefixes), whole / 2);
-    known.record_gap(Time(10), at);
-    assert_eq!(known.cached_size(Time(10), at, &work.prefixes), whole * 300_000 / 300_010 / 2);
-    known.record_sent(Time(20), at, &work.prefixes);
-    assert_eq!(known.cached_size(Time(20), at, &work.prefixes), whole, "sent after the gap");
-    known.clear(Time(20), at);
-    assert_eq!(known.cached_size(Time(20), at, &work.prefixes), 0);
+    let whole = profile.prefixes.size();
+    let table = p.prefixes();
+    table.record_sent(Time(0), at, &profile.prefixes);
+    assert_eq!(table.cached_size(Time(0), at, &profile.prefixes), whole);
+    assert_eq!(table.cached_size(Time(300_000), at, &profile.prefixes), whole / 2);
+    table.record_gap(Time(10), at);
+    assert_eq!(table.cached_size(Time(10), at, &profile.prefixes), whole * 300_000 / 300_010 / 2);
+    table.record_sent(Time(20), at, &profile.prefixes);
+    assert_eq!(table.cached_size(Time(20), at, &profile.prefixes), whole, "sent after the gap");
+    table.clear(Time(20), at);
+    assert_eq!(table.cached_size(Time(20), at, &profile.prefixes), 0);
 }
 
 /// Guards against sending a burst to few replicas.
@@ -254,8 +264,8 @@
     assert_eq!(choose(&mut p, 101, &RequestProfile::default(), &mut r), Some(address(1)));
 }
 
-/// Guards against counting this router's own requests by a late report: those that have ended since
-/// the report are subtracted from its load.
+/// Guards against trusting a late report about this router's own requests: those that have ended
+/// since the report are subtracted from its load.
 #[test]
 fn a_late_report_is_corrected_by_own_requests() {
     let (mut p, mut r) = (pool(2), rng());
@@ -370,7 +380,7 @@
 #[case::no_list("LxxxL", ".....")]
 #[case::no_list_while_leaving("GxxG", "!!!!")]
 fn the_platforms_list_is_read_with_care(#[case] polls: &str, #[case] leaving: &str) {
-    let mut v = VmTracker::default();
+    let mut tracker = VmTracker::default();
     for (n, (poll, want)) in polls.chars().zip(leaving.chars()).enumerate() {
         let state = match poll {
             'L' => Some(ListedState::Live),
@@ -379,9 +389,9 @@
         };
         if poll != 'x' {
             let list = state.map(|s| ("vm-1".to_owned(), s)).into_iter().collect();
-            v.observe(Time(n as u64 * 1_000), &list);
+            tracker.observe(Time(n as u64 * 1_000), &list);
         }
-        assert_eq!(v.is_leaving("vm-1"), want == '!', "poll {n} of {polls}");
+        assert_eq!(tracker.is_leaving("vm-1"), want == '!', "poll {n} of {polls}");
     }
 }
 
@@ -418,8 +428,8 @@
 /// Guards against ignoring a prompt that another router has sent to a replica, and against counting
 /// it after the replica has processed it.
 #[rstest]
-#[case::while_it_reads(100, 1)]
-#[case::when_it_has_read(5_000, 0)]
+#[case::before_it_is_processed(100, 1)]
+#[case::after_it_is_processed(5_000, 0)]
 fn a_prompt_of_another_router_counts_until_it_is_processed(
     #[case] now: u64,
     #[case] expected: u16,
