--- a/crates/core/tests/rests.rs
+++ b/crates/core/tests/backoff.rs
@@ -41,15 +41,15 @@
     p
 }
 
-fn choose(p: &mut Pool, now: u64, work: &RequestProfile) -> Option<Choice> {
-    p.choose(Time(now), "here", work, &[], &mut rng())
+fn choose(p: &mut Pool, now: u64, profile: &RequestProfile) -> Option<Choice> {
+    p.choose(Time(now), "here", profile, &[], &mut rng())
 }
 
 /// Returns the replicas selected for `times` requests, each finished before the next.
-fn chosen(p: &mut Pool, now: u64, work: &RequestProfile, times: usize) -> BTreeSet<SocketAddr> {
+fn chosen(p: &mut Pool, now: u64, profile: &RequestProfile, times: usize) -> BTreeSet<SocketAddr> {
     let mut all = BTreeSet::new();
     for _ in 0..times {
-        let Some(c) = choose(p, now, work) else { continue };
+        let Some(c) = choose(p, now, profile) else { continue };
         p.finish(Time(now), &c, false);
         all.insert(c.address);
     }
@@ -72,10 +72,10 @@
 
 #[rstest]
 #[case::the_longer(&["1", "2"], RetryAfter::Delay(Millis(2_000)))]
-#[case::the_one_that_can_be_read(&["soon", "2"], RetryAfter::Delay(Millis(2_000)))]
-#[case::the_same_the_other_way(&["2", "soon"], RetryAfter::Delay(Millis(2_000)))]
+#[case::the_valid_one(&["soon", "2"], RetryAfter::Delay(Millis(2_000)))]
+#[case::the_valid_one_first(&["2", "soon"], RetryAfter::Delay(Millis(2_000)))]
 #[case::none_of_them(&["soon", "later"], RetryAfter::Invalid)]
-#[case::no_word(&[], RetryAfter::Absent)]
+#[case::no_header(&[], RetryAfter::Absent)]
 fn the_longest_of_several_headers_wins(#[case] headers: &[&str], #[case] want: RetryAfter) {
     let all = headers.iter().map(|h| RetryAfter::parse(h));
     assert_eq!(all.fold(RetryAfter::Absent, RetryAfter::merge), want);
@@ -86,13 +86,13 @@
 #[case::plain(RequestProfile::default())]
 #[case::a_prompt_whose_home_it_is(RequestProfile { prefixes: PromptPrefixes::from_sized_parts(vec![(7, 9_000)]), ..RequestProfile::default() })]
 #[case::the_most_urgent(RequestProfile { priority: 0, ..RequestProfile::default() })]
-fn a_replica_in_backoff_is_not_chosen(#[case] work: RequestProfile) {
+fn a_replica_in_backoff_is_not_chosen(#[case] profile: RequestProfile) {
     for backing_off in 0..4 {
         let mut p = pool(4);
         // It has the prompt cached and is idle.
-        p.record_peer_placement(Time(0), address(backing_off), 0, &work.prefixes);
+        p.record_peer_placement(Time(0), address(backing_off), 0, &profile.prefixes);
         p.back_off(Time(0), address(backing_off), BACKOFF);
-        assert!(!chosen(&mut p, 2_999, &work, 50).contains(&address(backing_off)));
+        assert!(!chosen(&mut p, 2_999, &profile, 50).contains(&address(backing_off)));
     }
 }
 
@@ -101,8 +101,8 @@
 #[test]
 fn a_replica_in_backoff_is_not_chosen_when_all_others_fail() {
     let mut p = pool(2);
-    let others = [address(0)];
-    let c = p.choose(Time(0), "here", &RequestProfile::default(), &others, &mut rng()).unwrap();
+    let excluded = [address(0)];
+    let c = p.choose(Time(0), "here", &RequestProfile::default(), &excluded, &mut rng()).unwrap();
     p.back_off(Time(0), address(0), BACKOFF);
     for _ in 0..4 {
         p.finish(Time(0), &c, true);
@@ -218,7 +218,7 @@
     assert!(!backoff.limits_requests() && backoff.allows_request(Time(0)));
 }
 
-/// Guards against a blocked request without the earliest retry time and its replica.
+/// Guards against a refusal that does not tell which replica is available first, and when.
 #[test]
 fn a_blocked_request_names_the_replica_that_is_available_first() {
     let mut p = pool(2);
@@ -250,12 +250,12 @@
 fn one_slot_in_four_is_open_to_any_priority() {
     let mut p = PriorityGate::default();
     p.record_refused(Time(0), 0);
-    let mut allowed = 0;
+    let mut admitted = 0;
     for _ in 0..8 {
-        allowed += u32::from(p.admits(Time(10), 5));
+        admitted += u32::from(p.admits(Time(10), 5));
         p.record_admitted();
     }
-    assert_eq!(allowed, 2);
+    assert_eq!(admitted, 2);
     assert!(p.admits(Time(500), 5), "the refusal is too old to count");
 }
 
--- a/crates/core/tests/sessions.rs
+++ b/crates/core/tests/sessions.rs
@@ -15,16 +15,16 @@
 use support::golden::Session;
 
 /// A state machine with its clock and log position, and the transcript of its session.
-struct Group {
+struct StateMachine {
     state: State,
     now: u64,
     index: u64,
     session: Session,
 }
 
-impl Group {
-    fn new() -> Group {
-        Group { state: State::default(), now: 1_000, index: 0, session: Session::default() }
+impl StateMachine {
+    fn new() -> StateMachine {
+        StateMachine { state: State::default(), now: 1_000, index: 0, session: Session::default() }
     }
 
     /// Advances the clock.
@@ -59,7 +59,7 @@
     }
 
     /// Records the state of all budgets.
-    fn note_budgets(&mut self) {
+    fn record_budgets(&mut self) {
         let budgets = self.state.budgets(Time(self.now), None);
         self.session.record("budgets", budgets);
     }
@@ -95,6 +95,7 @@
     Command::Apply(Change { op: op.into(), base, by: "ann".into(), items })
 }
 
+/// A change that sets the values of the `club` application.
 fn set(op: &str, base: u64, values: Value) -> Command {
     change(op, base, vec![Item::Application(application(values))])
 }
@@ -117,184 +118,184 @@
 }
 
 /// Applies the initial configuration: the template and an application of it with 1,000 tokens.
-fn start(g: &mut Group) {
+fn start(m: &mut StateMachine) {
     let items = vec![
         Item::Template(template()),
         Item::Application(application(json!({ "account": "club", "tokens": 1000 }))),
     ];
-    g.apply(&change("first", 0, items));
+    m.apply(&change("first", 0, items));
 }
 
 /// Guards against changes in how leases, top-ups, cuts and a closed account affect a budget.
 #[test]
 fn a_budget_through_its_life() {
-    let mut g = Group::new();
-    start(&mut g);
-    let h = g.register("entry-1");
-    let Answer::Decided(Ok(grant)) = g.send(ask(h, 1, 100, 400)) else { panic!() };
-    g.session.comment("the same ask again gets the same lease");
-    g.send(ask(h, 1, 100, 400));
-    g.send(tally(h, vec![report(grant.lease, 60, grant.amount)], 1, vec![bill(1, 1, 50)]));
-    g.note_budgets();
-    g.session.comment("a top-up, and its resend");
+    let mut m = StateMachine::new();
+    start(&mut m);
+    let h = m.register("entry-1");
+    let Answer::Decided(Ok(grant)) = m.send(ask(h, 1, 100, 400)) else { panic!() };
+    m.session.comment("the same ask again gets the same lease");
+    m.send(ask(h, 1, 100, 400));
+    m.send(tally(h, vec![report(grant.lease, 60, grant.amount)], 1, vec![bill(1, 1, 50)]));
+    m.record_budgets();
+    m.session.comment("a top-up, and its resend");
     let top_up = |n| Command::TopUp { op: "t1".into(), budget: "club-talk".into(), tokens: n };
-    g.send(top_up(500));
-    g.send(top_up(500));
-    g.send(top_up(700));
-    g.session.comment("a cut below what is spent is refused, one below what is leased is taken");
-    g.send(set("cut-1", 1, json!({ "account": "club", "tokens": 0 })));
-    g.send(Command::Release { op: "r0".into(), lease: LeaseId { term: 9, index: 9 } });
-    g.send(set("cut-2", 1, json!({ "account": "club", "tokens": 1 })));
-    g.send(ask(h, 2, 1, 1));
-    g.note_budgets();
-    g.session.comment("the account is closed: no grant, but reports are taken");
-    g.send(set("close", 2, json!({ "account": "club", "tokens": 1000, "closed": true })));
-    g.send(ask(h, 2, 1, 1));
-    g.send(tally(h, vec![report(grant.lease, 90, 90)], 0, vec![]));
-    g.note_budgets();
-    g.session.check("budget_life.txt");
+    m.send(top_up(500));
+    m.send(top_up(500));
+    m.send(top_up(700));
+    m.session.comment("a cut below what is spent is refused, one below what is leased is taken");
+    m.send(set("cut-1", 1, json!({ "account": "club", "tokens": 0 })));
+    m.send(Command::Release { op: "r0".into(), lease: LeaseId { term: 9, index: 9 } });
+    m.send(set("cut-2", 1, json!({ "account": "club", "tokens": 1 })));
+    m.send(ask(h, 2, 1, 1));
+    m.record_budgets();
+    m.session.comment("the account is closed: no grant, but reports are taken");
+    m.send(set("close", 2, json!({ "account": "club", "tokens": 1000, "closed": true })));
+    m.send(ask(h, 2, 1, 1));
+    m.send(tally(h, vec![report(grant.lease, 90, 90)], 0, vec![]));
+    m.record_budgets();
+    m.session.check("budget_life.txt");
 }
 
 /// Guards against lost or reverted configuration changes when operators race or repeat a change.
 #[test]
 fn three_operators_race_on_one_version() {
-    let mut g = Group::new();
-    start(&mut g);
+    let mut m = StateMachine::new();
+    start(&mut m);
     let tokens = |n: u64| json!({ "account": "club", "tokens": n });
-    g.send(set("ann-1", 1, tokens(2000)));
-    g.send(set("bob-1", 1, tokens(3000)));
-    g.send(set("cid-1", 1, tokens(4000)));
-    g.session.comment("ann's answer was lost: she sends it again");
-    g.send(set("ann-1", 1, tokens(2000)));
-    g.session.comment("bob makes his change again from the version in force");
-    g.send(set("bob-2", 2, tokens(3000)));
-    g.session.comment("ann's third copy still gets her first answer, and reverts nothing");
-    g.send(set("ann-1", 1, tokens(2000)));
-    g.session.comment("an operation's id with other content");
-    g.send(set("ann-1", 3, tokens(9)));
-    g.session.comment("faults: nothing of them is in force");
-    g.send(set("bad-1", 3, json!({ "account": "club", "tokens": "many" })));
-    g.send(set("bad-2", 3, json!({ "account": "club" })));
-    g.send(set("bad-3", 3, json!({ "account": "club", "tokens": 5, "colour": "red" })));
-    g.send(change("bad-4", 3, vec![Item::RemoveTemplate("club".into())]));
-    g.note_budgets();
-    let back = g.state.config().rollback_items(2);
-    g.session.record("back to version 2", back);
-    g.session.check("racing_operators.txt");
+    m.send(set("ann-1", 1, tokens(2000)));
+    m.send(set("bob-1", 1, tokens(3000)));
+    m.send(set("cid-1", 1, tokens(4000)));
+    m.session.comment("ann's answer was lost: she sends it again");
+    m.send(set("ann-1", 1, tokens(2000)));
+    m.session.comment("bob makes his change again from the version in force");
+    m.send(set("bob-2", 2, tokens(3000)));
+    m.session.comment("ann's third copy still gets her first answer, and reverts nothing");
+    m.send(set("ann-1", 1, tokens(2000)));
+    m.session.comment("an operation's id with other content");
+    m.send(set("ann-1", 3, tokens(9)));
+    m.session.comment("faults: nothing of them is in force");
+    m.send(set("bad-1", 3, json!({ "account": "club", "tokens": "many" })));
+    m.send(set("bad-2", 3, json!({ "account": "club" })));
+    m.send(set("bad-3", 3, json!({ "account": "club", "tokens": 5, "colour": "red" })));
+    m.send(change("bad-4", 3, vec![Item::RemoveTemplate("club".into())]));
+    m.record_budgets();
+    let back = m.state.config().rollback_items(2);
+    m.session.record("back to version 2", back);
+    m.session.check("racing_operators.txt");
 }
 
 /// Guards against running a request more than once when several routers receive its retries.
 #[test]
 fn an_order_retried_by_three_routers() {
-    let mut g = Group::new();
-    start(&mut g);
-    let [a, b, c] = ["entry-1", "entry-2", "entry-3"].map(|vm| g.register(vm));
+    let mut m = StateMachine::new();
+    start(&mut m);
+    let [a, b, c] = ["entry-1", "entry-2", "entry-3"].map(|vm| m.register(vm));
     let (id, body) = (RequestId([7; 16]), [1; 16]);
     let claim = |holder, seq, body| Command::Claim { holder, seq, id, body };
     let end = |holder, seq, end| Command::Conclude { holder, seq, id, end };
     let answer = Outcome { status: 200, kind: "text/plain".into(), body: Some(b"lot 4".to_vec()) };
-    g.session.comment("three routers race; one may run it");
-    g.send(claim(a, 1, body));
-    g.send(claim(b, 1, body));
-    g.send(claim(c, 1, body));
-    g.session.comment("the winner's claim again, its answer was lost");
-    g.send(claim(a, 1, body));
-    g.session.comment("nobody else ends it; it could not connect, so it has not run");
-    g.send(end(b, 1, ClaimEnd::Unknown));
-    g.send(end(a, 1, ClaimEnd::NotRun));
-    g.session.comment("the next copy runs and is answered");
-    g.send(claim(b, 2, body));
-    g.send(end(b, 2, ClaimEnd::Answered(answer)));
-    g.send(claim(c, 2, body));
-    g.session.comment("the same id with another body");
-    g.send(claim(c, 3, [2; 16]));
-    g.session.comment("just before the outcome's retention ends, just after, and after a month");
-    g.advance(24 * 3600);
-    g.send(claim(c, 4, body));
-    g.advance(1);
-    g.send(claim(c, 5, body));
-    g.advance(30 * 24 * 3600 - 1);
-    g.send(claim(c, 6, body));
-    g.session.check("order_by_three_routers.txt");
+    m.session.comment("three routers race; one may run it");
+    m.send(claim(a, 1, body));
+    m.send(claim(b, 1, body));
+    m.send(claim(c, 1, body));
+    m.session.comment("the winner's claim again, its answer was lost");
+    m.send(claim(a, 1, body));
+    m.session.comment("nobody else ends it; it could not connect, so it has not run");
+    m.send(end(b, 1, ClaimEnd::Unknown));
+    m.send(end(a, 1, ClaimEnd::NotRun));
+    m.session.comment("the next copy runs and is answered");
+    m.send(claim(b, 2, body));
+    m.send(end(b, 2, ClaimEnd::Answered(answer)));
+    m.send(claim(c, 2, body));
+    m.session.comment("the same id with another body");
+    m.send(claim(c, 3, [2; 16]));
+    m.session.comment("just before the outcome's retention ends, just after, and after a month");
+    m.advance(24 * 3600);
+    m.send(claim(c, 4, body));
+    m.advance(1);
+    m.send(claim(c, 5, body));
+    m.advance(30 * 24 * 3600 - 1);
+    m.send(claim(c, 6, body));
+    m.session.check("order_by_three_routers.txt");
 }
 
 /// Guards against running a claimed request again after its router lapsed, was cut off or replaced.
 #[test]
 fn a_move_whose_router_dies_in_a_cut() {
-    let mut g = Group::new();
-    start(&mut g);
-    let [a, b] = ["entry-1", "entry-2"].map(|vm| g.register(vm));
+    let mut m = StateMachine::new();
+    start(&mut m);
+    let [a, b] = ["entry-1", "entry-2"].map(|vm| m.register(vm));
     let id = |n: u8| RequestId([n; 16]);
     let claim = |holder, seq, n| Command::Claim { holder, seq, id: id(n), body: [1; 16] };
-    g.send(claim(a, 1, 1));
-    g.send(claim(a, 2, 2));
-    g.session.comment("entry-1 is silent: its claims are of unknown outcome and run no more");
-    g.send(Command::Lapse(a));
-    g.send(claim(b, 1, 1));
-    g.session.comment("it was only cut off: its late word is still taken");
+    m.send(claim(a, 1, 1));
+    m.send(claim(a, 2, 2));
+    m.session.comment("entry-1 is silent: its claims are of unknown outcome and run no more");
+    m.send(Command::Lapse(a));
+    m.send(claim(b, 1, 1));
+    m.session.comment("it was only cut off: its late word is still taken");
     let done = Outcome { status: 200, kind: String::new(), body: None };
-    g.send(Command::Conclude { holder: a, seq: 1, id: id(1), end: ClaimEnd::Answered(done) });
-    g.send(claim(b, 2, 1));
-    g.session.comment("its late 'not run' is not: a copy may have been refused as unknown already");
-    g.send(Command::Conclude { holder: a, seq: 2, id: id(2), end: ClaimEnd::NotRun });
-    g.send(claim(b, 3, 2));
-    g.session.comment("a claim given up before it came must not start");
-    g.send(Command::Conclude { holder: b, seq: 4, id: id(3), end: ClaimEnd::NotRun });
-    g.send(claim(b, 4, 3));
-    g.send(claim(a, 3, 3));
-    g.session.comment("the machine is replaced: the old registration claims nothing more");
-    g.register("entry-1");
-    g.send(claim(a, 4, 4));
-    g.send(claim(b, 5, 3));
-    g.session.check("move_in_a_cut.txt");
+    m.send(Command::Conclude { holder: a, seq: 1, id: id(1), end: ClaimEnd::Answered(done) });
+    m.send(claim(b, 2, 1));
+    m.session.comment("its late 'not run' is not: a copy may have been refused as unknown already");
+    m.send(Command::Conclude { holder: a, seq: 2, id: id(2), end: ClaimEnd::NotRun });
+    m.send(claim(b, 3, 2));
+    m.session.comment("a claim given up before it came must not start");
+    m.send(Command::Conclude { holder: b, seq: 4, id: id(3), end: ClaimEnd::NotRun });
+    m.send(claim(b, 4, 3));
+    m.send(claim(a, 3, 3));
+    m.session.comment("the machine is replaced: the old registration claims nothing more");
+    m.register("entry-1");
+    m.send(claim(a, 4, 4));
+    m.send(claim(b, 5, 3));
+    m.session.check("move_in_a_cut.txt");
 }
 
 /// Guards against billing a request twice or not at all when batches are lost, repeated or reordered.
 #[test]
 fn a_bill_lost_doubled_and_reordered() {
-    let mut g = Group::new();
-    start(&mut g);
-    let [a, b] = ["entry-1", "entry-2"].map(|vm| g.register(vm));
-    g.send(tally(a, vec![], 1, vec![bill(1, 11, 50), bill(2, 12, 60)]));
-    g.session.comment("its answer was lost: the same batch again, then the next");
-    g.send(tally(a, vec![], 1, vec![bill(1, 11, 50), bill(2, 12, 60)]));
-    g.send(tally(a, vec![], 2, vec![bill(3, 13, 70)]));
-    g.session.comment("a caller's retry ran on another router while the first still ran");
-    g.send(tally(b, vec![], 1, vec![bill(3, 21, 70)]));
-    g.send(tally(b, vec![], 1, vec![bill(3, 21, 70)]));
-    g.session.comment("a run that was cut short gives way to the one that was whole");
-    g.send(tally(a, vec![], 3, vec![Bill { whole: false, ..bill(5, 16, 7) }]));
-    g.send(tally(b, vec![], 2, vec![bill(5, 23, 90)]));
-    g.send(tally(a, vec![], 4, vec![Bill { whole: false, ..bill(5, 17, 7) }]));
-    g.session.comment("an old batch arrives late");
-    g.send(tally(a, vec![], 1, vec![bill(1, 11, 50), bill(2, 12, 60)]));
-    g.note_budgets();
-    g.session.comment(
+    let mut m = StateMachine::new();
+    start(&mut m);
+    let [a, b] = ["entry-1", "entry-2"].map(|vm| m.register(vm));
+    m.send(tally(a, vec![], 1, vec![bill(1, 11, 50), bill(2, 12, 60)]));
+    m.session.comment("its answer was lost: the same batch again, then the next");
+    m.send(tally(a, vec![], 1, vec![bill(1, 11, 50), bill(2, 12, 60)]));
+    m.send(tally(a, vec![], 2, vec![bill(3, 13, 70)]));
+    m.session.comment("a caller's retry ran on another router while the first still ran");
+    m.send(tally(b, vec![], 1, vec![bill(3, 21, 70)]));
+    m.send(tally(b, vec![], 1, vec![bill(3, 21, 70)]));
+    m.session.comment("a run that was cut short gives way to the one that was whole");
+    m.send(tally(a, vec![], 3, vec![Bill { whole: false, ..bill(5, 16, 7) }]));
+    m.send(tally(b, vec![], 2, vec![bill(5, 23, 90)]));
+    m.send(tally(a, vec![], 4, vec![Bill { whole: false, ..bill(5, 17, 7) }]));
+    m.session.comment("an old batch arrives late");
+    m.send(tally(a, vec![], 1, vec![bill(1, 11, 50), bill(2, 12, 60)]));
+    m.record_budgets();
+    m.session.comment(
         "just before the end of the ids' retention, and just after: a batch is still known",
     );
-    g.advance(24 * 3600);
-    g.send(tally(a, vec![], 2, vec![bill(3, 13, 70)]));
-    g.advance(1);
-    g.send(tally(a, vec![], 2, vec![bill(3, 13, 70)]));
-    g.session.comment("a caller's retry by another router, just before and just after");
-    g.send(tally(b, vec![], 3, vec![bill(4, 22, 5)]));
-    g.advance(24 * 3600);
-    g.send(tally(a, vec![], 5, vec![bill(4, 14, 5)]));
-    g.advance(1);
-    g.send(tally(a, vec![], 6, vec![bill(4, 15, 5)]));
-    g.note_budgets();
-    g.session.check("bills.txt");
+    m.advance(24 * 3600);
+    m.send(tally(a, vec![], 2, vec![bill(3, 13, 70)]));
+    m.advance(1);
+    m.send(tally(a, vec![], 2, vec![bill(3, 13, 70)]));
+    m.session.comment("a caller's retry by another router, just before and just after");
+    m.send(tally(b, vec![], 3, vec![bill(4, 22, 5)]));
+    m.advance(24 * 3600);
+    m.send(tally(a, vec![], 5, vec![bill(4, 14, 5)]));
+    m.advance(1);
+    m.send(tally(a, vec![], 6, vec![bill(4, 15, 5)]));
+    m.record_budgets();
+    m.session.check("bills.txt");
 }
 
 /// Guards against a snapshot that loses state: the copy must answer later commands the same way.
 #[test]
 fn a_snapshot_in_the_middle_changes_nothing() {
-    let mut g = Group::new();
-    start(&mut g);
-    let h = g.register("entry-1");
-    let Answer::Decided(Ok(grant)) = g.send(ask(h, 1, 100, 400)) else { panic!() };
-    g.send(tally(h, vec![report(grant.lease, 60, 300)], 1, vec![bill(1, 1, 50)]));
-    let bytes = rmp_serde::to_vec(&g.state).unwrap();
+    let mut m = StateMachine::new();
+    start(&mut m);
+    let h = m.register("entry-1");
+    let Answer::Decided(Ok(grant)) = m.send(ask(h, 1, 100, 400)) else { panic!() };
+    m.send(tally(h, vec![report(grant.lease, 60, 300)], 1, vec![bill(1, 1, 50)]));
+    let bytes = rmp_serde::to_vec(&m.state).unwrap();
     let mut copy: State = rmp_serde::from_slice(&bytes).unwrap();
     let later = [
         tally(h, vec![report(grant.lease, 80, 300)], 2, vec![bill(1, 1, 50), bill(2, 2, 5)]),
@@ -305,8 +306,8 @@
     ];
     for (n, c) in later.iter().enumerate() {
         let pos = LeaseId { term: 1, index: 100 + n as u64 };
-        assert_eq!(g.state.apply(Time(9_000), pos, c), copy.apply(Time(9_000), pos, c), "{c:?}");
+        assert_eq!(m.state.apply(Time(9_000), pos, c), copy.apply(Time(9_000), pos, c), "{c:?}");
     }
     let budgets = |s: &State| s.budgets(Time(9_000), None);
-    assert_eq!(budgets(&g.state), budgets(&copy));
+    assert_eq!(budgets(&m.state), budgets(&copy));
 }
--- a/crates/core/tests/transfer.rs
+++ b/crates/core/tests/transfer.rs
@@ -16,15 +16,15 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-/// Packed bytes that differ between versions.
+/// Packed bytes of a document, which differ between versions.
 fn packed(version: u64, len: usize) -> Vec<u8> {
     (0..len).map(|n| (n as u64 * 31 + version) as u8).collect()
 }
 
-fn packs(all: &[(u64, usize)]) -> PackedDocuments {
-    let mut packs = PackedDocuments::default();
-    all.iter().for_each(|(version, len)| packs.insert(*version, packed(*version, *len)));
-    packs
+fn documents(all: &[(u64, usize)]) -> PackedDocuments {
+    let mut documents = PackedDocuments::default();
+    all.iter().for_each(|(version, len)| documents.insert(*version, packed(*version, *len)));
+    documents
 }
 
 fn address(n: u16) -> SocketAddr {
@@ -51,8 +51,8 @@
 #[test]
 fn a_document_is_transferred_in_the_fewest_parts() {
     for (len, parts) in [(1, 1), (PART_BYTES, 1), (PART_BYTES + 1, 2), (5 * PART_BYTES, 5)] {
-        let all = packs(&[(3, len)]);
-        let (bytes, n) = fetch(&mut Assembly::default(), 2, |w| all.part(w));
+        let all = documents(&[(3, len)]);
+        let (bytes, n) = fetch(&mut Assembly::default(), 2, |req| all.part(req));
         assert_eq!((bytes, n), (packed(3, len), parts), "{len} bytes");
     }
 }
@@ -60,7 +60,7 @@
 /// Guards against sending a document to a router that already has it.
 #[test]
 fn no_part_is_sent_if_the_newest_version_is_held() {
-    let all = packs(&[(3, 10)]);
+    let all = documents(&[(3, 10)]);
     assert_eq!(all.part(&PartRequest { held: 3, ..PartRequest::default() }), None);
     assert_eq!(PackedDocuments::default().part(&PartRequest::default()), None);
 }
@@ -68,11 +68,11 @@
 /// Guards against a restart of the transfer when its source fails.
 #[test]
 fn another_process_goes_on_where_the_first_has_fallen_silent() {
-    let (first, second) = (packs(&[(3, 4 * PART_BYTES)]), packs(&[(3, 4 * PART_BYTES)]));
+    let (first, second) = (documents(&[(3, 4 * PART_BYTES)]), documents(&[(3, 4 * PART_BYTES)]));
     let mut requests = 0;
-    let (bytes, parts) = fetch(&mut Assembly::default(), 0, |w| {
+    let (bytes, parts) = fetch(&mut Assembly::default(), 0, |req| {
         requests += 1;
-        if requests <= 2 { first.part(w) } else { second.part(w) }
+        if requests <= 2 { first.part(req) } else { second.part(req) }
     });
     assert_eq!((bytes, parts), (packed(3, 4 * PART_BYTES), 4), "no part is sent twice");
 }
@@ -80,12 +80,12 @@
 /// Guards against a restart of the transfer with every new version.
 #[test]
 fn a_superseded_document_is_fetched_to_its_end_while_it_is_kept() {
-    let mut all = packs(&[(3, 4 * PART_BYTES)]);
+    let mut all = documents(&[(3, 4 * PART_BYTES)]);
     let (mut a, mut version) = (Assembly::default(), 3);
-    let (bytes, _) = fetch(&mut a, 0, |w| {
-        let p = all.part(w);
+    let (bytes, _) = fetch(&mut a, 0, |req| {
+        let p = all.part(req);
         // Publishes a new version with every other part.
-        if !w.offset.is_multiple_of(2 * PART_BYTES as u64) {
+        if !req.offset.is_multiple_of(2 * PART_BYTES as u64) {
             version += 1;
             all.insert(version, packed(version, 4 * PART_BYTES));
         }
@@ -97,11 +97,11 @@
 /// Guards against a router that never completes a document while versions change continuously.
 #[test]
 fn continuous_changes_do_not_prevent_a_transfer() {
-    let mut all = packs(&[(1, 2 * PART_BYTES)]);
+    let mut all = documents(&[(1, 2 * PART_BYTES)]);
     let mut a = Assembly::default();
     let mut version = 1;
-    let (bytes, parts) = fetch(&mut a, 0, |w| {
-        let p = all.part(w);
+    let (bytes, parts) = fetch(&mut a, 0, |req| {
+        let p = all.part(req);
         version += 1;
         all.insert(version, packed(version, 2 * PART_BYTES));
         p
@@ -113,20 +113,20 @@
 /// Guards against joining parts of one version that two processes packed differently.
 #[test]
 fn a_different_packing_restarts_the_transfer() {
-    let one = packs(&[(3, 2 * PART_BYTES)]);
+    let one = documents(&[(3, 2 * PART_BYTES)]);
     let mut different = PackedDocuments::default();
     different.insert(3, packed(9, 3 * PART_BYTES));
     let mut a = Assembly::default();
     let first = one.part(&a.next_request(0)).unwrap();
     assert_eq!(a.add(0, first), PartOutcome::Incomplete);
-    let (bytes, parts) = fetch(&mut a, 0, |w| different.part(w));
+    let (bytes, parts) = fetch(&mut a, 0, |req| different.part(req));
     assert_eq!((bytes, parts), (packed(9, 3 * PART_BYTES), 3));
 }
 
 /// Guards against accepting a corrupt document.
 #[test]
 fn corrupt_bytes_are_detected() {
-    let all = packs(&[(3, 10)]);
+    let all = documents(&[(3, 10)]);
     let mut part = all.part(&PartRequest::default()).unwrap();
     part.bytes[4] ^= 1;
     let mut a = Assembly::default();
@@ -144,7 +144,7 @@
     let config = Config { cases: 500, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &SEED);
     let all: Vec<_> = [(3, 5 * PART_BYTES), (4, 3 * PART_BYTES + 7), (5, 2 * PART_BYTES)]
-        .map(|(version, len)| packs(&[(version, len)]))
+        .map(|(version, len)| documents(&[(version, len)]))
         .into();
     let order = prop::collection::vec((0usize..3, 0usize..6), 0..60);
     let result = TestRunner::new_with_rng(config, rng).run(&order, |order| {
@@ -152,11 +152,14 @@
         let mut held = 0;
         for (doc, part) in order {
             let version = 3 + doc as u64;
-            let whole = PartRequest { version, ..PartRequest::default() };
-            let Some(first) = all[doc].part(&whole) else { continue };
-            let want =
-                PartRequest { offset: (part * PART_BYTES) as u64, digest: first.digest, ..whole };
-            let p = all[doc].part(&want).unwrap();
+            let first_req = PartRequest { version, ..PartRequest::default() };
+            let Some(first) = all[doc].part(&first_req) else { continue };
+            let req = PartRequest {
+                offset: (part * PART_BYTES) as u64,
+                digest: first.digest,
+                ..first_req
+            };
+            let p = all[doc].part(&req).unwrap();
             if let PartOutcome::Complete(bytes) = a.add(held, p) {
                 prop_assert!(version > held);
                 held = version;
@@ -164,7 +167,7 @@
             }
         }
         if held < 5 {
-            let (bytes, _) = fetch(&mut a, held, |w| all[2].part(w));
+            let (bytes, _) = fetch(&mut a, held, |req| all[2].part(req));
             prop_assert_eq!(bytes, packed(5, 2 * PART_BYTES));
         }
         Ok(())
@@ -189,7 +192,7 @@
     let abandoned = AbandonedSource { from: address(1), after: Millis(600) };
     assert_eq!(f.take_overdue(Time(1_100)), Some(abandoned));
     assert_eq!(f.choose_source(Time(1_100), 4, Some(address(1))), Some(address(2)));
-    assert_eq!(f.take_overdue(Time(1_700)).map(|g| g.from), Some(address(2)));
+    assert_eq!(f.take_overdue(Time(1_700)).map(|s| s.from), Some(address(2)));
     assert_eq!(
         f.choose_source(Time(1_700), 4, Some(address(2))),
         Some(address(1)),
@@ -205,7 +208,7 @@
     f.record_version(address(2), 4);
     assert_eq!(f.choose_source(Time(0), 3, None), Some(address(1)), "it has the newest version");
     assert_eq!(f.drop_source(Time(100), address(2)), None);
-    assert_eq!(f.drop_source(Time(100), address(1)).map(|g| g.after), Some(Millis(100)));
+    assert_eq!(f.drop_source(Time(100), address(1)).map(|s| s.after), Some(Millis(100)));
     assert_eq!(
         f.choose_source(Time(100), 3, Some(address(1))),
         None,
--- a/crates/core/tests/unseen.rs
+++ b/crates/core/tests/unread.rs
@@ -13,12 +13,12 @@
 
 /// Guards against underestimating unread events. Times are in milliseconds.
 #[rstest]
-#[case::none_came(0, 0, 0, 5)]
-#[case::one_came(1, 0, 0, 5)]
+#[case::no_event(0, 0, 0, 5)]
+#[case::one_event(1, 0, 0, 5)]
 #[case::a_slow_engine(11, 10_000, 0, 2)]
-#[case::a_usual_one(11, 100, 0, 10)]
-#[case::a_caller_that_took_nothing_at_last(11, 300, 200, 50)]
-#[case::a_caller_that_took_little(11, 200, 200, 500_000)]
+#[case::a_fast_engine(11, 100, 0, 10)]
+#[case::a_caller_that_stalled_at_the_end(11, 300, 200, 50)]
+#[case::a_caller_that_stalled_throughout(11, 200, 200, 500_000)]
 #[case::all_at_once(11, 0, 0, 100_000)]
 fn max_unread_depends_on_pace_and_stalls(
     #[case] events: u64,
