--- a/crates/node/src/link.rs
+++ b/crates/node/src/link.rs
@@ -26,7 +26,7 @@
 /// retransmits a lost SYN only after a second, which delays links to a machine that starts slightly later.
 const FIRST_CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Timeout for sending one message; longer means that the peer does not read.
+/// Timeout for sending one message. It expires if the peer does not read.
 pub const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
 quick_error! {
@@ -65,7 +65,7 @@
     pub name: String,
 }
 
-/// Read buffer in bytes, so that one system call reads the header and body of a short message.
+/// Size of the read buffer, in bytes. One system call reads the header and body of a short message.
 const READ_BUFFER: usize = 4 * 1024;
 
 type BufferedSocket = BufReader<OwnedReadHalf>;
--- a/crates/node/src/logging.rs
+++ b/crates/node/src/logging.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, serde::Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
-    /// `time LEVEL CFnnn text key=value`.
+    /// `time LEVEL CFEnnn text key=value`.
     #[default]
     Text,
     /// One JSON object per line.
@@ -84,7 +84,7 @@
 /// Line counts of the log writer, set by [`start`].
 static COUNTS: OnceLock<Arc<LineCounts>> = OnceLock::new();
 
-/// Longest wait for queued lines when the process exits.
+/// Maximum wait for queued lines when the process exits.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Waits until the queued lines are written, at most 300 ms.
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -117,7 +117,7 @@
     "info".to_owned()
 }
 
-/// [`Common`] after validation.
+/// [`Common`] after validation, with parsed values and the loaded key.
 #[derive(Clone)]
 pub struct CheckedCommon {
     /// Name of the cluster.
--- a/crates/node/src/time.rs
+++ b/crates/node/src/time.rs
@@ -8,8 +8,8 @@
 use crate::emit;
 use crate::event::Event;
 
-/// The clock that keeps running while the machine is suspended. `CLOCK_MONOTONIC` stops meanwhile, so
-/// leases and registrations would outlive their time.
+/// The clock that keeps running while the machine is suspended. With `CLOCK_MONOTONIC`, which stops
+/// meanwhile, leases and registrations would expire too late.
 #[cfg(any(target_os = "linux", target_os = "android"))]
 const BOOT_CLOCK: ClockId = ClockId::CLOCK_BOOTTIME;
 
@@ -17,7 +17,7 @@
 #[cfg(not(any(target_os = "linux", target_os = "android")))]
 const BOOT_CLOCK: ClockId = ClockId::CLOCK_MONOTONIC;
 
-/// A monotonic clock that counts suspensions and starts at zero.
+/// A monotonic clock that starts at zero and keeps running while the machine is suspended.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     id: ClockId,
@@ -30,8 +30,8 @@
 }
 
 impl Clock {
-    /// Starts a clock at zero. Falls back to `CLOCK_MONOTONIC` where the system has no clock that counts
-    /// suspensions.
+    /// Starts a clock at zero. Falls back to `CLOCK_MONOTONIC` where the system has no clock that
+    /// keeps running while the machine is suspended.
     pub fn start() -> Clock {
         if let Some(origin) = read_clock(BOOT_CLOCK) {
             return Clock { id: BOOT_CLOCK, origin };
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -13,7 +13,7 @@
 /// Timeout for opening a link.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Timeout for a response. A control process responds within a second, even without news.
+/// Timeout for a response. A control process responds within a second, even if nothing has changed.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_700);
 
 /// Delay before a new connection after a failure.
@@ -27,7 +27,7 @@
     fn handle_response(&self, from: SocketAddr, response: WatchResponse);
     /// Handles a failed connection or a broken link.
     fn handle_disconnect(&self, from: SocketAddr);
-    /// Waits until the next request is to be sent before the last one has its response.
+    /// Waits until the next request must be sent without waiting for the response to the last one.
     fn poll_requested(&self) -> impl Future<Output = ()>;
 }
 
--- a/crates/node/tests/group.rs
+++ b/crates/node/tests/group.rs
@@ -70,7 +70,7 @@
     });
 }
 
-/// A registration contains the age of the process, which grows between the tries.
+/// Guards against retries that send an outdated age: a registration contains the age of the process.
 #[test]
 fn a_command_that_contains_the_time_is_built_again_for_each_try() {
     actix_rt::System::new().block_on(async {
