--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -28,7 +28,7 @@
 /// sooner, and have announced no timeout.
 const UNUSED_IDLE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time limit of reading bytes that have already arrived: the runtime reports them only at its next poll.
+/// Timeout of reading bytes that have already arrived: the runtime reports them only at its next poll.
 const BUFFERED_READ_TIMEOUT: Duration = Duration::from_millis(5);
 
 /// Maximum size of a response head, in bytes.
@@ -96,7 +96,7 @@
     /// The connection has carried an earlier exchange.
     used: bool,
     /// Bytes arrived since the last request was sent.
-    answered: bool,
+    has_received: bool,
     /// The body ends with the connection.
     until_close: bool,
     /// The server closes the connection after this response.
@@ -137,7 +137,7 @@
             buf: BytesMut::new(),
             codec: Some(Codec::Head(ClientCodec::default())),
             used: false,
-            answered: false,
+            has_received: false,
             until_close: false,
             closes_after: false,
             idle_timeout: DEFAULT_IDLE_TIMEOUT,
@@ -176,13 +176,14 @@
             codec.encode(Message::Chunk(Some(o.body.clone())), &mut out).map_err(sent)?;
         }
         codec.encode(Message::Chunk(None), &mut out).map_err(sent)?;
-        self.answered = false;
-        self.stream.write_all(&out).await.map_err(|e| self.ended(&e.to_string()))
+        self.has_received = false;
+        self.stream.write_all(&out).await.map_err(|e| self.close_error(&e.to_string()))
     }
 
-    /// Classifies the end of the connection: stale if it was reused and no byte of the response arrived.
-    fn ended(&self, why: &str) -> ExchangeError {
-        if self.used && !self.answered {
+    /// Returns the error for a closed connection: [`ExchangeError::Stale`] if it was reused and no byte of
+    /// the response arrived, else [`ExchangeError::Closed`].
+    fn close_error(&self, why: &str) -> ExchangeError {
+        if self.used && !self.has_received {
             ExchangeError::Stale
         } else {
             ExchangeError::Closed(why.to_owned())
@@ -195,10 +196,10 @@
         match self.stream.read_buf(&mut self.buf).await {
             Ok(0) => Ok(false),
             Ok(_) => {
-                self.answered = true;
+                self.has_received = true;
                 Ok(true)
             }
-            Err(e) => Err(self.ended(&e.to_string())),
+            Err(e) => Err(self.close_error(&e.to_string())),
         }
     }
 
@@ -216,7 +217,7 @@
                 return Err(sent("the head of the answer is too large"));
             }
             if !self.fill().await? {
-                return Err(self.ended("the connection closed before an answer"));
+                return Err(self.close_error("the connection closed before an answer"));
             }
         }
     }
@@ -259,7 +260,7 @@
                 if self.until_close {
                     return Ok(None);
                 }
-                return Err(self.ended("the connection closed before the answer was whole"));
+                return Err(self.close_error("the connection closed before the answer was whole"));
             }
         }
     }
