--- a/crates/store/src/folder.rs
+++ b/crates/store/src/folder.rs
@@ -25,7 +25,7 @@
     pub incarnation: u64,
 }
 
-/// A data folder that stays locked against other processes until this value is dropped.
+/// An open data folder. It stays locked against other processes until this value is dropped.
 #[derive(Debug)]
 pub struct Folder {
     path: PathBuf,
@@ -35,14 +35,14 @@
 
 impl Folder {
     /// Opens and locks the folder, creates it if necessary, and increments its incarnation. A
-    /// folder without an identity gets the member id `fresh`. Fails if another process has
+    /// folder without an identity gets the member id `new_id`. Fails if another process has
     /// locked the folder or if it belongs to a group other than `group`.
-    pub fn open(path: &Path, group: &str, fresh: u64) -> Result<Folder, Error> {
+    pub fn open(path: &Path, group: &str, new_id: u64) -> Result<Folder, Error> {
         let lock = lock(path)?;
         let stored = read_identity(path)?;
         let mut identity = match stored {
             Some(i) => i,
-            None => Identity { node: fresh, group: group.to_owned(), incarnation: 0 },
+            None => Identity { node: new_id, group: group.to_owned(), incarnation: 0 },
         };
         if identity.group != group {
             return Err(Error::Foreign(path.to_owned(), identity.group, group.to_owned()));
--- a/crates/store/src/log.rs
+++ b/crates/store/src/log.rs
@@ -112,19 +112,19 @@
 
 /// Parses the intact part of a log file. Fails if the damaged part had been acknowledged.
 fn parse_log(path: &Path, bytes: &[u8]) -> Result<Contents, Error> {
-    let mut f = Contents { records: Vec::new(), batch: 0, size: 0 };
-    while let Some((kind, payload, len)) = parse_record(&bytes[f.size..]) {
+    let mut contents = Contents { records: Vec::new(), batch: 0, size: 0 };
+    while let Some((kind, payload, len)) = parse_record(&bytes[contents.size..]) {
         match (kind, batch_number(payload)) {
-            (BATCH, Some(n)) if n == f.batch + 1 => f.batch = n,
-            (BATCH, _) => return Err(Error::Damaged(path.to_owned(), f.size as u64)),
-            _ => f.records.push(Record { kind, payload: payload.to_vec() }),
+            (BATCH, Some(n)) if n == contents.batch + 1 => contents.batch = n,
+            (BATCH, _) => return Err(Error::Damaged(path.to_owned(), contents.size as u64)),
+            _ => contents.records.push(Record { kind, payload: payload.to_vec() }),
         }
-        f.size += len;
+        contents.size += len;
     }
-    if has_later_batch(&bytes[f.size..], f.batch) {
-        return Err(Error::Damaged(path.to_owned(), f.size as u64));
+    if has_later_batch(&bytes[contents.size..], contents.batch) {
+        return Err(Error::Damaged(path.to_owned(), contents.size as u64));
     }
-    Ok(f)
+    Ok(contents)
 }
 
 impl Log<File> {
