--- a/crates/wire/tests/wire.rs
+++ b/crates/wire/tests/wire.rs
@@ -90,7 +90,7 @@
 #[rstest]
 #[case::list(&[0x5c, 0x1c, 0x19, 0xfc, 0xff, 0xff, 0xff, 0xff, 0x07])]
 #[case::text(&[0x1c, 0x15, 0x02, 0x18, 0xff, 0xff, 0xff, 0xff, 0x07, 0x41])]
-fn a_claimed_size_is_not_believed(#[case] bytes: &[u8]) {
+fn a_claimed_size_beyond_the_input_is_an_error(#[case] bytes: &[u8]) {
     assert!(decode(bytes).is_err());
 }
 
@@ -130,9 +130,9 @@
 
 #[rstest]
 #[case::changed("changed")]
-#[case::doubled("doubled")]
+#[case::replayed("replayed")]
 #[case::dropped("dropped")]
-#[case::turned_round("turned round")]
+#[case::reflected("reflected")]
 #[case::short("short")]
 fn a_frame_that_was_tampered_with_is_refused(#[case] how: &str) {
     let ((mut sa, mut oa), (_, mut ob)) = open_link();
@@ -144,19 +144,19 @@
             f[0] ^= 1;
             ob.open(&f).map(<[u8]>::to_vec)
         }
-        "doubled" => {
+        "replayed" => {
             ob.open(&first).unwrap();
             ob.open(&first).map(<[u8]>::to_vec)
         }
         "dropped" => ob.open(&second).map(<[u8]>::to_vec),
-        "turned round" => oa.open(&first).map(<[u8]>::to_vec),
+        "reflected" => oa.open(&first).map(<[u8]>::to_vec),
         _ => ob.open(&first[..7]).map(<[u8]>::to_vec),
     };
     assert_eq!(result, Err(Error::Forged));
 }
 
 #[test]
-fn a_stranger_is_told_why() {
+fn an_unauthenticated_peer_is_rejected_with_the_reason() {
     let mut b = handshake(Side::Server, KEY, "c", 2);
     let wrong_cluster = handshake(Side::Client, KEY, "d", 1).hello();
     assert_eq!(b.on_hello(&wrong_cluster), Err(Error::Cluster("d".into())));
