--- a/crates/cli/src/cmd/apply.rs
+++ b/crates/cli/src/cmd/apply.rs
@@ -58,7 +58,7 @@
         Ok(None) => current_version(cx)?,
         Err(_) => return Err(Error::Usage("--base must be a version's number".into())),
     };
-    let (op, by) = (cx.op(), cx.settings()?.operator);
+    let (op, by) = (cx.operation_id(), cx.settings()?.operator);
     let change = Change { op: op.clone(), base, by, items };
     match cx.command(&Command::Apply(change))? {
         Answer::Applied(Ok(version)) => {
--- a/crates/cli/src/cmd/budget.rs
+++ b/crates/cli/src/cmd/budget.rs
@@ -11,11 +11,11 @@
 use crate::table::table;
 
 /// `budgets`: shows all budgets, or one.
-pub const SHOW: Subcommand = Subcommand {
+pub const BUDGETS: Subcommand = Subcommand {
     name: "budgets",
     args: "[BUDGET]",
     about: "show what is prepaid, spent, held and free",
-    run: show,
+    run: budgets,
 };
 
 /// `leases`: shows the leases of a budget.
@@ -42,7 +42,7 @@
     run: release,
 };
 
-fn show(cx: &Context) -> Result<String, Error> {
+fn budgets(cx: &Context) -> Result<String, Error> {
     let only = cx.args.first().cloned();
     let Reply::Budgets(all) = cx.query(&Query::Budgets(only.clone()))? else {
         return Err(Error::Unexpected);
@@ -91,7 +91,7 @@
 fn top_up(cx: &Context) -> Result<String, Error> {
     let budget = cx.arg(0, "the budget")?.to_owned();
     let tokens = cx.number_arg(1, "the number of tokens")?;
-    let op = cx.op();
+    let op = cx.operation_id();
     match cx.command(&Command::TopUp { op: op.clone(), budget, tokens })? {
         Answer::Funded(all) => {
             let text = || format!("{all} tokens are prepaid now (operation {op})\n");
@@ -106,7 +106,7 @@
     let lease = parse_lease_id(arg).ok_or_else(|| {
         Error::Usage(format!("a lease cannot be '{arg}': take it from 'cypressfork leases'"))
     })?;
-    let op = cx.op();
+    let op = cx.operation_id();
     match cx.command(&Command::Release { op: op.clone(), lease })? {
         Answer::Released(n) => {
             let text = || format!("{n} tokens are free again (operation {op})\n");
--- a/crates/cli/src/cmd/member.rs
+++ b/crates/cli/src/cmd/member.rs
@@ -28,7 +28,7 @@
     let action = cx.arg(0, "add, promote or remove")?;
     let change = match action {
         "add" => {
-            let a = parse_address("ADDRESS", cx.arg(1, "the new replica's address")?)?;
+            let a = parse_address("ADDRESS", cx.arg(1, "the new member's address")?)?;
             let credentials = cx.credentials()?;
             let id = actix_rt::System::new().block_on(identify(&credentials, a))?;
             if !id.members.voters.is_empty() {
@@ -57,7 +57,7 @@
 }
 
 fn node_id(cx: &Context) -> Result<NodeId, Error> {
-    let arg = cx.arg(1, "the replica's id")?;
+    let arg = cx.arg(1, "the member's id")?;
     NodeId::from_str_radix(arg, 16).map_err(|_| {
         Error::Usage(format!("an id cannot be '{arg}': take it from 'cypressfork status'"))
     })
--- a/crates/cli/src/cmd/mod.rs
+++ b/crates/cli/src/cmd/mod.rs
@@ -41,7 +41,7 @@
     history::COMMAND,
     history::ROLLBACK,
     status::COMMAND,
-    budget::SHOW,
+    budget::BUDGETS,
     budget::LEASES,
     budget::TOP_UP,
     budget::RELEASE,
--- a/crates/cli/src/cmd/trace.rs
+++ b/crates/cli/src/cmd/trace.rs
@@ -55,7 +55,7 @@
 
 /// Returns the rows of one log. Reads it line by line, as it may be larger than memory.
 fn read(log: &str, id: &str) -> Result<Vec<Row>, Error> {
-    let failed = |e: std::io::Error| Error::Document(log.to_owned(), e.to_string());
+    let failed = |e: std::io::Error| Error::Unreadable(log.to_owned(), e.to_string());
     let mut rows: Vec<Row> = Vec::new();
     let mut context: VecDeque<Line> = VecDeque::new();
     for bytes in BufReader::new(File::open(log).map_err(failed)?).split(b'\n') {
--- a/crates/cli/src/context.rs
+++ b/crates/cli/src/context.rs
@@ -51,8 +51,9 @@
         Ok(load::<File>(Path::new(&path))?)
     }
 
-    /// Returns the id of the operation: the value of `--op`, given to resend an operation, or a new random id.
-    pub fn op(&self) -> String {
+    /// Returns the idempotency key of the operation: the value of `--op` to resend an earlier operation, else a
+    /// new random id.
+    pub fn operation_id(&self) -> String {
         self.options.opt_str("op").unwrap_or_else(|| format!("{:032x}", rand::random::<u128>()))
     }
 
--- a/crates/cli/src/document.rs
+++ b/crates/cli/src/document.rs
@@ -48,7 +48,7 @@
 pub fn read(paths: &[String]) -> Result<Vec<Item>, Error> {
     let mut items = Vec::new();
     for path in paths {
-        let bad = |why: String| Error::Document(path.clone(), why);
+        let bad = |why: String| Error::Unreadable(path.clone(), why);
         let text = fs::read_to_string(path).map_err(|e| bad(e.to_string()))?;
         let doc: Document = serde_yaml_ng::from_str(&text).map_err(|e| bad(e.to_string()))?;
         items.extend(doc.into_items());
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -18,7 +18,7 @@
             display("{}", err)
         }
         /// A document or a log file cannot be read.
-        Document(path: String, why: String) {
+        Unreadable(path: String, why: String) {
             display("CF3002: could not read {}: {}", path, why)
         }
         /// The control group refused the operation, or is unreachable.
@@ -49,7 +49,7 @@
     match e {
         Error::Usage(_) => 64,
         Error::Settings(_) => 78,
-        Error::Document(..) => 2,
+        Error::Unreadable(..) => 2,
         Error::Control(c) => status_of_code(c),
         Error::Refused(r) => status_of_code(&r.code),
         Error::Unexpected => 1,
--- a/crates/cli/src/line.rs
+++ b/crates/cli/src/line.rs
@@ -9,7 +9,7 @@
     pub ms: u64,
     /// Number of the event, if the line has one.
     pub event: Option<u16>,
-    /// The unparsed line.
+    /// The whole line, as it was read.
     pub text: String,
 }
 
--- a/crates/cli/tests/trace.rs
+++ b/crates/cli/tests/trace.rs
@@ -20,8 +20,8 @@
 #[case::no_time(r#"{"level":"INFO"}"#, None)]
 #[case::a_panic("thread 'main' panicked at src/main.rs:1", None)]
 #[case::nothing("", None)]
-fn log_lines_are_read(#[case] text: &str, #[case] read: Option<(u64, Option<u16>)>) {
-    assert_eq!(Line::parse(text).map(|l| (l.ms, l.event)), read);
+fn log_lines_are_read(#[case] text: &str, #[case] expected: Option<(u64, Option<u16>)>) {
+    assert_eq!(Line::parse(text).map(|l| (l.ms, l.event)), expected);
 }
 
 #[rstest]
@@ -45,7 +45,7 @@
     cmd::run(&args).map_err(|e| e.to_string())
 }
 
-/// Logs of two gateways that handled the same request; the first had just lost its connection to the control group.
+/// Logs of two gateways that handled the same request. The first had lost its connection to the control group.
 const FIRST: &str = r#"{"ms":1,"level":"INFO","event":101,"text":"the process serves"}
 {"ms":50000,"level":"WARN","event":403,"text":"the control group is out of reach"}
 {"ms":50500,"level":"INFO","event":420,"text":"a request is refused","id":"r-0"}
@@ -82,9 +82,9 @@
 #[case::no_id(&[], "CF3006: the request's id is missing")]
 #[case::no_log(&["r-1"], "CF3006: a log to read is missing")]
 #[case::no_such_log(&["r-1", "/nowhere/a.log"], "CF3002: could not read /nowhere/a.log")]
-fn what_is_missing_is_said(#[case] args: &[&str], #[case] said: &str) {
+fn invalid_arguments_are_reported(#[case] args: &[&str], #[case] expected: &str) {
     let e = trace(args).unwrap_err();
-    assert!(e.starts_with(said), "{e}");
+    assert!(e.starts_with(expected), "{e}");
 }
 
 #[test]
