--- a/crates/router/src/gateway/follow.rs
+++ b/crates/router/src/gateway/follow.rs
@@ -17,7 +17,7 @@
 use cypressfork_node::emit;
 use cypressfork_node::event::Event;
 use cypressfork_node::metric;
-use cypressfork_node::urge::PollTrigger;
+use cypressfork_node::poll_trigger::PollTrigger;
 use cypressfork_node::watch::{Watcher, watch};
 use cypressfork_wire::packed;
 use metrics::counter;
