--- a/crates/cli/src/settings.rs
+++ b/crates/cli/src/settings.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use cypressfork_node::settings::{Error, Raw, load_key, parse_address, parse_name};
+use cypressfork_node::settings::{Error, RawSettings, load_key, parse_address, parse_name};
 use cypressfork_wire::auth::Key;
 use serde::{Deserialize, Serialize};
 
@@ -32,7 +32,7 @@
     pub operator: String,
 }
 
-impl Raw for File {
+impl RawSettings for File {
     type Checked = Settings;
 
     fn check(self) -> Result<Settings, Error> {
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -6,8 +6,8 @@
 use cypressfork_core::raft::Settings as RaftSettings;
 use cypressfork_core::unit::Millis;
 use cypressfork_node::settings::{
-    CheckedCommon, Common, Error, Quantity, Raw, check_quantity, check_range, existing_folder,
-    parse_address,
+    CheckedCommon, Common, Error, Quantity, RawSettings, check_quantity, check_range,
+    existing_folder, parse_address,
 };
 use serde::{Deserialize, Serialize};
 
@@ -176,7 +176,7 @@
     pub fleet: Option<FleetSettings>,
 }
 
-impl Raw for File {
+impl RawSettings for File {
     type Checked = Settings;
 
     fn check(self) -> Result<Settings, Error> {
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -61,7 +61,7 @@
 }
 
 /// A settings file as deserialized, before validation.
-pub trait Raw: DeserializeOwned {
+pub trait RawSettings: DeserializeOwned {
     /// The validated settings.
     type Checked;
 
@@ -70,7 +70,7 @@
 }
 
 /// Reads and validates a settings file.
-pub fn load<R: Raw>(path: &Path) -> Result<R::Checked, Error> {
+pub fn load<R: RawSettings>(path: &Path) -> Result<R::Checked, Error> {
     let name = path.display().to_string();
     let text =
         fs::read_to_string(path).map_err(|e| Error::Unreadable(name.clone(), e.to_string()))?;
--- a/crates/router/src/gateway/settings.rs
+++ b/crates/router/src/gateway/settings.rs
@@ -7,7 +7,7 @@
 use cypressfork_core::fleet::retry::RetryLimit;
 use cypressfork_core::unit::Millis;
 use cypressfork_node::settings::{
-    CheckedCommon, Common, Error, Quantity, Raw, check_quantity, check_range, parse_address,
+    CheckedCommon, Common, Error, Quantity, RawSettings, check_quantity, check_range, parse_address,
 };
 use serde::{Deserialize, Serialize};
 
@@ -113,7 +113,7 @@
     pub stop_serve: Duration,
 }
 
-impl Raw for File {
+impl RawSettings for File {
     type Checked = Settings;
 
     fn check(self) -> Result<Settings, Error> {
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -4,7 +4,9 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use cypressfork_node::settings::{CheckedCommon, Common, Error, Raw, check_range, parse_address};
+use cypressfork_node::settings::{
+    CheckedCommon, Common, Error, RawSettings, check_range, parse_address,
+};
 use serde::{Deserialize, Serialize};
 
 /// The settings file.
@@ -104,7 +106,7 @@
     pub drain: Duration,
 }
 
-impl Raw for File {
+impl RawSettings for File {
     type Checked = Settings;
 
     fn check(self) -> Result<Settings, Error> {
