--- a/crates/node/src/time.rs
+++ b/crates/node/src/time.rs
@@ -42,7 +42,7 @@
     }
 
     /// Returns whether the clock keeps running while the machine is suspended.
-    pub fn counts_suspensions(&self) -> bool {
+    pub fn includes_suspend(&self) -> bool {
         cfg!(any(target_os = "linux", target_os = "android")) && self.id == BOOT_CLOCK
     }
 
--- a/crates/node/tests/clock.rs
+++ b/crates/node/tests/clock.rs
@@ -23,5 +23,5 @@
     let (now, after) = (clock.now().0, uptime());
     assert!(now >= 300);
     assert!(now.abs_diff(after - before) < 100, "{now} ms against {} ms", after - before);
-    assert!(clock.counts_suspensions());
+    assert!(clock.includes_suspend());
 }
