--- a/crates/control/src/native.rs
+++ b/crates/control/src/native.rs
@@ -167,7 +167,7 @@
 
 /// Returns a response with a JSON body.
 pub fn json_response(status: StatusCode, text: String) -> Response<Body> {
-    let mut r = Response::with_body(status, Body::Whole(Bytes::from(text)));
+    let mut r = Response::with_body(status, Body::Full(Bytes::from(text)));
     r.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     r
 }
--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -95,7 +95,7 @@
     add(&engine.started, 1);
     let (tx, rx) = mpsc::channel(1);
     actix_rt::spawn(generate(engine, request, chat, tx));
-    let mut r = Response::with_body(StatusCode::OK, Body::Pieces(rx));
+    let mut r = Response::with_body(StatusCode::OK, Body::Stream(rx));
     r.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
     r
 }
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -100,7 +100,7 @@
 
 /// Returns a JSON response.
 fn json_response(status: StatusCode, v: &Value) -> Response<Body> {
-    let mut r = Response::with_body(status, Body::Whole(Bytes::from(v.to_string())));
+    let mut r = Response::with_body(status, Body::Full(Bytes::from(v.to_string())));
     let kind = actix_http::header::HeaderValue::from_static("application/json");
     r.headers_mut().insert(actix_http::header::CONTENT_TYPE, kind);
     r
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -11,9 +11,9 @@
 /// The body of a response.
 pub enum Body {
     /// A complete body, sent with its length.
-    Whole(Bytes),
+    Full(Bytes),
     /// A streamed body; it ends when the sender is dropped.
-    Pieces(mpsc::Receiver<Bytes>),
+    Stream(mpsc::Receiver<Bytes>),
 }
 
 impl MessageBody for Body {
@@ -21,8 +21,8 @@
 
     fn size(&self) -> BodySize {
         match self {
-            Body::Whole(b) => BodySize::Sized(b.len() as u64),
-            Body::Pieces(_) => BodySize::Stream,
+            Body::Full(b) => BodySize::Sized(b.len() as u64),
+            Body::Stream(_) => BodySize::Stream,
         }
     }
 
@@ -31,9 +31,9 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Bytes, Infallible>>> {
         match self.get_mut() {
-            Body::Whole(b) if b.is_empty() => Poll::Ready(None),
-            Body::Whole(b) => Poll::Ready(Some(Ok(std::mem::take(b)))),
-            Body::Pieces(rx) => rx.poll_recv(cx).map(|b| b.map(Ok)),
+            Body::Full(b) if b.is_empty() => Poll::Ready(None),
+            Body::Full(b) => Poll::Ready(Some(Ok(std::mem::take(b)))),
+            Body::Stream(rx) => rx.poll_recv(cx).map(|b| b.map(Ok)),
         }
     }
 }
--- a/crates/router/src/chat.rs
+++ b/crates/router/src/chat.rs
@@ -151,7 +151,7 @@
 }
 
 fn streaming_response(rx: mpsc::Receiver<Bytes>) -> Response<Body> {
-    let mut r = Response::with_body(StatusCode::OK, Body::Pieces(rx));
+    let mut r = Response::with_body(StatusCode::OK, Body::Stream(rx));
     let h = r.headers_mut();
     h.insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
     h.insert(CACHE_CONTROL, HeaderValue::from_static("no-store"));
@@ -165,7 +165,7 @@
         let v = json!({ "ran": "yes", "status": o.status, "note": "the answer was too large to be kept" });
         return json_response(status, &v);
     };
-    let mut r = Response::with_body(status, Body::Whole(Bytes::from(body.clone())));
+    let mut r = Response::with_body(status, Body::Full(Bytes::from(body.clone())));
     if let Ok(v) = HeaderValue::from_str(&o.kind) {
         r.headers_mut().insert(CONTENT_TYPE, v);
     }
--- a/crates/router/src/plain.rs
+++ b/crates/router/src/plain.rs
@@ -193,7 +193,7 @@
 }
 
 fn response(a: Answer) -> Response<Body> {
-    let mut r = Response::with_body(a.head.status, Body::Whole(a.body));
+    let mut r = Response::with_body(a.head.status, Body::Full(a.body));
     if let Some(kind) = a.head.headers.get(header::CONTENT_TYPE) {
         r.headers_mut().insert(header::CONTENT_TYPE, kind.clone());
     }
--- a/crates/router/src/reply.rs
+++ b/crates/router/src/reply.rs
@@ -87,7 +87,7 @@
 
 /// Returns a response with a JSON body.
 pub fn json_response(status: StatusCode, v: &serde_json::Value) -> Response<Body> {
-    let mut r = Response::with_body(status, Body::Whole(Bytes::from(v.to_string())));
+    let mut r = Response::with_body(status, Body::Full(Bytes::from(v.to_string())));
     let json = HeaderValue::from_static("application/json");
     r.headers_mut().insert(header::CONTENT_TYPE, json);
     r
--- a/crates/soak/src/replica.rs
+++ b/crates/soak/src/replica.rs
@@ -302,7 +302,7 @@
 }
 
 fn reject(id: &str, status: StatusCode) -> Response<Body> {
-    let mut r = respond(id, status, Body::Whole(Bytes::new()));
+    let mut r = respond(id, status, Body::Full(Bytes::new()));
     r.headers_mut().insert(NOT_RUN, HeaderValue::from_static("true"));
     r
 }
@@ -348,10 +348,10 @@
     if r.service == "talk" {
         let (tx, rx) = mpsc::channel(4);
         actix_rt::spawn(send_events(w, id.clone(), last, tx));
-        return respond(&id, StatusCode::OK, Body::Pieces(rx));
+        return respond(&id, StatusCode::OK, Body::Stream(rx));
     }
     sleep(RUN_TIME).await;
-    respond(&id, StatusCode::OK, Body::Whole(Bytes::from(answer(&id))))
+    respond(&id, StatusCode::OK, Body::Full(Bytes::from(answer(&id))))
 }
 
 async fn read_all(req: Request) -> Vec<u8> {
