--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -57,7 +57,7 @@
 }
 
 /// A request to send.
-pub struct Outbound<'a> {
+pub struct OutboundRequest<'a> {
     /// HTTP method.
     pub method: &'a Method,
     /// Path and query.
@@ -159,7 +159,7 @@
     }
 
     /// Sends a request. An error may leave the request partly or wholly sent.
-    pub async fn send(&mut self, o: Outbound<'_>) -> Result<(), ExchangeError> {
+    pub async fn send(&mut self, o: OutboundRequest<'_>) -> Result<(), ExchangeError> {
         let mut head = RequestHead::default();
         head.method = o.method.clone();
         head.uri = o.uri.clone();
--- a/crates/router/src/gateway/attempt.rs
+++ b/crates/router/src/gateway/attempt.rs
@@ -8,7 +8,7 @@
 use cypressfork_core::fleet::document::RouteKind;
 use cypressfork_core::route::{Choice, backoff};
 use cypressfork_core::unit::Millis;
-use cypressfork_http::client::{Connection, ExchangeError, Outbound};
+use cypressfork_http::client::{Connection, ExchangeError, OutboundRequest};
 use tokio::time::{Instant, timeout_at};
 
 use super::client::Client;
@@ -256,7 +256,7 @@
         };
         D::set_forward_headers(&mut headers, &forwarded);
         let (method, uri, body) = (&request.method, &request.uri, &request.body);
-        connection.send(Outbound { method, uri, headers, body }).await
+        connection.send(OutboundRequest { method, uri, headers, body }).await
     }
 
     /// Reads the head of the response to this request. Late responses to other requests are skipped.
--- a/crates/soak/src/http.rs
+++ b/crates/soak/src/http.rs
@@ -6,7 +6,7 @@
 use actix_http::header::{HOST, HeaderMap, HeaderName, HeaderValue};
 use actix_http::{Method, ResponseHead, Uri};
 use bytes::{Bytes, BytesMut};
-use cypressfork_http::client::{Connection, ExchangeError, Outbound};
+use cypressfork_http::client::{Connection, ExchangeError, OutboundRequest};
 use tokio::time::timeout;
 
 /// The value of the `Host` header of all requests.
@@ -35,7 +35,7 @@
     body: &Bytes,
 ) -> Result<ResponseHead, ExchangeError> {
     let uri: Uri = path.parse().expect("the soak writes plain paths");
-    c.send(Outbound { method, uri: &uri, headers, body }).await?;
+    c.send(OutboundRequest { method, uri: &uri, headers, body }).await?;
     c.head().await
 }
 
