--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -204,7 +204,7 @@
     }
 
     /// Reads the head of the next response.
-    pub async fn head(&mut self) -> Result<ResponseHead, ExchangeError> {
+    pub async fn read_head(&mut self) -> Result<ResponseHead, ExchangeError> {
         loop {
             let Some(Codec::Head(codec)) = &mut self.codec else {
                 return Err(sent("out of step"));
--- a/crates/router/src/gateway/attempt.rs
+++ b/crates/router/src/gateway/attempt.rs
@@ -265,7 +265,7 @@
         mut connection: Connection,
     ) -> Result<(Connection, ResponseHead), AttemptOutcome> {
         for _ in 0..MAX_SKIPPED_RESPONSES {
-            let head = connection.head().await?;
+            let head = connection.read_head().await?;
             let response = D::parse_response(&head);
             let is_own = response.id == Some(self.request.inbound.id.as_str());
             let signals = &self.request.gw.signals;
--- a/crates/soak/src/http.rs
+++ b/crates/soak/src/http.rs
@@ -36,7 +36,7 @@
 ) -> Result<ResponseHead, ExchangeError> {
     let uri: Uri = path.parse().expect("the soak writes plain paths");
     c.send(OutboundRequest { method, uri: &uri, headers, body }).await?;
-    c.head().await
+    c.read_head().await
 }
 
 /// Reads the body of the current answer. Fails on a connection error or a body of more than 16 MiB.
