--- a/crates/control/src/disk.rs
+++ b/crates/control/src/disk.rs
@@ -248,7 +248,7 @@
     }
 
     fn log_size(&self) -> u64 {
-        self.log.size()
+        self.log.synced_len()
     }
 
     fn reopen(&mut self) -> Result<Restored, Error> {
--- a/crates/control/src/reserve.rs
+++ b/crates/control/src/reserve.rs
@@ -111,7 +111,7 @@
         }
         self.failed = true;
         self.log.sync()?;
-        if self.log.size() > MAX_LOG_SIZE {
+        if self.log.synced_len() > MAX_LOG_SIZE {
             let ledger = Record { kind: kind::LEDGER, payload: body::pack(&self.reserve_ledger) };
             self.log.replace(&[ledger])?;
         }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -11,4 +11,4 @@
 
 pub use error::Error;
 pub use folder::{Folder, Identity, set_aside};
-pub use log::{Log, Medium, Record};
+pub use log::{Log, Record, SyncWrite};
--- a/crates/store/src/log.rs
+++ b/crates/store/src/log.rs
@@ -21,13 +21,13 @@
 /// Kind of the record that starts a batch.
 const BATCH: u8 = 0;
 
-/// Output that a log is written to.
-pub trait Medium: Write {
+/// A file, or another output, whose writes can be made durable.
+pub trait SyncWrite: Write {
     /// Makes everything written so far durable.
     fn sync(&mut self) -> io::Result<()>;
 }
 
-impl Medium for File {
+impl SyncWrite for File {
     fn sync(&mut self) -> io::Result<()> {
         self.sync_data()
     }
@@ -44,14 +44,14 @@
 
 /// An open log. After a failed write or sync it refuses further writes.
 #[derive(Debug)]
-pub struct Log<M> {
+pub struct Log<W> {
     folder: PathBuf,
     path: PathBuf,
     generation: u64,
-    medium: M,
+    file: W,
     batch: u64,
     buf: Vec<u8>,
-    size: u64,
+    synced_len: u64,
     poisoned: bool,
 }
 
@@ -151,8 +151,8 @@
         truncate(&mut file).map_err(Error::io(&path))?;
         sync_folder(folder)?;
         remove_other_generations(folder, generation)?;
-        let mut log = Log::on(file, folder, generation, contents.batch);
-        log.size = size;
+        let mut log = Log::new(file, folder, generation, contents.batch);
+        log.synced_len = size;
         Ok((log, contents.records))
     }
 
@@ -165,7 +165,7 @@
         let path = log_path(&self.folder, generation);
         let tmp = path.with_extension("tmp");
         let file = File::create(&tmp).map_err(Error::io(&tmp))?;
-        let mut next = Log::on(file, &self.folder, generation, 0);
+        let mut next = Log::new(file, &self.folder, generation, 0);
         for r in records {
             next.append(r.kind, &r.payload);
         }
@@ -176,17 +176,17 @@
     }
 }
 
-impl<M: Medium> Log<M> {
-    /// Returns a log that appends to a medium which already holds `batch` batches.
-    pub fn on(medium: M, folder: &Path, generation: u64, batch: u64) -> Log<M> {
+impl<W: SyncWrite> Log<W> {
+    /// Returns a log that appends to a file which already holds `batch` batches.
+    pub fn new(file: W, folder: &Path, generation: u64, batch: u64) -> Log<W> {
         Log {
             folder: folder.to_owned(),
             path: log_path(folder, generation),
             generation,
-            medium,
+            file,
             batch,
             buf: Vec::new(),
-            size: 0,
+            synced_len: 0,
             poisoned: false,
         }
     }
@@ -210,20 +210,20 @@
             return Ok(());
         }
         self.poisoned = true;
-        self.medium
+        self.file
             .write_all(&self.buf)
-            .and_then(|()| self.medium.sync())
+            .and_then(|()| self.file.sync())
             .map_err(Error::io(&self.path))?;
         self.poisoned = false;
         self.batch += 1;
-        self.size += self.buf.len() as u64;
+        self.synced_len += self.buf.len() as u64;
         self.buf.clear();
         Ok(())
     }
 
     /// Returns the length of the synced log, in bytes.
-    pub fn size(&self) -> u64 {
-        self.size
+    pub fn synced_len(&self) -> u64 {
+        self.synced_len
     }
 }
 
--- a/crates/store/tests/folder.rs
+++ b/crates/store/tests/folder.rs
@@ -5,7 +5,7 @@
 use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
 
-use cypressfork_store::{Error, Folder, Log, Medium, Record, set_aside};
+use cypressfork_store::{Error, Folder, Log, Record, SyncWrite, set_aside};
 use rstest::rstest;
 use tempfile::TempDir;
 
@@ -32,7 +32,7 @@
             log.append(r.kind, &r.payload);
         }
         log.sync().unwrap();
-        ends.push(log.size());
+        ends.push(log.synced_len());
     }
     (dir, ends)
 }
@@ -149,7 +149,7 @@
     }
 }
 
-/// A medium whose writes or syncs fail after the given number of calls.
+/// A file whose writes or syncs fail after the given number of calls.
 struct Faulty {
     writes: u32,
     syncs: u32,
@@ -169,7 +169,7 @@
     }
 }
 
-impl Medium for Faulty {
+impl SyncWrite for Faulty {
     fn sync(&mut self) -> io::Result<()> {
         if self.syncs == 0 {
             return Err(io::Error::other("the device failed"));
@@ -183,7 +183,7 @@
 #[case::disk_full(1, 9)]
 #[case::sync_fails(9, 1)]
 fn a_failed_write_poisons_the_log(#[case] writes: u32, #[case] syncs: u32) {
-    let mut log = Log::on(Faulty { writes, syncs }, Path::new("data"), 1, 0);
+    let mut log = Log::new(Faulty { writes, syncs }, Path::new("data"), 1, 0);
     log.append(1, b"a");
     log.sync().unwrap();
     log.append(1, b"b");
