--- a/crates/control/src/disk.rs
+++ b/crates/control/src/disk.rs
@@ -193,7 +193,7 @@
 impl Disk {
     /// Opens the folder's log, and returns the state restored from it.
     pub fn open(folder: Folder) -> Result<(Disk, Restored), Error> {
-        let (log, records) = folder.log()?;
+        let (log, records) = folder.open_log()?;
         let restored = replay_all(&folder, &records)?;
         Ok((Disk { folder, log }, restored))
     }
@@ -253,7 +253,7 @@
 
     fn reopen(&mut self) -> Result<Restored, Error> {
         self.folder.increment_incarnation()?;
-        let (mut log, records) = self.folder.log()?;
+        let (mut log, records) = self.folder.open_log()?;
         let restored = replay_all(&self.folder, &records)?;
         // Records of a failed sync may be readable without being durable, so the log is rewritten.
         log.replace(&records)?;
--- a/crates/control/src/reserve.rs
+++ b/crates/control/src/reserve.rs
@@ -61,7 +61,7 @@
         fresh: u64,
     ) -> Result<Reserve<T>, Error> {
         let folder = Folder::open(path, region, fresh)?;
-        let (log, records) = folder.log()?;
+        let (log, records) = folder.open_log()?;
         let mut reserve_ledger = ReserveLedger::default();
         for (n, r) in records.iter().enumerate() {
             replay(&mut reserve_ledger, r)
--- a/crates/store/src/folder.rs
+++ b/crates/store/src/folder.rs
@@ -66,7 +66,7 @@
     }
 
     /// Opens the record log, truncates a torn last batch, and returns the log with its records.
-    pub fn log(&self) -> Result<(Log<File>, Vec<Record>), Error> {
+    pub fn open_log(&self) -> Result<(Log<File>, Vec<Record>), Error> {
         Log::open(&self.path)
     }
 
--- a/crates/store/tests/folder.rs
+++ b/crates/store/tests/folder.rs
@@ -24,7 +24,7 @@
 fn three_batches() -> (TempDir, Vec<u64>) {
     let dir = tempfile::tempdir().unwrap();
     let folder = open(dir.path());
-    let (mut log, found) = folder.log().unwrap();
+    let (mut log, found) = folder.open_log().unwrap();
     assert!(found.is_empty());
     let mut ends = Vec::new();
     for n in [1, 3, 5] {
@@ -43,7 +43,7 @@
 }
 
 fn read(dir: &Path) -> Result<Vec<Record>, Error> {
-    Ok(open(dir).log()?.1)
+    Ok(open(dir).open_log()?.1)
 }
 
 #[test]
@@ -83,7 +83,7 @@
     f.set_len(ends[1] + 5).unwrap();
     {
         let folder = open(dir.path());
-        let (mut log, _) = folder.log().unwrap();
+        let (mut log, _) = folder.open_log().unwrap();
         log.append(2, b"more");
         log.sync().unwrap();
     }
@@ -118,7 +118,7 @@
     let (dir, _) = three_batches();
     {
         let folder = open(dir.path());
-        let (mut log, _) = folder.log().unwrap();
+        let (mut log, _) = folder.open_log().unwrap();
         log.replace(&[record(9)]).unwrap();
         log.append(1, b"after");
         log.sync().unwrap();
@@ -140,7 +140,7 @@
     let old = log_file(dir.path());
     let bytes = fs::read(&old).unwrap();
     if renamed {
-        open(dir.path()).log().unwrap().0.replace(&[record(9)]).unwrap();
+        open(dir.path()).open_log().unwrap().0.replace(&[record(9)]).unwrap();
         fs::write(&old, bytes).unwrap();
         assert_eq!(read(dir.path()).unwrap(), vec![record(9)]);
     } else {
@@ -254,7 +254,7 @@
     set_aside(dir.path()).unwrap();
     let folder = Folder::open(dir.path(), GROUP, old + 1).unwrap();
     assert_eq!((folder.identity().node, folder.identity().incarnation), (old + 1, 1));
-    assert!(folder.log().unwrap().1.is_empty());
+    assert!(folder.open_log().unwrap().1.is_empty());
     drop(folder);
     set_aside(dir.path()).unwrap();
     assert!(dir.path().join("outdated-IDENTITY").exists());
--- a/crates/store/tests/fuzz.rs
+++ b/crates/store/tests/fuzz.rs
@@ -25,7 +25,7 @@
 
 fn read(dir: &Path) -> Option<Vec<Record>> {
     let folder = Folder::open(dir, "tas-north", 7).ok()?;
-    Some(folder.log().ok()?.1)
+    Some(folder.open_log().ok()?.1)
 }
 
 #[test]
@@ -39,7 +39,7 @@
         let dir = tempfile::tempdir().unwrap();
         {
             let folder = Folder::open(dir.path(), "tas-north", 7).unwrap();
-            let (mut log, _) = folder.log().unwrap();
+            let (mut log, _) = folder.open_log().unwrap();
             for n in 0..BATCHES {
                 let r = record(n);
                 log.append(r.kind, &r.payload);
