--- a/crates/control/src/disk.rs
+++ b/crates/control/src/disk.rs
@@ -30,7 +30,7 @@
 fn code(e: &Error) -> Code {
     match e {
         Error::InUse(_) => Code::FolderInUse,
-        Error::Foreign(..) => Code::FolderForeign,
+        Error::WrongGroup(..) => Code::FolderForeign,
         Error::Damaged(..) => Code::LogDamaged,
         Error::Snapshot(..) => Code::SnapshotDamaged,
         Error::Io(..) | Error::Poisoned => Code::DiskFailed,
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -14,7 +14,7 @@
             display("{} is in use by another process; stop that process first", path.display())
         }
         /// The folder belongs to another group than the settings name.
-        Foreign(path: PathBuf, theirs: String, ours: String) {
+        WrongGroup(path: PathBuf, theirs: String, ours: String) {
             display("{} belongs to '{}', but the settings name '{}'; use that folder's settings, or an empty folder",
                 path.display(), theirs, ours)
         }
--- a/crates/store/src/folder.rs
+++ b/crates/store/src/folder.rs
@@ -45,7 +45,7 @@
             None => Identity { node: new_id, group: group.to_owned(), incarnation: 0 },
         };
         if identity.group != group {
-            return Err(Error::Foreign(path.to_owned(), identity.group, group.to_owned()));
+            return Err(Error::WrongGroup(path.to_owned(), identity.group, group.to_owned()));
         }
         identity.incarnation += 1;
         write_identity(path, &identity)?;
--- a/crates/store/tests/folder.rs
+++ b/crates/store/tests/folder.rs
@@ -214,7 +214,7 @@
     let dir = tempfile::tempdir().unwrap();
     open(dir.path());
     match Folder::open(dir.path(), "accra", 7) {
-        Err(Error::Foreign(_, theirs, ours)) => assert_eq!((&*theirs, &*ours), (GROUP, "accra")),
+        Err(Error::WrongGroup(_, theirs, ours)) => assert_eq!((&*theirs, &*ours), (GROUP, "accra")),
         other => panic!("{other:?}"),
     }
 }
