--- a/crates/node/src/link.rs
+++ b/crates/node/src/link.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use cypressfork_core::code::Code;
-use cypressfork_wire::auth::{Handshake, Key, NONCE, Opener, Sealer, Side};
-use cypressfork_wire::frame::{self, LENGTH_PREFIX, MAX_FRAME, MAX_HANDSHAKE_FRAME};
+use cypressfork_wire::auth::{Handshake, Key, NONCE_LEN, Opener, Sealer, Side};
+use cypressfork_wire::frame::{self, LENGTH_PREFIX_LEN, MAX_FRAME, MAX_HANDSHAKE_FRAME};
 use cypressfork_wire::{Ask, Frame, Goodbye, decode, encode};
 use metrics::counter;
 use quick_error::quick_error;
@@ -122,7 +122,7 @@
 
 /// Reads one frame of at most `cap` bytes, without its length prefix.
 async fn read_payload(io: &mut BufferedSocket, cap: usize) -> Result<Vec<u8>, Error> {
-    let mut head = [0; LENGTH_PREFIX];
+    let mut head = [0; LENGTH_PREFIX_LEN];
     io.read_exact(&mut head).await?;
     let len = frame::length(head, cap)?;
     let mut buf = vec![0; len];
@@ -160,7 +160,7 @@
     stream.set_nodelay(true)?;
     let (rx, mut tx) = stream.into_split();
     let mut rx = BufReader::with_capacity(READ_BUFFER, rx);
-    let nonce: [u8; NONCE] = rand::random();
+    let nonce: [u8; NONCE_LEN] = rand::random();
     let mut hs = Handshake::new(
         credentials.key.clone(),
         side,
@@ -209,7 +209,7 @@
         let payload = self.opener.open(&sealed)?;
         let f = decode(payload)?;
         let purpose = self.purpose.label(&f);
-        let bytes = (LENGTH_PREFIX + sealed.len()) as u64;
+        let bytes = (LENGTH_PREFIX_LEN + sealed.len()) as u64;
         counter!(metric::LINK_RECEIVED, "purpose" => purpose).increment(bytes);
         Ok(f)
     }
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use cypressfork_wire::frame::{self, LENGTH_PREFIX, MAX_HANDSHAKE_FRAME};
+use cypressfork_wire::frame::{self, LENGTH_PREFIX_LEN, MAX_HANDSHAKE_FRAME};
 use cypressfork_wire::{Frame, decode};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
@@ -122,7 +122,7 @@
 ) -> io::Result<()> {
     client.set_nodelay(true)?;
     let (mut client_rx, client_tx) = client.into_split();
-    let mut head = [0; LENGTH_PREFIX];
+    let mut head = [0; LENGTH_PREFIX_LEN];
     client_rx.read_exact(&mut head).await?;
     let len = frame::length(head, MAX_HANDSHAKE_FRAME).map_err(io::Error::other)?;
     let mut hello = vec![0; len];
--- a/crates/wire/src/auth.rs
+++ b/crates/wire/src/auth.rs
@@ -15,10 +15,10 @@
 pub const VERSION: i32 = 1;
 
 /// Length of the authentication code of a frame, in bytes.
-pub const CODE: usize = 16;
+pub const MAC_LEN: usize = 16;
 
 /// Length of a handshake nonce, in bytes.
-pub const NONCE: usize = 32;
+pub const NONCE_LEN: usize = 32;
 
 /// A secret key for HMAC-SHA-256: the cluster's key or a session key.
 #[derive(Clone)]
@@ -77,7 +77,13 @@
 
 impl Handshake {
     /// Starts a handshake. The caller provides a fresh random nonce.
-    pub fn new(key: Key, side: Side, cluster: &str, name: &str, nonce: [u8; NONCE]) -> Handshake {
+    pub fn new(
+        key: Key,
+        side: Side,
+        cluster: &str,
+        name: &str,
+        nonce: [u8; NONCE_LEN],
+    ) -> Handshake {
         let mine = Hello::new(VERSION, cluster.to_owned(), name.to_owned(), nonce.to_vec());
         Handshake { key, side, mine, theirs: None }
     }
@@ -99,7 +105,7 @@
         if h.cluster != self.mine.cluster {
             return Err(Error::Cluster(h.cluster));
         }
-        if h.nonce.len() != NONCE || h.nonce == self.mine.nonce {
+        if h.nonce.len() != NONCE_LEN || h.nonce == self.mine.nonce {
             return Err(Error::Forged);
         }
         self.theirs = Some(h);
@@ -157,7 +163,7 @@
     pub fn seal(&mut self, mut payload: Vec<u8>) -> Vec<u8> {
         let code = self.key.mac(&[&self.seq.to_be_bytes(), &payload]).finalize().into_bytes();
         self.seq += 1;
-        payload.extend_from_slice(&code[..CODE]);
+        payload.extend_from_slice(&code[..MAC_LEN]);
         payload
     }
 }
@@ -165,7 +171,7 @@
 impl Opener {
     /// Returns the payload of the next frame, or [`Error::Forged`] if its code does not match.
     pub fn open<'a>(&mut self, sealed: &'a [u8]) -> Result<&'a [u8], Error> {
-        let at = sealed.len().checked_sub(CODE).ok_or(Error::Forged)?;
+        let at = sealed.len().checked_sub(MAC_LEN).ok_or(Error::Forged)?;
         let (payload, code) = sealed.split_at(at);
         let mac = self.key.mac(&[&self.seq.to_be_bytes(), payload]);
         mac.verify_truncated_left(code).map_err(|_| Error::Forged)?;
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -5,7 +5,7 @@
 use crate::{Error, Frame};
 
 /// Length of the length prefix of a frame, in bytes.
-pub const LENGTH_PREFIX: usize = 4;
+pub const LENGTH_PREFIX_LEN: usize = 4;
 
 /// Maximum size of a frame on an authenticated link, in bytes.
 pub const MAX_FRAME: usize = 8 * 1024 * 1024;
@@ -29,7 +29,7 @@
 }
 
 /// Returns the frame length in the prefix `head`, or [`Error::TooLarge`] if it exceeds `cap`.
-pub fn length(head: [u8; LENGTH_PREFIX], cap: usize) -> Result<usize, Error> {
+pub fn length(head: [u8; LENGTH_PREFIX_LEN], cap: usize) -> Result<usize, Error> {
     let len = u32::from_be_bytes(head) as usize;
     if len > cap { Err(Error::TooLarge(len, cap)) } else { Ok(len) }
 }
@@ -37,7 +37,7 @@
 /// Returns the payload with its length prefix.
 pub fn prefixed(payload: &[u8]) -> Vec<u8> {
     let len = u32::try_from(payload.len()).expect("a payload is far below 4 GiB");
-    let mut out = Vec::with_capacity(LENGTH_PREFIX + payload.len());
+    let mut out = Vec::with_capacity(LENGTH_PREFIX_LEN + payload.len());
     out.extend_from_slice(&len.to_be_bytes());
     out.extend_from_slice(payload);
     out
--- a/crates/wire/tests/wire.rs
+++ b/crates/wire/tests/wire.rs
@@ -6,7 +6,7 @@
     Append, Body, Entry, Members, Message, Payload, PeerState, Position, SnapshotChunk,
     SnapshotMeta,
 };
-use cypressfork_wire::auth::{Handshake, Key, NONCE, Opener, Sealer, Side};
+use cypressfork_wire::auth::{Handshake, Key, NONCE_LEN, Opener, Sealer, Side};
 use cypressfork_wire::frame::{MAX_FRAME, MAX_HANDSHAKE_FRAME, length, prefixed};
 use cypressfork_wire::{Error, Frame, decode, encode, from_raft, into_raft};
 use proptest::prelude::*;
@@ -103,7 +103,7 @@
 }
 
 fn handshake(side: Side, key: &str, cluster: &str, nonce: u8) -> Handshake {
-    Handshake::new(Key::new(key.as_bytes()), side, cluster, "entry-1", [nonce; NONCE])
+    Handshake::new(Key::new(key.as_bytes()), side, cluster, "entry-1", [nonce; NONCE_LEN])
 }
 
 const KEY: &str = "0123456789abcdef0123456789abcdef";
