--- a/crates/node/src/link.rs
+++ b/crates/node/src/link.rs
@@ -124,7 +124,7 @@
 async fn read_payload(io: &mut BufferedSocket, cap: usize) -> Result<Vec<u8>, Error> {
     let mut head = [0; LENGTH_PREFIX_LEN];
     io.read_exact(&mut head).await?;
-    let len = frame::length(head, cap)?;
+    let len = frame::parse_length(head, cap)?;
     let mut buf = vec![0; len];
     io.read_exact(&mut buf).await?;
     Ok(buf)
@@ -168,13 +168,13 @@
         &credentials.name,
         nonce,
     );
-    tx.write_all(&frame::prefixed(&hs.hello())).await?;
+    tx.write_all(&frame::add_length_prefix(&hs.hello())).await?;
     let hello = read_handshake(&mut rx).await?;
     let proof = match hs.on_hello(&hello) {
         Ok(p) => p,
         Err(e) => return refuse(&mut tx, e).await,
     };
-    tx.write_all(&frame::prefixed(&proof)).await?;
+    tx.write_all(&frame::add_length_prefix(&proof)).await?;
     let peer_proof = read_handshake(&mut rx).await?;
     match hs.on_proof(&peer_proof) {
         Ok((peer, sealer, opener)) => {
@@ -198,7 +198,7 @@
 /// Sends the reason to the peer and returns the error.
 async fn refuse(tx: &mut OwnedWriteHalf, e: cypressfork_wire::Error) -> Result<Link, Error> {
     let bye = Goodbye::new(i32::from(Code::LinkRefused.number()), e.to_string());
-    tx.write_all(&frame::prefixed(&encode(&Frame::Goodbye(bye)))).await?;
+    tx.write_all(&frame::add_length_prefix(&encode(&Frame::Goodbye(bye)))).await?;
     Err(Error::Wire(e))
 }
 
@@ -218,7 +218,7 @@
 impl Writer {
     /// Sends a message. Fails with [`Error::Slow`] if the peer does not read it in time.
     pub async fn send(&mut self, f: &Frame) -> Result<(), Error> {
-        let bytes = frame::prefixed(&self.sealer.seal(encode(f)));
+        let bytes = frame::add_length_prefix(&self.sealer.seal(encode(f)));
         let purpose = self.purpose.label(f);
         counter!(metric::LINK_SENT, "purpose" => purpose).increment(bytes.len() as u64);
         match timeout(WRITE_TIMEOUT, self.io.write_all(&bytes)).await {
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -124,7 +124,7 @@
     let (mut client_rx, client_tx) = client.into_split();
     let mut head = [0; LENGTH_PREFIX_LEN];
     client_rx.read_exact(&mut head).await?;
-    let len = frame::length(head, MAX_HANDSHAKE_FRAME).map_err(io::Error::other)?;
+    let len = frame::parse_length(head, MAX_HANDSHAKE_FRAME).map_err(io::Error::other)?;
     let mut hello = vec![0; len];
     client_rx.read_exact(&mut hello).await?;
     let from = match decode(&hello) {
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -29,13 +29,13 @@
 }
 
 /// Returns the frame length in the prefix `head`, or [`Error::TooLarge`] if it exceeds `cap`.
-pub fn length(head: [u8; LENGTH_PREFIX_LEN], cap: usize) -> Result<usize, Error> {
+pub fn parse_length(head: [u8; LENGTH_PREFIX_LEN], cap: usize) -> Result<usize, Error> {
     let len = u32::from_be_bytes(head) as usize;
     if len > cap { Err(Error::TooLarge(len, cap)) } else { Ok(len) }
 }
 
 /// Returns the payload with its length prefix.
-pub fn prefixed(payload: &[u8]) -> Vec<u8> {
+pub fn add_length_prefix(payload: &[u8]) -> Vec<u8> {
     let len = u32::try_from(payload.len()).expect("a payload is far below 4 GiB");
     let mut out = Vec::with_capacity(LENGTH_PREFIX_LEN + payload.len());
     out.extend_from_slice(&len.to_be_bytes());
--- a/crates/wire/tests/wire.rs
+++ b/crates/wire/tests/wire.rs
@@ -7,7 +7,7 @@
     SnapshotMeta,
 };
 use cypressfork_wire::auth::{Handshake, Key, NONCE_LEN, Opener, Sealer, Side};
-use cypressfork_wire::frame::{MAX_FRAME, MAX_HANDSHAKE_FRAME, length, prefixed};
+use cypressfork_wire::frame::{MAX_FRAME, MAX_HANDSHAKE_FRAME, add_length_prefix, parse_length};
 use cypressfork_wire::{Error, Frame, decode, encode, from_raft, into_raft};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -97,9 +97,9 @@
 #[test]
 fn a_length_over_the_cap_is_refused_before_anything_is_read() {
     let head = (MAX_HANDSHAKE_FRAME as u32 + 1).to_be_bytes();
-    assert!(matches!(length(head, MAX_HANDSHAKE_FRAME), Err(Error::TooLarge(..))));
-    assert!(length(head, MAX_FRAME).is_ok());
-    assert_eq!(prefixed(b"abc"), [0, 0, 0, 3, b'a', b'b', b'c']);
+    assert!(matches!(parse_length(head, MAX_HANDSHAKE_FRAME), Err(Error::TooLarge(..))));
+    assert!(parse_length(head, MAX_FRAME).is_ok());
+    assert_eq!(add_length_prefix(b"abc"), [0, 0, 0, 3, b'a', b'b', b'c']);
 }
 
 fn handshake(side: Side, key: &str, cluster: &str, nonce: u8) -> Handshake {
