--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -48,12 +48,12 @@
     Stale,
     /// The connection ended; the server may have run the request.
     Closed(String),
-    /// The response is malformed; the server may have run the request.
-    Sent(String),
+    /// A message is malformed or too large; the server may have run the request.
+    Protocol(String),
 }
 
-fn sent(e: impl ToString) -> ExchangeError {
-    ExchangeError::Sent(e.to_string())
+fn protocol_error(e: impl ToString) -> ExchangeError {
+    ExchangeError::Protocol(e.to_string())
 }
 
 /// A request to send.
@@ -169,13 +169,15 @@
             _ => BodySize::Sized(o.body.len() as u64),
         };
         let mut out = BytesMut::with_capacity(1024 + o.body.len());
-        let Some(Codec::Head(codec)) = &mut self.codec else { return Err(sent("out of step")) };
+        let Some(Codec::Head(codec)) = &mut self.codec else {
+            return Err(protocol_error("out of step"));
+        };
         let item = Message::Item((RequestHeadType::Owned(head), size));
-        codec.encode(item, &mut out).map_err(sent)?;
+        codec.encode(item, &mut out).map_err(protocol_error)?;
         if !o.body.is_empty() {
-            codec.encode(Message::Chunk(Some(o.body.clone())), &mut out).map_err(sent)?;
+            codec.encode(Message::Chunk(Some(o.body.clone())), &mut out).map_err(protocol_error)?;
         }
-        codec.encode(Message::Chunk(None), &mut out).map_err(sent)?;
+        codec.encode(Message::Chunk(None), &mut out).map_err(protocol_error)?;
         self.has_received = false;
         self.stream.write_all(&out).await.map_err(|e| self.close_error(&e.to_string()))
     }
@@ -207,14 +209,14 @@
     pub async fn read_head(&mut self) -> Result<ResponseHead, ExchangeError> {
         loop {
             let Some(Codec::Head(codec)) = &mut self.codec else {
-                return Err(sent("out of step"));
+                return Err(protocol_error("out of step"));
             };
-            if let Some(head) = codec.decode(&mut self.buf).map_err(sent)? {
+            if let Some(head) = codec.decode(&mut self.buf).map_err(protocol_error)? {
                 self.begin_body(&head);
                 return Ok(head);
             }
             if self.buf.len() > MAX_HEAD {
-                return Err(sent("the head of the answer is too large"));
+                return Err(protocol_error("the head of the answer is too large"));
             }
             if !self.fill().await? {
                 return Err(self.close_error("the connection closed before an answer"));
@@ -242,14 +244,16 @@
     pub async fn read_chunk(&mut self) -> Result<Option<Bytes>, ExchangeError> {
         loop {
             match &mut self.codec {
-                Some(Codec::Body(codec)) => match codec.decode(&mut self.buf).map_err(sent)? {
-                    Some(Some(chunk)) => return Ok(Some(chunk)),
-                    Some(None) => {
-                        self.end_body();
-                        return Ok(None);
+                Some(Codec::Body(codec)) => {
+                    match codec.decode(&mut self.buf).map_err(protocol_error)? {
+                        Some(Some(chunk)) => return Ok(Some(chunk)),
+                        Some(None) => {
+                            self.end_body();
+                            return Ok(None);
+                        }
+                        None => {}
                     }
-                    None => {}
-                },
+                }
                 Some(Codec::UntilClose) if !self.buf.is_empty() => {
                     return Ok(Some(self.buf.split().freeze()));
                 }
--- a/crates/router/src/gateway/attempt.rs
+++ b/crates/router/src/gateway/attempt.rs
@@ -97,7 +97,7 @@
                 AttemptOutcome::Lost("the kept connection was closed".to_owned())
             }
             ExchangeError::Closed(why) => AttemptOutcome::Lost(why),
-            ExchangeError::Sent(why) => AttemptOutcome::Broken(why),
+            ExchangeError::Protocol(why) => AttemptOutcome::Broken(why),
         }
     }
 }
@@ -368,7 +368,7 @@
     let mut body = BytesMut::new();
     while let Some(chunk) = connection.read_chunk().await? {
         if body.len() + chunk.len() > MAX_BODY_BYTES {
-            return Err(ExchangeError::Sent("the answer is too large".to_owned()));
+            return Err(ExchangeError::Protocol("the answer is too large".to_owned()));
         }
         body.extend_from_slice(&chunk);
     }
--- a/crates/router/src/gateway/stream.rs
+++ b/crates/router/src/gateway/stream.rs
@@ -121,7 +121,9 @@
     match timeout_at(until, connection.read_chunk()).await {
         Ok(Ok(Some(bytes))) => ReadOutcome::Bytes(bytes),
         Ok(Ok(None)) => ReadOutcome::End,
-        Ok(Err(ExchangeError::Sent(why) | ExchangeError::NotSent(why))) => ReadOutcome::Broken(why),
+        Ok(Err(ExchangeError::Protocol(why) | ExchangeError::NotSent(why))) => {
+            ReadOutcome::Broken(why)
+        }
         Ok(Err(ExchangeError::Closed(why))) => ReadOutcome::Lost(why),
         Ok(Err(ExchangeError::Stale)) => ReadOutcome::Lost("the connection was closed".to_owned()),
         Err(_) => ReadOutcome::DeadlinePassed,
--- a/crates/soak/src/caller.rs
+++ b/crates/soak/src/caller.rs
@@ -242,7 +242,7 @@
                 ExchangeError::NotSent(_)
                 | ExchangeError::Stale
                 | ExchangeError::Closed(_)
-                | ExchangeError::Sent(_),
+                | ExchangeError::Protocol(_),
             ) => {
                 return Outcome::Cut { begun: true, events };
             }
--- a/crates/soak/src/http.rs
+++ b/crates/soak/src/http.rs
@@ -45,7 +45,7 @@
     while let Some(chunk) = c.read_chunk().await? {
         all.extend_from_slice(&chunk);
         if all.len() > MAX_BODY {
-            return Err(ExchangeError::Sent("the answer is too large".to_owned()));
+            return Err(ExchangeError::Protocol("the answer is too large".to_owned()));
         }
     }
     Ok(all.freeze())
