--- a/crates/http/src/operators.rs
+++ b/crates/http/src/operators.rs
@@ -45,14 +45,14 @@
 
 fn respond(metrics: &PrometheusHandle, req: &Request) -> Response<Body> {
     match (req.method(), req.path()) {
-        (&Method::GET, "/healthz") => text(StatusCode::OK, "alive\n".to_owned()),
-        (&Method::GET, "/metrics") => text(StatusCode::OK, metrics.render()),
-        _ => text(StatusCode::NOT_FOUND, "there are /healthz and /metrics\n".to_owned()),
+        (&Method::GET, "/healthz") => text_response(StatusCode::OK, "alive\n".to_owned()),
+        (&Method::GET, "/metrics") => text_response(StatusCode::OK, metrics.render()),
+        _ => text_response(StatusCode::NOT_FOUND, "there are /healthz and /metrics\n".to_owned()),
     }
 }
 
 /// Returns a plain-text response, with the content type of the Prometheus text format.
-pub fn text(status: StatusCode, s: String) -> Response<Body> {
+pub fn text_response(status: StatusCode, s: String) -> Response<Body> {
     let mut r = Response::with_body(status, Body::Full(Bytes::from(s)));
     let kind = HeaderValue::from_static("text/plain; version=0.0.4");
     r.headers_mut().insert(CONTENT_TYPE, kind);
--- a/crates/router/src/gateway/run.rs
+++ b/crates/router/src/gateway/run.rs
@@ -116,7 +116,7 @@
     match (req.method(), path) {
         (&Method::GET, "/healthz") => json_response(StatusCode::OK, &json!({ "alive": true })),
         (&Method::GET, BACKOFFS_PATH) => list_backoffs(gw),
-        (&Method::GET, "/metrics") => operators::text(StatusCode::OK, metrics.render()),
+        (&Method::GET, "/metrics") => operators::text_response(StatusCode::OK, metrics.render()),
         _ => json_response(
             StatusCode::NOT_FOUND,
             &json!({ "paths": [gw.settings.ready_path, "/healthz", BACKOFFS_PATH, "/metrics"] }),
--- a/crates/router/src/ops.rs
+++ b/crates/router/src/ops.rs
@@ -19,7 +19,7 @@
         (&Method::GET, "/readyz") => readiness(app),
         (&Method::GET, "/metrics") => {
             update_gauges(app);
-            operators::text(StatusCode::OK, metrics.render())
+            operators::text_response(StatusCode::OK, metrics.render())
         }
         _ => json_response(
             StatusCode::NOT_FOUND,
