--- a/crates/control/src/feed_cache.rs
+++ b/crates/control/src/feed_cache.rs
@@ -6,7 +6,7 @@
 
 use cypressfork_core::fleet::registry::{Batch, Record, Registry};
 use cypressfork_core::unit::{Millis, Time};
-use cypressfork_wire::packed;
+use cypressfork_wire::compression;
 use serde_bytes::ByteBuf;
 
 /// Minimum number of records that are compressed.
@@ -71,7 +71,7 @@
             return Changes { records, packed: None, position };
         }
         let full = records.len() == limit;
-        let packed = Some(ByteBuf::from(packed::pack_value(&records)));
+        let packed = Some(ByteBuf::from(compression::compress_value(&records)));
         let changes = Changes { records: Vec::new(), packed, position };
         if self.by_since.len() == MAX_POSITIONS {
             self.by_since.clear();
--- a/crates/control/src/fleet_view.rs
+++ b/crates/control/src/fleet_view.rs
@@ -20,7 +20,7 @@
 use cypressfork_core::unit::{Millis, Time, Version};
 use cypressfork_node::event::Event;
 use cypressfork_node::{emit, metric};
-use cypressfork_wire::packed;
+use cypressfork_wire::compression;
 use metrics::gauge;
 
 use crate::feed_cache::{Changes, FeedCache};
@@ -262,7 +262,7 @@
         if due.iter().any(|w| w.is_behind(f.version))
             && self.packed_documents.newest_version() < f.version
         {
-            self.packed_documents.insert(f.version, packed::pack(f.source));
+            self.packed_documents.insert(f.version, compression::compress_text(f.source));
         }
         self.directory.refresh(now, f.registered.iter(), &self.routers);
         due.into_iter()
--- a/crates/control/tests/feed_cache.rs
+++ b/crates/control/tests/feed_cache.rs
@@ -7,7 +7,7 @@
     Record, RecordSource, Registration, Registry, ReplicaStatus,
 };
 use cypressfork_core::unit::{Millis, Time};
-use cypressfork_wire::{body, packed};
+use cypressfork_wire::{body, compression};
 
 fn record(n: usize, sequence: u64) -> Record {
     let registration = Registration {
@@ -26,7 +26,7 @@
 }
 
 fn records(c: Changes) -> Vec<Record> {
-    let packed = c.packed.map(|b| packed::unpack_value(&b).unwrap());
+    let packed = c.packed.map(|b| compression::decompress_value(&b).unwrap());
     packed.unwrap_or(c.records)
 }
 
--- a/crates/router/src/gateway/documents.rs
+++ b/crates/router/src/gateway/documents.rs
@@ -13,7 +13,7 @@
 use cypressfork_core::unit::{Millis, Time, Version};
 use cypressfork_node::emit;
 use cypressfork_node::event::Event;
-use cypressfork_wire::packed;
+use cypressfork_wire::compression;
 use tokio::time::sleep;
 
 use super::state::Gateway;
@@ -176,7 +176,7 @@
 /// Decompresses a document and puts it in force if it is newer than the current one.
 fn put_in_force<F: DocumentFormat>(gw: &Gateway, bytes: &[u8]) {
     let held = gw.documents.version();
-    let source = match packed::unpack(bytes) {
+    let source = match compression::decompress_text(bytes) {
         Ok(source) => source,
         Err(e) => return emit!(Event::MessageBad, why = e),
     };
--- a/crates/router/src/gateway/follow.rs
+++ b/crates/router/src/gateway/follow.rs
@@ -19,7 +19,7 @@
 use cypressfork_node::metric;
 use cypressfork_node::poll_trigger::PollTrigger;
 use cypressfork_node::watch::{Watcher, watch};
-use cypressfork_wire::packed;
+use cypressfork_wire::compression;
 use metrics::counter;
 use tokio::time::sleep;
 
@@ -175,7 +175,7 @@
 
 /// Applies a compressed list of replica records.
 fn apply_packed_records(gw: &Gateway, from: SocketAddr, packed: &[u8]) {
-    match packed::unpack_value::<Vec<Record>>(packed) {
+    match compression::decompress_value::<Vec<Record>>(packed) {
         Ok(records) => gw.apply_control_records(records),
         Err(e) => emit!(Event::MessageBad, peer = from, why = e),
     }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -5,10 +5,10 @@
 
 pub mod auth;
 pub mod body;
+pub mod compression;
 mod convert;
 pub mod frame;
 mod generated;
-pub mod packed;
 
 use quick_error::quick_error;
 
--- a/crates/wire/tests/fuzz.rs
+++ b/crates/wire/tests/fuzz.rs
@@ -1,4 +1,4 @@
-//! Fuzz tests of the decoders for call bodies and packed documents: any input must give a value or an
+//! Fuzz tests of the decoders for call bodies and compressed documents: any input must give a value or an
 //! error, without a panic or a huge allocation.
 //!
 //! CI runs 5000 cases with a fixed seed; `FUZZ_CASES=1000000 cargo test --release -p cypressfork-wire
@@ -15,7 +15,7 @@
 use cypressfork_core::query::{Query, Reply};
 use cypressfork_core::raft::Members;
 use cypressfork_core::unit::Millis;
-use cypressfork_wire::{body, packed};
+use cypressfork_wire::{body, compression};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use serde::de::DeserializeOwned;
@@ -122,19 +122,22 @@
 }
 
 #[test]
-fn every_text_comes_back_from_its_packed_bytes() {
+fn every_text_comes_back_from_its_compressed_bytes() {
     let result = runner().run(&".{0,400}", |text| {
-        prop_assert_eq!(packed::unpack(&packed::pack(&text)).unwrap(), text);
+        prop_assert_eq!(
+            compression::decompress_text(&compression::compress_text(&text)).unwrap(),
+            text
+        );
         Ok(())
     });
     result.unwrap();
 }
 
 #[test]
-fn packed_bytes_that_were_changed_are_a_text_or_an_error() {
-    let valid = packed::pack(&"route /a/ to board; ".repeat(200));
+fn compressed_bytes_that_were_changed_are_a_text_or_an_error() {
+    let valid = compression::compress_text(&"route /a/ to board; ".repeat(200));
     let result = runner().run(&edits(), |edits| {
-        if let Ok(text) = packed::unpack(&apply_edits(&valid, &edits)) {
+        if let Ok(text) = compression::decompress_text(&apply_edits(&valid, &edits)) {
             prop_assert!(text.len() <= 8_000, "{} bytes", text.len());
         }
         Ok(())
