--- a/crates/control/src/founding.rs
+++ b/crates/control/src/founding.rs
@@ -73,7 +73,7 @@
     if group.call(Ask::Announce(body::pack(&a)), GROUP_TIMEOUT).await.is_err() {
         return;
     }
-    emit!(Event::GroupSought, node = format_args!("{:016x}", status.node));
+    emit!(Event::JoinAnnounced, node = format_args!("{:016x}", status.node));
     if status.rejoining
         && let Ok(Reply::Members(members)) = group.query(&Query::Members, GROUP_TIMEOUT).await
     {
--- a/crates/control/src/leader_tasks.rs
+++ b/crates/control/src/leader_tasks.rs
@@ -77,7 +77,7 @@
         let Some(change) = change else { return };
         // The change is refused while another one is in progress, and tried again later.
         if self.raft.change(at.now, &change).is_ok() {
-            emit!(Event::RepairBegun, change = format_args!("{change:?}"));
+            emit!(Event::RepairStarted, change = format_args!("{change:?}"));
         }
     }
 
@@ -174,7 +174,7 @@
         }
         for h in silent {
             if self.leader_tasks.lapsed.insert(h) {
-                emit!(Event::RouterLapsed, holder = h);
+                emit!(Event::RouterExpired, holder = h);
                 self.propose_internal(at, &Command::Lapse(h));
             }
         }
--- a/crates/control/src/links.rs
+++ b/crates/control/src/links.rs
@@ -46,7 +46,7 @@
             Ok(Frame::Raft(m)) => match (m.reply_to.clone(), into_raft(m)) {
                 (reply_to, Ok(m)) => Input::Raft(m, reply_to),
                 (_, Err(e)) => {
-                    emit!(Event::MessageBad, peer = peer, why = e);
+                    emit!(Event::MessageInvalid, peer = peer, why = e);
                     break e.to_string();
                 }
             },
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -441,7 +441,7 @@
         let Some(f) = self.state.ledger().get(&request.budget) else { return };
         if self.raft.is_leader() {
             emit!(
-                Event::BudgetShort,
+                Event::BudgetInsufficient,
                 budget = request.budget,
                 holder = request.holder,
                 need = request.need,
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -256,7 +256,7 @@
                     let known = r.is_registered();
                     r.handle_answer(at.wall, &c, &a, self.machine.state());
                     if !known && r.is_registered() {
-                        emit!(Event::ReserveEnlisted);
+                        emit!(Event::ReserveRegistered);
                     }
                 }
             }
--- a/crates/control/src/server/fleet.rs
+++ b/crates/control/src/server/fleet.rs
@@ -91,7 +91,7 @@
             Call::Heartbeat(r) if !self.machine.state().names_service(&r.registration.service) => {
                 counter!(metric::UNKNOWN_SERVICES).increment(1);
                 let Registration { id, service, .. } = &r.registration;
-                emit!(Event::ServiceUnnamed, replica = id, service = service);
+                emit!(Event::ServiceUnknown, replica = id, service = service);
                 CallAnswer::Accepted
             }
             Call::Heartbeat(r) if r.standing < ReplicaStatus::Draining || has_leader => {
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -145,7 +145,7 @@
                 apply(s);
                 emit!(Event::SettingsReloaded);
             }
-            Err((code, why)) => emit!(Event::SettingsKept, code = code.number(), why = why),
+            Err((code, why)) => emit!(Event::SettingsReloadFailed, code = code.number(), why = why),
         }
     }
 }
--- a/crates/node/src/time.rs
+++ b/crates/node/src/time.rs
@@ -36,7 +36,7 @@
         if let Some(origin) = read_clock(BOOT_CLOCK) {
             return Clock { id: BOOT_CLOCK, origin };
         }
-        emit!(Event::ClockSteady);
+        emit!(Event::BootClockUnavailable);
         let id = ClockId::CLOCK_MONOTONIC;
         Clock { id, origin: read_clock(id).unwrap_or_default() }
     }
--- a/crates/router/src/app.rs
+++ b/crates/router/src/app.rs
@@ -164,7 +164,7 @@
     pub fn observe_vms(&self, list: &BTreeMap<String, ListedState>) {
         let changes = self.vms.borrow_mut().observe(self.clock.now(), list);
         for (vm, leaving) in &changes {
-            let event = if *leaving { Event::UpstreamLeaving } else { Event::UpstreamStays };
+            let event = if *leaving { Event::UpstreamLeaving } else { Event::UpstreamNotLeaving };
             emit!(event, vm = vm);
         }
         if !changes.is_empty() {
--- a/crates/router/src/follow.rs
+++ b/crates/router/src/follow.rs
@@ -54,7 +54,7 @@
             emit!(Event::RouterRegistered, holder = holder);
             return holder;
         }
-        emit!(Event::ControlLost);
+        emit!(Event::ControlUnreachable);
         sleep(RETRY_DELAY).await;
     }
 }
@@ -69,7 +69,7 @@
         match app.group.query(&q, FOLLOW_TIMEOUT).await {
             Ok(Reply::News(update)) => {
                 if !connected {
-                    emit!(Event::ControlFound);
+                    emit!(Event::ControlReachable);
                 }
                 connected = true;
                 set_group_unreachable(app, false);
@@ -80,7 +80,7 @@
             }
             _ => {
                 if connected {
-                    emit!(Event::ControlLost);
+                    emit!(Event::ControlUnreachable);
                 }
                 connected = false;
                 set_group_unreachable(app, true);
--- a/crates/router/src/gateway/documents.rs
+++ b/crates/router/src/gateway/documents.rs
@@ -101,7 +101,7 @@
     }
     let is_highest = docs.fetch.borrow_mut().record_version(from, version);
     if is_highest && version > docs.version() {
-        emit!(Event::DocumentKnown, version = version, from = from, held = docs.version());
+        emit!(Event::DocumentAnnounced, version = version, from = from, held = docs.version());
     }
     start_fetch(gw, None);
 }
@@ -118,7 +118,7 @@
 fn replace_source(gw: &Rc<Gateway>, abandoned: AbandonedSource, why: &str) {
     let has = gw.documents.assembly.borrow().want(0).offset;
     emit!(
-        Event::DocumentGivenUp,
+        Event::DocumentTimedOut,
         from = abandoned.from,
         after_ms = abandoned.after.0,
         has = has,
@@ -137,7 +137,7 @@
     };
     let has = docs.assembly.borrow().want(held).offset;
     let version = docs.fetch.borrow().version_at(address);
-    emit!(Event::DocumentAsked, version = version, from = address, held = held, has = has);
+    emit!(Event::DocumentRequested, version = version, from = address, held = held, has = has);
     gw.poll_now(address);
     if !docs.checker_running.replace(true) {
         actix_rt::spawn(check_fetch(gw.clone()));
@@ -167,7 +167,11 @@
             put_in_force::<F>(gw, &bytes);
         }
         PartOutcome::Corrupt => {
-            emit!(Event::MessageBad, peer = from, why = "the digest of a document does not match")
+            emit!(
+                Event::MessageInvalid,
+                peer = from,
+                why = "the digest of a document does not match"
+            )
         }
         PartOutcome::Incomplete | PartOutcome::Ignored => {}
     }
@@ -178,12 +182,12 @@
     let held = gw.documents.version();
     let source = match compression::decompress_text(bytes) {
         Ok(source) => source,
-        Err(e) => return emit!(Event::MessageBad, why = e),
+        Err(e) => return emit!(Event::MessageInvalid, why = e),
     };
     match F::parse(&source) {
         Ok(d) if d.version > held => {
             emit!(
-                Event::DocumentSeen,
+                Event::DocumentApplied,
                 version = d.version,
                 before = held,
                 bytes = source.len(),
--- a/crates/router/src/gateway/follow.rs
+++ b/crates/router/src/gateway/follow.rs
@@ -177,7 +177,7 @@
 fn apply_packed_records(gw: &Gateway, from: SocketAddr, packed: &[u8]) {
     match compression::decompress_value::<Vec<Record>>(packed) {
         Ok(records) => gw.apply_control_records(records),
-        Err(e) => emit!(Event::MessageBad, peer = from, why = e),
+        Err(e) => emit!(Event::MessageInvalid, peer = from, why = e),
     }
 }
 
@@ -243,7 +243,7 @@
             emit!(Event::RouterRegistered, holder = holder);
             return holder;
         }
-        emit!(Event::ControlLost);
+        emit!(Event::ControlUnreachable);
         sleep(RETRY_DELAY).await;
     }
 }
@@ -257,7 +257,7 @@
         let answer = gw.group.query(&q, RECALLS_TIMEOUT).await;
         let answered = matches!(answer, Ok(Reply::News(_)));
         if answered != is_reachable {
-            emit!(if answered { Event::ControlFound } else { Event::ControlLost });
+            emit!(if answered { Event::ControlReachable } else { Event::ControlUnreachable });
         }
         is_reachable = answered;
         let Some(token_store) = gw.token_store() else { return };
--- a/crates/router/src/gateway/limits.rs
+++ b/crates/router/src/gateway/limits.rs
@@ -186,7 +186,7 @@
             logged.clear();
         }
         if logged.insert(replica.to_owned()) {
-            emit!(Event::LimitUnreadable, replica = replica, id = id);
+            emit!(Event::LimitInvalid, replica = replica, id = id);
         }
     }
 
--- a/crates/router/src/gateway/quarantine.rs
+++ b/crates/router/src/gateway/quarantine.rs
@@ -88,7 +88,7 @@
         *self.briefs.borrow_mut() = all.map(|f| f.brief).collect();
         gauge!(metric::QUARANTINED).set(list.quarantined.len() as f64);
         emit!(
-            Event::QuarantineSeen,
+            Event::QuarantineListChanged,
             revision = list.revision,
             quarantined = list.quarantined.len(),
             suspects = list.suspects.len(),
--- a/crates/router/src/gateway/rollouts.rs
+++ b/crates/router/src/gateway/rollouts.rs
@@ -94,7 +94,7 @@
         let mut observed = self.observed.borrow_mut();
         for (service, r) in &changed {
             emit!(
-                Event::RolloutSeen,
+                Event::RolloutStageChanged,
                 service = service,
                 version = r.version,
                 revision = r.revision,
--- a/crates/router/src/gateway/server.rs
+++ b/crates/router/src/gateway/server.rs
@@ -70,7 +70,7 @@
         drop(listener);
         counter!(metric::ACCEPT_PAUSES).increment(1);
         emit!(
-            Event::LinkFull,
+            Event::LinkSaturated,
             used = gw.load_monitor.borrow().link_utilisation(),
             active = gw.active_connections.get()
         );
--- a/crates/router/src/gateway/share.rs
+++ b/crates/router/src/gateway/share.rs
@@ -179,7 +179,7 @@
             _ => {
                 // The home may have reserved tokens although no response arrived.
                 loan(0).settle(0);
-                emit!(Event::HomeLost, address = home, account = account);
+                emit!(Event::HomeUnreachable, address = home, account = account);
                 self.homes.mark_unavailable(gw.now(), home);
                 (None, Some(Shortfall::Closed))
             }
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -204,7 +204,7 @@
             load_monitor.is_overloaded(now) || (load_monitor.was_overloaded(now) && cut_off);
         if let Some(rejected) = load_monitor.record_admission(now, overloaded) {
             emit!(
-                Event::GatewayBehind,
+                Event::GatewayOverloaded,
                 pass_ms = took.as_millis(),
                 mean_us = load_monitor.mean_pass_us(now),
                 link = load_monitor.link_utilisation(),
@@ -423,7 +423,7 @@
         }
         gauge!(metric::EVACUATED).set(received.data_centres.len() as f64);
         emit!(
-            Event::EvacuationsSeen,
+            Event::EvacuationListChanged,
             revision = received.revision,
             data_centres = format_args!("{:?}", received.data_centres),
         );
--- a/crates/router/src/platform.rs
+++ b/crates/router/src/platform.rs
@@ -51,7 +51,7 @@
             }
             None if reachable => {
                 reachable = false;
-                emit!(Event::PlatformLost, url = url);
+                emit!(Event::PlatformUnavailable, url = url);
             }
             None => {}
         }
