--- a/crates/node/src/event.rs
+++ b/crates/node/src/event.rs
@@ -16,7 +16,7 @@
             /// All events, in the order of their numbers.
             pub const ALL: &[Event] = &[$(Event::$name,)*];
 
-            /// Returns the number.
+            /// Returns the event number, which log lines show as `CFEnnn` or in the field `event`.
             pub fn number(self) -> u16 {
                 match self { $(Event::$name => $num,)* }
             }
@@ -26,7 +26,7 @@
                 match self { $(Event::$name => Level::$level,)* }
             }
 
-            /// Returns the text.
+            /// Returns the text of the log line, without its fields.
             pub fn text(self) -> &'static str {
                 match self { $(Event::$name => $text,)* }
             }
@@ -125,7 +125,7 @@
     IssuerProbed = 444, Info, "the gateway that issues a replica's permits was probed by its standby";
 }
 
-/// Logs an event with fields, each written as `key = value`.
+/// Logs an event at its level, with fields written as `key = value`.
 #[macro_export]
 macro_rules! emit {
     ($event:expr $(, $key:ident = $value:expr)* $(,)?) => {{
--- a/crates/node/src/group.rs
+++ b/crates/node/src/group.rs
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Ends the backoff of all waiting calls: the group is known to respond again.
+    /// Makes the calls that are in backoff retry at once, for when the group is known to respond again.
     pub fn retry_now(&self) {
         self.inner.wake_count.set(self.inner.wake_count.get() + 1);
         self.inner.woken.notify_waiters();
@@ -158,8 +158,8 @@
         body::unpack(&bytes).map_err(|_| Code::MessageBad)
     }
 
-    /// Like [`GroupClient::command`], but builds the command again for each try. For commands that
-    /// contain the current time.
+    /// Like [`GroupClient::command`], but builds the command again for each try, because it contains the
+    /// current time.
     pub async fn command_with(
         &self,
         build: impl Fn() -> Command,
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -27,7 +27,7 @@
     fn handle_response(&self, from: SocketAddr, response: WatchResponse);
     /// Handles a failed connection or a broken link.
     fn handle_disconnect(&self, from: SocketAddr);
-    /// Waits until the next request must be sent without waiting for the response to the last one.
+    /// Waits until the next request must be sent although the last one has no response yet.
     fn poll_requested(&self) -> impl Future<Output = ()>;
 }
 
