--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -74,7 +74,7 @@
     }
 }
 
-/// Answers a request to the engine.
+/// Streams a completion, returns the counters for `/stats`, or misbehaves as the fault demands.
 pub async fn handle(engine: Rc<Engine>, req: Request) -> Response<Body> {
     let chat = match req.path() {
         "/v1/chat/completions" => true,
--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -12,13 +12,13 @@
 use crate::Error;
 use crate::generated::link as t;
 
-/// Converts a Raft message for sending. `reply_to` is the address that the sending member listens on.
+/// Converts a Raft message to its Thrift structure. `reply_to` is the address that the sending member listens on.
 pub fn from_raft(m: &Message, reply_to: &str) -> t::RaftMessage {
     let (from, to, term) = (m.from as i64, m.to as i64, m.term as i64);
     t::RaftMessage::new(from, to, term, from_body(&m.body), reply_to.to_owned())
 }
 
-/// Converts a received Raft message.
+/// Converts a received Thrift structure to a Raft message.
 pub fn into_raft(m: t::RaftMessage) -> Result<Message, Error> {
     let (from, to, term) = (m.sender as u64, m.receiver as u64, m.term as u64);
     Ok(Message { from, to, term, body: into_body(m.body) })
@@ -168,7 +168,7 @@
     }
 }
 
-/// Converts a membership change into an order.
+/// Converts a membership change into the order that an operator sends.
 pub fn member_order(c: &MemberChange) -> t::MemberOrder {
     match c {
         MemberChange::AddLearner(n, a) => {
