--- a/crates/cli/src/cmd/apply.rs
+++ b/crates/cli/src/cmd/apply.rs
@@ -29,13 +29,13 @@
 
 fn run(cx: &Context) -> Result<String, Error> {
     cx.arg(0, "a file to apply")?;
-    let items = document::read(&cx.args)?;
+    let items = document::read_items(&cx.args)?;
     submit(cx, items)
 }
 
 fn check(cx: &Context) -> Result<String, Error> {
     cx.arg(0, "a file to check")?;
-    let items = document::read(&cx.args)?;
+    let items = document::read_items(&cx.args)?;
     let change = Change { op: "check".into(), base: 0, by: "check".into(), items };
     let checked = Config::default().apply(Time(0), &change, |_| 0).map_err(Error::Refused);
     checked.map(|_| "the files are valid together\n".to_owned())
--- a/crates/cli/src/cmd/diff.rs
+++ b/crates/cli/src/cmd/diff.rs
@@ -28,7 +28,7 @@
 
 fn run(cx: &Context) -> Result<String, Error> {
     cx.arg(0, "a file to compare")?;
-    let items = document::read(&cx.args)?;
+    let items = document::read_items(&cx.args)?;
     let Reply::Config { version, templates, applications } = cx.query(&Query::Config)? else {
         return Err(Error::Unexpected);
     };
--- a/crates/cli/src/cmd/mod.rs
+++ b/crates/cli/src/cmd/mod.rs
@@ -21,7 +21,7 @@
 use crate::context::Context;
 use crate::error::Error;
 
-/// A subcommand.
+/// A subcommand: its name, its help text and the function that runs it.
 pub struct Subcommand {
     /// Name on the command line.
     pub name: &'static str,
@@ -79,7 +79,8 @@
     options().usage(&brief)
 }
 
-/// Parses and runs a command line, given without the program's name; returns the output to print.
+/// Parses the command-line arguments and runs the subcommand. `args` has no program name. Returns the output
+/// to print.
 pub fn run(args: &[String]) -> Result<String, Error> {
     let options = options().parse(args).map_err(|e| Error::Usage(e.to_string()))?;
     if options.opt_present("version") {
--- a/crates/cli/src/document.rs
+++ b/crates/cli/src/document.rs
@@ -45,7 +45,7 @@
 /// Reads the files in `paths` and returns their items as one change.
 ///
 /// Fails on the first file that cannot be read or is not a valid document.
-pub fn read(paths: &[String]) -> Result<Vec<Item>, Error> {
+pub fn read_items(paths: &[String]) -> Result<Vec<Item>, Error> {
     let mut items = Vec::new();
     for path in paths {
         let bad = |why: String| Error::Unreadable(path.clone(), why);
