--- a/crates/node/src/link.rs
+++ b/crates/node/src/link.rs
@@ -44,7 +44,7 @@
             display("{}", err)
         }
         /// The peer did not respond or read in time.
-        Slow {
+        TimedOut {
             display("the peer timed out")
         }
         /// The peer closed the link with a result code and a reason.
@@ -136,7 +136,7 @@
         let stream = connect_tcp(address).await?;
         open(stream, credentials, Side::Client).await
     };
-    timeout(OPEN_TIMEOUT, opened).await.unwrap_or(Err(Error::Slow))
+    timeout(OPEN_TIMEOUT, opened).await.unwrap_or(Err(Error::TimedOut))
 }
 
 /// Opens a TCP connection, starting over with twice the timeout whenever an attempt times out.
@@ -152,7 +152,9 @@
 
 /// Opens a link on an accepted connection.
 pub async fn accept(stream: TcpStream, credentials: &Credentials) -> Result<Link, Error> {
-    timeout(OPEN_TIMEOUT, open(stream, credentials, Side::Server)).await.unwrap_or(Err(Error::Slow))
+    timeout(OPEN_TIMEOUT, open(stream, credentials, Side::Server))
+        .await
+        .unwrap_or(Err(Error::TimedOut))
 }
 
 /// Performs the handshake on a connection.
@@ -216,14 +218,14 @@
 }
 
 impl Writer {
-    /// Sends a message. Fails with [`Error::Slow`] if the peer does not read it in time.
+    /// Sends a message. Fails with [`Error::TimedOut`] if the peer does not read it in time.
     pub async fn send(&mut self, f: &Frame) -> Result<(), Error> {
         let bytes = frame::add_length_prefix(&self.sealer.seal(encode(f)));
         let purpose = self.purpose.label(f);
         counter!(metric::LINK_SENT, "purpose" => purpose).increment(bytes.len() as u64);
         match timeout(WRITE_TIMEOUT, self.io.write_all(&bytes)).await {
             Ok(result) => Ok(result?),
-            Err(_) => Err(Error::Slow),
+            Err(_) => Err(Error::TimedOut),
         }
     }
 }
--- a/crates/node/tests/links.rs
+++ b/crates/node/tests/links.rs
@@ -91,7 +91,7 @@
         let _silent = TcpStream::connect(address).await.unwrap();
         let (stream, _) = l.accept().await.unwrap();
         let e = link::accept(stream, &credentials(KEY, "c")).await.err().unwrap();
-        assert!(matches!(e, Error::Slow), "{e}");
+        assert!(matches!(e, Error::TimedOut), "{e}");
     });
 }
 
@@ -108,7 +108,7 @@
                 break e;
             }
         };
-        assert!(matches!(e, Error::Slow), "{e}");
+        assert!(matches!(e, Error::TimedOut), "{e}");
     });
 }
 
