--- a/crates/wire/src/auth.rs
+++ b/crates/wire/src/auth.rs
@@ -100,10 +100,10 @@
             return Err(Error::Malformed("expected a hello".into()));
         };
         if h.version != VERSION {
-            return Err(Error::Version(h.version));
+            return Err(Error::WrongVersion(h.version));
         }
         if h.cluster != self.mine.cluster {
-            return Err(Error::Cluster(h.cluster));
+            return Err(Error::WrongCluster(h.cluster));
         }
         if h.nonce.len() != NONCE_LEN || h.nonce == self.mine.nonce {
             return Err(Error::Forged);
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -32,11 +32,11 @@
             display("a frame of {} bytes is over the cap of {}", len, cap)
         }
         /// The peer belongs to another cluster.
-        Cluster(theirs: String) {
+        WrongCluster(theirs: String) {
             display("the peer belongs to cluster '{}'", theirs)
         }
         /// The peer uses another protocol version.
-        Version(theirs: i32) {
+        WrongVersion(theirs: i32) {
             display("the peer speaks version {}", theirs)
         }
         /// An authentication code or nonce is invalid: the peer lacks the key, or a frame was changed.
--- a/crates/wire/tests/wire.rs
+++ b/crates/wire/tests/wire.rs
@@ -159,7 +159,7 @@
 fn an_unauthenticated_peer_is_rejected_with_the_reason() {
     let mut b = handshake(Side::Server, KEY, "c", 2);
     let wrong_cluster = handshake(Side::Client, KEY, "d", 1).hello();
-    assert_eq!(b.on_hello(&wrong_cluster), Err(Error::Cluster("d".into())));
+    assert_eq!(b.on_hello(&wrong_cluster), Err(Error::WrongCluster("d".into())));
     assert!(matches!(b.on_hello(b"GET / HTTP/1.1"), Err(Error::Malformed(_))));
     let mirrored = b.hello();
     assert_eq!(b.on_hello(&mirrored), Err(Error::Forged), "its own hello sent back");
