--- a/crates/cli/src/cmd/trace.rs
+++ b/crates/cli/src/cmd/trace.rs
@@ -43,7 +43,7 @@
     cx.arg(1, "a log to read")?;
     let mut rows = Vec::new();
     for log in &cx.args[1..] {
-        rows.extend(read(log, id)?);
+        rows.extend(read_rows(log, id)?);
     }
     if rows.is_empty() {
         return Err(Error::Usage(format!("no log names the request '{id}'")));
@@ -53,8 +53,9 @@
     Ok(cx.render(&rows, || render(&rows)))
 }
 
-/// Returns the rows of one log. Reads it line by line, as it may be larger than memory.
-fn read(log: &str, id: &str) -> Result<Vec<Row>, Error> {
+/// Returns the lines of one log that name the request `id`, and the context lines before the first of them.
+/// Reads the log line by line, as it may be larger than memory.
+fn read_rows(log: &str, id: &str) -> Result<Vec<Row>, Error> {
     let failed = |e: std::io::Error| Error::Unreadable(log.to_owned(), e.to_string());
     let mut rows: Vec<Row> = Vec::new();
     let mut context: VecDeque<Line> = VecDeque::new();
