--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -309,7 +309,7 @@
         self.idle_since = now;
     }
 
-    /// Returns true if the connection can carry another exchange.
+    /// Returns true if the last response was complete and the connection can carry another exchange.
     pub fn is_reusable(&self) -> bool {
         let between = matches!(self.codec, Some(Codec::Head(_)));
         between && !self.closes_after && !self.until_close && self.buf.is_empty()
--- a/crates/node/src/group.rs
+++ b/crates/node/src/group.rs
@@ -93,7 +93,7 @@
         GroupClient { inner: Rc::new(inner) }
     }
 
-    /// Replaces the addresses of the settings.
+    /// Replaces the addresses that came from the settings. Those of [`GroupClient::add_addresses`] stay.
     pub fn set_addresses(&self, addresses: Vec<SocketAddr>) {
         *self.inner.addresses.borrow_mut() = addresses;
     }
