--- a/crates/wire/src/auth.rs
+++ b/crates/wire/src/auth.rs
@@ -24,7 +24,7 @@
 #[derive(Clone)]
 pub struct Key(Vec<u8>);
 
-/// Which end of a link this is.
+/// An end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
     /// The side that opened the connection.
@@ -88,12 +88,12 @@
         Handshake { key, side, mine, theirs: None }
     }
 
-    /// Returns the first payload to send.
+    /// Returns the first payload to send: the encoded hello.
     pub fn hello(&self) -> Vec<u8> {
         encode(&Frame::Hello(self.mine.clone()))
     }
 
-    /// Handles the first payload of the peer and returns the second one to send. Fails on another
+    /// Handles the peer's hello and returns the proof to send. Fails on another
     /// protocol version, another cluster, or an invalid or reflected nonce.
     pub fn on_hello(&mut self, payload: &[u8]) -> Result<Vec<u8>, Error> {
         let Frame::Hello(h) = decode(payload)? else {
@@ -113,7 +113,7 @@
         Ok(encode(&Frame::Proof(Proof::new(mac))))
     }
 
-    /// Handles the second payload of the peer. Returns the peer's name and the authenticators of both
+    /// Handles the peer's proof. Returns the peer's name and the authenticators of both
     /// directions, or [`Error::Forged`] if the peer does not hold the key.
     pub fn on_proof(self, payload: &[u8]) -> Result<(String, Sealer, Opener), Error> {
         let Frame::Proof(p) = decode(payload)? else {
