--- a/crates/cli/src/cmd/apply.rs
+++ b/crates/cli/src/cmd/apply.rs
@@ -29,13 +29,13 @@
 
 fn run(cx: &Context) -> Result<String, Error> {
     cx.arg(0, "a file to apply")?;
-    let items = document::read(&cx.args)?;
+    let items = document::read_items(&cx.args)?;
     submit(cx, items)
 }
 
 fn check(cx: &Context) -> Result<String, Error> {
     cx.arg(0, "a file to check")?;
-    let items = document::read(&cx.args)?;
+    let items = document::read_items(&cx.args)?;
     let change = Change { op: "check".into(), base: 0, by: "check".into(), items };
     let checked = Config::default().apply(Time(0), &change, |_| 0).map_err(Error::Refused);
     checked.map(|_| "the files are valid together\n".to_owned())
@@ -58,7 +58,7 @@
         Ok(None) => current_version(cx)?,
         Err(_) => return Err(Error::Usage("--base must be a version's number".into())),
     };
-    let (op, by) = (cx.op(), cx.settings()?.operator);
+    let (op, by) = (cx.operation_id(), cx.settings()?.operator);
     let change = Change { op: op.clone(), base, by, items };
     match cx.command(&Command::Apply(change))? {
         Answer::Applied(Ok(version)) => {
--- a/crates/cli/src/document.rs
+++ b/crates/cli/src/document.rs
@@ -45,10 +45,10 @@
 /// Reads the files in `paths` and returns their items as one change.
 ///
 /// Fails on the first file that cannot be read or is not a valid document.
-pub fn read(paths: &[String]) -> Result<Vec<Item>, Error> {
+pub fn read_items(paths: &[String]) -> Result<Vec<Item>, Error> {
     let mut items = Vec::new();
     for path in paths {
-        let bad = |why: String| Error::Document(path.clone(), why);
+        let bad = |why: String| Error::Unreadable(path.clone(), why);
         let text = fs::read_to_string(path).map_err(|e| bad(e.to_string()))?;
         let doc: Document = serde_yaml_ng::from_str(&text).map_err(|e| bad(e.to_string()))?;
         items.extend(doc.into_items());
--- a/crates/control/src/disk.rs
+++ b/crates/control/src/disk.rs
@@ -30,7 +30,7 @@
 fn result_code(e: &Error) -> Code {
     match e {
         Error::InUse(_) => Code::FolderInUse,
-        Error::Foreign(..) => Code::FolderForeign,
+        Error::WrongGroup(..) => Code::FolderForeign,
         Error::Damaged(..) => Code::LogDamaged,
         Error::Snapshot(..) => Code::SnapshotDamaged,
         Error::Io(..) | Error::Poisoned => Code::DiskFailed,
@@ -193,7 +193,7 @@
 impl Disk {
     /// Opens the folder's log, and returns the state restored from it.
     pub fn open(folder: Folder) -> Result<(Disk, PersistentState), Error> {
-        let (log, records) = folder.log()?;
+        let (log, records) = folder.open_log()?;
         let restored = replay_all(&folder, &records)?;
         Ok((Disk { folder, log }, restored))
     }
@@ -248,12 +248,12 @@
     }
 
     fn log_size(&self) -> u64 {
-        self.log.size()
+        self.log.synced_len()
     }
 
     fn reopen(&mut self) -> Result<PersistentState, Error> {
         self.folder.increment_incarnation()?;
-        let (mut log, records) = self.folder.log()?;
+        let (mut log, records) = self.folder.open_log()?;
         let restored = replay_all(&self.folder, &records)?;
         // Records of a failed sync may be readable without being durable, so the log is rewritten.
         log.replace(&records)?;
--- a/crates/control/src/leader_tasks.rs
+++ b/crates/control/src/leader_tasks.rs
@@ -83,7 +83,7 @@
         let Some(change) = change else { return };
         // The change is refused while another one is in progress, and tried again later.
         if self.raft.propose_member_change(at.now, &change).is_ok() {
-            emit!(Event::RepairBegun, change = format_args!("{change:?}"));
+            emit!(Event::RepairStarted, change = format_args!("{change:?}"));
         }
     }
 
@@ -185,7 +185,7 @@
         }
         for h in silent {
             if self.leader_tasks.lapsed.insert(h) {
-                emit!(Event::RouterLapsed, holder = h);
+                emit!(Event::RouterExpired, holder = h);
                 self.propose_internal(at, &Command::Lapse(h));
             }
         }
--- a/crates/control/src/reserve.rs
+++ b/crates/control/src/reserve.rs
@@ -61,7 +61,7 @@
         fresh_node: u64,
     ) -> Result<Reserve<T>, Error> {
         let folder = Folder::open(path, region, fresh_node)?;
-        let (log, records) = folder.log()?;
+        let (log, records) = folder.open_log()?;
         let mut reserve_ledger = ReserveLedger::default();
         for (n, r) in records.iter().enumerate() {
             replay(&mut reserve_ledger, r)
@@ -111,7 +111,7 @@
         }
         self.failed = true;
         self.log.sync()?;
-        if self.log.size() > MAX_LOG_SIZE {
+        if self.log.synced_len() > MAX_LOG_SIZE {
             let ledger = Record { kind: kind::LEDGER, payload: body::pack(&self.reserve_ledger) };
             self.log.replace(&[ledger])?;
         }
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -259,7 +259,7 @@
                     let was_registered = r.is_registered();
                     r.handle_answer(at.wall, &c, &a, self.member.state());
                     if !was_registered && r.is_registered() {
-                        emit!(Event::ReserveEnlisted);
+                        emit!(Event::ReserveRegistered);
                     }
                 }
             }
--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -74,7 +74,7 @@
     }
 }
 
-/// Answers a request to the engine.
+/// Streams a completion, returns the counters for `/stats`, or misbehaves as the fault demands.
 pub async fn handle(engine: Rc<Engine>, req: Request) -> Response<Body> {
     let chat = match req.path() {
         "/v1/chat/completions" => true,
@@ -95,7 +95,7 @@
     add(&engine.started, 1);
     let (tx, rx) = mpsc::channel(1);
     actix_rt::spawn(generate(engine, request, chat, tx));
-    let mut r = Response::with_body(StatusCode::OK, Body::Pieces(rx));
+    let mut r = Response::with_body(StatusCode::OK, Body::Stream(rx));
     r.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
     r
 }
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -28,7 +28,7 @@
 /// sooner, and have announced no timeout.
 const UNUSED_IDLE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time limit of reading bytes that have already arrived: the runtime reports them only at its next poll.
+/// Timeout of reading bytes that have already arrived: the runtime reports them only at its next poll.
 const BUFFERED_READ_TIMEOUT: Duration = Duration::from_millis(5);
 
 /// Maximum size of a response head, in bytes.
@@ -48,16 +48,16 @@
     Stale,
     /// The connection ended; the server may have run the request.
     Closed(String),
-    /// The response is malformed; the server may have run the request.
-    Sent(String),
+    /// A message is malformed or too large; the server may have run the request.
+    Protocol(String),
 }
 
-fn sent(e: impl ToString) -> ExchangeError {
-    ExchangeError::Sent(e.to_string())
+fn protocol_error(e: impl ToString) -> ExchangeError {
+    ExchangeError::Protocol(e.to_string())
 }
 
 /// A request to send.
-pub struct Outbound<'a> {
+pub struct OutboundRequest<'a> {
     /// HTTP method.
     pub method: &'a Method,
     /// Path and query.
@@ -96,7 +96,7 @@
     /// The connection has carried an earlier exchange.
     used: bool,
     /// Bytes arrived since the last request was sent.
-    answered: bool,
+    has_received: bool,
     /// The body ends with the connection.
     until_close: bool,
     /// The server closes the connection after this response.
@@ -137,7 +137,7 @@
             buf: BytesMut::new(),
             codec: Some(Codec::Head(ClientCodec::default())),
             used: false,
-            answered: false,
+            has_received: false,
             until_close: false,
             closes_after: false,
             idle_timeout: DEFAULT_IDLE_TIMEOUT,
@@ -159,7 +159,7 @@
     }
 
     /// Sends a request. An error may leave the request partly or wholly sent.
-    pub async fn send(&mut self, o: Outbound<'_>) -> Result<(), ExchangeError> {
+    pub async fn send(&mut self, o: OutboundRequest<'_>) -> Result<(), ExchangeError> {
         let mut head = RequestHead::default();
         head.method = o.method.clone();
         head.uri = o.uri.clone();
@@ -169,20 +169,23 @@
             _ => BodySize::Sized(o.body.len() as u64),
         };
         let mut out = BytesMut::with_capacity(1024 + o.body.len());
-        let Some(Codec::Head(codec)) = &mut self.codec else { return Err(sent("out of step")) };
+        let Some(Codec::Head(codec)) = &mut self.codec else {
+            return Err(protocol_error("out of step"));
+        };
         let item = Message::Item((RequestHeadType::Owned(head), size));
-        codec.encode(item, &mut out).map_err(sent)?;
+        codec.encode(item, &mut out).map_err(protocol_error)?;
         if !o.body.is_empty() {
-            codec.encode(Message::Chunk(Some(o.body.clone())), &mut out).map_err(sent)?;
+            codec.encode(Message::Chunk(Some(o.body.clone())), &mut out).map_err(protocol_error)?;
         }
-        codec.encode(Message::Chunk(None), &mut out).map_err(sent)?;
-        self.answered = false;
-        self.stream.write_all(&out).await.map_err(|e| self.ended(&e.to_string()))
+        codec.encode(Message::Chunk(None), &mut out).map_err(protocol_error)?;
+        self.has_received = false;
+        self.stream.write_all(&out).await.map_err(|e| self.close_error(&e.to_string()))
     }
 
-    /// Classifies the end of the connection: stale if it was reused and no byte of the response arrived.
-    fn ended(&self, why: &str) -> ExchangeError {
-        if self.used && !self.answered {
+    /// Returns the error for a closed connection: [`ExchangeError::Stale`] if it was reused and no byte of
+    /// the response arrived, else [`ExchangeError::Closed`].
+    fn close_error(&self, why: &str) -> ExchangeError {
+        if self.used && !self.has_received {
             ExchangeError::Stale
         } else {
             ExchangeError::Closed(why.to_owned())
@@ -195,28 +198,28 @@
         match self.stream.read_buf(&mut self.buf).await {
             Ok(0) => Ok(false),
             Ok(_) => {
-                self.answered = true;
+                self.has_received = true;
                 Ok(true)
             }
-            Err(e) => Err(self.ended(&e.to_string())),
+            Err(e) => Err(self.close_error(&e.to_string())),
         }
     }
 
     /// Reads the head of the next response.
-    pub async fn head(&mut self) -> Result<ResponseHead, ExchangeError> {
+    pub async fn read_head(&mut self) -> Result<ResponseHead, ExchangeError> {
         loop {
             let Some(Codec::Head(codec)) = &mut self.codec else {
-                return Err(sent("out of step"));
+                return Err(protocol_error("out of step"));
             };
-            if let Some(head) = codec.decode(&mut self.buf).map_err(sent)? {
+            if let Some(head) = codec.decode(&mut self.buf).map_err(protocol_error)? {
                 self.begin_body(&head);
                 return Ok(head);
             }
             if self.buf.len() > MAX_HEAD {
-                return Err(sent("the head of the answer is too large"));
+                return Err(protocol_error("the head of the answer is too large"));
             }
             if !self.fill().await? {
-                return Err(self.ended("the connection closed before an answer"));
+                return Err(self.close_error("the connection closed before an answer"));
             }
         }
     }
@@ -241,14 +244,16 @@
     pub async fn read_chunk(&mut self) -> Result<Option<Bytes>, ExchangeError> {
         loop {
             match &mut self.codec {
-                Some(Codec::Body(codec)) => match codec.decode(&mut self.buf).map_err(sent)? {
-                    Some(Some(chunk)) => return Ok(Some(chunk)),
-                    Some(None) => {
-                        self.end_body();
-                        return Ok(None);
+                Some(Codec::Body(codec)) => {
+                    match codec.decode(&mut self.buf).map_err(protocol_error)? {
+                        Some(Some(chunk)) => return Ok(Some(chunk)),
+                        Some(None) => {
+                            self.end_body();
+                            return Ok(None);
+                        }
+                        None => {}
                     }
-                    None => {}
-                },
+                }
                 Some(Codec::UntilClose) if !self.buf.is_empty() => {
                     return Ok(Some(self.buf.split().freeze()));
                 }
@@ -259,7 +264,7 @@
                 if self.until_close {
                     return Ok(None);
                 }
-                return Err(self.ended("the connection closed before the answer was whole"));
+                return Err(self.close_error("the connection closed before the answer was whole"));
             }
         }
     }
@@ -304,7 +309,7 @@
         self.idle_since = now;
     }
 
-    /// Returns true if the connection can carry another exchange.
+    /// Returns true if the last response was complete and the connection can carry another exchange.
     pub fn is_reusable(&self) -> bool {
         let between = matches!(self.codec, Some(Codec::Head(_)));
         between && !self.closes_after && !self.until_close && self.buf.is_empty()
--- a/crates/node/src/event.rs
+++ b/crates/node/src/event.rs
@@ -16,7 +16,7 @@
             /// All events, in the order of their numbers.
             pub const ALL: &[Event] = &[$(Event::$name,)*];
 
-            /// Returns the number.
+            /// Returns the event number, which log lines show as `CFEnnn` or in the field `event`.
             pub fn number(self) -> u16 {
                 match self { $(Event::$name => $num,)* }
             }
@@ -26,7 +26,7 @@
                 match self { $(Event::$name => Level::$level,)* }
             }
 
-            /// Returns the text.
+            /// Returns the text of the log line, without its fields.
             pub fn text(self) -> &'static str {
                 match self { $(Event::$name => $text,)* }
             }
@@ -41,14 +41,14 @@
     StartFailed = 104, Error, "the process cannot start or continue";
     StopForced = 105, Warn, "a second signal ended the process at once";
     Panicked = 106, Error, "a task panicked; the request that it served is lost";
-    LinesLeftOut = 107, Warn, "log lines were dropped because the reader was too slow";
-    ClockSteady = 108, Warn, "this system has no clock that counts suspensions; the monotonic clock is used";
+    LinesDropped = 107, Warn, "log lines were dropped because the reader was too slow";
+    BootClockUnavailable = 108, Warn, "this system has no clock that counts suspensions; the monotonic clock is used";
     LinkOpened = 201, Debug, "a link to a peer is open";
     LinkClosed = 202, Debug, "a link to a peer has closed";
     LinkRefused = 203, Warn, "a link from a peer was refused";
     LinkFailed = 204, Debug, "a peer could not be reached";
     LinkSlow = 205, Warn, "a peer reads too slowly; its link is closed";
-    MessageBad = 206, Warn, "a message could not be decoded";
+    MessageInvalid = 206, Warn, "a message could not be decoded";
     LeaderGained = 301, Info, "this member became the leader";
     LeaderLost = 302, Info, "this member is no longer the leader";
     FolderOutdated = 303, Error, "the data folder is an old copy; this process takes no part in the group";
@@ -57,34 +57,34 @@
     SnapshotInstalled = 306, Info, "a snapshot from the leader was installed";
     GroupFounded = 307, Info, "the group was founded by the named members";
     MembersChanged = 308, Info, "the members of the group changed";
-    RouterLapsed = 309, Warn, "a router stopped sending heartbeats; the outcome of its open claims is unknown";
+    RouterExpired = 309, Warn, "a router stopped sending heartbeats; the outcome of its open claims is unknown";
     ConfigApplied = 310, Info, "a configuration took effect";
     ConfigRefused = 311, Info, "a configuration was rejected";
-    ReserveEnlisted = 312, Info, "the reserve of this data centre is registered with the group";
+    ReserveRegistered = 312, Info, "the reserve of this data centre is registered with the group";
     ReserveFailed = 313, Error, "the disk of this data centre's reserve failed; the reserve is closed";
     DocumentPublished = 314, Info, "a document was committed";
-    DocumentSeen = 315, Info, "a newer document took effect in this process";
+    DocumentApplied = 315, Info, "a newer document took effect in this process";
     CallRefused = 316, Info, "a call of an operator, a replica or a caller was refused";
     ReplicaChanged = 317, Info, "a replica registered, changed, stopped sending heartbeats or left";
-    RepairBegun = 318, Info, "the leader started a membership change to repair the group";
-    GroupSought = 319, Info, "this process belongs to no group and announced itself";
+    RepairStarted = 318, Info, "the leader started a membership change to repair the group";
+    JoinAnnounced = 319, Info, "this process belongs to no group and announced itself";
     HolderWrittenOff = 320, Info, "a dead holder was written off; the tokens that it cannot have spent are free";
-    BudgetShort = 321, Info, "a lease request was refused because the budget has too few tokens";
+    BudgetInsufficient = 321, Info, "a lease request was refused because the budget has too few tokens";
     DiskRecovered = 322, Info, "the disk is writable again; this process takes part in the group again";
-    DocumentKnown = 323, Info, "a control process reported a newer document";
-    DocumentAsked = 324, Info, "a newer document was requested";
-    DocumentGivenUp = 325, Info, "a control process did not send a document in time";
+    DocumentAnnounced = 323, Info, "a control process reported a newer document";
+    DocumentRequested = 324, Info, "a newer document was requested";
+    DocumentTimedOut = 325, Info, "a control process did not send a document in time";
     FolderSetAside = 326, Warn, "an old copy of a data folder was set aside; the next start joins as a new member";
     DataCentreEvacuated = 327, Info, "an order to evacuate a data centre, or to end its evacuation, took effect";
     QuarantineChanged = 328, Info, "a request was quarantined, or its quarantine changed";
-    ServiceUnnamed = 329, Info, "a replica of a service that no document names was ignored";
+    ServiceUnknown = 329, Info, "a replica of a service that no document names was ignored";
     RolloutChanged = 330, Info, "a rollout was ordered, moved to another stage or was aborted";
     LoopStalled = 331, Warn, "the event loop was blocked for a while";
     LeaderKnown = 332, Info, "a leader of the group is known again";
     RouterRegistered = 401, Info, "this router registered with the control group";
     RouterReady = 402, Info, "this router is ready to serve callers";
-    ControlLost = 403, Warn, "the control group is out of reach";
-    ControlFound = 404, Info, "the control group is in reach again";
+    ControlUnreachable = 403, Warn, "the control group is out of reach";
+    ControlReachable = 404, Info, "the control group is in reach again";
     RequestRefused = 405, Debug, "a request is refused";
     UpstreamFailed = 406, Warn, "an upstream failed";
     OutputLimitExceeded = 407, Warn, "an engine sent more tokens than were requested; the stream was cut";
@@ -94,30 +94,30 @@
     SlicesReturned = 412, Info, "all slices were returned";
     ReserveUsed = 414, Warn, "the control group is out of reach; the data centre's reserve is used";
     RequestDone = 415, Debug, "a request was answered";
-    PlatformLost = 416, Warn, "the platform's list of VMs is unavailable; the last one stays in use";
+    PlatformUnavailable = 416, Warn, "the platform's list of VMs is unavailable; the last one stays in use";
     UpstreamLeaving = 417, Info, "a VM is leaving; its upstreams get no new requests";
-    UpstreamStays = 418, Info, "a VM is no longer leaving; its upstreams get new requests again";
+    UpstreamNotLeaving = 418, Info, "a VM is no longer leaving; its upstreams get new requests again";
     AttemptEnded = 419, Debug, "an attempt at a replica ended";
     RequestFailed = 420, Info, "a request is refused or fails";
     SettingsReloaded = 421, Info, "the settings were read anew";
-    SettingsKept = 422, Warn, "the settings could not be reloaded; the previous ones stay in force";
+    SettingsReloadFailed = 422, Warn, "the settings could not be reloaded; the previous ones stay in force";
     TokensBorrowed = 423, Info, "another gateway reserved tokens for a request";
     StreamLate = 424, Info, "a stream was answered later than its route's objective";
     RoutersChanged = 425, Info, "the list of this data centre's gateways changed";
-    HomeLost = 426, Info, "a gateway that holds tokens of a budget did not respond";
-    EvacuationsSeen = 427, Info, "the list of evacuated data centres changed";
+    HomeUnreachable = 426, Info, "a gateway that holds tokens of a budget did not respond";
+    EvacuationListChanged = 427, Info, "the list of evacuated data centres changed";
     ReplicasChanged = 428, Info, "several replicas registered, changed, stopped sending heartbeats or left";
     ReplicaReplaced = 429, Info, "another replica responds at a replica's address";
     ReplicaEnded = 430, Info, "a replica ended while a request to it was in flight";
-    QuarantineSeen = 431, Info, "the list of quarantined requests changed";
+    QuarantineListChanged = 431, Info, "the list of quarantined requests changed";
     TerminationsUnreported = 432, Warn, "a report on ended replicas did not reach the control group";
-    RolloutSeen = 433, Info, "a rollout reached another stage";
+    RolloutStageChanged = 433, Info, "a rollout reached another stage";
     RolloutStopped = 434, Warn, "this gateway stopped sending requests to a rollout's new version because of a fault that it observed";
-    GatewayBehind = 435, Warn, "the gateway is overloaded";
-    LinkFull = 436, Warn, "the gateway's network link is full; it pauses accepting connections";
+    GatewayOverloaded = 435, Warn, "the gateway is overloaded";
+    LinkSaturated = 436, Warn, "the gateway's network link is full; it pauses accepting connections";
     ListenFailed = 437, Warn, "could not listen on an address";
     LimitChanged = 438, Info, "a replica set, changed or removed its rate limit";
-    LimitUnreadable = 439, Warn, "a replica sent an invalid rate limit; the previous one stays in force";
+    LimitInvalid = 439, Warn, "a replica sent an invalid rate limit; the previous one stays in force";
     PermitUnanswered = 440, Info, "no gateway answered a request for permits of a rate-limited replica";
     BackoffStarted = 441, Info, "a replica rejected a request and asked this gateway to back off";
     RetryAfterInvalid = 442, Warn, "a replica sent an invalid retry delay; it still gets requests";
@@ -125,7 +125,7 @@
     IssuerProbed = 444, Info, "the gateway that issues a replica's permits was probed by its standby";
 }
 
-/// Logs an event with fields, each written as `key = value`.
+/// Logs an event at its level, with fields written as `key = value`.
 #[macro_export]
 macro_rules! emit {
     ($event:expr $(, $key:ident = $value:expr)* $(,)?) => {{
--- a/crates/node/src/link.rs
+++ b/crates/node/src/link.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use cypressfork_core::code::Code;
-use cypressfork_wire::auth::{Handshake, Key, NONCE, Opener, Sealer, Side};
-use cypressfork_wire::frame::{self, LENGTH_PREFIX, MAX_FRAME, MAX_HANDSHAKE_FRAME};
+use cypressfork_wire::auth::{Handshake, Key, NONCE_LEN, Opener, Sealer, Side};
+use cypressfork_wire::frame::{self, LENGTH_PREFIX_LEN, MAX_FRAME, MAX_HANDSHAKE_FRAME};
 use cypressfork_wire::{Ask, Frame, Goodbye, decode, encode};
 use metrics::counter;
 use quick_error::quick_error;
@@ -26,7 +26,7 @@
 /// retransmits a lost SYN only after a second, which delays links to a machine that starts slightly later.
 const FIRST_CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Timeout for sending one message; longer means that the peer does not read.
+/// Timeout for sending one message. It expires if the peer does not read.
 pub const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
 quick_error! {
@@ -44,7 +44,7 @@
             display("{}", err)
         }
         /// The peer did not respond or read in time.
-        Slow {
+        TimedOut {
             display("the peer timed out")
         }
         /// The peer closed the link with a result code and a reason.
@@ -65,7 +65,7 @@
     pub name: String,
 }
 
-/// Read buffer in bytes, so that one system call reads the header and body of a short message.
+/// Size of the read buffer, in bytes. One system call reads the header and body of a short message.
 const READ_BUFFER: usize = 4 * 1024;
 
 type BufferedSocket = BufReader<OwnedReadHalf>;
@@ -122,9 +122,9 @@
 
 /// Reads one frame of at most `cap` bytes, without its length prefix.
 async fn read_payload(io: &mut BufferedSocket, cap: usize) -> Result<Vec<u8>, Error> {
-    let mut head = [0; LENGTH_PREFIX];
+    let mut head = [0; LENGTH_PREFIX_LEN];
     io.read_exact(&mut head).await?;
-    let len = frame::length(head, cap)?;
+    let len = frame::parse_length(head, cap)?;
     let mut buf = vec![0; len];
     io.read_exact(&mut buf).await?;
     Ok(buf)
@@ -136,7 +136,7 @@
         let stream = connect_tcp(address).await?;
         open(stream, credentials, Side::Client).await
     };
-    timeout(OPEN_TIMEOUT, opened).await.unwrap_or(Err(Error::Slow))
+    timeout(OPEN_TIMEOUT, opened).await.unwrap_or(Err(Error::TimedOut))
 }
 
 /// Opens a TCP connection, starting over with twice the timeout whenever an attempt times out.
@@ -152,7 +152,9 @@
 
 /// Opens a link on an accepted connection.
 pub async fn accept(stream: TcpStream, credentials: &Credentials) -> Result<Link, Error> {
-    timeout(OPEN_TIMEOUT, open(stream, credentials, Side::Server)).await.unwrap_or(Err(Error::Slow))
+    timeout(OPEN_TIMEOUT, open(stream, credentials, Side::Server))
+        .await
+        .unwrap_or(Err(Error::TimedOut))
 }
 
 /// Performs the handshake on a connection.
@@ -160,7 +162,7 @@
     stream.set_nodelay(true)?;
     let (rx, mut tx) = stream.into_split();
     let mut rx = BufReader::with_capacity(READ_BUFFER, rx);
-    let nonce: [u8; NONCE] = rand::random();
+    let nonce: [u8; NONCE_LEN] = rand::random();
     let mut hs = Handshake::new(
         credentials.key.clone(),
         side,
@@ -168,13 +170,13 @@
         &credentials.name,
         nonce,
     );
-    tx.write_all(&frame::prefixed(&hs.hello())).await?;
+    tx.write_all(&frame::add_length_prefix(&hs.hello())).await?;
     let hello = read_handshake(&mut rx).await?;
     let proof = match hs.on_hello(&hello) {
         Ok(p) => p,
         Err(e) => return refuse(&mut tx, e).await,
     };
-    tx.write_all(&frame::prefixed(&proof)).await?;
+    tx.write_all(&frame::add_length_prefix(&proof)).await?;
     let peer_proof = read_handshake(&mut rx).await?;
     match hs.on_proof(&peer_proof) {
         Ok((peer, sealer, opener)) => {
@@ -198,7 +200,7 @@
 /// Sends the reason to the peer and returns the error.
 async fn refuse(tx: &mut OwnedWriteHalf, e: cypressfork_wire::Error) -> Result<Link, Error> {
     let bye = Goodbye::new(i32::from(Code::LinkRefused.number()), e.to_string());
-    tx.write_all(&frame::prefixed(&encode(&Frame::Goodbye(bye)))).await?;
+    tx.write_all(&frame::add_length_prefix(&encode(&Frame::Goodbye(bye)))).await?;
     Err(Error::Wire(e))
 }
 
@@ -209,21 +211,21 @@
         let payload = self.opener.open(&sealed)?;
         let f = decode(payload)?;
         let purpose = self.purpose.label(&f);
-        let bytes = (LENGTH_PREFIX + sealed.len()) as u64;
+        let bytes = (LENGTH_PREFIX_LEN + sealed.len()) as u64;
         counter!(metric::LINK_RECEIVED, "purpose" => purpose).increment(bytes);
         Ok(f)
     }
 }
 
 impl Writer {
-    /// Sends a message. Fails with [`Error::Slow`] if the peer does not read it in time.
+    /// Sends a message. Fails with [`Error::TimedOut`] if the peer does not read it in time.
     pub async fn send(&mut self, f: &Frame) -> Result<(), Error> {
-        let bytes = frame::prefixed(&self.sealer.seal(encode(f)));
+        let bytes = frame::add_length_prefix(&self.sealer.seal(encode(f)));
         let purpose = self.purpose.label(f);
         counter!(metric::LINK_SENT, "purpose" => purpose).increment(bytes.len() as u64);
         match timeout(WRITE_TIMEOUT, self.io.write_all(&bytes)).await {
             Ok(result) => Ok(result?),
-            Err(_) => Err(Error::Slow),
+            Err(_) => Err(Error::TimedOut),
         }
     }
 }
--- a/crates/router/src/gateway/attempt.rs
+++ b/crates/router/src/gateway/attempt.rs
@@ -8,7 +8,7 @@
 use cypressfork_core::fleet::document::RouteKind;
 use cypressfork_core::route::{Choice, backoff};
 use cypressfork_core::unit::Millis;
-use cypressfork_http::client::{Connection, ExchangeError, Outbound};
+use cypressfork_http::client::{Connection, ExchangeError, OutboundRequest};
 use tokio::time::{Instant, timeout_at};
 
 use super::client::Client;
@@ -97,7 +97,7 @@
                 AttemptOutcome::Lost("the kept connection was closed".to_owned())
             }
             ExchangeError::Closed(why) => AttemptOutcome::Lost(why),
-            ExchangeError::Sent(why) => AttemptOutcome::Broken(why),
+            ExchangeError::Protocol(why) => AttemptOutcome::Broken(why),
         }
     }
 }
@@ -256,7 +256,7 @@
         };
         D::set_forward_headers(&mut headers, &forwarded);
         let (method, uri, body) = (&request.method, &request.uri, &request.body);
-        connection.send(Outbound { method, uri, headers, body }).await
+        connection.send(OutboundRequest { method, uri, headers, body }).await
     }
 
     /// Reads the head of the response to this request. Late responses to other requests are skipped.
@@ -265,7 +265,7 @@
         mut connection: Connection,
     ) -> Result<(Connection, ResponseHead), AttemptOutcome> {
         for _ in 0..MAX_SKIPPED_RESPONSES {
-            let head = connection.head().await?;
+            let head = connection.read_head().await?;
             let response = D::parse_response(&head);
             let is_own = response.id == Some(self.request.inbound.id.as_str());
             let signals = &self.request.gw.signals;
@@ -368,7 +368,7 @@
     let mut body = BytesMut::new();
     while let Some(chunk) = connection.read_chunk().await? {
         if body.len() + chunk.len() > MAX_BODY_BYTES {
-            return Err(ExchangeError::Sent("the answer is too large".to_owned()));
+            return Err(ExchangeError::Protocol("the answer is too large".to_owned()));
         }
         body.extend_from_slice(&chunk);
     }
--- a/crates/router/src/plain.rs
+++ b/crates/router/src/plain.rs
@@ -198,7 +198,7 @@
 }
 
 fn response(buffered: BufferedResponse) -> Response<Body> {
-    let mut r = Response::with_body(buffered.head.status, Body::Whole(buffered.body));
+    let mut r = Response::with_body(buffered.head.status, Body::Full(buffered.body));
     if let Some(content_type) = buffered.head.headers.get(header::CONTENT_TYPE) {
         r.headers_mut().insert(header::CONTENT_TYPE, content_type.clone());
     }
--- a/crates/soak/src/http.rs
+++ b/crates/soak/src/http.rs
@@ -6,7 +6,7 @@
 use actix_http::header::{HOST, HeaderMap, HeaderName, HeaderValue};
 use actix_http::{Method, ResponseHead, Uri};
 use bytes::{Bytes, BytesMut};
-use cypressfork_http::client::{Connection, ExchangeError, Outbound};
+use cypressfork_http::client::{Connection, ExchangeError, OutboundRequest};
 use tokio::time::timeout;
 
 /// The value of the `Host` header of all requests.
@@ -35,8 +35,8 @@
     body: &Bytes,
 ) -> Result<ResponseHead, ExchangeError> {
     let uri: Uri = path.parse().expect("the soak writes plain paths");
-    c.send(Outbound { method, uri: &uri, headers, body }).await?;
-    c.head().await
+    c.send(OutboundRequest { method, uri: &uri, headers, body }).await?;
+    c.read_head().await
 }
 
 /// Reads the body of the current answer. Fails on a connection error or a body of more than 16 MiB.
@@ -45,7 +45,7 @@
     while let Some(chunk) = c.read_chunk().await? {
         all.extend_from_slice(&chunk);
         if all.len() > MAX_BODY {
-            return Err(ExchangeError::Sent("the answer is too large".to_owned()));
+            return Err(ExchangeError::Protocol("the answer is too large".to_owned()));
         }
     }
     Ok(all.freeze())
--- a/crates/wire/src/auth.rs
+++ b/crates/wire/src/auth.rs
@@ -15,16 +15,16 @@
 pub const VERSION: i32 = 1;
 
 /// Length of the authentication code of a frame, in bytes.
-pub const CODE: usize = 16;
+pub const MAC_LEN: usize = 16;
 
 /// Length of a handshake nonce, in bytes.
-pub const NONCE: usize = 32;
+pub const NONCE_LEN: usize = 32;
 
 /// A secret key for HMAC-SHA-256: the cluster's key or a session key.
 #[derive(Clone)]
 pub struct Key(Vec<u8>);
 
-/// Which end of a link this is.
+/// An end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
     /// The side that opened the connection.
@@ -77,29 +77,35 @@
 
 impl Handshake {
     /// Starts a handshake. The caller provides a fresh random nonce.
-    pub fn new(key: Key, side: Side, cluster: &str, name: &str, nonce: [u8; NONCE]) -> Handshake {
+    pub fn new(
+        key: Key,
+        side: Side,
+        cluster: &str,
+        name: &str,
+        nonce: [u8; NONCE_LEN],
+    ) -> Handshake {
         let mine = Hello::new(VERSION, cluster.to_owned(), name.to_owned(), nonce.to_vec());
         Handshake { key, side, mine, theirs: None }
     }
 
-    /// Returns the first payload to send.
+    /// Returns the first payload to send: the encoded hello.
     pub fn hello(&self) -> Vec<u8> {
         encode(&Frame::Hello(self.mine.clone()))
     }
 
-    /// Handles the first payload of the peer and returns the second one to send. Fails on another
+    /// Handles the peer's hello and returns the proof to send. Fails on another
     /// protocol version, another cluster, or an invalid or reflected nonce.
     pub fn on_hello(&mut self, payload: &[u8]) -> Result<Vec<u8>, Error> {
         let Frame::Hello(h) = decode(payload)? else {
             return Err(Error::Malformed("expected a hello".into()));
         };
         if h.version != VERSION {
-            return Err(Error::Version(h.version));
+            return Err(Error::WrongVersion(h.version));
         }
         if h.cluster != self.mine.cluster {
-            return Err(Error::Cluster(h.cluster));
+            return Err(Error::WrongCluster(h.cluster));
         }
-        if h.nonce.len() != NONCE || h.nonce == self.mine.nonce {
+        if h.nonce.len() != NONCE_LEN || h.nonce == self.mine.nonce {
             return Err(Error::Forged);
         }
         self.theirs = Some(h);
@@ -107,7 +113,7 @@
         Ok(encode(&Frame::Proof(Proof::new(mac))))
     }
 
-    /// Handles the second payload of the peer. Returns the peer's name and the authenticators of both
+    /// Handles the peer's proof. Returns the peer's name and the authenticators of both
     /// directions, or [`Error::Forged`] if the peer does not hold the key.
     pub fn on_proof(self, payload: &[u8]) -> Result<(String, Sealer, Opener), Error> {
         let Frame::Proof(p) = decode(payload)? else {
@@ -157,7 +163,7 @@
     pub fn seal(&mut self, mut payload: Vec<u8>) -> Vec<u8> {
         let code = self.key.mac(&[&self.seq.to_be_bytes(), &payload]).finalize().into_bytes();
         self.seq += 1;
-        payload.extend_from_slice(&code[..CODE]);
+        payload.extend_from_slice(&code[..MAC_LEN]);
         payload
     }
 }
@@ -165,7 +171,7 @@
 impl Opener {
     /// Returns the payload of the next frame, or [`Error::Forged`] if its code does not match.
     pub fn open<'a>(&mut self, sealed: &'a [u8]) -> Result<&'a [u8], Error> {
-        let at = sealed.len().checked_sub(CODE).ok_or(Error::Forged)?;
+        let at = sealed.len().checked_sub(MAC_LEN).ok_or(Error::Forged)?;
         let (payload, code) = sealed.split_at(at);
         let mac = self.key.mac(&[&self.seq.to_be_bytes(), payload]);
         mac.verify_truncated_left(code).map_err(|_| Error::Forged)?;
--- a/crates/wire/tests/wire.rs
+++ b/crates/wire/tests/wire.rs
@@ -6,8 +6,8 @@
     Append, Body, Entry, Members, Message, Payload, PeerState, Position, SnapshotChunk,
     SnapshotMeta,
 };
-use cypressfork_wire::auth::{Handshake, Key, NONCE, Opener, Sealer, Side};
-use cypressfork_wire::frame::{MAX_FRAME, MAX_HANDSHAKE_FRAME, length, prefixed};
+use cypressfork_wire::auth::{Handshake, Key, NONCE_LEN, Opener, Sealer, Side};
+use cypressfork_wire::frame::{MAX_FRAME, MAX_HANDSHAKE_FRAME, add_length_prefix, parse_length};
 use cypressfork_wire::{Error, Frame, decode, encode, from_raft, into_raft};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -90,20 +90,20 @@
 #[rstest]
 #[case::list(&[0x5c, 0x1c, 0x19, 0xfc, 0xff, 0xff, 0xff, 0xff, 0x07])]
 #[case::text(&[0x1c, 0x15, 0x02, 0x18, 0xff, 0xff, 0xff, 0xff, 0x07, 0x41])]
-fn a_claimed_size_is_not_believed(#[case] bytes: &[u8]) {
+fn a_claimed_size_beyond_the_input_is_an_error(#[case] bytes: &[u8]) {
     assert!(decode(bytes).is_err());
 }
 
 #[test]
 fn a_length_over_the_cap_is_refused_before_anything_is_read() {
     let head = (MAX_HANDSHAKE_FRAME as u32 + 1).to_be_bytes();
-    assert!(matches!(length(head, MAX_HANDSHAKE_FRAME), Err(Error::TooLarge(..))));
-    assert!(length(head, MAX_FRAME).is_ok());
-    assert_eq!(prefixed(b"abc"), [0, 0, 0, 3, b'a', b'b', b'c']);
+    assert!(matches!(parse_length(head, MAX_HANDSHAKE_FRAME), Err(Error::TooLarge(..))));
+    assert!(parse_length(head, MAX_FRAME).is_ok());
+    assert_eq!(add_length_prefix(b"abc"), [0, 0, 0, 3, b'a', b'b', b'c']);
 }
 
 fn handshake(side: Side, key: &str, cluster: &str, nonce: u8) -> Handshake {
-    Handshake::new(Key::new(key.as_bytes()), side, cluster, "entry-1", [nonce; NONCE])
+    Handshake::new(Key::new(key.as_bytes()), side, cluster, "entry-1", [nonce; NONCE_LEN])
 }
 
 const KEY: &str = "0123456789abcdef0123456789abcdef";
@@ -130,9 +130,9 @@
 
 #[rstest]
 #[case::changed("changed")]
-#[case::doubled("doubled")]
+#[case::replayed("replayed")]
 #[case::dropped("dropped")]
-#[case::turned_round("turned round")]
+#[case::reflected("reflected")]
 #[case::short("short")]
 fn a_frame_that_was_tampered_with_is_refused(#[case] how: &str) {
     let ((mut sa, mut oa), (_, mut ob)) = open_link();
@@ -144,22 +144,22 @@
             f[0] ^= 1;
             ob.open(&f).map(<[u8]>::to_vec)
         }
-        "doubled" => {
+        "replayed" => {
             ob.open(&first).unwrap();
             ob.open(&first).map(<[u8]>::to_vec)
         }
         "dropped" => ob.open(&second).map(<[u8]>::to_vec),
-        "turned round" => oa.open(&first).map(<[u8]>::to_vec),
+        "reflected" => oa.open(&first).map(<[u8]>::to_vec),
         _ => ob.open(&first[..7]).map(<[u8]>::to_vec),
     };
     assert_eq!(result, Err(Error::Forged));
 }
 
 #[test]
-fn a_stranger_is_told_why() {
+fn an_unauthenticated_peer_is_rejected_with_the_reason() {
     let mut b = handshake(Side::Server, KEY, "c", 2);
     let wrong_cluster = handshake(Side::Client, KEY, "d", 1).hello();
-    assert_eq!(b.on_hello(&wrong_cluster), Err(Error::Cluster("d".into())));
+    assert_eq!(b.on_hello(&wrong_cluster), Err(Error::WrongCluster("d".into())));
     assert!(matches!(b.on_hello(b"GET / HTTP/1.1"), Err(Error::Malformed(_))));
     let mirrored = b.hello();
     assert_eq!(b.on_hello(&mirrored), Err(Error::Forged), "its own hello sent back");
