--- a/crates/cypressfork/benches/fleet.rs
+++ b/crates/cypressfork/benches/fleet.rs
@@ -25,7 +25,7 @@
 use cypressfork_wire::auth::Key;
 use futures_util::future::join_all;
 use serde_json::json;
-use support::{Fleet, KEY, Plan, ask, until};
+use support::{Fleet, KEY, Plan, ask, wait_for};
 
 /// Clock ticks per second in `/proc/PID/stat`.
 const TICKS_PER_SECOND: f64 = 100.0;
@@ -406,7 +406,7 @@
     f.controls.iter_mut().for_each(|c| c.kill());
     let begin = Instant::now();
     f.controls = (0..3).map(|n| f.start_control(n)).collect();
-    until("a leader", || leader_index(f).is_some());
+    wait_for("a leader", || leader_index(f).is_some());
     print_figure(
         &format!("after {changes} changes"),
         format!(
--- a/crates/cypressfork/tests/bad_input.rs
+++ b/crates/cypressfork/tests/bad_input.rs
@@ -125,7 +125,7 @@
     assert!(line.is_empty() || line.contains(" 4"), "{line}");
     let a = f.chat(0).send(&ask(false, 4));
     assert_eq!(a.status, 200, "the router still serves: {}", a.body);
-    f.until_spent(7);
+    f.wait_until_spent(7);
     assert_eq!(f.engine_stats(0)["started"], 1, "only the good request reached the engine");
     assert_eq!(f.board_runs(0).as_object().unwrap().len(), 0);
 }
--- a/crates/cypressfork/tests/crashing_requests.rs
+++ b/crates/cypressfork/tests/crashing_requests.rs
@@ -22,7 +22,7 @@
 use rstest::rstest;
 use support::crashing::*;
 use support::gateways::*;
-use support::until;
+use support::wait_for;
 
 /// Replicas: enough that some are up while two requests crash them.
 const REPLICAS: usize = 10;
@@ -99,7 +99,7 @@
         fleet.start_gateway();
         let extra_gateways = fleet.start_neighbours(EXTRA_GATEWAYS);
         let first = two_routes(3).to_string();
-        until("a document", || {
+        wait_for("a document", || {
             matches!(fleet.call(0, "PUT", "/v1/document", &first), Some((200, _)))
         });
         let fronts = extra_gateways.iter().map(|g| g.front).chain([fleet.front]).collect();
@@ -113,7 +113,7 @@
             _extra_gateways: extra_gateways,
         };
         crashing.start_replicas(mode);
-        crashing.until_all_answer();
+        crashing.wait_until_all_answer();
         crashing
     }
 
@@ -134,10 +134,10 @@
         }
     }
 
-    fn until_all_answer(&self) {
+    fn wait_until_all_answer(&self) {
         let all = self.harmless.gateways.lock().unwrap().clone();
         for gateway in all {
-            until("an answer", || {
+            wait_for("an answer", || {
                 let answer = exchange(gateway, "GET", "/board/x", CALLER, "");
                 answer.is_some_and(|a| a.0 == 200)
             });
@@ -163,11 +163,11 @@
 
     /// Waits until both killers have crashed three replicas; returns each with the time from which every
     /// gateway has to refuse it.
-    fn until_quarantine_due(&self) -> Vec<(String, Instant)> {
+    fn wait_until_quarantine_due(&self) -> Vec<(String, Instant)> {
         let names = [1, 2].map(|n| format!("{KILLER}-{n}"));
         let due = names.map(|name| {
             let mut third_crash_at = None;
-            until("a third crash of a replica", || {
+            wait_for("a third crash of a replica", || {
                 third_crash_at = self.crash_record.third_crash(&name);
                 third_crash_at.is_some()
             });
@@ -209,13 +209,13 @@
     let crashing = CrashingFleet::new(RestartAs::NewId);
     crashing.send_harmless();
     crashing.send_killers();
-    crashing.until_quarantine_due();
+    crashing.wait_until_quarantine_due();
     let crashed_three = |crashing: &CrashingFleet| {
         let all = in_progress_at_crash(crashing);
         let often = all.into_values().filter(|(replicas, _)| replicas.len() >= 3);
         often.filter(|(_, ids)| ids.iter().all(|id| id.starts_with("killer-"))).count()
     };
-    until("both in the logs", || crashed_three(&crashing) == 2);
+    wait_for("both in the logs", || crashed_three(&crashing) == 2);
 }
 
 /// Guards against a killer request that is still sent to replicas after its third crash.
@@ -247,7 +247,7 @@
 fn assert_soon_sent_to_none(crashing: &CrashingFleet) {
     crashing.send_harmless();
     crashing.send_killers();
-    let due = crashing.until_quarantine_due();
+    let due = crashing.wait_until_quarantine_due();
     let last = due.iter().map(|(_, at)| *at).max().unwrap();
     sleep_until(last + Duration::from_secs(4));
     for (killer, at) in &due {
@@ -274,9 +274,9 @@
         self.harmless.gateways.lock().unwrap().clone()
     }
 
-    fn until_all_refuse(&self) {
+    fn wait_until_all_refuse(&self) {
         for gateway in self.fronts() {
-            until("a refusal", || self.send_copy(gateway, "club-key") == QUARANTINED);
+            wait_for("a refusal", || self.send_copy(gateway, "club-key") == QUARANTINED);
         }
     }
 }
@@ -286,19 +286,19 @@
 fn what_a_request_has_done_outlasts_all_processes() {
     let mut crashing = CrashingFleet::new(RestartAs::NewId);
     crashing.send_killers();
-    crashing.until_quarantine_due();
+    crashing.wait_until_quarantine_due();
     crashing.killers.over.store(true, Ordering::Relaxed);
-    crashing.until_all_refuse();
+    crashing.wait_until_all_refuse();
     let since = Instant::now();
     crashing.fleet.gateway.as_mut().unwrap().kill();
     crashing.fleet.start_gateway();
-    crashing.until_all_answer();
+    crashing.wait_until_all_answer();
     assert_eq!(crashing.send_copy(crashing.fleet.front, "club-key"), QUARANTINED);
     crashing.fleet.gateway.as_mut().unwrap().kill();
     crashing.fleet.controls.iter_mut().for_each(|c| c.process.as_mut().unwrap().kill());
     (0..3).for_each(|n| crashing.fleet.start_control(n, false));
     crashing.fleet.start_gateway();
-    crashing.until_all_answer();
+    crashing.wait_until_all_answer();
     assert_eq!(crashing.send_copy(crashing.fleet.front, "club-key"), QUARANTINED);
     assert_eq!(crashing.crash_record.arrivals(&format!("{KILLER}-1"), since), 0);
 }
@@ -309,7 +309,7 @@
     let mut crashing = CrashingFleet::new(RestartAs::NewId);
     crashing.fleet.controls.iter_mut().for_each(|c| c.process.as_mut().unwrap().kill());
     let mut codes = Vec::new();
-    until("a refusal", || {
+    wait_for("a refusal", || {
         codes.push(crashing.send_copy(crashing.fleet.front, "club-key"));
         codes.last().is_some_and(|c| c == QUARANTINED)
     });
@@ -324,12 +324,12 @@
 fn another_account_is_not_refused_for_it() {
     let crashing = CrashingFleet::new(RestartAs::NewId);
     crashing.send_killers();
-    crashing.until_quarantine_due();
+    crashing.wait_until_quarantine_due();
     crashing.killers.over.store(true, Ordering::Relaxed);
-    crashing.until_all_refuse();
+    crashing.wait_until_all_refuse();
     let since = Instant::now();
     // All replicas may be down for a moment after the crashes.
-    until("a replica", || {
+    wait_for("a replica", || {
         assert_ne!(crashing.send_copy(crashing.fleet.front, "school-key"), QUARANTINED);
         crashing.crash_record.arrivals(&format!("{KILLER}-1"), since) >= 1
     });
@@ -347,21 +347,21 @@
     let group = GroupClient::new(me, controls);
     let within = Duration::from_secs(10);
     let mut all = Vec::new();
-    until("both in the list of quarantined requests", || {
+    wait_for("both in the list of quarantined requests", || {
         let listed = system.block_on(group.query(&Query::Quarantined, within)).unwrap();
         let Reply::Quarantined(listed) = listed else { panic!("{listed:?}") };
         all = listed;
         all.len() == 2
     });
     crashing.killers.over.store(true, Ordering::Relaxed);
-    crashing.until_all_refuse();
+    crashing.wait_until_all_refuse();
     for q in all {
         assert!(q.account == "club" && q.replicas >= 3, "{q:?}");
         let lift = Command::LiftQuarantine(q.fingerprint);
         assert_eq!(system.block_on(group.command(&lift, within)), Ok(Answer::Done));
     }
     let since = Instant::now();
-    until("a replica", || {
+    wait_for("a replica", || {
         crashing.send_copy(crashing.fleet.front, "club-key");
         crashing.crash_record.arrivals(&format!("{KILLER}-1"), since) > 0
     });
--- a/crates/cypressfork/tests/documents.rs
+++ b/crates/cypressfork/tests/documents.rs
@@ -16,7 +16,7 @@
 use serde_json::json;
 use support::control::Control;
 use support::slow_link::SlowLink;
-use support::{Process, Request, free_addresses, get, own_ip, program, until};
+use support::{Process, Request, free_addresses, get, own_ip, program, wait_for};
 use tempfile::TempDir;
 
 /// A gateway process that watches the given control processes.
@@ -96,11 +96,11 @@
     let proxies: Vec<_> = all.iter().map(|c| link.proxy(c.address)).collect();
     let gw = Gateway::start(&proxies);
     all.iter().for_each(|c| c.publish(1, &document(1, 1)));
-    until("the first document", || gw.version() == 1);
+    wait_for("the first document", || gw.version() == 1);
     let large = document(2, 6_000);
     assert!(large.len() > 1_500_000, "{} bytes", large.len());
     all.iter().for_each(|c| c.publish(2, &large));
-    until("the large document", || gw.version() == 2);
+    wait_for("the large document", || gw.version() == 2);
 }
 
 /// Guards against a busy loop of watches while one control process withholds a document.
@@ -110,20 +110,20 @@
     let addresses: Vec<_> = all.iter().map(|c| c.address).collect();
     let gw = Gateway::start(&addresses);
     all.iter().for_each(|c| c.publish(1, &document(1, 1)));
-    until("the first document", || gw.version() == 1);
+    wait_for("the first document", || gw.version() == 1);
     // The first control process announces a version and withholds its parts; the second announces a higher
     // version.
     let watch_count = |n: usize| all[n].state.watches.load(Ordering::Relaxed);
     *all[0].state.withholds_documents.lock().unwrap() = true;
     let before = watch_count(0);
     all[0].publish(2, &document(2, 100));
-    until("a watch for the document", || watch_count(0) > before);
+    wait_for("a watch for the document", || watch_count(0) > before);
     let (before, span) = (watch_count(1), Duration::from_millis(400));
     all[1].publish(3, &document(3, 100));
     sleep(span);
     let watches = watch_count(1) - before;
     assert!(watches <= 4, "{watches} watches in {span:?}");
-    until("the higher document", || gw.version() == 3);
+    wait_for("the higher document", || gw.version() == 3);
 }
 
 /// Guards against a 404 from a gateway that has been notified of a newer document.
@@ -132,7 +132,7 @@
     let all = controls(1);
     let gw = Gateway::start(&[all[0].address]);
     all[0].publish(1, &document(1, 1));
-    until("the first document", || gw.version() == 1);
+    wait_for("the first document", || gw.version() == 1);
     assert_eq!(gw.ask("/new/x"), 404);
     // Version 2 has the route, but its parts are withheld.
     *all[0].state.withholds_documents.lock().unwrap() = true;
@@ -140,11 +140,11 @@
     next["routes"][0]["host"] = "club.example".into();
     next["routes"][0]["prefix"] = "/new/".into();
     all[0].publish(2, &next.to_string());
-    until("the notice of version 2", || gw.log().contains("CFE324"));
-    until("a temporary refusal", || gw.ask("/new/x") == 503);
+    wait_for("the notice of version 2", || gw.log().contains("CFE324"));
+    wait_for("a temporary refusal", || gw.ask("/new/x") == 503);
     assert_eq!(gw.version(), 1);
     *all[0].state.withholds_documents.lock().unwrap() = false;
-    until("version 2", || gw.version() == 2);
+    wait_for("version 2", || gw.version() == 2);
     assert_eq!(gw.ask("/elsewhere/x"), 404);
     assert_eq!(gw.ask("/new/x"), 503, "the route exists but has no replica");
 }
@@ -156,10 +156,10 @@
     let addresses: Vec<_> = all.iter().map(|c| c.address).collect();
     let gw = Gateway::start(&addresses);
     all.iter().for_each(|c| c.publish(1, &document(1, 1)));
-    until("the first document", || gw.version() == 1);
+    wait_for("the first document", || gw.version() == 1);
     assert_eq!(gw.ask("/new/x"), 404);
     all.iter().for_each(|c| *c.state.silent.lock().unwrap() = true);
-    until("a temporary refusal", || gw.ask("/new/x") == 503);
+    wait_for("a temporary refusal", || gw.ask("/new/x") == 503);
     all.iter().for_each(|c| *c.state.silent.lock().unwrap() = false);
-    until("a confirmation that the document is current", || gw.ask("/new/x") == 404);
+    wait_for("a confirmation that the document is current", || gw.ask("/new/x") == 404);
 }
--- a/crates/cypressfork/tests/engines.rs
+++ b/crates/cypressfork/tests/engines.rs
@@ -40,7 +40,7 @@
     let streamed = f.chat(0).send(&ask(true, 12));
     assert!(!streamed.body.contains("[DONE]"), "{}", streamed.body);
     assert!(streamed.body.contains(code), "{}", streamed.body);
-    support::until("both bills", || f.budget()["total"]["requests"] == 2);
+    support::wait_for("both bills", || f.budget()["total"]["requests"] == 2);
     let spent = f.budget()["spent"].as_u64().unwrap();
     assert!((2 * least..=2 * most).contains(&spent), "{spent}");
 }
@@ -60,7 +60,7 @@
     assert_eq!(a.json()["choices"][0]["message"]["content"], answer_text(12));
     let prompts = 3 + 6 + 9 + 12;
     assert_eq!(a.json()["usage"]["total_tokens"], prompts + 12);
-    f.until_spent(prompts + 12);
+    f.wait_until_spent(prompts + 12);
     let streamed = f.chat(0).send(&ask(true, 12)).body;
     let events = streamed.lines().filter_map(|l| l.strip_prefix("data: {"));
     let text: String = events
@@ -72,7 +72,7 @@
     let ids: Vec<u64> =
         streamed.lines().filter_map(|l| l.strip_prefix("id: ")?.parse().ok()).collect();
     assert_eq!(ids, (1..=12).collect::<Vec<_>>(), "event ids continue across the breaks");
-    f.until_spent(2 * (prompts + 12));
+    f.wait_until_spent(2 * (prompts + 12));
     assert_eq!(f.budget()["total"]["requests"], 2, "one bill for each request");
 }
 
@@ -93,7 +93,7 @@
     let f = fleet("break");
     let a = f.chat(0).send(&ask(false, 24));
     assert_eq!((a.status, a.code().as_str()), (502, "CF1306"), "{}", a.body);
-    f.until_spent(3 + 6 + 9 + 12 + 15 + 15);
+    f.wait_until_spent(3 + 6 + 9 + 12 + 15 + 15);
     let streamed = f.chat(0).send(&ask(true, 24)).body;
     assert!(!streamed.contains("[DONE]") && streamed.contains("CF1306"), "{streamed}");
 }
@@ -107,7 +107,7 @@
         r.send(&ask(false, 8))
     };
     assert_eq!(send().code(), "CF1306");
-    support::until("the outcome", || send().code() == "CF1403");
+    support::wait_for("the outcome", || send().code() == "CF1403");
     assert_eq!(f.engine_stats(0)["started"], 1);
 }
 
@@ -119,7 +119,7 @@
     assert_eq!(a.code(), "CF1306", "{}", a.body);
     assert_eq!(a.json()["error"]["ran"], "unknown", "the request was sent");
     assert!(a.header("retry-after").is_some());
-    f.until_spent(0);
+    f.wait_until_spent(0);
     assert_eq!(f.budget()["total"]["requests"], 0);
 }
 
@@ -136,7 +136,7 @@
     let usage = a.json()["usage"].clone();
     assert_eq!(usage["completion_tokens"], output);
     assert!(usage["prompt_tokens"].as_u64().unwrap() >= 3);
-    f.until_spent(usage["total_tokens"].as_u64().unwrap());
+    f.wait_until_spent(usage["total_tokens"].as_u64().unwrap());
     assert!(f.routers[0].log().contains("CFE408"));
 }
 
@@ -165,7 +165,7 @@
     let first = send();
     assert_eq!(first.code(), "CF1302", "{}", first.body);
     assert_eq!(first.json()["error"]["ran"], "unknown");
-    support::until("the outcome", || {
+    support::wait_for("the outcome", || {
         let a = send();
         assert_ne!(a.status, 200);
         a.code() == "CF1403"
@@ -186,7 +186,7 @@
     assert_eq!((a.status, a.code().as_str()), (503, "CF1303"), "{}", a.body);
     assert_eq!(a.json()["error"]["ran"], "no");
     assert!(a.header("retry-after").is_some());
-    f.until_spent(0);
+    f.wait_until_spent(0);
 }
 
 /// Starts an upstream that reads at least `read` bytes from each connection, sends `answer` and closes.
@@ -231,7 +231,7 @@
     let f = Fleet::start(Plan { routers: 1, ..Plan::default() });
     let text = f.example().replace(&f.boards[0].1, &truncating_upstream(read, answer));
     assert!(f.apply("rough.yaml", &text).status.success());
-    f.until_ready(0, 2);
+    f.wait_until_ready(0, 2);
     let send = || {
         let r = f.call(0).header("x-not-repeatable", "true").header("idempotency-key", "m1");
         r.send(&"e2e4 ".repeat(4_000))
@@ -239,7 +239,7 @@
     let first = send();
     assert_eq!((first.status, first.code().as_str()), (502, "CF1306"), "{}", first.body);
     assert_eq!(first.json()["error"]["ran"], "unknown");
-    support::until("the outcome", || send().code() == "CF1403");
+    support::wait_for("the outcome", || send().code() == "CF1403");
 }
 
 /// Guards against an idempotency key that stays in use after its caller disconnects from the queue.
@@ -253,7 +253,7 @@
     });
     thread::scope(|s| {
         let long = s.spawn(|| f.chat(0).send(&ask(false, 24)).status);
-        support::until("the long request to start", || f.engine_stats(0)["started"] == 1);
+        support::wait_for("the long request to start", || f.engine_stats(0)["started"] == 1);
         let body = ask(false, 4);
         let head = format!(
             "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {}\r\nIdempotency-Key: g1\r\nX-Not-Repeatable: true\r\nContent-Length: {}\r\n\r\n{body}",
@@ -268,9 +268,9 @@
             let text = support::text(&url).unwrap();
             text.lines().any(|l| l.strip_prefix(name).is_some_and(|n| n == "1"))
         };
-        support::until("a request in the queue", waiting);
+        support::wait_for("a request in the queue", waiting);
         drop(abandoned);
-        support::until("the empty queue", || !waiting());
+        support::wait_for("the empty queue", || !waiting());
         assert_eq!(long.join().unwrap(), 200);
     });
     let r = f.chat(0).header("x-not-repeatable", "true").header("idempotency-key", "g1");
@@ -300,15 +300,15 @@
     let example = f.example();
     let text = example.replace(&f.boards[0].1, &address).replace(&f.engines[0].1, &address);
     assert!(f.apply("full.yaml", &text).status.success());
-    f.until_ready(0, 2);
+    f.wait_until_ready(0, 2);
     let call = || f.call(0).header("x-not-repeatable", "true").header("idempotency-key", "m1");
     for a in [call().send("e2e4"), f.chat(0).send(&ask(false, 4))] {
         assert_eq!((a.status, a.code().as_str()), (503, "CF1303"), "{}", a.body);
         assert_eq!(a.json()["error"]["ran"], "no");
     }
-    f.until_spent(0);
+    f.wait_until_spent(0);
     assert!(f.apply("example.yaml", &example).status.success());
-    f.until_ready(0, 3);
-    support::until("the free id", || call().send("e2e4").status == 200);
+    f.wait_until_ready(0, 3);
+    support::wait_for("the free id", || call().send("e2e4").status == 200);
     assert_eq!(f.board_runs(0)["m1"], 1);
 }
--- a/crates/cypressfork/tests/failure.rs
+++ b/crates/cypressfork/tests/failure.rs
@@ -8,7 +8,7 @@
 use std::thread;
 
 use serde_json::Value;
-use support::{Fleet, Plan, ask, until};
+use support::{Fleet, Plan, ask, wait_for};
 
 /// Returns the tokens charged for a request of [`ask`] with `n` generated tokens.
 fn cost(n: u64) -> u64 {
@@ -40,7 +40,7 @@
                 }
             });
         }
-        let at_least = |n: u64| until("requests", || served.load(Ordering::Relaxed) >= n);
+        let at_least = |n: u64| wait_for("requests", || served.load(Ordering::Relaxed) >= n);
         at_least(20);
         during(f);
         at_least(served.load(Ordering::Relaxed) + 20);
@@ -56,10 +56,10 @@
     let served = under_load(&mut f, |f| {
         let old = leader(f).unwrap();
         f.controls[old].kill();
-        until("another leader", || leader(f).is_some_and(|l| l != old));
+        wait_for("another leader", || leader(f).is_some_and(|l| l != old));
         f.controls[old] = f.start_control(old);
     });
-    f.until_spent(served * cost(4));
+    f.wait_until_spent(served * cost(4));
     assert_eq!(f.budget()["total"]["requests"], served);
 }
 
@@ -72,10 +72,10 @@
             f.controls[n].signal("TERM");
             assert_eq!(f.controls[n].wait(), Some(0));
             f.controls[n] = f.start_control(n);
-            until("a whole group", || f.json(&["status"])["safe"] == true);
+            wait_for("a whole group", || f.json(&["status"])["safe"] == true);
         }
     });
-    f.until_spent(served * cost(4));
+    f.wait_until_spent(served * cost(4));
 }
 
 /// Guards against acknowledged state that is lost when all members are killed at once.
@@ -86,13 +86,13 @@
         assert_eq!(f.chat(n % 2).send(&ask(false, 4)).status, 200);
         f.json(&["top-up", "club-talk", "10"]);
     }
-    f.until_spent(25 * cost(4));
+    f.wait_until_spent(25 * cost(4));
     let before = f.budget();
     for _ in 0..2 {
         f.controls.iter_mut().for_each(|c| c.kill());
         f.controls = (0..3).map(|n| f.start_control(n)).collect();
     }
-    until("a leader", || leader(&f).is_some());
+    wait_for("a leader", || leader(&f).is_some());
     let after = f.budget();
     for key in ["funded", "spent", "total"] {
         assert_eq!(after[key], before[key], "{key}");
@@ -111,10 +111,10 @@
     f.routers[0].kill();
     let again = f.chat(1).header("idempotency-key", "lesson-1").send(&ask(false, 8));
     assert_eq!(again.status, 200);
-    f.until_spent(cost(8));
+    f.wait_until_spent(cost(8));
     let held = f.budget()["held"].as_u64().unwrap();
     f.routers[0] = f.start_router(0);
-    f.until_ready(0, 1);
+    f.wait_until_ready(0, 1);
     let leases = f.json(&["leases", "club-talk"]);
     let lost = leases.as_array().unwrap().iter().find(|l| l["vm"].is_null()).unwrap().clone();
     let id = format!("{}.{}", lost["id"]["term"], lost["id"]["index"]);
@@ -150,9 +150,9 @@
                 })
             })
             .collect();
-        until("100 streams", || started.load(Ordering::Relaxed) == 100);
+        wait_for("100 streams", || started.load(Ordering::Relaxed) == 100);
         f.routers[0].signal("TERM");
-        until("entry answers without the router", || {
+        wait_for("entry answers without the router", || {
             let v = support::get(&format!("http://{}/v1/entry", f.router_addresses[1])).unwrap();
             !v.to_string().contains(&address)
         });
@@ -160,7 +160,7 @@
     });
     assert_eq!(whole, 100);
     assert_eq!(f.routers[0].wait(), Some(0));
-    f.until_spent(100 * cost(24));
+    f.wait_until_spent(100 * cost(24));
     let log = f.routers[0].log();
     assert!(log.contains("CFE412"), "the slices were returned");
     let routers = f.json(&["status"])["routers"].as_array().unwrap().len();
@@ -175,7 +175,7 @@
     let mut line = String::new();
     reader.read_line(&mut line).unwrap();
     f.routers[0].signal("TERM");
-    until("the drain", || f.routers[0].log().contains("CFE411"));
+    wait_for("the drain", || f.routers[0].log().contains("CFE411"));
     f.routers[0].signal("TERM");
     assert_eq!(f.routers[0].wait(), Some(0));
     assert!(f.routers[0].log().contains("CFE105"));
@@ -191,9 +191,9 @@
         let out = f.apply("next.yaml", &text);
         assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
     }
-    f.until_ready(0, 6);
+    f.wait_until_ready(0, 6);
     f.routers[1].signal("CONT");
-    f.until_ready(1, 6);
+    f.wait_until_ready(1, 6);
     let log = f.routers[1].log();
     let versions: Vec<u64> = log
         .lines()
@@ -218,14 +218,14 @@
     fs::remove_dir_all(f.path(&format!("data-{lost}"))).unwrap();
     fs::create_dir(f.path(&format!("data-{lost}"))).unwrap();
     f.controls[lost] = f.start_control(lost);
-    until("the new process", || f.cli(&["members", "add", &address]).status.success());
+    wait_for("the new process", || f.cli(&["members", "add", &address]).status.success());
     let status = f.json(&["status"]);
     let learner = status["nodes"].as_array().unwrap().iter().find(|n| n["voter"] == false);
     let new = format!("{:016x}", learner.unwrap()["id"].as_u64().unwrap());
     assert_ne!(new, id);
-    until("the learner", || f.cli(&["members", "promote", &new]).status.success());
-    until("the removal", || f.cli(&["members", "remove", &id]).status.success());
-    until("a whole group", || f.json(&["status"])["safe"] == true);
+    wait_for("the learner", || f.cli(&["members", "promote", &new]).status.success());
+    wait_for("the removal", || f.cli(&["members", "remove", &id]).status.success());
+    wait_for("a whole group", || f.json(&["status"])["safe"] == true);
     let voters = f.json(&["status"])["nodes"].as_array().unwrap().len();
     assert_eq!(voters, 3);
     assert_eq!(f.budget()["funded"], 100_010);
@@ -252,7 +252,7 @@
         let all = leases.as_array().unwrap().clone();
         all.into_iter().find(|l| l["vm"] == "reserve on control-0")
     };
-    until("the reserve", || reserve(&f).is_some());
+    wait_for("the reserve", || reserve(&f).is_some());
     // Only the members outside this data centre are killed.
     f.controls[1].kill();
     f.controls[2].kill();
@@ -276,8 +276,8 @@
     assert_ne!(again.status, 200, "{}", again.body);
     f.controls[1] = f.start_control(1);
     f.controls[2] = f.start_control(2);
-    f.until_spent(served * cost(4));
-    until("all tokens back", || f.chat(1).send(&ask(false, 4)).status == 200);
+    f.wait_until_spent(served * cost(4));
+    wait_for("all tokens back", || f.chat(1).send(&ask(false, 4)).status == 200);
     assert!(f.budget()["total"]["requests"].as_u64().unwrap() >= served);
 }
 
@@ -300,7 +300,7 @@
                     while !stop.load(Ordering::Relaxed) {
                         let id = format!("move-{t}-{n}");
                         let mut tries = 0;
-                        until("an answer to a move", || {
+                        wait_for("an answer to a move", || {
                             tries += 1;
                             let a = &routers[(t + tries) % routers.len()];
                             let r = support::Request::new(a, "/board-live/moves");
@@ -316,9 +316,9 @@
         for _ in 0..2 {
             let old = leader(&f).unwrap();
             f.controls[old].kill();
-            until("another leader", || leader(&f).is_some_and(|l| l != old));
+            wait_for("another leader", || leader(&f).is_some_and(|l| l != old));
             f.controls[old] = f.start_control(old);
-            until("a whole group", || {
+            wait_for("a whole group", || {
                 let out = f.cli(&["status", "--json"]);
                 serde_json::from_slice::<Value>(&out.stdout).is_ok_and(|v| v["safe"] == true)
             });
@@ -348,7 +348,7 @@
             assert!(f.apply("revoked.yaml", &text).status.success());
         }
         for r in 0..2 {
-            f.until_ready(r, 2 + n as u64);
+            f.wait_until_ready(r, 2 + n as u64);
             let a = f.chat(r).send(&ask(false, 4));
             assert_eq!(a.code(), code, "{}", a.body);
             assert_eq!(a.json()["error"]["ran"], "no");
@@ -357,7 +357,7 @@
     let mut rest = String::new();
     reader.read_to_string(&mut rest).unwrap();
     assert!(rest.trim_end().ends_with("data: [DONE]"), "{rest}");
-    f.until_spent(cost(12));
+    f.wait_until_spent(cost(12));
 }
 
 /// Guards against a double bill when a router is killed after it posted the bill and the caller retries at
@@ -367,11 +367,11 @@
     let mut f = Fleet::start(Plan::default());
     let send = |f: &Fleet, n: usize| f.chat(n).header("idempotency-key", "g1").send(&ask(false, 4));
     assert_eq!(send(&f, 0).status, 200);
-    f.until_spent(cost(4));
+    f.wait_until_spent(cost(4));
     f.routers[0].kill();
     assert_eq!(send(&f, 1).status, 200);
-    f.until_spent(2 * cost(4));
-    until("the second run's bill", || f.budget()["total"]["unbilled"] == cost(4));
+    f.wait_until_spent(2 * cost(4));
+    wait_for("the second run's bill", || f.budget()["total"]["unbilled"] == cost(4));
     let total = f.budget()["total"].clone();
     assert_eq!((&total["requests"], &total["billed"]), (&1.into(), &cost(4).into()));
 }
--- a/crates/cypressfork/tests/fleet.rs
+++ b/crates/cypressfork/tests/fleet.rs
@@ -11,7 +11,7 @@
 
 use serde_json::json;
 use support::gateways::*;
-use support::until;
+use support::wait_for;
 
 /// Guards against a group that fails to form, or loses documents as it replaces lost disks.
 #[test]
@@ -25,7 +25,7 @@
         let text = log(f.dir.path(), &format!("control-{n}"));
         text.contains("voters=5")
     };
-    until("five voters", || (0..5).all(|n| joined(&f, n)));
+    wait_for("five voters", || (0..5).all(|n| joined(&f, n)));
     // Two disks are lost in turn, the second just after the group has replaced the first.
     for (n, version) in [(0, 8), (1, 9)] {
         f.controls[n].process.as_mut().unwrap().kill();
@@ -36,19 +36,19 @@
             let all: BTreeSet<_> = (0..5).map(|n| f.version(n)).collect();
             all == BTreeSet::from([Some(version)])
         };
-        until("the document on all members", || done(&f));
+        wait_for("the document on all members", || done(&f));
         let has_five_voters = |f: &Fleet| {
             let text = log(f.dir.path(), &format!("control-{n}"));
             text.rsplit("voters=").next().is_some_and(|t| t.starts_with('5'))
         };
-        until("five voters again", || has_five_voters(&f));
+        wait_for("five voters again", || has_five_voters(&f));
     }
     // An acknowledged document survives the loss of all processes at once.
     for c in &mut f.controls {
         c.process.as_mut().unwrap().kill();
     }
     (0..5).for_each(|n| f.start_control(n, false));
-    until("the group", || f.version(3) == Some(9));
+    wait_for("the group", || f.version(3) == Some(9));
 }
 
 /// Guards against wrong routing as documents and registrations change.
@@ -57,13 +57,13 @@
     let mut f = Fleet::new(1);
     f.start_control(0, true);
     f.start_gateway();
-    until("the gateway", || TcpStream::connect(f.front).is_ok());
+    wait_for("the gateway", || TcpStream::connect(f.front).is_ok());
     assert_eq!(f.ask("/board/x").unwrap().0, 503, "the gateway has no document yet");
     f.publish(3);
     let beat = json!({ "service": "board", "address": replica().to_string(),
         "data_centre": "tamar-a", "slots": 4, "sequence": 1 });
     assert_eq!(f.call(0, "PUT", "/v1/replicas/b-1", &beat.to_string()).unwrap().0, 200);
-    until("an answer", || f.ask("/board/x").unwrap().0 == 200);
+    wait_for("an answer", || f.ask("/board/x").unwrap().0 == 200);
     assert_eq!(f.ask("/board/x").unwrap().1, json!({ "account": "club" }));
     assert_eq!(f.ask("/elsewhere").unwrap().0, 404);
     let (status, v) = f.call(0, "GET", "/v1/entry?data_centre=tamar-a", "").unwrap();
@@ -71,7 +71,7 @@
     let (status, v) = f.call(0, "PUT", "/v1/document", "{\"version\": 9}").unwrap();
     assert_eq!((status, &v["error"]["code"]), (400, &json!("CF2012")));
     f.call(0, "DELETE", "/v1/replicas/b-1", "").unwrap();
-    until("the end of the registration", || f.ask("/board/x").unwrap().0 == 503);
+    wait_for("the end of the registration", || f.ask("/board/x").unwrap().0 == 503);
 }
 
 /// Guards against a gateway that stops serving when it loses the control group.
@@ -84,7 +84,7 @@
     // exists.
     f.gateway.as_mut().unwrap().kill();
     f.start_gateway();
-    until("the gateway", || TcpStream::connect(f.front).is_ok());
+    wait_for("the gateway", || TcpStream::connect(f.front).is_ok());
     assert_eq!(f.ask("/board/x").unwrap().0, 503);
 }
 
@@ -93,34 +93,34 @@
 fn an_evacuated_data_centre_gets_no_new_work_whatever_restarts() {
     let mut f = Fleet::serving();
     let evacuation_request = |f: &Fleet, verb: &str| {
-        until("an answer to the evacuation request", || {
+        wait_for("an answer to the evacuation request", || {
             let answer = f.call(0, verb, "/v1/evacuations/tamar-a", "");
             matches!(answer, Some((200, _)))
         });
     };
     evacuation_request(&f, "PUT");
-    until("no new work", || f.ask("/board/x").unwrap().0 == 503);
+    wait_for("no new work", || f.ask("/board/x").unwrap().0 == 503);
     evacuation_request(&f, "PUT");
     f.controls[0].process.as_mut().unwrap().kill();
     f.gateway.as_mut().unwrap().kill();
     f.start_control(0, false);
     f.start_gateway();
     f.replica.into_iter().for_each(|r| {
-        until("an accepted heartbeat", || {
+        wait_for("an accepted heartbeat", || {
             let beat = json!({ "service": "board", "address": r.to_string(),
                 "data_centre": "tamar-a", "sequence": 2 });
             let answer = f.call(0, "PUT", "/v1/replicas/b-1", &beat.to_string());
             matches!(answer, Some((200, _)))
         });
     });
-    until("the document", || f.version(0) == Some(3));
+    wait_for("the document", || f.version(0) == Some(3));
     let evacuated = || sample(f.operators, "cypressfork_evacuated_data_centres");
-    until("the evacuation at the gateway", || evacuated() == Some(1.0));
+    wait_for("the evacuation at the gateway", || evacuated() == Some(1.0));
     for _ in 0..20 {
         assert_eq!(f.ask("/board/x").unwrap().0, 503);
     }
     evacuation_request(&f, "DELETE");
-    until("an answer", || f.ask("/board/x").unwrap().0 == 200);
+    wait_for("an answer", || f.ask("/board/x").unwrap().0 == 200);
 }
 
 /// Guards against an invalid evacuation request that is accepted or refused without a result code.
@@ -144,7 +144,7 @@
     f.gateway.as_mut().unwrap().kill();
     f.controls[0].process.as_mut().unwrap().kill();
     f.start_gateway();
-    until("the gateway", || TcpStream::connect(f.front).is_ok());
+    wait_for("the gateway", || TcpStream::connect(f.front).is_ok());
     let front = f.front;
     let asked = thread::spawn(move || exchange(front, "GET", "/board/x", CALLER, ""));
     f.start_control(0, false);
@@ -163,8 +163,8 @@
     }
     // Gauges are updated at the next tick.
     let at_least = |name: &str, n: f64| sample(control, name).is_some_and(|v| v >= n);
-    until("the leader", || at_least("cypressfork_group_leads", 1.0));
-    until("two commits", || at_least("cypressfork_group_committed", 2.0));
+    wait_for("the leader", || at_least("cypressfork_group_leads", 1.0));
+    wait_for("two commits", || at_least("cypressfork_group_committed", 2.0));
     assert!(sample(control, "cypressfork_commit_seconds_count").unwrap() >= 1.0);
     assert!(sample(control, "cypressfork_sync_seconds_count").unwrap() >= 1.0);
     let answered = "cypressfork_attempts_total{end=\"answered\"}";
--- a/crates/cypressfork/tests/full_link.rs
+++ b/crates/cypressfork/tests/full_link.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 use support::gateways::*;
-use support::until;
+use support::wait_for;
 
 /// Link capacity of the gateway under test, in Mbit/s.
 const LINK_MBPS: u64 = 1;
@@ -38,7 +38,7 @@
     f.gateway = Some(f.start("gateway-0", "gateway", &text));
     f.publish(3);
     f.beat(replica(), 1);
-    until("an answer", || f.ask("/board/x").is_some_and(|a| a.0 == 200));
+    wait_for("an answer", || f.ask("/board/x").is_some_and(|a| a.0 == 200));
     f
 }
 
@@ -63,9 +63,9 @@
 #[test]
 fn a_gateway_with_a_full_link_refuses_connections_briefly() {
     let f = fleet_with_narrow_link();
-    until("a refused connection", || !send(&f));
+    wait_for("a refused connection", || !send(&f));
     let began = Instant::now();
-    until("a connection", || send(&f));
+    wait_for("a connection", || send(&f));
     assert!(began.elapsed() < ACCEPTS_WITHIN, "{:?}", began.elapsed());
     let ready = exchange(f.operators, "GET", "/readyz", "", "").map(|a| a.0);
     assert_eq!(ready, Some(200), "the gateway keeps running and reports ready");
--- a/crates/cypressfork/tests/homes.rs
+++ b/crates/cypressfork/tests/homes.rs
@@ -10,7 +10,7 @@
 
 use serde_json::json;
 use support::gateways::*;
-use support::until;
+use support::wait_for;
 
 /// Number of extra gateways in the data centre, enough for budgets to have home gateways.
 const EXTRA_GATEWAYS: usize = 13;
@@ -27,7 +27,7 @@
         // The list includes the first gateway of the fleet.
         text.contains(&format!("routers={}", EXTRA_GATEWAYS + 1))
     };
-    until("the list of all gateways", || (0..EXTRA_GATEWAYS).all(has_full_list));
+    wait_for("the list of all gateways", || (0..EXTRA_GATEWAYS).all(has_full_list));
     (f, all)
 }
 
@@ -73,7 +73,7 @@
         // Stops the callers even if the wait panics.
         let _stop_callers = SetOnDrop(&done);
         let mut sequence = 1;
-        until("a slice at the busy gateway", || {
+        wait_for("a slice at the busy gateway", || {
             sequence += 1;
             fleet.beat(fleet.replica.unwrap(), sequence);
             busy.is_home()
@@ -96,7 +96,7 @@
     dead.iter_mut().for_each(|g| g.process.kill());
     for (n, gateway) in live.iter().enumerate() {
         fleet.beat(fleet.replica.unwrap(), 2 + n);
-        until("an answer", || gateway.spend(100 + n, 10).is_some_and(|answer| answer.0 == 200));
+        wait_for("an answer", || gateway.spend(100 + n, 10).is_some_and(|answer| answer.0 == 200));
     }
     assert!(live.iter().any(Neighbour::is_home) || is_home(fleet.operators));
 }
--- a/crates/cypressfork/tests/leaving.rs
+++ b/crates/cypressfork/tests/leaving.rs
@@ -11,7 +11,7 @@
 
 use support::gateways::*;
 use support::resting::*;
-use support::until;
+use support::wait_for;
 
 /// Run time of a request.
 const RUN_TIME: Duration = Duration::from_millis(10);
@@ -72,14 +72,16 @@
     leave(&world.replicas[0]);
     let front = world.fleet.front;
     let announced = || log(world.fleet.dir.path(), "gateway-0").contains(" CFE443 ");
-    until("the announcement at one gateway", || {
+    wait_for("the announcement at one gateway", || {
         exchange(front, "GET", "/board/x", CALLER, "").is_some() && announced()
     });
     let lists_draining = |g: &Neighbour| {
         let lines = g.process.log();
         lines.lines().any(|l| l.contains("replica=b-0 ") && l.contains("standing=Draining"))
     };
-    until("the draining replica at all gateways", || world.neighbours.iter().all(lists_draining));
+    wait_for("the draining replica at all gateways", || {
+        world.neighbours.iter().all(lists_draining)
+    });
     let since = Instant::now();
     world.send(60);
     sleep(OBSERVATION);
@@ -104,7 +106,7 @@
     // A gateway that starts now has to learn of it from other processes.
     let more = world.fleet.start_neighbours_from(world.neighbours.len(), 1);
     let front = more[0].front;
-    until("an answer", || {
+    wait_for("an answer", || {
         exchange(front, "GET", "/board/x", CALLER, "").is_some_and(|a| a.0 == 200)
     });
     (0..40).for_each(|_| drop(exchange(front, "GET", "/board/x", CALLER, "")));
--- a/crates/cypressfork/tests/left_streams.rs
+++ b/crates/cypressfork/tests/left_streams.rs
@@ -17,7 +17,7 @@
 use support::crashing::{header, request};
 use support::gateways::*;
 use support::limited::beat;
-use support::until;
+use support::wait_for;
 
 /// Prepaid tokens of the account.
 const PREPAID: u64 = 3_000;
@@ -122,16 +122,16 @@
     fleet.start_control(0, true);
     fleet.start_gateway();
     let body = document().to_string();
-    until("the document to be accepted", || {
+    wait_for("the document to be accepted", || {
         matches!(fleet.call(0, "PUT", "/v1/document", &body), Some((200, _)))
     });
     let used = Arc::<AtomicU64>::default();
     let address = engine(engine_settings, used.clone());
     let over = Arc::<AtomicBool>::default();
     beat("talk", "t-1".to_owned(), address, vec![fleet.controls[0].api], over.clone());
-    until("a response", || leave_early(fleet.front, 0, reads, CALLER_STAYS).is_none());
+    wait_for("a response", || leave_early(fleet.front, 0, reads, CALLER_STAYS).is_none());
     let mut n = 0;
-    until("the budget to be spent", || {
+    wait_for("the budget to be spent", || {
         n += 1;
         let code = leave_early(fleet.front, n, reads, CALLER_STAYS);
         code.as_deref() == Some("CF1205")
--- a/crates/cypressfork/tests/limits.rs
+++ b/crates/cypressfork/tests/limits.rs
@@ -16,7 +16,7 @@
 use support::crashing::{Callers, two_routes};
 use support::gateways::*;
 use support::limited::*;
-use support::until;
+use support::wait_for;
 
 /// Number of replicas of the service.
 const REPLICAS: usize = 6;
@@ -65,7 +65,7 @@
         fleet.start_gateway();
         let neighbours = fleet.start_neighbours(gateways - 1);
         let first = two_routes(3).to_string();
-        until("the document to be accepted", || {
+        wait_for("the document to be accepted", || {
             matches!(fleet.call(0, "PUT", "/v1/document", &first), Some((200, _)))
         });
         let fronts: Vec<_> = neighbours.iter().map(|g| g.front).chain([fleet.front]).collect();
@@ -75,7 +75,7 @@
         let replicas: Vec<_> = (0..REPLICAS).map(replica).collect();
         replicas.iter().for_each(LimitedReplica::start);
         for front in &fronts {
-            until("a response", || {
+            wait_for("a response", || {
                 exchange(*front, "GET", "/board/x", CALLER, "").is_some_and(|a| a.0 == 200)
             });
         }
@@ -184,7 +184,7 @@
     sleep_until(since);
     let more = world.fleet.start_neighbours_from(world.neighbours.len(), 1);
     let front = more[0].front;
-    until("a response", || exchange(front, "GET", "/board/x", CALLER, "").is_some());
+    wait_for("a response", || exchange(front, "GET", "/board/x", CALLER, "").is_some());
     let before: usize = world.replicas.iter().map(|r| world.seen.since(&r.name, since).len()).sum();
     let answers: Vec<_> =
         (0..40).filter_map(|_| exchange(front, "GET", "/board/x", CALLER, "")).collect();
--- a/crates/cypressfork/tests/lives.rs
+++ b/crates/cypressfork/tests/lives.rs
@@ -14,7 +14,7 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 use support::gateways::*;
-use support::until;
+use support::wait_for;
 
 /// Sequence number that the first incarnation reaches; the second one must be accepted at much lower numbers.
 const FIRST_SEQUENCE: u64 = 500;
@@ -35,13 +35,13 @@
 
 /// Sends a heartbeat to control process `n` until it is acknowledged.
 fn send_heartbeat(f: &Fleet, n: usize, beat: &Value) {
-    until("an acknowledgement", || {
+    wait_for("an acknowledgement", || {
         matches!(f.call(n, "PUT", "/v1/replicas/b-1", &beat.to_string()), Some((200, _)))
     });
 }
 
 fn until_served(f: &Fleet) {
-    until("a response", || f.ask("/board/x").is_some_and(|a| a.0 == 200));
+    wait_for("a response", || f.ask("/board/x").is_some_and(|a| a.0 == 200));
 }
 
 /// How the first incarnation ends.
@@ -67,12 +67,12 @@
         Ending::Draining => {
             send_heartbeat(&f, 1, &heartbeat(first, 1_000, FIRST_SEQUENCE + 1, true))
         }
-        Ending::Leaving => until("an acknowledgement", || {
+        Ending::Leaving => wait_for("an acknowledgement", || {
             matches!(f.call(1, "DELETE", "/v1/replicas/b-1", ""), Some((200, _)))
         }),
     }
     if ending != Ending::Silently {
-        until("requests to be refused", || f.ask("/board/x").is_some_and(|a| a.0 == 503));
+        wait_for("requests to be refused", || f.ask("/board/x").is_some_and(|a| a.0 == 503));
     }
     // A platform may restart it at another address.
     let second = replica();
@@ -83,7 +83,7 @@
         let at = format!("address={second} ");
         n > 0 && text.lines().any(|l| l.contains("CFE317") && l.contains(&at))
     };
-    until("the gateway to apply the new address", || has_address(1));
+    wait_for("the gateway to apply the new address", || has_address(1));
     until_served(&f);
     assert!(started.elapsed() < Duration::from_secs(5), "it took {:?}", started.elapsed());
     // A late heartbeat of the previous incarnation changes nothing at any control process.
@@ -102,7 +102,7 @@
     let f = fleet();
     let mut beat = heartbeat(replica(), 1, 1, false);
     beat["born"] = born;
-    until("a refusal", || {
+    wait_for("a refusal", || {
         let answer = f.call(0, "PUT", "/v1/replicas/b-1", &beat.to_string());
         answer.is_some_and(|(status, v)| status == 400 && v["error"]["code"] == "CF1103")
     });
--- a/crates/cypressfork/tests/path.rs
+++ b/crates/cypressfork/tests/path.rs
@@ -28,7 +28,7 @@
     assert_eq!(status, 200);
     assert_eq!(lines.iter().filter(|l| l.starts_with("data: {")).count(), 8);
     assert_eq!(lines.iter().rfind(|l| !l.is_empty()).unwrap(), "data: [DONE]");
-    f.until_spent(PROMPT_TOKENS + 8);
+    f.wait_until_spent(PROMPT_TOKENS + 8);
     let bill = f.json(&["bill", "club", "game-1"]);
     assert_eq!(
         (&bill["prompt"], &bill["output"], &bill["whole"]),
@@ -44,7 +44,7 @@
     let v = a.json();
     assert_eq!(v["choices"][0]["message"]["content"], "w1 w2 w3 w4 ");
     assert_eq!(v["usage"]["total_tokens"], PROMPT_TOKENS + 4);
-    f.until_spent(PROMPT_TOKENS + 4);
+    f.wait_until_spent(PROMPT_TOKENS + 4);
 }
 
 #[test]
--- a/crates/cypressfork/tests/regions.rs
+++ b/crates/cypressfork/tests/regions.rs
@@ -8,7 +8,7 @@
 
 use serde_json::json;
 use support::gateways::*;
-use support::{own_ip, until};
+use support::{own_ip, wait_for};
 
 /// The regions, each with its data centre.
 const REGIONS: [(&str, &str); 2] = [("north", "n1"), ("south", "s1")];
@@ -52,7 +52,7 @@
         d["routes"][0]["regions"] = json!(route);
         d["accounts"][0]["regions"] = json!(account);
         let text = d.to_string();
-        until("the document to be accepted", || {
+        wait_for("the document to be accepted", || {
             (0..3)
                 .any(|n| matches!(self.fleet.call(n, "PUT", "/v1/document", &text), Some((200, _))))
         });
@@ -80,7 +80,7 @@
     /// Waits until every gateway responds with this status and result code.
     fn until_all(&self, what: &str, status: u16, code: &str) {
         for front in &self.fronts {
-            until(what, || self.ask(*front) == (status, code.to_owned()));
+            wait_for(what, || self.ask(*front) == (status, code.to_owned()));
         }
     }
 }
@@ -118,13 +118,13 @@
     world.until_all("a response", 200, "");
     // A document that is published in one region is in force in the other.
     for n in 0..3 {
-        until("the document in both regions", || world.fleet.version(n) == Some(3));
+        wait_for("the document in both regions", || world.fleet.version(n) == Some(3));
     }
     let listed = |dc: &str| {
         let answer = world.fleet.call(0, "GET", &format!("/v1/entry?data_centre={dc}"), "");
         answer.and_then(|a| a.1["addresses"].as_array().map(Vec::len))
     };
-    until("both gateways to be listed", || listed("n1") == Some(2) && listed("s1") == Some(2));
+    wait_for("both gateways to be listed", || listed("n1") == Some(2) && listed("s1") == Some(2));
 }
 
 /// Guards against a bound request that is served outside its regions.
--- a/crates/cypressfork/tests/rollout.rs
+++ b/crates/cypressfork/tests/rollout.rs
@@ -13,8 +13,8 @@
 use serde_json::{Value, json};
 use support::crashing::{Callers, two_routes};
 use support::gateways::*;
-use support::until;
 use support::versions::*;
+use support::wait_for;
 
 /// Number of replicas of each version.
 const REPLICAS: usize = 4;
@@ -64,7 +64,7 @@
         fleet.start_gateway();
         let neighbours = fleet.start_neighbours(NEIGHBOURS);
         let first = two_routes(3).to_string();
-        until("the document to be accepted", || {
+        wait_for("the document to be accepted", || {
             matches!(fleet.call(0, "PUT", "/v1/document", &first), Some((200, _)))
         });
         let fronts: Vec<_> = neighbours.iter().map(|g| g.front).chain([fleet.front]).collect();
@@ -73,7 +73,7 @@
         let world = World { fleet, _neighbours: neighbours, seen, callers, stop_old };
         world.add_replicas("v1", 0, world.stop_old.clone());
         for front in fronts {
-            until("a response", || {
+            wait_for("a response", || {
                 exchange(front, "GET", "/board/x", CALLER, "").is_some_and(|a| a.0 == 200)
             });
         }
@@ -111,7 +111,7 @@
     fn order_rollout(&self, version: &str) -> Instant {
         let body = json!({ "version": version, "within_ms": ROLLOUT_LIMIT.as_millis() as u64 });
         let mut at = Instant::now();
-        until("an acknowledgement", || {
+        wait_for("an acknowledgement", || {
             at = Instant::now();
             let answer = self.call_any("PUT", "/v1/rollouts/board", &body.to_string());
             answer.is_some_and(|a| a.0 == 200)
@@ -125,15 +125,15 @@
         (status == 200).then(|| v["stage"].as_str().unwrap().to_owned())
     }
 
-    fn until_stage(&self, stage: &str) {
-        until(stage, || self.stage().as_deref() == Some(stage));
+    fn wait_for_stage(&self, stage: &str) {
+        wait_for(stage, || self.stage().as_deref() == Some(stage));
     }
 
     /// Kills the leader of the control group and restarts it.
     fn kill_leader(&mut self) {
         let leads = |c: &Control| sample(c.metrics, "cypressfork_group_leads") == Some(1.0);
         let mut leader = None;
-        until("a leader", || {
+        wait_for("a leader", || {
             leader = self.fleet.controls.iter().position(leads);
             leader.is_some()
         });
@@ -152,14 +152,14 @@
     let before = Instant::now();
     world.add_replicas("v2", 0, Arc::default());
     let ordered = world.order_rollout("v2");
-    world.until_stage("Trial");
+    world.wait_for_stage("Trial");
     if kill {
         world.kill_leader();
     }
-    until("a request to the new version", || world.seen.count("v2", before) > 0);
+    wait_for("a request to the new version", || world.seen.count("v2", before) > 0);
     // As a platform does, stop the old replicas as soon as the rollout is reported as completed.
     let mut last_at_old = Instant::now();
-    until("Completed", || {
+    wait_for("Completed", || {
         if world.seen.running("v1") > 0 {
             last_at_old = Instant::now();
         }
@@ -174,7 +174,7 @@
     let due = (ordered + ROLLOUT_LIMIT).max(last_at_old + REPORTED_WITHIN);
     assert!(kill || Instant::now() < due, "the rollout was completed too late");
     let since = Instant::now();
-    until("requests at the new version", || world.seen.count("v2", since) > 200);
+    wait_for("requests at the new version", || world.seen.count("v2", since) > 200);
     world.callers.over.store(true, Ordering::Relaxed);
     let got = world.callers.got();
     assert_eq!(got.kinds().len(), 0, "{:?}", got.kinds());
@@ -192,11 +192,11 @@
     let mut world = World::new();
     world.add_replicas("v2", fails_each, Arc::default());
     let ordered = world.order_rollout("v2");
-    world.until_stage("Trial");
+    world.wait_for_stage("Trial");
     if kill {
         world.kill_leader();
     }
-    world.until_stage("RolledBack");
+    world.wait_for_stage("RolledBack");
     std::thread::sleep(ROLLOUT_LIMIT.saturating_sub(ordered.elapsed()));
     let exposed = world.seen.count("v2", ordered) as f64;
     let all = exposed + world.seen.count("v1", ordered) as f64;
@@ -205,7 +205,7 @@
         assert_eq!(world.seen.count("v2", fiftieth + STOPPED_WITHIN), 0);
     }
     let since = Instant::now();
-    until("requests at the old version", || world.seen.count("v1", since) > 200);
+    wait_for("requests at the old version", || world.seen.count("v1", since) > 200);
     assert_eq!(world.seen.count("v2", since), 0, "requests after the rollback");
 }
 
@@ -216,7 +216,7 @@
     world.order_rollout("v2");
     world.fleet.controls.iter_mut().for_each(|c| c.process.as_mut().unwrap().kill());
     (0..3).for_each(|n| world.fleet.start_control(n, false));
-    until("the order", || world.stage().is_some());
+    wait_for("the order", || world.stage().is_some());
     assert_eq!(world.stage().as_deref(), Some("Waiting"));
     world.order_rollout("v2");
     let other = json!({ "version": "v3", "within_ms": 1_000 }).to_string();
--- a/crates/cypressfork/tests/routing.rs
+++ b/crates/cypressfork/tests/routing.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::Instant;
 
-use support::{Fleet, Plan, Process, ask, program, until};
+use support::{Fleet, Plan, Process, ask, program, wait_for};
 
 /// Returns the number of requests that engine `n` has started.
 fn started(f: &Fleet, n: usize) -> u64 {
@@ -30,7 +30,7 @@
     let vms = ["vms", "--file", list.to_str().unwrap()];
     let platform = Process::start(dir.path(), "platform", program("fakes"), &vms);
     let mut address = String::new();
-    until("the address of the platform", || {
+    wait_for("the address of the platform", || {
         let log = platform.log();
         address = log.lines().find_map(|l| l.strip_prefix("listening ")).unwrap_or("").to_owned();
         !address.is_empty()
@@ -43,9 +43,9 @@
     });
     thread::scope(|s| {
         let long: Vec<_> = (0..8).map(|_| s.spawn(|| f.chat(0).send(&ask(false, 24)))).collect();
-        until("a request at the leaving engine", || started(&f, 0) > 0);
+        wait_for("a request at the leaving engine", || started(&f, 0) > 0);
         write_list("leaving");
-        until("the router to log that the engine is leaving", || {
+        wait_for("the router to log that the engine is leaving", || {
             f.routers[0].log().contains("CFE417")
         });
         write_list("live");
@@ -84,7 +84,7 @@
             }
         };
         let all: Vec<_> = (0..8).map(|_| s.spawn(bulk)).collect();
-        until("refusals", || refused.load(Ordering::Relaxed) >= 5);
+        wait_for("refusals", || refused.load(Ordering::Relaxed) >= 5);
         let live: Vec<_> = (0..2)
             .map(|_| s.spawn(|| f.chat(0).header("x-priority", "live").send(&ask(false, 4)).status))
             .collect();
@@ -111,7 +111,7 @@
         let a = f.chat(0).send(&ask(false, 4));
         assert_eq!(a.status, 200, "{}", a.body);
     }
-    f.until_spent(30 * 7);
+    f.wait_until_spent(30 * 7);
 }
 
 #[test]
--- a/crates/cypressfork/tests/support/gateways.rs
+++ b/crates/cypressfork/tests/support/gateways.rs
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 use tempfile::TempDir;
 
-use super::{Process, free_addresses, own_ip, program, until};
+use super::{Process, free_addresses, own_ip, program, wait_for};
 
 pub const HOST: &str = "club.example";
 
@@ -58,7 +58,7 @@
     /// waits for its disk, a home gateway can neither get more tokens nor learn that there are none.
     pub fn spend_in_the_end(&self, id: usize, tokens: u64) -> (u16, String) {
         let mut last = None;
-        until("a final response", || {
+        wait_for("a final response", || {
             last = self.spend(id, tokens);
             last.as_ref()
                 .is_some_and(|(status, code)| (*status, code.as_str()) != (503, TEMPORARY_REFUSAL))
@@ -107,7 +107,7 @@
         let address = replica();
         f.beat(address, 1);
         f.replica = Some(address);
-        until("a response", || f.ask("/board/x").is_some_and(|a| a.0 == 200));
+        wait_for("a response", || f.ask("/board/x").is_some_and(|a| a.0 == 200));
         f
     }
 
@@ -208,7 +208,7 @@
 
     /// Publishes a document through any control process that accepts it.
     pub fn publish(&self, version: u64) {
-        until("the document to be accepted", || {
+        wait_for("the document to be accepted", || {
             let body = document(version).to_string();
             let all = 0..self.controls.len();
             all.into_iter()
--- a/crates/cypressfork/tests/support/http.rs
+++ b/crates/cypressfork/tests/support/http.rs
@@ -4,12 +4,12 @@
 
 use serde_json::Value;
 
-use super::{KEY, PATIENCE};
+use super::{KEY, WAIT_TIMEOUT};
 
 fn agent() -> ureq::Agent {
     ureq::Agent::config_builder()
         .http_status_as_error(false)
-        .timeout_global(Some(PATIENCE))
+        .timeout_global(Some(WAIT_TIMEOUT))
         .build()
         .into()
 }
--- a/crates/cypressfork/tests/support/mod.rs
+++ b/crates/cypressfork/tests/support/mod.rs
@@ -29,7 +29,7 @@
 pub const KEY: &str = "cf-test-key";
 
 /// Maximum time that a test waits for an event before it fails.
-const PATIENCE: Duration = Duration::from_secs(30);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 const DATA_CENTRES: [&str; 3] = ["tamar-a", "tamar-b", "esk-c"];
 
@@ -80,7 +80,7 @@
     /// Waits for the process to exit and returns its exit code.
     pub fn wait(&mut self) -> Option<i32> {
         let mut code = None;
-        until("the process to exit", || match self.child.try_wait().unwrap() {
+        wait_for("the process to exit", || match self.child.try_wait().unwrap() {
             Some(status) => {
                 code = status.code();
                 true
@@ -109,9 +109,9 @@
     }
 }
 
-/// Polls `done` until it returns true. Panics after [`PATIENCE`].
-pub fn until(what: &str, mut done: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+/// Polls `done` until it returns true. Panics after [`WAIT_TIMEOUT`].
+pub fn wait_for(what: &str, mut done: impl FnMut() -> bool) {
+    let end = Instant::now() + WAIT_TIMEOUT;
     while !done() {
         assert!(Instant::now() < end, "timed out waiting for {what}");
         sleep(Duration::from_millis(10));
@@ -206,7 +206,7 @@
     all.extend(args);
     let p = Process::start(dir, name, program("fakes"), &all);
     let mut address = String::new();
-    until("the address of a fake", || {
+    wait_for("the address of a fake", || {
         let log = p.log();
         let found = log.lines().find_map(|l| l.strip_prefix("listening "));
         address = found.unwrap_or_default().to_owned();
@@ -221,7 +221,7 @@
         let f = Fleet::start_bare(plan);
         f.apply_example();
         for n in 0..f.routers.len() {
-            f.until_ready(n, 1);
+            f.wait_until_ready(n, 1);
         }
         f
     }
@@ -430,9 +430,9 @@
     }
 
     /// Waits until router `n` is ready with at least this configuration version.
-    pub fn until_ready(&self, n: usize, version: u64) {
+    pub fn wait_until_ready(&self, n: usize, version: u64) {
         let url = format!("http://{}/readyz", self.ops_addresses[n]);
-        until("a router to load the configuration", || {
+        wait_for("a router to load the configuration", || {
             get(&url).is_some_and(|v| {
                 v["ready"] == true && v["configuration"].as_u64().unwrap_or(0) >= version
             })
@@ -445,9 +445,9 @@
     }
 
     /// Waits until the budget shows exactly `tokens` as spent.
-    pub fn until_spent(&self, tokens: u64) {
+    pub fn wait_until_spent(&self, tokens: u64) {
         let mut last = Value::Null;
-        until("the expected spend", || {
+        wait_for("the expected spend", || {
             last = self.budget();
             last["spent"] == tokens
         });
--- a/crates/cypressfork/tests/support/resting.rs
+++ b/crates/cypressfork/tests/support/resting.rs
@@ -12,7 +12,7 @@
 use super::crashing::{Callers, header, request, two_routes};
 use super::gateways::{CALLER, Fleet, Neighbour, exchange};
 use super::limited::{beat, listen};
-use super::until;
+use super::wait_for;
 
 /// Time after a refusal from which the backoff must be observed, as the user documentation states.
 const EFFECTIVE_AFTER: Duration = Duration::from_millis(500);
@@ -207,7 +207,7 @@
         fleet.start_gateway();
         let neighbours = fleet.start_neighbours(gateways - 1);
         let first = two_routes(3).to_string();
-        until("the document to be accepted", || {
+        wait_for("the document to be accepted", || {
             matches!(fleet.call(0, "PUT", "/v1/document", &first), Some((200, _)))
         });
         let fronts: Vec<_> = neighbours.iter().map(|g| g.front).chain([fleet.front]).collect();
@@ -215,7 +215,7 @@
         let replica = |n| RestingReplica::start(format!("b-{n}"), controls.clone(), gateways, work);
         let replicas: Vec<_> = (0..REPLICAS).map(replica).collect();
         for front in &fronts {
-            until("a response", || {
+            wait_for("a response", || {
                 exchange(*front, "GET", "/board/x", CALLER, "").is_some_and(|a| a.0 == 200)
             });
         }
--- a/crates/cypressfork/tests/traces.rs
+++ b/crates/cypressfork/tests/traces.rs
@@ -6,7 +6,7 @@
 use std::fs;
 
 use serde_json::Value;
-use support::{Fleet, Plan, ask, until};
+use support::{Fleet, Plan, ask, wait_for};
 
 /// Trace id of the caller's context.
 const TRACE: &str = "4bf92f3577b34da6a3ce929d0e0e4736";
@@ -16,7 +16,7 @@
 /// Waits until the caller's trace has a span called `name`; returns the spans of the trace by name.
 fn spans(f: &Fleet, name: &str) -> BTreeMap<String, Value> {
     let mut found = BTreeMap::new();
-    until("the span", || {
+    wait_for("the span", || {
         let text = fs::read_to_string(f.path("traces.jsonl")).unwrap_or_default();
         for line in text.lines() {
             let Ok(v) = serde_json::from_str::<Value>(line) else { continue };
@@ -72,7 +72,7 @@
         let a = f.chat(0).header("traceparent", bad).send(&ask(false, 2));
         assert_eq!(a.status, 200, "{bad}: {}", a.body);
     }
-    until("four traces", || {
+    wait_for("four traces", || {
         fs::read_to_string(f.path("traces.jsonl")).unwrap_or_default().lines().count() == 4
     });
 }
