--- a/crates/cypressfork/benches/fleet.rs
+++ b/crates/cypressfork/benches/fleet.rs
@@ -25,7 +25,7 @@
 use cypressfork_wire::auth::Key;
 use futures_util::future::join_all;
 use serde_json::json;
-use support::{Fleet, KEY, Plan, ask, wait_for};
+use support::{Fleet, KEY, Plan, chat_body, wait_for};
 
 /// Clock ticks per second in `/proc/PID/stat`.
 const TICKS_PER_SECOND: f64 = 100.0;
@@ -123,7 +123,7 @@
             let (served, failed) = (&served, &failed);
             s.spawn(move || {
                 let agent: ureq::Agent = ureq::Agent::config_builder().build().into();
-                let body = ask(false, 4);
+                let body = chat_body(false, 4);
                 let gap = Duration::from_micros(1_000_000 * THREADS / rate);
                 let mut due = begin + gap * t as u32 / THREADS as u32;
                 while begin.elapsed() < span {
@@ -199,7 +199,7 @@
     let through = format!("http://{}/v1/chat/completions", f.router_addresses[0]);
     let direct = format!("http://{}/v1/chat/completions", f.engines[0].1);
     let agent: ureq::Agent = ureq::Agent::config_builder().build().into();
-    let body = ask(true, 8);
+    let body = chat_body(true, 8);
     let mut times = [Vec::new(), Vec::new()];
     for n in 0..2_200 {
         for (url, out) in [&through, &direct].into_iter().zip(&mut times) {
@@ -250,7 +250,7 @@
     for target in [1_000, 5_000] {
         while open.len() < target {
             let mut s = TcpStream::connect(&f.router_addresses[0]).unwrap();
-            let body = ask(true, 2);
+            let body = chat_body(true, 2);
             let head = format!(
                 "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {KEY}\r\nContent-Length: {}\r\n\r\n{body}",
                 body.len()
--- a/crates/cypressfork/tests/bad_input.rs
+++ b/crates/cypressfork/tests/bad_input.rs
@@ -5,7 +5,7 @@
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
-use support::{Answer, Fleet, KEY, Plan, Request, ask};
+use support::{Answer, Fleet, KEY, Plan, Request, chat_body};
 
 struct Case {
     name: &'static str,
@@ -23,7 +23,7 @@
         status,
         code,
     };
-    let good = ask(true, 4);
+    let good = chat_body(true, 4);
     let big = "x".repeat(70_000);
     let at = |path: &str| Request::new(&f.router_addresses[0], path);
     vec![
@@ -123,7 +123,7 @@
     send_incomplete_request(&f.router_addresses[0]);
     let line = send_oversized_headers(&f.router_addresses[0]);
     assert!(line.is_empty() || line.contains(" 4"), "{line}");
-    let a = f.chat(0).send(&ask(false, 4));
+    let a = f.chat(0).send(&chat_body(false, 4));
     assert_eq!(a.status, 200, "the router still serves: {}", a.body);
     f.wait_until_spent(7);
     assert_eq!(f.engine_stats(0)["started"], 1, "only the good request reached the engine");
--- a/crates/cypressfork/tests/engines.rs
+++ b/crates/cypressfork/tests/engines.rs
@@ -8,7 +8,7 @@
 use std::thread;
 
 use rstest::rstest;
-use support::{Fleet, Plan, ask};
+use support::{Fleet, Plan, chat_body};
 
 fn fleet(fault: &'static str) -> Fleet {
     Fleet::start(Plan {
@@ -34,10 +34,10 @@
     #[case] most: u64,
 ) {
     let f = fleet(fault);
-    let a = f.chat(0).send(&ask(false, 12));
+    let a = f.chat(0).send(&chat_body(false, 12));
     assert_eq!(a.code(), code, "{}", a.body);
     assert_eq!(a.json()["error"]["ran"], "unknown");
-    let streamed = f.chat(0).send(&ask(true, 12));
+    let streamed = f.chat(0).send(&chat_body(true, 12));
     assert!(!streamed.body.contains("[DONE]"), "{}", streamed.body);
     assert!(streamed.body.contains(code), "{}", streamed.body);
     support::wait_for("both bills", || f.budget()["total"]["requests"] == 2);
@@ -55,13 +55,13 @@
 #[test]
 fn an_answer_that_breaks_off_three_times_is_whole() {
     let f = fleet("break");
-    let a = f.chat(0).send(&ask(false, 12));
+    let a = f.chat(0).send(&chat_body(false, 12));
     assert_eq!(a.status, 200, "{}", a.body);
     assert_eq!(a.json()["choices"][0]["message"]["content"], answer_text(12));
     let prompts = 3 + 6 + 9 + 12;
     assert_eq!(a.json()["usage"]["total_tokens"], prompts + 12);
     f.wait_until_spent(prompts + 12);
-    let streamed = f.chat(0).send(&ask(true, 12)).body;
+    let streamed = f.chat(0).send(&chat_body(true, 12)).body;
     let events = streamed.lines().filter_map(|l| l.strip_prefix("data: {"));
     let text: String = events
         .map(|l| serde_json::from_str::<serde_json::Value>(&format!("{{{l}")).unwrap())
@@ -80,9 +80,9 @@
 #[test]
 fn an_event_of_another_answer_is_dropped() {
     let f = fleet("cross");
-    let a = f.chat(0).send(&ask(false, 8));
+    let a = f.chat(0).send(&chat_body(false, 8));
     assert_eq!(a.json()["choices"][0]["message"]["content"], answer_text(8));
-    let streamed = f.chat(0).send(&ask(true, 8)).body;
+    let streamed = f.chat(0).send(&chat_body(true, 8)).body;
     assert!(!streamed.contains("gen-of-another"), "{streamed}");
     assert!(streamed.trim_end().ends_with("data: [DONE]"));
 }
@@ -91,10 +91,10 @@
 #[test]
 fn an_answer_that_breaks_off_too_often_is_a_clear_error() {
     let f = fleet("break");
-    let a = f.chat(0).send(&ask(false, 24));
+    let a = f.chat(0).send(&chat_body(false, 24));
     assert_eq!((a.status, a.code().as_str()), (502, "CF1306"), "{}", a.body);
     f.wait_until_spent(3 + 6 + 9 + 12 + 15 + 15);
-    let streamed = f.chat(0).send(&ask(true, 24)).body;
+    let streamed = f.chat(0).send(&chat_body(true, 24)).body;
     assert!(!streamed.contains("[DONE]") && streamed.contains("CF1306"), "{streamed}");
 }
 
@@ -104,7 +104,7 @@
     let f = fleet("break");
     let send = || {
         let r = f.chat(0).header("x-not-repeatable", "true").header("idempotency-key", "g1");
-        r.send(&ask(false, 8))
+        r.send(&chat_body(false, 8))
     };
     assert_eq!(send().code(), "CF1306");
     support::wait_for("the outcome", || send().code() == "CF1403");
@@ -115,7 +115,7 @@
 #[test]
 fn a_busy_engine_charges_nothing() {
     let f = fleet("busy");
-    let a = f.chat(0).send(&ask(false, 8));
+    let a = f.chat(0).send(&chat_body(false, 8));
     assert_eq!(a.code(), "CF1306", "{}", a.body);
     assert_eq!(a.json()["error"]["ran"], "unknown", "the request was sent");
     assert!(a.header("retry-after").is_some());
@@ -131,7 +131,7 @@
 #[case::reports_too_little("undercount", 8)]
 fn a_wrong_count_is_charged_safely(#[case] fault: &'static str, #[case] output: u64) {
     let f = fleet(fault);
-    let a = f.chat(0).send(&ask(false, 8));
+    let a = f.chat(0).send(&chat_body(false, 8));
     assert_eq!(a.status, 200);
     let usage = a.json()["usage"].clone();
     assert_eq!(usage["completion_tokens"], output);
@@ -144,7 +144,7 @@
 #[test]
 fn a_request_to_an_unresponsive_engine_fails_at_its_deadline() {
     let f = fleet("mute");
-    let a = f.chat(0).header("x-deadline-ms", "300").send(&ask(false, 8));
+    let a = f.chat(0).header("x-deadline-ms", "300").send(&chat_body(false, 8));
     assert_eq!((a.status, a.code().as_str()), (504, "CF1302"), "{}", a.body);
     assert_eq!(a.json()["error"]["ran"], "unknown");
     assert!(a.json()["error"]["retry_after_ms"].is_u64());
@@ -182,7 +182,7 @@
     let a = f.call(0).header("x-not-repeatable", "true").header("idempotency-key", "m1").send("x");
     assert_eq!((a.status, a.code().as_str()), (503, "CF1303"), "{}", a.body);
     assert_eq!(a.json()["error"]["ran"], "no");
-    let a = f.chat(0).send(&ask(false, 8));
+    let a = f.chat(0).send(&chat_body(false, 8));
     assert_eq!((a.status, a.code().as_str()), (503, "CF1303"), "{}", a.body);
     assert_eq!(a.json()["error"]["ran"], "no");
     assert!(a.header("retry-after").is_some());
@@ -252,9 +252,9 @@
         ..Plan::default()
     });
     thread::scope(|s| {
-        let long = s.spawn(|| f.chat(0).send(&ask(false, 24)).status);
+        let long = s.spawn(|| f.chat(0).send(&chat_body(false, 24)).status);
         support::wait_for("the long request to start", || f.engine_stats(0)["started"] == 1);
-        let body = ask(false, 4);
+        let body = chat_body(false, 4);
         let head = format!(
             "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {}\r\nIdempotency-Key: g1\r\nX-Not-Repeatable: true\r\nContent-Length: {}\r\n\r\n{body}",
             support::KEY,
@@ -274,7 +274,7 @@
         assert_eq!(long.join().unwrap(), 200);
     });
     let r = f.chat(0).header("x-not-repeatable", "true").header("idempotency-key", "g1");
-    assert_eq!(r.send(&ask(false, 4)).status, 200);
+    assert_eq!(r.send(&chat_body(false, 4)).status, 200);
     assert_eq!(f.engine_stats(0)["started"], 2);
 }
 
@@ -302,7 +302,7 @@
     assert!(f.apply("full.yaml", &text).status.success());
     f.wait_until_ready(0, 2);
     let call = || f.call(0).header("x-not-repeatable", "true").header("idempotency-key", "m1");
-    for a in [call().send("e2e4"), f.chat(0).send(&ask(false, 4))] {
+    for a in [call().send("e2e4"), f.chat(0).send(&chat_body(false, 4))] {
         assert_eq!((a.status, a.code().as_str()), (503, "CF1303"), "{}", a.body);
         assert_eq!(a.json()["error"]["ran"], "no");
     }
--- a/crates/cypressfork/tests/failure.rs
+++ b/crates/cypressfork/tests/failure.rs
@@ -8,9 +8,9 @@
 use std::thread;
 
 use serde_json::Value;
-use support::{Fleet, Plan, ask, wait_for};
+use support::{Fleet, Plan, chat_body, wait_for};
 
-/// Returns the tokens charged for a request of [`ask`] with `n` generated tokens.
+/// Returns the tokens charged for a request of [`chat_body`] with `n` generated tokens.
 fn cost(n: u64) -> u64 {
     3 + n
 }
@@ -34,7 +34,8 @@
         for a in &addresses {
             s.spawn(|| {
                 while !stop.load(Ordering::Relaxed) {
-                    let r = support::Request::new(a, "/v1/chat/completions").send(&ask(false, 4));
+                    let r =
+                        support::Request::new(a, "/v1/chat/completions").send(&chat_body(false, 4));
                     assert_eq!(r.status, 200, "{}", r.body);
                     served.fetch_add(1, Ordering::Relaxed);
                 }
@@ -83,7 +84,7 @@
 fn everything_is_there_after_all_control_processes_are_killed_at_once() {
     let mut f = Fleet::start(Plan { control_extra: "snapshot_every: 16\n", ..Plan::default() });
     for n in 0..25 {
-        assert_eq!(f.chat(n % 2).send(&ask(false, 4)).status, 200);
+        assert_eq!(f.chat(n % 2).send(&chat_body(false, 4)).status, 200);
         f.json(&["top-up", "club-talk", "10"]);
     }
     f.wait_until_spent(25 * cost(4));
@@ -97,7 +98,7 @@
     for key in ["funded", "spent", "total"] {
         assert_eq!(after[key], before[key], "{key}");
     }
-    assert_eq!(f.chat(0).send(&ask(false, 4)).status, 200);
+    assert_eq!(f.chat(0).send(&chat_body(false, 4)).status, 200);
 }
 
 /// Guards against a slice of a killed router that is spent twice or can't be released by an operator. Its
@@ -105,11 +106,12 @@
 #[test]
 fn a_killed_router_strands_its_slice_and_an_operator_frees_it() {
     let mut f = Fleet::start(Plan { engines: vec![vec!["--token-ms", "50"]], ..Plan::default() });
-    let (_, _, mut reader) = f.chat(0).header("idempotency-key", "lesson-1").open(&ask(true, 24));
+    let (_, _, mut reader) =
+        f.chat(0).header("idempotency-key", "lesson-1").open(&chat_body(true, 24));
     let mut line = String::new();
     reader.read_line(&mut line).unwrap();
     f.routers[0].kill();
-    let again = f.chat(1).header("idempotency-key", "lesson-1").send(&ask(false, 8));
+    let again = f.chat(1).header("idempotency-key", "lesson-1").send(&chat_body(false, 8));
     assert_eq!(again.status, 200);
     f.wait_until_spent(cost(8));
     let held = f.budget()["held"].as_u64().unwrap();
@@ -141,7 +143,7 @@
             .map(|_| {
                 s.spawn(|| {
                     let r = support::Request::new(&address, "/v1/chat/completions");
-                    let (status, _, mut reader) = r.open(&ask(true, 24));
+                    let (status, _, mut reader) = r.open(&chat_body(true, 24));
                     assert_eq!(status, 200);
                     started.fetch_add(1, Ordering::Relaxed);
                     let mut text = String::new();
@@ -171,7 +173,7 @@
 #[test]
 fn a_second_signal_ends_a_planned_stop_at_once() {
     let mut f = Fleet::start(Plan { engines: vec![vec!["--token-ms", "500"]], ..Plan::default() });
-    let (_, _, mut reader) = f.chat(0).open(&ask(true, 24));
+    let (_, _, mut reader) = f.chat(0).open(&chat_body(true, 24));
     let mut line = String::new();
     reader.read_line(&mut line).unwrap();
     f.routers[0].signal("TERM");
@@ -229,7 +231,7 @@
     let voters = f.json(&["status"])["nodes"].as_array().unwrap().len();
     assert_eq!(voters, 3);
     assert_eq!(f.budget()["funded"], 100_010);
-    assert_eq!(f.chat(0).send(&ask(false, 4)).status, 200);
+    assert_eq!(f.chat(0).send(&chat_body(false, 4)).status, 200);
 }
 
 /// Guards against two control processes that write to one data folder.
@@ -246,7 +248,7 @@
 #[test]
 fn a_data_centre_cut_off_lives_on_its_reserve() {
     let mut f = Fleet::start(Plan { tokens: 1_000, budget_extra: SMALL_BUDGET, ..Plan::default() });
-    assert_eq!(f.chat(0).send(&ask(false, 4)).status, 200);
+    assert_eq!(f.chat(0).send(&chat_body(false, 4)).status, 200);
     let reserve = |f: &Fleet| {
         let leases = f.json(&["leases", "club-talk"]);
         let all = leases.as_array().unwrap().clone();
@@ -258,7 +260,7 @@
     f.controls[2].kill();
     let mut served = 1;
     let refused = loop {
-        let a = f.chat(0).send(&ask(false, 4));
+        let a = f.chat(0).send(&chat_body(false, 4));
         match a.status {
             200 => served += 1,
             _ => break a,
@@ -272,12 +274,12 @@
     // The reserve is on disk: a restart neither loses it nor grants it again.
     f.controls[0].kill();
     f.controls[0] = f.start_control(0);
-    let again = f.chat(0).send(&ask(false, 4));
+    let again = f.chat(0).send(&chat_body(false, 4));
     assert_ne!(again.status, 200, "{}", again.body);
     f.controls[1] = f.start_control(1);
     f.controls[2] = f.start_control(2);
     f.wait_until_spent(served * cost(4));
-    wait_for("all tokens back", || f.chat(1).send(&ask(false, 4)).status == 200);
+    wait_for("all tokens back", || f.chat(1).send(&chat_body(false, 4)).status == 200);
     assert!(f.budget()["total"]["requests"].as_u64().unwrap() >= served);
 }
 
@@ -337,7 +339,7 @@
 #[test]
 fn a_removed_key_and_a_closed_account_are_refused() {
     let f = Fleet::start(Plan { engines: vec![vec!["--token-ms", "100"]], ..Plan::default() });
-    let (_, _, mut reader) = f.chat(0).open(&ask(true, 12));
+    let (_, _, mut reader) = f.chat(0).open(&chat_body(true, 12));
     let mut line = String::new();
     reader.read_line(&mut line).unwrap();
     let closed = f.example().replace("account: club,", "account: club, closed: true,");
@@ -349,7 +351,7 @@
         }
         for r in 0..2 {
             f.wait_until_ready(r, 2 + n as u64);
-            let a = f.chat(r).send(&ask(false, 4));
+            let a = f.chat(r).send(&chat_body(false, 4));
             assert_eq!(a.code(), code, "{}", a.body);
             assert_eq!(a.json()["error"]["ran"], "no");
         }
@@ -365,7 +367,8 @@
 #[test]
 fn a_retry_after_the_bill_was_posted_is_not_billed_again() {
     let mut f = Fleet::start(Plan::default());
-    let send = |f: &Fleet, n: usize| f.chat(n).header("idempotency-key", "g1").send(&ask(false, 4));
+    let send =
+        |f: &Fleet, n: usize| f.chat(n).header("idempotency-key", "g1").send(&chat_body(false, 4));
     assert_eq!(send(&f, 0).status, 200);
     f.wait_until_spent(cost(4));
     f.routers[0].kill();
--- a/crates/cypressfork/tests/path.rs
+++ b/crates/cypressfork/tests/path.rs
@@ -6,9 +6,9 @@
 use std::path::Path;
 use std::process::Command;
 
-use support::{Fleet, Plan, ask, get, program};
+use support::{Fleet, Plan, chat_body, get, program};
 
-/// Tokens of the prompt of [`ask`].
+/// Tokens of the prompt of [`chat_body`].
 const PROMPT_TOKENS: u64 = 3;
 
 #[test]
@@ -23,7 +23,8 @@
         .collect();
     assert_eq!(addresses.len(), 2);
     assert_eq!(addresses[0], f.router_addresses[1], "the caller's own data centre comes first");
-    let (status, _, reader) = f.chat(0).header("idempotency-key", "game-1").open(&ask(true, 8));
+    let (status, _, reader) =
+        f.chat(0).header("idempotency-key", "game-1").open(&chat_body(true, 8));
     let lines: Vec<String> = reader.lines().map(Result::unwrap).collect();
     assert_eq!(status, 200);
     assert_eq!(lines.iter().filter(|l| l.starts_with("data: {")).count(), 8);
@@ -39,7 +40,7 @@
 #[test]
 fn a_request_without_streaming_gets_one_object() {
     let f = Fleet::start(Plan::default());
-    let a = f.chat(0).send(&ask(false, 4));
+    let a = f.chat(0).send(&chat_body(false, 4));
     assert_eq!(a.status, 200, "{}", a.body);
     let v = a.json();
     assert_eq!(v["choices"][0]["message"]["content"], "w1 w2 w3 w4 ");
--- a/crates/cypressfork/tests/routing.rs
+++ b/crates/cypressfork/tests/routing.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::Instant;
 
-use support::{Fleet, Plan, Process, ask, program, wait_for};
+use support::{Fleet, Plan, Process, chat_body, program, wait_for};
 
 /// Returns the number of requests that engine `n` has started.
 fn started(f: &Fleet, n: usize) -> u64 {
@@ -42,7 +42,8 @@
         ..Plan::default()
     });
     thread::scope(|s| {
-        let long: Vec<_> = (0..8).map(|_| s.spawn(|| f.chat(0).send(&ask(false, 24)))).collect();
+        let long: Vec<_> =
+            (0..8).map(|_| s.spawn(|| f.chat(0).send(&chat_body(false, 24)))).collect();
         wait_for("a request at the leaving engine", || started(&f, 0) > 0);
         write_list("leaving");
         wait_for("the router to log that the engine is leaving", || {
@@ -51,7 +52,7 @@
         write_list("live");
         let before = started(&f, 0);
         for _ in 0..40 {
-            assert_eq!(f.chat(0).send(&ask(false, 4)).status, 200);
+            assert_eq!(f.chat(0).send(&chat_body(false, 4)).status, 200);
         }
         assert_eq!(started(&f, 0), before, "requests to the leaving engine");
         for l in long {
@@ -74,7 +75,7 @@
     thread::scope(|s| {
         let bulk = || {
             let started_at = Instant::now();
-            let a = f.chat(0).header("x-priority", "bulk").send(&ask(false, 24));
+            let a = f.chat(0).header("x-priority", "bulk").send(&chat_body(false, 24));
             if a.status != 200 {
                 assert_eq!((a.status, a.code().as_str()), (503, "CF1301"), "{}", a.body);
                 assert_eq!(a.json()["error"]["ran"], "no");
@@ -86,7 +87,9 @@
         let all: Vec<_> = (0..8).map(|_| s.spawn(bulk)).collect();
         wait_for("refusals", || refused.load(Ordering::Relaxed) >= 5);
         let live: Vec<_> = (0..2)
-            .map(|_| s.spawn(|| f.chat(0).header("x-priority", "live").send(&ask(false, 4)).status))
+            .map(|_| {
+                s.spawn(|| f.chat(0).header("x-priority", "live").send(&chat_body(false, 4)).status)
+            })
             .collect();
         for l in live {
             assert_eq!(l.join().unwrap(), 200);
@@ -108,7 +111,7 @@
         if n == 15 {
             f.engines[1].0.kill();
         }
-        let a = f.chat(0).send(&ask(false, 4));
+        let a = f.chat(0).send(&chat_body(false, 4));
         assert_eq!(a.status, 200, "{}", a.body);
     }
     f.wait_until_spent(30 * 7);
@@ -117,7 +120,7 @@
 #[test]
 fn metrics_count_served_and_refused_requests() {
     let f = Fleet::start(Plan { routers: 1, ..Plan::default() });
-    f.chat(0).send(&ask(false, 4));
+    f.chat(0).send(&chat_body(false, 4));
     f.chat(0).without("authorization").send("");
     let text = support::text(&format!("http://{}/metrics", f.ops_addresses[0])).unwrap();
     for line in [
--- a/crates/cypressfork/tests/support/mod.rs
+++ b/crates/cypressfork/tests/support/mod.rs
@@ -484,7 +484,7 @@
 }
 
 /// Returns the body of a model request.
-pub fn ask(stream: bool, max_tokens: u64) -> String {
+pub fn chat_body(stream: bool, max_tokens: u64) -> String {
     format!(
         r#"{{"model":"go-7b","stream":{stream},"max_tokens":{max_tokens},"messages":[{{"role":"user","content":"annotate this game"}}]}}"#
     )
--- a/crates/cypressfork/tests/traces.rs
+++ b/crates/cypressfork/tests/traces.rs
@@ -6,7 +6,7 @@
 use std::fs;
 
 use serde_json::Value;
-use support::{Fleet, Plan, ask, wait_for};
+use support::{Fleet, Plan, chat_body, wait_for};
 
 /// Trace id of the caller's context.
 const TRACE: &str = "4bf92f3577b34da6a3ce929d0e0e4736";
@@ -40,7 +40,7 @@
 fn a_model_request_has_a_span_for_each_hop() {
     let f = fleet();
     let context = format!("00-{TRACE}-{PARENT}-01");
-    let a = f.chat(0).header("traceparent", &context).send(&ask(true, 4));
+    let a = f.chat(0).header("traceparent", &context).send(&chat_body(true, 4));
     assert_eq!(a.status, 200);
     let spans = spans(&f, "settlement");
     let root = &spans["request"];
@@ -69,7 +69,7 @@
 fn an_invalid_context_is_ignored() {
     let f = fleet();
     for bad in ["", "00-xyz", "00-00000000000000000000000000000000-0000000000000000-01", "ff"] {
-        let a = f.chat(0).header("traceparent", bad).send(&ask(false, 2));
+        let a = f.chat(0).header("traceparent", bad).send(&chat_body(false, 2));
         assert_eq!(a.status, 200, "{bad}: {}", a.body);
     }
     wait_for("four traces", || {
