--- a/crates/cypressfork/tests/fleet.rs
+++ b/crates/cypressfork/tests/fleet.rs
@@ -58,20 +58,20 @@
     f.start_control(0, true);
     f.start_gateway();
     wait_for("the gateway", || TcpStream::connect(f.front).is_ok());
-    assert_eq!(f.ask("/board/x").unwrap().0, 503, "the gateway has no document yet");
+    assert_eq!(f.get("/board/x").unwrap().0, 503, "the gateway has no document yet");
     f.publish(3);
     let beat = json!({ "service": "board", "address": replica().to_string(),
         "data_centre": "tamar-a", "slots": 4, "sequence": 1 });
     assert_eq!(f.call(0, "PUT", "/v1/replicas/b-1", &beat.to_string()).unwrap().0, 200);
-    wait_for("an answer", || f.ask("/board/x").unwrap().0 == 200);
-    assert_eq!(f.ask("/board/x").unwrap().1, json!({ "account": "club" }));
-    assert_eq!(f.ask("/elsewhere").unwrap().0, 404);
+    wait_for("an answer", || f.get("/board/x").unwrap().0 == 200);
+    assert_eq!(f.get("/board/x").unwrap().1, json!({ "account": "club" }));
+    assert_eq!(f.get("/elsewhere").unwrap().0, 404);
     let (status, v) = f.call(0, "GET", "/v1/entry?data_centre=tamar-a", "").unwrap();
     assert_eq!((status, &v["addresses"]), (200, &json!([f.front.to_string()])));
     let (status, v) = f.call(0, "PUT", "/v1/document", "{\"version\": 9}").unwrap();
     assert_eq!((status, &v["error"]["code"]), (400, &json!("CF2012")));
     f.call(0, "DELETE", "/v1/replicas/b-1", "").unwrap();
-    wait_for("the end of the registration", || f.ask("/board/x").unwrap().0 == 503);
+    wait_for("the end of the registration", || f.get("/board/x").unwrap().0 == 503);
 }
 
 /// Guards against a gateway that stops serving when it loses the control group.
@@ -79,13 +79,13 @@
 fn a_gateway_that_is_cut_off_serves_on_with_what_it_knows() {
     let mut f = Fleet::serving();
     f.controls[0].process.as_mut().unwrap().kill();
-    assert_eq!(f.ask("/board/x").unwrap().0, 200);
+    assert_eq!(f.get("/board/x").unwrap().0, 200);
     // A gateway that starts while cut off answers 503: without a document it can't tell whether the route
     // exists.
     f.gateway.as_mut().unwrap().kill();
     f.start_gateway();
     wait_for("the gateway", || TcpStream::connect(f.front).is_ok());
-    assert_eq!(f.ask("/board/x").unwrap().0, 503);
+    assert_eq!(f.get("/board/x").unwrap().0, 503);
 }
 
 /// Guards against an evacuation that is lost when processes restart, or that can't be withdrawn.
@@ -99,7 +99,7 @@
         });
     };
     evacuation_request(&f, "PUT");
-    wait_for("no new work", || f.ask("/board/x").unwrap().0 == 503);
+    wait_for("no new work", || f.get("/board/x").unwrap().0 == 503);
     evacuation_request(&f, "PUT");
     f.controls[0].process.as_mut().unwrap().kill();
     f.gateway.as_mut().unwrap().kill();
@@ -117,10 +117,10 @@
     let evacuated = || sample(f.operators, "cypressfork_evacuated_data_centres");
     wait_for("the evacuation at the gateway", || evacuated() == Some(1.0));
     for _ in 0..20 {
-        assert_eq!(f.ask("/board/x").unwrap().0, 503);
+        assert_eq!(f.get("/board/x").unwrap().0, 503);
     }
     evacuation_request(&f, "DELETE");
-    wait_for("an answer", || f.ask("/board/x").unwrap().0 == 200);
+    wait_for("an answer", || f.get("/board/x").unwrap().0 == 200);
 }
 
 /// Guards against an invalid evacuation request that is accepted or refused without a result code.
@@ -133,7 +133,7 @@
     };
     assert_eq!(refused("/v1/evacuations/", ""), (404, "CF2013".to_owned()));
     assert_eq!(refused("/v1/evacuations/tamar-a", "{}"), (400, "CF2014".to_owned()));
-    assert_eq!(f.ask("/board/x").unwrap().0, 200);
+    assert_eq!(f.get("/board/x").unwrap().0, 200);
 }
 
 /// Guards against a refusal while a restarted gateway still fetches its first document.
--- a/crates/cypressfork/tests/foreign_heartbeats.rs
+++ b/crates/cypressfork/tests/foreign_heartbeats.rs
@@ -45,7 +45,7 @@
     }
     for _ in 0..10 {
         sleep(Duration::from_millis(50));
-        assert_eq!(f.ask("/board/x").unwrap().0, 200);
+        assert_eq!(f.get("/board/x").unwrap().0, 200);
     }
 }
 
--- a/crates/cypressfork/tests/lives.rs
+++ b/crates/cypressfork/tests/lives.rs
@@ -41,7 +41,7 @@
 }
 
 fn until_served(f: &Fleet) {
-    wait_for("a response", || f.ask("/board/x").is_some_and(|a| a.0 == 200));
+    wait_for("a response", || f.get("/board/x").is_some_and(|a| a.0 == 200));
 }
 
 /// How the first incarnation ends.
@@ -72,7 +72,7 @@
         }),
     }
     if ending != Ending::Silently {
-        wait_for("requests to be refused", || f.ask("/board/x").is_some_and(|a| a.0 == 503));
+        wait_for("requests to be refused", || f.get("/board/x").is_some_and(|a| a.0 == 503));
     }
     // A platform may restart it at another address.
     let second = replica();
@@ -89,7 +89,7 @@
     // A late heartbeat of the previous incarnation changes nothing at any control process.
     (0..3).for_each(|n| send_heartbeat(&f, n, &heartbeat(first, 1_000, FIRST_SEQUENCE + 9, true)));
     sleep(Duration::from_millis(500));
-    assert_eq!(f.ask("/board/x").unwrap().0, 200);
+    assert_eq!(f.get("/board/x").unwrap().0, 200);
 }
 
 /// Guards against an invalid start time of a replica that is stored.
--- a/crates/cypressfork/tests/support/gateways.rs
+++ b/crates/cypressfork/tests/support/gateways.rs
@@ -107,7 +107,7 @@
         let address = replica();
         f.beat(address, 1);
         f.replica = Some(address);
-        wait_for("a response", || f.ask("/board/x").is_some_and(|a| a.0 == 200));
+        wait_for("a response", || f.get("/board/x").is_some_and(|a| a.0 == 200));
         f
     }
 
@@ -222,8 +222,8 @@
         (status == 200).then(|| v["version"].as_u64().unwrap())
     }
 
-    /// Sends a request to the first gateway.
-    pub fn ask(&self, path: &str) -> Option<(u16, Value)> {
+    /// Sends a GET request to the first gateway; returns `None` if there is no response.
+    pub fn get(&self, path: &str) -> Option<(u16, Value)> {
         exchange(self.front, "GET", path, CALLER, "")
     }
 }
