--- a/crates/cypressfork/tests/crashing_requests.rs
+++ b/crates/cypressfork/tests/crashing_requests.rs
@@ -102,8 +102,9 @@
         wait_for("a document", || {
             matches!(fleet.call(0, "PUT", "/v1/document", &first), Some((200, _)))
         });
-        let fronts = extra_gateways.iter().map(|g| g.front).chain([fleet.front]).collect();
-        let gateways = Arc::new(Mutex::new(fronts));
+        let gateway_addresses =
+            extra_gateways.iter().map(|g| g.listen).chain([fleet.listen]).collect();
+        let gateways = Arc::new(Mutex::new(gateway_addresses));
         let crashing = CrashingFleet {
             crash_record: Arc::default(),
             harmless: Callers::new(gateways.clone()),
@@ -270,12 +271,12 @@
         answer.map_or(String::new(), |(_, v)| v["error"]["code"].as_str().unwrap().to_owned())
     }
 
-    fn fronts(&self) -> Vec<SocketAddr> {
+    fn gateway_addresses(&self) -> Vec<SocketAddr> {
         self.harmless.gateways.lock().unwrap().clone()
     }
 
     fn wait_until_all_refuse(&self) {
-        for gateway in self.fronts() {
+        for gateway in self.gateway_addresses() {
             wait_for("a refusal", || self.send_copy(gateway, "club-key") == QUARANTINED);
         }
     }
@@ -293,13 +294,13 @@
     crashing.fleet.gateway.as_mut().unwrap().kill();
     crashing.fleet.start_gateway();
     crashing.wait_until_all_answer();
-    assert_eq!(crashing.send_copy(crashing.fleet.front, "club-key"), QUARANTINED);
+    assert_eq!(crashing.send_copy(crashing.fleet.listen, "club-key"), QUARANTINED);
     crashing.fleet.gateway.as_mut().unwrap().kill();
     crashing.fleet.controls.iter_mut().for_each(|c| c.process.as_mut().unwrap().kill());
     (0..3).for_each(|n| crashing.fleet.start_control(n, false));
     crashing.fleet.start_gateway();
     crashing.wait_until_all_answer();
-    assert_eq!(crashing.send_copy(crashing.fleet.front, "club-key"), QUARANTINED);
+    assert_eq!(crashing.send_copy(crashing.fleet.listen, "club-key"), QUARANTINED);
     assert_eq!(crashing.crash_record.arrivals(&format!("{KILLER}-1"), since), 0);
 }
 
@@ -310,12 +311,12 @@
     crashing.fleet.controls.iter_mut().for_each(|c| c.process.as_mut().unwrap().kill());
     let mut codes = Vec::new();
     wait_for("a refusal", || {
-        codes.push(crashing.send_copy(crashing.fleet.front, "club-key"));
+        codes.push(crashing.send_copy(crashing.fleet.listen, "club-key"));
         codes.last().is_some_and(|c| c == QUARANTINED)
     });
     let crashes = crashing.crash_record.crashes.lock().unwrap().len();
     assert!((3..=8).contains(&crashes), "{crashes} replicas crashed: {codes:?}");
-    let other = exchange(crashing.fleet.front, "GET", "/board/x", CALLER, "").unwrap();
+    let other = exchange(crashing.fleet.listen, "GET", "/board/x", CALLER, "").unwrap();
     assert_eq!(other.0, 200, "another request is served");
 }
 
@@ -330,7 +331,7 @@
     let since = Instant::now();
     // All replicas may be down for a moment after the crashes.
     wait_for("a replica", || {
-        assert_ne!(crashing.send_copy(crashing.fleet.front, "school-key"), QUARANTINED);
+        assert_ne!(crashing.send_copy(crashing.fleet.listen, "school-key"), QUARANTINED);
         crashing.crash_record.arrivals(&format!("{KILLER}-1"), since) >= 1
     });
 }
@@ -362,7 +363,7 @@
     }
     let since = Instant::now();
     wait_for("a replica", || {
-        crashing.send_copy(crashing.fleet.front, "club-key");
+        crashing.send_copy(crashing.fleet.listen, "club-key");
         crashing.crash_record.arrivals(&format!("{KILLER}-1"), since) > 0
     });
 }
--- a/crates/cypressfork/tests/fleet.rs
+++ b/crates/cypressfork/tests/fleet.rs
@@ -57,7 +57,7 @@
     let mut f = Fleet::new(1);
     f.start_control(0, true);
     f.start_gateway();
-    wait_for("the gateway", || TcpStream::connect(f.front).is_ok());
+    wait_for("the gateway", || TcpStream::connect(f.listen).is_ok());
     assert_eq!(f.get("/board/x").unwrap().0, 503, "the gateway has no document yet");
     f.publish(3);
     let beat = json!({ "service": "board", "address": replica().to_string(),
@@ -67,7 +67,7 @@
     assert_eq!(f.get("/board/x").unwrap().1, json!({ "account": "club" }));
     assert_eq!(f.get("/elsewhere").unwrap().0, 404);
     let (status, v) = f.call(0, "GET", "/v1/entry?data_centre=tamar-a", "").unwrap();
-    assert_eq!((status, &v["addresses"]), (200, &json!([f.front.to_string()])));
+    assert_eq!((status, &v["addresses"]), (200, &json!([f.listen.to_string()])));
     let (status, v) = f.call(0, "PUT", "/v1/document", "{\"version\": 9}").unwrap();
     assert_eq!((status, &v["error"]["code"]), (400, &json!("CF2012")));
     f.call(0, "DELETE", "/v1/replicas/b-1", "").unwrap();
@@ -84,7 +84,7 @@
     // exists.
     f.gateway.as_mut().unwrap().kill();
     f.start_gateway();
-    wait_for("the gateway", || TcpStream::connect(f.front).is_ok());
+    wait_for("the gateway", || TcpStream::connect(f.listen).is_ok());
     assert_eq!(f.get("/board/x").unwrap().0, 503);
 }
 
@@ -144,8 +144,8 @@
     f.gateway.as_mut().unwrap().kill();
     f.controls[0].process.as_mut().unwrap().kill();
     f.start_gateway();
-    wait_for("the gateway", || TcpStream::connect(f.front).is_ok());
-    let front = f.front;
+    wait_for("the gateway", || TcpStream::connect(f.listen).is_ok());
+    let front = f.listen;
     let asked = thread::spawn(move || exchange(front, "GET", "/board/x", CALLER, ""));
     f.start_control(0, false);
     let (_, answer) = asked.join().unwrap().unwrap();
--- a/crates/cypressfork/tests/full_link.rs
+++ b/crates/cypressfork/tests/full_link.rs
@@ -30,7 +30,7 @@
     let text = format!(
         "{}listen: \"{}\"\nlink: \"{}\"\noperators: \"{}\"\nmetrics: \"{}\"\nreport_ms: 50\nlink_mbps: {LINK_MBPS}\n",
         f.common("gateway-0"),
-        f.front,
+        f.listen,
         f.link,
         f.operators,
         f.metrics,
@@ -44,7 +44,7 @@
 
 /// Sends a request on a new connection. Returns false if the connection is refused.
 fn send(f: &Fleet) -> bool {
-    let mut s = match TcpStream::connect(f.front) {
+    let mut s = match TcpStream::connect(f.listen) {
         Ok(s) => s,
         Err(e) if e.kind() == ErrorKind::ConnectionRefused => return false,
         Err(e) => panic!("{e}"),
--- a/crates/cypressfork/tests/leaving.rs
+++ b/crates/cypressfork/tests/leaving.rs
@@ -70,10 +70,10 @@
 fn an_announcement_reaches_all_gateways() {
     let world = World::new(4, RUN_TIME);
     leave(&world.replicas[0]);
-    let front = world.fleet.front;
+    let gateway = world.fleet.listen;
     let announced = || log(world.fleet.dir.path(), "gateway-0").contains(" CFE443 ");
     wait_for("the announcement at one gateway", || {
-        exchange(front, "GET", "/board/x", CALLER, "").is_some() && announced()
+        exchange(gateway, "GET", "/board/x", CALLER, "").is_some() && announced()
     });
     let lists_draining = |g: &Neighbour| {
         let lines = g.process.log();
@@ -105,11 +105,11 @@
     assert_eq!(arrivals(&world.replicas[0], since), 0);
     // A gateway that starts now has to learn of it from other processes.
     let more = world.fleet.start_neighbours_from(world.neighbours.len(), 1);
-    let front = more[0].front;
+    let gateway = more[0].listen;
     wait_for("an answer", || {
-        exchange(front, "GET", "/board/x", CALLER, "").is_some_and(|a| a.0 == 200)
+        exchange(gateway, "GET", "/board/x", CALLER, "").is_some_and(|a| a.0 == 200)
     });
-    (0..40).for_each(|_| drop(exchange(front, "GET", "/board/x", CALLER, "")));
+    (0..40).for_each(|_| drop(exchange(gateway, "GET", "/board/x", CALLER, "")));
     assert_eq!(arrivals(&world.replicas[0], since), 0);
 }
 
@@ -121,7 +121,7 @@
     world.send(60);
     sleep(DRAIN);
     let start = Instant::now();
-    let (status, answer) = exchange(world.fleet.front, "GET", "/board/x", CALLER, "").unwrap();
+    let (status, answer) = exchange(world.fleet.listen, "GET", "/board/x", CALLER, "").unwrap();
     let elapsed = start.elapsed();
     assert_eq!((status, answer["error"]["code"].as_str()), (503, Some("CF1303")), "{answer}");
     assert!(elapsed < Duration::from_millis(50), "{elapsed:?}");
--- a/crates/cypressfork/tests/left_streams.rs
+++ b/crates/cypressfork/tests/left_streams.rs
@@ -88,8 +88,8 @@
 }
 
 /// Requests a stream and disconnects after `after`. Returns the result code of a refusal.
-fn leave_early(front: SocketAddr, n: u64, reads: bool, after: Duration) -> Option<String> {
-    let mut s = TcpStream::connect(front).unwrap();
+fn leave_early(gateway: SocketAddr, n: u64, reads: bool, after: Duration) -> Option<String> {
+    let mut s = TcpStream::connect(gateway).unwrap();
     let head = format!(
         "GET /talk/x HTTP/1.1\r\nHost: {HOST}\r\nX-Request-Id: left-{n}\r\nAuthorization: Bearer club-key\r\nX-Tokens: {PROMPT_TOKENS},{MAX_OUTPUT}\r\n\r\n"
     );
@@ -129,11 +129,11 @@
     let address = engine(engine_settings, used.clone());
     let over = Arc::<AtomicBool>::default();
     beat("talk", "t-1".to_owned(), address, vec![fleet.controls[0].api], over.clone());
-    wait_for("a response", || leave_early(fleet.front, 0, reads, CALLER_STAYS).is_none());
+    wait_for("a response", || leave_early(fleet.listen, 0, reads, CALLER_STAYS).is_none());
     let mut n = 0;
     wait_for("the budget to be spent", || {
         n += 1;
-        let code = leave_early(fleet.front, n, reads, CALLER_STAYS);
+        let code = leave_early(fleet.listen, n, reads, CALLER_STAYS);
         code.as_deref() == Some("CF1205")
     });
     over.store(true, Ordering::Relaxed);
--- a/crates/cypressfork/tests/limits.rs
+++ b/crates/cypressfork/tests/limits.rs
@@ -68,18 +68,19 @@
         wait_for("the document to be accepted", || {
             matches!(fleet.call(0, "PUT", "/v1/document", &first), Some((200, _)))
         });
-        let fronts: Vec<_> = neighbours.iter().map(|g| g.front).chain([fleet.front]).collect();
+        let gateway_addresses: Vec<_> =
+            neighbours.iter().map(|g| g.listen).chain([fleet.listen]).collect();
         let seen = Arc::<Seen>::default();
         let controls: Vec<_> = fleet.controls.iter().map(|c| c.api).collect();
         let replica = |n| LimitedReplica::new(format!("b-{n}"), controls.clone(), seen.clone());
         let replicas: Vec<_> = (0..REPLICAS).map(replica).collect();
         replicas.iter().for_each(LimitedReplica::start);
-        for front in &fronts {
+        for gateway in &gateway_addresses {
             wait_for("a response", || {
-                exchange(*front, "GET", "/board/x", CALLER, "").is_some_and(|a| a.0 == 200)
+                exchange(*gateway, "GET", "/board/x", CALLER, "").is_some_and(|a| a.0 == 200)
             });
         }
-        let callers = Callers::new(Arc::new(Mutex::new(fronts)));
+        let callers = Callers::new(Arc::new(Mutex::new(gateway_addresses)));
         World { callers, replicas, seen, fleet, neighbours }
     }
 
@@ -183,11 +184,11 @@
     let since = world.limit(REPLICAS, 1.0);
     sleep_until(since);
     let more = world.fleet.start_neighbours_from(world.neighbours.len(), 1);
-    let front = more[0].front;
-    wait_for("a response", || exchange(front, "GET", "/board/x", CALLER, "").is_some());
+    let gateway = more[0].listen;
+    wait_for("a response", || exchange(gateway, "GET", "/board/x", CALLER, "").is_some());
     let before: usize = world.replicas.iter().map(|r| world.seen.since(&r.name, since).len()).sum();
     let answers: Vec<_> =
-        (0..40).filter_map(|_| exchange(front, "GET", "/board/x", CALLER, "")).collect();
+        (0..40).filter_map(|_| exchange(gateway, "GET", "/board/x", CALLER, "")).collect();
     let after: usize = world.replicas.iter().map(|r| world.seen.since(&r.name, since).len()).sum();
     let refused = answers.iter().filter(|a| a.1["error"]["code"] == LIMIT_REACHED).count();
     assert!(refused >= 30, "{refused} of {} refused", answers.len());
--- a/crates/cypressfork/tests/rests.rs
+++ b/crates/cypressfork/tests/rests.rs
@@ -101,7 +101,7 @@
     // Give each gateway time to receive a refusal from every replica.
     sleep(OBSERVED / 4);
     let started = Instant::now();
-    let (status, answer) = exchange(world.fleet.front, "GET", "/board/x", CALLER, "").unwrap();
+    let (status, answer) = exchange(world.fleet.listen, "GET", "/board/x", CALLER, "").unwrap();
     let took = started.elapsed();
     assert_eq!(
         (status, answer["error"]["code"].as_str()),
@@ -118,8 +118,8 @@
         max <= ALLOWED,
         "{max} requests from one gateway during a backoff, {ALLOWED} are allowed"
     );
-    let front = world.fleet.front;
-    let served = || exchange(front, "GET", "/board/x", CALLER, "").is_some_and(|a| a.0 == 200);
+    let gateway = world.fleet.listen;
+    let served = || exchange(gateway, "GET", "/board/x", CALLER, "").is_some_and(|a| a.0 == 200);
     assert!(served(), "requests are served again after the backoffs");
 }
 
--- a/crates/cypressfork/tests/rollout.rs
+++ b/crates/cypressfork/tests/rollout.rs
@@ -67,14 +67,15 @@
         wait_for("the document to be accepted", || {
             matches!(fleet.call(0, "PUT", "/v1/document", &first), Some((200, _)))
         });
-        let fronts: Vec<_> = neighbours.iter().map(|g| g.front).chain([fleet.front]).collect();
-        let callers = Callers::new(Arc::new(Mutex::new(fronts.clone())));
+        let gateway_addresses: Vec<_> =
+            neighbours.iter().map(|g| g.listen).chain([fleet.listen]).collect();
+        let callers = Callers::new(Arc::new(Mutex::new(gateway_addresses.clone())));
         let (seen, stop_old) = (Arc::<Seen>::default(), Arc::<AtomicBool>::default());
         let world = World { fleet, _neighbours: neighbours, seen, callers, stop_old };
         world.add_replicas("v1", 0, world.stop_old.clone());
-        for front in fronts {
+        for gateway in gateway_addresses {
             wait_for("a response", || {
-                exchange(front, "GET", "/board/x", CALLER, "").is_some_and(|a| a.0 == 200)
+                exchange(gateway, "GET", "/board/x", CALLER, "").is_some_and(|a| a.0 == 200)
             });
         }
         world.callers.send("sound", REQUEST_INTERVAL, |n| match n % 5 {
--- a/crates/cypressfork/tests/support/gateways.rs
+++ b/crates/cypressfork/tests/support/gateways.rs
@@ -30,7 +30,7 @@
 
 /// A gateway in addition to the fleet's first one.
 pub struct Neighbour {
-    pub front: SocketAddr,
+    pub listen: SocketAddr,
     pub operators: SocketAddr,
     pub process: Process,
 }
@@ -45,7 +45,7 @@
         let more = format!(
             "X-Request-Id: r-{id}\r\nAuthorization: Bearer club-key\r\nX-Tokens: {tokens},0\r\n"
         );
-        let (status, v) = exchange(self.front, "GET", "/board/x", &more, "")?;
+        let (status, v) = exchange(self.listen, "GET", "/board/x", &more, "")?;
         Some((status, v["error"]["code"].as_str().unwrap_or_default().to_owned()))
     }
 }
@@ -75,7 +75,7 @@
 /// Control processes and one gateway.
 pub struct Fleet {
     pub controls: Vec<Control>,
-    pub front: SocketAddr,
+    pub listen: SocketAddr,
     pub link: SocketAddr,
     pub operators: SocketAddr,
     pub metrics: SocketAddr,
@@ -93,9 +93,9 @@
             Control { link: own[0], api: own[1], metrics: own[2], process: None }
         };
         let controls = (0..controls).map(control).collect();
-        let (front, link, operators, metrics) = (free[0], free[1], free[2], free[3]);
+        let (listen, link, operators, metrics) = (free[0], free[1], free[2], free[3]);
         let dir = TempDir::new().unwrap();
-        Fleet { controls, front, link, operators, metrics, gateway: None, replica: None, dir }
+        Fleet { controls, listen, link, operators, metrics, gateway: None, replica: None, dir }
     }
 
     /// Starts one control process, a gateway and a registered replica, and waits for a successful response.
@@ -149,7 +149,7 @@
         let text = format!(
             "{}listen: \"{}\"\nlink: \"{}\"\noperators: \"{}\"\nmetrics: \"{}\"\nreport_ms: 50\n",
             self.common("gateway-0"),
-            self.front,
+            self.listen,
             self.link,
             self.operators,
             self.metrics,
@@ -175,7 +175,7 @@
                 own[2],
             );
             let process = self.start(&name, "gateway", &text);
-            Neighbour { front: own[0], operators: own[2], process }
+            Neighbour { listen: own[0], operators: own[2], process }
         };
         free.chunks(3).enumerate().map(start).collect()
     }
@@ -224,7 +224,7 @@
 
     /// Sends a GET request to the first gateway; returns `None` if there is no response.
     pub fn get(&self, path: &str) -> Option<(u16, Value)> {
-        exchange(self.front, "GET", path, CALLER, "")
+        exchange(self.listen, "GET", path, CALLER, "")
     }
 }
 
--- a/crates/cypressfork/tests/support/resting.rs
+++ b/crates/cypressfork/tests/support/resting.rs
@@ -210,16 +210,17 @@
         wait_for("the document to be accepted", || {
             matches!(fleet.call(0, "PUT", "/v1/document", &first), Some((200, _)))
         });
-        let fronts: Vec<_> = neighbours.iter().map(|g| g.front).chain([fleet.front]).collect();
+        let gateway_addresses: Vec<_> =
+            neighbours.iter().map(|g| g.listen).chain([fleet.listen]).collect();
         let controls: Vec<_> = fleet.controls.iter().map(|c| c.api).collect();
         let replica = |n| RestingReplica::start(format!("b-{n}"), controls.clone(), gateways, work);
         let replicas: Vec<_> = (0..REPLICAS).map(replica).collect();
-        for front in &fronts {
+        for gateway in &gateway_addresses {
             wait_for("a response", || {
-                exchange(*front, "GET", "/board/x", CALLER, "").is_some_and(|a| a.0 == 200)
+                exchange(*gateway, "GET", "/board/x", CALLER, "").is_some_and(|a| a.0 == 200)
             });
         }
-        let callers = Callers::new(Arc::new(Mutex::new(fronts)));
+        let callers = Callers::new(Arc::new(Mutex::new(gateway_addresses)));
         World { callers, replicas, neighbours, fleet }
     }
 
