--- a/crates/cypressfork/tests/crashing_requests.rs
+++ b/crates/cypressfork/tests/crashing_requests.rs
@@ -72,7 +72,7 @@
 /// A fleet with replicas that crash, and callers that send harmless and killer requests.
 struct CrashingFleet {
     fleet: Fleet,
-    _extra_gateways: Vec<Neighbour>,
+    _extra_gateways: Vec<ExtraGateway>,
     crash_record: Arc<CrashRecord>,
     harmless: Callers,
     killers: Callers,
@@ -97,7 +97,7 @@
         let mut fleet = Fleet::new(3);
         (0..3).for_each(|n| fleet.start_control(n, true));
         fleet.start_gateway();
-        let extra_gateways = fleet.start_neighbours(EXTRA_GATEWAYS);
+        let extra_gateways = fleet.start_extra_gateways(EXTRA_GATEWAYS);
         let first = two_routes(3).to_string();
         wait_for("a document", || {
             matches!(fleet.call(0, "PUT", "/v1/document", &first), Some((200, _)))
--- a/crates/cypressfork/tests/homes.rs
+++ b/crates/cypressfork/tests/homes.rs
@@ -16,12 +16,12 @@
 const EXTRA_GATEWAYS: usize = 13;
 
 /// Starts a fleet in which every gateway has the list of all gateways, from which homes are chosen.
-fn start_with_homes(prepaid: u64) -> (Fleet, Vec<Neighbour>) {
+fn start_with_homes(prepaid: u64) -> (Fleet, Vec<ExtraGateway>) {
     let f = Fleet::serving();
     let mut raised = document(4);
     raised["accounts"][0]["prepaid"] = json!(prepaid);
     assert_eq!(f.call(0, "PUT", "/v1/document", &raised.to_string()).unwrap().0, 200);
-    let all = f.start_neighbours(EXTRA_GATEWAYS);
+    let all = f.start_extra_gateways(EXTRA_GATEWAYS);
     let has_full_list = |n: usize| {
         let text = log(f.dir.path(), &format!("neighbour-{n}"));
         // The list includes the first gateway of the fleet.
@@ -37,7 +37,7 @@
     let (fleet, all) = start_with_homes(1_000);
     // 1,000 tokens are prepaid: enough for eleven of these.
     for (n, gateway) in all.iter().chain(&all).enumerate() {
-        let answer = gateway.spend_in_the_end(n, 90);
+        let answer = gateway.spend_with_retry(n, 90);
         let expected = if n < 11 { (200, "") } else { (402, "CF1205") };
         assert_eq!((answer.0, answer.1.as_str()), expected, "request {n}");
     }
@@ -79,7 +79,7 @@
             busy.is_home()
         });
     });
-    assert_eq!(busy.spend_in_the_end(sent.into_inner(), 1).0, 200);
+    assert_eq!(busy.spend_with_retry(sent.into_inner(), 1).0, 200);
 }
 
 /// Guards against refusals when the home gateways of a budget die.
@@ -87,9 +87,9 @@
 fn gateways_whose_homes_have_died_are_served_by_the_next_in_line() {
     let (mut fleet, all) = start_with_homes(1_000_000);
     for (n, gateway) in all.iter().enumerate() {
-        assert_eq!(gateway.spend_in_the_end(n, 10).0, 200);
+        assert_eq!(gateway.spend_with_retry(n, 10).0, 200);
     }
-    let (mut dead, live): (Vec<_>, Vec<_>) = all.into_iter().partition(Neighbour::is_home);
+    let (mut dead, live): (Vec<_>, Vec<_>) = all.into_iter().partition(ExtraGateway::is_home);
     if is_home(fleet.operators) {
         fleet.gateway.as_mut().unwrap().kill();
     }
@@ -98,5 +98,5 @@
         fleet.beat(fleet.replica.unwrap(), 2 + n);
         wait_for("an answer", || gateway.spend(100 + n, 10).is_some_and(|answer| answer.0 == 200));
     }
-    assert!(live.iter().any(Neighbour::is_home) || is_home(fleet.operators));
+    assert!(live.iter().any(ExtraGateway::is_home) || is_home(fleet.operators));
 }
--- a/crates/cypressfork/tests/leaving.rs
+++ b/crates/cypressfork/tests/leaving.rs
@@ -75,12 +75,12 @@
     wait_for("the announcement at one gateway", || {
         exchange(gateway, "GET", "/board/x", CALLER, "").is_some() && announced()
     });
-    let lists_draining = |g: &Neighbour| {
+    let lists_draining = |g: &ExtraGateway| {
         let lines = g.process.log();
         lines.lines().any(|l| l.contains("replica=b-0 ") && l.contains("standing=Draining"))
     };
     wait_for("the draining replica at all gateways", || {
-        world.neighbours.iter().all(lists_draining)
+        world.extra_gateways.iter().all(lists_draining)
     });
     let since = Instant::now();
     world.send(60);
@@ -104,7 +104,7 @@
     sleep(OBSERVATION);
     assert_eq!(arrivals(&world.replicas[0], since), 0);
     // A gateway that starts now has to learn of it from other processes.
-    let more = world.fleet.start_neighbours_from(world.neighbours.len(), 1);
+    let more = world.fleet.start_extra_gateways_from(world.extra_gateways.len(), 1);
     let gateway = more[0].listen;
     wait_for("an answer", || {
         exchange(gateway, "GET", "/board/x", CALLER, "").is_some_and(|a| a.0 == 200)
--- a/crates/cypressfork/tests/limits.rs
+++ b/crates/cypressfork/tests/limits.rs
@@ -47,7 +47,7 @@
     replicas: Vec<LimitedReplica>,
     seen: Arc<Seen>,
     fleet: Fleet,
-    neighbours: Vec<Neighbour>,
+    extra_gateways: Vec<ExtraGateway>,
 }
 
 impl Drop for World {
@@ -63,13 +63,13 @@
         let mut fleet = Fleet::new(3);
         (0..3).for_each(|n| fleet.start_control(n, true));
         fleet.start_gateway();
-        let neighbours = fleet.start_neighbours(gateways - 1);
+        let extra_gateways = fleet.start_extra_gateways(gateways - 1);
         let first = two_routes(3).to_string();
         wait_for("the document to be accepted", || {
             matches!(fleet.call(0, "PUT", "/v1/document", &first), Some((200, _)))
         });
         let gateway_addresses: Vec<_> =
-            neighbours.iter().map(|g| g.listen).chain([fleet.listen]).collect();
+            extra_gateways.iter().map(|g| g.listen).chain([fleet.listen]).collect();
         let seen = Arc::<Seen>::default();
         let controls: Vec<_> = fleet.controls.iter().map(|c| c.api).collect();
         let replica = |n| LimitedReplica::new(format!("b-{n}"), controls.clone(), seen.clone());
@@ -81,7 +81,7 @@
             });
         }
         let callers = Callers::new(Arc::new(Mutex::new(gateway_addresses)));
-        World { callers, replicas, seen, fleet, neighbours }
+        World { callers, replicas, seen, fleet, extra_gateways }
     }
 
     /// Starts to send requests to both routes at this rate per second.
@@ -113,9 +113,9 @@
             text.lines()
                 .any(|l| l.contains(" CFE438 ") && l.contains(&format!(" replica={replica} ")))
         };
-        let neighbours = self.neighbours.iter().map(|g| g.process.log());
+        let extra_gateways = self.extra_gateways.iter().map(|g| g.process.log());
         let first = log(self.fleet.dir.path(), "gateway-0");
-        neighbours.chain([first]).filter(|text| logged_limit(text.clone())).count()
+        extra_gateways.chain([first]).filter(|text| logged_limit(text.clone())).count()
     }
 }
 
@@ -183,7 +183,7 @@
     world.send(40);
     let since = world.limit(REPLICAS, 1.0);
     sleep_until(since);
-    let more = world.fleet.start_neighbours_from(world.neighbours.len(), 1);
+    let more = world.fleet.start_extra_gateways_from(world.extra_gateways.len(), 1);
     let gateway = more[0].listen;
     wait_for("a response", || exchange(gateway, "GET", "/board/x", CALLER, "").is_some());
     let before: usize = world.replicas.iter().map(|r| world.seen.since(&r.name, since).len()).sum();
@@ -193,7 +193,7 @@
     let refused = answers.iter().filter(|a| a.1["error"]["code"] == LIMIT_REACHED).count();
     assert!(refused >= 30, "{refused} of {} refused", answers.len());
     assert!(after - before <= allowed(REPLICAS as f64), "{}", after - before);
-    world.neighbours.extend(more);
+    world.extra_gateways.extend(more);
 }
 
 /// Guards against a limit that is ignored in a failed response or in a response that a request was not run.
@@ -264,10 +264,10 @@
     sleep_until(since);
     match fault {
         Fault::Gateways => {
-            for n in 0..world.neighbours.len() {
-                world.neighbours[n].process.kill();
+            for n in 0..world.extra_gateways.len() {
+                world.extra_gateways[n].process.kill();
                 sleep(Duration::from_millis(700));
-                world.fleet.start_neighbour_again(&mut world.neighbours[n]);
+                world.fleet.restart_extra_gateway(&mut world.extra_gateways[n]);
                 sleep(Duration::from_millis(1_500));
             }
         }
--- a/crates/cypressfork/tests/rests.rs
+++ b/crates/cypressfork/tests/rests.rs
@@ -79,7 +79,7 @@
     sleep(OBSERVED / 2);
     let before = world.callers.got();
     assert_eq!(before.served, before.sent, "{:?}", before.kinds());
-    world.neighbours[0].process.kill();
+    world.extra_gateways[0].process.kill();
     sleep(OBSERVED / 2);
     let max = max_in_backoff(&world);
     assert!(
--- a/crates/cypressfork/tests/rollout.rs
+++ b/crates/cypressfork/tests/rollout.rs
@@ -20,7 +20,7 @@
 const REPLICAS: usize = 4;
 
 /// Number of gateways in addition to the fleet's first one.
-const NEIGHBOURS: usize = 2;
+const EXTRA_GATEWAYS: usize = 2;
 
 /// Interval between requests.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(5);
@@ -43,7 +43,7 @@
 
 struct World {
     fleet: Fleet,
-    _neighbours: Vec<Neighbour>,
+    _extra_gateways: Vec<ExtraGateway>,
     seen: Arc<Seen>,
     callers: Callers,
     stop_old: Arc<AtomicBool>,
@@ -62,16 +62,16 @@
         let mut fleet = Fleet::new(3);
         (0..3).for_each(|n| fleet.start_control(n, true));
         fleet.start_gateway();
-        let neighbours = fleet.start_neighbours(NEIGHBOURS);
+        let extra_gateways = fleet.start_extra_gateways(EXTRA_GATEWAYS);
         let first = two_routes(3).to_string();
         wait_for("the document to be accepted", || {
             matches!(fleet.call(0, "PUT", "/v1/document", &first), Some((200, _)))
         });
         let gateway_addresses: Vec<_> =
-            neighbours.iter().map(|g| g.listen).chain([fleet.listen]).collect();
+            extra_gateways.iter().map(|g| g.listen).chain([fleet.listen]).collect();
         let callers = Callers::new(Arc::new(Mutex::new(gateway_addresses.clone())));
         let (seen, stop_old) = (Arc::<Seen>::default(), Arc::<AtomicBool>::default());
-        let world = World { fleet, _neighbours: neighbours, seen, callers, stop_old };
+        let world = World { fleet, _extra_gateways: extra_gateways, seen, callers, stop_old };
         world.add_replicas("v1", 0, world.stop_old.clone());
         for gateway in gateway_addresses {
             wait_for("a response", || {
--- a/crates/cypressfork/tests/support/gateways.rs
+++ b/crates/cypressfork/tests/support/gateways.rs
@@ -29,13 +29,13 @@
 }
 
 /// A gateway in addition to the fleet's first one.
-pub struct Neighbour {
+pub struct ExtraGateway {
     pub listen: SocketAddr,
     pub operators: SocketAddr,
     pub process: Process,
 }
 
-impl Neighbour {
+impl ExtraGateway {
     pub fn is_home(&self) -> bool {
         is_home(self.operators)
     }
@@ -53,10 +53,10 @@
 /// Result code of a temporary refusal: no tokens are available now, the request has not run.
 pub const TEMPORARY_REFUSAL: &str = "CF1203";
 
-impl Neighbour {
-    /// Like [`Neighbour::spend`], but retries while the refusal is temporary. While the control process
+impl ExtraGateway {
+    /// Like [`ExtraGateway::spend`], but retries while the refusal is temporary. While the control process
     /// waits for its disk, a home gateway can neither get more tokens nor learn that there are none.
-    pub fn spend_in_the_end(&self, id: usize, tokens: u64) -> (u16, String) {
+    pub fn spend_with_retry(&self, id: usize, tokens: u64) -> (u16, String) {
         let mut last = None;
         wait_for("a final response", || {
             last = self.spend(id, tokens);
@@ -158,12 +158,12 @@
     }
 
     /// Starts `n` additional gateways in the same data centre.
-    pub fn start_neighbours(&self, n: usize) -> Vec<Neighbour> {
-        self.start_neighbours_from(0, n)
+    pub fn start_extra_gateways(&self, n: usize) -> Vec<ExtraGateway> {
+        self.start_extra_gateways_from(0, n)
     }
 
-    /// Like [`Fleet::start_neighbours`], but numbers the gateways from `from`.
-    pub fn start_neighbours_from(&self, from: usize, n: usize) -> Vec<Neighbour> {
+    /// Like [`Fleet::start_extra_gateways`], but numbers the gateways from `from`.
+    pub fn start_extra_gateways_from(&self, from: usize, n: usize) -> Vec<ExtraGateway> {
         let free = free(&own_ip(), 3 * n);
         let start = |(n, own): (usize, &[SocketAddr])| {
             let name = format!("neighbour-{}", from + n);
@@ -175,13 +175,13 @@
                 own[2],
             );
             let process = self.start(&name, "gateway", &text);
-            Neighbour { listen: own[0], operators: own[2], process }
+            ExtraGateway { listen: own[0], operators: own[2], process }
         };
         free.chunks(3).enumerate().map(start).collect()
     }
 
     /// Restarts a gateway that has exited, with its previous settings.
-    pub fn start_neighbour_again(&self, g: &mut Neighbour) {
+    pub fn restart_extra_gateway(&self, g: &mut ExtraGateway) {
         let name = g.process.name.clone();
         let file = self.dir.path().join(format!("{name}.yaml"));
         let args = ["--settings", file.to_str().unwrap()];
--- a/crates/cypressfork/tests/support/resting.rs
+++ b/crates/cypressfork/tests/support/resting.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use super::crashing::{Callers, header, request, two_routes};
-use super::gateways::{CALLER, Fleet, Neighbour, exchange};
+use super::gateways::{CALLER, ExtraGateway, Fleet, exchange};
 use super::limited::{beat, listen};
 use super::wait_for;
 
@@ -188,7 +188,7 @@
     // Callers and replicas stop before the processes.
     pub callers: Callers,
     pub replicas: Vec<RestingReplica>,
-    pub neighbours: Vec<Neighbour>,
+    pub extra_gateways: Vec<ExtraGateway>,
     pub fleet: Fleet,
 }
 
@@ -205,13 +205,13 @@
         let mut fleet = Fleet::new(3);
         (0..3).for_each(|n| fleet.start_control(n, true));
         fleet.start_gateway();
-        let neighbours = fleet.start_neighbours(gateways - 1);
+        let extra_gateways = fleet.start_extra_gateways(gateways - 1);
         let first = two_routes(3).to_string();
         wait_for("the document to be accepted", || {
             matches!(fleet.call(0, "PUT", "/v1/document", &first), Some((200, _)))
         });
         let gateway_addresses: Vec<_> =
-            neighbours.iter().map(|g| g.listen).chain([fleet.listen]).collect();
+            extra_gateways.iter().map(|g| g.listen).chain([fleet.listen]).collect();
         let controls: Vec<_> = fleet.controls.iter().map(|c| c.api).collect();
         let replica = |n| RestingReplica::start(format!("b-{n}"), controls.clone(), gateways, work);
         let replicas: Vec<_> = (0..REPLICAS).map(replica).collect();
@@ -221,7 +221,7 @@
             });
         }
         let callers = Callers::new(Arc::new(Mutex::new(gateway_addresses)));
-        World { callers, replicas, neighbours, fleet }
+        World { callers, replicas, extra_gateways, fleet }
     }
 
     /// Starts to send requests to both routes at this rate per second.
