--- a/crates/cypressfork/tests/full_link.rs
+++ b/crates/cypressfork/tests/full_link.rs
@@ -37,7 +37,7 @@
     );
     f.gateway = Some(f.start("gateway-0", "gateway", &text));
     f.publish(3);
-    f.beat(replica(), 1);
+    f.send_heartbeat(replica(), 1);
     wait_for("an answer", || f.get("/board/x").is_some_and(|a| a.0 == 200));
     f
 }
--- a/crates/cypressfork/tests/homes.rs
+++ b/crates/cypressfork/tests/homes.rs
@@ -75,7 +75,7 @@
         let mut sequence = 1;
         wait_for("a slice at the busy gateway", || {
             sequence += 1;
-            fleet.beat(fleet.replica.unwrap(), sequence);
+            fleet.send_heartbeat(fleet.replica.unwrap(), sequence);
             busy.is_home()
         });
     });
@@ -95,7 +95,7 @@
     }
     dead.iter_mut().for_each(|g| g.process.kill());
     for (n, gateway) in live.iter().enumerate() {
-        fleet.beat(fleet.replica.unwrap(), 2 + n);
+        fleet.send_heartbeat(fleet.replica.unwrap(), 2 + n);
         wait_for("an answer", || gateway.spend(100 + n, 10).is_some_and(|answer| answer.0 == 200));
     }
     assert!(live.iter().any(ExtraGateway::is_home) || is_home(fleet.operators));
--- a/crates/cypressfork/tests/left_streams.rs
+++ b/crates/cypressfork/tests/left_streams.rs
@@ -16,7 +16,7 @@
 use serde_json::{Value, json};
 use support::crashing::{header, request};
 use support::gateways::*;
-use support::limited::beat;
+use support::limited::start_heartbeats;
 use support::wait_for;
 
 /// Prepaid tokens of the account.
@@ -128,7 +128,7 @@
     let used = Arc::<AtomicU64>::default();
     let address = engine(engine_settings, used.clone());
     let over = Arc::<AtomicBool>::default();
-    beat("talk", "t-1".to_owned(), address, vec![fleet.controls[0].api], over.clone());
+    start_heartbeats("talk", "t-1".to_owned(), address, vec![fleet.controls[0].api], over.clone());
     wait_for("a response", || leave_early(fleet.listen, 0, reads, CALLER_STAYS).is_none());
     let mut n = 0;
     wait_for("the budget to be spent", || {
--- a/crates/cypressfork/tests/support/gateways.rs
+++ b/crates/cypressfork/tests/support/gateways.rs
@@ -105,17 +105,17 @@
         f.start_gateway();
         f.publish(3);
         let address = replica();
-        f.beat(address, 1);
+        f.send_heartbeat(address, 1);
         f.replica = Some(address);
         wait_for("a response", || f.get("/board/x").is_some_and(|a| a.0 == 200));
         f
     }
 
     /// Sends a heartbeat for the replica.
-    pub fn beat(&self, replica: SocketAddr, sequence: usize) {
-        let beat = json!({ "service": "board", "address": replica.to_string(),
+    pub fn send_heartbeat(&self, replica: SocketAddr, sequence: usize) {
+        let heartbeat = json!({ "service": "board", "address": replica.to_string(),
             "data_centre": "tamar-a", "sequence": sequence });
-        let answer = self.call(0, "PUT", "/v1/replicas/b-1", &beat.to_string());
+        let answer = self.call(0, "PUT", "/v1/replicas/b-1", &heartbeat.to_string());
         assert_eq!(answer.map(|a| a.0), Some(200));
     }
 
--- a/crates/cypressfork/tests/support/limited.rs
+++ b/crates/cypressfork/tests/support/limited.rs
@@ -61,7 +61,7 @@
 }
 
 /// Sends heartbeats for a replica to the control processes in turn until `over` is set.
-pub fn beat(
+pub fn start_heartbeats(
     service: &'static str,
     name: String,
     address: SocketAddr,
@@ -73,11 +73,12 @@
             if over.load(Ordering::Relaxed) {
                 return;
             }
-            let beat = json!({ "service": service, "address": address.to_string(),
+            let heartbeat = json!({ "service": service, "address": address.to_string(),
                 "data_centre": "tamar-a", "slots": 16, "sequence": sequence });
             let to = controls[sequence % controls.len()];
             // A failed heartbeat is not retried: the next one goes to another control process.
-            let _ = exchange(to, "PUT", &format!("/v1/replicas/{name}"), "", &beat.to_string());
+            let _ =
+                exchange(to, "PUT", &format!("/v1/replicas/{name}"), "", &heartbeat.to_string());
             sleep(HEARTBEAT_INTERVAL);
         }
     });
@@ -107,7 +108,13 @@
     pub fn start(&self) {
         let replica = self.clone();
         let address = listen(move |s| replica.serve(s));
-        beat("board", self.name.clone(), address, self.controls.clone(), self.over.clone());
+        start_heartbeats(
+            "board",
+            self.name.clone(),
+            address,
+            self.controls.clone(),
+            self.over.clone(),
+        );
     }
 
     fn serve(&self, mut s: TcpStream) {
--- a/crates/cypressfork/tests/support/resting.rs
+++ b/crates/cypressfork/tests/support/resting.rs
@@ -11,7 +11,7 @@
 
 use super::crashing::{Callers, header, request, two_routes};
 use super::gateways::{CALLER, ExtraGateway, Fleet, exchange};
-use super::limited::{beat, listen};
+use super::limited::{listen, start_heartbeats};
 use super::wait_for;
 
 /// Time after a refusal from which the backoff must be observed, as the user documentation states.
@@ -92,7 +92,7 @@
             RestingReplica { name, shared: Arc::new(shared), over: over.clone(), gateways };
         let own = replica.clone();
         let address = listen(move |s| own.serve(s));
-        beat("board", replica.name.clone(), address, controls, over);
+        start_heartbeats("board", replica.name.clone(), address, controls, over);
         replica
     }
 
--- a/crates/cypressfork/tests/support/versions.rs
+++ b/crates/cypressfork/tests/support/versions.rs
@@ -83,12 +83,12 @@
             if self.stop.load(Ordering::Relaxed) {
                 return;
             }
-            let beat = json!({ "service": "board", "address": address.to_string(), "version": self.version,
+            let heartbeat = json!({ "service": "board", "address": address.to_string(), "version": self.version,
                 "data_centre": "tamar-a", "slots": 16, "sequence": sequence });
             let path = format!("/v1/replicas/{}", self.name);
             let to = self.controls[sequence % self.controls.len()];
             // A failed heartbeat is not retried: the next one goes to another control process.
-            let _ = exchange(to, "PUT", &path, "", &beat.to_string());
+            let _ = exchange(to, "PUT", &path, "", &heartbeat.to_string());
             sleep(HEARTBEAT_INTERVAL);
         }
     }
