--- a/crates/cypressfork/tests/crashing_requests.rs
+++ b/crates/cypressfork/tests/crashing_requests.rs
@@ -120,7 +120,8 @@
 
     fn start_replicas(&self, mode: CrashMode) {
         let controls: Vec<_> = self.fleet.controls.iter().map(|c| c.api).collect();
-        for (n, address) in free(&support::own_ip(), REPLICAS).into_iter().enumerate() {
+        for (n, address) in free_socket_addrs(&support::own_ip(), REPLICAS).into_iter().enumerate()
+        {
             let replica = CrashingReplica {
                 address,
                 name: format!("b-{n}"),
@@ -139,7 +140,7 @@
         let all = self.harmless.gateways.lock().unwrap().clone();
         for gateway in all {
             wait_for("an answer", || {
-                let answer = exchange(gateway, "GET", "/board/x", CALLER, "");
+                let answer = exchange(gateway, "GET", "/board/x", CALLER_HEADERS, "");
                 answer.is_some_and(|a| a.0 == 200)
             });
         }
@@ -316,7 +317,7 @@
     });
     let crashes = crashing.crash_record.crashes.lock().unwrap().len();
     assert!((3..=8).contains(&crashes), "{crashes} replicas crashed: {codes:?}");
-    let other = exchange(crashing.fleet.listen, "GET", "/board/x", CALLER, "").unwrap();
+    let other = exchange(crashing.fleet.listen, "GET", "/board/x", CALLER_HEADERS, "").unwrap();
     assert_eq!(other.0, 200, "another request is served");
 }
 
--- a/crates/cypressfork/tests/fleet.rs
+++ b/crates/cypressfork/tests/fleet.rs
@@ -29,7 +29,7 @@
     // Two disks are lost in turn, the second just after the group has replaced the first.
     for (n, version) in [(0, 8), (1, 9)] {
         f.controls[n].process.as_mut().unwrap().kill();
-        f.empty_disk(n);
+        f.delete_data_folder(n);
         f.start_control(n, false);
         f.publish(version);
         let done = |f: &Fleet| {
@@ -60,7 +60,7 @@
     wait_for("the gateway", || TcpStream::connect(f.listen).is_ok());
     assert_eq!(f.get("/board/x").unwrap().0, 503, "the gateway has no document yet");
     f.publish(3);
-    let beat = json!({ "service": "board", "address": replica().to_string(),
+    let beat = json!({ "service": "board", "address": start_replica().to_string(),
         "data_centre": "tamar-a", "slots": 4, "sequence": 1 });
     assert_eq!(f.call(0, "PUT", "/v1/replicas/b-1", &beat.to_string()).unwrap().0, 200);
     wait_for("an answer", || f.get("/board/x").unwrap().0 == 200);
@@ -146,7 +146,7 @@
     f.start_gateway();
     wait_for("the gateway", || TcpStream::connect(f.listen).is_ok());
     let front = f.listen;
-    let asked = thread::spawn(move || exchange(front, "GET", "/board/x", CALLER, ""));
+    let asked = thread::spawn(move || exchange(front, "GET", "/board/x", CALLER_HEADERS, ""));
     f.start_control(0, false);
     let (_, answer) = asked.join().unwrap().unwrap();
     assert_ne!(answer["error"]["code"], json!("CF1305"), "refused before the document arrived");
--- a/crates/cypressfork/tests/full_link.rs
+++ b/crates/cypressfork/tests/full_link.rs
@@ -37,7 +37,7 @@
     );
     f.gateway = Some(f.start("gateway-0", "gateway", &text));
     f.publish(3);
-    f.send_heartbeat(replica(), 1);
+    f.send_heartbeat(start_replica(), 1);
     wait_for("an answer", || f.get("/board/x").is_some_and(|a| a.0 == 200));
     f
 }
@@ -50,7 +50,7 @@
         Err(e) => panic!("{e}"),
     };
     let head = format!(
-        "POST /board/x HTTP/1.1\r\nHost: {HOST}\r\n{CALLER}Connection: close\r\nContent-Length: {BODY_BYTES}\r\n\r\n"
+        "POST /board/x HTTP/1.1\r\nHost: {HOST}\r\n{CALLER_HEADERS}Connection: close\r\nContent-Length: {BODY_BYTES}\r\n\r\n"
     );
     // A connection in the accept backlog is reset when the gateway stops listening, so errors are ignored.
     let sent = s.write_all(head.as_bytes()).and_then(|()| s.write_all(&[b'x'; BODY_BYTES]));
--- a/crates/cypressfork/tests/leaving.rs
+++ b/crates/cypressfork/tests/leaving.rs
@@ -73,7 +73,7 @@
     let gateway = world.fleet.listen;
     let announced = || log(world.fleet.dir.path(), "gateway-0").contains(" CFE443 ");
     wait_for("the announcement at one gateway", || {
-        exchange(gateway, "GET", "/board/x", CALLER, "").is_some() && announced()
+        exchange(gateway, "GET", "/board/x", CALLER_HEADERS, "").is_some() && announced()
     });
     let lists_draining = |g: &ExtraGateway| {
         let lines = g.process.log();
@@ -107,9 +107,9 @@
     let more = world.fleet.start_extra_gateways_from(world.extra_gateways.len(), 1);
     let gateway = more[0].listen;
     wait_for("an answer", || {
-        exchange(gateway, "GET", "/board/x", CALLER, "").is_some_and(|a| a.0 == 200)
+        exchange(gateway, "GET", "/board/x", CALLER_HEADERS, "").is_some_and(|a| a.0 == 200)
     });
-    (0..40).for_each(|_| drop(exchange(gateway, "GET", "/board/x", CALLER, "")));
+    (0..40).for_each(|_| drop(exchange(gateway, "GET", "/board/x", CALLER_HEADERS, "")));
     assert_eq!(arrivals(&world.replicas[0], since), 0);
 }
 
@@ -121,7 +121,8 @@
     world.send(60);
     sleep(DRAIN);
     let start = Instant::now();
-    let (status, answer) = exchange(world.fleet.listen, "GET", "/board/x", CALLER, "").unwrap();
+    let (status, answer) =
+        exchange(world.fleet.listen, "GET", "/board/x", CALLER_HEADERS, "").unwrap();
     let elapsed = start.elapsed();
     assert_eq!((status, answer["error"]["code"].as_str()), (503, Some("CF1303")), "{answer}");
     assert!(elapsed < Duration::from_millis(50), "{elapsed:?}");
--- a/crates/cypressfork/tests/limits.rs
+++ b/crates/cypressfork/tests/limits.rs
@@ -77,7 +77,8 @@
         replicas.iter().for_each(LimitedReplica::start);
         for gateway in &gateway_addresses {
             wait_for("a response", || {
-                exchange(*gateway, "GET", "/board/x", CALLER, "").is_some_and(|a| a.0 == 200)
+                exchange(*gateway, "GET", "/board/x", CALLER_HEADERS, "")
+                    .is_some_and(|a| a.0 == 200)
             });
         }
         let callers = Callers::new(Arc::new(Mutex::new(gateway_addresses)));
@@ -185,10 +186,10 @@
     sleep_until(since);
     let more = world.fleet.start_extra_gateways_from(world.extra_gateways.len(), 1);
     let gateway = more[0].listen;
-    wait_for("a response", || exchange(gateway, "GET", "/board/x", CALLER, "").is_some());
+    wait_for("a response", || exchange(gateway, "GET", "/board/x", CALLER_HEADERS, "").is_some());
     let before: usize = world.replicas.iter().map(|r| world.seen.since(&r.name, since).len()).sum();
     let answers: Vec<_> =
-        (0..40).filter_map(|_| exchange(gateway, "GET", "/board/x", CALLER, "")).collect();
+        (0..40).filter_map(|_| exchange(gateway, "GET", "/board/x", CALLER_HEADERS, "")).collect();
     let after: usize = world.replicas.iter().map(|r| world.seen.since(&r.name, since).len()).sum();
     let refused = answers.iter().filter(|a| a.1["error"]["code"] == LIMIT_REACHED).count();
     assert!(refused >= 30, "{refused} of {} refused", answers.len());
--- a/crates/cypressfork/tests/lives.rs
+++ b/crates/cypressfork/tests/lives.rs
@@ -59,7 +59,7 @@
 #[case::left(Ending::Leaving)]
 fn a_later_life_is_taken_up_at_once(#[case] ending: Ending) {
     let f = fleet();
-    let first = replica();
+    let first = start_replica();
     send_heartbeat(&f, 0, &heartbeat(first, 1_000, FIRST_SEQUENCE, false));
     until_served(&f);
     match ending {
@@ -75,7 +75,7 @@
         wait_for("requests to be refused", || f.get("/board/x").is_some_and(|a| a.0 == 503));
     }
     // A platform may restart it at another address.
-    let second = replica();
+    let second = start_replica();
     let started = Instant::now();
     send_heartbeat(&f, 2, &heartbeat(second, 2_000, 1, false));
     let has_address = |n: usize| {
@@ -100,7 +100,7 @@
 #[case::too_large(json!(1e30))]
 fn an_invalid_start_time_is_refused(#[case] born: Value) {
     let f = fleet();
-    let mut beat = heartbeat(replica(), 1, 1, false);
+    let mut beat = heartbeat(start_replica(), 1, 1, false);
     beat["born"] = born;
     wait_for("a refusal", || {
         let answer = f.call(0, "PUT", "/v1/replicas/b-1", &beat.to_string());
--- a/crates/cypressfork/tests/regions.rs
+++ b/crates/cypressfork/tests/regions.rs
@@ -30,7 +30,7 @@
         for n in 0..3 {
             start_control(&mut fleet, n, REGIONS[n % 2]);
         }
-        let free = free(&own_ip(), 6);
+        let free = free_socket_addrs(&own_ip(), 6);
         let mut gateways = Vec::new();
         for (n, place) in REGIONS.into_iter().enumerate() {
             let own = &free[3 * n..];
@@ -69,7 +69,7 @@
 
     /// Sends a request to a gateway; returns the status and the result code, or 0 without a response.
     fn ask(&self, front: SocketAddr) -> (u16, String) {
-        match exchange(front, "GET", "/board/x", CALLER, "") {
+        match exchange(front, "GET", "/board/x", CALLER_HEADERS, "") {
             Some((status, v)) => {
                 (status, v["error"]["code"].as_str().unwrap_or_default().to_owned())
             }
@@ -113,7 +113,7 @@
 fn two_regions_share_one_control_group() {
     let world = World::new();
     world.publish(3, &[], &[]);
-    let north = replica();
+    let north = start_replica();
     world.beat("b-1", north, "n1", 1);
     world.until_all("a response", 200, "");
     // A document that is published in one region is in force in the other.
@@ -132,10 +132,10 @@
 fn a_request_bound_to_a_region_is_served_only_there() {
     let world = World::new();
     world.publish(3, &["south"], &[]);
-    let north = replica();
+    let north = start_replica();
     world.beat("b-1", north, "n1", 1);
     world.until_all("a refusal", 503, NO_REGION);
-    world.beat("b-2", replica(), "s1", 1);
+    world.beat("b-2", start_replica(), "s1", 1);
     world.until_all("a response", 200, "");
     // The regions of the account and of the route both apply.
     world.publish(4, &["south"], &["north"]);
@@ -149,8 +149,8 @@
 fn a_region_without_a_quorum_keeps_serving() {
     let mut world = World::new();
     world.publish(3, &[], &[]);
-    world.beat("b-1", replica(), "n1", 1);
-    world.beat("b-2", replica(), "s1", 1);
+    world.beat("b-1", start_replica(), "n1", 1);
+    world.beat("b-2", start_replica(), "s1", 1);
     world.until_all("a response", 200, "");
     for n in [0, 2] {
         world.fleet.controls[n].process.as_mut().unwrap().kill();
--- a/crates/cypressfork/tests/rests.rs
+++ b/crates/cypressfork/tests/rests.rs
@@ -101,7 +101,8 @@
     // Give each gateway time to receive a refusal from every replica.
     sleep(OBSERVED / 4);
     let started = Instant::now();
-    let (status, answer) = exchange(world.fleet.listen, "GET", "/board/x", CALLER, "").unwrap();
+    let (status, answer) =
+        exchange(world.fleet.listen, "GET", "/board/x", CALLER_HEADERS, "").unwrap();
     let took = started.elapsed();
     assert_eq!(
         (status, answer["error"]["code"].as_str()),
@@ -119,7 +120,8 @@
         "{max} requests from one gateway during a backoff, {ALLOWED} are allowed"
     );
     let gateway = world.fleet.listen;
-    let served = || exchange(gateway, "GET", "/board/x", CALLER, "").is_some_and(|a| a.0 == 200);
+    let served =
+        || exchange(gateway, "GET", "/board/x", CALLER_HEADERS, "").is_some_and(|a| a.0 == 200);
     assert!(served(), "requests are served again after the backoffs");
 }
 
--- a/crates/cypressfork/tests/rollout.rs
+++ b/crates/cypressfork/tests/rollout.rs
@@ -75,7 +75,7 @@
         world.add_replicas("v1", 0, world.stop_old.clone());
         for gateway in gateway_addresses {
             wait_for("a response", || {
-                exchange(gateway, "GET", "/board/x", CALLER, "").is_some_and(|a| a.0 == 200)
+                exchange(gateway, "GET", "/board/x", CALLER_HEADERS, "").is_some_and(|a| a.0 == 200)
             });
         }
         world.callers.send("sound", REQUEST_INTERVAL, |n| match n % 5 {
--- a/crates/cypressfork/tests/support/gateways.rs
+++ b/crates/cypressfork/tests/support/gateways.rs
@@ -14,10 +14,10 @@
 pub const HOST: &str = "club.example";
 
 /// Headers that a caller of the account sends.
-pub const CALLER: &str = "X-Request-Id: r-1\r\nAuthorization: Bearer club-key\r\n";
+pub const CALLER_HEADERS: &str = "X-Request-Id: r-1\r\nAuthorization: Bearer club-key\r\n";
 
 /// Returns `n` free addresses on `ip`, which must belong to this test alone.
-pub fn free(ip: &str, n: usize) -> Vec<SocketAddr> {
+pub fn free_socket_addrs(ip: &str, n: usize) -> Vec<SocketAddr> {
     free_addresses(ip, n).iter().map(|a| a.parse().unwrap()).collect()
 }
 
@@ -87,7 +87,7 @@
 
 impl Fleet {
     pub fn new(controls: usize) -> Fleet {
-        let free = free(&own_ip(), 4 + 3 * controls);
+        let free = free_socket_addrs(&own_ip(), 4 + 3 * controls);
         let control = |n: usize| {
             let own = &free[4 + 3 * n..];
             Control { link: own[0], api: own[1], metrics: own[2], process: None }
@@ -104,7 +104,7 @@
         f.start_control(0, true);
         f.start_gateway();
         f.publish(3);
-        let address = replica();
+        let address = start_replica();
         f.send_heartbeat(address, 1);
         f.replica = Some(address);
         wait_for("a response", || f.get("/board/x").is_some_and(|a| a.0 == 200));
@@ -164,7 +164,7 @@
 
     /// Like [`Fleet::start_extra_gateways`], but numbers the gateways from `from`.
     pub fn start_extra_gateways_from(&self, from: usize, n: usize) -> Vec<ExtraGateway> {
-        let free = free(&own_ip(), 3 * n);
+        let free = free_socket_addrs(&own_ip(), 3 * n);
         let start = |(n, own): (usize, &[SocketAddr])| {
             let name = format!("neighbour-{}", from + n);
             let text = format!(
@@ -197,7 +197,7 @@
     }
 
     /// Deletes the data folder of control process `n`.
-    pub fn empty_disk(&self, n: usize) {
+    pub fn delete_data_folder(&self, n: usize) {
         fs::remove_dir_all(self.dir.path().join(format!("data-{n}"))).unwrap();
     }
 
@@ -224,7 +224,7 @@
 
     /// Sends a GET request to the first gateway; returns `None` if there is no response.
     pub fn get(&self, path: &str) -> Option<(u16, Value)> {
-        exchange(self.listen, "GET", path, CALLER, "")
+        exchange(self.listen, "GET", path, CALLER_HEADERS, "")
     }
 }
 
@@ -266,7 +266,7 @@
 }
 
 /// Starts a replica whose responses name the account from the request; returns its address.
-pub fn replica() -> SocketAddr {
+pub fn start_replica() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     thread::spawn(move || {
--- a/crates/cypressfork/tests/support/resting.rs
+++ b/crates/cypressfork/tests/support/resting.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use super::crashing::{Callers, header, request, two_routes};
-use super::gateways::{CALLER, ExtraGateway, Fleet, exchange};
+use super::gateways::{CALLER_HEADERS, ExtraGateway, Fleet, exchange};
 use super::limited::{listen, start_heartbeats};
 use super::wait_for;
 
@@ -217,7 +217,8 @@
         let replicas: Vec<_> = (0..REPLICAS).map(replica).collect();
         for gateway in &gateway_addresses {
             wait_for("a response", || {
-                exchange(*gateway, "GET", "/board/x", CALLER, "").is_some_and(|a| a.0 == 200)
+                exchange(*gateway, "GET", "/board/x", CALLER_HEADERS, "")
+                    .is_some_and(|a| a.0 == 200)
             });
         }
         let callers = Callers::new(Arc::new(Mutex::new(gateway_addresses)));
