--- a/crates/cypressfork/tests/crashing_requests.rs
+++ b/crates/cypressfork/tests/crashing_requests.rs
@@ -98,7 +98,7 @@
         (0..3).for_each(|n| fleet.start_control(n, true));
         fleet.start_gateway();
         let extra_gateways = fleet.start_extra_gateways(EXTRA_GATEWAYS);
-        let first = two_routes(3).to_string();
+        let first = document_with_two_routes(3).to_string();
         wait_for("a document", || {
             matches!(fleet.call(0, "PUT", "/v1/document", &first), Some((200, _)))
         });
--- a/crates/cypressfork/tests/left_streams.rs
+++ b/crates/cypressfork/tests/left_streams.rs
@@ -14,7 +14,7 @@
 
 use rstest::rstest;
 use serde_json::{Value, json};
-use support::crashing::{header, request};
+use support::crashing::{header, read_request};
 use support::gateways::*;
 use support::limited::start_heartbeats;
 use support::wait_for;
@@ -67,7 +67,7 @@
 }
 
 fn answer(mut s: TcpStream, e: Engine, used: &AtomicU64) {
-    let Some(text) = request(&mut s) else { return };
+    let Some(text) = read_request(&mut s) else { return };
     used.fetch_add(PROMPT_TOKENS, Ordering::Relaxed);
     let id = header(&text, "x-request-id");
     let head = format!(
--- a/crates/cypressfork/tests/limits.rs
+++ b/crates/cypressfork/tests/limits.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 use rstest::rstest;
-use support::crashing::{Callers, two_routes};
+use support::crashing::{Callers, document_with_two_routes};
 use support::gateways::*;
 use support::limited::*;
 use support::wait_for;
@@ -64,7 +64,7 @@
         (0..3).for_each(|n| fleet.start_control(n, true));
         fleet.start_gateway();
         let extra_gateways = fleet.start_extra_gateways(gateways - 1);
-        let first = two_routes(3).to_string();
+        let first = document_with_two_routes(3).to_string();
         wait_for("the document to be accepted", || {
             matches!(fleet.call(0, "PUT", "/v1/document", &first), Some((200, _)))
         });
--- a/crates/cypressfork/tests/rollout.rs
+++ b/crates/cypressfork/tests/rollout.rs
@@ -11,7 +11,7 @@
 
 use rstest::rstest;
 use serde_json::{Value, json};
-use support::crashing::{Callers, two_routes};
+use support::crashing::{Callers, document_with_two_routes};
 use support::gateways::*;
 use support::versions::*;
 use support::wait_for;
@@ -63,7 +63,7 @@
         (0..3).for_each(|n| fleet.start_control(n, true));
         fleet.start_gateway();
         let extra_gateways = fleet.start_extra_gateways(EXTRA_GATEWAYS);
-        let first = two_routes(3).to_string();
+        let first = document_with_two_routes(3).to_string();
         wait_for("the document to be accepted", || {
             matches!(fleet.call(0, "PUT", "/v1/document", &first), Some((200, _)))
         });
--- a/crates/cypressfork/tests/support/crashing.rs
+++ b/crates/cypressfork/tests/support/crashing.rs
@@ -185,7 +185,7 @@
 }
 
 /// Reads one request and returns its head and body as text, `None` if the connection closes first.
-pub fn request(s: &mut TcpStream) -> Option<String> {
+pub fn read_request(s: &mut TcpStream) -> Option<String> {
     let mut text = String::new();
     let mut buf = [0; 4096];
     loop {
@@ -212,7 +212,7 @@
 }
 
 fn serve(incarnation: &Incarnation, crash_record: &CrashRecord, mut s: TcpStream) {
-    while let Some(text) = request(&mut s) {
+    while let Some(text) = read_request(&mut s) {
         if header(&text, "x-replica") != incarnation.id {
             let id = header(&text, "x-request-id");
             let head = format!("X-Request-Id: {id}\r\nX-Not-Run: true\r\nContent-Length: 0");
@@ -322,7 +322,7 @@
 }
 
 /// Returns a document with a retryable and a non-retryable route to the same replicas.
-pub fn two_routes(version: u64) -> Value {
+pub fn document_with_two_routes(version: u64) -> Value {
     let route = |name: &str, kind: &str, attempts: u32| {
         json!({
             "name": name, "host": HOST, "prefix": format!("/{name}/"), "kind": kind,
--- a/crates/cypressfork/tests/support/limited.rs
+++ b/crates/cypressfork/tests/support/limited.rs
@@ -10,7 +10,7 @@
 
 use serde_json::json;
 
-use super::crashing::{header, request};
+use super::crashing::{header, read_request};
 use super::gateways::exchange;
 
 /// Interval between heartbeats.
@@ -118,7 +118,7 @@
     }
 
     fn serve(&self, mut s: TcpStream) {
-        while let Some(text) = request(&mut s) {
+        while let Some(text) = read_request(&mut s) {
             if self.over.load(Ordering::Relaxed) {
                 return;
             }
--- a/crates/cypressfork/tests/support/resting.rs
+++ b/crates/cypressfork/tests/support/resting.rs
@@ -9,7 +9,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-use super::crashing::{Callers, header, request, two_routes};
+use super::crashing::{Callers, document_with_two_routes, header, read_request};
 use super::gateways::{CALLER_HEADERS, ExtraGateway, Fleet, exchange};
 use super::limited::{listen, start_heartbeats};
 use super::wait_for;
@@ -103,7 +103,7 @@
 
     fn serve(&self, mut s: TcpStream) {
         let shared = &self.shared;
-        while let Some(text) = request(&mut s) {
+        while let Some(text) = read_request(&mut s) {
             if self.over.load(Ordering::Relaxed) {
                 return;
             }
@@ -206,7 +206,7 @@
         (0..3).for_each(|n| fleet.start_control(n, true));
         fleet.start_gateway();
         let extra_gateways = fleet.start_extra_gateways(gateways - 1);
-        let first = two_routes(3).to_string();
+        let first = document_with_two_routes(3).to_string();
         wait_for("the document to be accepted", || {
             matches!(fleet.call(0, "PUT", "/v1/document", &first), Some((200, _)))
         });
--- a/crates/cypressfork/tests/support/versions.rs
+++ b/crates/cypressfork/tests/support/versions.rs
@@ -9,7 +9,7 @@
 
 use serde_json::json;
 
-use super::crashing::{header, request};
+use super::crashing::{header, read_request};
 use super::gateways::exchange;
 
 /// Interval between heartbeats.
@@ -94,7 +94,7 @@
     }
 
     fn serve(&self, mut s: TcpStream, count: &AtomicU64) {
-        while let Some(text) = request(&mut s) {
+        while let Some(text) = read_request(&mut s) {
             if self.stop.load(Ordering::Relaxed) {
                 return;
             }
