--- a/crates/cypressfork/tests/crashing_requests.rs
+++ b/crates/cypressfork/tests/crashing_requests.rs
@@ -259,7 +259,7 @@
             "{killer} reached replicas {arrivals} times after the quarantine was due at every gateway"
         );
     }
-    let refused = crashing.harmless.got().of_code(QUARANTINED);
+    let refused = crashing.harmless.outcomes().count_code(QUARANTINED);
     assert_eq!(refused, 0, "harmless requests are quarantined");
 }
 
--- a/crates/cypressfork/tests/leaving.rs
+++ b/crates/cypressfork/tests/leaving.rs
@@ -47,8 +47,8 @@
         0,
         "requests later than 2 s after the announcement"
     );
-    let got = world.callers.got();
-    assert_eq!(got.served, got.sent, "{:?}", got.kinds());
+    let outcomes = world.callers.outcomes();
+    assert_eq!(outcomes.served, outcomes.sent, "{:?}", outcomes.distinct_codes());
 }
 
 /// Guards against an announcement that is ignored because it is part of a rejection.
--- a/crates/cypressfork/tests/limits.rs
+++ b/crates/cypressfork/tests/limits.rs
@@ -154,9 +154,9 @@
     world.limit(2, 1.0);
     world.send(60);
     sleep(EFFECTIVE_AFTER + OBSERVED);
-    let got = world.callers.got();
-    assert!(got.sent > 300, "{got:?}");
-    assert_eq!(got.served, got.sent, "{:?}", got.kinds());
+    let outcomes = world.callers.outcomes();
+    assert!(outcomes.sent > 300, "{outcomes:?}");
+    assert_eq!(outcomes.served, outcomes.sent, "{:?}", outcomes.distinct_codes());
 }
 
 /// Guards against unused capacity below the limits; only requests beyond the limits are refused.
@@ -172,9 +172,9 @@
         world.replicas.iter().map(|r| world.seen.since(&r.name, since).len()).sum();
     let possible = 2 * REPLICAS * OBSERVED.as_secs() as usize;
     assert!(arrived * 10 >= possible * 7, "{arrived} of {possible}");
-    let got = world.callers.got();
-    assert_eq!(got.kinds(), HashSet::from([LIMIT_REACHED]), "{got:?}");
-    assert!(got.sent - got.served > 50, "{got:?}");
+    let outcomes = world.callers.outcomes();
+    assert_eq!(outcomes.distinct_codes(), HashSet::from([LIMIT_REACHED]), "{outcomes:?}");
+    assert!(outcomes.sent - outcomes.served > 50, "{outcomes:?}");
 }
 
 /// Guards against a new gateway that exceeds limits that were announced before it started.
--- a/crates/cypressfork/tests/rests.rs
+++ b/crates/cypressfork/tests/rests.rs
@@ -77,8 +77,8 @@
     sleep(OBSERVED / 2);
     world.replicas[..2].iter().for_each(|r| r.refuse(Some(Refusing::after("3"))));
     sleep(OBSERVED / 2);
-    let before = world.callers.got();
-    assert_eq!(before.served, before.sent, "{:?}", before.kinds());
+    let before = world.callers.outcomes();
+    assert_eq!(before.served, before.sent, "{:?}", before.distinct_codes());
     world.extra_gateways[0].process.kill();
     sleep(OBSERVED / 2);
     let max = max_in_backoff(&world);
@@ -86,9 +86,9 @@
         max <= ALLOWED,
         "{max} requests from one gateway during a backoff, {ALLOWED} are allowed"
     );
-    let got = world.callers.got();
+    let outcomes = world.callers.outcomes();
     // Callers of the killed gateway get no connection.
-    assert_eq!(got.kinds(), HashSet::from([""]), "{got:?}");
+    assert_eq!(outcomes.distinct_codes(), HashSet::from([""]), "{outcomes:?}");
 }
 
 /// Guards against callers that wait, or get no usable retry time, when all replicas have requested a backoff.
--- a/crates/cypressfork/tests/rollout.rs
+++ b/crates/cypressfork/tests/rollout.rs
@@ -177,8 +177,8 @@
     let since = Instant::now();
     wait_for("requests at the new version", || world.seen.count("v2", since) > 200);
     world.callers.over.store(true, Ordering::Relaxed);
-    let got = world.callers.got();
-    assert_eq!(got.kinds().len(), 0, "{:?}", got.kinds());
+    let outcomes = world.callers.outcomes();
+    assert_eq!(outcomes.distinct_codes().len(), 0, "{:?}", outcomes.distinct_codes());
 }
 
 /// Guards against a bad version that is not rolled back, or receives too many requests.
--- a/crates/cypressfork/tests/support/crashing.rs
+++ b/crates/cypressfork/tests/support/crashing.rs
@@ -243,21 +243,21 @@
 
 /// Answers that callers received.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Got {
+pub struct Outcomes {
     pub sent: usize,
     pub served: usize,
     /// The result codes of the other requests; an empty one where the connection closed without an answer.
     pub codes: Vec<String>,
 }
 
-impl Got {
+impl Outcomes {
     /// Counts the answers with this result code.
-    pub fn of_code(&self, code: &str) -> usize {
+    pub fn count_code(&self, code: &str) -> usize {
         self.codes.iter().filter(|c| *c == code).count()
     }
 
     /// Returns the distinct codes.
-    pub fn kinds(&self) -> HashSet<&str> {
+    pub fn distinct_codes(&self) -> HashSet<&str> {
         self.codes.iter().map(String::as_str).collect()
     }
 }
@@ -266,13 +266,13 @@
 pub struct Callers {
     pub gateways: Arc<Mutex<Vec<SocketAddr>>>,
     pub over: Arc<AtomicBool>,
-    pub got: Arc<Mutex<Got>>,
+    pub outcomes: Arc<Mutex<Outcomes>>,
     sent: Arc<AtomicU64>,
 }
 
 impl Callers {
     pub fn new(gateways: Arc<Mutex<Vec<SocketAddr>>>) -> Callers {
-        Callers { gateways, over: Arc::default(), got: Arc::default(), sent: Arc::default() }
+        Callers { gateways, over: Arc::default(), outcomes: Arc::default(), sent: Arc::default() }
     }
 
     /// Sends a request every `every`; `request` maps its number to method, path and body.
@@ -283,7 +283,7 @@
         request: impl Fn(u64) -> (&'static str, String, String) + Send + 'static,
     ) {
         let (gateways, over) = (self.gateways.clone(), self.over.clone());
-        let (got, sent, name) = (self.got.clone(), self.sent.clone(), name.to_owned());
+        let (outcomes, sent, name) = (self.outcomes.clone(), self.sent.clone(), name.to_owned());
         thread::spawn(move || {
             while !over.load(Ordering::Relaxed) {
                 let n = sent.fetch_add(1, Ordering::Relaxed);
@@ -295,29 +295,29 @@
                 let head = format!(
                     "X-Request-Id: {name}-{n}\r\nAuthorization: Bearer club-key\r\nX-Timeout-Ms: 2000\r\n"
                 );
-                let got = got.clone();
+                let outcomes = outcomes.clone();
                 thread::spawn(move || {
                     let answer = exchange(to, method, &path, &head, &body);
-                    count_answer(&mut got.lock().unwrap(), answer);
+                    count_answer(&mut outcomes.lock().unwrap(), answer);
                 });
                 sleep(every);
             }
         });
     }
 
-    pub fn got(&self) -> Got {
-        self.got.lock().unwrap().clone()
+    pub fn outcomes(&self) -> Outcomes {
+        self.outcomes.lock().unwrap().clone()
     }
 }
 
-fn count_answer(got: &mut Got, answer: Option<(u16, Value)>) {
-    got.sent += 1;
+fn count_answer(outcomes: &mut Outcomes, answer: Option<(u16, Value)>) {
+    outcomes.sent += 1;
     match answer {
-        Some((200, _)) => got.served += 1,
+        Some((200, _)) => outcomes.served += 1,
         Some((_, v)) => {
-            got.codes.push(v["error"]["code"].as_str().unwrap_or_default().to_owned());
+            outcomes.codes.push(v["error"]["code"].as_str().unwrap_or_default().to_owned());
         }
-        None => got.codes.push(String::new()),
+        None => outcomes.codes.push(String::new()),
     }
 }
 
