--- a/crates/cypressfork/tests/crashing_requests.rs
+++ b/crates/cypressfork/tests/crashing_requests.rs
@@ -76,13 +76,13 @@
     crash_record: Arc<CrashRecord>,
     harmless: Callers,
     killers: Callers,
-    replicas_over: Arc<std::sync::atomic::AtomicBool>,
+    stop_replicas: Arc<std::sync::atomic::AtomicBool>,
 }
 
 impl Drop for CrashingFleet {
     fn drop(&mut self) {
-        for over in [&self.harmless.over, &self.killers.over, &self.replicas_over] {
-            over.store(true, Ordering::Relaxed);
+        for stop in [&self.harmless.stop, &self.killers.stop, &self.stop_replicas] {
+            stop.store(true, Ordering::Relaxed);
         }
     }
 }
@@ -109,7 +109,7 @@
             crash_record: Arc::default(),
             harmless: Callers::new(gateways.clone()),
             killers: Callers::new(gateways),
-            replicas_over: Arc::default(),
+            stop_replicas: Arc::default(),
             fleet,
             _extra_gateways: extra_gateways,
         };
@@ -130,7 +130,7 @@
                 down: mode.down,
                 controls: controls.clone(),
                 crash_record: self.crash_record.clone(),
-                over: self.replicas_over.clone(),
+                stop: self.stop_replicas.clone(),
             };
             replica.start();
         }
@@ -289,7 +289,7 @@
     let mut crashing = CrashingFleet::new(RestartAs::NewId);
     crashing.send_killers();
     crashing.wait_until_quarantine_due();
-    crashing.killers.over.store(true, Ordering::Relaxed);
+    crashing.killers.stop.store(true, Ordering::Relaxed);
     crashing.wait_until_all_refuse();
     let since = Instant::now();
     crashing.fleet.gateway.as_mut().unwrap().kill();
@@ -327,7 +327,7 @@
     let crashing = CrashingFleet::new(RestartAs::NewId);
     crashing.send_killers();
     crashing.wait_until_quarantine_due();
-    crashing.killers.over.store(true, Ordering::Relaxed);
+    crashing.killers.stop.store(true, Ordering::Relaxed);
     crashing.wait_until_all_refuse();
     let since = Instant::now();
     // All replicas may be down for a moment after the crashes.
@@ -355,7 +355,7 @@
         all = listed;
         all.len() == 2
     });
-    crashing.killers.over.store(true, Ordering::Relaxed);
+    crashing.killers.stop.store(true, Ordering::Relaxed);
     crashing.wait_until_all_refuse();
     for q in all {
         assert!(q.account == "club" && q.replicas >= 3, "{q:?}");
--- a/crates/cypressfork/tests/left_streams.rs
+++ b/crates/cypressfork/tests/left_streams.rs
@@ -127,8 +127,8 @@
     });
     let used = Arc::<AtomicU64>::default();
     let address = engine(engine_settings, used.clone());
-    let over = Arc::<AtomicBool>::default();
-    start_heartbeats("talk", "t-1".to_owned(), address, vec![fleet.controls[0].api], over.clone());
+    let stop = Arc::<AtomicBool>::default();
+    start_heartbeats("talk", "t-1".to_owned(), address, vec![fleet.controls[0].api], stop.clone());
     wait_for("a response", || leave_early(fleet.listen, 0, reads, CALLER_STAYS).is_none());
     let mut n = 0;
     wait_for("the budget to be spent", || {
@@ -136,7 +136,7 @@
         let code = leave_early(fleet.listen, n, reads, CALLER_STAYS);
         code.as_deref() == Some("CF1205")
     });
-    over.store(true, Ordering::Relaxed);
+    stop.store(true, Ordering::Relaxed);
     sleep(CALLER_STAYS * 10);
     let used = used.load(Ordering::Relaxed);
     assert!(used <= PREPAID, "{used} tokens of {PREPAID} in {n} requests");
--- a/crates/cypressfork/tests/limits.rs
+++ b/crates/cypressfork/tests/limits.rs
@@ -52,8 +52,8 @@
 
 impl Drop for World {
     fn drop(&mut self) {
-        self.callers.over.store(true, Ordering::Relaxed);
-        self.replicas.iter().for_each(|r| r.over.store(true, Ordering::Relaxed));
+        self.callers.stop.store(true, Ordering::Relaxed);
+        self.replicas.iter().for_each(|r| r.stop.store(true, Ordering::Relaxed));
     }
 }
 
--- a/crates/cypressfork/tests/rollout.rs
+++ b/crates/cypressfork/tests/rollout.rs
@@ -51,7 +51,7 @@
 
 impl Drop for World {
     fn drop(&mut self) {
-        self.callers.over.store(true, Ordering::Relaxed);
+        self.callers.stop.store(true, Ordering::Relaxed);
         self.stop_old.store(true, Ordering::Relaxed);
     }
 }
@@ -176,7 +176,7 @@
     assert!(kill || Instant::now() < due, "the rollout was completed too late");
     let since = Instant::now();
     wait_for("requests at the new version", || world.seen.count("v2", since) > 200);
-    world.callers.over.store(true, Ordering::Relaxed);
+    world.callers.stop.store(true, Ordering::Relaxed);
     let outcomes = world.callers.outcomes();
     assert_eq!(outcomes.distinct_codes().len(), 0, "{:?}", outcomes.distinct_codes());
 }
--- a/crates/cypressfork/tests/support/crashing.rs
+++ b/crates/cypressfork/tests/support/crashing.rs
@@ -72,7 +72,7 @@
     Held,
 }
 
-/// A replica that restarts at its address after each crash until `over` is set.
+/// A replica that restarts at its address after each crash until `stop` is set.
 pub struct CrashingReplica {
     pub address: SocketAddr,
     pub name: String,
@@ -81,7 +81,7 @@
     pub down: Duration,
     pub controls: Vec<SocketAddr>,
     pub crash_record: Arc<CrashRecord>,
-    pub over: Arc<AtomicBool>,
+    pub stop: Arc<AtomicBool>,
 }
 
 /// One process of a replica, from its start to its crash.
@@ -93,13 +93,13 @@
 
 impl CrashingReplica {
     pub fn start(self) {
-        thread::spawn(move || self.run_until_over());
+        thread::spawn(move || self.run());
     }
 
-    fn run_until_over(&self) {
+    fn run(&self) {
         let mut incarnations = 0;
         let mut held = None;
-        while !self.over.load(Ordering::Relaxed) {
+        while !self.stop.load(Ordering::Relaxed) {
             incarnations += 1;
             let id = match self.restart_as {
                 RestartAs::NewId => format!("{}-{incarnations}", self.name),
@@ -121,7 +121,7 @@
     ) -> Option<TcpListener> {
         listener.set_nonblocking(true).unwrap();
         self.send_heartbeats(incarnation);
-        while !incarnation.ended.load(Ordering::Relaxed) && !self.over.load(Ordering::Relaxed) {
+        while !incarnation.ended.load(Ordering::Relaxed) && !self.stop.load(Ordering::Relaxed) {
             match listener.accept() {
                 Ok((stream, _)) => {
                     stream.set_nonblocking(false).unwrap();
@@ -156,8 +156,8 @@
     }
 
     fn send_heartbeats(&self, incarnation: &Arc<Incarnation>) {
-        let (incarnation, controls, over) =
-            (incarnation.clone(), self.controls.clone(), self.over.clone());
+        let (incarnation, controls, stop) =
+            (incarnation.clone(), self.controls.clone(), self.stop.clone());
         let address = self.address.to_string();
         let born = match self.restart_as {
             RestartAs::SameIdBorn => unix_ms(),
@@ -165,7 +165,7 @@
         };
         thread::spawn(move || {
             let mut sequence = 0;
-            while !incarnation.ended.load(Ordering::Relaxed) && !over.load(Ordering::Relaxed) {
+            while !incarnation.ended.load(Ordering::Relaxed) && !stop.load(Ordering::Relaxed) {
                 sequence += 1;
                 let heartbeat = json!({ "service": "board", "address": address,
                     "data_centre": "tamar-a", "slots": 16, "sequence": sequence, "born": born });
@@ -262,17 +262,17 @@
     }
 }
 
-/// Callers that send to the gateways in turn until `over` is set.
+/// Callers that send to the gateways in turn until `stop` is set.
 pub struct Callers {
     pub gateways: Arc<Mutex<Vec<SocketAddr>>>,
-    pub over: Arc<AtomicBool>,
+    pub stop: Arc<AtomicBool>,
     pub outcomes: Arc<Mutex<Outcomes>>,
     sent: Arc<AtomicU64>,
 }
 
 impl Callers {
     pub fn new(gateways: Arc<Mutex<Vec<SocketAddr>>>) -> Callers {
-        Callers { gateways, over: Arc::default(), outcomes: Arc::default(), sent: Arc::default() }
+        Callers { gateways, stop: Arc::default(), outcomes: Arc::default(), sent: Arc::default() }
     }
 
     /// Sends a request every `every`; `request` maps its number to method, path and body.
@@ -282,10 +282,10 @@
         every: Duration,
         request: impl Fn(u64) -> (&'static str, String, String) + Send + 'static,
     ) {
-        let (gateways, over) = (self.gateways.clone(), self.over.clone());
+        let (gateways, stop) = (self.gateways.clone(), self.stop.clone());
         let (outcomes, sent, name) = (self.outcomes.clone(), self.sent.clone(), name.to_owned());
         thread::spawn(move || {
-            while !over.load(Ordering::Relaxed) {
+            while !stop.load(Ordering::Relaxed) {
                 let n = sent.fetch_add(1, Ordering::Relaxed);
                 let to = {
                     let all = gateways.lock().unwrap();
--- a/crates/cypressfork/tests/support/limited.rs
+++ b/crates/cypressfork/tests/support/limited.rs
@@ -60,17 +60,17 @@
     address
 }
 
-/// Sends heartbeats for a replica to the control processes in turn until `over` is set.
+/// Sends heartbeats for a replica to the control processes in turn until `stop` is set.
 pub fn start_heartbeats(
     service: &'static str,
     name: String,
     address: SocketAddr,
     controls: Vec<SocketAddr>,
-    over: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
 ) {
     thread::spawn(move || {
         for sequence in 1.. {
-            if over.load(Ordering::Relaxed) {
+            if stop.load(Ordering::Relaxed) {
                 return;
             }
             let heartbeat = json!({ "service": service, "address": address.to_string(),
@@ -84,7 +84,7 @@
     });
 }
 
-/// A replica that runs until `over` is set.
+/// A replica that runs until `stop` is set.
 #[derive(Clone)]
 pub struct LimitedReplica {
     pub name: String,
@@ -92,12 +92,12 @@
     pub limit: Arc<Mutex<Option<String>>>,
     pub controls: Vec<SocketAddr>,
     pub seen: Arc<Seen>,
-    pub over: Arc<AtomicBool>,
+    pub stop: Arc<AtomicBool>,
 }
 
 impl LimitedReplica {
     pub fn new(name: String, controls: Vec<SocketAddr>, seen: Arc<Seen>) -> LimitedReplica {
-        LimitedReplica { name, limit: Arc::default(), controls, seen, over: Arc::default() }
+        LimitedReplica { name, limit: Arc::default(), controls, seen, stop: Arc::default() }
     }
 
     /// Sets the announced limit; `None` stops announcing one.
@@ -113,13 +113,13 @@
             self.name.clone(),
             address,
             self.controls.clone(),
-            self.over.clone(),
+            self.stop.clone(),
         );
     }
 
     fn serve(&self, mut s: TcpStream) {
         while let Some(text) = read_request(&mut s) {
-            if self.over.load(Ordering::Relaxed) {
+            if self.stop.load(Ordering::Relaxed) {
                 return;
             }
             let name = self.name.clone();
--- a/crates/cypressfork/tests/support/resting.rs
+++ b/crates/cypressfork/tests/support/resting.rs
@@ -60,12 +60,12 @@
     pub closes: AtomicBool,
 }
 
-/// A replica that runs until `over` is set.
+/// A replica that runs until `stop` is set.
 #[derive(Clone)]
 pub struct RestingReplica {
     pub name: String,
     pub shared: Arc<Shared>,
-    pub over: Arc<AtomicBool>,
+    pub stop: Arc<AtomicBool>,
     /// Number of gateways; callers send requests to them in turn, by request number.
     gateways: usize,
 }
@@ -87,12 +87,12 @@
             leaving: AtomicBool::new(false),
             closes: AtomicBool::new(false),
         };
-        let over = Arc::<AtomicBool>::default();
+        let stop = Arc::<AtomicBool>::default();
         let replica =
-            RestingReplica { name, shared: Arc::new(shared), over: over.clone(), gateways };
+            RestingReplica { name, shared: Arc::new(shared), stop: stop.clone(), gateways };
         let own = replica.clone();
         let address = listen(move |s| own.serve(s));
-        start_heartbeats("board", replica.name.clone(), address, controls, over);
+        start_heartbeats("board", replica.name.clone(), address, controls, stop);
         replica
     }
 
@@ -104,7 +104,7 @@
     fn serve(&self, mut s: TcpStream) {
         let shared = &self.shared;
         while let Some(text) = read_request(&mut s) {
-            if self.over.load(Ordering::Relaxed) {
+            if self.stop.load(Ordering::Relaxed) {
                 return;
             }
             let id = header(&text, "x-request-id").to_owned();
@@ -194,8 +194,8 @@
 
 impl Drop for World {
     fn drop(&mut self) {
-        self.callers.over.store(true, Ordering::Relaxed);
-        self.replicas.iter().for_each(|r| r.over.store(true, Ordering::Relaxed));
+        self.callers.stop.store(true, Ordering::Relaxed);
+        self.replicas.iter().for_each(|r| r.stop.store(true, Ordering::Relaxed));
     }
 }
 
