--- a/crates/cypressfork/tests/limits.rs
+++ b/crates/cypressfork/tests/limits.rs
@@ -45,7 +45,7 @@
     // Callers and replicas stop before the processes.
     callers: Callers,
     replicas: Vec<LimitedReplica>,
-    seen: Arc<Seen>,
+    request_log: Arc<RequestLog>,
     fleet: Fleet,
     extra_gateways: Vec<ExtraGateway>,
 }
@@ -70,9 +70,10 @@
         });
         let gateway_addresses: Vec<_> =
             extra_gateways.iter().map(|g| g.listen).chain([fleet.listen]).collect();
-        let seen = Arc::<Seen>::default();
+        let request_log = Arc::<RequestLog>::default();
         let controls: Vec<_> = fleet.controls.iter().map(|c| c.api).collect();
-        let replica = |n| LimitedReplica::new(format!("b-{n}"), controls.clone(), seen.clone());
+        let replica =
+            |n| LimitedReplica::new(format!("b-{n}"), controls.clone(), request_log.clone());
         let replicas: Vec<_> = (0..REPLICAS).map(replica).collect();
         replicas.iter().for_each(LimitedReplica::start);
         for gateway in &gateway_addresses {
@@ -82,7 +83,7 @@
             });
         }
         let callers = Callers::new(Arc::new(Mutex::new(gateway_addresses)));
-        World { callers, replicas, seen, fleet, extra_gateways }
+        World { callers, replicas, request_log, fleet, extra_gateways }
     }
 
     /// Starts to send requests to both routes at this rate per second.
@@ -103,7 +104,7 @@
     /// after `since`.
     fn max_in_window(&self, n: usize, since: Instant) -> usize {
         let each = self.replicas[..n].iter();
-        each.map(|r| self.seen.max_within(&r.name, since, WINDOW)).max().unwrap()
+        each.map(|r| self.request_log.max_within(&r.name, since, WINDOW)).max().unwrap()
     }
 }
 
@@ -169,7 +170,7 @@
     world.send(40);
     sleep_until(since + OBSERVED);
     let arrived: usize =
-        world.replicas.iter().map(|r| world.seen.since(&r.name, since).len()).sum();
+        world.replicas.iter().map(|r| world.request_log.arrivals_since(&r.name, since).len()).sum();
     let possible = 2 * REPLICAS * OBSERVED.as_secs() as usize;
     assert!(arrived * 10 >= possible * 7, "{arrived} of {possible}");
     let outcomes = world.callers.outcomes();
@@ -187,10 +188,12 @@
     let more = world.fleet.start_extra_gateways_from(world.extra_gateways.len(), 1);
     let gateway = more[0].listen;
     wait_for("a response", || exchange(gateway, "GET", "/board/x", CALLER_HEADERS, "").is_some());
-    let before: usize = world.replicas.iter().map(|r| world.seen.since(&r.name, since).len()).sum();
+    let before: usize =
+        world.replicas.iter().map(|r| world.request_log.arrivals_since(&r.name, since).len()).sum();
     let answers: Vec<_> =
         (0..40).filter_map(|_| exchange(gateway, "GET", "/board/x", CALLER_HEADERS, "")).collect();
-    let after: usize = world.replicas.iter().map(|r| world.seen.since(&r.name, since).len()).sum();
+    let after: usize =
+        world.replicas.iter().map(|r| world.request_log.arrivals_since(&r.name, since).len()).sum();
     let refused = answers.iter().filter(|a| a.1["error"]["code"] == LIMIT_REACHED).count();
     assert!(refused >= 30, "{refused} of {} refused", answers.len());
     assert!(after - before <= allowed(REPLICAS as f64), "{}", after - before);
@@ -221,7 +224,7 @@
     world.replicas[0].announce_limit(None);
     let ended = Instant::now() + EFFECTIVE_AFTER;
     sleep_until(ended + WINDOW);
-    let got = world.seen.since("b-0", ended).len();
+    let got = world.request_log.arrivals_since("b-0", ended).len();
     assert!(got > 20, "{got} requests in 4 s");
 }
 
@@ -282,7 +285,7 @@
     let most = world.max_in_window(REPLICAS, since);
     assert!(most <= allowed(1.0), "{most}");
     let arrived: usize =
-        world.replicas.iter().map(|r| world.seen.since(&r.name, since).len()).sum();
+        world.replicas.iter().map(|r| world.request_log.arrivals_since(&r.name, since).len()).sum();
     let possible = REPLICAS * OBSERVED.as_secs() as usize;
     assert!(arrived * 3 >= possible, "{arrived} of {possible}");
 }
--- a/crates/cypressfork/tests/rollout.rs
+++ b/crates/cypressfork/tests/rollout.rs
@@ -44,7 +44,7 @@
 struct World {
     fleet: Fleet,
     _extra_gateways: Vec<ExtraGateway>,
-    seen: Arc<Seen>,
+    request_log: Arc<RequestLog>,
     callers: Callers,
     stop_old: Arc<AtomicBool>,
 }
@@ -70,8 +70,9 @@
         let gateway_addresses: Vec<_> =
             extra_gateways.iter().map(|g| g.listen).chain([fleet.listen]).collect();
         let callers = Callers::new(Arc::new(Mutex::new(gateway_addresses.clone())));
-        let (seen, stop_old) = (Arc::<Seen>::default(), Arc::<AtomicBool>::default());
-        let world = World { fleet, _extra_gateways: extra_gateways, seen, callers, stop_old };
+        let (request_log, stop_old) = (Arc::<RequestLog>::default(), Arc::<AtomicBool>::default());
+        let world =
+            World { fleet, _extra_gateways: extra_gateways, request_log, callers, stop_old };
         world.add_replicas("v1", 0, world.stop_old.clone());
         for gateway in gateway_addresses {
             wait_for("a response", || {
@@ -94,7 +95,7 @@
                 version: version.to_owned(),
                 fails_each,
                 controls: self.fleet.controls.iter().map(|c| c.api).collect(),
-                seen: self.seen.clone(),
+                request_log: self.request_log.clone(),
                 stop: stop.clone(),
             };
             replica.start();
@@ -157,16 +158,16 @@
     if kill {
         world.kill_leader();
     }
-    wait_for("a request to the new version", || world.seen.count("v2", before) > 0);
+    wait_for("a request to the new version", || world.request_log.arrivals_since("v2", before) > 0);
     // As a platform does, stop the old replicas as soon as the rollout is reported as completed.
     let mut last_at_old = Instant::now();
     wait_for("Completed", || {
-        if world.seen.running("v1") > 0 {
+        if world.request_log.running("v1") > 0 {
             last_at_old = Instant::now();
         }
         world.stage().as_deref() == Some("Completed")
     });
-    let at_old = world.seen.running("v1");
+    let at_old = world.request_log.running("v1");
     world.stop_old.store(true, Ordering::Relaxed);
     assert_eq!(
         at_old, 0,
@@ -175,7 +176,7 @@
     let due = (ordered + ROLLOUT_LIMIT).max(last_at_old + REPORTED_WITHIN);
     assert!(kill || Instant::now() < due, "the rollout was completed too late");
     let since = Instant::now();
-    wait_for("requests at the new version", || world.seen.count("v2", since) > 200);
+    wait_for("requests at the new version", || world.request_log.arrivals_since("v2", since) > 200);
     world.callers.stop.store(true, Ordering::Relaxed);
     let outcomes = world.callers.outcomes();
     assert_eq!(outcomes.distinct_codes().len(), 0, "{:?}", outcomes.distinct_codes());
@@ -199,15 +200,15 @@
     }
     world.wait_for_stage("RolledBack");
     std::thread::sleep(ROLLOUT_LIMIT.saturating_sub(ordered.elapsed()));
-    let exposed = world.seen.count("v2", ordered) as f64;
-    let all = exposed + world.seen.count("v1", ordered) as f64;
+    let exposed = world.request_log.arrivals_since("v2", ordered) as f64;
+    let all = exposed + world.request_log.arrivals_since("v1", ordered) as f64;
     assert!(exposed <= all * MAX_SHARE + SLACK, "{exposed} of {all}");
-    if let Some(fiftieth) = world.seen.failure("v2", 50) {
-        assert_eq!(world.seen.count("v2", fiftieth + STOPPED_WITHIN), 0);
+    if let Some(fiftieth) = world.request_log.nth_failure("v2", 50) {
+        assert_eq!(world.request_log.arrivals_since("v2", fiftieth + STOPPED_WITHIN), 0);
     }
     let since = Instant::now();
-    wait_for("requests at the old version", || world.seen.count("v1", since) > 200);
-    assert_eq!(world.seen.count("v2", since), 0, "requests after the rollback");
+    wait_for("requests at the old version", || world.request_log.arrivals_since("v1", since) > 200);
+    assert_eq!(world.request_log.arrivals_since("v2", since), 0, "requests after the rollback");
 }
 
 /// Guards against an acknowledged order that is lost when all control processes are killed.
--- a/crates/cypressfork/tests/support/limited.rs
+++ b/crates/cypressfork/tests/support/limited.rs
@@ -25,21 +25,21 @@
 
 /// Requests recorded by the replicas.
 #[derive(Default)]
-pub struct Seen {
+pub struct RequestLog {
     /// Arrival times by the name of the replica.
     pub arrivals: Mutex<HashMap<String, Vec<Instant>>>,
 }
 
-impl Seen {
+impl RequestLog {
     /// Returns the arrival times at a replica from `since` on.
-    pub fn since(&self, name: &str, since: Instant) -> Vec<Instant> {
+    pub fn arrivals_since(&self, name: &str, since: Instant) -> Vec<Instant> {
         let all = self.arrivals.lock().unwrap();
         all.get(name).into_iter().flatten().copied().filter(|at| *at >= since).collect()
     }
 
     /// Returns the maximum number of requests that reached a replica within any window of `span` from `since` on.
     pub fn max_within(&self, name: &str, since: Instant, span: Duration) -> usize {
-        let all = self.since(name, since);
+        let all = self.arrivals_since(name, since);
         let within = |(n, from): (usize, &Instant)| {
             all[n..].iter().take_while(|at| at.duration_since(*from) < span).count()
         };
@@ -91,13 +91,17 @@
     /// Value of the `X-Rate-Limit` header; `None` omits the header.
     pub limit: Arc<Mutex<Option<String>>>,
     pub controls: Vec<SocketAddr>,
-    pub seen: Arc<Seen>,
+    pub request_log: Arc<RequestLog>,
     pub stop: Arc<AtomicBool>,
 }
 
 impl LimitedReplica {
-    pub fn new(name: String, controls: Vec<SocketAddr>, seen: Arc<Seen>) -> LimitedReplica {
-        LimitedReplica { name, limit: Arc::default(), controls, seen, stop: Arc::default() }
+    pub fn new(
+        name: String,
+        controls: Vec<SocketAddr>,
+        request_log: Arc<RequestLog>,
+    ) -> LimitedReplica {
+        LimitedReplica { name, limit: Arc::default(), controls, request_log, stop: Arc::default() }
     }
 
     /// Sets the announced limit; `None` stops announcing one.
@@ -123,7 +127,7 @@
                 return;
             }
             let name = self.name.clone();
-            self.seen.arrivals.lock().unwrap().entry(name).or_default().push(Instant::now());
+            self.request_log.arrivals.lock().unwrap().entry(name).or_default().push(Instant::now());
             let limit = self.limit.lock().unwrap().clone();
             sleep(SERVICE_TIME);
             let id = header(&text, "x-request-id");
--- a/crates/cypressfork/tests/support/versions.rs
+++ b/crates/cypressfork/tests/support/versions.rs
@@ -24,22 +24,22 @@
 
 /// Requests recorded by the replicas.
 #[derive(Default)]
-pub struct Seen {
+pub struct RequestLog {
     /// Requests that arrived: the version, the time, and whether the request failed.
     pub arrivals: Mutex<Vec<(String, Instant, bool)>>,
     /// Requests in progress: the version and the number of the request.
     pub running: Mutex<Vec<(String, u64)>>,
 }
 
-impl Seen {
+impl RequestLog {
     /// Returns the number of requests that reached a version from `since` on.
-    pub fn count(&self, version: &str, since: Instant) -> usize {
+    pub fn arrivals_since(&self, version: &str, since: Instant) -> usize {
         let all = self.arrivals.lock().unwrap();
         all.iter().filter(|(v, at, _)| v == version && *at >= since).count()
     }
 
     /// Returns when the request of the `n`th failure of a version arrived.
-    pub fn failure(&self, version: &str, n: usize) -> Option<Instant> {
+    pub fn nth_failure(&self, version: &str, n: usize) -> Option<Instant> {
         let all = self.arrivals.lock().unwrap();
         let mut bad = all.iter().filter(|(v, _, bad)| v == version && *bad).map(|(_, at, _)| *at);
         bad.nth(n - 1)
@@ -58,7 +58,7 @@
     /// Every n-th request fails; 0 means none.
     pub fails_each: u64,
     pub controls: Vec<SocketAddr>,
-    pub seen: Arc<Seen>,
+    pub request_log: Arc<RequestLog>,
     pub stop: Arc<AtomicBool>,
 }
 
@@ -100,11 +100,15 @@
             }
             let n = count.fetch_add(1, Ordering::Relaxed);
             let bad = self.fails_each > 0 && n.is_multiple_of(self.fails_each);
-            self.seen.arrivals.lock().unwrap().push((self.version.clone(), Instant::now(), bad));
+            self.request_log.arrivals.lock().unwrap().push((
+                self.version.clone(),
+                Instant::now(),
+                bad,
+            ));
             let entry = (self.version.clone(), n);
-            self.seen.running.lock().unwrap().push(entry.clone());
+            self.request_log.running.lock().unwrap().push(entry.clone());
             sleep(if text.contains(LONG) { LONG_SERVICE_TIME } else { SERVICE_TIME });
-            self.seen.running.lock().unwrap().retain(|e| *e != entry);
+            self.request_log.running.lock().unwrap().retain(|e| *e != entry);
             let id = header(&text, "x-request-id");
             let status = if bad { "500 Internal Server Error" } else { "200 OK" };
             let head = format!("X-Request-Id: {id}\r\nContent-Length: 2");
