--- a/crates/cypressfork/tests/limits.rs
+++ b/crates/cypressfork/tests/limits.rs
@@ -41,7 +41,7 @@
     (limit * WINDOW.as_secs_f64() * TOLERANCE + SLACK) as usize
 }
 
-struct World {
+struct Harness {
     // Callers and replicas stop before the processes.
     callers: Callers,
     replicas: Vec<LimitedReplica>,
@@ -50,16 +50,16 @@
     extra_gateways: Vec<ExtraGateway>,
 }
 
-impl Drop for World {
+impl Drop for Harness {
     fn drop(&mut self) {
         self.callers.stop.store(true, Ordering::Relaxed);
         self.replicas.iter().for_each(|r| r.stop.store(true, Ordering::Relaxed));
     }
 }
 
-impl World {
+impl Harness {
     /// Starts a fleet of this many gateways and waits until each serves a request. Starts no callers.
-    fn new(gateways: usize) -> World {
+    fn new(gateways: usize) -> Harness {
         let mut fleet = Fleet::new(3);
         (0..3).for_each(|n| fleet.start_control(n, true));
         fleet.start_gateway();
@@ -83,12 +83,12 @@
             });
         }
         let callers = Callers::new(Arc::new(Mutex::new(gateway_addresses)));
-        World { callers, replicas, request_log, fleet, extra_gateways }
+        Harness { callers, replicas, request_log, fleet, extra_gateways }
     }
 
     /// Starts to send requests to both routes at this rate per second.
-    fn send(&self, a_second: u32) {
-        self.callers.send("sound", Duration::from_secs(1) / a_second, |n| match n % 5 {
+    fn send(&self, per_second: u32) {
+        self.callers.send("sound", Duration::from_secs(1) / per_second, |n| match n % 5 {
             0 => ("POST", "/moves/x".to_owned(), format!("move {n}")),
             _ => ("GET", format!("/board/{n}"), String::new()),
         });
@@ -108,7 +108,7 @@
     }
 }
 
-impl World {
+impl Harness {
     /// Returns the number of gateways that have logged a limit of `replica`.
     fn gateways_with_limit(&self, replica: &str) -> usize {
         let logged_limit = |text: String| {
@@ -136,14 +136,14 @@
     #[case] gateways: usize,
     #[case] limited: usize,
     #[case] limit: f64,
-    #[case] a_second: u32,
+    #[case] per_second: u32,
 ) {
-    let world = World::new(gateways);
-    world.send(a_second);
-    let since = world.limit(limited, limit);
+    let harness = Harness::new(gateways);
+    harness.send(per_second);
+    let since = harness.limit(limited, limit);
     sleep_until(since + OBSERVED);
-    let most = world.max_in_window(limited, since);
-    let known = world.gateways_with_limit("b-0");
+    let most = harness.max_in_window(limited, since);
+    let known = harness.gateways_with_limit("b-0");
     assert_eq!(known, gateways, "gateways that logged the limit");
     assert!(most <= allowed(limit), "{most} requests in 4 s, {} are allowed", allowed(limit));
 }
@@ -151,11 +151,11 @@
 /// Guards against refusals while replicas without a limit have capacity.
 #[test]
 fn replicas_without_a_limit_serve_all_requests() {
-    let world = World::new(4);
-    world.limit(2, 1.0);
-    world.send(60);
+    let harness = Harness::new(4);
+    harness.limit(2, 1.0);
+    harness.send(60);
     sleep(EFFECTIVE_AFTER + OBSERVED);
-    let outcomes = world.callers.outcomes();
+    let outcomes = harness.callers.outcomes();
     assert!(outcomes.sent > 300, "{outcomes:?}");
     assert_eq!(outcomes.served, outcomes.sent, "{:?}", outcomes.distinct_codes());
 }
@@ -163,17 +163,20 @@
 /// Guards against unused capacity below the limits; only requests beyond the limits are refused.
 #[test]
 fn the_combined_limits_are_used() {
-    let world = World::new(4);
+    let harness = Harness::new(4);
     // Wait until it is settled which processes issue permits.
     sleep(WINDOW + Duration::from_secs(1));
-    let since = world.limit(REPLICAS, 2.0);
-    world.send(40);
+    let since = harness.limit(REPLICAS, 2.0);
+    harness.send(40);
     sleep_until(since + OBSERVED);
-    let arrived: usize =
-        world.replicas.iter().map(|r| world.request_log.arrivals_since(&r.name, since).len()).sum();
+    let arrived: usize = harness
+        .replicas
+        .iter()
+        .map(|r| harness.request_log.arrivals_since(&r.name, since).len())
+        .sum();
     let possible = 2 * REPLICAS * OBSERVED.as_secs() as usize;
     assert!(arrived * 10 >= possible * 7, "{arrived} of {possible}");
-    let outcomes = world.callers.outcomes();
+    let outcomes = harness.callers.outcomes();
     assert_eq!(outcomes.distinct_codes(), HashSet::from([LIMIT_REACHED]), "{outcomes:?}");
     assert!(outcomes.sent - outcomes.served > 50, "{outcomes:?}");
 }
@@ -181,23 +184,29 @@
 /// Guards against a new gateway that exceeds limits that were announced before it started.
 #[test]
 fn a_new_gateway_applies_known_limits() {
-    let mut world = World::new(3);
-    world.send(40);
-    let since = world.limit(REPLICAS, 1.0);
+    let mut harness = Harness::new(3);
+    harness.send(40);
+    let since = harness.limit(REPLICAS, 1.0);
     sleep_until(since);
-    let more = world.fleet.start_extra_gateways_from(world.extra_gateways.len(), 1);
+    let more = harness.fleet.start_extra_gateways_from(harness.extra_gateways.len(), 1);
     let gateway = more[0].listen;
     wait_for("a response", || exchange(gateway, "GET", "/board/x", CALLER_HEADERS, "").is_some());
-    let before: usize =
-        world.replicas.iter().map(|r| world.request_log.arrivals_since(&r.name, since).len()).sum();
+    let before: usize = harness
+        .replicas
+        .iter()
+        .map(|r| harness.request_log.arrivals_since(&r.name, since).len())
+        .sum();
     let answers: Vec<_> =
         (0..40).filter_map(|_| exchange(gateway, "GET", "/board/x", CALLER_HEADERS, "")).collect();
-    let after: usize =
-        world.replicas.iter().map(|r| world.request_log.arrivals_since(&r.name, since).len()).sum();
+    let after: usize = harness
+        .replicas
+        .iter()
+        .map(|r| harness.request_log.arrivals_since(&r.name, since).len())
+        .sum();
     let refused = answers.iter().filter(|a| a.1["error"]["code"] == LIMIT_REACHED).count();
     assert!(refused >= 30, "{refused} of {} refused", answers.len());
     assert!(after - before <= allowed(REPLICAS as f64), "{}", after - before);
-    world.extra_gateways.extend(more);
+    harness.extra_gateways.extend(more);
 }
 
 /// Guards against a limit that is ignored in a failed response or in a response that a request was not run.
@@ -205,43 +214,43 @@
 #[case::rejected(REJECTED)]
 #[case::failing(FAILING)]
 fn a_limit_in_any_response_applies(#[case] kind: &'static str) {
-    let world = World::new(3);
-    let since = world.limit(1, 1.0);
-    world.callers.send("odd", Duration::from_millis(20), move |n| {
+    let harness = Harness::new(3);
+    let since = harness.limit(1, 1.0);
+    harness.callers.send("odd", Duration::from_millis(20), move |n| {
         ("GET", format!("/board/{kind}-{n}"), String::new())
     });
     sleep_until(since + OBSERVED);
-    let most = world.max_in_window(1, since);
+    let most = harness.max_in_window(1, since);
     assert!(most <= allowed(1.0), "{most}");
 }
 
 /// Guards against a limit that stays in force after the replica stops announcing it.
 #[test]
 fn a_limit_ends_when_it_is_no_longer_announced() {
-    let world = World::new(4);
-    world.send(60);
-    sleep_until(world.limit(1, 1.0) + Duration::from_secs(1));
-    world.replicas[0].announce_limit(None);
+    let harness = Harness::new(4);
+    harness.send(60);
+    sleep_until(harness.limit(1, 1.0) + Duration::from_secs(1));
+    harness.replicas[0].announce_limit(None);
     let ended = Instant::now() + EFFECTIVE_AFTER;
     sleep_until(ended + WINDOW);
-    let got = world.request_log.arrivals_since("b-0", ended).len();
+    let got = harness.request_log.arrivals_since("b-0", ended).len();
     assert!(got > 20, "{got} requests in 4 s");
 }
 
 /// Guards against an invalid limit that replaces the previous one.
 #[test]
 fn an_invalid_limit_is_ignored() {
-    let world = World::new(3);
-    world.send(60);
-    sleep_until(world.limit(1, 1.0));
+    let harness = Harness::new(3);
+    harness.send(60);
+    sleep_until(harness.limit(1, 1.0));
     for value in ["-1", "NaN", "1e999", "", "5/s", "1, 2"] {
-        world.replicas[0].announce_limit(Some(value));
+        harness.replicas[0].announce_limit(Some(value));
         sleep(Duration::from_millis(1_500));
     }
     let since = Instant::now() - Duration::from_secs(9);
-    let most = world.max_in_window(1, since);
+    let most = harness.max_in_window(1, since);
     assert!(most <= allowed(1.0), "{most}");
-    let text = log(world.fleet.dir.path(), "gateway-0");
+    let text = log(harness.fleet.dir.path(), "gateway-0");
     assert!(
         text.lines().filter(|l| l.contains(" CFE439 ")).count() <= 1,
         "at most one log line per replica"
@@ -262,30 +271,33 @@
 #[case::gateways_are_killed(Fault::Gateways)]
 #[case::all_control_processes_are_away(Fault::Controls)]
 fn a_limit_holds_during_process_failures(#[case] fault: Fault) {
-    let mut world = World::new(4);
-    world.send(60);
-    let since = world.limit(REPLICAS, 1.0);
+    let mut harness = Harness::new(4);
+    harness.send(60);
+    let since = harness.limit(REPLICAS, 1.0);
     sleep_until(since);
     match fault {
         Fault::Gateways => {
-            for n in 0..world.extra_gateways.len() {
-                world.extra_gateways[n].process.kill();
+            for n in 0..harness.extra_gateways.len() {
+                harness.extra_gateways[n].process.kill();
                 sleep(Duration::from_millis(700));
-                world.fleet.restart_extra_gateway(&mut world.extra_gateways[n]);
+                harness.fleet.restart_extra_gateway(&mut harness.extra_gateways[n]);
                 sleep(Duration::from_millis(1_500));
             }
         }
         Fault::Controls => {
-            for c in &mut world.fleet.controls {
+            for c in &mut harness.fleet.controls {
                 c.process.as_mut().unwrap().kill();
             }
         }
     }
     sleep_until(since + OBSERVED);
-    let most = world.max_in_window(REPLICAS, since);
+    let most = harness.max_in_window(REPLICAS, since);
     assert!(most <= allowed(1.0), "{most}");
-    let arrived: usize =
-        world.replicas.iter().map(|r| world.request_log.arrivals_since(&r.name, since).len()).sum();
+    let arrived: usize = harness
+        .replicas
+        .iter()
+        .map(|r| harness.request_log.arrivals_since(&r.name, since).len())
+        .sum();
     let possible = REPLICAS * OBSERVED.as_secs() as usize;
     assert!(arrived * 3 >= possible, "{arrived} of {possible}");
 }
--- a/crates/cypressfork/tests/rests.rs
+++ b/crates/cypressfork/tests/rests.rs
@@ -34,18 +34,18 @@
 const OBSERVED: Duration = Duration::from_secs(7);
 
 /// Returns the maximum number of requests from one gateway that any replica received during a backoff.
-fn max_in_backoff(world: &World) -> usize {
-    world.replicas.iter().map(|r| r.max_in_backoff(BACKOFF)).max().unwrap()
+fn max_in_backoff(harness: &Harness) -> usize {
+    harness.replicas.iter().map(|r| r.max_in_backoff(BACKOFF)).max().unwrap()
 }
 
 /// Guards against a gateway that keeps sending to a replica that has requested a backoff.
 #[test]
 fn a_replica_that_asks_for_rest_is_left_alone() {
-    let world = World::new(4, SERVICE_TIME);
-    world.send(60);
-    world.replicas[0].refuse(Some(Refusing::after("3")));
+    let harness = Harness::new(4, SERVICE_TIME);
+    harness.send(60);
+    harness.replicas[0].refuse(Some(Refusal::retry_after("3")));
     sleep(OBSERVED);
-    let max = max_in_backoff(&world);
+    let max = max_in_backoff(&harness);
     assert!(
         max <= ALLOWED,
         "{max} requests from one gateway during a backoff, {ALLOWED} are allowed"
@@ -55,12 +55,12 @@
 /// Guards against a backoff that is ignored because the 503 response has no `X-Not-Run` header.
 #[test]
 fn a_backoff_applies_without_the_not_run_header() {
-    let world = World::new(4, SERVICE_TIME);
-    world.send(60);
-    let refusing = Refusing { not_run: false, ..Refusing::after("3") };
-    world.replicas[0].refuse(Some(refusing));
+    let harness = Harness::new(4, SERVICE_TIME);
+    harness.send(60);
+    let refusal = Refusal { not_run: false, ..Refusal::retry_after("3") };
+    harness.replicas[0].refuse(Some(refusal));
     sleep(OBSERVED);
-    let max = max_in_backoff(&world);
+    let max = max_in_backoff(&harness);
     assert!(
         max <= ALLOWED,
         "{max} requests from one gateway during a backoff, {ALLOWED} are allowed"
@@ -71,22 +71,22 @@
 /// killed.
 #[test]
 fn other_replicas_serve_requests_during_a_backoff() {
-    let mut world = World::new(4, SERVICE_TIME);
-    world.send(60);
+    let mut harness = Harness::new(4, SERVICE_TIME);
+    harness.send(60);
     // The retry budget is a share of earlier requests.
     sleep(OBSERVED / 2);
-    world.replicas[..2].iter().for_each(|r| r.refuse(Some(Refusing::after("3"))));
+    harness.replicas[..2].iter().for_each(|r| r.refuse(Some(Refusal::retry_after("3"))));
     sleep(OBSERVED / 2);
-    let before = world.callers.outcomes();
+    let before = harness.callers.outcomes();
     assert_eq!(before.served, before.sent, "{:?}", before.distinct_codes());
-    world.extra_gateways[0].process.kill();
+    harness.extra_gateways[0].process.kill();
     sleep(OBSERVED / 2);
-    let max = max_in_backoff(&world);
+    let max = max_in_backoff(&harness);
     assert!(
         max <= ALLOWED,
         "{max} requests from one gateway during a backoff, {ALLOWED} are allowed"
     );
-    let outcomes = world.callers.outcomes();
+    let outcomes = harness.callers.outcomes();
     // Callers of the killed gateway get no connection.
     assert_eq!(outcomes.distinct_codes(), HashSet::from([""]), "{outcomes:?}");
 }
@@ -94,15 +94,15 @@
 /// Guards against callers that wait, or get no usable retry time, when all replicas have requested a backoff.
 #[test]
 fn requests_are_refused_with_a_retry_time_when_all_replicas_back_off() {
-    let world = World::new(4, SERVICE_TIME);
-    world.send(60);
+    let harness = Harness::new(4, SERVICE_TIME);
+    harness.send(60);
     sleep(OBSERVED / 4);
-    world.replicas.iter().for_each(|r| r.refuse(Some(Refusing::after("3"))));
+    harness.replicas.iter().for_each(|r| r.refuse(Some(Refusal::retry_after("3"))));
     // Give each gateway time to receive a refusal from every replica.
     sleep(OBSERVED / 4);
     let started = Instant::now();
     let (status, answer) =
-        exchange(world.fleet.listen, "GET", "/board/x", CALLER_HEADERS, "").unwrap();
+        exchange(harness.fleet.listen, "GET", "/board/x", CALLER_HEADERS, "").unwrap();
     let took = started.elapsed();
     assert_eq!(
         (status, answer["error"]["code"].as_str()),
@@ -112,14 +112,14 @@
     let after = answer["error"]["retry_after_ms"].as_u64().unwrap();
     assert!((1..=6_000).contains(&after), "{after} ms");
     assert!(took < REFUSED_WITHIN, "{took:?}");
-    world.replicas.iter().for_each(|r| r.refuse(None));
+    harness.replicas.iter().for_each(|r| r.refuse(None));
     sleep(OBSERVED);
-    let max = max_in_backoff(&world);
+    let max = max_in_backoff(&harness);
     assert!(
         max <= ALLOWED,
         "{max} requests from one gateway during a backoff, {ALLOWED} are allowed"
     );
-    let gateway = world.fleet.listen;
+    let gateway = harness.fleet.listen;
     let served =
         || exchange(gateway, "GET", "/board/x", CALLER_HEADERS, "").is_some_and(|a| a.0 == 200);
     assert!(served(), "requests are served again after the backoffs");
@@ -128,19 +128,19 @@
 /// Guards against requests during a backoff when replicas are full and refuse only the excess.
 #[test]
 fn full_replicas_receive_no_requests_during_their_backoff() {
-    let world = World::new(4, Duration::from_millis(400));
-    world.replicas.iter().for_each(|r| r.shared.max_concurrent.store(3, Ordering::Relaxed));
-    world.send(46);
+    let harness = Harness::new(4, Duration::from_millis(400));
+    harness.replicas.iter().for_each(|r| r.state.max_concurrent.store(3, Ordering::Relaxed));
+    harness.send(46);
     sleep(OBSERVED);
-    let max = max_in_backoff(&world);
+    let max = max_in_backoff(&harness);
     assert!(
         max <= ALLOWED,
         "{max} requests from one gateway during a backoff, {ALLOWED} are allowed"
     );
-    let (arrived, refused) = world
+    let (arrived, refused) = harness
         .replicas
         .iter()
-        .map(RestingReplica::counts)
+        .map(RefusingReplica::counts)
         .fold((0, 0), |(arrived, refused), (a, r)| (arrived + a, refused + r));
     assert!(refused > 0 && arrived > refused, "{refused} of {arrived} refused");
 }
@@ -148,13 +148,13 @@
 /// Guards against a resend on a new connection to a replica that has requested a backoff in the meantime.
 #[test]
 fn a_request_is_not_resent_during_a_backoff() {
-    let world = World::new(4, SERVICE_TIME);
-    world.replicas.iter().for_each(|r| r.shared.closes.store(true, Ordering::Relaxed));
-    world.send(60);
+    let harness = Harness::new(4, SERVICE_TIME);
+    harness.replicas.iter().for_each(|r| r.state.closes_connections.store(true, Ordering::Relaxed));
+    harness.send(60);
     sleep(OBSERVED / 4);
-    world.replicas[0].refuse(Some(Refusing::after("3")));
+    harness.replicas[0].refuse(Some(Refusal::retry_after("3")));
     sleep(OBSERVED);
-    let max = max_in_backoff(&world);
+    let max = max_in_backoff(&harness);
     assert!(
         max <= ALLOWED,
         "{max} requests from one gateway during a backoff, {ALLOWED} are allowed"
@@ -167,28 +167,28 @@
 #[case::negative("-3")]
 #[case::exponent("1e999")]
 fn an_invalid_retry_after_is_ignored(#[case] text: &str) {
-    let world = World::new(2, SERVICE_TIME);
-    world.replicas[0].refuse(Some(Refusing::after(text)));
-    world.send(60);
+    let harness = Harness::new(2, SERVICE_TIME);
+    harness.replicas[0].refuse(Some(Refusal::retry_after(text)));
+    harness.send(60);
     sleep(OBSERVED / 2);
-    let (arrived, _) = world.replicas[0].counts();
+    let (arrived, _) = harness.replicas[0].counts();
     assert!(arrived > 10, "{arrived} requests");
-    let lines = log(world.fleet.dir.path(), "gateway-0");
+    let lines = log(harness.fleet.dir.path(), "gateway-0");
     assert_eq!(lines.lines().filter(|l| l.contains(" CFE442 ")).count(), 1);
 }
 
 /// Guards against a `Retry-After` date that is compared with the gateway's clock instead of the `Date` header.
 #[test]
 fn a_backoff_until_a_date_is_observed() {
-    let world = World::new(2, SERVICE_TIME);
-    world.send(60);
+    let harness = Harness::new(2, SERVICE_TIME);
+    harness.send(60);
     let dates = "Sun, 06 Nov 1994 08:49:40 GMT\r\nDate: Sun, 06 Nov 1994 08:49:37 GMT";
-    world.replicas[0].refuse(Some(Refusing::after(dates)));
+    harness.replicas[0].refuse(Some(Refusal::retry_after(dates)));
     sleep(OBSERVED);
-    let max = max_in_backoff(&world);
+    let max = max_in_backoff(&harness);
     assert!(
         max <= ALLOWED,
         "{max} requests from one gateway during a backoff, {ALLOWED} are allowed"
     );
-    assert!(world.replicas[0].counts().1 > 0);
+    assert!(harness.replicas[0].counts().1 > 0);
 }
--- a/crates/cypressfork/tests/rollout.rs
+++ b/crates/cypressfork/tests/rollout.rs
@@ -41,7 +41,7 @@
 /// states.
 const STOPPED_WITHIN: Duration = Duration::from_secs(5);
 
-struct World {
+struct Harness {
     fleet: Fleet,
     _extra_gateways: Vec<ExtraGateway>,
     request_log: Arc<RequestLog>,
@@ -49,16 +49,16 @@
     stop_old: Arc<AtomicBool>,
 }
 
-impl Drop for World {
+impl Drop for Harness {
     fn drop(&mut self) {
         self.callers.stop.store(true, Ordering::Relaxed);
         self.stop_old.store(true, Ordering::Relaxed);
     }
 }
 
-impl World {
+impl Harness {
     /// Starts a fleet with replicas of `v1` and callers, and waits until each gateway serves a request.
-    fn new() -> World {
+    fn new() -> Harness {
         let mut fleet = Fleet::new(3);
         (0..3).for_each(|n| fleet.start_control(n, true));
         fleet.start_gateway();
@@ -71,20 +71,20 @@
             extra_gateways.iter().map(|g| g.listen).chain([fleet.listen]).collect();
         let callers = Callers::new(Arc::new(Mutex::new(gateway_addresses.clone())));
         let (request_log, stop_old) = (Arc::<RequestLog>::default(), Arc::<AtomicBool>::default());
-        let world =
-            World { fleet, _extra_gateways: extra_gateways, request_log, callers, stop_old };
-        world.add_replicas("v1", 0, world.stop_old.clone());
+        let harness =
+            Harness { fleet, _extra_gateways: extra_gateways, request_log, callers, stop_old };
+        harness.add_replicas("v1", 0, harness.stop_old.clone());
         for gateway in gateway_addresses {
             wait_for("a response", || {
                 exchange(gateway, "GET", "/board/x", CALLER_HEADERS, "").is_some_and(|a| a.0 == 200)
             });
         }
-        world.callers.send("sound", REQUEST_INTERVAL, |n| match n % 5 {
+        harness.callers.send("sound", REQUEST_INTERVAL, |n| match n % 5 {
             0 => ("POST", "/moves/x".to_owned(), format!("move {n}")),
             1 if n % 50 == 1 => ("GET", format!("/board/{LONG}"), String::new()),
             _ => ("GET", format!("/board/{n}"), String::new()),
         });
-        world
+        harness
     }
 
     /// Starts the replicas of a version.
@@ -150,25 +150,27 @@
 #[case::left_alone(false)]
 #[case::its_leader_is_killed(true)]
 fn a_good_version_takes_over_without_failed_requests(#[case] kill: bool) {
-    let mut world = World::new();
+    let mut harness = Harness::new();
     let before = Instant::now();
-    world.add_replicas("v2", 0, Arc::default());
-    let ordered = world.order_rollout("v2");
-    world.wait_for_stage("Trial");
+    harness.add_replicas("v2", 0, Arc::default());
+    let ordered = harness.order_rollout("v2");
+    harness.wait_for_stage("Trial");
     if kill {
-        world.kill_leader();
+        harness.kill_leader();
     }
-    wait_for("a request to the new version", || world.request_log.arrivals_since("v2", before) > 0);
+    wait_for("a request to the new version", || {
+        harness.request_log.arrivals_since("v2", before) > 0
+    });
     // As a platform does, stop the old replicas as soon as the rollout is reported as completed.
     let mut last_at_old = Instant::now();
     wait_for("Completed", || {
-        if world.request_log.running("v1") > 0 {
+        if harness.request_log.running("v1") > 0 {
             last_at_old = Instant::now();
         }
-        world.stage().as_deref() == Some("Completed")
+        harness.stage().as_deref() == Some("Completed")
     });
-    let at_old = world.request_log.running("v1");
-    world.stop_old.store(true, Ordering::Relaxed);
+    let at_old = harness.request_log.running("v1");
+    harness.stop_old.store(true, Ordering::Relaxed);
     assert_eq!(
         at_old, 0,
         "requests were in progress at the old version when the rollout was completed"
@@ -176,9 +178,11 @@
     let due = (ordered + ROLLOUT_LIMIT).max(last_at_old + REPORTED_WITHIN);
     assert!(kill || Instant::now() < due, "the rollout was completed too late");
     let since = Instant::now();
-    wait_for("requests at the new version", || world.request_log.arrivals_since("v2", since) > 200);
-    world.callers.stop.store(true, Ordering::Relaxed);
-    let outcomes = world.callers.outcomes();
+    wait_for("requests at the new version", || {
+        harness.request_log.arrivals_since("v2", since) > 200
+    });
+    harness.callers.stop.store(true, Ordering::Relaxed);
+    let outcomes = harness.callers.outcomes();
     assert_eq!(outcomes.distinct_codes().len(), 0, "{:?}", outcomes.distinct_codes());
 }
 
@@ -191,41 +195,43 @@
     #[case] fails_each: u64,
     #[case] kill: bool,
 ) {
-    let mut world = World::new();
-    world.add_replicas("v2", fails_each, Arc::default());
-    let ordered = world.order_rollout("v2");
-    world.wait_for_stage("Trial");
+    let mut harness = Harness::new();
+    harness.add_replicas("v2", fails_each, Arc::default());
+    let ordered = harness.order_rollout("v2");
+    harness.wait_for_stage("Trial");
     if kill {
-        world.kill_leader();
+        harness.kill_leader();
     }
-    world.wait_for_stage("RolledBack");
+    harness.wait_for_stage("RolledBack");
     std::thread::sleep(ROLLOUT_LIMIT.saturating_sub(ordered.elapsed()));
-    let exposed = world.request_log.arrivals_since("v2", ordered) as f64;
-    let all = exposed + world.request_log.arrivals_since("v1", ordered) as f64;
+    let exposed = harness.request_log.arrivals_since("v2", ordered) as f64;
+    let all = exposed + harness.request_log.arrivals_since("v1", ordered) as f64;
     assert!(exposed <= all * MAX_SHARE + SLACK, "{exposed} of {all}");
-    if let Some(fiftieth) = world.request_log.nth_failure("v2", 50) {
-        assert_eq!(world.request_log.arrivals_since("v2", fiftieth + STOPPED_WITHIN), 0);
+    if let Some(fiftieth) = harness.request_log.nth_failure("v2", 50) {
+        assert_eq!(harness.request_log.arrivals_since("v2", fiftieth + STOPPED_WITHIN), 0);
     }
     let since = Instant::now();
-    wait_for("requests at the old version", || world.request_log.arrivals_since("v1", since) > 200);
-    assert_eq!(world.request_log.arrivals_since("v2", since), 0, "requests after the rollback");
+    wait_for("requests at the old version", || {
+        harness.request_log.arrivals_since("v1", since) > 200
+    });
+    assert_eq!(harness.request_log.arrivals_since("v2", since), 0, "requests after the rollback");
 }
 
 /// Guards against an acknowledged order that is lost when all control processes are killed.
 #[test]
 fn an_order_survives_a_restart_of_all_control_processes() {
-    let mut world = World::new();
-    world.order_rollout("v2");
-    world.fleet.controls.iter_mut().for_each(|c| c.process.as_mut().unwrap().kill());
-    (0..3).for_each(|n| world.fleet.start_control(n, false));
-    wait_for("the order", || world.stage().is_some());
-    assert_eq!(world.stage().as_deref(), Some("Waiting"));
-    world.order_rollout("v2");
+    let mut harness = Harness::new();
+    harness.order_rollout("v2");
+    harness.fleet.controls.iter_mut().for_each(|c| c.process.as_mut().unwrap().kill());
+    (0..3).for_each(|n| harness.fleet.start_control(n, false));
+    wait_for("the order", || harness.stage().is_some());
+    assert_eq!(harness.stage().as_deref(), Some("Waiting"));
+    harness.order_rollout("v2");
     let other = json!({ "version": "v3", "within_ms": 1_000 }).to_string();
-    let refused = world.call_any("PUT", "/v1/rollouts/board", &other).unwrap();
+    let refused = harness.call_any("PUT", "/v1/rollouts/board", &other).unwrap();
     assert_eq!((refused.0, refused.1["error"]["code"].as_str()), (409, Some("CF2017")));
-    assert_eq!(world.call_any("DELETE", "/v1/rollouts/board", "").map(|a| a.0), Some(200));
-    assert_eq!(world.stage().as_deref(), Some("RolledBack"));
+    assert_eq!(harness.call_any("DELETE", "/v1/rollouts/board", "").map(|a| a.0), Some(200));
+    assert_eq!(harness.stage().as_deref(), Some("RolledBack"));
 }
 
 /// Guards against invalid orders that are accepted.
--- a/crates/cypressfork/tests/support/resting.rs
+++ b/crates/cypressfork/tests/support/resting.rs
@@ -19,17 +19,17 @@
 
 /// How a replica refuses requests.
 #[derive(Clone, Debug)]
-pub struct Refusing {
+pub struct Refusal {
     /// Values of the `Retry-After` headers of its 503 response.
-    pub after: Vec<String>,
+    pub retry_after: Vec<String>,
     /// Whether the response also has the `X-Not-Run` header.
     pub not_run: bool,
 }
 
-impl Refusing {
+impl Refusal {
     /// Refuses with this `Retry-After` value and the `X-Not-Run` header.
-    pub fn after(text: &str) -> Refusing {
-        Refusing { after: vec![text.to_owned()], not_run: true }
+    pub fn retry_after(text: &str) -> Refusal {
+        Refusal { retry_after: vec![text.to_owned()], not_run: true }
     }
 }
 
@@ -43,53 +43,53 @@
 }
 
 /// The requests that a replica received, and its behaviour.
-pub struct Shared {
+pub struct ReplicaState {
     pub arrivals: Mutex<Vec<Arrival>>,
     /// If set, all requests are refused like this.
-    pub refusing: Mutex<Option<Refusing>>,
+    pub refusal: Mutex<Option<Refusal>>,
     /// Maximum number of concurrent requests.
     pub max_concurrent: AtomicUsize,
     /// How requests above that maximum are refused.
-    pub excess: Refusing,
+    pub excess: Refusal,
     running: AtomicUsize,
     /// Service time of a request.
-    pub work: Duration,
+    pub service_time: Duration,
     /// Whether responses announce that the replica is leaving.
     pub leaving: AtomicBool,
     /// Whether it closes each connection after a response without a `Connection: close` header.
-    pub closes: AtomicBool,
+    pub closes_connections: AtomicBool,
 }
 
 /// A replica that runs until `stop` is set.
 #[derive(Clone)]
-pub struct RestingReplica {
+pub struct RefusingReplica {
     pub name: String,
-    pub shared: Arc<Shared>,
+    pub state: Arc<ReplicaState>,
     pub stop: Arc<AtomicBool>,
     /// Number of gateways; callers send requests to them in turn, by request number.
     gateways: usize,
 }
 
-impl RestingReplica {
+impl RefusingReplica {
     pub fn start(
         name: String,
         controls: Vec<SocketAddr>,
         gateways: usize,
-        work: Duration,
-    ) -> RestingReplica {
-        let shared = Shared {
+        service_time: Duration,
+    ) -> RefusingReplica {
+        let state = ReplicaState {
             arrivals: Mutex::default(),
-            refusing: Mutex::default(),
+            refusal: Mutex::default(),
             max_concurrent: AtomicUsize::new(usize::MAX),
-            excess: Refusing::after("3"),
+            excess: Refusal::retry_after("3"),
             running: AtomicUsize::new(0),
-            work,
+            service_time,
             leaving: AtomicBool::new(false),
-            closes: AtomicBool::new(false),
+            closes_connections: AtomicBool::new(false),
         };
         let stop = Arc::<AtomicBool>::default();
         let replica =
-            RestingReplica { name, shared: Arc::new(shared), stop: stop.clone(), gateways };
+            RefusingReplica { name, state: Arc::new(state), stop: stop.clone(), gateways };
         let own = replica.clone();
         let address = listen(move |s| own.serve(s));
         start_heartbeats("board", replica.name.clone(), address, controls, stop);
@@ -97,12 +97,12 @@
     }
 
     /// Starts to refuse all requests, or stops with `None`.
-    pub fn refuse(&self, how: Option<Refusing>) {
-        *self.shared.refusing.lock().unwrap() = how;
+    pub fn refuse(&self, how: Option<Refusal>) {
+        *self.state.refusal.lock().unwrap() = how;
     }
 
     fn serve(&self, mut s: TcpStream) {
-        let shared = &self.shared;
+        let state = &self.state;
         while let Some(text) = read_request(&mut s) {
             if self.stop.load(Ordering::Relaxed) {
                 return;
@@ -111,27 +111,29 @@
             let gateway = gateway_of(&id, self.gateways);
             let at = Instant::now();
             let n = {
-                let mut all = shared.arrivals.lock().unwrap();
+                let mut all = state.arrivals.lock().unwrap();
                 all.push(Arrival { at, gateway, refused: None });
                 all.len() - 1
             };
-            let before = shared.running.fetch_add(1, Ordering::Relaxed);
-            let all = shared.refusing.lock().unwrap().clone();
-            let full = before >= shared.max_concurrent.load(Ordering::Relaxed);
-            let refusing = all.or_else(|| full.then(|| shared.excess.clone()));
-            if refusing.is_none() {
-                sleep(shared.work);
+            let before = state.running.fetch_add(1, Ordering::Relaxed);
+            let all = state.refusal.lock().unwrap().clone();
+            let full = before >= state.max_concurrent.load(Ordering::Relaxed);
+            let refusal = all.or_else(|| full.then(|| state.excess.clone()));
+            if refusal.is_none() {
+                sleep(state.service_time);
             }
-            shared.running.fetch_sub(1, Ordering::Relaxed);
+            state.running.fetch_sub(1, Ordering::Relaxed);
             let mut head = format!("X-Request-Id: {id}\r\nContent-Length: 2");
-            if shared.leaving.load(Ordering::Relaxed) {
+            if state.leaving.load(Ordering::Relaxed) {
                 head.push_str("\r\nX-Leaving: 1");
             }
-            let status = match &refusing {
+            let status = match &refusal {
                 None => "200 OK",
                 Some(r) => {
-                    shared.arrivals.lock().unwrap()[n].refused = Some(Instant::now());
-                    r.after.iter().for_each(|v| head.push_str(&format!("\r\nRetry-After: {v}")));
+                    state.arrivals.lock().unwrap()[n].refused = Some(Instant::now());
+                    r.retry_after
+                        .iter()
+                        .for_each(|v| head.push_str(&format!("\r\nRetry-After: {v}")));
                     if r.not_run {
                         head.push_str("\r\nX-Not-Run: true");
                     }
@@ -139,7 +141,7 @@
                 }
             };
             let sent = write!(s, "HTTP/1.1 {status}\r\n{head}\r\n\r\nok");
-            if sent.is_err() || shared.closes.load(Ordering::Relaxed) {
+            if sent.is_err() || state.closes_connections.load(Ordering::Relaxed) {
                 return;
             }
         }
@@ -148,20 +150,20 @@
     /// Returns the maximum number of requests from one gateway during a backoff of `span`, without the first
     /// [`EFFECTIVE_AFTER`].
     pub fn max_in_backoff(&self, span: Duration) -> usize {
-        let all = self.shared.arrivals.lock().unwrap();
-        let in_rest = |gateway: usize, from: Instant| {
+        let all = self.state.arrivals.lock().unwrap();
+        let in_backoff = |gateway: usize, from: Instant| {
             let counts = |a: &&Arrival| {
                 a.gateway == gateway && a.at > from + EFFECTIVE_AFTER && a.at < from + span
             };
             all.iter().filter(counts).count()
         };
-        all.iter().filter_map(|a| Some(in_rest(a.gateway, a.refused?))).max().unwrap_or(0)
+        all.iter().filter_map(|a| Some(in_backoff(a.gateway, a.refused?))).max().unwrap_or(0)
     }
 
     /// Returns the number of requests that arrived after `since`, by gateway.
-    pub fn since(&self, since: Instant) -> BTreeMap<usize, usize> {
+    pub fn arrivals_since(&self, since: Instant) -> BTreeMap<usize, usize> {
         let mut by_gateway = BTreeMap::new();
-        for a in self.shared.arrivals.lock().unwrap().iter().filter(|a| a.at > since) {
+        for a in self.state.arrivals.lock().unwrap().iter().filter(|a| a.at > since) {
             *by_gateway.entry(a.gateway).or_default() += 1;
         }
         by_gateway
@@ -169,7 +171,7 @@
 
     /// Returns the number of requests that arrived and the number of those that were refused.
     pub fn counts(&self) -> (usize, usize) {
-        let all = self.shared.arrivals.lock().unwrap();
+        let all = self.state.arrivals.lock().unwrap();
         (all.len(), all.iter().filter(|a| a.refused.is_some()).count())
     }
 }
@@ -184,24 +186,24 @@
 pub const REPLICAS: usize = 6;
 
 /// Control processes, gateways, replicas and callers.
-pub struct World {
+pub struct Harness {
     // Callers and replicas stop before the processes.
     pub callers: Callers,
-    pub replicas: Vec<RestingReplica>,
+    pub replicas: Vec<RefusingReplica>,
     pub extra_gateways: Vec<ExtraGateway>,
     pub fleet: Fleet,
 }
 
-impl Drop for World {
+impl Drop for Harness {
     fn drop(&mut self) {
         self.callers.stop.store(true, Ordering::Relaxed);
         self.replicas.iter().for_each(|r| r.stop.store(true, Ordering::Relaxed));
     }
 }
 
-impl World {
+impl Harness {
     /// Starts a fleet of this many gateways and waits until each serves a request. Starts no callers.
-    pub fn new(gateways: usize, work: Duration) -> World {
+    pub fn new(gateways: usize, service_time: Duration) -> Harness {
         let mut fleet = Fleet::new(3);
         (0..3).for_each(|n| fleet.start_control(n, true));
         fleet.start_gateway();
@@ -213,7 +215,8 @@
         let gateway_addresses: Vec<_> =
             extra_gateways.iter().map(|g| g.listen).chain([fleet.listen]).collect();
         let controls: Vec<_> = fleet.controls.iter().map(|c| c.api).collect();
-        let replica = |n| RestingReplica::start(format!("b-{n}"), controls.clone(), gateways, work);
+        let replica =
+            |n| RefusingReplica::start(format!("b-{n}"), controls.clone(), gateways, service_time);
         let replicas: Vec<_> = (0..REPLICAS).map(replica).collect();
         for gateway in &gateway_addresses {
             wait_for("a response", || {
@@ -222,12 +225,12 @@
             });
         }
         let callers = Callers::new(Arc::new(Mutex::new(gateway_addresses)));
-        World { callers, replicas, extra_gateways, fleet }
+        Harness { callers, replicas, extra_gateways, fleet }
     }
 
     /// Starts to send requests to both routes at this rate per second.
-    pub fn send(&self, a_second: u32) {
-        self.callers.send("sound", Duration::from_secs(1) / a_second, |n| match n % 5 {
+    pub fn send(&self, per_second: u32) {
+        self.callers.send("sound", Duration::from_secs(1) / per_second, |n| match n % 5 {
             0 => ("POST", "/moves/x".to_owned(), format!("move {n}")),
             _ => ("GET", format!("/board/{n}"), String::new()),
         });
