--- a/crates/cypressfork/tests/crashing_requests.rs
+++ b/crates/cypressfork/tests/crashing_requests.rs
@@ -31,7 +31,7 @@
 const EXTRA_GATEWAYS: usize = 3;
 
 /// Time from a replica's crash to its restart.
-const DOWN: Duration = Duration::from_secs(2);
+const DOWNTIME: Duration = Duration::from_secs(2);
 
 /// Time that a process keeps listening after its connections have closed.
 const EXIT_DELAY: Duration = Duration::from_millis(20);
@@ -41,10 +41,10 @@
 
 /// Downtime of a replica whose supervisor holds its socket: the crash stays undetected until the next
 /// process sends a heartbeat.
-const SUPERVISED: Duration = Duration::from_millis(500);
+const SUPERVISED_DOWNTIME: Duration = Duration::from_millis(500);
 
 /// Downtime of a replica that its supervisor restarts at once.
-const IMMEDIATE: Duration = Duration::from_millis(10);
+const IMMEDIATE_DOWNTIME: Duration = Duration::from_millis(10);
 
 /// Time from a request's third crash within which every gateway applies the quarantine.
 const QUARANTINED_WITHIN: Duration = Duration::from_secs(3);
@@ -53,10 +53,10 @@
 const MAX_PROBES: usize = 3;
 
 /// Interval between copies of one killer request.
-const KILLER_EVERY: Duration = Duration::from_millis(200);
+const KILLER_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Interval between harmless requests.
-const HARMLESS_EVERY: Duration = Duration::from_millis(20);
+const HARMLESS_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Result code for a quarantined request.
 const QUARANTINED: &str = "CF1309";
@@ -66,7 +66,7 @@
 struct CrashMode {
     restart_as: RestartAs,
     socket: Socket,
-    down: Duration,
+    downtime: Duration,
 }
 
 /// A fleet with replicas that crash, and callers that send harmless and killer requests.
@@ -90,7 +90,11 @@
 impl CrashingFleet {
     /// Starts a fleet whose gateways all serve, without any load.
     fn new(restart_as: RestartAs) -> CrashingFleet {
-        CrashingFleet::with_mode(CrashMode { restart_as, socket: Socket::Closes, down: DOWN })
+        CrashingFleet::with_mode(CrashMode {
+            restart_as,
+            socket: Socket::Closes,
+            downtime: DOWNTIME,
+        })
     }
 
     fn with_mode(mode: CrashMode) -> CrashingFleet {
@@ -127,7 +131,7 @@
                 name: format!("b-{n}"),
                 restart_as: mode.restart_as,
                 socket: mode.socket,
-                down: mode.down,
+                downtime: mode.downtime,
                 controls: controls.clone(),
                 crash_record: self.crash_record.clone(),
                 stop: self.stop_replicas.clone(),
@@ -148,7 +152,7 @@
 
     /// Sends harmless requests: a third of them identical, the others distinct.
     fn send_harmless(&self) {
-        self.harmless.send("sound", HARMLESS_EVERY, |n| match n % 3 {
+        self.harmless.send("sound", HARMLESS_INTERVAL, |n| match n % 3 {
             0 => ("GET", "/board/same".to_owned(), String::new()),
             1 => ("GET", format!("/board/{n}"), String::new()),
             _ => ("POST", "/moves/x".to_owned(), format!("move {n}")),
@@ -157,7 +161,7 @@
 
     /// Sends copies of two requests that crash their replicas: one marked in its path, one in its body.
     fn send_killers(&self) {
-        self.killers.send("killer", KILLER_EVERY / 2, |n| match n % 2 {
+        self.killers.send("killer", KILLER_INTERVAL / 2, |n| match n % 2 {
             0 => ("GET", format!("/board/{KILLER}-1"), String::new()),
             _ => ("POST", "/moves/x".to_owned(), format!("{KILLER}-2")),
         });
@@ -231,19 +235,27 @@
 /// Guards against a missed crash where the replica's listening socket outlasts it: connections are then
 /// accepted and never answered.
 #[rstest]
-#[case::its_process_takes_a_while_to_exit(RestartAs::NewId, Socket::ClosesAfter(EXIT_DELAY), DOWN)]
-#[case::and_keeps_its_id(RestartAs::SameId, Socket::ClosesAfter(EXIT_DELAY), DOWN)]
-#[case::a_slow_exit(RestartAs::NewId, Socket::ClosesAfter(SLOW_EXIT_DELAY), DOWN)]
-#[case::a_supervisor_holds_its_socket(RestartAs::NewId, Socket::Held, SUPERVISED)]
-#[case::a_supervisor_starts_it_under_its_id(RestartAs::SameIdBorn, Socket::Held, SUPERVISED)]
-#[case::it_starts_again_at_once(RestartAs::NewId, Socket::Closes, IMMEDIATE)]
-#[case::under_its_id(RestartAs::SameIdBorn, Socket::Closes, IMMEDIATE)]
+#[case::its_process_takes_a_while_to_exit(
+    RestartAs::NewId,
+    Socket::ClosesAfter(EXIT_DELAY),
+    DOWNTIME
+)]
+#[case::and_keeps_its_id(RestartAs::SameId, Socket::ClosesAfter(EXIT_DELAY), DOWNTIME)]
+#[case::a_slow_exit(RestartAs::NewId, Socket::ClosesAfter(SLOW_EXIT_DELAY), DOWNTIME)]
+#[case::a_supervisor_holds_its_socket(RestartAs::NewId, Socket::Held, SUPERVISED_DOWNTIME)]
+#[case::a_supervisor_starts_it_under_its_id(
+    RestartAs::SameIdBorn,
+    Socket::Held,
+    SUPERVISED_DOWNTIME
+)]
+#[case::it_starts_again_at_once(RestartAs::NewId, Socket::Closes, IMMEDIATE_DOWNTIME)]
+#[case::under_its_id(RestartAs::SameIdBorn, Socket::Closes, IMMEDIATE_DOWNTIME)]
 fn nor_if_its_replicas_sockets_outlast_them(
     #[case] restart_as: RestartAs,
     #[case] socket: Socket,
-    #[case] down: Duration,
+    #[case] downtime: Duration,
 ) {
-    assert_soon_sent_to_none(&CrashingFleet::with_mode(CrashMode { restart_as, socket, down }));
+    assert_soon_sent_to_none(&CrashingFleet::with_mode(CrashMode { restart_as, socket, downtime }));
 }
 
 fn assert_soon_sent_to_none(crashing: &CrashingFleet) {
--- a/crates/cypressfork/tests/support/crashing.rs
+++ b/crates/cypressfork/tests/support/crashing.rs
@@ -16,16 +16,16 @@
 pub const KILLER: &str = "ends-its-replica";
 
 /// Time from the arrival of a killer request to the crash.
-const CRASHES_AFTER: Duration = Duration::from_millis(40);
+const CRASH_DELAY: Duration = Duration::from_millis(40);
 
 /// Run time of a harmless request.
 const RUN_TIME: Duration = Duration::from_millis(60);
 
 /// Interval between heartbeats.
-const HEARTBEAT_EVERY: Duration = Duration::from_millis(300);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Interval at which a replica polls for new connections.
-const POLL_EVERY: Duration = Duration::from_millis(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Arrivals and crashes recorded by the replicas.
 #[derive(Default)]
@@ -78,7 +78,7 @@
     pub name: String,
     pub restart_as: RestartAs,
     pub socket: Socket,
-    pub down: Duration,
+    pub downtime: Duration,
     pub controls: Vec<SocketAddr>,
     pub crash_record: Arc<CrashRecord>,
     pub stop: Arc<AtomicBool>,
@@ -109,7 +109,7 @@
                 Incarnation { id, ended: AtomicBool::new(false), open: Mutex::default() };
             let listener = held.take().unwrap_or_else(|| TcpListener::bind(self.address).unwrap());
             held = self.run_incarnation(&Arc::new(incarnation), listener);
-            sleep(self.down);
+            sleep(self.downtime);
         }
     }
 
@@ -130,7 +130,7 @@
                         (incarnation.clone(), self.crash_record.clone());
                     thread::spawn(move || serve(&incarnation, &crash_record, stream));
                 }
-                Err(_) => sleep(POLL_EVERY),
+                Err(_) => sleep(POLL_INTERVAL),
             }
         }
         let end_connections = || {
@@ -173,7 +173,7 @@
                 let to = controls[sequence % controls.len()];
                 // The result is ignored: the next heartbeat goes to another control process.
                 let _ = exchange(to, "PUT", &path, "", &heartbeat.to_string());
-                sleep(HEARTBEAT_EVERY);
+                sleep(HEARTBEAT_INTERVAL);
             }
         });
     }
@@ -224,7 +224,7 @@
         if let Some(at) = text.find(KILLER) {
             let killer: String = text[at..].chars().take_while(|c| !c.is_whitespace()).collect();
             crash_record.killers.lock().unwrap().push((killer.clone(), Instant::now()));
-            sleep(CRASHES_AFTER);
+            sleep(CRASH_DELAY);
             if !incarnation.ended.swap(true, Ordering::Relaxed) {
                 crash_record.crashes.lock().unwrap().push((killer, Instant::now()));
             }
@@ -275,11 +275,11 @@
         Callers { gateways, stop: Arc::default(), outcomes: Arc::default(), sent: Arc::default() }
     }
 
-    /// Sends a request every `every`; `request` maps its number to method, path and body.
+    /// Sends a request every `interval`; `request` maps its number to method, path and body.
     pub fn send(
         &self,
         name: &str,
-        every: Duration,
+        interval: Duration,
         request: impl Fn(u64) -> (&'static str, String, String) + Send + 'static,
     ) {
         let (gateways, stop) = (self.gateways.clone(), self.stop.clone());
@@ -300,7 +300,7 @@
                     let answer = exchange(to, method, &path, &head, &body);
                     count_answer(&mut outcomes.lock().unwrap(), answer);
                 });
-                sleep(every);
+                sleep(interval);
             }
         });
     }
