--- a/crates/cypressfork/benches/fleet.rs
+++ b/crates/cypressfork/benches/fleet.rs
@@ -95,7 +95,7 @@
 
 /// Returns a metric of the process at the first ops address, summed over its labels.
 fn metric(f: &Fleet, name: &str) -> f64 {
-    let text = support::text(&format!("http://{}/metrics", f.ops_addresses[0])).unwrap();
+    let text = support::get_text(&format!("http://{}/metrics", f.ops_addresses[0])).unwrap();
     let lines = text.lines().filter(|l| l.starts_with(name));
     lines.map(|l| l.rsplit(' ').next().unwrap().parse::<f64>().unwrap()).sum()
 }
@@ -290,7 +290,7 @@
         let begin = Instant::now();
         let url = |r: usize| format!("http://{}/readyz", f.ops_addresses[r]);
         for r in 0..2 {
-            while support::get(&url(r)).unwrap()["configuration"].as_u64().unwrap() < n + 2 {}
+            while support::get_json(&url(r)).unwrap()["configuration"].as_u64().unwrap() < n + 2 {}
         }
         times.push(begin.elapsed());
     }
--- a/crates/cypressfork/tests/crashing_requests.rs
+++ b/crates/cypressfork/tests/crashing_requests.rs
@@ -195,7 +195,7 @@
     let mut all: HashMap<_, (HashSet<_>, HashSet<_>)> = HashMap::new();
     let names = (0..EXTRA_GATEWAYS).map(|n| format!("neighbour-{n}"));
     for name in names.chain(["gateway-0".to_owned()]) {
-        let text = log(crashing.fleet.dir.path(), &name);
+        let text = read_log(crashing.fleet.dir.path(), &name);
         for line in text.lines().filter(|l| l.contains(" CFE430 ")) {
             let field = |name: &str| {
                 let mut words = line.split(' ').filter_map(|w| w.split_once('='));
--- a/crates/cypressfork/tests/documents.rs
+++ b/crates/cypressfork/tests/documents.rs
@@ -16,7 +16,7 @@
 use serde_json::json;
 use support::control::Control;
 use support::slow_link::SlowLink;
-use support::{Process, Request, free_addresses, get, own_ip, program, wait_for};
+use support::{Process, Request, free_addresses, get_json, own_ip, program, wait_for};
 use tempfile::TempDir;
 
 /// A gateway process that watches the given control processes.
@@ -58,7 +58,7 @@
 
     /// Returns the version of the document in force, 0 before the first.
     fn version(&self) -> u64 {
-        let v = get(&format!("http://{}/readyz", self.operators));
+        let v = get_json(&format!("http://{}/readyz", self.operators));
         v.and_then(|v| v["document"].as_u64()).unwrap_or_default()
     }
 }
--- a/crates/cypressfork/tests/engines.rs
+++ b/crates/cypressfork/tests/engines.rs
@@ -265,7 +265,7 @@
         let waiting = || {
             let url = format!("http://{}/metrics", f.ops_addresses[0]);
             let name = "cypressfork_waiting_requests{service=\"engine-talk\"} ";
-            let text = support::text(&url).unwrap();
+            let text = support::get_text(&url).unwrap();
             text.lines().any(|l| l.strip_prefix(name).is_some_and(|n| n == "1"))
         };
         support::wait_for("a request in the queue", waiting);
--- a/crates/cypressfork/tests/failure.rs
+++ b/crates/cypressfork/tests/failure.rs
@@ -155,7 +155,8 @@
         wait_for("100 streams", || started.load(Ordering::Relaxed) == 100);
         f.routers[0].signal("TERM");
         wait_for("entry answers without the router", || {
-            let v = support::get(&format!("http://{}/v1/entry", f.router_addresses[1])).unwrap();
+            let v =
+                support::get_json(&format!("http://{}/v1/entry", f.router_addresses[1])).unwrap();
             !v.to_string().contains(&address)
         });
         streams.into_iter().map(|t| t.join().unwrap()).filter(|w| *w).count()
--- a/crates/cypressfork/tests/fleet.rs
+++ b/crates/cypressfork/tests/fleet.rs
@@ -22,7 +22,7 @@
     }
     f.publish(7);
     let joined = |f: &Fleet, n: usize| {
-        let text = log(f.dir.path(), &format!("control-{n}"));
+        let text = read_log(f.dir.path(), &format!("control-{n}"));
         text.contains("voters=5")
     };
     wait_for("five voters", || (0..5).all(|n| joined(&f, n)));
@@ -38,7 +38,7 @@
         };
         wait_for("the document on all members", || done(&f));
         let has_five_voters = |f: &Fleet| {
-            let text = log(f.dir.path(), &format!("control-{n}"));
+            let text = read_log(f.dir.path(), &format!("control-{n}"));
             text.rsplit("voters=").next().is_some_and(|t| t.starts_with('5'))
         };
         wait_for("five voters again", || has_five_voters(&f));
@@ -114,7 +114,7 @@
         });
     });
     wait_for("the document", || f.version(0) == Some(3));
-    let evacuated = || sample(f.operators, "cypressfork_evacuated_data_centres");
+    let evacuated = || metric_value(f.operators, "cypressfork_evacuated_data_centres");
     wait_for("the evacuation at the gateway", || evacuated() == Some(1.0));
     for _ in 0..20 {
         assert_eq!(f.get("/board/x").unwrap().0, 503);
@@ -162,12 +162,12 @@
         assert_eq!(exchange(address, "GET", "/elsewhere", "", "").unwrap().0, 404);
     }
     // Gauges are updated at the next tick.
-    let at_least = |name: &str, n: f64| sample(control, name).is_some_and(|v| v >= n);
+    let at_least = |name: &str, n: f64| metric_value(control, name).is_some_and(|v| v >= n);
     wait_for("the leader", || at_least("cypressfork_group_leads", 1.0));
     wait_for("two commits", || at_least("cypressfork_group_committed", 2.0));
-    assert!(sample(control, "cypressfork_commit_seconds_count").unwrap() >= 1.0);
-    assert!(sample(control, "cypressfork_sync_seconds_count").unwrap() >= 1.0);
+    assert!(metric_value(control, "cypressfork_commit_seconds_count").unwrap() >= 1.0);
+    assert!(metric_value(control, "cypressfork_sync_seconds_count").unwrap() >= 1.0);
     let answered = "cypressfork_attempts_total{end=\"answered\"}";
-    assert!(sample(f.metrics, answered).unwrap() >= 1.0);
-    assert_eq!(sample(f.metrics, answered), sample(f.operators, answered));
+    assert!(metric_value(f.metrics, answered).unwrap() >= 1.0);
+    assert_eq!(metric_value(f.metrics, answered), metric_value(f.operators, answered));
 }
--- a/crates/cypressfork/tests/full_link.rs
+++ b/crates/cypressfork/tests/full_link.rs
@@ -69,7 +69,7 @@
     assert!(began.elapsed() < ACCEPTS_WITHIN, "{:?}", began.elapsed());
     let ready = exchange(f.operators, "GET", "/readyz", "", "").map(|a| a.0);
     assert_eq!(ready, Some(200), "the gateway keeps running and reports ready");
-    let times_closed = sample(f.metrics, "cypressfork_closed_doors_total");
+    let times_closed = metric_value(f.metrics, "cypressfork_closed_doors_total");
     assert!(times_closed.is_some_and(|n| n >= 1.0), "{times_closed:?}");
 }
 
@@ -81,5 +81,5 @@
         assert!(send(&f));
         std::thread::sleep(Duration::from_millis(150));
     }
-    assert_eq!(sample(f.metrics, "cypressfork_closed_doors_total"), None);
+    assert_eq!(metric_value(f.metrics, "cypressfork_closed_doors_total"), None);
 }
--- a/crates/cypressfork/tests/homes.rs
+++ b/crates/cypressfork/tests/homes.rs
@@ -23,7 +23,7 @@
     assert_eq!(f.call(0, "PUT", "/v1/document", &raised.to_string()).unwrap().0, 200);
     let all = f.start_extra_gateways(EXTRA_GATEWAYS);
     let has_full_list = |n: usize| {
-        let text = log(f.dir.path(), &format!("neighbour-{n}"));
+        let text = read_log(f.dir.path(), &format!("neighbour-{n}"));
         // The list includes the first gateway of the fleet.
         text.contains(&format!("routers={}", EXTRA_GATEWAYS + 1))
     };
--- a/crates/cypressfork/tests/leaving.rs
+++ b/crates/cypressfork/tests/leaving.rs
@@ -71,7 +71,7 @@
     let harness = Harness::new(4, RUN_TIME);
     leave(&harness.replicas[0]);
     let gateway = harness.fleet.listen;
-    let announced = || log(harness.fleet.dir.path(), "gateway-0").contains(" CFE443 ");
+    let announced = || read_log(harness.fleet.dir.path(), "gateway-0").contains(" CFE443 ");
     wait_for("the announcement at one gateway", || {
         exchange(gateway, "GET", "/board/x", CALLER_HEADERS, "").is_some() && announced()
     });
--- a/crates/cypressfork/tests/limits.rs
+++ b/crates/cypressfork/tests/limits.rs
@@ -116,7 +116,7 @@
                 .any(|l| l.contains(" CFE438 ") && l.contains(&format!(" replica={replica} ")))
         };
         let extra_gateways = self.extra_gateways.iter().map(|g| g.process.log());
-        let first = log(self.fleet.dir.path(), "gateway-0");
+        let first = read_log(self.fleet.dir.path(), "gateway-0");
         extra_gateways.chain([first]).filter(|text| logged_limit(text.clone())).count()
     }
 }
@@ -250,7 +250,7 @@
     let since = Instant::now() - Duration::from_secs(9);
     let most = harness.max_in_window(1, since);
     assert!(most <= allowed(1.0), "{most}");
-    let text = log(harness.fleet.dir.path(), "gateway-0");
+    let text = read_log(harness.fleet.dir.path(), "gateway-0");
     assert!(
         text.lines().filter(|l| l.contains(" CFE439 ")).count() <= 1,
         "at most one log line per replica"
--- a/crates/cypressfork/tests/lives.rs
+++ b/crates/cypressfork/tests/lives.rs
@@ -79,7 +79,7 @@
     let started = Instant::now();
     send_heartbeat(&f, 2, &heartbeat(second, 2_000, 1, false));
     let has_address = |n: usize| {
-        let text = log(f.dir.path(), "gateway-0");
+        let text = read_log(f.dir.path(), "gateway-0");
         let at = format!("address={second} ");
         n > 0 && text.lines().any(|l| l.contains("CFE317") && l.contains(&at))
     };
--- a/crates/cypressfork/tests/path.rs
+++ b/crates/cypressfork/tests/path.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 use std::process::Command;
 
-use support::{Fleet, Plan, chat_body, get, program};
+use support::{Fleet, Plan, chat_body, get_json, program};
 
 /// Tokens of the prompt of [`chat_body`].
 const PROMPT_TOKENS: u64 = 3;
@@ -14,7 +14,7 @@
 #[test]
 fn a_streamed_answer_is_whole_and_billed_exactly() {
     let f = Fleet::start(Plan { tokens: 10_000, ..Plan::default() });
-    let entry = get(&format!("http://{}/v1/entry", f.router_addresses[1])).unwrap();
+    let entry = get_json(&format!("http://{}/v1/entry", f.router_addresses[1])).unwrap();
     let addresses: Vec<_> = entry["addresses"]
         .as_array()
         .unwrap()
--- a/crates/cypressfork/tests/rests.rs
+++ b/crates/cypressfork/tests/rests.rs
@@ -173,7 +173,7 @@
     sleep(OBSERVED / 2);
     let (arrived, _) = harness.replicas[0].counts();
     assert!(arrived > 10, "{arrived} requests");
-    let lines = log(harness.fleet.dir.path(), "gateway-0");
+    let lines = read_log(harness.fleet.dir.path(), "gateway-0");
     assert_eq!(lines.lines().filter(|l| l.contains(" CFE442 ")).count(), 1);
 }
 
--- a/crates/cypressfork/tests/rollout.rs
+++ b/crates/cypressfork/tests/rollout.rs
@@ -133,7 +133,7 @@
 
     /// Kills the leader of the control group and restarts it.
     fn kill_leader(&mut self) {
-        let leads = |c: &Control| sample(c.metrics, "cypressfork_group_leads") == Some(1.0);
+        let leads = |c: &Control| metric_value(c.metrics, "cypressfork_group_leads") == Some(1.0);
         let mut leader = None;
         wait_for("a leader", || {
             leader = self.fleet.controls.iter().position(leads);
--- a/crates/cypressfork/tests/routing.rs
+++ b/crates/cypressfork/tests/routing.rs
@@ -122,7 +122,7 @@
     let f = Fleet::start(Plan { routers: 1, ..Plan::default() });
     f.chat(0).send(&chat_body(false, 4));
     f.chat(0).without("authorization").send("");
-    let text = support::text(&format!("http://{}/metrics", f.ops_addresses[0])).unwrap();
+    let text = support::get_text(&format!("http://{}/metrics", f.ops_addresses[0])).unwrap();
     for line in [
         "cypressfork_requests_total{code=\"0\"} 1",
         "cypressfork_requests_total{code=\"1001\"} 1",
--- a/crates/cypressfork/tests/strangers.rs
+++ b/crates/cypressfork/tests/strangers.rs
@@ -13,7 +13,7 @@
 use cypressfork_soak::plan::Size;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use support::{get, program, wait_for};
+use support::{get_json, program, wait_for};
 use tempfile::TempDir;
 
 /// A seed that no soak uses, so that the drawn addresses do not clash.
@@ -81,9 +81,9 @@
         }
         assert!(fleet.processes().all(|p| !p.has_ended()), "a process has exited");
         let health = format!("http://{}/healthz", gateway.operators);
-        wait_for("a response", || get(&health).is_some_and(|v| v["alive"] == true));
+        wait_for("a response", || get_json(&health).is_some_and(|v| v["alive"] == true));
         // The control process is by now a member of a group of one and returns its document.
         let document = format!("http://{}/v1/document", control.api);
-        wait_for("a response", || get(&document).is_some());
+        wait_for("a response", || get_json(&document).is_some());
     });
 }
--- a/crates/cypressfork/tests/support/gateways.rs
+++ b/crates/cypressfork/tests/support/gateways.rs
@@ -69,7 +69,7 @@
 
 /// Returns whether a gateway holds slices of a budget, that is, has sent reports on some.
 pub fn is_home(operators: SocketAddr) -> bool {
-    sample(operators, "cypressfork_report_seconds_count").is_some_and(|n| n > 0.0)
+    metric_value(operators, "cypressfork_report_seconds_count").is_some_and(|n| n > 0.0)
 }
 
 /// Control processes and one gateway.
@@ -295,12 +295,12 @@
     address
 }
 
-pub fn log(dir: &Path, name: &str) -> String {
+pub fn read_log(dir: &Path, name: &str) -> String {
     fs::read_to_string(dir.join(format!("{name}.log"))).unwrap()
 }
 
 /// Returns the value of the first metric sample whose name and labels start with `name`.
-pub fn sample(to: SocketAddr, name: &str) -> Option<f64> {
+pub fn metric_value(to: SocketAddr, name: &str) -> Option<f64> {
     let (status, v) = exchange(to, "GET", "/metrics", "", "")?;
     assert_eq!(status, 200);
     let text = v.as_str()?.to_owned();
--- a/crates/cypressfork/tests/support/http.rs
+++ b/crates/cypressfork/tests/support/http.rs
@@ -15,13 +15,13 @@
 }
 
 /// Fetches `url` and returns the body, `None` on any failure.
-pub fn text(url: &str) -> Option<String> {
+pub fn get_text(url: &str) -> Option<String> {
     agent().get(url).call().ok()?.body_mut().read_to_string().ok()
 }
 
 /// Fetches `url` and returns its JSON body, `None` on any failure.
-pub fn get(url: &str) -> Option<Value> {
-    serde_json::from_str(&text(url)?).ok()
+pub fn get_json(url: &str) -> Option<Value> {
+    serde_json::from_str(&get_text(url)?).ok()
 }
 
 /// Builder of a request, with the `Authorization` header of [`KEY`] by default.
--- a/crates/cypressfork/tests/support/mod.rs
+++ b/crates/cypressfork/tests/support/mod.rs
@@ -21,7 +21,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-pub use http::{Answer, Request, get, text};
+pub use http::{Answer, Request, get_json, get_text};
 use serde_json::Value;
 use tempfile::TempDir;
 
@@ -433,7 +433,7 @@
     pub fn wait_until_ready(&self, n: usize, version: u64) {
         let url = format!("http://{}/readyz", self.ops_addresses[n]);
         wait_for("a router to load the configuration", || {
-            get(&url).is_some_and(|v| {
+            get_json(&url).is_some_and(|v| {
                 v["ready"] == true && v["configuration"].as_u64().unwrap_or(0) >= version
             })
         });
@@ -455,11 +455,11 @@
     }
 
     pub fn engine_stats(&self, n: usize) -> Value {
-        get(&format!("http://{}/stats", self.engines[n].1)).unwrap()
+        get_json(&format!("http://{}/stats", self.engines[n].1)).unwrap()
     }
 
     pub fn board_runs(&self, n: usize) -> Value {
-        get(&format!("http://{}/stats", self.boards[n].1)).unwrap()["runs"].clone()
+        get_json(&format!("http://{}/stats", self.boards[n].1)).unwrap()["runs"].clone()
     }
 
     /// Returns a model request to router `n`.
