--- a/crates/cypressfork/tests/leaving.rs
+++ b/crates/cypressfork/tests/leaving.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use support::gateways::*;
-use support::resting::*;
+use support::refusing::*;
 use support::wait_for;
 
 /// Run time of a request.
--- a/crates/cypressfork/tests/rests.rs
+++ b/crates/cypressfork/tests/rests.rs
@@ -12,7 +12,7 @@
 
 use rstest::rstest;
 use support::gateways::*;
-use support::resting::*;
+use support::refusing::*;
 
 /// Service time of a request.
 const SERVICE_TIME: Duration = Duration::from_millis(10);
