--- a/crates/cypressfork/tests/crashing_requests.rs
+++ b/crates/cypressfork/tests/crashing_requests.rs
@@ -228,8 +228,8 @@
 #[rstest]
 #[case::replicas_come_back_under_another_id(RestartAs::NewId)]
 #[case::replicas_come_back_under_their_id(RestartAs::SameId)]
-fn a_request_that_ends_its_replicas_is_soon_sent_to_none(#[case] restart_as: RestartAs) {
-    assert_soon_sent_to_none(&CrashingFleet::new(restart_as));
+fn a_killer_request_is_soon_sent_to_no_replica(#[case] restart_as: RestartAs) {
+    assert_soon_sent_to_no_replica(&CrashingFleet::new(restart_as));
 }
 
 /// Guards against a missed crash where the replica's listening socket outlasts it: connections are then
@@ -250,15 +250,19 @@
 )]
 #[case::it_starts_again_at_once(RestartAs::NewId, Socket::Closes, IMMEDIATE_DOWNTIME)]
 #[case::under_its_id(RestartAs::SameIdBorn, Socket::Closes, IMMEDIATE_DOWNTIME)]
-fn nor_if_its_replicas_sockets_outlast_them(
+fn a_killer_request_is_soon_sent_to_no_replica_when_sockets_outlast_crashes(
     #[case] restart_as: RestartAs,
     #[case] socket: Socket,
     #[case] downtime: Duration,
 ) {
-    assert_soon_sent_to_none(&CrashingFleet::with_mode(CrashMode { restart_as, socket, downtime }));
+    assert_soon_sent_to_no_replica(&CrashingFleet::with_mode(CrashMode {
+        restart_as,
+        socket,
+        downtime,
+    }));
 }
 
-fn assert_soon_sent_to_none(crashing: &CrashingFleet) {
+fn assert_soon_sent_to_no_replica(crashing: &CrashingFleet) {
     crashing.send_harmless();
     crashing.send_killers();
     let due = crashing.wait_until_quarantine_due();
@@ -297,7 +301,7 @@
 
 /// Guards against a quarantine that is lost when a gateway or all processes restart.
 #[test]
-fn what_a_request_has_done_outlasts_all_processes() {
+fn a_quarantine_survives_a_restart_of_all_processes() {
     let mut crashing = CrashingFleet::new(RestartAs::NewId);
     crashing.send_killers();
     crashing.wait_until_quarantine_due();
@@ -319,7 +323,7 @@
 
 /// Guards against a gateway that can't quarantine a request without a control process.
 #[test]
-fn a_gateway_that_reaches_no_control_process_goes_by_what_it_saw() {
+fn a_gateway_quarantines_a_request_without_control_processes() {
     let mut crashing = CrashingFleet::new(RestartAs::NewId);
     crashing.fleet.controls.iter_mut().for_each(|c| c.process.as_mut().unwrap().kill());
     let mut codes = Vec::new();
@@ -335,7 +339,7 @@
 
 /// Guards against a client account that gets another account's identical requests quarantined.
 #[test]
-fn another_account_is_not_refused_for_it() {
+fn a_quarantine_does_not_apply_to_other_accounts() {
     let crashing = CrashingFleet::new(RestartAs::NewId);
     crashing.send_killers();
     crashing.wait_until_quarantine_due();
@@ -351,7 +355,7 @@
 
 /// Guards against a quarantine that an operator can't list or lift.
 #[test]
-fn an_operator_has_it_sent_again() {
+fn an_operator_can_list_and_lift_a_quarantine() {
     let crashing = CrashingFleet::new(RestartAs::NewId);
     crashing.send_killers();
     let controls = crashing.fleet.controls.iter().map(|c| c.link).collect();
--- a/crates/cypressfork/tests/foreign_heartbeats.rs
+++ b/crates/cypressfork/tests/foreign_heartbeats.rs
@@ -25,18 +25,21 @@
 
 /// Guards against an invalid heartbeat that takes a serving replica out of use.
 #[rstest]
-#[case::a_service_that_is_not_named(200, |b: &mut Value| b["service"] = json!("elsewhere"))]
-#[case::an_address_that_is_none(400, |b: &mut Value| b["address"] = json!("here"))]
+#[case::an_unknown_service(200, |b: &mut Value| b["service"] = json!("elsewhere"))]
+#[case::an_invalid_address(400, |b: &mut Value| b["address"] = json!("here"))]
 #[case::an_address_without_a_port(400, |b: &mut Value| b["address"] = json!("10.0.0.1"))]
 #[case::cold_for_ever(400, |b: &mut Value| b["cold_ms"] = json!(u64::MAX))]
 #[case::no_service(400, |b: &mut Value| { b.as_object_mut().unwrap().remove("service"); })]
-#[case::no_number(400, |b: &mut Value| { b.as_object_mut().unwrap().remove("sequence"); })]
+#[case::no_sequence_number(400, |b: &mut Value| { b.as_object_mut().unwrap().remove("sequence"); })]
 #[case::a_number_of_another_type(400, |b: &mut Value| b["sequence"] = json!("9"))]
 #[case::a_number_out_of_range(400, |b: &mut Value| b["slots"] = json!(-1))]
 #[case::a_state_of_another_type(400, |b: &mut Value| b["draining"] = json!("yes"))]
 #[case::no_object(400, |b: &mut Value| *b = json!([1, 2]))]
 #[case::not_json(400, |b: &mut Value| *b = Value::Null)]
-fn what_a_replica_said_holds(#[case] status: u16, #[case] change: fn(&mut Value)) {
+fn a_foreign_heartbeat_leaves_the_replica_in_use(
+    #[case] status: u16,
+    #[case] change: fn(&mut Value),
+) {
     let f = Fleet::serving();
     let answer = f.call(0, "PUT", "/v1/replicas/b-1", &changed_heartbeat(&f, change)).unwrap();
     assert_eq!(answer.0, status, "{}", answer.1);
--- a/crates/cypressfork/tests/limits.rs
+++ b/crates/cypressfork/tests/limits.rs
@@ -132,7 +132,7 @@
 #[case::less_than_one_request_for_each_gateway(8, 2, 1.0, 60)]
 #[case::one_request_in_two_seconds(8, REPLICAS, 0.5, 40)]
 #[case::none_at_all(4, 1, 0.0, 60)]
-fn a_replica_gets_no_more_than_the_limit_that_it_names(
+fn a_replica_gets_no_more_than_its_announced_limit(
     #[case] gateways: usize,
     #[case] limited: usize,
     #[case] limit: f64,
--- a/crates/cypressfork/tests/rests.rs
+++ b/crates/cypressfork/tests/rests.rs
@@ -40,7 +40,7 @@
 
 /// Guards against a gateway that keeps sending to a replica that has requested a backoff.
 #[test]
-fn a_replica_that_asks_for_rest_is_left_alone() {
+fn a_requested_backoff_is_observed() {
     let harness = Harness::new(4, SERVICE_TIME);
     harness.send(60);
     harness.replicas[0].refuse(Some(Refusal::retry_after("3")));
--- a/crates/cypressfork/tests/rollout.rs
+++ b/crates/cypressfork/tests/rollout.rs
@@ -147,7 +147,7 @@
 
 /// Guards against requests that fail or are cut off while a good version takes over.
 #[rstest]
-#[case::left_alone(false)]
+#[case::no_process_is_killed(false)]
 #[case::its_leader_is_killed(true)]
 fn a_good_version_takes_over_without_failed_requests(#[case] kill: bool) {
     let mut harness = Harness::new();
