--- a/crates/cypressfork/tests/crashing_requests.rs
+++ b/crates/cypressfork/tests/crashing_requests.rs
@@ -221,7 +221,7 @@
         let often = all.into_values().filter(|(replicas, _)| replicas.len() >= 3);
         often.filter(|(_, ids)| ids.iter().all(|id| id.starts_with("killer-"))).count()
     };
-    wait_for("both in the logs", || crashed_three(&crashing) == 2);
+    wait_for("both killer requests in the logs", || crashed_three(&crashing) == 2);
 }
 
 /// Guards against a killer request that is still sent to replicas after its third crash.
@@ -360,9 +360,9 @@
     crashing.send_killers();
     let controls = crashing.fleet.controls.iter().map(|c| c.link).collect();
     let name = "operator".to_owned();
-    let me = Credentials { key: Key::new(b"test"), cluster: "test".to_owned(), name };
+    let credentials = Credentials { key: Key::new(b"test"), cluster: "test".to_owned(), name };
     let system = actix_rt::System::new();
-    let group = GroupClient::new(me, controls);
+    let group = GroupClient::new(credentials, controls);
     let within = Duration::from_secs(10);
     let mut all = Vec::new();
     wait_for("both in the list of quarantined requests", || {
--- a/crates/cypressfork/tests/left_streams.rs
+++ b/crates/cypressfork/tests/left_streams.rs
@@ -27,7 +27,7 @@
 const MAX_OUTPUT: u64 = 60;
 
 /// Time until a caller disconnects.
-const CALLER_STAYS: Duration = Duration::from_millis(30);
+const DISCONNECT_AFTER: Duration = Duration::from_millis(30);
 
 /// How an engine generates events of one token each.
 #[derive(Clone, Copy)]
@@ -35,7 +35,7 @@
     /// Time between two events.
     interval: Duration,
     /// Bytes of an event's data.
-    size: usize,
+    event_bytes: usize,
 }
 
 fn document() -> Value {
@@ -54,19 +54,19 @@
 
 /// Starts an engine that detects a closed connection only on a write, and returns its address. It adds prompt and
 /// generated tokens to `used`.
-fn engine(e: Engine, used: Arc<AtomicU64>) -> SocketAddr {
+fn start_engine(e: Engine, used: Arc<AtomicU64>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     thread::spawn(move || {
         for s in listener.incoming().flatten() {
             let used = used.clone();
-            thread::spawn(move || answer(s, e, &used));
+            thread::spawn(move || serve_stream(s, e, &used));
         }
     });
     address
 }
 
-fn answer(mut s: TcpStream, e: Engine, used: &AtomicU64) {
+fn serve_stream(mut s: TcpStream, e: Engine, used: &AtomicU64) {
     let Some(text) = read_request(&mut s) else { return };
     used.fetch_add(PROMPT_TOKENS, Ordering::Relaxed);
     let id = header(&text, "x-request-id");
@@ -77,7 +77,7 @@
         return;
     }
     for n in 1..=MAX_OUTPUT {
-        let event = format!("id: {n}\ndata: {}\n\n", "x".repeat(e.size));
+        let event = format!("id: {n}\ndata: {}\n\n", "x".repeat(e.event_bytes));
         used.fetch_add(1, Ordering::Relaxed);
         if write!(s, "{:x}\r\n{event}\r\n", event.len()).is_err() {
             return;
@@ -88,7 +88,7 @@
 }
 
 /// Requests a stream and disconnects after `after`. Returns the result code of a refusal.
-fn leave_early(gateway: SocketAddr, n: u64, reads: bool, after: Duration) -> Option<String> {
+fn disconnect_early(gateway: SocketAddr, n: u64, reads: bool, after: Duration) -> Option<String> {
     let mut s = TcpStream::connect(gateway).unwrap();
     let head = format!(
         "GET /talk/x HTTP/1.1\r\nHost: {HOST}\r\nX-Request-Id: left-{n}\r\nAuthorization: Bearer club-key\r\nX-Tokens: {PROMPT_TOKENS},{MAX_OUTPUT}\r\n\r\n"
@@ -112,8 +112,8 @@
 
 /// Guards against overspending by events that an engine generated but the caller never received.
 #[rstest]
-#[case::a_caller_that_does_not_read(Engine { interval: Duration::from_millis(1), size: 100_000 }, false)]
-#[case::a_caller_that_reads(Engine { interval: Duration::from_millis(2), size: 10 }, true)]
+#[case::a_caller_that_does_not_read(Engine { interval: Duration::from_millis(1), event_bytes: 100_000 }, false)]
+#[case::a_caller_that_reads(Engine { interval: Duration::from_millis(2), event_bytes: 10 }, true)]
 fn streams_that_callers_leave_spend_no_more_than_is_prepaid(
     #[case] engine_settings: Engine,
     #[case] reads: bool,
@@ -126,18 +126,18 @@
         matches!(fleet.call(0, "PUT", "/v1/document", &body), Some((200, _)))
     });
     let used = Arc::<AtomicU64>::default();
-    let address = engine(engine_settings, used.clone());
+    let address = start_engine(engine_settings, used.clone());
     let stop = Arc::<AtomicBool>::default();
     start_heartbeats("talk", "t-1".to_owned(), address, vec![fleet.controls[0].api], stop.clone());
-    wait_for("a response", || leave_early(fleet.listen, 0, reads, CALLER_STAYS).is_none());
+    wait_for("a response", || disconnect_early(fleet.listen, 0, reads, DISCONNECT_AFTER).is_none());
     let mut n = 0;
     wait_for("the budget to be spent", || {
         n += 1;
-        let code = leave_early(fleet.listen, n, reads, CALLER_STAYS);
+        let code = disconnect_early(fleet.listen, n, reads, DISCONNECT_AFTER);
         code.as_deref() == Some("CF1205")
     });
     stop.store(true, Ordering::Relaxed);
-    sleep(CALLER_STAYS * 10);
+    sleep(DISCONNECT_AFTER * 10);
     let used = used.load(Ordering::Relaxed);
     assert!(used <= PREPAID, "{used} tokens of {PREPAID} in {n} requests");
 }
--- a/crates/cypressfork/tests/limits.rs
+++ b/crates/cypressfork/tests/limits.rs
@@ -34,7 +34,7 @@
 const LIMIT_REACHED: &str = "CF1311";
 
 /// How long a test observes the fleet.
-const OBSERVED: Duration = Duration::from_secs(6);
+const OBSERVATION: Duration = Duration::from_secs(6);
 
 /// Returns the number of requests allowed in [`WINDOW`] under a limit per second.
 fn allowed(limit: f64) -> usize {
@@ -141,7 +141,7 @@
     let harness = Harness::new(gateways);
     harness.send(per_second);
     let since = harness.limit(limited, limit);
-    sleep_until(since + OBSERVED);
+    sleep_until(since + OBSERVATION);
     let most = harness.max_in_window(limited, since);
     let known = harness.gateways_with_limit("b-0");
     assert_eq!(known, gateways, "gateways that logged the limit");
@@ -154,7 +154,7 @@
     let harness = Harness::new(4);
     harness.limit(2, 1.0);
     harness.send(60);
-    sleep(EFFECTIVE_AFTER + OBSERVED);
+    sleep(EFFECTIVE_AFTER + OBSERVATION);
     let outcomes = harness.callers.outcomes();
     assert!(outcomes.sent > 300, "{outcomes:?}");
     assert_eq!(outcomes.served, outcomes.sent, "{:?}", outcomes.distinct_codes());
@@ -168,13 +168,13 @@
     sleep(WINDOW + Duration::from_secs(1));
     let since = harness.limit(REPLICAS, 2.0);
     harness.send(40);
-    sleep_until(since + OBSERVED);
+    sleep_until(since + OBSERVATION);
     let arrived: usize = harness
         .replicas
         .iter()
         .map(|r| harness.request_log.arrivals_since(&r.name, since).len())
         .sum();
-    let possible = 2 * REPLICAS * OBSERVED.as_secs() as usize;
+    let possible = 2 * REPLICAS * OBSERVATION.as_secs() as usize;
     assert!(arrived * 10 >= possible * 7, "{arrived} of {possible}");
     let outcomes = harness.callers.outcomes();
     assert_eq!(outcomes.distinct_codes(), HashSet::from([LIMIT_REACHED]), "{outcomes:?}");
@@ -219,7 +219,7 @@
     harness.callers.send("odd", Duration::from_millis(20), move |n| {
         ("GET", format!("/board/{kind}-{n}"), String::new())
     });
-    sleep_until(since + OBSERVED);
+    sleep_until(since + OBSERVATION);
     let most = harness.max_in_window(1, since);
     assert!(most <= allowed(1.0), "{most}");
 }
@@ -269,7 +269,7 @@
 /// Guards against limits that are exceeded or block all requests while processes fail.
 #[rstest]
 #[case::gateways_are_killed(Fault::Gateways)]
-#[case::all_control_processes_are_away(Fault::Controls)]
+#[case::all_control_processes_are_killed(Fault::Controls)]
 fn a_limit_holds_during_process_failures(#[case] fault: Fault) {
     let mut harness = Harness::new(4);
     harness.send(60);
@@ -290,7 +290,7 @@
             }
         }
     }
-    sleep_until(since + OBSERVED);
+    sleep_until(since + OBSERVATION);
     let most = harness.max_in_window(REPLICAS, since);
     assert!(most <= allowed(1.0), "{most}");
     let arrived: usize = harness
@@ -298,6 +298,6 @@
         .iter()
         .map(|r| harness.request_log.arrivals_since(&r.name, since).len())
         .sum();
-    let possible = REPLICAS * OBSERVED.as_secs() as usize;
+    let possible = REPLICAS * OBSERVATION.as_secs() as usize;
     assert!(arrived * 3 >= possible, "{arrived} of {possible}");
 }
--- a/crates/cypressfork/tests/rests.rs
+++ b/crates/cypressfork/tests/rests.rs
@@ -31,7 +31,7 @@
 const REFUSED_WITHIN: Duration = Duration::from_millis(50);
 
 /// How long a test observes the fleet.
-const OBSERVED: Duration = Duration::from_secs(7);
+const OBSERVATION: Duration = Duration::from_secs(7);
 
 /// Returns the maximum number of requests from one gateway that any replica received during a backoff.
 fn max_in_backoff(harness: &Harness) -> usize {
@@ -44,7 +44,7 @@
     let harness = Harness::new(4, SERVICE_TIME);
     harness.send(60);
     harness.replicas[0].refuse(Some(Refusal::retry_after("3")));
-    sleep(OBSERVED);
+    sleep(OBSERVATION);
     let max = max_in_backoff(&harness);
     assert!(
         max <= ALLOWED,
@@ -59,7 +59,7 @@
     harness.send(60);
     let refusal = Refusal { not_run: false, ..Refusal::retry_after("3") };
     harness.replicas[0].refuse(Some(refusal));
-    sleep(OBSERVED);
+    sleep(OBSERVATION);
     let max = max_in_backoff(&harness);
     assert!(
         max <= ALLOWED,
@@ -74,13 +74,13 @@
     let mut harness = Harness::new(4, SERVICE_TIME);
     harness.send(60);
     // The retry budget is a share of earlier requests.
-    sleep(OBSERVED / 2);
+    sleep(OBSERVATION / 2);
     harness.replicas[..2].iter().for_each(|r| r.refuse(Some(Refusal::retry_after("3"))));
-    sleep(OBSERVED / 2);
+    sleep(OBSERVATION / 2);
     let before = harness.callers.outcomes();
     assert_eq!(before.served, before.sent, "{:?}", before.distinct_codes());
     harness.extra_gateways[0].process.kill();
-    sleep(OBSERVED / 2);
+    sleep(OBSERVATION / 2);
     let max = max_in_backoff(&harness);
     assert!(
         max <= ALLOWED,
@@ -96,10 +96,10 @@
 fn requests_are_refused_with_a_retry_time_when_all_replicas_back_off() {
     let harness = Harness::new(4, SERVICE_TIME);
     harness.send(60);
-    sleep(OBSERVED / 4);
+    sleep(OBSERVATION / 4);
     harness.replicas.iter().for_each(|r| r.refuse(Some(Refusal::retry_after("3"))));
     // Give each gateway time to receive a refusal from every replica.
-    sleep(OBSERVED / 4);
+    sleep(OBSERVATION / 4);
     let started = Instant::now();
     let (status, answer) =
         exchange(harness.fleet.listen, "GET", "/board/x", CALLER_HEADERS, "").unwrap();
@@ -113,7 +113,7 @@
     assert!((1..=6_000).contains(&after), "{after} ms");
     assert!(took < REFUSED_WITHIN, "{took:?}");
     harness.replicas.iter().for_each(|r| r.refuse(None));
-    sleep(OBSERVED);
+    sleep(OBSERVATION);
     let max = max_in_backoff(&harness);
     assert!(
         max <= ALLOWED,
@@ -131,7 +131,7 @@
     let harness = Harness::new(4, Duration::from_millis(400));
     harness.replicas.iter().for_each(|r| r.state.max_concurrent.store(3, Ordering::Relaxed));
     harness.send(46);
-    sleep(OBSERVED);
+    sleep(OBSERVATION);
     let max = max_in_backoff(&harness);
     assert!(
         max <= ALLOWED,
@@ -151,9 +151,9 @@
     let harness = Harness::new(4, SERVICE_TIME);
     harness.replicas.iter().for_each(|r| r.state.closes_connections.store(true, Ordering::Relaxed));
     harness.send(60);
-    sleep(OBSERVED / 4);
+    sleep(OBSERVATION / 4);
     harness.replicas[0].refuse(Some(Refusal::retry_after("3")));
-    sleep(OBSERVED);
+    sleep(OBSERVATION);
     let max = max_in_backoff(&harness);
     assert!(
         max <= ALLOWED,
@@ -170,7 +170,7 @@
     let harness = Harness::new(2, SERVICE_TIME);
     harness.replicas[0].refuse(Some(Refusal::retry_after(text)));
     harness.send(60);
-    sleep(OBSERVED / 2);
+    sleep(OBSERVATION / 2);
     let (arrived, _) = harness.replicas[0].counts();
     assert!(arrived > 10, "{arrived} requests");
     let lines = read_log(harness.fleet.dir.path(), "gateway-0");
@@ -184,7 +184,7 @@
     harness.send(60);
     let dates = "Sun, 06 Nov 1994 08:49:40 GMT\r\nDate: Sun, 06 Nov 1994 08:49:37 GMT";
     harness.replicas[0].refuse(Some(Refusal::retry_after(dates)));
-    sleep(OBSERVED);
+    sleep(OBSERVATION);
     let max = max_in_backoff(&harness);
     assert!(
         max <= ALLOWED,
--- a/crates/cypressfork/tests/rollout.rs
+++ b/crates/cypressfork/tests/rollout.rs
@@ -88,12 +88,12 @@
     }
 
     /// Starts the replicas of a version.
-    fn add_replicas(&self, version: &str, fails_each: u64, stop: Arc<AtomicBool>) {
+    fn add_replicas(&self, version: &str, fails_every: u64, stop: Arc<AtomicBool>) {
         for n in 0..REPLICAS {
             let replica = VersionedReplica {
                 name: format!("{version}-{n}"),
                 version: version.to_owned(),
-                fails_each,
+                fails_every,
                 controls: self.fleet.controls.iter().map(|c| c.api).collect(),
                 request_log: self.request_log.clone(),
                 stop: stop.clone(),
@@ -192,11 +192,11 @@
 #[case::one_in_five_fails(5, false)]
 #[case::the_leader_is_killed(2, true)]
 fn a_bad_version_is_rolled_back_and_gets_no_more_requests(
-    #[case] fails_each: u64,
+    #[case] fails_every: u64,
     #[case] kill: bool,
 ) {
     let mut harness = Harness::new();
-    harness.add_replicas("v2", fails_each, Arc::default());
+    harness.add_replicas("v2", fails_every, Arc::default());
     let ordered = harness.order_rollout("v2");
     harness.wait_for_stage("Trial");
     if kill {
--- a/crates/cypressfork/tests/support/control.rs
+++ b/crates/cypressfork/tests/support/control.rs
@@ -126,8 +126,8 @@
     state: Arc<ControlState>,
 ) {
     let name = "control".to_owned();
-    let me = Credentials { key: Key::new(b"test"), cluster: "test".to_owned(), name };
-    let Ok(link) = link::accept(stream, &me).await else { return };
+    let credentials = Credentials { key: Key::new(b"test"), cluster: "test".to_owned(), name };
+    let Ok(link) = link::accept(stream, &credentials).await else { return };
     let mut reader = link.reader;
     let (tx, rx) = queue::channel(QUEUE);
     actix_rt::spawn(send_answers(link.writer, rx));
--- a/crates/cypressfork/tests/support/crashing.rs
+++ b/crates/cypressfork/tests/support/crashing.rs
@@ -88,10 +88,11 @@
 struct Incarnation {
     id: String,
     ended: AtomicBool,
-    open: Mutex<Vec<TcpStream>>,
+    connections: Mutex<Vec<TcpStream>>,
 }
 
 impl CrashingReplica {
+    /// Starts the replica in a thread.
     pub fn start(self) {
         thread::spawn(move || self.run());
     }
@@ -106,7 +107,7 @@
                 RestartAs::SameId | RestartAs::SameIdBorn => self.name.clone(),
             };
             let incarnation =
-                Incarnation { id, ended: AtomicBool::new(false), open: Mutex::default() };
+                Incarnation { id, ended: AtomicBool::new(false), connections: Mutex::default() };
             let listener = held.take().unwrap_or_else(|| TcpListener::bind(self.address).unwrap());
             held = self.run_incarnation(&Arc::new(incarnation), listener);
             sleep(self.downtime);
@@ -125,7 +126,7 @@
             match listener.accept() {
                 Ok((stream, _)) => {
                     stream.set_nonblocking(false).unwrap();
-                    incarnation.open.lock().unwrap().push(stream.try_clone().unwrap());
+                    incarnation.connections.lock().unwrap().push(stream.try_clone().unwrap());
                     let (incarnation, crash_record) =
                         (incarnation.clone(), self.crash_record.clone());
                     thread::spawn(move || serve(&incarnation, &crash_record, stream));
@@ -134,7 +135,7 @@
             }
         }
         let end_connections = || {
-            for s in incarnation.open.lock().unwrap().drain(..) {
+            for s in incarnation.connections.lock().unwrap().drain(..) {
                 let _ = s.shutdown(Shutdown::Both);
             }
         };
@@ -241,12 +242,12 @@
     }
 }
 
-/// Answers that callers received.
+/// The number of requests that callers sent, and their results.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Outcomes {
     pub sent: usize,
     pub served: usize,
-    /// The result codes of the other requests; an empty one where the connection closed without an answer.
+    /// The result codes of the requests that were not served, empty where the connection closed without an answer.
     pub codes: Vec<String>,
 }
 
@@ -275,7 +276,8 @@
         Callers { gateways, stop: Arc::default(), outcomes: Arc::default(), sent: Arc::default() }
     }
 
-    /// Sends a request every `interval`; `request` maps its number to method, path and body.
+    /// Starts a thread that sends a request every `interval`; `request` maps its number to method, path and body,
+    /// and `name` is the prefix of the request ids.
     pub fn send(
         &self,
         name: &str,
@@ -305,6 +307,7 @@
         });
     }
 
+    /// Returns the outcomes so far.
     pub fn outcomes(&self) -> Outcomes {
         self.outcomes.lock().unwrap().clone()
     }
--- a/crates/cypressfork/tests/support/gateways.rs
+++ b/crates/cypressfork/tests/support/gateways.rs
@@ -11,6 +11,7 @@
 
 use super::{Process, free_addresses, own_ip, program, wait_for};
 
+/// Host name of the route in the document.
 pub const HOST: &str = "club.example";
 
 /// Headers that a caller of the account sends.
@@ -21,6 +22,7 @@
     free_addresses(ip, n).iter().map(|a| a.parse().unwrap()).collect()
 }
 
+/// A control process with its addresses.
 pub struct Control {
     pub link: SocketAddr,
     pub api: SocketAddr,
@@ -30,6 +32,7 @@
 
 /// A gateway in addition to the fleet's first one.
 pub struct ExtraGateway {
+    /// Address for requests of callers.
     pub listen: SocketAddr,
     pub operators: SocketAddr,
     pub process: Process,
@@ -42,10 +45,10 @@
 
     /// Sends a request for `tokens` tokens and returns the status and the result code.
     pub fn spend(&self, id: usize, tokens: u64) -> Option<(u16, String)> {
-        let more = format!(
+        let extra_headers = format!(
             "X-Request-Id: r-{id}\r\nAuthorization: Bearer club-key\r\nX-Tokens: {tokens},0\r\n"
         );
-        let (status, v) = exchange(self.listen, "GET", "/board/x", &more, "")?;
+        let (status, v) = exchange(self.listen, "GET", "/board/x", &extra_headers, "")?;
         Some((status, v["error"]["code"].as_str().unwrap_or_default().to_owned()))
     }
 }
@@ -75,6 +78,7 @@
 /// Control processes and one gateway.
 pub struct Fleet {
     pub controls: Vec<Control>,
+    /// Address of the gateway for requests of callers.
     pub listen: SocketAddr,
     pub link: SocketAddr,
     pub operators: SocketAddr,
@@ -86,6 +90,7 @@
 }
 
 impl Fleet {
+    /// Allocates the addresses and the folder; starts no process.
     pub fn new(controls: usize) -> Fleet {
         let free = free_socket_addrs(&own_ip(), 4 + 3 * controls);
         let control = |n: usize| {
@@ -119,6 +124,7 @@
         assert_eq!(answer.map(|a| a.0), Some(200));
     }
 
+    /// Returns the `common` settings of the process on this VM.
     pub fn common(&self, vm: &str) -> String {
         // At most three seeds, as a platform would list them; the others have to be discovered.
         let seeds: Vec<_> = self.controls.iter().take(3).map(|c| c.link.to_string()).collect();
@@ -128,6 +134,7 @@
         )
     }
 
+    /// Starts control process `n`; `found` allows it to found the control group.
     pub fn start_control(&mut self, n: usize, found: bool) {
         let data = self.dir.path().join(format!("data-{n}"));
         fs::create_dir_all(&data).unwrap();
@@ -145,6 +152,7 @@
         self.controls[n].process = Some(process);
     }
 
+    /// Starts the first gateway.
     pub fn start_gateway(&mut self) {
         let text = format!(
             "{}listen: \"{}\"\nlink: \"{}\"\noperators: \"{}\"\nmetrics: \"{}\"\nreport_ms: 50\n",
@@ -228,13 +236,12 @@
     }
 }
 
-/// Sends an HTTP request with the additional headers `more`; returns the status and the body, or `None` if
-/// there is no response.
+/// Sends an HTTP request; returns the status and the body, or `None` if there is no response.
 pub fn exchange(
     to: SocketAddr,
     method: &str,
     path: &str,
-    more: &str,
+    extra_headers: &str,
     body: &str,
 ) -> Option<(u16, Value)> {
     let mut s = TcpStream::connect(to).ok()?;
@@ -242,7 +249,7 @@
     let length = body.len();
     write!(
         s,
-        "{method} {path} HTTP/1.1\r\nHost: {HOST}\r\n{more}Content-Length: {length}\r\nConnection: close\r\n\r\n{body}"
+        "{method} {path} HTTP/1.1\r\nHost: {HOST}\r\n{extra_headers}Content-Length: {length}\r\nConnection: close\r\n\r\n{body}"
     )
     .ok()?;
     let mut text = String::new();
@@ -252,6 +259,7 @@
     Some((status, serde_json::from_str(body).unwrap_or(Value::String(body.to_owned()))))
 }
 
+/// Returns a document with one route, one service and one client account.
 pub fn document(version: u64) -> Value {
     json!({
         "version": version,
@@ -295,6 +303,7 @@
     address
 }
 
+/// Returns the log of the process `name` of the fleet in `dir`.
 pub fn read_log(dir: &Path, name: &str) -> String {
     fs::read_to_string(dir.join(format!("{name}.log"))).unwrap()
 }
--- a/crates/cypressfork/tests/support/limited.rs
+++ b/crates/cypressfork/tests/support/limited.rs
@@ -109,6 +109,7 @@
         *self.limit.lock().unwrap() = limit.map(str::to_owned);
     }
 
+    /// Starts the replica and its heartbeats in threads.
     pub fn start(&self) {
         let replica = self.clone();
         let address = listen(move |s| replica.serve(s));
--- a/crates/cypressfork/tests/support/mod.rs
+++ b/crates/cypressfork/tests/support/mod.rs
@@ -52,6 +52,7 @@
 }
 
 impl Process {
+    /// Starts `program` and appends its output to the file `name`.log in `dir`.
     pub fn start(dir: &Path, name: &str, program: &str, args: &[&str]) -> Process {
         let log = dir.join(format!("{name}.log"));
         let out = File::options().create(true).append(true).open(&log).unwrap();
@@ -72,9 +73,9 @@
 
     /// Sends the signal `name`, such as `TERM`.
     pub fn signal(&self, name: &str) {
-        let done =
+        let status =
             Command::new("kill").args([&format!("-{name}"), &self.id().to_string()]).status();
-        assert!(done.unwrap().success());
+        assert!(status.unwrap().success());
     }
 
     /// Waits for the process to exit and returns its exit code.
@@ -90,6 +91,7 @@
         code
     }
 
+    /// Returns the output so far.
     pub fn log(&self) -> String {
         fs::read_to_string(&self.log).unwrap_or_default()
     }
@@ -188,6 +190,7 @@
     }
 }
 
+/// The running processes of a fleet with their addresses.
 pub struct Fleet {
     pub dir: TempDir,
     pub plan: Plan,
@@ -274,10 +277,12 @@
         }
     }
 
+    /// Returns the path of a file in the fleet's folder.
     pub fn path(&self, name: &str) -> PathBuf {
         self.dir.path().join(name)
     }
 
+    /// Returns the `common` settings of the `n`th process of its kind.
     fn common(&self, vm: &str, n: usize) -> String {
         let control = serde_json::to_string(&self.control_addresses).unwrap();
         format!(
@@ -332,29 +337,29 @@
     }
 
     fn init(&self) {
-        let mut words = vec!["init"];
-        words.extend(self.control_addresses.iter().map(String::as_str));
-        let out = self.cli(&words);
+        let mut args = vec!["init"];
+        args.extend(self.control_addresses.iter().map(String::as_str));
+        let out = self.cli(&args);
         assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
     }
 
     /// Runs the operator's command line and returns its output.
-    pub fn cli(&self, words: &[&str]) -> Output {
+    pub fn cli(&self, args: &[&str]) -> Output {
         let settings = self.path("cypressfork.yaml");
         Command::new(program("cypressfork"))
-            .args(words)
+            .args(args)
             .args(["--settings", settings.to_str().unwrap()])
             .output()
             .unwrap()
     }
 
     /// Runs a subcommand, asserts that it succeeds and returns its JSON output.
-    pub fn json(&self, words: &[&str]) -> Value {
-        let mut all = words.to_vec();
+    pub fn json(&self, args: &[&str]) -> Value {
+        let mut all = args.to_vec();
         all.push("--json");
         let out = self.cli(&all);
         let err = String::from_utf8_lossy(&out.stderr);
-        assert!(out.status.success(), "{words:?}: {err}");
+        assert!(out.status.success(), "{args:?}: {err}");
         serde_json::from_slice(&out.stdout).unwrap()
     }
 
@@ -454,10 +459,12 @@
         assert_eq!(last["spent"], tokens);
     }
 
+    /// Returns the statistics of engine `n`.
     pub fn engine_stats(&self, n: usize) -> Value {
         get_json(&format!("http://{}/stats", self.engines[n].1)).unwrap()
     }
 
+    /// Returns the runs that replica `n` of the plain service reports.
     pub fn board_runs(&self, n: usize) -> Value {
         get_json(&format!("http://{}/stats", self.boards[n].1)).unwrap()["runs"].clone()
     }
--- a/crates/cypressfork/tests/support/refusing.rs
+++ b/crates/cypressfork/tests/support/refusing.rs
@@ -71,6 +71,7 @@
 }
 
 impl RefusingReplica {
+    /// Starts the replica and its heartbeats in threads.
     pub fn start(
         name: String,
         controls: Vec<SocketAddr>,
@@ -97,8 +98,8 @@
     }
 
     /// Starts to refuse all requests, or stops with `None`.
-    pub fn refuse(&self, how: Option<Refusal>) {
-        *self.state.refusal.lock().unwrap() = how;
+    pub fn refuse(&self, refusal: Option<Refusal>) {
+        *self.state.refusal.lock().unwrap() = refusal;
     }
 
     fn serve(&self, mut s: TcpStream) {
--- a/crates/cypressfork/tests/support/versions.rs
+++ b/crates/cypressfork/tests/support/versions.rs
@@ -56,13 +56,14 @@
     pub name: String,
     pub version: String,
     /// Every n-th request fails; 0 means none.
-    pub fails_each: u64,
+    pub fails_every: u64,
     pub controls: Vec<SocketAddr>,
     pub request_log: Arc<RequestLog>,
     pub stop: Arc<AtomicBool>,
 }
 
 impl VersionedReplica {
+    /// Starts the replica and its heartbeats in threads.
     pub fn start(self) {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -99,7 +100,7 @@
                 return;
             }
             let n = count.fetch_add(1, Ordering::Relaxed);
-            let bad = self.fails_each > 0 && n.is_multiple_of(self.fails_each);
+            let bad = self.fails_every > 0 && n.is_multiple_of(self.fails_every);
             self.request_log.arrivals.lock().unwrap().push((
                 self.version.clone(),
                 Instant::now(),
