--- a/crates/cypressfork/tests/bad_input.rs
+++ b/crates/cypressfork/tests/bad_input.rs
@@ -27,7 +27,7 @@
     let big = "x".repeat(70_000);
     let at = |path: &str| Request::new(&f.router_addresses[0], path);
     vec![
-        case("no key", f.chat(0).without("authorization"), &good, 401, "CF1001"),
+        case("no key", f.chat(0).without_header("authorization"), &good, 401, "CF1001"),
         case(
             "another scheme",
             f.chat(0).header("authorization", "Basic abc"),
--- a/crates/cypressfork/tests/failure.rs
+++ b/crates/cypressfork/tests/failure.rs
@@ -345,7 +345,7 @@
     reader.read_line(&mut line).unwrap();
     let closed = f.example().replace("account: club,", "account: club, closed: true,");
     assert!(f.apply("closed.yaml", &closed).status.success());
-    let revoked = f.example().replace(&support::digest(), &"0".repeat(64));
+    let revoked = f.example().replace(&support::key_digest(), &"0".repeat(64));
     for (n, (text, code)) in [(closed, "CF1003"), (revoked, "CF1002")].into_iter().enumerate() {
         if n > 0 {
             assert!(f.apply("revoked.yaml", &text).status.success());
--- a/crates/cypressfork/tests/full_link.rs
+++ b/crates/cypressfork/tests/full_link.rs
@@ -29,7 +29,7 @@
     f.start_control(0, true);
     let text = format!(
         "{}listen: \"{}\"\nlink: \"{}\"\noperators: \"{}\"\nmetrics: \"{}\"\nreport_ms: 50\nlink_mbps: {LINK_MBPS}\n",
-        f.common("gateway-0"),
+        f.common_settings("gateway-0"),
         f.listen,
         f.link,
         f.operators,
--- a/crates/cypressfork/tests/limits.rs
+++ b/crates/cypressfork/tests/limits.rs
@@ -95,7 +95,7 @@
     }
 
     /// Makes the first `n` replicas announce a limit. Returns the time from which it must be observed.
-    fn limit(&self, n: usize, limit: f64) -> Instant {
+    fn announce_limit(&self, n: usize, limit: f64) -> Instant {
         self.replicas[..n].iter().for_each(|r| r.announce_limit(Some(&limit.to_string())));
         Instant::now() + EFFECTIVE_AFTER
     }
@@ -140,7 +140,7 @@
 ) {
     let harness = Harness::new(gateways);
     harness.send(per_second);
-    let since = harness.limit(limited, limit);
+    let since = harness.announce_limit(limited, limit);
     sleep_until(since + OBSERVATION);
     let most = harness.max_in_window(limited, since);
     let known = harness.gateways_with_limit("b-0");
@@ -152,7 +152,7 @@
 #[test]
 fn replicas_without_a_limit_serve_all_requests() {
     let harness = Harness::new(4);
-    harness.limit(2, 1.0);
+    harness.announce_limit(2, 1.0);
     harness.send(60);
     sleep(EFFECTIVE_AFTER + OBSERVATION);
     let outcomes = harness.callers.outcomes();
@@ -166,7 +166,7 @@
     let harness = Harness::new(4);
     // Wait until it is settled which processes issue permits.
     sleep(WINDOW + Duration::from_secs(1));
-    let since = harness.limit(REPLICAS, 2.0);
+    let since = harness.announce_limit(REPLICAS, 2.0);
     harness.send(40);
     sleep_until(since + OBSERVATION);
     let arrived: usize = harness
@@ -186,7 +186,7 @@
 fn a_new_gateway_applies_known_limits() {
     let mut harness = Harness::new(3);
     harness.send(40);
-    let since = harness.limit(REPLICAS, 1.0);
+    let since = harness.announce_limit(REPLICAS, 1.0);
     sleep_until(since);
     let more = harness.fleet.start_extra_gateways_from(harness.extra_gateways.len(), 1);
     let gateway = more[0].listen;
@@ -215,7 +215,7 @@
 #[case::failing(FAILING)]
 fn a_limit_in_any_response_applies(#[case] kind: &'static str) {
     let harness = Harness::new(3);
-    let since = harness.limit(1, 1.0);
+    let since = harness.announce_limit(1, 1.0);
     harness.callers.send("odd", Duration::from_millis(20), move |n| {
         ("GET", format!("/board/{kind}-{n}"), String::new())
     });
@@ -229,7 +229,7 @@
 fn a_limit_ends_when_it_is_no_longer_announced() {
     let harness = Harness::new(4);
     harness.send(60);
-    sleep_until(harness.limit(1, 1.0) + Duration::from_secs(1));
+    sleep_until(harness.announce_limit(1, 1.0) + Duration::from_secs(1));
     harness.replicas[0].announce_limit(None);
     let ended = Instant::now() + EFFECTIVE_AFTER;
     sleep_until(ended + WINDOW);
@@ -242,7 +242,7 @@
 fn an_invalid_limit_is_ignored() {
     let harness = Harness::new(3);
     harness.send(60);
-    sleep_until(harness.limit(1, 1.0));
+    sleep_until(harness.announce_limit(1, 1.0));
     for value in ["-1", "NaN", "1e999", "", "5/s", "1, 2"] {
         harness.replicas[0].announce_limit(Some(value));
         sleep(Duration::from_millis(1_500));
@@ -273,7 +273,7 @@
 fn a_limit_holds_during_process_failures(#[case] fault: Fault) {
     let mut harness = Harness::new(4);
     harness.send(60);
-    let since = harness.limit(REPLICAS, 1.0);
+    let since = harness.announce_limit(REPLICAS, 1.0);
     sleep_until(since);
     match fault {
         Fault::Gateways => {
--- a/crates/cypressfork/tests/regions.rs
+++ b/crates/cypressfork/tests/regions.rs
@@ -86,7 +86,7 @@
 }
 
 fn common(fleet: &Fleet, vm: &str, (region, data_centre): (&str, &str)) -> String {
-    let text = fleet.common(vm);
+    let text = fleet.common_settings(vm);
     let text = text.replace("region: tas-north", &format!("region: {region}"));
     let text = text.replace("data_centre: tamar-a", &format!("data_centre: {data_centre}"));
     format!("{text}  regions: {{ n1: north, s1: south }}\n")
--- a/crates/cypressfork/tests/routing.rs
+++ b/crates/cypressfork/tests/routing.rs
@@ -121,7 +121,7 @@
 fn metrics_count_served_and_refused_requests() {
     let f = Fleet::start(Plan { routers: 1, ..Plan::default() });
     f.chat(0).send(&chat_body(false, 4));
-    f.chat(0).without("authorization").send("");
+    f.chat(0).without_header("authorization").send("");
     let text = support::get_text(&format!("http://{}/metrics", f.ops_addresses[0])).unwrap();
     for line in [
         "cypressfork_requests_total{code=\"0\"} 1",
--- a/crates/cypressfork/tests/support/gateways.rs
+++ b/crates/cypressfork/tests/support/gateways.rs
@@ -125,7 +125,7 @@
     }
 
     /// Returns the `common` settings of the process on this VM.
-    pub fn common(&self, vm: &str) -> String {
+    pub fn common_settings(&self, vm: &str) -> String {
         // At most three seeds, as a platform would list them; the others have to be discovered.
         let seeds: Vec<_> = self.controls.iter().take(3).map(|c| c.link.to_string()).collect();
         format!(
@@ -141,7 +141,7 @@
         let c = &self.controls[n];
         let text = format!(
             "{}listen: \"{}\"\ndata_folder: {}\nmetrics: \"{}\"\nreserve: false\nheartbeat_ms: 20\nelection_ms: 150\nfleet:\n  listen: \"{}\"\n  entry: \"{}\"\n  found: {found}\n",
-            self.common(&format!("control-{n}")),
+            self.common_settings(&format!("control-{n}")),
             c.link,
             data.display(),
             c.metrics,
@@ -156,7 +156,7 @@
     pub fn start_gateway(&mut self) {
         let text = format!(
             "{}listen: \"{}\"\nlink: \"{}\"\noperators: \"{}\"\nmetrics: \"{}\"\nreport_ms: 50\n",
-            self.common("gateway-0"),
+            self.common_settings("gateway-0"),
             self.listen,
             self.link,
             self.operators,
@@ -177,7 +177,7 @@
             let name = format!("neighbour-{}", from + n);
             let text = format!(
                 "{}listen: \"{}\"\nlink: \"{}\"\noperators: \"{}\"\nreport_ms: 50\n",
-                self.common(&name),
+                self.common_settings(&name),
                 own[0],
                 own[1],
                 own[2],
--- a/crates/cypressfork/tests/support/http.rs
+++ b/crates/cypressfork/tests/support/http.rs
@@ -58,7 +58,7 @@
     }
 
     /// Removes a header.
-    pub fn without(mut self, name: &str) -> Request {
+    pub fn without_header(mut self, name: &str) -> Request {
         self.headers.retain(|(n, _)| n != name);
         self
     }
--- a/crates/cypressfork/tests/support/mod.rs
+++ b/crates/cypressfork/tests/support/mod.rs
@@ -283,7 +283,7 @@
     }
 
     /// Returns the `common` settings of the `n`th process of its kind.
-    fn common(&self, vm: &str, n: usize) -> String {
+    fn common_settings(&self, vm: &str, n: usize) -> String {
         let control = serde_json::to_string(&self.control_addresses).unwrap();
         format!(
             "common:\n  cluster: test\n  region: tas-north\n  data_centre: {}\n  vm: {vm}\n  key_file: {}\n  control: {control}\n  log_level: debug\n",
@@ -295,7 +295,7 @@
     pub fn write_control_settings(&self, n: usize) {
         let text = format!(
             "{}listen: \"{}\"\ndata_folder: {}\n{}",
-            self.common(&format!("control-{n}"), n),
+            self.common_settings(&format!("control-{n}"), n),
             self.control_addresses[n],
             self.path(&format!("data-{n}")).display(),
             self.plan.control_extra,
@@ -306,7 +306,7 @@
     fn write_router_settings(&self, n: usize) {
         let text = format!(
             "{}listen: \"{}\"\noperators: \"{}\"\nreserve: \"{}\"\nentry_keep_s: 1\nbody_cap: 65536\n{}\n",
-            self.common(&format!("entry-{n}"), n),
+            self.common_settings(&format!("entry-{n}"), n),
             self.router_addresses[n],
             self.ops_addresses[n],
             self.control_addresses[n % self.control_addresses.len()],
@@ -415,7 +415,7 @@
             list(&self.engines, "engine"),
             self.plan.engine_extra,
             list(&self.boards, "board"),
-            digest(),
+            key_digest(),
             self.plan.concurrency,
             self.plan.budget_extra,
             self.plan.tokens,
@@ -481,7 +481,7 @@
 }
 
 /// Returns the SHA-256 digest of [`KEY`] in hex, computed by `sha256sum` as the user documentation shows.
-pub fn digest() -> String {
+pub fn key_digest() -> String {
     let mut child =
         Command::new("sha256sum").stdin(Stdio::piped()).stdout(Stdio::piped()).spawn().unwrap();
     use std::io::Write;
