--- a/crates/cypressfork/tests/rollout.rs
+++ b/crates/cypressfork/tests/rollout.rs
@@ -102,7 +102,8 @@
         }
     }
 
-    /// Sends a request to the control processes in turn; returns the first response that is no server error.
+    /// Sends a request to the control processes in turn; returns the first response that is not a server
+    /// error.
     fn call_any(&self, method: &str, path: &str, body: &str) -> Option<(u16, Value)> {
         let all = 0..self.fleet.controls.len();
         let mut answers = all.filter_map(|n| self.fleet.call(n, method, path, body));
