--- a/crates/cypressfork/tests/bad_input.rs
+++ b/crates/cypressfork/tests/bad_input.rs
@@ -5,7 +5,7 @@
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
-use support::{Answer, Fleet, KEY, Plan, Request, ask};
+use support::{Answer, Fleet, KEY, Plan, Request, chat_body};
 
 struct Case {
     name: &'static str,
@@ -23,11 +23,11 @@
         status,
         code,
     };
-    let good = ask(true, 4);
+    let good = chat_body(true, 4);
     let big = "x".repeat(70_000);
     let at = |path: &str| Request::new(&f.router_addresses[0], path);
     vec![
-        case("no key", f.chat(0).without("authorization"), &good, 401, "CF1001"),
+        case("no key", f.chat(0).without_header("authorization"), &good, 401, "CF1001"),
         case(
             "another scheme",
             f.chat(0).header("authorization", "Basic abc"),
@@ -123,9 +123,9 @@
     send_incomplete_request(&f.router_addresses[0]);
     let line = send_oversized_headers(&f.router_addresses[0]);
     assert!(line.is_empty() || line.contains(" 4"), "{line}");
-    let a = f.chat(0).send(&ask(false, 4));
+    let a = f.chat(0).send(&chat_body(false, 4));
     assert_eq!(a.status, 200, "the router still serves: {}", a.body);
-    f.until_spent(7);
+    f.wait_until_spent(7);
     assert_eq!(f.engine_stats(0)["started"], 1, "only the good request reached the engine");
     assert_eq!(f.board_runs(0).as_object().unwrap().len(), 0);
 }
--- a/crates/cypressfork/tests/failure.rs
+++ b/crates/cypressfork/tests/failure.rs
@@ -8,9 +8,9 @@
 use std::thread;
 
 use serde_json::Value;
-use support::{Fleet, Plan, ask, until};
+use support::{Fleet, Plan, chat_body, wait_for};
 
-/// Returns the tokens charged for a request of [`ask`] with `n` generated tokens.
+/// Returns the tokens charged for a request of [`chat_body`] with `n` generated tokens.
 fn cost(n: u64) -> u64 {
     3 + n
 }
@@ -34,13 +34,14 @@
         for a in &addresses {
             s.spawn(|| {
                 while !stop.load(Ordering::Relaxed) {
-                    let r = support::Request::new(a, "/v1/chat/completions").send(&ask(false, 4));
+                    let r =
+                        support::Request::new(a, "/v1/chat/completions").send(&chat_body(false, 4));
                     assert_eq!(r.status, 200, "{}", r.body);
                     served.fetch_add(1, Ordering::Relaxed);
                 }
             });
         }
-        let at_least = |n: u64| until("requests", || served.load(Ordering::Relaxed) >= n);
+        let at_least = |n: u64| wait_for("requests", || served.load(Ordering::Relaxed) >= n);
         at_least(20);
         during(f);
         at_least(served.load(Ordering::Relaxed) + 20);
@@ -56,10 +57,10 @@
     let served = under_load(&mut f, |f| {
         let old = leader(f).unwrap();
         f.controls[old].kill();
-        until("another leader", || leader(f).is_some_and(|l| l != old));
+        wait_for("another leader", || leader(f).is_some_and(|l| l != old));
         f.controls[old] = f.start_control(old);
     });
-    f.until_spent(served * cost(4));
+    f.wait_until_spent(served * cost(4));
     assert_eq!(f.budget()["total"]["requests"], served);
 }
 
@@ -72,10 +73,10 @@
             f.controls[n].signal("TERM");
             assert_eq!(f.controls[n].wait(), Some(0));
             f.controls[n] = f.start_control(n);
-            until("a whole group", || f.json(&["status"])["safe"] == true);
+            wait_for("a whole group", || f.json(&["status"])["safe"] == true);
         }
     });
-    f.until_spent(served * cost(4));
+    f.wait_until_spent(served * cost(4));
 }
 
 /// Guards against acknowledged state that is lost when all members are killed at once.
@@ -83,21 +84,21 @@
 fn everything_is_there_after_all_control_processes_are_killed_at_once() {
     let mut f = Fleet::start(Plan { control_extra: "snapshot_every: 16\n", ..Plan::default() });
     for n in 0..25 {
-        assert_eq!(f.chat(n % 2).send(&ask(false, 4)).status, 200);
+        assert_eq!(f.chat(n % 2).send(&chat_body(false, 4)).status, 200);
         f.json(&["top-up", "club-talk", "10"]);
     }
-    f.until_spent(25 * cost(4));
+    f.wait_until_spent(25 * cost(4));
     let before = f.budget();
     for _ in 0..2 {
         f.controls.iter_mut().for_each(|c| c.kill());
         f.controls = (0..3).map(|n| f.start_control(n)).collect();
     }
-    until("a leader", || leader(&f).is_some());
+    wait_for("a leader", || leader(&f).is_some());
     let after = f.budget();
     for key in ["funded", "spent", "total"] {
         assert_eq!(after[key], before[key], "{key}");
     }
-    assert_eq!(f.chat(0).send(&ask(false, 4)).status, 200);
+    assert_eq!(f.chat(0).send(&chat_body(false, 4)).status, 200);
 }
 
 /// Guards against a slice of a killed router that is spent twice or can't be released by an operator. Its
@@ -105,16 +106,17 @@
 #[test]
 fn a_killed_router_strands_its_slice_and_an_operator_frees_it() {
     let mut f = Fleet::start(Plan { engines: vec![vec!["--token-ms", "50"]], ..Plan::default() });
-    let (_, _, mut reader) = f.chat(0).header("idempotency-key", "lesson-1").open(&ask(true, 24));
+    let (_, _, mut reader) =
+        f.chat(0).header("idempotency-key", "lesson-1").open(&chat_body(true, 24));
     let mut line = String::new();
     reader.read_line(&mut line).unwrap();
     f.routers[0].kill();
-    let again = f.chat(1).header("idempotency-key", "lesson-1").send(&ask(false, 8));
+    let again = f.chat(1).header("idempotency-key", "lesson-1").send(&chat_body(false, 8));
     assert_eq!(again.status, 200);
-    f.until_spent(cost(8));
+    f.wait_until_spent(cost(8));
     let held = f.budget()["held"].as_u64().unwrap();
     f.routers[0] = f.start_router(0);
-    f.until_ready(0, 1);
+    f.wait_until_ready(0, 1);
     let leases = f.json(&["leases", "club-talk"]);
     let lost = leases.as_array().unwrap().iter().find(|l| l["vm"].is_null()).unwrap().clone();
     let id = format!("{}.{}", lost["id"]["term"], lost["id"]["index"]);
@@ -141,7 +143,7 @@
             .map(|_| {
                 s.spawn(|| {
                     let r = support::Request::new(&address, "/v1/chat/completions");
-                    let (status, _, mut reader) = r.open(&ask(true, 24));
+                    let (status, _, mut reader) = r.open(&chat_body(true, 24));
                     assert_eq!(status, 200);
                     started.fetch_add(1, Ordering::Relaxed);
                     let mut text = String::new();
@@ -150,17 +152,18 @@
                 })
             })
             .collect();
-        until("100 streams", || started.load(Ordering::Relaxed) == 100);
+        wait_for("100 streams", || started.load(Ordering::Relaxed) == 100);
         f.routers[0].signal("TERM");
-        until("entry answers without the router", || {
-            let v = support::get(&format!("http://{}/v1/entry", f.router_addresses[1])).unwrap();
+        wait_for("entry answers without the router", || {
+            let v =
+                support::get_json(&format!("http://{}/v1/entry", f.router_addresses[1])).unwrap();
             !v.to_string().contains(&address)
         });
         streams.into_iter().map(|t| t.join().unwrap()).filter(|w| *w).count()
     });
     assert_eq!(whole, 100);
     assert_eq!(f.routers[0].wait(), Some(0));
-    f.until_spent(100 * cost(24));
+    f.wait_until_spent(100 * cost(24));
     let log = f.routers[0].log();
     assert!(log.contains("CFE412"), "the slices were returned");
     let routers = f.json(&["status"])["routers"].as_array().unwrap().len();
@@ -171,11 +174,11 @@
 #[test]
 fn a_second_signal_ends_a_planned_stop_at_once() {
     let mut f = Fleet::start(Plan { engines: vec![vec!["--token-ms", "500"]], ..Plan::default() });
-    let (_, _, mut reader) = f.chat(0).open(&ask(true, 24));
+    let (_, _, mut reader) = f.chat(0).open(&chat_body(true, 24));
     let mut line = String::new();
     reader.read_line(&mut line).unwrap();
     f.routers[0].signal("TERM");
-    until("the drain", || f.routers[0].log().contains("CFE411"));
+    wait_for("the drain", || f.routers[0].log().contains("CFE411"));
     f.routers[0].signal("TERM");
     assert_eq!(f.routers[0].wait(), Some(0));
     assert!(f.routers[0].log().contains("CFE105"));
@@ -191,9 +194,9 @@
         let out = f.apply("next.yaml", &text);
         assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
     }
-    f.until_ready(0, 6);
+    f.wait_until_ready(0, 6);
     f.routers[1].signal("CONT");
-    f.until_ready(1, 6);
+    f.wait_until_ready(1, 6);
     let log = f.routers[1].log();
     let versions: Vec<u64> = log
         .lines()
@@ -218,18 +221,18 @@
     fs::remove_dir_all(f.path(&format!("data-{lost}"))).unwrap();
     fs::create_dir(f.path(&format!("data-{lost}"))).unwrap();
     f.controls[lost] = f.start_control(lost);
-    until("the new process", || f.cli(&["members", "add", &address]).status.success());
+    wait_for("the new process", || f.cli(&["members", "add", &address]).status.success());
     let status = f.json(&["status"]);
     let learner = status["nodes"].as_array().unwrap().iter().find(|n| n["voter"] == false);
     let new = format!("{:016x}", learner.unwrap()["id"].as_u64().unwrap());
     assert_ne!(new, id);
-    until("the learner", || f.cli(&["members", "promote", &new]).status.success());
-    until("the removal", || f.cli(&["members", "remove", &id]).status.success());
-    until("a whole group", || f.json(&["status"])["safe"] == true);
+    wait_for("the learner", || f.cli(&["members", "promote", &new]).status.success());
+    wait_for("the removal", || f.cli(&["members", "remove", &id]).status.success());
+    wait_for("a whole group", || f.json(&["status"])["safe"] == true);
     let voters = f.json(&["status"])["nodes"].as_array().unwrap().len();
     assert_eq!(voters, 3);
     assert_eq!(f.budget()["funded"], 100_010);
-    assert_eq!(f.chat(0).send(&ask(false, 4)).status, 200);
+    assert_eq!(f.chat(0).send(&chat_body(false, 4)).status, 200);
 }
 
 /// Guards against two control processes that write to one data folder.
@@ -246,19 +249,19 @@
 #[test]
 fn a_data_centre_cut_off_lives_on_its_reserve() {
     let mut f = Fleet::start(Plan { tokens: 1_000, budget_extra: SMALL_BUDGET, ..Plan::default() });
-    assert_eq!(f.chat(0).send(&ask(false, 4)).status, 200);
+    assert_eq!(f.chat(0).send(&chat_body(false, 4)).status, 200);
     let reserve = |f: &Fleet| {
         let leases = f.json(&["leases", "club-talk"]);
         let all = leases.as_array().unwrap().clone();
         all.into_iter().find(|l| l["vm"] == "reserve on control-0")
     };
-    until("the reserve", || reserve(&f).is_some());
+    wait_for("the reserve", || reserve(&f).is_some());
     // Only the members outside this data centre are killed.
     f.controls[1].kill();
     f.controls[2].kill();
     let mut served = 1;
     let refused = loop {
-        let a = f.chat(0).send(&ask(false, 4));
+        let a = f.chat(0).send(&chat_body(false, 4));
         match a.status {
             200 => served += 1,
             _ => break a,
@@ -272,12 +275,12 @@
     // The reserve is on disk: a restart neither loses it nor grants it again.
     f.controls[0].kill();
     f.controls[0] = f.start_control(0);
-    let again = f.chat(0).send(&ask(false, 4));
+    let again = f.chat(0).send(&chat_body(false, 4));
     assert_ne!(again.status, 200, "{}", again.body);
     f.controls[1] = f.start_control(1);
     f.controls[2] = f.start_control(2);
-    f.until_spent(served * cost(4));
-    until("all tokens back", || f.chat(1).send(&ask(false, 4)).status == 200);
+    f.wait_until_spent(served * cost(4));
+    wait_for("all tokens back", || f.chat(1).send(&chat_body(false, 4)).status == 200);
     assert!(f.budget()["total"]["requests"].as_u64().unwrap() >= served);
 }
 
@@ -300,7 +303,7 @@
                     while !stop.load(Ordering::Relaxed) {
                         let id = format!("move-{t}-{n}");
                         let mut tries = 0;
-                        until("an answer to a move", || {
+                        wait_for("an answer to a move", || {
                             tries += 1;
                             let a = &routers[(t + tries) % routers.len()];
                             let r = support::Request::new(a, "/board-live/moves");
@@ -316,9 +319,9 @@
         for _ in 0..2 {
             let old = leader(&f).unwrap();
             f.controls[old].kill();
-            until("another leader", || leader(&f).is_some_and(|l| l != old));
+            wait_for("another leader", || leader(&f).is_some_and(|l| l != old));
             f.controls[old] = f.start_control(old);
-            until("a whole group", || {
+            wait_for("a whole group", || {
                 let out = f.cli(&["status", "--json"]);
                 serde_json::from_slice::<Value>(&out.stdout).is_ok_and(|v| v["safe"] == true)
             });
@@ -337,19 +340,19 @@
 #[test]
 fn a_removed_key_and_a_closed_account_are_refused() {
     let f = Fleet::start(Plan { engines: vec![vec!["--token-ms", "100"]], ..Plan::default() });
-    let (_, _, mut reader) = f.chat(0).open(&ask(true, 12));
+    let (_, _, mut reader) = f.chat(0).open(&chat_body(true, 12));
     let mut line = String::new();
     reader.read_line(&mut line).unwrap();
     let closed = f.example().replace("account: club,", "account: club, closed: true,");
     assert!(f.apply("closed.yaml", &closed).status.success());
-    let revoked = f.example().replace(&support::digest(), &"0".repeat(64));
+    let revoked = f.example().replace(&support::key_digest(), &"0".repeat(64));
     for (n, (text, code)) in [(closed, "CF1003"), (revoked, "CF1002")].into_iter().enumerate() {
         if n > 0 {
             assert!(f.apply("revoked.yaml", &text).status.success());
         }
         for r in 0..2 {
-            f.until_ready(r, 2 + n as u64);
-            let a = f.chat(r).send(&ask(false, 4));
+            f.wait_until_ready(r, 2 + n as u64);
+            let a = f.chat(r).send(&chat_body(false, 4));
             assert_eq!(a.code(), code, "{}", a.body);
             assert_eq!(a.json()["error"]["ran"], "no");
         }
@@ -357,7 +360,7 @@
     let mut rest = String::new();
     reader.read_to_string(&mut rest).unwrap();
     assert!(rest.trim_end().ends_with("data: [DONE]"), "{rest}");
-    f.until_spent(cost(12));
+    f.wait_until_spent(cost(12));
 }
 
 /// Guards against a double bill when a router is killed after it posted the bill and the caller retries at
@@ -365,13 +368,14 @@
 #[test]
 fn a_retry_after_the_bill_was_posted_is_not_billed_again() {
     let mut f = Fleet::start(Plan::default());
-    let send = |f: &Fleet, n: usize| f.chat(n).header("idempotency-key", "g1").send(&ask(false, 4));
+    let send =
+        |f: &Fleet, n: usize| f.chat(n).header("idempotency-key", "g1").send(&chat_body(false, 4));
     assert_eq!(send(&f, 0).status, 200);
-    f.until_spent(cost(4));
+    f.wait_until_spent(cost(4));
     f.routers[0].kill();
     assert_eq!(send(&f, 1).status, 200);
-    f.until_spent(2 * cost(4));
-    until("the second run's bill", || f.budget()["total"]["unbilled"] == cost(4));
+    f.wait_until_spent(2 * cost(4));
+    wait_for("the second run's bill", || f.budget()["total"]["unbilled"] == cost(4));
     let total = f.budget()["total"].clone();
     assert_eq!((&total["requests"], &total["billed"]), (&1.into(), &cost(4).into()));
 }
--- a/crates/cypressfork/tests/full_link.rs
+++ b/crates/cypressfork/tests/full_link.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 use support::gateways::*;
-use support::until;
+use support::wait_for;
 
 /// Link capacity of the gateway under test, in Mbit/s.
 const LINK_MBPS: u64 = 1;
@@ -29,28 +29,28 @@
     f.start_control(0, true);
     let text = format!(
         "{}listen: \"{}\"\nlink: \"{}\"\noperators: \"{}\"\nmetrics: \"{}\"\nreport_ms: 50\nlink_mbps: {LINK_MBPS}\n",
-        f.common("gateway-0"),
-        f.front,
+        f.common_settings("gateway-0"),
+        f.listen,
         f.link,
         f.operators,
         f.metrics,
     );
     f.gateway = Some(f.start("gateway-0", "gateway", &text));
     f.publish(3);
-    f.beat(replica(), 1);
-    until("an answer", || f.ask("/board/x").is_some_and(|a| a.0 == 200));
+    f.send_heartbeat(start_replica(), 1);
+    wait_for("an answer", || f.get("/board/x").is_some_and(|a| a.0 == 200));
     f
 }
 
 /// Sends a request on a new connection. Returns false if the connection is refused.
 fn send(f: &Fleet) -> bool {
-    let mut s = match TcpStream::connect(f.front) {
+    let mut s = match TcpStream::connect(f.listen) {
         Ok(s) => s,
         Err(e) if e.kind() == ErrorKind::ConnectionRefused => return false,
         Err(e) => panic!("{e}"),
     };
     let head = format!(
-        "POST /board/x HTTP/1.1\r\nHost: {HOST}\r\n{CALLER}Connection: close\r\nContent-Length: {BODY_BYTES}\r\n\r\n"
+        "POST /board/x HTTP/1.1\r\nHost: {HOST}\r\n{CALLER_HEADERS}Connection: close\r\nContent-Length: {BODY_BYTES}\r\n\r\n"
     );
     // A connection in the accept backlog is reset when the gateway stops listening, so errors are ignored.
     let sent = s.write_all(head.as_bytes()).and_then(|()| s.write_all(&[b'x'; BODY_BYTES]));
@@ -63,13 +63,13 @@
 #[test]
 fn a_gateway_with_a_full_link_refuses_connections_briefly() {
     let f = fleet_with_narrow_link();
-    until("a refused connection", || !send(&f));
+    wait_for("a refused connection", || !send(&f));
     let began = Instant::now();
-    until("a connection", || send(&f));
+    wait_for("a connection", || send(&f));
     assert!(began.elapsed() < ACCEPTS_WITHIN, "{:?}", began.elapsed());
     let ready = exchange(f.operators, "GET", "/readyz", "", "").map(|a| a.0);
     assert_eq!(ready, Some(200), "the gateway keeps running and reports ready");
-    let times_closed = sample(f.metrics, "cypressfork_closed_doors_total");
+    let times_closed = metric_value(f.metrics, "cypressfork_closed_doors_total");
     assert!(times_closed.is_some_and(|n| n >= 1.0), "{times_closed:?}");
 }
 
@@ -81,5 +81,5 @@
         assert!(send(&f));
         std::thread::sleep(Duration::from_millis(150));
     }
-    assert_eq!(sample(f.metrics, "cypressfork_closed_doors_total"), None);
+    assert_eq!(metric_value(f.metrics, "cypressfork_closed_doors_total"), None);
 }
--- a/crates/cypressfork/tests/limits.rs
+++ b/crates/cypressfork/tests/limits.rs
@@ -13,10 +13,10 @@
 use std::time::{Duration, Instant};
 
 use rstest::rstest;
-use support::crashing::{Callers, two_routes};
+use support::crashing::{Callers, document_with_two_routes};
 use support::gateways::*;
 use support::limited::*;
-use support::until;
+use support::wait_for;
 
 /// Number of replicas of the service.
 const REPLICAS: usize = 6;
@@ -34,65 +34,68 @@
 const LIMIT_REACHED: &str = "CF1311";
 
 /// How long a test observes the fleet.
-const OBSERVED: Duration = Duration::from_secs(6);
+const OBSERVATION: Duration = Duration::from_secs(6);
 
 /// Returns the number of requests allowed in [`WINDOW`] under a limit per second.
 fn allowed(limit: f64) -> usize {
     (limit * WINDOW.as_secs_f64() * TOLERANCE + SLACK) as usize
 }
 
-struct World {
+struct Harness {
     // Callers and replicas stop before the processes.
     callers: Callers,
     replicas: Vec<LimitedReplica>,
-    seen: Arc<Seen>,
+    request_log: Arc<RequestLog>,
     fleet: Fleet,
-    neighbours: Vec<Neighbour>,
+    extra_gateways: Vec<ExtraGateway>,
 }
 
-impl Drop for World {
+impl Drop for Harness {
     fn drop(&mut self) {
-        self.callers.over.store(true, Ordering::Relaxed);
-        self.replicas.iter().for_each(|r| r.over.store(true, Ordering::Relaxed));
+        self.callers.stop.store(true, Ordering::Relaxed);
+        self.replicas.iter().for_each(|r| r.stop.store(true, Ordering::Relaxed));
     }
 }
 
-impl World {
+impl Harness {
     /// Starts a fleet of this many gateways and waits until each serves a request. Starts no callers.
-    fn new(gateways: usize) -> World {
+    fn new(gateways: usize) -> Harness {
         let mut fleet = Fleet::new(3);
         (0..3).for_each(|n| fleet.start_control(n, true));
         fleet.start_gateway();
-        let neighbours = fleet.start_neighbours(gateways - 1);
-        let first = two_routes(3).to_string();
-        until("the document to be accepted", || {
+        let extra_gateways = fleet.start_extra_gateways(gateways - 1);
+        let first = document_with_two_routes(3).to_string();
+        wait_for("the document to be accepted", || {
             matches!(fleet.call(0, "PUT", "/v1/document", &first), Some((200, _)))
         });
-        let fronts: Vec<_> = neighbours.iter().map(|g| g.front).chain([fleet.front]).collect();
-        let seen = Arc::<Seen>::default();
+        let gateway_addresses: Vec<_> =
+            extra_gateways.iter().map(|g| g.listen).chain([fleet.listen]).collect();
+        let request_log = Arc::<RequestLog>::default();
         let controls: Vec<_> = fleet.controls.iter().map(|c| c.api).collect();
-        let replica = |n| LimitedReplica::new(format!("b-{n}"), controls.clone(), seen.clone());
+        let replica =
+            |n| LimitedReplica::new(format!("b-{n}"), controls.clone(), request_log.clone());
         let replicas: Vec<_> = (0..REPLICAS).map(replica).collect();
         replicas.iter().for_each(LimitedReplica::start);
-        for front in &fronts {
-            until("a response", || {
-                exchange(*front, "GET", "/board/x", CALLER, "").is_some_and(|a| a.0 == 200)
+        for gateway in &gateway_addresses {
+            wait_for("a response", || {
+                exchange(*gateway, "GET", "/board/x", CALLER_HEADERS, "")
+                    .is_some_and(|a| a.0 == 200)
             });
         }
-        let callers = Callers::new(Arc::new(Mutex::new(fronts)));
-        World { callers, replicas, seen, fleet, neighbours }
+        let callers = Callers::new(Arc::new(Mutex::new(gateway_addresses)));
+        Harness { callers, replicas, request_log, fleet, extra_gateways }
     }
 
     /// Starts to send requests to both routes at this rate per second.
-    fn send(&self, a_second: u32) {
-        self.callers.send("sound", Duration::from_secs(1) / a_second, |n| match n % 5 {
+    fn send(&self, per_second: u32) {
+        self.callers.send("sound", Duration::from_secs(1) / per_second, |n| match n % 5 {
             0 => ("POST", "/moves/x".to_owned(), format!("move {n}")),
             _ => ("GET", format!("/board/{n}"), String::new()),
         });
     }
 
     /// Makes the first `n` replicas announce a limit. Returns the time from which it must be observed.
-    fn limit(&self, n: usize, limit: f64) -> Instant {
+    fn announce_limit(&self, n: usize, limit: f64) -> Instant {
         self.replicas[..n].iter().for_each(|r| r.announce_limit(Some(&limit.to_string())));
         Instant::now() + EFFECTIVE_AFTER
     }
@@ -101,20 +104,20 @@
     /// after `since`.
     fn max_in_window(&self, n: usize, since: Instant) -> usize {
         let each = self.replicas[..n].iter();
-        each.map(|r| self.seen.max_within(&r.name, since, WINDOW)).max().unwrap()
+        each.map(|r| self.request_log.max_within(&r.name, since, WINDOW)).max().unwrap()
     }
 }
 
-impl World {
+impl Harness {
     /// Returns the number of gateways that have logged a limit of `replica`.
     fn gateways_with_limit(&self, replica: &str) -> usize {
         let logged_limit = |text: String| {
             text.lines()
                 .any(|l| l.contains(" CFE438 ") && l.contains(&format!(" replica={replica} ")))
         };
-        let neighbours = self.neighbours.iter().map(|g| g.process.log());
-        let first = log(self.fleet.dir.path(), "gateway-0");
-        neighbours.chain([first]).filter(|text| logged_limit(text.clone())).count()
+        let extra_gateways = self.extra_gateways.iter().map(|g| g.process.log());
+        let first = read_log(self.fleet.dir.path(), "gateway-0");
+        extra_gateways.chain([first]).filter(|text| logged_limit(text.clone())).count()
     }
 }
 
@@ -129,18 +132,18 @@
 #[case::less_than_one_request_for_each_gateway(8, 2, 1.0, 60)]
 #[case::one_request_in_two_seconds(8, REPLICAS, 0.5, 40)]
 #[case::none_at_all(4, 1, 0.0, 60)]
-fn a_replica_gets_no_more_than_the_limit_that_it_names(
+fn a_replica_gets_no_more_than_its_announced_limit(
     #[case] gateways: usize,
     #[case] limited: usize,
     #[case] limit: f64,
-    #[case] a_second: u32,
+    #[case] per_second: u32,
 ) {
-    let world = World::new(gateways);
-    world.send(a_second);
-    let since = world.limit(limited, limit);
-    sleep_until(since + OBSERVED);
-    let most = world.max_in_window(limited, since);
-    let known = world.gateways_with_limit("b-0");
+    let harness = Harness::new(gateways);
+    harness.send(per_second);
+    let since = harness.announce_limit(limited, limit);
+    sleep_until(since + OBSERVATION);
+    let most = harness.max_in_window(limited, since);
+    let known = harness.gateways_with_limit("b-0");
     assert_eq!(known, gateways, "gateways that logged the limit");
     assert!(most <= allowed(limit), "{most} requests in 4 s, {} are allowed", allowed(limit));
 }
@@ -148,51 +151,62 @@
 /// Guards against refusals while replicas without a limit have capacity.
 #[test]
 fn replicas_without_a_limit_serve_all_requests() {
-    let world = World::new(4);
-    world.limit(2, 1.0);
-    world.send(60);
-    sleep(EFFECTIVE_AFTER + OBSERVED);
-    let got = world.callers.got();
-    assert!(got.sent > 300, "{got:?}");
-    assert_eq!(got.served, got.sent, "{:?}", got.kinds());
+    let harness = Harness::new(4);
+    harness.announce_limit(2, 1.0);
+    harness.send(60);
+    sleep(EFFECTIVE_AFTER + OBSERVATION);
+    let outcomes = harness.callers.outcomes();
+    assert!(outcomes.sent > 300, "{outcomes:?}");
+    assert_eq!(outcomes.served, outcomes.sent, "{:?}", outcomes.distinct_codes());
 }
 
 /// Guards against unused capacity below the limits; only requests beyond the limits are refused.
 #[test]
 fn the_combined_limits_are_used() {
-    let world = World::new(4);
+    let harness = Harness::new(4);
     // Wait until it is settled which processes issue permits.
     sleep(WINDOW + Duration::from_secs(1));
-    let since = world.limit(REPLICAS, 2.0);
-    world.send(40);
-    sleep_until(since + OBSERVED);
-    let arrived: usize =
-        world.replicas.iter().map(|r| world.seen.since(&r.name, since).len()).sum();
-    let possible = 2 * REPLICAS * OBSERVED.as_secs() as usize;
+    let since = harness.announce_limit(REPLICAS, 2.0);
+    harness.send(40);
+    sleep_until(since + OBSERVATION);
+    let arrived: usize = harness
+        .replicas
+        .iter()
+        .map(|r| harness.request_log.arrivals_since(&r.name, since).len())
+        .sum();
+    let possible = 2 * REPLICAS * OBSERVATION.as_secs() as usize;
     assert!(arrived * 10 >= possible * 7, "{arrived} of {possible}");
-    let got = world.callers.got();
-    assert_eq!(got.kinds(), HashSet::from([LIMIT_REACHED]), "{got:?}");
-    assert!(got.sent - got.served > 50, "{got:?}");
+    let outcomes = harness.callers.outcomes();
+    assert_eq!(outcomes.distinct_codes(), HashSet::from([LIMIT_REACHED]), "{outcomes:?}");
+    assert!(outcomes.sent - outcomes.served > 50, "{outcomes:?}");
 }
 
 /// Guards against a new gateway that exceeds limits that were announced before it started.
 #[test]
 fn a_new_gateway_applies_known_limits() {
-    let mut world = World::new(3);
-    world.send(40);
-    let since = world.limit(REPLICAS, 1.0);
+    let mut harness = Harness::new(3);
+    harness.send(40);
+    let since = harness.announce_limit(REPLICAS, 1.0);
     sleep_until(since);
-    let more = world.fleet.start_neighbours_from(world.neighbours.len(), 1);
-    let front = more[0].front;
-    until("a response", || exchange(front, "GET", "/board/x", CALLER, "").is_some());
-    let before: usize = world.replicas.iter().map(|r| world.seen.since(&r.name, since).len()).sum();
+    let more = harness.fleet.start_extra_gateways_from(harness.extra_gateways.len(), 1);
+    let gateway = more[0].listen;
+    wait_for("a response", || exchange(gateway, "GET", "/board/x", CALLER_HEADERS, "").is_some());
+    let before: usize = harness
+        .replicas
+        .iter()
+        .map(|r| harness.request_log.arrivals_since(&r.name, since).len())
+        .sum();
     let answers: Vec<_> =
-        (0..40).filter_map(|_| exchange(front, "GET", "/board/x", CALLER, "")).collect();
-    let after: usize = world.replicas.iter().map(|r| world.seen.since(&r.name, since).len()).sum();
+        (0..40).filter_map(|_| exchange(gateway, "GET", "/board/x", CALLER_HEADERS, "")).collect();
+    let after: usize = harness
+        .replicas
+        .iter()
+        .map(|r| harness.request_log.arrivals_since(&r.name, since).len())
+        .sum();
     let refused = answers.iter().filter(|a| a.1["error"]["code"] == LIMIT_REACHED).count();
     assert!(refused >= 30, "{refused} of {} refused", answers.len());
     assert!(after - before <= allowed(REPLICAS as f64), "{}", after - before);
-    world.neighbours.extend(more);
+    harness.extra_gateways.extend(more);
 }
 
 /// Guards against a limit that is ignored in a failed response or in a response that a request was not run.
@@ -200,43 +214,43 @@
 #[case::rejected(REJECTED)]
 #[case::failing(FAILING)]
 fn a_limit_in_any_response_applies(#[case] kind: &'static str) {
-    let world = World::new(3);
-    let since = world.limit(1, 1.0);
-    world.callers.send("odd", Duration::from_millis(20), move |n| {
+    let harness = Harness::new(3);
+    let since = harness.announce_limit(1, 1.0);
+    harness.callers.send("odd", Duration::from_millis(20), move |n| {
         ("GET", format!("/board/{kind}-{n}"), String::new())
     });
-    sleep_until(since + OBSERVED);
-    let most = world.max_in_window(1, since);
+    sleep_until(since + OBSERVATION);
+    let most = harness.max_in_window(1, since);
     assert!(most <= allowed(1.0), "{most}");
 }
 
 /// Guards against a limit that stays in force after the replica stops announcing it.
 #[test]
 fn a_limit_ends_when_it_is_no_longer_announced() {
-    let world = World::new(4);
-    world.send(60);
-    sleep_until(world.limit(1, 1.0) + Duration::from_secs(1));
-    world.replicas[0].announce_limit(None);
+    let harness = Harness::new(4);
+    harness.send(60);
+    sleep_until(harness.announce_limit(1, 1.0) + Duration::from_secs(1));
+    harness.replicas[0].announce_limit(None);
     let ended = Instant::now() + EFFECTIVE_AFTER;
     sleep_until(ended + WINDOW);
-    let got = world.seen.since("b-0", ended).len();
+    let got = harness.request_log.arrivals_since("b-0", ended).len();
     assert!(got > 20, "{got} requests in 4 s");
 }
 
 /// Guards against an invalid limit that replaces the previous one.
 #[test]
 fn an_invalid_limit_is_ignored() {
-    let world = World::new(3);
-    world.send(60);
-    sleep_until(world.limit(1, 1.0));
+    let harness = Harness::new(3);
+    harness.send(60);
+    sleep_until(harness.announce_limit(1, 1.0));
     for value in ["-1", "NaN", "1e999", "", "5/s", "1, 2"] {
-        world.replicas[0].announce_limit(Some(value));
+        harness.replicas[0].announce_limit(Some(value));
         sleep(Duration::from_millis(1_500));
     }
     let since = Instant::now() - Duration::from_secs(9);
-    let most = world.max_in_window(1, since);
+    let most = harness.max_in_window(1, since);
     assert!(most <= allowed(1.0), "{most}");
-    let text = log(world.fleet.dir.path(), "gateway-0");
+    let text = read_log(harness.fleet.dir.path(), "gateway-0");
     assert!(
         text.lines().filter(|l| l.contains(" CFE439 ")).count() <= 1,
         "at most one log line per replica"
@@ -255,32 +269,35 @@
 /// Guards against limits that are exceeded or block all requests while processes fail.
 #[rstest]
 #[case::gateways_are_killed(Fault::Gateways)]
-#[case::all_control_processes_are_away(Fault::Controls)]
+#[case::all_control_processes_are_killed(Fault::Controls)]
 fn a_limit_holds_during_process_failures(#[case] fault: Fault) {
-    let mut world = World::new(4);
-    world.send(60);
-    let since = world.limit(REPLICAS, 1.0);
+    let mut harness = Harness::new(4);
+    harness.send(60);
+    let since = harness.announce_limit(REPLICAS, 1.0);
     sleep_until(since);
     match fault {
         Fault::Gateways => {
-            for n in 0..world.neighbours.len() {
-                world.neighbours[n].process.kill();
+            for n in 0..harness.extra_gateways.len() {
+                harness.extra_gateways[n].process.kill();
                 sleep(Duration::from_millis(700));
-                world.fleet.start_neighbour_again(&mut world.neighbours[n]);
+                harness.fleet.restart_extra_gateway(&mut harness.extra_gateways[n]);
                 sleep(Duration::from_millis(1_500));
             }
         }
         Fault::Controls => {
-            for c in &mut world.fleet.controls {
+            for c in &mut harness.fleet.controls {
                 c.process.as_mut().unwrap().kill();
             }
         }
     }
-    sleep_until(since + OBSERVED);
-    let most = world.max_in_window(REPLICAS, since);
+    sleep_until(since + OBSERVATION);
+    let most = harness.max_in_window(REPLICAS, since);
     assert!(most <= allowed(1.0), "{most}");
-    let arrived: usize =
-        world.replicas.iter().map(|r| world.seen.since(&r.name, since).len()).sum();
-    let possible = REPLICAS * OBSERVED.as_secs() as usize;
+    let arrived: usize = harness
+        .replicas
+        .iter()
+        .map(|r| harness.request_log.arrivals_since(&r.name, since).len())
+        .sum();
+    let possible = REPLICAS * OBSERVATION.as_secs() as usize;
     assert!(arrived * 3 >= possible, "{arrived} of {possible}");
 }
--- a/crates/cypressfork/tests/path.rs
+++ b/crates/cypressfork/tests/path.rs
@@ -6,15 +6,15 @@
 use std::path::Path;
 use std::process::Command;
 
-use support::{Fleet, Plan, ask, get, program};
+use support::{Fleet, Plan, chat_body, get_json, program};
 
-/// Tokens of the prompt of [`ask`].
+/// Tokens of the prompt of [`chat_body`].
 const PROMPT_TOKENS: u64 = 3;
 
 #[test]
 fn a_streamed_answer_is_whole_and_billed_exactly() {
     let f = Fleet::start(Plan { tokens: 10_000, ..Plan::default() });
-    let entry = get(&format!("http://{}/v1/entry", f.router_addresses[1])).unwrap();
+    let entry = get_json(&format!("http://{}/v1/entry", f.router_addresses[1])).unwrap();
     let addresses: Vec<_> = entry["addresses"]
         .as_array()
         .unwrap()
@@ -23,12 +23,13 @@
         .collect();
     assert_eq!(addresses.len(), 2);
     assert_eq!(addresses[0], f.router_addresses[1], "the caller's own data centre comes first");
-    let (status, _, reader) = f.chat(0).header("idempotency-key", "game-1").open(&ask(true, 8));
+    let (status, _, reader) =
+        f.chat(0).header("idempotency-key", "game-1").open(&chat_body(true, 8));
     let lines: Vec<String> = reader.lines().map(Result::unwrap).collect();
     assert_eq!(status, 200);
     assert_eq!(lines.iter().filter(|l| l.starts_with("data: {")).count(), 8);
     assert_eq!(lines.iter().rfind(|l| !l.is_empty()).unwrap(), "data: [DONE]");
-    f.until_spent(PROMPT_TOKENS + 8);
+    f.wait_until_spent(PROMPT_TOKENS + 8);
     let bill = f.json(&["bill", "club", "game-1"]);
     assert_eq!(
         (&bill["prompt"], &bill["output"], &bill["whole"]),
@@ -39,12 +40,12 @@
 #[test]
 fn a_request_without_streaming_gets_one_object() {
     let f = Fleet::start(Plan::default());
-    let a = f.chat(0).send(&ask(false, 4));
+    let a = f.chat(0).send(&chat_body(false, 4));
     assert_eq!(a.status, 200, "{}", a.body);
     let v = a.json();
     assert_eq!(v["choices"][0]["message"]["content"], "w1 w2 w3 w4 ");
     assert_eq!(v["usage"]["total_tokens"], PROMPT_TOKENS + 4);
-    f.until_spent(PROMPT_TOKENS + 4);
+    f.wait_until_spent(PROMPT_TOKENS + 4);
 }
 
 #[test]
--- a/crates/cypressfork/tests/regions.rs
+++ b/crates/cypressfork/tests/regions.rs
@@ -8,7 +8,7 @@
 
 use serde_json::json;
 use support::gateways::*;
-use support::{own_ip, until};
+use support::{own_ip, wait_for};
 
 /// The regions, each with its data centre.
 const REGIONS: [(&str, &str); 2] = [("north", "n1"), ("south", "s1")];
@@ -30,7 +30,7 @@
         for n in 0..3 {
             start_control(&mut fleet, n, REGIONS[n % 2]);
         }
-        let free = free(&own_ip(), 6);
+        let free = free_socket_addrs(&own_ip(), 6);
         let mut gateways = Vec::new();
         for (n, place) in REGIONS.into_iter().enumerate() {
             let own = &free[3 * n..];
@@ -52,7 +52,7 @@
         d["routes"][0]["regions"] = json!(route);
         d["accounts"][0]["regions"] = json!(account);
         let text = d.to_string();
-        until("the document to be accepted", || {
+        wait_for("the document to be accepted", || {
             (0..3)
                 .any(|n| matches!(self.fleet.call(n, "PUT", "/v1/document", &text), Some((200, _))))
         });
@@ -69,7 +69,7 @@
 
     /// Sends a request to a gateway; returns the status and the result code, or 0 without a response.
     fn ask(&self, front: SocketAddr) -> (u16, String) {
-        match exchange(front, "GET", "/board/x", CALLER, "") {
+        match exchange(front, "GET", "/board/x", CALLER_HEADERS, "") {
             Some((status, v)) => {
                 (status, v["error"]["code"].as_str().unwrap_or_default().to_owned())
             }
@@ -80,13 +80,13 @@
     /// Waits until every gateway responds with this status and result code.
     fn until_all(&self, what: &str, status: u16, code: &str) {
         for front in &self.fronts {
-            until(what, || self.ask(*front) == (status, code.to_owned()));
+            wait_for(what, || self.ask(*front) == (status, code.to_owned()));
         }
     }
 }
 
 fn common(fleet: &Fleet, vm: &str, (region, data_centre): (&str, &str)) -> String {
-    let text = fleet.common(vm);
+    let text = fleet.common_settings(vm);
     let text = text.replace("region: tas-north", &format!("region: {region}"));
     let text = text.replace("data_centre: tamar-a", &format!("data_centre: {data_centre}"));
     format!("{text}  regions: {{ n1: north, s1: south }}\n")
@@ -113,18 +113,18 @@
 fn two_regions_share_one_control_group() {
     let world = World::new();
     world.publish(3, &[], &[]);
-    let north = replica();
+    let north = start_replica();
     world.beat("b-1", north, "n1", 1);
     world.until_all("a response", 200, "");
     // A document that is published in one region is in force in the other.
     for n in 0..3 {
-        until("the document in both regions", || world.fleet.version(n) == Some(3));
+        wait_for("the document in both regions", || world.fleet.version(n) == Some(3));
     }
     let listed = |dc: &str| {
         let answer = world.fleet.call(0, "GET", &format!("/v1/entry?data_centre={dc}"), "");
         answer.and_then(|a| a.1["addresses"].as_array().map(Vec::len))
     };
-    until("both gateways to be listed", || listed("n1") == Some(2) && listed("s1") == Some(2));
+    wait_for("both gateways to be listed", || listed("n1") == Some(2) && listed("s1") == Some(2));
 }
 
 /// Guards against a bound request that is served outside its regions.
@@ -132,10 +132,10 @@
 fn a_request_bound_to_a_region_is_served_only_there() {
     let world = World::new();
     world.publish(3, &["south"], &[]);
-    let north = replica();
+    let north = start_replica();
     world.beat("b-1", north, "n1", 1);
     world.until_all("a refusal", 503, NO_REGION);
-    world.beat("b-2", replica(), "s1", 1);
+    world.beat("b-2", start_replica(), "s1", 1);
     world.until_all("a response", 200, "");
     // The regions of the account and of the route both apply.
     world.publish(4, &["south"], &["north"]);
@@ -149,8 +149,8 @@
 fn a_region_without_a_quorum_keeps_serving() {
     let mut world = World::new();
     world.publish(3, &[], &[]);
-    world.beat("b-1", replica(), "n1", 1);
-    world.beat("b-2", replica(), "s1", 1);
+    world.beat("b-1", start_replica(), "n1", 1);
+    world.beat("b-2", start_replica(), "s1", 1);
     world.until_all("a response", 200, "");
     for n in [0, 2] {
         world.fleet.controls[n].process.as_mut().unwrap().kill();
--- a/crates/cypressfork/tests/support/crashing.rs
+++ b/crates/cypressfork/tests/support/crashing.rs
@@ -16,16 +16,16 @@
 pub const KILLER: &str = "ends-its-replica";
 
 /// Time from the arrival of a killer request to the crash.
-const CRASHES_AFTER: Duration = Duration::from_millis(40);
+const CRASH_DELAY: Duration = Duration::from_millis(40);
 
 /// Run time of a harmless request.
 const RUN_TIME: Duration = Duration::from_millis(60);
 
 /// Interval between heartbeats.
-const HEARTBEAT_EVERY: Duration = Duration::from_millis(300);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Interval at which a replica polls for new connections.
-const POLL_EVERY: Duration = Duration::from_millis(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Arrivals and crashes recorded by the replicas.
 #[derive(Default)]
@@ -72,44 +72,45 @@
     Held,
 }
 
-/// A replica that restarts at its address after each crash until `over` is set.
+/// A replica that restarts at its address after each crash until `stop` is set.
 pub struct CrashingReplica {
     pub address: SocketAddr,
     pub name: String,
     pub restart_as: RestartAs,
     pub socket: Socket,
-    pub down: Duration,
+    pub downtime: Duration,
     pub controls: Vec<SocketAddr>,
     pub crash_record: Arc<CrashRecord>,
-    pub over: Arc<AtomicBool>,
+    pub stop: Arc<AtomicBool>,
 }
 
 /// One process of a replica, from its start to its crash.
 struct Incarnation {
     id: String,
     ended: AtomicBool,
-    open: Mutex<Vec<TcpStream>>,
+    connections: Mutex<Vec<TcpStream>>,
 }
 
 impl CrashingReplica {
+    /// Starts the replica in a thread.
     pub fn start(self) {
-        thread::spawn(move || self.run_until_over());
+        thread::spawn(move || self.run());
     }
 
-    fn run_until_over(&self) {
+    fn run(&self) {
         let mut incarnations = 0;
         let mut held = None;
-        while !self.over.load(Ordering::Relaxed) {
+        while !self.stop.load(Ordering::Relaxed) {
             incarnations += 1;
             let id = match self.restart_as {
                 RestartAs::NewId => format!("{}-{incarnations}", self.name),
                 RestartAs::SameId | RestartAs::SameIdBorn => self.name.clone(),
             };
             let incarnation =
-                Incarnation { id, ended: AtomicBool::new(false), open: Mutex::default() };
+                Incarnation { id, ended: AtomicBool::new(false), connections: Mutex::default() };
             let listener = held.take().unwrap_or_else(|| TcpListener::bind(self.address).unwrap());
             held = self.run_incarnation(&Arc::new(incarnation), listener);
-            sleep(self.down);
+            sleep(self.downtime);
         }
     }
 
@@ -121,20 +122,20 @@
     ) -> Option<TcpListener> {
         listener.set_nonblocking(true).unwrap();
         self.send_heartbeats(incarnation);
-        while !incarnation.ended.load(Ordering::Relaxed) && !self.over.load(Ordering::Relaxed) {
+        while !incarnation.ended.load(Ordering::Relaxed) && !self.stop.load(Ordering::Relaxed) {
             match listener.accept() {
                 Ok((stream, _)) => {
                     stream.set_nonblocking(false).unwrap();
-                    incarnation.open.lock().unwrap().push(stream.try_clone().unwrap());
+                    incarnation.connections.lock().unwrap().push(stream.try_clone().unwrap());
                     let (incarnation, crash_record) =
                         (incarnation.clone(), self.crash_record.clone());
                     thread::spawn(move || serve(&incarnation, &crash_record, stream));
                 }
-                Err(_) => sleep(POLL_EVERY),
+                Err(_) => sleep(POLL_INTERVAL),
             }
         }
         let end_connections = || {
-            for s in incarnation.open.lock().unwrap().drain(..) {
+            for s in incarnation.connections.lock().unwrap().drain(..) {
                 let _ = s.shutdown(Shutdown::Both);
             }
         };
@@ -156,8 +157,8 @@
     }
 
     fn send_heartbeats(&self, incarnation: &Arc<Incarnation>) {
-        let (incarnation, controls, over) =
-            (incarnation.clone(), self.controls.clone(), self.over.clone());
+        let (incarnation, controls, stop) =
+            (incarnation.clone(), self.controls.clone(), self.stop.clone());
         let address = self.address.to_string();
         let born = match self.restart_as {
             RestartAs::SameIdBorn => unix_ms(),
@@ -165,7 +166,7 @@
         };
         thread::spawn(move || {
             let mut sequence = 0;
-            while !incarnation.ended.load(Ordering::Relaxed) && !over.load(Ordering::Relaxed) {
+            while !incarnation.ended.load(Ordering::Relaxed) && !stop.load(Ordering::Relaxed) {
                 sequence += 1;
                 let heartbeat = json!({ "service": "board", "address": address,
                     "data_centre": "tamar-a", "slots": 16, "sequence": sequence, "born": born });
@@ -173,7 +174,7 @@
                 let to = controls[sequence % controls.len()];
                 // The result is ignored: the next heartbeat goes to another control process.
                 let _ = exchange(to, "PUT", &path, "", &heartbeat.to_string());
-                sleep(HEARTBEAT_EVERY);
+                sleep(HEARTBEAT_INTERVAL);
             }
         });
     }
@@ -185,7 +186,7 @@
 }
 
 /// Reads one request and returns its head and body as text, `None` if the connection closes first.
-pub fn request(s: &mut TcpStream) -> Option<String> {
+pub fn read_request(s: &mut TcpStream) -> Option<String> {
     let mut text = String::new();
     let mut buf = [0; 4096];
     loop {
@@ -212,7 +213,7 @@
 }
 
 fn serve(incarnation: &Incarnation, crash_record: &CrashRecord, mut s: TcpStream) {
-    while let Some(text) = request(&mut s) {
+    while let Some(text) = read_request(&mut s) {
         if header(&text, "x-replica") != incarnation.id {
             let id = header(&text, "x-request-id");
             let head = format!("X-Request-Id: {id}\r\nX-Not-Run: true\r\nContent-Length: 0");
@@ -224,7 +225,7 @@
         if let Some(at) = text.find(KILLER) {
             let killer: String = text[at..].chars().take_while(|c| !c.is_whitespace()).collect();
             crash_record.killers.lock().unwrap().push((killer.clone(), Instant::now()));
-            sleep(CRASHES_AFTER);
+            sleep(CRASH_DELAY);
             if !incarnation.ended.swap(true, Ordering::Relaxed) {
                 crash_record.crashes.lock().unwrap().push((killer, Instant::now()));
             }
@@ -241,51 +242,52 @@
     }
 }
 
-/// Answers that callers received.
+/// The number of requests that callers sent, and their results.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Got {
+pub struct Outcomes {
     pub sent: usize,
     pub served: usize,
-    /// The result codes of the other requests; an empty one where the connection closed without an answer.
+    /// The result codes of the requests that were not served, empty where the connection closed without an answer.
     pub codes: Vec<String>,
 }
 
-impl Got {
+impl Outcomes {
     /// Counts the answers with this result code.
-    pub fn of_code(&self, code: &str) -> usize {
+    pub fn count_code(&self, code: &str) -> usize {
         self.codes.iter().filter(|c| *c == code).count()
     }
 
     /// Returns the distinct codes.
-    pub fn kinds(&self) -> HashSet<&str> {
+    pub fn distinct_codes(&self) -> HashSet<&str> {
         self.codes.iter().map(String::as_str).collect()
     }
 }
 
-/// Callers that send to the gateways in turn until `over` is set.
+/// Callers that send to the gateways in turn until `stop` is set.
 pub struct Callers {
     pub gateways: Arc<Mutex<Vec<SocketAddr>>>,
-    pub over: Arc<AtomicBool>,
-    pub got: Arc<Mutex<Got>>,
+    pub stop: Arc<AtomicBool>,
+    pub outcomes: Arc<Mutex<Outcomes>>,
     sent: Arc<AtomicU64>,
 }
 
 impl Callers {
     pub fn new(gateways: Arc<Mutex<Vec<SocketAddr>>>) -> Callers {
-        Callers { gateways, over: Arc::default(), got: Arc::default(), sent: Arc::default() }
+        Callers { gateways, stop: Arc::default(), outcomes: Arc::default(), sent: Arc::default() }
     }
 
-    /// Sends a request every `every`; `request` maps its number to method, path and body.
+    /// Starts a thread that sends a request every `interval`; `request` maps its number to method, path and body,
+    /// and `name` is the prefix of the request ids.
     pub fn send(
         &self,
         name: &str,
-        every: Duration,
+        interval: Duration,
         request: impl Fn(u64) -> (&'static str, String, String) + Send + 'static,
     ) {
-        let (gateways, over) = (self.gateways.clone(), self.over.clone());
-        let (got, sent, name) = (self.got.clone(), self.sent.clone(), name.to_owned());
+        let (gateways, stop) = (self.gateways.clone(), self.stop.clone());
+        let (outcomes, sent, name) = (self.outcomes.clone(), self.sent.clone(), name.to_owned());
         thread::spawn(move || {
-            while !over.load(Ordering::Relaxed) {
+            while !stop.load(Ordering::Relaxed) {
                 let n = sent.fetch_add(1, Ordering::Relaxed);
                 let to = {
                     let all = gateways.lock().unwrap();
@@ -295,34 +297,35 @@
                 let head = format!(
                     "X-Request-Id: {name}-{n}\r\nAuthorization: Bearer club-key\r\nX-Timeout-Ms: 2000\r\n"
                 );
-                let got = got.clone();
+                let outcomes = outcomes.clone();
                 thread::spawn(move || {
                     let answer = exchange(to, method, &path, &head, &body);
-                    count_answer(&mut got.lock().unwrap(), answer);
+                    count_answer(&mut outcomes.lock().unwrap(), answer);
                 });
-                sleep(every);
+                sleep(interval);
             }
         });
     }
 
-    pub fn got(&self) -> Got {
-        self.got.lock().unwrap().clone()
+    /// Returns the outcomes so far.
+    pub fn outcomes(&self) -> Outcomes {
+        self.outcomes.lock().unwrap().clone()
     }
 }
 
-fn count_answer(got: &mut Got, answer: Option<(u16, Value)>) {
-    got.sent += 1;
+fn count_answer(outcomes: &mut Outcomes, answer: Option<(u16, Value)>) {
+    outcomes.sent += 1;
     match answer {
-        Some((200, _)) => got.served += 1,
+        Some((200, _)) => outcomes.served += 1,
         Some((_, v)) => {
-            got.codes.push(v["error"]["code"].as_str().unwrap_or_default().to_owned());
+            outcomes.codes.push(v["error"]["code"].as_str().unwrap_or_default().to_owned());
         }
-        None => got.codes.push(String::new()),
+        None => outcomes.codes.push(String::new()),
     }
 }
 
 /// Returns a document with a retryable and a non-retryable route to the same replicas.
-pub fn two_routes(version: u64) -> Value {
+pub fn document_with_two_routes(version: u64) -> Value {
     let route = |name: &str, kind: &str, attempts: u32| {
         json!({
             "name": name, "host": HOST, "prefix": format!("/{name}/"), "kind": kind,
--- a/crates/cypressfork/tests/support/gateways.rs
+++ b/crates/cypressfork/tests/support/gateways.rs
@@ -9,18 +9,20 @@
 use serde_json::{Value, json};
 use tempfile::TempDir;
 
-use super::{Process, free_addresses, own_ip, program, until};
+use super::{Process, free_addresses, own_ip, program, wait_for};
 
+/// Host name of the route in the document.
 pub const HOST: &str = "club.example";
 
 /// Headers that a caller of the account sends.
-pub const CALLER: &str = "X-Request-Id: r-1\r\nAuthorization: Bearer club-key\r\n";
+pub const CALLER_HEADERS: &str = "X-Request-Id: r-1\r\nAuthorization: Bearer club-key\r\n";
 
 /// Returns `n` free addresses on `ip`, which must belong to this test alone.
-pub fn free(ip: &str, n: usize) -> Vec<SocketAddr> {
+pub fn free_socket_addrs(ip: &str, n: usize) -> Vec<SocketAddr> {
     free_addresses(ip, n).iter().map(|a| a.parse().unwrap()).collect()
 }
 
+/// A control process with its addresses.
 pub struct Control {
     pub link: SocketAddr,
     pub api: SocketAddr,
@@ -29,23 +31,24 @@
 }
 
 /// A gateway in addition to the fleet's first one.
-pub struct Neighbour {
-    pub front: SocketAddr,
+pub struct ExtraGateway {
+    /// Address for requests of callers.
+    pub listen: SocketAddr,
     pub operators: SocketAddr,
     pub process: Process,
 }
 
-impl Neighbour {
+impl ExtraGateway {
     pub fn is_home(&self) -> bool {
         is_home(self.operators)
     }
 
     /// Sends a request for `tokens` tokens and returns the status and the result code.
     pub fn spend(&self, id: usize, tokens: u64) -> Option<(u16, String)> {
-        let more = format!(
+        let extra_headers = format!(
             "X-Request-Id: r-{id}\r\nAuthorization: Bearer club-key\r\nX-Tokens: {tokens},0\r\n"
         );
-        let (status, v) = exchange(self.front, "GET", "/board/x", &more, "")?;
+        let (status, v) = exchange(self.listen, "GET", "/board/x", &extra_headers, "")?;
         Some((status, v["error"]["code"].as_str().unwrap_or_default().to_owned()))
     }
 }
@@ -53,12 +56,12 @@
 /// Result code of a temporary refusal: no tokens are available now, the request has not run.
 pub const TEMPORARY_REFUSAL: &str = "CF1203";
 
-impl Neighbour {
-    /// Like [`Neighbour::spend`], but retries while the refusal is temporary. While the control process
+impl ExtraGateway {
+    /// Like [`ExtraGateway::spend`], but retries while the refusal is temporary. While the control process
     /// waits for its disk, a home gateway can neither get more tokens nor learn that there are none.
-    pub fn spend_in_the_end(&self, id: usize, tokens: u64) -> (u16, String) {
+    pub fn spend_with_retry(&self, id: usize, tokens: u64) -> (u16, String) {
         let mut last = None;
-        until("a final response", || {
+        wait_for("a final response", || {
             last = self.spend(id, tokens);
             last.as_ref()
                 .is_some_and(|(status, code)| (*status, code.as_str()) != (503, TEMPORARY_REFUSAL))
@@ -69,13 +72,14 @@
 
 /// Returns whether a gateway holds slices of a budget, that is, has sent reports on some.
 pub fn is_home(operators: SocketAddr) -> bool {
-    sample(operators, "cypressfork_report_seconds_count").is_some_and(|n| n > 0.0)
+    metric_value(operators, "cypressfork_report_seconds_count").is_some_and(|n| n > 0.0)
 }
 
 /// Control processes and one gateway.
 pub struct Fleet {
     pub controls: Vec<Control>,
-    pub front: SocketAddr,
+    /// Address of the gateway for requests of callers.
+    pub listen: SocketAddr,
     pub link: SocketAddr,
     pub operators: SocketAddr,
     pub metrics: SocketAddr,
@@ -86,16 +90,17 @@
 }
 
 impl Fleet {
+    /// Allocates the addresses and the folder; starts no process.
     pub fn new(controls: usize) -> Fleet {
-        let free = free(&own_ip(), 4 + 3 * controls);
+        let free = free_socket_addrs(&own_ip(), 4 + 3 * controls);
         let control = |n: usize| {
             let own = &free[4 + 3 * n..];
             Control { link: own[0], api: own[1], metrics: own[2], process: None }
         };
         let controls = (0..controls).map(control).collect();
-        let (front, link, operators, metrics) = (free[0], free[1], free[2], free[3]);
+        let (listen, link, operators, metrics) = (free[0], free[1], free[2], free[3]);
         let dir = TempDir::new().unwrap();
-        Fleet { controls, front, link, operators, metrics, gateway: None, replica: None, dir }
+        Fleet { controls, listen, link, operators, metrics, gateway: None, replica: None, dir }
     }
 
     /// Starts one control process, a gateway and a registered replica, and waits for a successful response.
@@ -104,22 +109,23 @@
         f.start_control(0, true);
         f.start_gateway();
         f.publish(3);
-        let address = replica();
-        f.beat(address, 1);
+        let address = start_replica();
+        f.send_heartbeat(address, 1);
         f.replica = Some(address);
-        until("a response", || f.ask("/board/x").is_some_and(|a| a.0 == 200));
+        wait_for("a response", || f.get("/board/x").is_some_and(|a| a.0 == 200));
         f
     }
 
     /// Sends a heartbeat for the replica.
-    pub fn beat(&self, replica: SocketAddr, sequence: usize) {
-        let beat = json!({ "service": "board", "address": replica.to_string(),
+    pub fn send_heartbeat(&self, replica: SocketAddr, sequence: usize) {
+        let heartbeat = json!({ "service": "board", "address": replica.to_string(),
             "data_centre": "tamar-a", "sequence": sequence });
-        let answer = self.call(0, "PUT", "/v1/replicas/b-1", &beat.to_string());
+        let answer = self.call(0, "PUT", "/v1/replicas/b-1", &heartbeat.to_string());
         assert_eq!(answer.map(|a| a.0), Some(200));
     }
 
-    pub fn common(&self, vm: &str) -> String {
+    /// Returns the `common` settings of the process on this VM.
+    pub fn common_settings(&self, vm: &str) -> String {
         // At most three seeds, as a platform would list them; the others have to be discovered.
         let seeds: Vec<_> = self.controls.iter().take(3).map(|c| c.link.to_string()).collect();
         format!(
@@ -128,13 +134,14 @@
         )
     }
 
+    /// Starts control process `n`; `found` allows it to found the control group.
     pub fn start_control(&mut self, n: usize, found: bool) {
         let data = self.dir.path().join(format!("data-{n}"));
         fs::create_dir_all(&data).unwrap();
         let c = &self.controls[n];
         let text = format!(
             "{}listen: \"{}\"\ndata_folder: {}\nmetrics: \"{}\"\nreserve: false\nheartbeat_ms: 20\nelection_ms: 150\nfleet:\n  listen: \"{}\"\n  entry: \"{}\"\n  found: {found}\n",
-            self.common(&format!("control-{n}")),
+            self.common_settings(&format!("control-{n}")),
             c.link,
             data.display(),
             c.metrics,
@@ -145,11 +152,12 @@
         self.controls[n].process = Some(process);
     }
 
+    /// Starts the first gateway.
     pub fn start_gateway(&mut self) {
         let text = format!(
             "{}listen: \"{}\"\nlink: \"{}\"\noperators: \"{}\"\nmetrics: \"{}\"\nreport_ms: 50\n",
-            self.common("gateway-0"),
-            self.front,
+            self.common_settings("gateway-0"),
+            self.listen,
             self.link,
             self.operators,
             self.metrics,
@@ -158,30 +166,30 @@
     }
 
     /// Starts `n` additional gateways in the same data centre.
-    pub fn start_neighbours(&self, n: usize) -> Vec<Neighbour> {
-        self.start_neighbours_from(0, n)
+    pub fn start_extra_gateways(&self, n: usize) -> Vec<ExtraGateway> {
+        self.start_extra_gateways_from(0, n)
     }
 
-    /// Like [`Fleet::start_neighbours`], but numbers the gateways from `from`.
-    pub fn start_neighbours_from(&self, from: usize, n: usize) -> Vec<Neighbour> {
-        let free = free(&own_ip(), 3 * n);
+    /// Like [`Fleet::start_extra_gateways`], but numbers the gateways from `from`.
+    pub fn start_extra_gateways_from(&self, from: usize, n: usize) -> Vec<ExtraGateway> {
+        let free = free_socket_addrs(&own_ip(), 3 * n);
         let start = |(n, own): (usize, &[SocketAddr])| {
             let name = format!("neighbour-{}", from + n);
             let text = format!(
                 "{}listen: \"{}\"\nlink: \"{}\"\noperators: \"{}\"\nreport_ms: 50\n",
-                self.common(&name),
+                self.common_settings(&name),
                 own[0],
                 own[1],
                 own[2],
             );
             let process = self.start(&name, "gateway", &text);
-            Neighbour { front: own[0], operators: own[2], process }
+            ExtraGateway { listen: own[0], operators: own[2], process }
         };
         free.chunks(3).enumerate().map(start).collect()
     }
 
     /// Restarts a gateway that has exited, with its previous settings.
-    pub fn start_neighbour_again(&self, g: &mut Neighbour) {
+    pub fn restart_extra_gateway(&self, g: &mut ExtraGateway) {
         let name = g.process.name.clone();
         let file = self.dir.path().join(format!("{name}.yaml"));
         let args = ["--settings", file.to_str().unwrap()];
@@ -197,7 +205,7 @@
     }
 
     /// Deletes the data folder of control process `n`.
-    pub fn empty_disk(&self, n: usize) {
+    pub fn delete_data_folder(&self, n: usize) {
         fs::remove_dir_all(self.dir.path().join(format!("data-{n}"))).unwrap();
     }
 
@@ -208,7 +216,7 @@
 
     /// Publishes a document through any control process that accepts it.
     pub fn publish(&self, version: u64) {
-        until("the document to be accepted", || {
+        wait_for("the document to be accepted", || {
             let body = document(version).to_string();
             let all = 0..self.controls.len();
             all.into_iter()
@@ -222,19 +230,18 @@
         (status == 200).then(|| v["version"].as_u64().unwrap())
     }
 
-    /// Sends a request to the first gateway.
-    pub fn ask(&self, path: &str) -> Option<(u16, Value)> {
-        exchange(self.front, "GET", path, CALLER, "")
+    /// Sends a GET request to the first gateway; returns `None` if there is no response.
+    pub fn get(&self, path: &str) -> Option<(u16, Value)> {
+        exchange(self.listen, "GET", path, CALLER_HEADERS, "")
     }
 }
 
-/// Sends an HTTP request with the additional headers `more`; returns the status and the body, or `None` if
-/// there is no response.
+/// Sends an HTTP request; returns the status and the body, or `None` if there is no response.
 pub fn exchange(
     to: SocketAddr,
     method: &str,
     path: &str,
-    more: &str,
+    extra_headers: &str,
     body: &str,
 ) -> Option<(u16, Value)> {
     let mut s = TcpStream::connect(to).ok()?;
@@ -242,7 +249,7 @@
     let length = body.len();
     write!(
         s,
-        "{method} {path} HTTP/1.1\r\nHost: {HOST}\r\n{more}Content-Length: {length}\r\nConnection: close\r\n\r\n{body}"
+        "{method} {path} HTTP/1.1\r\nHost: {HOST}\r\n{extra_headers}Content-Length: {length}\r\nConnection: close\r\n\r\n{body}"
     )
     .ok()?;
     let mut text = String::new();
@@ -252,6 +259,7 @@
     Some((status, serde_json::from_str(body).unwrap_or(Value::String(body.to_owned()))))
 }
 
+/// Returns a document with one route, one service and one client account.
 pub fn document(version: u64) -> Value {
     json!({
         "version": version,
@@ -266,7 +274,7 @@
 }
 
 /// Starts a replica whose responses name the account from the request; returns its address.
-pub fn replica() -> SocketAddr {
+pub fn start_replica() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     thread::spawn(move || {
@@ -295,12 +303,13 @@
     address
 }
 
-pub fn log(dir: &Path, name: &str) -> String {
+/// Returns the log of the process `name` of the fleet in `dir`.
+pub fn read_log(dir: &Path, name: &str) -> String {
     fs::read_to_string(dir.join(format!("{name}.log"))).unwrap()
 }
 
 /// Returns the value of the first metric sample whose name and labels start with `name`.
-pub fn sample(to: SocketAddr, name: &str) -> Option<f64> {
+pub fn metric_value(to: SocketAddr, name: &str) -> Option<f64> {
     let (status, v) = exchange(to, "GET", "/metrics", "", "")?;
     assert_eq!(status, 200);
     let text = v.as_str()?.to_owned();
--- a/crates/cypressfork/tests/support/http.rs
+++ b/crates/cypressfork/tests/support/http.rs
@@ -4,24 +4,24 @@
 
 use serde_json::Value;
 
-use super::{KEY, PATIENCE};
+use super::{KEY, WAIT_TIMEOUT};
 
 fn agent() -> ureq::Agent {
     ureq::Agent::config_builder()
         .http_status_as_error(false)
-        .timeout_global(Some(PATIENCE))
+        .timeout_global(Some(WAIT_TIMEOUT))
         .build()
         .into()
 }
 
 /// Fetches `url` and returns the body, `None` on any failure.
-pub fn text(url: &str) -> Option<String> {
+pub fn get_text(url: &str) -> Option<String> {
     agent().get(url).call().ok()?.body_mut().read_to_string().ok()
 }
 
 /// Fetches `url` and returns its JSON body, `None` on any failure.
-pub fn get(url: &str) -> Option<Value> {
-    serde_json::from_str(&text(url)?).ok()
+pub fn get_json(url: &str) -> Option<Value> {
+    serde_json::from_str(&get_text(url)?).ok()
 }
 
 /// Builder of a request, with the `Authorization` header of [`KEY`] by default.
@@ -58,7 +58,7 @@
     }
 
     /// Removes a header.
-    pub fn without(mut self, name: &str) -> Request {
+    pub fn without_header(mut self, name: &str) -> Request {
         self.headers.retain(|(n, _)| n != name);
         self
     }
--- a/crates/cypressfork/tests/support/limited.rs
+++ b/crates/cypressfork/tests/support/limited.rs
@@ -10,7 +10,7 @@
 
 use serde_json::json;
 
-use super::crashing::{header, request};
+use super::crashing::{header, read_request};
 use super::gateways::exchange;
 
 /// Interval between heartbeats.
@@ -25,21 +25,21 @@
 
 /// Requests recorded by the replicas.
 #[derive(Default)]
-pub struct Seen {
+pub struct RequestLog {
     /// Arrival times by the name of the replica.
     pub arrivals: Mutex<HashMap<String, Vec<Instant>>>,
 }
 
-impl Seen {
+impl RequestLog {
     /// Returns the arrival times at a replica from `since` on.
-    pub fn since(&self, name: &str, since: Instant) -> Vec<Instant> {
+    pub fn arrivals_since(&self, name: &str, since: Instant) -> Vec<Instant> {
         let all = self.arrivals.lock().unwrap();
         all.get(name).into_iter().flatten().copied().filter(|at| *at >= since).collect()
     }
 
     /// Returns the maximum number of requests that reached a replica within any window of `span` from `since` on.
     pub fn max_within(&self, name: &str, since: Instant, span: Duration) -> usize {
-        let all = self.since(name, since);
+        let all = self.arrivals_since(name, since);
         let within = |(n, from): (usize, &Instant)| {
             all[n..].iter().take_while(|at| at.duration_since(*from) < span).count()
         };
@@ -60,43 +60,48 @@
     address
 }
 
-/// Sends heartbeats for a replica to the control processes in turn until `over` is set.
-pub fn beat(
+/// Sends heartbeats for a replica to the control processes in turn until `stop` is set.
+pub fn start_heartbeats(
     service: &'static str,
     name: String,
     address: SocketAddr,
     controls: Vec<SocketAddr>,
-    over: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
 ) {
     thread::spawn(move || {
         for sequence in 1.. {
-            if over.load(Ordering::Relaxed) {
+            if stop.load(Ordering::Relaxed) {
                 return;
             }
-            let beat = json!({ "service": service, "address": address.to_string(),
+            let heartbeat = json!({ "service": service, "address": address.to_string(),
                 "data_centre": "tamar-a", "slots": 16, "sequence": sequence });
             let to = controls[sequence % controls.len()];
             // A failed heartbeat is not retried: the next one goes to another control process.
-            let _ = exchange(to, "PUT", &format!("/v1/replicas/{name}"), "", &beat.to_string());
+            let _ =
+                exchange(to, "PUT", &format!("/v1/replicas/{name}"), "", &heartbeat.to_string());
             sleep(HEARTBEAT_INTERVAL);
         }
     });
 }
 
-/// A replica that runs until `over` is set.
+/// A replica that runs until `stop` is set.
 #[derive(Clone)]
 pub struct LimitedReplica {
     pub name: String,
     /// Value of the `X-Rate-Limit` header; `None` omits the header.
     pub limit: Arc<Mutex<Option<String>>>,
     pub controls: Vec<SocketAddr>,
-    pub seen: Arc<Seen>,
-    pub over: Arc<AtomicBool>,
+    pub request_log: Arc<RequestLog>,
+    pub stop: Arc<AtomicBool>,
 }
 
 impl LimitedReplica {
-    pub fn new(name: String, controls: Vec<SocketAddr>, seen: Arc<Seen>) -> LimitedReplica {
-        LimitedReplica { name, limit: Arc::default(), controls, seen, over: Arc::default() }
+    pub fn new(
+        name: String,
+        controls: Vec<SocketAddr>,
+        request_log: Arc<RequestLog>,
+    ) -> LimitedReplica {
+        LimitedReplica { name, limit: Arc::default(), controls, request_log, stop: Arc::default() }
     }
 
     /// Sets the announced limit; `None` stops announcing one.
@@ -104,19 +109,26 @@
         *self.limit.lock().unwrap() = limit.map(str::to_owned);
     }
 
+    /// Starts the replica and its heartbeats in threads.
     pub fn start(&self) {
         let replica = self.clone();
         let address = listen(move |s| replica.serve(s));
-        beat("board", self.name.clone(), address, self.controls.clone(), self.over.clone());
+        start_heartbeats(
+            "board",
+            self.name.clone(),
+            address,
+            self.controls.clone(),
+            self.stop.clone(),
+        );
     }
 
     fn serve(&self, mut s: TcpStream) {
-        while let Some(text) = request(&mut s) {
-            if self.over.load(Ordering::Relaxed) {
+        while let Some(text) = read_request(&mut s) {
+            if self.stop.load(Ordering::Relaxed) {
                 return;
             }
             let name = self.name.clone();
-            self.seen.arrivals.lock().unwrap().entry(name).or_default().push(Instant::now());
+            self.request_log.arrivals.lock().unwrap().entry(name).or_default().push(Instant::now());
             let limit = self.limit.lock().unwrap().clone();
             sleep(SERVICE_TIME);
             let id = header(&text, "x-request-id");
--- a/crates/cypressfork/tests/support/mod.rs
+++ b/crates/cypressfork/tests/support/mod.rs
@@ -7,7 +7,7 @@
 pub mod gateways;
 mod http;
 pub mod limited;
-pub mod resting;
+pub mod refusing;
 pub mod slow_link;
 pub mod versions;
 
@@ -21,7 +21,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-pub use http::{Answer, Request, get, text};
+pub use http::{Answer, Request, get_json, get_text};
 use serde_json::Value;
 use tempfile::TempDir;
 
@@ -29,7 +29,7 @@
 pub const KEY: &str = "cf-test-key";
 
 /// Maximum time that a test waits for an event before it fails.
-const PATIENCE: Duration = Duration::from_secs(30);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 const DATA_CENTRES: [&str; 3] = ["tamar-a", "tamar-b", "esk-c"];
 
@@ -52,6 +52,7 @@
 }
 
 impl Process {
+    /// Starts `program` and appends its output to the file `name`.log in `dir`.
     pub fn start(dir: &Path, name: &str, program: &str, args: &[&str]) -> Process {
         let log = dir.join(format!("{name}.log"));
         let out = File::options().create(true).append(true).open(&log).unwrap();
@@ -72,15 +73,15 @@
 
     /// Sends the signal `name`, such as `TERM`.
     pub fn signal(&self, name: &str) {
-        let done =
+        let status =
             Command::new("kill").args([&format!("-{name}"), &self.id().to_string()]).status();
-        assert!(done.unwrap().success());
+        assert!(status.unwrap().success());
     }
 
     /// Waits for the process to exit and returns its exit code.
     pub fn wait(&mut self) -> Option<i32> {
         let mut code = None;
-        until("the process to exit", || match self.child.try_wait().unwrap() {
+        wait_for("the process to exit", || match self.child.try_wait().unwrap() {
             Some(status) => {
                 code = status.code();
                 true
@@ -90,6 +91,7 @@
         code
     }
 
+    /// Returns the output so far.
     pub fn log(&self) -> String {
         fs::read_to_string(&self.log).unwrap_or_default()
     }
@@ -109,9 +111,9 @@
     }
 }
 
-/// Polls `done` until it returns true. Panics after [`PATIENCE`].
-pub fn until(what: &str, mut done: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+/// Polls `done` until it returns true. Panics after [`WAIT_TIMEOUT`].
+pub fn wait_for(what: &str, mut done: impl FnMut() -> bool) {
+    let end = Instant::now() + WAIT_TIMEOUT;
     while !done() {
         assert!(Instant::now() < end, "timed out waiting for {what}");
         sleep(Duration::from_millis(10));
@@ -188,6 +190,7 @@
     }
 }
 
+/// The running processes of a fleet with their addresses.
 pub struct Fleet {
     pub dir: TempDir,
     pub plan: Plan,
@@ -206,7 +209,7 @@
     all.extend(args);
     let p = Process::start(dir, name, program("fakes"), &all);
     let mut address = String::new();
-    until("the address of a fake", || {
+    wait_for("the address of a fake", || {
         let log = p.log();
         let found = log.lines().find_map(|l| l.strip_prefix("listening "));
         address = found.unwrap_or_default().to_owned();
@@ -221,7 +224,7 @@
         let f = Fleet::start_bare(plan);
         f.apply_example();
         for n in 0..f.routers.len() {
-            f.until_ready(n, 1);
+            f.wait_until_ready(n, 1);
         }
         f
     }
@@ -274,11 +277,13 @@
         }
     }
 
+    /// Returns the path of a file in the fleet's folder.
     pub fn path(&self, name: &str) -> PathBuf {
         self.dir.path().join(name)
     }
 
-    fn common(&self, vm: &str, n: usize) -> String {
+    /// Returns the `common` settings of the `n`th process of its kind.
+    fn common_settings(&self, vm: &str, n: usize) -> String {
         let control = serde_json::to_string(&self.control_addresses).unwrap();
         format!(
             "common:\n  cluster: test\n  region: tas-north\n  data_centre: {}\n  vm: {vm}\n  key_file: {}\n  control: {control}\n  log_level: debug\n",
@@ -290,7 +295,7 @@
     pub fn write_control_settings(&self, n: usize) {
         let text = format!(
             "{}listen: \"{}\"\ndata_folder: {}\n{}",
-            self.common(&format!("control-{n}"), n),
+            self.common_settings(&format!("control-{n}"), n),
             self.control_addresses[n],
             self.path(&format!("data-{n}")).display(),
             self.plan.control_extra,
@@ -301,7 +306,7 @@
     fn write_router_settings(&self, n: usize) {
         let text = format!(
             "{}listen: \"{}\"\noperators: \"{}\"\nreserve: \"{}\"\nentry_keep_s: 1\nbody_cap: 65536\n{}\n",
-            self.common(&format!("entry-{n}"), n),
+            self.common_settings(&format!("entry-{n}"), n),
             self.router_addresses[n],
             self.ops_addresses[n],
             self.control_addresses[n % self.control_addresses.len()],
@@ -332,29 +337,29 @@
     }
 
     fn init(&self) {
-        let mut words = vec!["init"];
-        words.extend(self.control_addresses.iter().map(String::as_str));
-        let out = self.cli(&words);
+        let mut args = vec!["init"];
+        args.extend(self.control_addresses.iter().map(String::as_str));
+        let out = self.cli(&args);
         assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
     }
 
     /// Runs the operator's command line and returns its output.
-    pub fn cli(&self, words: &[&str]) -> Output {
+    pub fn cli(&self, args: &[&str]) -> Output {
         let settings = self.path("cypressfork.yaml");
         Command::new(program("cypressfork"))
-            .args(words)
+            .args(args)
             .args(["--settings", settings.to_str().unwrap()])
             .output()
             .unwrap()
     }
 
     /// Runs a subcommand, asserts that it succeeds and returns its JSON output.
-    pub fn json(&self, words: &[&str]) -> Value {
-        let mut all = words.to_vec();
+    pub fn json(&self, args: &[&str]) -> Value {
+        let mut all = args.to_vec();
         all.push("--json");
         let out = self.cli(&all);
         let err = String::from_utf8_lossy(&out.stderr);
-        assert!(out.status.success(), "{words:?}: {err}");
+        assert!(out.status.success(), "{args:?}: {err}");
         serde_json::from_slice(&out.stdout).unwrap()
     }
 
@@ -410,7 +415,7 @@
             list(&self.engines, "engine"),
             self.plan.engine_extra,
             list(&self.boards, "board"),
-            digest(),
+            key_digest(),
             self.plan.concurrency,
             self.plan.budget_extra,
             self.plan.tokens,
@@ -430,10 +435,10 @@
     }
 
     /// Waits until router `n` is ready with at least this configuration version.
-    pub fn until_ready(&self, n: usize, version: u64) {
+    pub fn wait_until_ready(&self, n: usize, version: u64) {
         let url = format!("http://{}/readyz", self.ops_addresses[n]);
-        until("a router to load the configuration", || {
-            get(&url).is_some_and(|v| {
+        wait_for("a router to load the configuration", || {
+            get_json(&url).is_some_and(|v| {
                 v["ready"] == true && v["configuration"].as_u64().unwrap_or(0) >= version
             })
         });
@@ -445,21 +450,23 @@
     }
 
     /// Waits until the budget shows exactly `tokens` as spent.
-    pub fn until_spent(&self, tokens: u64) {
+    pub fn wait_until_spent(&self, tokens: u64) {
         let mut last = Value::Null;
-        until("the expected spend", || {
+        wait_for("the expected spend", || {
             last = self.budget();
             last["spent"] == tokens
         });
         assert_eq!(last["spent"], tokens);
     }
 
+    /// Returns the statistics of engine `n`.
     pub fn engine_stats(&self, n: usize) -> Value {
-        get(&format!("http://{}/stats", self.engines[n].1)).unwrap()
+        get_json(&format!("http://{}/stats", self.engines[n].1)).unwrap()
     }
 
+    /// Returns the runs that replica `n` of the plain service reports.
     pub fn board_runs(&self, n: usize) -> Value {
-        get(&format!("http://{}/stats", self.boards[n].1)).unwrap()["runs"].clone()
+        get_json(&format!("http://{}/stats", self.boards[n].1)).unwrap()["runs"].clone()
     }
 
     /// Returns a model request to router `n`.
@@ -474,7 +481,7 @@
 }
 
 /// Returns the SHA-256 digest of [`KEY`] in hex, computed by `sha256sum` as the user documentation shows.
-pub fn digest() -> String {
+pub fn key_digest() -> String {
     let mut child =
         Command::new("sha256sum").stdin(Stdio::piped()).stdout(Stdio::piped()).spawn().unwrap();
     use std::io::Write;
@@ -484,7 +491,7 @@
 }
 
 /// Returns the body of a model request.
-pub fn ask(stream: bool, max_tokens: u64) -> String {
+pub fn chat_body(stream: bool, max_tokens: u64) -> String {
     format!(
         r#"{{"model":"go-7b","stream":{stream},"max_tokens":{max_tokens},"messages":[{{"role":"user","content":"annotate this game"}}]}}"#
     )
