--- a/crates/core/src/budget/bound.rs
+++ b/crates/core/src/budget/bound.rs
@@ -30,8 +30,8 @@
 }
 
 impl Bound {
-    /// Returns the most tokens that the holder has spent `elapsed` after the grantor accepted the
-    /// bound; `None` if the time is unknown.
+    /// Returns the most tokens that the holder may have spent `elapsed` after the grantor accepted
+    /// the bound. `elapsed` is `None` if it is unknown.
     fn max_spent(&self, elapsed: Option<Millis>) -> Tokens {
         match elapsed {
             _ if self.rate == 0 => self.limit,
--- a/crates/core/src/raft/mod.rs
+++ b/crates/core/src/raft/mod.rs
@@ -2,8 +2,7 @@
 //!
 //! It has pre-votes, a leader that steps down without responses from a quorum, reads confirmed by a
 //! quorum, learners, single-member changes and snapshots sent in chunks. A member that restarts takes
-//! part only after a quorum has confirmed that its data folder is not older than the state of it that
-//! they store.
+//! part only after a quorum has confirmed that its data folder is not an old copy.
 
 mod election;
 mod log;
--- a/crates/core/src/route/backoff.rs
+++ b/crates/core/src/route/backoff.rs
@@ -69,9 +69,9 @@
 
 impl Backoff {
     /// Starts a backoff of `span`, or extends the current one to the later end. `outstanding` is
-    /// the number of this router's requests at the replica, and `last` the ticket of the last of
-    /// them.
-    pub fn start(&mut self, now: Time, span: Millis, outstanding: u32, last: u64) {
+    /// the number of this router's requests at the replica, and `last_ticket` the ticket of the last
+    /// of them.
+    pub fn start(&mut self, now: Time, span: Millis, outstanding: u32, last_ticket: u64) {
         if span == Millis(0) {
             return;
         }
@@ -82,7 +82,7 @@
                 let slow_start_threshold = (outstanding / SLOW_START_DIVISOR).max(1);
                 self.state = Some(State {
                     until,
-                    last_before: last,
+                    last_before: last_ticket,
                     in_flight: 0,
                     max_in_flight: 1,
                     slow_start_threshold,
--- a/crates/core/src/route/pool.rs
+++ b/crates/core/src/route/pool.rs
@@ -366,7 +366,7 @@
         let is_blocked = |r: &Replica| {
             r.is_denied(now, profile.priority)
                 || (profile.avoid_rate_limited && r.rate_limited)
-                || !self.allows_after_backoff(now, r, profile)
+                || !self.backoff_allows(now, r, profile)
         };
         let eligible = |r: &Replica| {
             self.may_serve(r, profile) && !tried.contains(&r.upstream.address) && !is_blocked(r)
--- a/crates/core/src/route/pool/flow_control.rs
+++ b/crates/core/src/route/pool/flow_control.rs
@@ -117,12 +117,7 @@
     }
 
     /// Returns whether backoff and slow start allow sending this request to a replica.
-    pub(super) fn allows_after_backoff(
-        &self,
-        now: Time,
-        r: &Replica,
-        profile: &RequestProfile,
-    ) -> bool {
+    pub(super) fn backoff_allows(&self, now: Time, r: &Replica, profile: &RequestProfile) -> bool {
         !r.backoff.limits_requests()
             || (r.backoff.allows_request(now) && self.priority_gate.admits(now, profile.priority))
     }
@@ -137,7 +132,7 @@
             denied.filter_map(|r| Some((r.denied?.0.since(now), BlockReason::RateLimit, r)));
         let backing_off = self.backing_off.iter().filter_map(|a| self.replicas.get(a));
         let backing_off = backing_off.filter(|r| self.may_serve(r, profile));
-        let backing_off = backing_off.filter(|r| !self.allows_after_backoff(now, r, profile));
+        let backing_off = backing_off.filter(|r| !self.backoff_allows(now, r, profile));
         let backing_off = backing_off.map(|r| match r.backoff.is_active(now) {
             true => (r.backoff.remaining(now), BlockReason::Backoff, r),
             false => (SLOW_START_RETRY, BlockReason::Backoff, r),
--- a/crates/core/src/route/prefix.rs
+++ b/crates/core/src/route/prefix.rs
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Records that a replica evicted a prefix from its cache.
+    /// Records that a replica evicted the prefix with this hash from its cache.
     pub fn record_dropped(&mut self, replica: SocketAddr, hash: u64) {
         if let Some(holders) = self.holders.get_mut(&hash) {
             holders.retain(|h| h.replica != replica);
@@ -141,8 +141,8 @@
 
     /// Returns the replicas that may have the longest known prefix of a prompt.
     pub fn holders(&self, prompt: &PromptPrefixes) -> impl Iterator<Item = SocketAddr> {
-        let held = |(hash, _): &(u64, u64)| self.is_known(*hash).then_some(*hash);
-        let longest = prompt.steps.iter().rev().find_map(held);
+        let known = |(hash, _): &(u64, u64)| self.is_known(*hash).then_some(*hash);
+        let longest = prompt.steps.iter().rev().find_map(known);
         longest.into_iter().flat_map(|hash| self.holders_of(hash)).map(|h| h.replica)
     }
 
@@ -150,11 +150,11 @@
     /// prompt's sizes: the longest prefix sent there, discounted by its age and halved if a gap in
     /// events followed.
     pub fn cached_size(&self, now: Time, replica: SocketAddr, prompt: &PromptPrefixes) -> u64 {
-        let held = |(hash, size): &(u64, u64)| {
+        let sent_here = |(hash, size): &(u64, u64)| {
             let holder = self.holders_of(*hash).find(|h| h.replica == replica)?;
             Some((holder.sent_at, *size))
         };
-        let Some((sent_at, size)) = prompt.steps.iter().rev().find_map(held) else { return 0 };
+        let Some((sent_at, size)) = prompt.steps.iter().rev().find_map(sent_here) else { return 0 };
         let age = now.since(sent_at).0;
         let discounted = size * HALF_LIFE.0 / (HALF_LIFE.0 + age);
         let uncertain = self.gaps.get(&replica).is_some_and(|gap| sent_at <= *gap);
