--- a/crates/core/src/bill.rs
+++ b/crates/core/src/bill.rs
@@ -86,6 +86,7 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Bills {
     posted: HashMap<RequestId, PostedBill>,
+    /// Billed request ids, oldest first, with the time of the first bill.
     order: VecDeque<(Time, RequestId)>,
     totals: BTreeMap<String, BillTotals>,
     /// Unbilled runs, to detect duplicates.
--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -84,7 +84,9 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Claims {
     by_id: BTreeMap<RequestId, Claim>,
+    /// Requests that have ended, oldest first.
     outcomes: VecDeque<(Time, RequestId)>,
+    /// Tombstones, oldest first.
     marks: VecDeque<(Time, RequestId)>,
     /// Requests with a claim in progress, by holder.
     open: BTreeMap<HolderId, BTreeSet<RequestId>>,
--- a/crates/core/src/config/object.rs
+++ b/crates/core/src/config/object.rs
@@ -203,14 +203,14 @@
 )]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
-    /// Such as moves in a live game or writes of an order.
+    /// For requests such as moves in a live game or writes of an order.
     Live,
-    /// Such as hints or stock queries.
+    /// For requests such as hints or stock queries.
     Prompt,
-    /// Such as coaching or drafts.
+    /// For requests such as coaching or drafts.
     #[default]
     Normal,
-    /// Such as the annotation of finished games.
+    /// For requests such as the annotation of finished games.
     Bulk,
 }
 
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -133,7 +133,7 @@
 }
 
 impl HolderHeartbeats {
-    /// Resets to the state of a leader elected at `now`: every router counts as heard at `now`.
+    /// Resets to the state of a leader elected at `now`: every router counts as heard from at `now`.
     pub fn restart(&mut self, now: Time) {
         *self = HolderHeartbeats { since: now, ..HolderHeartbeats::default() };
     }
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -127,7 +127,7 @@
                 self.claims.abandon(now, *h);
                 Answer::Done
             }
-            Command::Ask(ask) => self.request_lease(now, pos, ask),
+            Command::Ask(request) => self.request_lease(now, pos, request),
             Command::Tally { holder, reports, batch, bills, seq, after, bounds } => {
                 let known = self.record_reports(now, *holder, reports);
                 if *seq > 0 {
@@ -241,14 +241,14 @@
         Answer::Registered(holder)
     }
 
-    fn request_lease(&mut self, now: Time, pos: LeaseId, ask: &LeaseRequest) -> Answer {
-        if self.holder_name(ask.holder).is_none() {
+    fn request_lease(&mut self, now: Time, pos: LeaseId, request: &LeaseRequest) -> Answer {
+        if self.holder_name(request.holder).is_none() {
             return Answer::Refused(Code::HolderStale);
         }
-        if !self.may_grant(&ask.budget) {
+        if !self.may_grant(&request.budget) {
             return Answer::Refused(Code::AccountClosed);
         }
-        match self.ledger.request_lease(now, pos, ask) {
+        match self.ledger.request_lease(now, pos, request) {
             Some(decision) => Answer::Decided(decision),
             None => Answer::Refused(Code::BudgetUnknown),
         }
