--- a/crates/core/src/fleet/limit/permits.rs
+++ b/crates/core/src/fleet/limit/permits.rs
@@ -61,7 +61,7 @@
 pub struct Grant {
     /// Number of permits issued.
     pub permits: u32,
-    /// When to retry if there are none.
+    /// Time after which to retry, if there are none.
     pub after: Millis,
     /// The responding router is a new primary at the reduced rate: the secondary may have permits.
     #[serde(default, rename = "stands_back")]
@@ -86,8 +86,8 @@
 }
 
 impl PermitBuckets {
-    /// Issues permits for `req`, or returns when to retry. A new bucket starts empty, because requests
-    /// sent before it existed count towards the limit.
+    /// Issues permits for `req`, or returns the time after which to retry. A new bucket starts empty,
+    /// because requests sent before it existed count towards the limit.
     pub fn grant(&mut self, now: Time, req: &PermitRequest, issue_rate: IssueRate) -> Grant {
         let full = req.rate.max(MIN_RATE).0;
         let rate = match issue_rate {
@@ -142,7 +142,8 @@
         permits
     }
 
-    /// Records a refusal and returns when to retry. Retries are spaced at the rate of the bucket.
+    /// Records a refusal and returns the time after which to retry. Retries are spaced at the rate of
+    /// the bucket.
     fn refuse(&mut self, now: Time, priority: u8, rate: u64) -> Millis {
         self.priority_gate.record_refused(now, priority);
         let interval = Millis(MILLIONTHS.div_ceil(rate.max(1)));
--- a/crates/core/src/fleet/load_monitor.rs
+++ b/crates/core/src/fleet/load_monitor.rs
@@ -88,8 +88,8 @@
         self.passes.front().is_some_and(|(_, took)| *took > MAX_PASS)
     }
 
-    /// Counts a request if it was rejected (`rejected`). Returns the number of requests rejected since the
-    /// last log line if another one is due.
+    /// Records whether a request was rejected. Returns the number of requests rejected since the last
+    /// log line, if another line is due.
     pub fn record_admission(&mut self, now: Time, rejected: bool) -> Option<u64> {
         self.rejected += u64::from(rejected);
         if self.rejected == 0 || now.since(self.logged_at) < LOG_INTERVAL {
--- a/crates/core/src/fleet/peer.rs
+++ b/crates/core/src/fleet/peer.rs
@@ -71,8 +71,8 @@
     },
     /// Request permits for a replica with a rate limit.
     Permit(PermitRequest),
-    /// Ask how much longer the receiver issues a replica's permits at a reduced rate, as the first of
-    /// its permit issuers.
+    /// Ask how much longer the receiver, as the primary issuer of a replica's permits, issues them at
+    /// the reduced rate.
     Settles {
         /// Id of the replica.
         replica: String,
@@ -108,7 +108,7 @@
     /// The response to [`PeerRequest::Permit`].
     Permitted(Grant),
     /// Remaining time at the reduced rate, for [`PeerRequest::Settles`]; `None` if the router is
-    /// not the first issuer or issues at the full rate.
+    /// not the primary issuer or issues at the full rate.
     Settles(Option<Millis>),
 }
 
@@ -158,33 +158,33 @@
         !self.settled.contains_key(&id)
     }
 
-    /// Records loan `id` with the reservation `held`, unless it is already open or settled.
+    /// Records loan `id` with its `reservation`, unless it is already open or settled.
     ///
     /// # Errors
     ///
-    /// Returns `held`, for the caller to release, if the loan is already open or settled.
-    pub fn open_once(&mut self, now: Time, id: u64, held: R) -> Result<(), R> {
+    /// Returns the `reservation`, for the caller to release, if the loan is already open or settled.
+    pub fn open_once(&mut self, now: Time, id: u64, reservation: R) -> Result<(), R> {
         if self.open.contains_key(&id) || !self.can_open(id) {
-            return Err(held);
+            return Err(reservation);
         }
-        self.open(now, id, held);
+        self.open(now, id, reservation);
         Ok(())
     }
 
     /// Returns the reservation held for loan `id`, if the loan is open.
     pub fn get(&self, id: u64) -> Option<&R> {
-        self.open.get(&id).map(|(_, held)| held)
+        self.open.get(&id).map(|(_, reservation)| reservation)
     }
 
-    /// Records loan `id` with the reservation `held`, and replaces an open loan with the same id.
-    pub fn open(&mut self, now: Time, id: u64, held: R) {
-        self.open.insert(id, (now, held));
+    /// Records loan `id` with its `reservation`, and replaces an open loan with the same id.
+    pub fn open(&mut self, now: Time, id: u64, reservation: R) {
+        self.open.insert(id, (now, reservation));
     }
 
     /// Marks a loan as settled. Returns its reservation if the loan was open.
     pub fn settle(&mut self, now: Time, id: u64) -> Option<R> {
         self.settled.insert(id, now);
-        self.open.remove(&id).map(|(_, held)| held)
+        self.open.remove(&id).map(|(_, reservation)| reservation)
     }
 
     /// Ends the loans that were not settled in time and returns their reservations, all of which count as
--- a/crates/core/src/fleet/quarantine/mod.rs
+++ b/crates/core/src/fleet/quarantine/mod.rs
@@ -50,9 +50,9 @@
 /// Length of a request's first quarantine, doubled for each further one. After each the request may
 /// terminate one replica more, so a wrong quarantine lasts an hour and a correct one costs at most one
 /// replica per hour.
-const FIRST_TERM: Millis = Millis::seconds(3_600);
+const FIRST_DURATION: Millis = Millis::seconds(3_600);
 
-/// Maximum number of doublings of [`FIRST_TERM`]: 64 hours.
+/// Maximum number of doublings of [`FIRST_DURATION`]: 64 hours.
 const MAX_DOUBLINGS: u32 = 6;
 
 /// How long an expired quarantine is remembered.
@@ -212,7 +212,7 @@
         causes: &[(Fingerprint, usize)],
     ) -> Vec<(Fingerprint, QuarantineChange)> {
         let mut changes = Vec::new();
-        // A request whose terminations have been dropped stays quarantined until its term expires.
+        // A request whose terminations were dropped stays quarantined until the quarantine expires.
         let explained = |f: &Fingerprint| {
             self.suspects.contains_key(f) && !causes.iter().any(|(other, _)| other == f)
         };
@@ -227,8 +227,8 @@
                 q.strikes = *strikes;
                 continue;
             }
-            let term = Millis(FIRST_TERM.0 << s.terms.min(MAX_DOUBLINGS));
-            let (account, until) = (s.account.clone(), now.after(term));
+            let duration = Millis(FIRST_DURATION.0 << s.terms.min(MAX_DOUBLINGS));
+            let (account, until) = (s.account.clone(), now.after(duration));
             let q =
                 Quarantined { account, since: now, until, terms: s.terms + 1, strikes: *strikes };
             self.quarantined.insert(*f, q);
--- a/crates/core/src/fleet/registry.rs
+++ b/crates/core/src/fleet/registry.rs
@@ -245,18 +245,18 @@
     /// Applies a heartbeat relayed by another control process. Returns whether that is a change for
     /// routers, which is the case if the replica was silent. A heartbeat of an unknown replica is
     /// ignored; the sender relays its record as well.
-    pub fn apply_heartbeat(&mut self, now: Time, b: &Heartbeat) -> bool {
-        let Some((id, e)) = self.entries.get_key_value(b.id.as_str()) else { return false };
+    pub fn apply_heartbeat(&mut self, now: Time, h: &Heartbeat) -> bool {
+        let Some((id, e)) = self.entries.get_key_value(h.id.as_str()) else { return false };
         let id = id.clone();
         let known = &e.record.registration;
-        let same_incarnation = cmp_start_times(b.born, known.born) == Ordering::Equal;
-        let old = b.sequence <= known.sequence;
+        let same_incarnation = cmp_start_times(h.born, known.born) == Ordering::Equal;
+        let old = h.sequence <= known.sequence;
         if !same_incarnation || old || e.record.standing >= ReplicaStatus::Draining {
             return false;
         }
         let was_silent = e.record.standing == ReplicaStatus::Silent;
         if let Some(e) = self.entries.get_mut(&id) {
-            e.record.registration.sequence = b.sequence;
+            e.record.registration.sequence = h.sequence;
             e.record.standing = ReplicaStatus::Ready;
             e.last_heartbeat = now;
         }
--- a/crates/core/src/fleet/replicas.rs
+++ b/crates/core/src/fleet/replicas.rs
@@ -39,7 +39,7 @@
     replaced: bool,
 }
 
-/// Whether a record is evidence of a replica start that was unknown before.
+/// Whether a record shows that a replica has started or restarted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Start {
     /// The record is of a known incarnation.
@@ -59,6 +59,7 @@
     left: VecDeque<(Time, String, u64)>,
     /// Draining replicas, in the same form.
     draining: VecDeque<(Time, String, u64)>,
+    /// The `order` of the next incarnation.
     order: u64,
 }
 
@@ -80,7 +81,7 @@
         }
         let standing =
             same_incarnation.map_or(r.standing, |k| merge_standing(k.record.standing, r.standing));
-        let before = known.map(|k| location(&k.record));
+        let previous = known.map(|k| location(&k.record));
         let (order, replaced) =
             same_incarnation.map_or((self.order, false), |k| (k.order, k.replaced));
         self.order += u64::from(same_incarnation.is_none());
@@ -88,26 +89,26 @@
         let born = same_incarnation.map_or(0, |k| k.record.registration.born);
         let born = born.max(record.registration.born);
         record.registration.born = born;
-        let here = location(&record);
+        let current = location(&record);
         self.by_id.insert(id.clone(), Entry { record, order, replaced });
         match standing {
             ReplicaStatus::Left => self.left.push_back((now, id.clone(), born)),
             ReplicaStatus::Draining => self.draining.push_back((now, id.clone(), born)),
             ReplicaStatus::Ready | ReplicaStatus::Silent => {}
         }
-        let moved = before.filter(|b| *b != here);
+        let moved = previous.filter(|p| *p != current);
         if let Some((_, Some(address))) = &moved {
             self.remove_at(*address, &id);
         }
-        if let (_, Some(address)) = here {
+        if let (_, Some(address)) = current {
             self.insert_at(address, id);
         }
-        let places = moved.into_iter().chain([here]);
-        changes.extend(places.filter_map(|(s, a)| self.address_change(s, a?)));
+        let locations = moved.into_iter().chain([current]);
+        changes.extend(locations.filter_map(|(s, a)| self.address_change(s, a?)));
         Some((standing, changes))
     }
 
-    /// Returns whether a record is evidence of a replica start that was unknown before.
+    /// Returns whether a record shows a start or restart of its replica that was not known.
     pub fn classify_start(&self, r: &Record) -> Start {
         match self.by_id.get(&r.registration.id) {
             None => Start::New,
@@ -164,16 +165,16 @@
     }
 
     fn insert_at(&mut self, address: SocketAddr, id: String) {
-        let here = self.by_address.entry(address).or_default();
-        if !here.contains(&id) {
-            here.push(id);
+        let ids = self.by_address.entry(address).or_default();
+        if !ids.contains(&id) {
+            ids.push(id);
         }
     }
 
     fn remove_at(&mut self, address: SocketAddr, id: &str) {
-        let Some(here) = self.by_address.get_mut(&address) else { return };
-        here.retain(|other| other != id);
-        if here.is_empty() {
+        let Some(ids) = self.by_address.get_mut(&address) else { return };
+        ids.retain(|other| other != id);
+        if ids.is_empty() {
             self.by_address.remove(&address);
         }
     }
@@ -206,8 +207,8 @@
     /// Returns the replica to use for a service at an address. Of several recorded there it prefers
     /// one that is ready, then one that is not marked as replaced, then the newest.
     fn address_change(&self, service: String, address: SocketAddr) -> Option<AddressChange> {
-        let here = self.by_address.get(&address).into_iter().flatten();
-        let known = here.filter_map(|id| self.by_id.get(id));
+        let ids = self.by_address.get(&address).into_iter().flatten();
+        let known = ids.filter_map(|id| self.by_id.get(id));
         let usable = known.filter(|k| {
             k.record.standing <= ReplicaStatus::Silent && k.record.registration.service == service
         });
--- a/crates/core/src/fleet/rollout/evidence.rs
+++ b/crates/core/src/fleet/rollout/evidence.rs
@@ -106,10 +106,10 @@
 
     /// Adds the outcomes of another gateway.
     pub fn add(&mut self, e: &Evidence) {
-        for (route, sides) in &e.routes {
+        for (route, outcomes) in &e.routes {
             let own = self.route_mut(route);
-            own.old.add(&sides.old);
-            own.new.add(&sides.new);
+            own.old.add(&outcomes.old);
+            own.new.add(&outcomes.new);
         }
     }
 
--- a/crates/core/src/fleet/sources.rs
+++ b/crates/core/src/fleet/sources.rs
@@ -106,21 +106,21 @@
     }
 
     fn nearness(&self, a: &SocketAddr) -> Nearness {
-        self.contacts.get(a).map_or(Nearness::default(), |k| k.nearness)
+        self.contacts.get(a).map_or(Nearness::default(), |c| c.nearness)
     }
 
     /// Returns whether a control process knows a leader and has not failed recently.
     fn is_usable(&self, now: Time, a: SocketAddr) -> bool {
         let has_recovered =
-            |k: &Contact| k.failed_at.is_none_or(|at| now.since(at) >= FAILURE_COOLDOWN);
-        self.contacts.get(&a).is_some_and(|k| k.has_leader && has_recovered(k))
+            |c: &Contact| c.failed_at.is_none_or(|at| now.since(at) >= FAILURE_COOLDOWN);
+        self.contacts.get(&a).is_some_and(|c| c.has_leader && has_recovered(c))
     }
 
     /// Selects the highest ranked control processes: usable ones first, by nearness, and at the
     /// same nearness those already selected. The others follow, those that answer first.
     fn select(&mut self, now: Time) {
         let rank = |a: &SocketAddr| {
-            let answers = self.contacts.get(a).is_some_and(|k| k.failed_at.is_none());
+            let answers = self.contacts.get(a).is_some_and(|c| c.failed_at.is_none());
             let is_selected = self.selected.contains(a);
             let usable = self.is_usable(now, *a);
             (
