--- a/crates/core/src/fleet/fetch.rs
+++ b/crates/core/src/fleet/fetch.rs
@@ -24,7 +24,7 @@
     /// Address of the control process.
     pub from: SocketAddr,
     /// Time since its last progress.
-    pub after: Millis,
+    pub idle_for: Millis,
 }
 
 /// The document versions that control processes have announced, and the fetch in progress.
@@ -82,31 +82,32 @@
     pub fn drop_source(&mut self, now: Time, from: SocketAddr) -> Option<AbandonedSource> {
         self.announced.remove(&from);
         let s = self.source.take_if(|s| s.address == from)?;
-        Some(AbandonedSource { from, after: now.since(s.since) })
+        Some(AbandonedSource { from, idle_for: now.since(s.since) })
     }
 
     /// Ends the fetch if the current part has timed out, and returns the control process it was fetched
     /// from.
     pub fn take_overdue(&mut self, now: Time) -> Option<AbandonedSource> {
         let s = self.source.take_if(|s| now.since(s.since) >= PART_TIMEOUT)?;
-        Some(AbandonedSource { from: s.address, after: now.since(s.since) })
+        Some(AbandonedSource { from: s.address, idle_for: now.since(s.since) })
     }
 
     /// Starts a fetch and returns the address to fetch from, if no fetch is in progress and a version
-    /// above `held` was announced. Chooses a process with the highest version or, if the fetch just gave
-    /// up on `after`, the next one by address that has a version above `held`.
+    /// above `current`, the router's own, was announced. Chooses a process with the highest version
+    /// or, if a fetch from `abandoned` just ended, the next one by address with a version above
+    /// `current`.
     pub fn choose_source(
         &mut self,
         now: Time,
-        held: Version,
-        after: Option<SocketAddr>,
+        current: Version,
+        abandoned: Option<SocketAddr>,
     ) -> Option<SocketAddr> {
         if self.source.is_some() {
             return None;
         }
-        let best = self.announced.values().copied().max().filter(|v| *v > held)?;
-        let candidates: Vec<_> = self.announced.iter().filter(|(_, v)| **v > held).collect();
-        let next = after.and_then(|previous| {
+        let best = self.announced.values().copied().max().filter(|v| *v > current)?;
+        let candidates: Vec<_> = self.announced.iter().filter(|(_, v)| **v > current).collect();
+        let next = abandoned.and_then(|previous| {
             let mut rotation =
                 candidates.iter().filter(|(a, _)| **a > previous).chain(candidates.iter());
             rotation.find(|(a, _)| **a != previous).map(|(a, _)| **a)
--- a/crates/core/tests/transfer.rs
+++ b/crates/core/tests/transfer.rs
@@ -189,7 +189,7 @@
     f.record_progress(Time(500), address(1));
     assert_eq!(f.take_overdue(Time(1_000)), None, "a part has arrived");
     f.record_progress(Time(900), address(2));
-    let abandoned = AbandonedSource { from: address(1), after: Millis(600) };
+    let abandoned = AbandonedSource { from: address(1), idle_for: Millis(600) };
     assert_eq!(f.take_overdue(Time(1_100)), Some(abandoned));
     assert_eq!(f.choose_source(Time(1_100), 4, Some(address(1))), Some(address(2)));
     assert_eq!(f.take_overdue(Time(1_700)).map(|s| s.from), Some(address(2)));
@@ -208,7 +208,7 @@
     f.record_version(address(2), 4);
     assert_eq!(f.choose_source(Time(0), 3, None), Some(address(1)), "it has the newest version");
     assert_eq!(f.drop_source(Time(100), address(2)), None);
-    assert_eq!(f.drop_source(Time(100), address(1)).map(|s| s.after), Some(Millis(100)));
+    assert_eq!(f.drop_source(Time(100), address(1)).map(|s| s.idle_for), Some(Millis(100)));
     assert_eq!(
         f.choose_source(Time(100), 3, Some(address(1))),
         None,
--- a/crates/router/src/gateway/documents.rs
+++ b/crates/router/src/gateway/documents.rs
@@ -120,7 +120,7 @@
     emit!(
         Event::DocumentTimedOut,
         from = abandoned.from,
-        after_ms = abandoned.after.0,
+        after_ms = abandoned.idle_for.0,
         has = has,
         why = why,
     );
