--- a/crates/core/src/fleet/quarantine/mod.rs
+++ b/crates/core/src/fleet/quarantine/mod.rs
@@ -317,7 +317,11 @@
 
     /// Releases the requests whose quarantine has expired, at log position `pos`. One further strike
     /// quarantines such a request again.
-    pub fn expire_terms(&mut self, now: Time, pos: Index) -> Vec<(Fingerprint, QuarantineChange)> {
+    pub fn release_expired(
+        &mut self,
+        now: Time,
+        pos: Index,
+    ) -> Vec<(Fingerprint, QuarantineChange)> {
         let expired = self.quarantined.iter().filter(|(_, q)| q.until <= now);
         let expired: Vec<_> = expired.map(|(f, q)| (*f, q.clone())).collect();
         for (f, q) in &expired {
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -188,7 +188,7 @@
                 Answer::Done
             }
             Command::EndQuarantines => {
-                self.quarantine_changes = self.quarantine.expire_terms(now, pos.index);
+                self.quarantine_changes = self.quarantine.release_expired(now, pos.index);
                 Answer::Done
             }
             Command::Publish { version, source, budgets, services } => {
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -176,7 +176,7 @@
     assert!(!q.has_expired(Time(HOUR)));
     let expiry = 3_000 + HOUR;
     assert!(q.has_expired(Time(expiry)));
-    assert_eq!(q.expire_terms(Time(expiry), 9), [(k, QuarantineChange::Expired)]);
+    assert_eq!(q.release_expired(Time(expiry), 9), [(k, QuarantineChange::Expired)]);
     assert!(!q.contains(&k) && q.list().quarantined.is_empty());
     let again = q.record_terminations(
         Time(expiry + 500),
