--- a/crates/core/src/fleet/evacuation.rs
+++ b/crates/core/src/fleet/evacuation.rs
@@ -37,7 +37,7 @@
     }
 
     /// Replaces this set by one received from another process if that is newer. Returns whether it is.
-    pub fn merge(&mut self, received: &Evacuations) -> bool {
+    pub fn replace_if_newer(&mut self, received: &Evacuations) -> bool {
         let is_newer = received.revision > self.revision;
         if is_newer {
             *self = received.clone();
--- a/crates/core/tests/evacuation.rs
+++ b/crates/core/tests/evacuation.rs
@@ -47,8 +47,8 @@
     let old = Evacuations { revision: 4, data_centres: names(&["a"]) };
     let new = Evacuations { revision: 9, data_centres: names(&[]) };
     let mut current = Evacuations::default();
-    assert!(current.merge(&old) && current.merge(&new));
-    assert!(!current.merge(&old) && !current.merge(&new));
+    assert!(current.replace_if_newer(&old) && current.replace_if_newer(&new));
+    assert!(!current.replace_if_newer(&old) && !current.replace_if_newer(&new));
     assert_eq!(current, new);
 }
 
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -414,7 +414,7 @@
 
     /// Replaces the evacuated data centres if `received` is newer than the known list.
     pub fn apply_evacuations(&self, received: &Evacuations) {
-        if !self.evacuations.borrow_mut().merge(received) {
+        if !self.evacuations.borrow_mut().replace_if_newer(received) {
             return;
         }
         let now = self.now();
