--- a/crates/control/src/reserve.rs
+++ b/crates/control/src/reserve.rs
@@ -129,7 +129,7 @@
         let mut commands = Vec::new();
         for budget in self.budgets(state) {
             let Some(f) = state.ledger().get(&budget) else { continue };
-            let target = if f.recalling(now) { 0 } else { f.policy.reserve_target(f.free()) };
+            let target = if f.is_recalling(now) { 0 } else { f.policy.reserve_target(f.free()) };
             let excess = self.reserve_ledger.excess(&budget, target);
             if excess > 0 {
                 self.apply(now, &ReserveCommand::GiveBack(budget.clone(), excess));
--- a/crates/core/examples/policies/world.rs
+++ b/crates/core/examples/policies/world.rs
@@ -246,7 +246,7 @@
             let (now, holder) = (Time(self.now), HolderId(10 + c as u64));
             self.report_reserve(c, holder);
             let f = self.group_ledger.get(BUDGET).unwrap();
-            let is_recalling = f.recalling(now);
+            let is_recalling = f.is_recalling(now);
             let target = if is_recalling { 0 } else { self.rule.policy().reserve_target(f.free()) };
             let excess = self.reserves[c].excess(BUDGET, target);
             let id = self.next_lease_id();
--- a/crates/core/src/budget/ledger.rs
+++ b/crates/core/src/budget/ledger.rs
@@ -180,12 +180,12 @@
     }
 
     /// Returns whether idle tokens are being recalled at `now`.
-    pub fn recalling(&self, now: Time) -> bool {
-        self.recall.is_some_and(|r| r.is_active(now)) || self.overdrawn()
+    pub fn is_recalling(&self, now: Time) -> bool {
+        self.recall.is_some_and(|r| r.is_active(now)) || self.is_overdrawn()
     }
 
     /// Returns whether more tokens are spent and held than prepaid, as after a budget reduction.
-    pub fn overdrawn(&self) -> bool {
+    pub fn is_overdrawn(&self) -> bool {
         self.closed + self.held > self.funded
     }
 
@@ -376,7 +376,7 @@
     }
 
     fn update_recalling(&mut self, budget: &str) {
-        let may_recall = |state: &BudgetState| state.recall.is_some() || state.overdrawn();
+        let may_recall = |state: &BudgetState| state.recall.is_some() || state.is_overdrawn();
         let recalling = self.funds.get(budget).is_some_and(may_recall);
         if !recalling {
             self.recalling.remove(budget);
@@ -524,7 +524,7 @@
         self.recalling
             .iter()
             .filter(move |b| {
-                self.funds.get(*b).is_some_and(|state| state.recalling(now) && holds(&state))
+                self.funds.get(*b).is_some_and(|state| state.is_recalling(now) && holds(&state))
             })
             .map(String::as_str)
     }
