--- a/crates/core/src/budget/ledger.rs
+++ b/crates/core/src/budget/ledger.rs
@@ -530,7 +530,7 @@
     }
 
     /// Returns whether the derived sums and indexes match the leases.
-    pub fn consistent(&self) -> bool {
+    pub fn is_consistent(&self) -> bool {
         self.funds
             .values()
             .all(|state| state.held == state.leases.values().map(|l| l.keep).sum::<Tokens>())
--- a/crates/core/tests/bound.rs
+++ b/crates/core/tests/bound.rs
@@ -474,7 +474,7 @@
     /// Asserts that the ledger stays within the budget and covers all consumed and reserved tokens.
     fn assert_invariants(&self) {
         let budget_state = self.ledger.get(BUDGET).unwrap();
-        assert!(self.ledger.consistent());
+        assert!(self.ledger.is_consistent());
         assert!(budget_state.spent() + budget_state.open_tokens() + budget_state.free() <= TOTAL);
         let outstanding: Tokens =
             self.holders.iter().flat_map(|h| &h.open).map(Reservation::amount).sum();
--- a/crates/core/tests/escrow_levels.rs
+++ b/crates/core/tests/escrow_levels.rs
@@ -286,11 +286,11 @@
     /// Asserts that nothing is overspent and all ledgers are consistent.
     fn assert_invariants(&self) {
         assert!(self.consumed <= self.funded, "{} of {}", self.consumed, self.funded);
-        assert!(self.home.consistent());
+        assert!(self.home.is_consistent());
         let home = self.home.get(BUDGET).unwrap();
         assert!(home.spent() <= self.consumed, "the home ledger counts more than was consumed");
         for r in &self.regions {
-            assert!(r.region_ledger.ledger().consistent());
+            assert!(r.region_ledger.ledger().is_consistent());
         }
     }
 
--- a/crates/core/tests/support/escrow.rs
+++ b/crates/core/tests/support/escrow.rs
@@ -468,7 +468,7 @@
     }
 
     pub fn is_consistent(&self) -> bool {
-        self.ledger.consistent()
+        self.ledger.is_consistent()
     }
 
     /// Asserts that the ledger is consistent and covers all consumption.
