--- a/crates/core/src/fleet/quarantine/mod.rs
+++ b/crates/core/src/fleet/quarantine/mod.rs
@@ -342,7 +342,7 @@
         self.replicas.retain(|_, n| now.since(n.heard) < REPORT_WINDOW);
         let mut requeued = 0;
         while let Some(f) = self.order.front().copied() {
-            let is_old = |s: &Suspect| now.since(s.last()) >= SUSPECT_RETENTION;
+            let is_old = |s: &Suspect| now.since(s.last_termination()) >= SUSPECT_RETENTION;
             let old = self.suspects.get(&f).is_none_or(is_old);
             let surplus = self.order.len() > MAX_SUSPECTS;
             if !old && !surplus {
@@ -364,7 +364,7 @@
     /// newest.
     pub fn list(&self) -> QuarantineList {
         let mut all: Vec<_> = self.suspects.iter().filter(|(f, _)| !self.contains(f)).collect();
-        all.sort_by_key(|(f, s)| std::cmp::Reverse((s.ends.len(), s.last(), **f)));
+        all.sort_by_key(|(f, s)| std::cmp::Reverse((s.ends.len(), s.last_termination(), **f)));
         all.truncate(MAX_LISTED_SUSPECTS);
         let (suspects, struck): (Vec<_>, Vec<_>) =
             all.into_iter().partition(|(_, s)| s.ends.len() > 1);
--- a/crates/core/src/fleet/quarantine/suspect.rs
+++ b/crates/core/src/fleet/quarantine/suspect.rs
@@ -60,7 +60,7 @@
     }
 
     /// Returns the time of the last termination.
-    pub fn last(&self) -> Time {
+    pub fn last_termination(&self) -> Time {
         self.ends.iter().map(|e| e.at).max().unwrap_or_default()
     }
 
