--- a/crates/core/src/fleet/quarantine/mod.rs
+++ b/crates/core/src/fleet/quarantine/mod.rs
@@ -50,9 +50,9 @@
 /// Length of a request's first quarantine, doubled for each further one. After each the request may
 /// terminate one replica more, so a wrong quarantine lasts an hour and a correct one costs at most one
 /// replica per hour.
-const FIRST_TERM: Millis = Millis::seconds(3_600);
+const FIRST_DURATION: Millis = Millis::seconds(3_600);
 
-/// Maximum number of doublings of [`FIRST_TERM`]: 64 hours.
+/// Maximum number of doublings of [`FIRST_DURATION`]: 64 hours.
 const MAX_DOUBLINGS: u32 = 6;
 
 /// How long an expired quarantine is remembered.
@@ -212,7 +212,7 @@
         causes: &[(Fingerprint, usize)],
     ) -> Vec<(Fingerprint, QuarantineChange)> {
         let mut changes = Vec::new();
-        // A request whose terminations have been dropped stays quarantined until its term expires.
+        // A request whose terminations were dropped stays quarantined until the quarantine expires.
         let explained = |f: &Fingerprint| {
             self.suspects.contains_key(f) && !causes.iter().any(|(other, _)| other == f)
         };
@@ -227,8 +227,8 @@
                 q.strikes = *strikes;
                 continue;
             }
-            let term = Millis(FIRST_TERM.0 << s.terms.min(MAX_DOUBLINGS));
-            let (account, until) = (s.account.clone(), now.after(term));
+            let duration = Millis(FIRST_DURATION.0 << s.terms.min(MAX_DOUBLINGS));
+            let (account, until) = (s.account.clone(), now.after(duration));
             let q =
                 Quarantined { account, since: now, until, terms: s.terms + 1, strikes: *strikes };
             self.quarantined.insert(*f, q);
@@ -317,7 +317,11 @@
 
     /// Releases the requests whose quarantine has expired, at log position `pos`. One further strike
     /// quarantines such a request again.
-    pub fn expire_terms(&mut self, now: Time, pos: Index) -> Vec<(Fingerprint, QuarantineChange)> {
+    pub fn release_expired(
+        &mut self,
+        now: Time,
+        pos: Index,
+    ) -> Vec<(Fingerprint, QuarantineChange)> {
         let expired = self.quarantined.iter().filter(|(_, q)| q.until <= now);
         let expired: Vec<_> = expired.map(|(f, q)| (*f, q.clone())).collect();
         for (f, q) in &expired {
@@ -338,7 +342,7 @@
         self.replicas.retain(|_, n| now.since(n.heard) < REPORT_WINDOW);
         let mut requeued = 0;
         while let Some(f) = self.order.front().copied() {
-            let is_old = |s: &Suspect| now.since(s.last()) >= SUSPECT_RETENTION;
+            let is_old = |s: &Suspect| now.since(s.last_termination()) >= SUSPECT_RETENTION;
             let old = self.suspects.get(&f).is_none_or(is_old);
             let surplus = self.order.len() > MAX_SUSPECTS;
             if !old && !surplus {
@@ -360,7 +364,7 @@
     /// newest.
     pub fn list(&self) -> QuarantineList {
         let mut all: Vec<_> = self.suspects.iter().filter(|(f, _)| !self.contains(f)).collect();
-        all.sort_by_key(|(f, s)| std::cmp::Reverse((s.ends.len(), s.last(), **f)));
+        all.sort_by_key(|(f, s)| std::cmp::Reverse((s.ends.len(), s.last_termination(), **f)));
         all.truncate(MAX_LISTED_SUSPECTS);
         let (suspects, struck): (Vec<_>, Vec<_>) =
             all.into_iter().partition(|(_, s)| s.ends.len() > 1);
