--- a/crates/router/src/entry.rs
+++ b/crates/router/src/entry.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/entry`: the router addresses that a client should use.
+//! `GET /v1/entry`: the router addresses that a caller should use.
 
 use actix_http::header::{CACHE_CONTROL, HeaderValue};
 use actix_http::{Response, StatusCode};
@@ -12,8 +12,8 @@
 /// The most addresses in one answer.
 const MAX_ADDRESSES: usize = 8;
 
-/// Returns the usable routers in the order in which a client should try them: those in
-/// `data_centre` first. Each of the two groups is rotated by `rotation` to spread clients.
+/// Returns the usable routers in the order in which a caller should try them: those in
+/// `data_centre` first. Each of the two groups is rotated by `rotation` to spread callers.
 /// Returns at most `MAX_ADDRESSES`.
 pub fn order_sites<'a>(sites: &'a [Site], data_centre: &str, rotation: usize) -> Vec<&'a Site> {
     let is_local = |s: &&Site| s.data_centre == data_centre;
@@ -28,7 +28,7 @@
     local
 }
 
-/// Returns the response with the addresses of usable routers and how long a client may cache them.
+/// Returns the response with the addresses of usable routers and how long a caller may cache them.
 /// If no router is known to be usable, lists this one unless it is draining.
 pub fn entry_response(app: &App) -> Response<Body> {
     let sites = app.sites.borrow();
--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -43,11 +43,11 @@
     pub(crate) claim: Option<Claim>,
     pub(crate) sender: ResponseSender,
     pub(crate) attempt: Attempt,
-    /// Earlier attempts that broke off; the client has received their text.
+    /// Earlier attempts that broke off; the caller has received their text.
     pub(crate) earlier_attempts: Vec<Attempt>,
     pub(crate) generated_text: String,
     pub(crate) finish_reason: Option<String>,
-    /// Number of events sent to the client.
+    /// Number of events sent to the caller.
     pub(crate) sent_events: u64,
     run: u64,
     tried: Vec<SocketAddr>,
@@ -63,7 +63,7 @@
     Failed(String),
     /// The deadline has passed.
     DeadlinePassed,
-    /// The client has disconnected.
+    /// The caller has disconnected.
     ClientDisconnected,
 }
 
@@ -282,7 +282,7 @@
             }
         };
         if !self.sender.respond(response) {
-            // Fails only if the client has disconnected or the deadline has passed.
+            // Fails only if the caller has disconnected or the deadline has passed.
             let _ = self.sender.send_chunk(last.into(), self.plan.deadline).await;
         }
     }
--- a/crates/router/src/head.rs
+++ b/crates/router/src/head.rs
@@ -17,13 +17,13 @@
 pub struct Head {
     /// SHA-256 of the bearer key, in lower-case hexadecimal.
     pub key: String,
-    /// The request's id, generated if the client sent none.
+    /// The request's id, generated if the caller sent none.
     pub id: String,
-    /// Whether the client sent the id.
+    /// Whether the caller sent the id.
     pub id_given: bool,
-    /// How long the request may take, if the client set a limit.
+    /// How long the request may take, if the caller set a limit.
     pub deadline: Option<Duration>,
-    /// The priority class, if the client set one.
+    /// The priority class, if the caller set one.
     pub priority: Option<Priority>,
     /// Whether the request may run at most once.
     pub at_most_once: bool,
--- a/crates/router/src/model_handler.rs
+++ b/crates/router/src/model_handler.rs
@@ -28,7 +28,7 @@
 use crate::response_sender::ResponseSender;
 use crate::trace::Trace;
 
-/// The most chunks of a response that are buffered for a slow client.
+/// The most chunks of a response that are buffered for a slow caller.
 const MAX_BUFFERED_CHUNKS: usize = 32;
 
 /// An admitted request with the limits for its exchange with engines.
@@ -55,7 +55,7 @@
 pub enum ResponseStart {
     /// An engine has responded; chunks follow.
     Streaming,
-    /// The complete response, for a client that requested no stream.
+    /// The complete response, for a caller that requested no stream.
     Whole(Value),
 }
 
@@ -133,7 +133,7 @@
     let sender = ResponseSender::new(response_tx, chunk_tx, stream);
     let exchange = Exchange::new(app.clone(), plan, guard, claim, sender);
     let active = ActiveRequest::new(app);
-    // A separate task, so that tokens are settled even if the client disconnects.
+    // A separate task, so that tokens are settled even if the caller disconnects.
     actix_rt::spawn(async move {
         exchange.run().await;
         drop(permit);
--- a/crates/router/src/model_request.rs
+++ b/crates/router/src/model_request.rs
@@ -42,14 +42,14 @@
     pub api: Api,
     /// The model's name.
     pub model: String,
-    /// Whether the client requested a streamed response.
+    /// Whether the caller requested a streamed response.
     pub stream: bool,
-    /// Whether the client requested a usage event at the end of the stream
+    /// Whether the caller requested a usage event at the end of the stream
     /// (`stream_options.include_usage`).
     pub include_usage: bool,
     /// Upper bound of the prompt's tokens. A tokenizer never produces more tokens than bytes.
     pub prompt_bound: Tokens,
-    /// The client's limit for generated tokens, if given.
+    /// The caller's limit for generated tokens, if given.
     pub max_output: Option<Tokens>,
     body: Map<String, Value>,
 }
@@ -144,7 +144,7 @@
         PromptPrefixes::new(prompt.as_bytes().chunks(PREFIX_STEP_BYTES))
     }
 
-    /// Returns the most tokens to generate: the client's limit, but at most the service's.
+    /// Returns the most tokens to generate: the caller's limit, but at most the service's.
     pub fn output_cap(&self, limit: Tokens) -> Tokens {
         self.max_output.map_or(limit, |n| n.min(limit))
     }
--- a/crates/router/src/plain.rs
+++ b/crates/router/src/plain.rs
@@ -38,7 +38,7 @@
 
 const TRACEPARENT: HeaderName = HeaderName::from_static("traceparent");
 
-/// A call as received from the client.
+/// A call as received from the caller.
 pub struct Call {
     /// HTTP method.
     pub method: Method,
@@ -61,7 +61,7 @@
 }
 
 /// Handles a call to a plain service. Returns the response of a replica or the stored one of a
-/// claimed request, or the refusal for the client.
+/// claimed request, or the refusal for the caller.
 pub async fn handle_call(
     app: &Rc<App>,
     head: &Head,
@@ -99,7 +99,7 @@
     let (app, head, service) = (app.clone(), head.clone(), service.name.clone());
     let pending = PendingCall { id: head.id.clone(), call, can_resend, deadline };
     let trace = trace.clone();
-    // Runs in its own task, so that the outcome is recorded even if the client disconnects.
+    // Runs in its own task, so that the outcome is recorded even if the caller disconnects.
     let active = ActiveRequest::new(&app);
     let running = actix_rt::spawn(async move {
         let result = run_and_record(&app, &service, &pending, claim, &trace).await;
--- a/crates/router/src/queue.rs
+++ b/crates/router/src/queue.rs
@@ -82,7 +82,7 @@
     /// Acquires a permit, waiting until `deadline` at most. At most `concurrency` requests of the
     /// client account run at once.
     ///
-    /// Returns the refusal for the client if the queue is full, the request would miss its
+    /// Returns the refusal for the caller if the queue is full, the request would miss its
     /// deadline, or another request evicts it.
     pub async fn acquire(
         self: &Rc<Self>,
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -1,4 +1,4 @@
-//! Relays an engine's event stream to the client: counts, checks and forwards each event.
+//! Relays an engine's event stream to the caller: counts, checks and forwards each event.
 
 use std::time::Duration;
 
@@ -112,14 +112,14 @@
         Ok(self.sender.send_chunk(chunk, self.plan.deadline).await?)
     }
 
-    /// Returns the answer's id for the client: that of the first attempt, also if another engine
+    /// Returns the answer's id for the caller: that of the first attempt, also if another engine
     /// continues the answer.
     fn answer_id(&self) -> &str {
         let first = self.earlier_attempts.iter().chain([&self.attempt]).next();
         first.and_then(|a| a.engine_id()).unwrap_or_default()
     }
 
-    /// Returns the events that end a complete stream: the billed usage, if the client requested it,
+    /// Returns the events that end a complete stream: the billed usage, if the caller requested it,
     /// and `[DONE]`.
     pub(crate) fn stream_end(&self) -> String {
         if !self.plan.request.include_usage {
--- a/crates/router/src/reply.rs
+++ b/crates/router/src/reply.rs
@@ -1,4 +1,4 @@
-//! Responses to clients and the format of errors.
+//! Responses to callers and the format of errors.
 
 use actix_http::header::{self, HeaderName, HeaderValue};
 use actix_http::{Response, StatusCode};
@@ -14,7 +14,7 @@
 /// Header with the request id.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 
-/// The refusal or failure of a request, for its client.
+/// The refusal or failure of a request, for its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
     /// The error code.
@@ -23,7 +23,7 @@
     pub ran: Ran,
     /// Additional text for the error message.
     pub detail: Option<String>,
-    /// Delay after which the client may retry.
+    /// Delay after which the caller may retry.
     pub retry_after: Option<Millis>,
 }
 
@@ -33,7 +33,7 @@
         Refusal { code, ran: Ran::No, detail: None, retry_after: None }
     }
 
-    /// Sets the delay after which the client may retry.
+    /// Sets the delay after which the caller may retry.
     pub fn retry_after(self, span: Millis) -> Refusal {
         Refusal { retry_after: Some(span), ..self }
     }
--- a/crates/router/src/reservation_result.rs
+++ b/crates/router/src/reservation_result.rs
@@ -1,4 +1,4 @@
-//! Results of token reservations and lease requests, and the refusals that clients get for them.
+//! Results of token reservations and lease requests, and the refusals that callers get for them.
 
 use cypressfork_core::budget::{Decision, Reservation, Shortage};
 use cypressfork_core::code::Code;
@@ -39,7 +39,7 @@
     Refused(Code),
 }
 
-/// Returns how long to wait after a shortage, or the refusal for the client.
+/// Returns how long to wait after a shortage, or the refusal for the caller.
 pub fn wait_or_refusal(s: Shortage) -> Result<Millis, Refusal> {
     match s {
         Shortage::Busy(span) => Ok(span),
@@ -53,7 +53,7 @@
     matches!(code, Code::NoQuorum | Code::LinkBroken | Code::NotLeader | Code::QueueFull)
 }
 
-/// Returns the refusal for the client whose lease request failed with `code`.
+/// Returns the refusal for the caller whose lease request failed with `code`.
 pub fn lease_refusal(code: Code) -> Refusal {
     match code {
         Code::AccountClosed => Refusal::from(code),
--- a/crates/router/src/response_sender.rs
+++ b/crates/router/src/response_sender.rs
@@ -7,11 +7,11 @@
 use crate::model_handler::ResponseStart;
 use crate::reply::Refusal;
 
-/// Why a chunk could not be sent to the client.
+/// Why a chunk could not be sent to the caller.
 pub enum SendError {
-    /// The client has disconnected.
+    /// The caller has disconnected.
     Disconnected,
-    /// The client did not read it before the deadline.
+    /// The caller did not read it before the deadline.
     DeadlinePassed,
 }
 
@@ -34,7 +34,7 @@
         ResponseSender { response_tx: Some(response_tx), chunk_tx, stream }
     }
 
-    /// Completes when the client has disconnected.
+    /// Completes when the caller has disconnected.
     pub async fn closed(&mut self) {
         match &mut self.response_tx {
             Some(response_tx) => response_tx.closed().await,
@@ -42,17 +42,17 @@
         }
     }
 
-    /// Starts the streamed response, if the client requested one.
+    /// Starts the streamed response, if the caller requested one.
     pub fn start_stream(&mut self) {
         if self.stream
             && let Some(response_tx) = self.response_tx.take()
         {
-            // If the client has disconnected, sending the first chunk fails.
+            // If the caller has disconnected, sending the first chunk fails.
             let _ = response_tx.send(Ok(ResponseStart::Streaming));
         }
     }
 
-    /// Sends a chunk of a streamed response. Does nothing if the client requested no stream.
+    /// Sends a chunk of a streamed response. Does nothing if the caller requested no stream.
     pub async fn send_chunk(&self, chunk: Bytes, deadline: Instant) -> Result<(), SendError> {
         if !self.stream {
             return Ok(());
@@ -67,7 +67,7 @@
     /// Sends the initial response. Returns false if it was sent before.
     pub fn respond(&mut self, response: Result<ResponseStart, Refusal>) -> bool {
         let Some(response_tx) = self.response_tx.take() else { return false };
-        // Fails only if the client has disconnected.
+        // Fails only if the caller has disconnected.
         let _ = response_tx.send(response);
         true
     }
--- a/crates/router/src/serve.rs
+++ b/crates/router/src/serve.rs
@@ -1,4 +1,4 @@
-//! Dispatches clients' requests by path.
+//! Dispatches callers' requests by path.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -32,7 +32,7 @@
 /// Retry delay while the router is not ready.
 const NOT_READY_RETRY_AFTER: Millis = Millis::seconds(1);
 
-/// Serves one request of a client. Counts and logs its result and returns the response.
+/// Serves one request of a caller. Counts and logs its result and returns the response.
 pub async fn serve(app: Rc<App>, req: Request) -> Response<Body> {
     let new_id = app.random_u128();
     let head = head::parse(req.headers(), app.settings.head_cap, new_id);
@@ -105,7 +105,7 @@
     require_method(&req, &Method::POST)?;
     let head = head?;
     require_ready(app)?;
-    // Check the client before reading the body.
+    // Check the caller before reading the body.
     app.config.borrow().client_by_key(&head.key)?;
     let span = trace.span("entry");
     let bytes = read_body(req, app.settings.body_cap).await?;
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -13,9 +13,9 @@
 pub struct File {
     /// Settings common to all processes.
     pub common: Common,
-    /// Address for clients.
+    /// Address for callers.
     pub listen: String,
-    /// Address that is returned to clients by `/v1/entry`; `listen` if not given.
+    /// Address that is returned to callers by `/v1/entry`; `listen` if not given.
     #[serde(default)]
     pub public: Option<String>,
     /// Address for health checks and metrics.
@@ -35,7 +35,7 @@
     /// Maximum size of request headers in bytes.
     #[serde(default = "head_default")]
     pub head_cap: u64,
-    /// Seconds for which clients may cache a response of `/v1/entry`.
+    /// Seconds for which callers may cache a response of `/v1/entry`.
     #[serde(default = "keep_default")]
     pub entry_keep_s: u64,
     /// Deadline in milliseconds of a request without one of its own.
@@ -79,9 +79,9 @@
 pub struct Settings {
     /// Settings common to all processes.
     pub base: CheckedCommon,
-    /// Address for clients.
+    /// Address for callers.
     pub listen: SocketAddr,
-    /// Address that is returned to clients by `/v1/entry`.
+    /// Address that is returned to callers by `/v1/entry`.
     pub public: SocketAddr,
     /// Address for health checks and metrics.
     pub operators: SocketAddr,
@@ -95,7 +95,7 @@
     pub body_cap: usize,
     /// Maximum size of request headers in bytes.
     pub head_cap: usize,
-    /// How long clients may cache a response of `/v1/entry`.
+    /// How long callers may cache a response of `/v1/entry`.
     pub entry_max_age: Duration,
     /// Deadline of a request without one of its own.
     pub default_deadline: Duration,
--- a/crates/router/src/token_store.rs
+++ b/crates/router/src/token_store.rs
@@ -116,7 +116,7 @@
     /// Reserves `n` tokens of a budget. Requests more from the control group if too few are idle,
     /// or from the reserve if the group is unreachable, and waits no longer than `deadline`.
     ///
-    /// Returns the reservation and its grantor, or the refusal for the client.
+    /// Returns the reservation and its grantor, or the refusal for the caller.
     pub async fn reserve(
         self: &Rc<Self>,
         budget: &str,
--- a/crates/router/src/trace.rs
+++ b/crates/router/src/trace.rs
@@ -46,7 +46,7 @@
     }
 }
 
-/// A client's trace context: its trace id and the request's parent span.
+/// A caller's trace context: its trace id and the request's parent span.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct TraceContext {
     trace_id: u128,
@@ -99,7 +99,7 @@
 }
 
 impl Trace {
-    /// Starts a request's trace, under the client's context if `traceparent` is valid.
+    /// Starts a request's trace, under the caller's context if `traceparent` is valid.
     pub fn begin(exporter: Option<Exporter>, traceparent: Option<&str>) -> Rc<Trace> {
         let context = traceparent.and_then(parse_traceparent);
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
