--- a/crates/control/tests/group.rs
+++ b/crates/control/tests/group.rs
@@ -53,7 +53,7 @@
 
 /// A leader that can only send or only receive must not prevent the election of another one.
 #[rstest]
-fn a_leader_cut_one_way_steps_down(#[values(true, false)] outgoing: bool) {
+fn a_leader_partitioned_in_one_direction_steps_down(#[values(true, false)] outgoing: bool) {
     let mut sim = Simulation::new(3, 2);
     let old = sim.leader().unwrap();
     for o in others(old) {
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_replica_frozen_for_ten_minutes_comes_back_harmless() {
+fn a_member_frozen_for_ten_minutes_starts_no_election() {
     let mut sim = Simulation::new(3, 4);
     let old = sim.leader().unwrap();
     sim.freeze(old, true);
@@ -103,7 +103,7 @@
 
 /// A member that was partitioned does not depose the leader when it reconnects.
 #[test]
-fn pre_vote_keeps_a_returning_replica_from_deposing_the_leader() {
+fn pre_vote_keeps_a_returning_member_from_deposing_the_leader() {
     let mut sim = Simulation::new(3, 5);
     let leader = sim.leader().unwrap();
     let term = sim.member(leader).raft().term();
@@ -117,7 +117,7 @@
 
 /// A disk fails once at one of its first syncs, with the data written or not.
 #[rstest]
-fn a_failed_sync_stops_the_replica_and_loses_nothing(
+fn a_failed_sync_stops_the_member_and_loses_nothing(
     #[values(0, 1, 2, 3, 5, 8, 13, 30)] after: u32,
     #[values(true, false)] written: bool,
     #[values(true, false)] leader: bool,
@@ -136,7 +136,7 @@
 
 /// A member with a full disk takes no part in its group until there is space; the process keeps running.
 #[rstest]
-fn a_replica_whose_disk_is_full_takes_no_part_until_there_is_room(
+fn a_member_whose_disk_is_full_takes_no_part_until_there_is_space(
     #[values(true, false)] leader: bool,
 ) {
     let mut sim = Simulation::new(3, 5);
@@ -261,10 +261,10 @@
 
 /// A second member is lost at each stage of the replacement of the first one.
 #[rstest]
-#[case::before_anything(0)]
+#[case::before_any_change(0)]
 #[case::learner_added(1)]
 #[case::learner_promoted(2)]
-#[case::lost_one_removed(3)]
+#[case::lost_member_removed(3)]
 fn a_second_loss_during_a_repair_loses_nothing(#[case] stage: u32) {
     let mut sim = Simulation::new(3, 20 + u64::from(stage));
     for _ in 0..100 {
@@ -303,7 +303,7 @@
 
 /// All disks are lost and replaced one after the other, until no founder is left.
 #[test]
-fn every_replica_can_be_replaced_one_after_the_other() {
+fn every_member_can_be_replaced_one_after_the_other() {
     let mut sim = Simulation::new(3, 30);
     for lost in 1..=3 {
         for _ in 0..30 {
@@ -358,7 +358,7 @@
 /// The first election timeout after a restart is shorter than later ones: a live leader sends a heartbeat
 /// sooner, and without a leader no member refuses the pre-vote.
 #[test]
-fn a_group_that_restarts_at_once_is_soon_led_again() {
+fn a_fully_restarted_group_elects_a_leader_in_time() {
     const ELECTION_TIME: u64 = 500;
     for seed in 0..40 {
         let mut sim = Simulation::new(5, seed);
@@ -381,7 +381,7 @@
 
 /// A restarted member does not start an election against a live leader.
 #[test]
-fn a_replica_that_restarts_leaves_the_leader_alone() {
+fn a_restarted_member_does_not_depose_the_leader() {
     for seed in 0..20 {
         let mut sim = Simulation::new(5, seed);
         sim.run(3_000);
--- a/crates/control/tests/rejoin.rs
+++ b/crates/control/tests/rejoin.rs
@@ -33,7 +33,7 @@
 }
 
 #[rstest]
-fn a_member_removed_while_it_was_away_counts_again(#[values(1, 2, 3, 4)] seed: u64) {
+fn a_member_removed_while_it_was_down_becomes_a_voter_again(#[values(1, 2, 3, 4)] seed: u64) {
     let mut sim = two_seeds_removed(seed);
     sim.start(1);
     sim.start(2);
@@ -56,7 +56,7 @@
 
 /// A seed that is not a member refers callers to the leader.
 #[rstest]
-fn a_seed_outside_the_group_tells_where_the_leader_is(#[values(1, 2)] seed: u64) {
+fn a_seed_outside_the_group_returns_the_leaders_address(#[values(1, 2)] seed: u64) {
     let mut sim = two_seeds_removed(seed);
     sim.start(1);
     sim.run(500);
--- a/crates/control/tests/stalls.rs
+++ b/crates/control/tests/stalls.rs
@@ -54,10 +54,10 @@
 
 /// Stalls shorter and longer than the election timeout.
 #[rstest]
-#[case::all_for_longer_than_a_follower_waits(Stalled::All, 700)]
+#[case::all_for_longer_than_the_minimum_election_timeout(Stalled::All, 700)]
 #[case::all_for_twice_as_long(Stalled::All, 1_500)]
-#[case::all_shortly(Stalled::All, 300)]
-#[case::the_leader_shortly(Stalled::Leader, 300)]
+#[case::all_briefly(Stalled::All, 300)]
+#[case::the_leader_briefly(Stalled::Leader, 300)]
 #[case::followers_in_turn(Stalled::Followers, 1_200)]
 fn a_stalled_group_keeps_its_leader(#[case] who: Stalled, #[case] ms: u64) {
     for seed in 1..=5 {
--- a/crates/core/tests/bound.rs
+++ b/crates/core/tests/bound.rs
@@ -42,7 +42,7 @@
 #[case::an_unknown_span_frees_nothing(
     &[(1, 0, bound(10, 100, 5))], (None, None), Tokens::MAX - 10)]
 #[case::without_a_rate_the_span_does_not_matter(&[(1, 0, bound(10, 100, 0))], (None, None), 90)]
-fn what_a_dead_holder_may_have_spent(
+fn unreported_spending_is_bounded_by_the_last_reports(
     #[case] reports: &[(u64, u64, Bound)],
     #[case] (last, before): (Option<Millis>, Option<Millis>),
     #[case] unreported: Tokens,
@@ -260,7 +260,7 @@
 
 /// Guards against losing the successor's age, which bounds how long its predecessor ran.
 #[test]
-fn it_is_known_how_long_a_successor_had_been_running() {
+fn a_successors_age_at_registration_is_recorded() {
     let mut state = State::default();
     for (index, age) in [(1, 0), (2, 700)] {
         let c = Command::Register {
--- a/crates/core/tests/connection_loss.rs
+++ b/crates/core/tests/connection_loss.rs
@@ -41,7 +41,7 @@
 #[case::another_replica_restarted(ReplicaEvent::Restarted("x"), None)]
 #[case::silent(ReplicaEvent::Silent("r"), Some(EndEvidence::Silent))]
 #[case::leaving(ReplicaEvent::Leaving("r"), None)]
-fn events_are_evidence_of_an_end(
+fn events_are_evidence_that_a_replica_ended(
     #[case] event: ReplicaEvent<'_>,
     #[case] evidence: Option<EndEvidence>,
 ) {
@@ -68,7 +68,7 @@
 
 /// Guards against taking a planned shutdown for a crash.
 #[test]
-fn a_planned_end_closes_the_losses() {
+fn a_planned_shutdown_closes_the_losses() {
     let mut tracker = recorded_losses();
     assert_eq!(tracker.apply(ReplicaEvent::Leaving("r")), None);
     assert_eq!(tracker.apply(ReplicaEvent::Registered(address(80), "new")), None);
--- a/crates/core/tests/escrow.rs
+++ b/crates/core/tests/escrow.rs
@@ -62,7 +62,7 @@
 
 /// Guards against a second lease when a request is resent after its answer was lost.
 #[test]
-fn a_grant_that_is_asked_for_again_is_one_lease() {
+fn a_resent_request_gets_one_lease() {
     let mut e = Escrow::new(TOTAL, 1);
     e.drop_messages(MessageKind::RequestAnswer, 1);
     e.spend(0, 500, 500);
@@ -194,7 +194,7 @@
 
 /// Guards against a final refusal while running requests may return enough tokens.
 #[test]
-fn a_refusal_comes_only_when_what_is_reachable_is_too_little() {
+fn a_request_is_refused_only_if_reachable_tokens_are_too_few() {
     let mut e = Escrow::new(1_000, 4);
     for n in 0..4 {
         e.lease_exactly(n, 250);
@@ -259,7 +259,7 @@
 
 /// Guards against a recall that still blocks other requests after its own request was refused.
 #[test]
-fn a_recall_ends_with_its_refusal() {
+fn a_recall_ends_when_its_request_is_refused() {
     let mut e = Escrow::new(1_000, 3);
     e.lease_exactly(0, 600);
     let running = e.reserve(0, 600).expect("fits its slice");
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -63,14 +63,14 @@
 }
 
 #[rstest]
-#[case::as_it_is(|_: &mut Document| {}, None)]
+#[case::valid(|_: &mut Document| {}, None)]
 #[case::unknown_service(|d: &mut Document| d.routes[0].targets[0].service = "no".into(), Some("no known service"))]
-#[case::same_place(|d: &mut Document| d.routes[1].prefix = "/".into(), Some("share host"))]
+#[case::same_host_and_prefix(|d: &mut Document| d.routes[1].prefix = "/".into(), Some("share host"))]
 #[case::no_weight(|d: &mut Document| d.routes[0].targets[0].weight = 0, Some("sum to 0"))]
 #[case::no_targets(|d: &mut Document| d.routes[0].targets.clear(), Some("sum to 0"))]
 #[case::no_time(|d: &mut Document| d.routes[1].timeout = Millis(0), Some("time limit"))]
 #[case::shared_key(|d: &mut Document| d.accounts.as_mut().unwrap()[1].keys.push("a".into()), Some("another's"))]
-#[case::a_key_named_twice_by_its_own(|d: &mut Document| d.accounts.as_mut().unwrap()[0].keys.push("a".into()), None)]
+#[case::a_key_listed_twice_in_its_account(|d: &mut Document| d.accounts.as_mut().unwrap()[0].keys.push("a".into()), None)]
 fn documents_are_checked(#[case] change: fn(&mut Document), #[case] fault: Option<&str>) {
     let mut d = document();
     change(&mut d);
@@ -102,8 +102,8 @@
 #[case::known(Some("b"), false, true, Ok(Some("club")))]
 #[case::unknown(Some("z"), false, true, Err(Code::KeyUnknown))]
 #[case::missing(None, false, true, Err(Code::KeyMissing))]
-#[case::an_open_route_needs_none(None, true, true, Ok(None))]
-#[case::without_accounts_none_is_needed(None, false, false, Ok(None))]
+#[case::an_open_route_needs_no_key(None, true, true, Ok(None))]
+#[case::without_accounts_no_key_is_needed(None, false, false, Ok(None))]
 fn a_key_finds_its_account(
     #[case] key: Option<&str>,
     #[case] open: bool,
@@ -167,18 +167,18 @@
 }
 
 #[rstest]
-#[case::whole(&[1, 2, 3, 4, 5], &[], &[], &[], None)]
+#[case::complete_group(&[1, 2, 3, 4, 5], &[], &[], &[], None)]
 #[case::a_candidate_becomes_a_learner(&[1, 2, 3], &[], &[], &[(4, "d:1")], Some(MemberChange::AddLearner(4, "d:1".into())))]
 #[case::one_learner_at_a_time(&[1, 2, 3], &[4], &[4], &[(4, "d:1"), (5, "e:1")], Some(MemberChange::Remove(4)))]
 #[case::a_learner_that_has_caught_up_is_promoted(&[1, 2, 3], &[4], &[], &[(4, "d:1")], Some(MemberChange::Promote(4)))]
-#[case::an_emptied_disk_replaces_its_old_identity(&[1, 2, 3, 4, 5], &[], &[5], &[(9, "e:1")], Some(MemberChange::Remove(5)))]
-#[case::a_silent_one_stays_without_a_successor(&[1, 2, 3, 4, 5], &[], &[5], &[], None)]
+#[case::a_new_identity_replaces_the_old_one_at_its_address(&[1, 2, 3, 4, 5], &[], &[5], &[(9, "e:1")], Some(MemberChange::Remove(5)))]
+#[case::a_silent_member_without_a_successor_stays(&[1, 2, 3, 4, 5], &[], &[5], &[], None)]
 #[case::a_successor_at_another_address_is_a_learner_first(&[1, 2, 3, 4, 5], &[], &[5], &[(6, "f:1")], Some(MemberChange::AddLearner(6, "f:1".into())))]
 #[case::a_surplus_member_that_is_silent_is_removed(&[1, 2, 3, 4, 5, 6], &[], &[5], &[], Some(MemberChange::Remove(5)))]
 #[case::a_surplus_member_that_answers_stays(&[1, 2, 3, 4, 5, 6], &[], &[], &[], None)]
 #[case::no_repair_that_costs_the_quorum(&[1, 2, 3], &[], &[2, 3], &[(9, "b:1")], None)]
 #[case::a_member_that_lost_contact_is_no_successor_of_itself(&[1, 2, 3], &[], &[3], &[(3, "c:1")], None)]
-fn the_next_repair(
+fn the_next_membership_change_repairs_the_group(
     #[case] voters: &[NodeId],
     #[case] learners: &[NodeId],
     #[case] silent: &[NodeId],
@@ -243,11 +243,11 @@
 /// Routers as (name, data centre, open, time of the last heartbeat in ms) and the addresses that a
 /// caller in tamar-a gets at 10 s.
 #[rstest]
-#[case::near_ones_are_enough(&[("1", "tamar-a", true, 9_900), ("2", "tamar-a", true, 9_900), ("3", "esk-c", true, 9_900)], &["1:80", "2:80"])]
-#[case::one_near_is_not(&[("1", "tamar-a", true, 9_900), ("3", "esk-c", true, 9_900)], &["1:80", "3:80"])]
-#[case::stopping_ones_are_left_out(&[("1", "tamar-a", true, 9_900), ("2", "tamar-a", false, 9_900), ("3", "esk-c", true, 9_900)], &["1:80", "3:80"])]
-#[case::a_silent_one_is_left_out(&[("1", "tamar-a", true, 9_900), ("2", "tamar-a", true, 5_000), ("3", "esk-c", true, 9_900)], &["1:80", "3:80"])]
-#[case::all_silent_stay(&[("1", "tamar-a", true, 5_000), ("2", "tamar-a", true, 5_000)], &["1:80", "2:80"])]
+#[case::enough_routers_in_the_data_centre(&[("1", "tamar-a", true, 9_900), ("2", "tamar-a", true, 9_900), ("3", "esk-c", true, 9_900)], &["1:80", "2:80"])]
+#[case::too_few_routers_in_the_data_centre(&[("1", "tamar-a", true, 9_900), ("3", "esk-c", true, 9_900)], &["1:80", "3:80"])]
+#[case::stopping_routers_are_omitted(&[("1", "tamar-a", true, 9_900), ("2", "tamar-a", false, 9_900), ("3", "esk-c", true, 9_900)], &["1:80", "3:80"])]
+#[case::a_silent_router_is_omitted(&[("1", "tamar-a", true, 9_900), ("2", "tamar-a", true, 5_000), ("3", "esk-c", true, 9_900)], &["1:80", "3:80"])]
+#[case::all_are_listed_if_all_are_silent(&[("1", "tamar-a", true, 5_000), ("2", "tamar-a", true, 5_000)], &["1:80", "2:80"])]
 #[case::none_known(&[], &[])]
 fn a_caller_gets_the_addresses_of_usable_routers(
     #[case] routers: &[(&str, &str, bool, u64)],
@@ -303,7 +303,7 @@
 #[case::most_agree_within_some_ms(&[20, -10, 30, 2_400], 0, Some(200))]
 #[case::another_stepped(&[0, 2_400, 0, 0], 0, Some(150))]
 #[case::the_own_clock_stepped(&[0, 0, 0, 0], 2_400, Some(500))]
-#[case::all_others_heard_late(&[-100, -100, -100, -100], 0, Some(250))]
+#[case::samples_of_all_others_delayed(&[-100, -100, -100, -100], 0, Some(250))]
 #[case::no_two_agree(&[1_000, 2_000, -1_000, -2_000], 0, Some(500))]
 fn the_margin_covers_the_spread_of_the_clocks(
     #[case] others: &[i64],
@@ -315,7 +315,7 @@
 }
 
 #[test]
-fn a_loan_is_settled_once_and_never_made_after() {
+fn a_settled_loan_cannot_be_settled_or_opened_again() {
     let mut l: Loans<&str> = Loans::default();
     assert!(l.can_open(1));
     l.open(Time(0), 1, "held");
@@ -328,7 +328,7 @@
 }
 
 #[test]
-fn a_silent_borrower_is_taken_to_have_used_all() {
+fn a_loan_to_a_silent_borrower_expires() {
     let mut l = Loans::default();
     l.open(Time(0), 1, "first");
     l.open(Time(30_000), 2, "second");
@@ -342,7 +342,7 @@
 #[rstest]
 #[case::few(3)]
 #[case::many(500)]
-fn lenders_are_those_that_can_spare_most(#[case] peers: u64) {
+fn peers_with_the_most_available_tokens_lend(#[case] peers: u64) {
     let mut rng = SmallRng::seed_from_u64(1);
     let available = |n: u64| if n == 2 { 900 } else { 10 };
     let mut second_choices = BTreeMap::new();
@@ -361,7 +361,7 @@
 #[case::over_several(&[5, 7, 9], 13, &[5, 7, 1])]
 #[case::all_of_it(&[5, 7], 12, &[5, 7])]
 #[case::more_than_was_reserved(&[5, 7], 20, &[5, 7])]
-#[case::nothing_of_its_own(&[0, 7], 6, &[0, 6])]
+#[case::empty_first_part(&[0, 7], 6, &[0, 6])]
 fn a_request_is_charged_to_the_parts_of_its_reservation(
     #[case] parts: &[u64],
     #[case] used: u64,
@@ -372,8 +372,8 @@
 
 #[rstest]
 #[case::just_started(0, None, 1_200)]
-#[case::a_part_of_its_own_time(0, Some(900), 300)]
-#[case::no_time_of_its_own(0, Some(0), 0)]
+#[case::waited_part_of_the_deadline(0, Some(900), 300)]
+#[case::no_time_left(0, Some(0), 0)]
 #[case::some_time_after_the_start(1_500, None, 500)]
 #[case::cut_off_since_the_start(2_000, None, 0)]
 #[case::long_after_the_start(3_600_000, Some(12_000), 0)]
--- a/crates/core/tests/quarantine_storm.rs
+++ b/crates/core/tests/quarantine_storm.rs
@@ -249,7 +249,7 @@
 #[case::one(1)]
 #[case::two(2)]
 #[case::four(4)]
-fn sound_work_is_not_refused_for_what_others_did(#[case] poison_requests: u64) {
+fn harmless_requests_are_not_refused_because_of_poison_requests(#[case] poison_requests: u64) {
     let baseline = run_all_seeds(Policy::CountStrikes, poison_requests);
     let fleet = run_all_seeds(Policy::Fleet, poison_requests);
     eprintln!("{poison_requests} poison requests: count strikes {baseline:?}, fleet {fleet:?}");
--- a/crates/core/tests/raft.rs
+++ b/crates/core/tests/raft.rs
@@ -72,7 +72,7 @@
 #[case::newer_term(Position { index: 1, term: 3 }, true)]
 #[case::shorter(Position { index: 2, term: 2 }, false)]
 #[case::older_term(Position { index: 9, term: 1 }, false)]
-fn a_vote_needs_a_log_that_is_as_good(#[case] last: Position, #[case] granted: bool) {
+fn a_vote_requires_an_up_to_date_log(#[case] last: Position, #[case] granted: bool) {
     let mut r = member(2, &[1, 2, 2]);
     r.step(Time(5_000), message(2, 5, Body::PreVote(last)));
     assert_eq!(sent_bodies(&mut r), [Body::PreVoteReply(granted)]);
@@ -103,7 +103,7 @@
 /// Guards against committing an entry of an earlier term by counting its copies: another leader
 /// could still replace it. It is committed with a later entry of the leader's own term.
 #[test]
-fn an_earlier_terms_entry_is_committed_only_with_one_of_its_own() {
+fn an_entry_of_an_earlier_term_is_committed_only_with_one_of_the_current_term() {
     let mut r = leader(3, &[1, 2]);
     r.record_synced(Time(5_000), 3);
     r.step(Time(5_001), message(2, 4, Body::Appended { matched: 2, round: 0 }));
@@ -134,7 +134,7 @@
 /// Guards against a stale read: a read is ready only after a quorum has answered a heartbeat round
 /// that began after the read arrived.
 #[test]
-fn a_read_waits_for_a_quorums_word_given_after_it() {
+fn a_read_waits_for_a_quorum_in_a_later_heartbeat_round() {
     let mut r = leader(0, &[]);
     r.record_synced(Time(5_000), 1);
     r.step(Time(5_001), message(2, 1, Body::Appended { matched: 1, round: 0 }));
@@ -200,7 +200,7 @@
 #[case::gap(&[1], Position { index: 4, term: 1 }, &[5], Body::Rejected { hint: 1, round: 0 })]
 #[case::differs(&[1, 2], Position { index: 2, term: 3 }, &[5], Body::Rejected { hint: 1, round: 0 })]
 #[case::replaces(&[1, 2, 2], Position { index: 1, term: 1 }, &[5], Body::Appended { matched: 2, round: 0 })]
-#[case::again(&[1, 1], Position { index: 0, term: 0 }, &[1, 1], Body::Appended { matched: 2, round: 0 })]
+#[case::duplicate(&[1, 1], Position { index: 0, term: 0 }, &[1, 1], Body::Appended { matched: 2, round: 0 })]
 fn a_follower_appends_only_entries_that_continue_its_log(
     #[case] log: &[Term],
     #[case] prev: Position,
@@ -235,7 +235,7 @@
 /// Guards against sending the missing entries once per rejection: late rejections answer messages
 /// that were sent before the first rejection arrived.
 #[test]
-fn stale_rejections_do_not_bring_the_same_entries_again() {
+fn stale_rejections_do_not_resend_entries() {
     let mut r = leader(1, &[1; 40]);
     r.step(Time(5_010), message(3, 2, Body::Appended { matched: 41, round: 0 }));
     r.take_actions();
--- a/crates/core/tests/registry.rs
+++ b/crates/core/tests/registry.rs
@@ -34,14 +34,17 @@
 /// Each case: the records received for one replica, in order, and its final status.
 #[rstest]
 #[case::ready(&[(1, ReplicaStatus::Ready)], ReplicaStatus::Ready)]
-#[case::draining_is_for_good(&[(1, ReplicaStatus::Ready), (2, ReplicaStatus::Draining), (3, ReplicaStatus::Ready)], ReplicaStatus::Draining)]
+#[case::draining_is_final(&[(1, ReplicaStatus::Ready), (2, ReplicaStatus::Draining), (3, ReplicaStatus::Ready)], ReplicaStatus::Draining)]
 #[case::a_late_heartbeat_does_not_revive(&[(5, ReplicaStatus::Draining), (4, ReplicaStatus::Ready)], ReplicaStatus::Draining)]
-#[case::draining_that_comes_late_counts(&[(5, ReplicaStatus::Ready), (4, ReplicaStatus::Draining)], ReplicaStatus::Draining)]
-#[case::left_is_for_good(&[(5, ReplicaStatus::Left), (9, ReplicaStatus::Ready)], ReplicaStatus::Left)]
+#[case::late_draining_applies(&[(5, ReplicaStatus::Ready), (4, ReplicaStatus::Draining)], ReplicaStatus::Draining)]
+#[case::left_is_final(&[(5, ReplicaStatus::Left), (9, ReplicaStatus::Ready)], ReplicaStatus::Left)]
 #[case::left_overrides_draining(&[(5, ReplicaStatus::Left), (6, ReplicaStatus::Draining)], ReplicaStatus::Left)]
 #[case::silent_until_its_next_heartbeat(&[(5, ReplicaStatus::Silent), (6, ReplicaStatus::Ready)], ReplicaStatus::Ready)]
 #[case::a_late_record_of_silence(&[(6, ReplicaStatus::Ready), (5, ReplicaStatus::Silent)], ReplicaStatus::Ready)]
-fn what_a_replica_says(#[case] received: &[(u64, ReplicaStatus)], #[case] want: ReplicaStatus) {
+fn the_status_of_a_replica_follows_its_records(
+    #[case] received: &[(u64, ReplicaStatus)],
+    #[case] want: ReplicaStatus,
+) {
     let mut r = Registry::default();
     for (sequence, standing) in received {
         r.apply(Time(1_000), record("i-1", *sequence, *standing), RecordSource::Replica);
@@ -125,7 +128,7 @@
 
 /// Guards against replicas missing at a peer that reads small batches while the registry changes.
 #[test]
-fn no_replica_is_left_out_of_parts() {
+fn small_batches_omit_no_replica() {
     let (mut from, mut to) = (Registry::default(), Registry::default());
     let mut since = 0;
     for n in 0..400_u64 {
@@ -154,7 +157,7 @@
 /// Guards against a late heartbeat that brings back a replica that left, and against keeping such
 /// replicas forever.
 #[test]
-fn one_that_has_left_is_remembered_against_late_heartbeats() {
+fn a_late_heartbeat_does_not_revive_a_replica_that_left() {
     let mut r = Registry::default();
     r.apply(Time(0), record("i-1", 5, ReplicaStatus::Ready), RecordSource::Replica);
     r.mark_left(Time(0), "i-1");
--- a/crates/core/tests/replicas.rs
+++ b/crates/core/tests/replicas.rs
@@ -69,7 +69,7 @@
 #[case::ready_before_silent(&[("a", 80, 7, Ready), ("b", 80, 1, Silent)], &[(80, "a")])]
 #[case::the_newer_one_leaves(
     &[("a", 80, 7, Ready), ("b", 80, 1, Ready), ("b", 80, 2, Left)], &[(80, "a")])]
-fn who_is_at_an_address(
+fn records_determine_the_replica_at_an_address(
     #[case] records: &[(&str, u16, u64, ReplicaStatus)],
     #[case] want: &[(u16, &str)],
 ) {
@@ -81,7 +81,7 @@
 /// Guards against a delayed heartbeat of a crashed replica that takes an address back from its
 /// successor, after a response has identified the successor.
 #[test]
-fn one_that_was_found_replaced_is_not_taken_for_alive_again() {
+fn a_replaced_replica_does_not_regain_its_address() {
     let mut replicas = ReplicaTable::default();
     let mut by_port = BTreeMap::new();
     let records = [record("new", 80, 1, Ready), record("old", 80, 9, Ready)];
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -102,11 +102,11 @@
 /// Each case: the requests in a queue of two, the new request, and the one it displaces, if any.
 /// The new request is refused if it displaces none.
 #[rstest]
-#[case::bulk_gives_way_to_live(&[(1, "a", Priority::Normal), (2, "a", Priority::Bulk)], ("b", Priority::Live), Some(2))]
-#[case::newest_of_the_class_goes(&[(1, "a", Priority::Bulk), (2, "a", Priority::Bulk)], ("b", Priority::Live), Some(2))]
-#[case::live_does_not_give_way_to_bulk(&[(1, "a", Priority::Live), (2, "a", Priority::Live)], ("b", Priority::Bulk), None)]
+#[case::live_displaces_bulk(&[(1, "a", Priority::Normal), (2, "a", Priority::Bulk)], ("b", Priority::Live), Some(2))]
+#[case::the_newest_of_the_class_is_displaced(&[(1, "a", Priority::Bulk), (2, "a", Priority::Bulk)], ("b", Priority::Live), Some(2))]
+#[case::bulk_does_not_displace_live(&[(1, "a", Priority::Live), (2, "a", Priority::Live)], ("b", Priority::Bulk), None)]
 #[case::same_class_and_account(&[(1, "a", Priority::Bulk), (2, "a", Priority::Bulk)], ("a", Priority::Bulk), None)]
-#[case::large_account_gives_way_to_small(&[(1, "a", Priority::Bulk), (2, "a", Priority::Bulk)], ("b", Priority::Bulk), Some(2))]
+#[case::a_small_account_displaces_a_large_one(&[(1, "a", Priority::Bulk), (2, "a", Priority::Bulk)], ("b", Priority::Bulk), Some(2))]
 fn a_full_queue_displaces_by_priority_and_account(
     #[case] waiting: &[(u64, &str, Priority)],
     #[case] new: (&str, Priority),
@@ -155,7 +155,7 @@
 /// Guards against queueing a request that cannot start before its deadline. The refusal carries the
 /// time until a retry can succeed.
 #[test]
-fn what_cannot_meet_its_deadline_is_refused_at_once() {
+fn a_request_that_cannot_meet_its_deadline_is_refused_at_once() {
     let mut limiter = full_limiter(2, 10);
     for _ in 0..60 {
         limiter.release("a", Some(Millis(1_000)));
@@ -379,7 +379,10 @@
 #[case::missing_twice("L--L", "..!!")]
 #[case::no_list("LxxxL", ".....")]
 #[case::no_list_while_leaving("GxxG", "!!!!")]
-fn the_platforms_list_is_read_with_care(#[case] polls: &str, #[case] leaving: &str) {
+fn leaving_vms_are_detected_despite_flapping_and_missing_lists(
+    #[case] polls: &str,
+    #[case] leaving: &str,
+) {
     let mut tracker = VmTracker::default();
     for (n, (poll, want)) in polls.chars().zip(leaving.chars()).enumerate() {
         let state = match poll {
--- a/crates/core/tests/sessions.rs
+++ b/crates/core/tests/sessions.rs
@@ -128,7 +128,7 @@
 
 /// Guards against changes in how leases, top-ups, cuts and a closed account affect a budget.
 #[test]
-fn a_budget_through_its_life() {
+fn leases_top_ups_and_cuts_change_a_budget() {
     let mut m = StateMachine::new();
     start(&mut m);
     let h = m.register("entry-1");
@@ -186,7 +186,7 @@
 
 /// Guards against running a request more than once when several routers receive its retries.
 #[test]
-fn an_order_retried_by_three_routers() {
+fn a_request_retried_by_three_routers_runs_once() {
     let mut m = StateMachine::new();
     start(&mut m);
     let [a, b, c] = ["entry-1", "entry-2", "entry-3"].map(|vm| m.register(vm));
@@ -221,7 +221,7 @@
 
 /// Guards against running a claimed request again after its router lapsed, was cut off or replaced.
 #[test]
-fn a_move_whose_router_dies_in_a_cut() {
+fn a_claimed_request_is_not_run_again_after_its_router_is_lost() {
     let mut m = StateMachine::new();
     start(&mut m);
     let [a, b] = ["entry-1", "entry-2"].map(|vm| m.register(vm));
@@ -252,7 +252,7 @@
 
 /// Guards against billing a request twice or not at all when batches are lost, repeated or reordered.
 #[test]
-fn a_bill_lost_doubled_and_reordered() {
+fn lost_repeated_and_reordered_batches_bill_a_request_once() {
     let mut m = StateMachine::new();
     start(&mut m);
     let [a, b] = ["entry-1", "entry-2"].map(|vm| m.register(vm));
@@ -289,7 +289,7 @@
 
 /// Guards against a snapshot that loses state: the copy must answer later commands the same way.
 #[test]
-fn a_snapshot_in_the_middle_changes_nothing() {
+fn a_restored_snapshot_answers_later_commands_the_same_way() {
     let mut m = StateMachine::new();
     start(&mut m);
     let h = m.register("entry-1");
--- a/crates/core/tests/transfer.rs
+++ b/crates/core/tests/transfer.rs
@@ -67,7 +67,7 @@
 
 /// Guards against a restart of the transfer when its source fails.
 #[test]
-fn another_process_goes_on_where_the_first_has_fallen_silent() {
+fn a_transfer_continues_from_another_process() {
     let (first, second) = (documents(&[(3, 4 * PART_BYTES)]), documents(&[(3, 4 * PART_BYTES)]));
     let mut requests = 0;
     let (bytes, parts) = fetch(&mut Assembly::default(), 0, |req| {
@@ -140,7 +140,7 @@
 /// Guards against parts that arrive late, twice or from an older version and corrupt a document or
 /// bring an older one into force.
 #[test]
-fn late_doubled_and_older_parts_do_no_harm() {
+fn late_duplicate_and_older_parts_do_not_corrupt_a_document() {
     let config = Config { cases: 500, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &SEED);
     let all: Vec<_> = [(3, 5 * PART_BYTES), (4, 3 * PART_BYTES + 7), (5, 2 * PART_BYTES)]
--- a/crates/soak/tests/check.rs
+++ b/crates/soak/tests/check.rs
@@ -87,9 +87,9 @@
 #[rstest]
 #[case::spend_by_events("spend", |h: &mut History| { h.generated.insert("s".into(), 6_000_000); })]
 #[case::spend_by_prompts("spend", |h: &mut History| { h.requests[0].prompt = 6_000_000; h.spent.clear(); h.requests[0].outcome = Outcome::Left; })]
-#[case::counted_below("billing", |h: &mut History| { h.spent.insert("club", 42); })]
-#[case::counted_above("billing", |h: &mut History| { h.spent.insert("mill", 1_000_000); })]
-#[case::twice("at most once", |h: &mut History| h.arrivals.push(arrival("u", "board", 10_020)))]
+#[case::billed_too_little("billing", |h: &mut History| { h.spent.insert("club", 42); })]
+#[case::billed_too_much("billing", |h: &mut History| { h.spent.insert("mill", 1_000_000); })]
+#[case::run_twice("at most once", |h: &mut History| h.arrivals.push(arrival("u", "board", 10_020)))]
 #[case::refused_and_run("not run", |h: &mut History| h.arrivals.push(arrival("f", "board", 10_020)))]
 #[case::another_answer("whole answer", |h: &mut History| {
     h.requests[1].outcome = Outcome::Answered { whole: false, events: Vec::new() };
@@ -111,22 +111,22 @@
 })]
 #[case::stop_too_long("planned stop", |h: &mut History| h.stops[0].ended = Some(40_000))]
 #[case::stop_without_end("planned stop", |h: &mut History| { h.stops[0].ended = Some(u64::MAX / 2); })]
-#[case::read_older("configuration", |h: &mut History| h.reads[0].version = 1)]
+#[case::older_version_read("configuration", |h: &mut History| h.reads[0].version = 1)]
 #[case::decreases_in_one_incarnation("configuration", |h: &mut History| h.version_reports[2].incarnation = 1)]
 #[case::not_in_force("configuration", |h: &mut History| {
     h.disruptions.clear();
     h.requests[3].outcome = Outcome::Refused(404);
 })]
-#[case::always_allowed("denied", |h: &mut History| h.requests[2].outcome = Outcome::Refused(404))]
-#[case::retries("retries", |h: &mut History| {
+#[case::allowed_request_denied("denied", |h: &mut History| h.requests[2].outcome = Outcome::Refused(404))]
+#[case::too_many_retries("retries", |h: &mut History| {
     (0..12).for_each(|n| h.arrivals.push(arrival("s", "talk", 10_020 + n)));
 })]
 #[case::sent_after_quarantine("poison", |h: &mut History| add_poison(h, 4))]
-#[case::harmless_request("quarantine", |h: &mut History| h.requests[2].outcome = Outcome::Quarantined)]
+#[case::harmless_request_quarantined("quarantine", |h: &mut History| h.requests[2].outcome = Outcome::Quarantined)]
 #[case::over_its_limit("limit", |h: &mut History| add_limited_replica(h, 12))]
-#[case::not_back("service back", |h: &mut History| h.recovered_at[0] = None)]
-#[case::back_late("service back", |h: &mut History| h.recovered_at[0] = Some(40_000))]
-#[case::ended("ends by itself", |h: &mut History| h.unexpected_exits.push("gateway-0".into()))]
+#[case::service_not_restored("service back", |h: &mut History| h.recovered_at[0] = None)]
+#[case::service_restored_late("service back", |h: &mut History| h.recovered_at[0] = Some(40_000))]
+#[case::process_exited("ends by itself", |h: &mut History| h.unexpected_exits.push("gateway-0".into()))]
 fn a_fault_is_found(#[case] promise: &str, #[case] apply: fn(&mut History)) {
     let mut h = correct_history();
     apply(&mut h);
@@ -169,26 +169,26 @@
     h.requests[1].outcome = Outcome::Cut { begun: false, events: Vec::new() };
     h.disruptions.push(Disruption { what: "Reset".into(), from: 9_900, until: 10_000 });
 })]
-#[case::closed_before_it_was_passed_on(|h: &mut History| {
+#[case::closed_before_it_was_forwarded(|h: &mut History| {
     h.requests[1].outcome = Outcome::Cut { begun: false, events: Vec::new() };
     h.arrivals.remove(1);
 })]
 #[case::not_in_force_beside_a_fault(|h: &mut History| h.requests[3].outcome = Outcome::Refused(404))]
-#[case::behind_and_refuses(|h: &mut History| {
+#[case::outdated_gateway_refuses(|h: &mut History| {
     h.disruptions.clear();
     h.requests[3].outcome = Outcome::Refused(503);
     h.arrivals.remove(2);
 })]
 #[case::at_its_limit(|h: &mut History| add_limited_replica(h, 11))]
-#[case::over_a_limit_that_is_over(|h: &mut History| {
+#[case::over_an_expired_limit(|h: &mut History| {
     add_limited_replica(h, 12);
     h.limits[0].until = Some(15_000);
 })]
-#[case::over_it_by_a_gateway_that_was_cut_off(|h: &mut History| {
+#[case::over_the_limit_by_a_disconnected_gateway(|h: &mut History| {
     add_limited_replica(h, 12);
     h.disruptions.push(Disruption { what: "CutGateway(1)".into(), from: 13_000, until: 16_000 });
 })]
-#[case::over_it_before_it_counts(|h: &mut History| {
+#[case::over_the_limit_before_it_applies(|h: &mut History| {
     add_limited_replica(h, 12);
     h.limits[0].first = Some(15_000);
 })]
@@ -278,7 +278,7 @@
 /// Cases: the start and end of reads that fail, and the promises that this breaks.
 #[rstest]
 #[case::for_long(&[(20_000, 20_400), (20_600, 21_100)], &["leader"])]
-#[case::shortly(&[(20_000, 20_400), (20_600, 20_900)], &[])]
+#[case::briefly(&[(20_000, 20_400), (20_600, 20_900)], &[])]
 #[case::with_one_that_succeeds_between(&[(20_000, 20_400), (21_000, 21_100)], &[])]
 #[case::beside_a_stop(&[(9_000, 9_400), (10_600, 11_100)], &[])]
 fn an_undisturbed_group_without_a_leader_is_found(
--- a/crates/store/tests/folder.rs
+++ b/crates/store/tests/folder.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn what_was_synced_is_found_again() {
+fn synced_records_are_read_back() {
     let (dir, _) = three_batches();
     assert_eq!(read(dir.path()).unwrap(), (1..=6).map(record).collect::<Vec<_>>());
 }
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn the_log_goes_on_after_a_cut_tail() {
+fn the_log_accepts_records_after_a_torn_tail() {
     let (dir, ends) = three_batches();
     let f = OpenOptions::new().write(true).open(log_file(dir.path())).unwrap();
     f.set_len(ends[1] + 5).unwrap();
@@ -95,7 +95,7 @@
 /// Damage before the last batch affects acknowledged records: the log must refuse to open and report
 /// the offset.
 #[test]
-fn damage_in_the_middle_refuses_to_start_at_every_byte() {
+fn damage_before_the_last_batch_is_refused_at_every_byte() {
     let (dir, ends) = three_batches();
     let path = log_file(dir.path());
     let whole = fs::read(&path).unwrap();
--- a/crates/store/tests/fuzz.rs
+++ b/crates/store/tests/fuzz.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_changed_log_never_shows_what_was_not_written() {
+fn a_corrupt_log_never_returns_records_that_were_not_written() {
     let cases = std::env::var("FUZZ_CASES").ok().and_then(|n| n.parse().ok()).unwrap_or(300);
     let config = Config { cases, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &SEED);
