--- a/crates/core/src/fleet/load_shedding.rs
+++ b/crates/core/src/fleet/load_shedding.rs
@@ -6,7 +6,7 @@
 //! gateway is busy and shrinks afterwards; omitting it from all answers at once would move its
 //! whole load to the next gateway. If most gateways of a data centre are busy, answers also list
 //! gateways of other data centres. Each control process computes the shares independently from the
-//! same router status.
+//! same gateway status.
 
 use std::collections::BTreeMap;
 
--- a/crates/core/src/route/backlog.rs
+++ b/crates/core/src/route/backlog.rs
@@ -1,6 +1,6 @@
 //! One router's estimate of the prompts that a replica has yet to process (prefill).
 //!
-//! An engine processes prompts one after the other, in chunks interleaved with token generation.
+//! A replica processes prompts one after the other, in chunks interleaved with token generation.
 //! Prompts sent recently therefore delay the next first event, and a long uninterrupted prefill
 //! pauses every stream that runs on the same replica.
 
--- a/crates/core/src/route/replica.rs
+++ b/crates/core/src/route/replica.rs
@@ -124,7 +124,7 @@
     }
 
     /// Returns the expected time until the first event of a request with `uncached` prompt tokens,
-    /// in microseconds: queueing, sharing of the engine, prefill of the backlog and of its own
+    /// in microseconds: queueing, sharing of the replica, prefill of the backlog and of its own
     /// prompt, and network latency.
     pub(super) fn expected_first_event_us(
         &self,
--- a/crates/router/src/app.rs
+++ b/crates/router/src/app.rs
@@ -23,7 +23,7 @@
 use crate::token_store::TokenStore;
 use crate::trace::Exporter;
 
-/// Timeout for connecting to an upstream.
+/// Timeout for connecting to a replica.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The most concurrent calls per replica of a plain service.
@@ -55,7 +55,7 @@
     pub sites: RefCell<Vec<Site>>,
     /// HTTP client with keep-alive, for requests that may be sent again.
     pub pooled_client: Client,
-    /// HTTP client without keep-alive, for requests that may run at most once. An upstream can
+    /// HTTP client without keep-alive, for requests that may run at most once. A replica can
     /// close a reused connection while a request is being sent, which leaves unknown whether it
     /// ran.
     pub unpooled_client: Client,
--- a/crates/router/src/attempt.rs
+++ b/crates/router/src/attempt.rs
@@ -102,7 +102,7 @@
 
 /// A response of an engine whose headers have arrived.
 pub struct EngineResponse {
-    /// The chosen replica.
+    /// The chosen engine.
     pub choice: Choice,
     /// The response, with its body still unread.
     pub response: awc::ClientResponse,
--- a/crates/router/src/entry.rs
+++ b/crates/router/src/entry.rs
@@ -9,7 +9,7 @@
 use crate::app::App;
 use crate::reply::json_response;
 
-/// The most addresses in one answer.
+/// The most addresses in one response.
 const MAX_ADDRESSES: usize = 8;
 
 /// Returns the usable routers in the order in which a caller should try them: those in
--- a/crates/router/src/gateway/drain.rs
+++ b/crates/router/src/gateway/drain.rs
@@ -17,7 +17,7 @@
 /// Interval between checks for remaining requests and tokens.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Drains the gateway: leaves the list of router addresses, continues to serve callers that still have
+/// Drains the gateway: leaves the list of gateway addresses, continues to serve callers that still have
 /// this address, stops accepting connections through `closed`, waits for requests in flight and returns
 /// unused tokens.
 pub async fn drain(gw: Rc<Gateway>, closed: watch::Sender<bool>) {
--- a/crates/router/src/gateway/follow.rs
+++ b/crates/router/src/gateway/follow.rs
@@ -252,7 +252,7 @@
 async fn process_recalls(gw: &Gateway, holder: HolderId) {
     let mut is_reachable = true;
     loop {
-        // The highest version and no sites limit the answer to recalls. The rest comes with the watches.
+        // The highest version and no sites limit the response to recalls. The rest comes with the watches.
         let q = Query::Follow { holder, version: Version::MAX, sites: NO_SITES };
         let answer = gw.group.query(&q, RECALLS_TIMEOUT).await;
         let answered = matches!(answer, Ok(Reply::News(_)));
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -108,7 +108,7 @@
     pub peers: Peers,
     /// The watched control processes, each with the trigger that repeats its watch request at once.
     pub watches: RefCell<BTreeMap<SocketAddr, Rc<PollTrigger>>>,
-    /// Highest number of routers in the fleet that a control process has reported.
+    /// Highest number of gateways in the fleet that a control process has reported.
     pub router_count: Cell<u32>,
     /// Queue delay of this process and utilisation of its link.
     pub load_monitor: RefCell<LoadMonitor>,
@@ -176,8 +176,8 @@
         self.clock.now()
     }
 
-    /// Returns the interval between two reports of spent tokens, which depends on the number of routers in the
-    /// fleet.
+    /// Returns the interval between two reports of spent tokens, which depends on the number of gateways in
+    /// the fleet.
     pub fn report_interval(&self) -> Duration {
         let max = Millis(self.settings.report_interval.as_millis() as u64);
         Duration::from_millis(report_interval(u64::from(self.router_count.get()), max).0)
@@ -620,7 +620,7 @@
         window.record_request(self.now(), &self.settings.retry);
     }
 
-    /// Takes a retry out of this router's part of the fleet's retry budget for a service. Returns whether
+    /// Takes a retry out of this gateway's part of the fleet's retry budget for a service. Returns whether
     /// the budget allows it.
     pub fn take_retry(&self, service: &str) -> bool {
         let routers = u64::from(self.router_count.get());
