--- a/crates/cypressfork/tests/addresses.rs
+++ b/crates/cypressfork/tests/addresses.rs
@@ -1,4 +1,4 @@
-//! Addresses that the helpers of these tests hand out as free.
+//! Tests that an address reported as free can be bound.
 
 #![allow(missing_docs)]
 
@@ -11,19 +11,19 @@
 
 use support::{free_addresses, own_ip};
 
-/// Threads that start processes, as other tests of a run do.
-const STARTERS: usize = 8;
+/// Number of threads that start processes, as concurrent tests do.
+const SPAWNING_THREADS: usize = 8;
 
 /// Number of addresses that are requested and bound.
 const ADDRESSES: usize = 600;
 
-/// Guards against a port that is reported free but still held: a socket opened to probe it lives on in
-/// a process that another thread is starting.
+/// Guards against a port that is reported free but still held: a socket opened to probe it stays open
+/// in a process that another thread is starting.
 #[test]
 fn a_free_address_can_be_bound_while_processes_start() {
     let done = AtomicBool::new(false);
     let held: Vec<_> = thread::scope(|s| {
-        for _ in 0..STARTERS {
+        for _ in 0..SPAWNING_THREADS {
             s.spawn(|| {
                 while !done.load(Ordering::Relaxed) {
                     Command::new("true").status().unwrap();
--- a/crates/cypressfork/tests/bad_input.rs
+++ b/crates/cypressfork/tests/bad_input.rs
@@ -87,7 +87,7 @@
     assert!(a.header("x-request-id").is_some(), "{}", c.name);
 }
 
-/// Sends an incomplete request and closes the connection.
+/// Sends a request whose body is shorter than its `Content-Length`, and closes the connection.
 fn send_incomplete_request(address: &str) {
     let mut s = TcpStream::connect(address).unwrap();
     let head = format!(
@@ -116,9 +116,9 @@
 fn each_has_a_number_and_changes_nothing() {
     let f = Fleet::start(Plan::default());
     for c in cases(&f) {
-        let again = Case { request: Request::new("", ""), ..c };
-        let a = c.request.send(&again.body);
-        check(&again, &a);
+        let expected = Case { request: Request::new("", ""), ..c };
+        let a = c.request.send(&expected.body);
+        check(&expected, &a);
     }
     send_incomplete_request(&f.router_addresses[0]);
     let line = send_oversized_headers(&f.router_addresses[0]);
--- a/crates/cypressfork/tests/documents.rs
+++ b/crates/cypressfork/tests/documents.rs
@@ -21,8 +21,8 @@
 
 /// A gateway process that watches the given control processes.
 struct Gateway {
-    callers: String,
-    operators: String,
+    caller_address: String,
+    operator_address: String,
     process: Process,
     _dir: TempDir,
 }
@@ -43,12 +43,17 @@
         fs::write(&file, text).unwrap();
         let args = ["--settings", file.to_str().unwrap()];
         let process = Process::start(dir.path(), "gateway", program("gateway"), &args);
-        Gateway { callers: free[0].clone(), operators: free[2].clone(), process, _dir: dir }
+        Gateway {
+            caller_address: free[0].clone(),
+            operator_address: free[2].clone(),
+            process,
+            _dir: dir,
+        }
     }
 
     /// Sends a caller's request and returns the status of the answer.
     fn ask(&self, path: &str) -> u16 {
-        let req = Request::new(&self.callers, path).method("GET");
+        let req = Request::new(&self.caller_address, path).method("GET");
         req.header("host", "club.example").header("x-request-id", "r-1").send("").status
     }
 
@@ -58,7 +63,7 @@
 
     /// Returns the version of the document in force, 0 before the first.
     fn version(&self) -> u64 {
-        let v = get(&format!("http://{}/readyz", self.operators));
+        let v = get(&format!("http://{}/readyz", self.operator_address));
         v.and_then(|v| v["document"].as_u64()).unwrap_or_default()
     }
 }
--- a/crates/cypressfork/tests/failure.rs
+++ b/crates/cypressfork/tests/failure.rs
@@ -15,7 +15,7 @@
     3 + n
 }
 
-/// Returns the index of the leader in `control_addresses`.
+/// Returns the index of the leader in `control_addresses`, `None` while there is no leader.
 fn leader(f: &Fleet) -> Option<usize> {
     let out = f.cli(&["status", "--json"]);
     let v: Value = serde_json::from_slice(&out.stdout).ok()?;
@@ -72,7 +72,7 @@
             f.controls[n].signal("TERM");
             assert_eq!(f.controls[n].wait(), Some(0));
             f.controls[n] = f.start_control(n);
-            until("a whole group", || f.json(&["status"])["safe"] == true);
+            until("the group to be safe", || f.json(&["status"])["safe"] == true);
         }
     });
     f.until_spent(served * cost(4));
@@ -109,8 +109,8 @@
     let mut line = String::new();
     reader.read_line(&mut line).unwrap();
     f.routers[0].kill();
-    let again = f.chat(1).header("idempotency-key", "lesson-1").send(&ask(false, 8));
-    assert_eq!(again.status, 200);
+    let retry = f.chat(1).header("idempotency-key", "lesson-1").send(&ask(false, 8));
+    assert_eq!(retry.status, 200);
     f.until_spent(cost(8));
     let held = f.budget()["held"].as_u64().unwrap();
     f.routers[0] = f.start_router(0);
@@ -136,7 +136,7 @@
     });
     let started = AtomicU64::new(0);
     let address = f.router_addresses[0].clone();
-    let whole = thread::scope(|s| {
+    let complete = thread::scope(|s| {
         let streams: Vec<_> = (0..100)
             .map(|_| {
                 s.spawn(|| {
@@ -158,7 +158,7 @@
         });
         streams.into_iter().map(|t| t.join().unwrap()).filter(|w| *w).count()
     });
-    assert_eq!(whole, 100);
+    assert_eq!(complete, 100);
     assert_eq!(f.routers[0].wait(), Some(0));
     f.until_spent(100 * cost(24));
     let log = f.routers[0].log();
@@ -225,7 +225,7 @@
     assert_ne!(new, id);
     until("the learner", || f.cli(&["members", "promote", &new]).status.success());
     until("the removal", || f.cli(&["members", "remove", &id]).status.success());
-    until("a whole group", || f.json(&["status"])["safe"] == true);
+    until("the group to be safe", || f.json(&["status"])["safe"] == true);
     let voters = f.json(&["status"])["nodes"].as_array().unwrap().len();
     assert_eq!(voters, 3);
     assert_eq!(f.budget()["funded"], 100_010);
@@ -277,7 +277,7 @@
     f.controls[1] = f.start_control(1);
     f.controls[2] = f.start_control(2);
     f.until_spent(served * cost(4));
-    until("all tokens back", || f.chat(1).send(&ask(false, 4)).status == 200);
+    until("the unspent tokens to be returned", || f.chat(1).send(&ask(false, 4)).status == 200);
     assert!(f.budget()["total"]["requests"].as_u64().unwrap() >= served);
 }
 
@@ -318,7 +318,7 @@
             f.controls[old].kill();
             until("another leader", || leader(&f).is_some_and(|l| l != old));
             f.controls[old] = f.start_control(old);
-            until("a whole group", || {
+            until("the group to be safe", || {
                 let out = f.cli(&["status", "--json"]);
                 serde_json::from_slice::<Value>(&out.stdout).is_ok_and(|v| v["safe"] == true)
             });
--- a/crates/cypressfork/tests/regions.rs
+++ b/crates/cypressfork/tests/regions.rs
@@ -16,16 +16,17 @@
 /// Result code of a refusal because no permitted region can serve the request.
 const NO_REGION: &str = "CF1310";
 
-struct World {
+/// Control processes in two regions and a gateway in each.
+struct RegionalFleet {
     fleet: Fleet,
     /// Address of the gateway in each region.
     fronts: Vec<SocketAddr>,
     gateways: Vec<support::Process>,
 }
 
-impl World {
+impl RegionalFleet {
     /// Starts three control processes, two of them in the north, and a gateway in each region.
-    fn new() -> World {
+    fn new() -> RegionalFleet {
         let mut fleet = Fleet::new(3);
         for n in 0..3 {
             start_control(&mut fleet, n, REGIONS[n % 2]);
@@ -43,7 +44,7 @@
             );
             gateways.push(fleet.start(&format!("gateway-{n}"), "gateway", &text));
         }
-        World { fleet, fronts: vec![free[0], free[3]], gateways }
+        RegionalFleet { fleet, fronts: vec![free[0], free[3]], gateways }
     }
 
     /// Publishes a document whose route and account are bound to these regions; empty means any.
@@ -111,17 +112,17 @@
 /// Guards against a document, heartbeat or gateway of one region that is missing in the other.
 #[test]
 fn two_regions_share_one_control_group() {
-    let world = World::new();
-    world.publish(3, &[], &[]);
+    let f = RegionalFleet::new();
+    f.publish(3, &[], &[]);
     let north = replica();
-    world.beat("b-1", north, "n1", 1);
-    world.until_all("a response", 200, "");
+    f.beat("b-1", north, "n1", 1);
+    f.until_all("a response", 200, "");
     // A document that is published in one region is in force in the other.
     for n in 0..3 {
-        until("the document in both regions", || world.fleet.version(n) == Some(3));
+        until("the document in both regions", || f.fleet.version(n) == Some(3));
     }
     let listed = |dc: &str| {
-        let answer = world.fleet.call(0, "GET", &format!("/v1/entry?data_centre={dc}"), "");
+        let answer = f.fleet.call(0, "GET", &format!("/v1/entry?data_centre={dc}"), "");
         answer.and_then(|a| a.1["addresses"].as_array().map(Vec::len))
     };
     until("both gateways to be listed", || listed("n1") == Some(2) && listed("s1") == Some(2));
@@ -130,33 +131,33 @@
 /// Guards against a bound request that is served outside its regions.
 #[test]
 fn a_request_bound_to_a_region_is_served_only_there() {
-    let world = World::new();
-    world.publish(3, &["south"], &[]);
+    let f = RegionalFleet::new();
+    f.publish(3, &["south"], &[]);
     let north = replica();
-    world.beat("b-1", north, "n1", 1);
-    world.until_all("a refusal", 503, NO_REGION);
-    world.beat("b-2", replica(), "s1", 1);
-    world.until_all("a response", 200, "");
+    f.beat("b-1", north, "n1", 1);
+    f.until_all("a refusal", 503, NO_REGION);
+    f.beat("b-2", replica(), "s1", 1);
+    f.until_all("a response", 200, "");
     // The regions of the account and of the route both apply.
-    world.publish(4, &["south"], &["north"]);
-    world.until_all("a refusal", 503, NO_REGION);
-    world.publish(5, &[], &["north"]);
-    world.until_all("a response", 200, "");
+    f.publish(4, &["south"], &["north"]);
+    f.until_all("a refusal", 503, NO_REGION);
+    f.publish(5, &[], &["north"]);
+    f.until_all("a response", 200, "");
 }
 
 /// Guards against a region that stops serving when the control group has lost its quorum.
 #[test]
 fn a_region_without_a_quorum_keeps_serving() {
-    let mut world = World::new();
-    world.publish(3, &[], &[]);
-    world.beat("b-1", replica(), "n1", 1);
-    world.beat("b-2", replica(), "s1", 1);
-    world.until_all("a response", 200, "");
+    let mut f = RegionalFleet::new();
+    f.publish(3, &[], &[]);
+    f.beat("b-1", replica(), "n1", 1);
+    f.beat("b-2", replica(), "s1", 1);
+    f.until_all("a response", 200, "");
     for n in [0, 2] {
-        world.fleet.controls[n].process.as_mut().unwrap().kill();
+        f.fleet.controls[n].process.as_mut().unwrap().kill();
     }
     for _ in 0..20 {
-        assert_eq!(world.ask(world.fronts[1]), (200, String::new()));
+        assert_eq!(f.ask(f.fronts[1]), (200, String::new()));
     }
-    assert_eq!(world.gateways.len(), 2);
+    assert_eq!(f.gateways.len(), 2);
 }
--- a/crates/cypressfork/tests/settings.rs
+++ b/crates/cypressfork/tests/settings.rs
@@ -102,8 +102,8 @@
 #[case::nothing(&[], "--settings")]
 #[case::unknown_option(&["--lissten"], "lissten")]
 #[case::extra_word(&["--settings", "x", "serve"], "serve")]
-fn a_bad_command_line_is_refused(#[case] words: &[&str], #[case] expected: &str) {
-    let out = Command::new(program("router")).args(words).output().unwrap();
+fn a_bad_command_line_is_refused(#[case] args: &[&str], #[case] expected: &str) {
+    let out = Command::new(program("router")).args(args).output().unwrap();
     let text = String::from_utf8(out.stderr).unwrap();
     assert_eq!(out.status.code(), Some(64));
     assert!(text.contains("CF3006") && text.contains(expected), "{text}");
