--- a/crates/cypressfork/tests/bad_input.rs
+++ b/crates/cypressfork/tests/bad_input.rs
@@ -113,7 +113,7 @@
 
 /// Guards against an invalid request that is charged, reaches an upstream or stops the router.
 #[test]
-fn each_has_a_number_and_changes_nothing() {
+fn invalid_requests_are_refused_with_a_code_and_not_charged() {
     let f = Fleet::start(Plan::default());
     for c in cases(&f) {
         let expected = Case { request: Request::new("", ""), ..c };
--- a/crates/cypressfork/tests/documents.rs
+++ b/crates/cypressfork/tests/documents.rs
@@ -110,7 +110,7 @@
 
 /// Guards against a busy loop of watches while one control process withholds a document.
 #[test]
-fn no_question_is_repeated_without_pause_while_a_document_is_fetched() {
+fn no_watch_is_repeated_in_a_busy_loop_while_a_document_is_fetched() {
     let all = controls(2);
     let addresses: Vec<_> = all.iter().map(|c| c.address).collect();
     let gw = Gateway::start(&addresses);
@@ -133,7 +133,7 @@
 
 /// Guards against a 404 from a gateway that has been notified of a newer document.
 #[test]
-fn nobody_is_refused_for_good_by_a_document_that_is_known_to_be_old() {
+fn a_gateway_that_knows_of_a_newer_document_answers_503_instead_of_404() {
     let all = controls(1);
     let gw = Gateway::start(&[all[0].address]);
     all[0].publish(1, &document(1, 1));
@@ -156,7 +156,7 @@
 
 /// Guards against a 404 from a gateway that can't confirm that its document is current.
 #[test]
-fn nobody_is_refused_for_good_by_a_gateway_that_hears_of_no_control_process() {
+fn a_gateway_without_contact_to_control_processes_answers_503_instead_of_404() {
     let all = controls(2);
     let addresses: Vec<_> = all.iter().map(|c| c.address).collect();
     let gw = Gateway::start(&addresses);
--- a/crates/cypressfork/tests/engines.rs
+++ b/crates/cypressfork/tests/engines.rs
@@ -100,7 +100,7 @@
 
 /// Guards against resuming a request marked not repeatable: its engine may have executed it.
 #[test]
-fn a_claimed_answer_that_breaks_off_is_not_taken_up() {
+fn an_interrupted_answer_to_a_not_repeatable_request_is_not_resumed() {
     let f = fleet("break");
     let send = || {
         let r = f.chat(0).header("x-not-repeatable", "true").header("idempotency-key", "g1");
@@ -153,7 +153,7 @@
 /// Guards against a second run of a call marked not repeatable when its service never answers: every copy
 /// gets the unknown outcome.
 #[test]
-fn a_mute_service_leaves_an_unknown_outcome_that_is_not_run_again() {
+fn a_call_to_an_unresponsive_service_has_an_unknown_outcome_and_is_not_run_again() {
     let f = fleet("mute");
     let send = || {
         f.call(0)
@@ -175,7 +175,7 @@
 
 /// Guards against an unknown outcome where the upstream refuses the connection: the request can't have run.
 #[test]
-fn a_refused_connection_is_not_run() {
+fn a_request_whose_connection_is_refused_is_reported_as_not_run() {
     let mut f = fleet("");
     f.boards[0].0.kill();
     f.engines[0].0.kill();
@@ -244,7 +244,7 @@
 
 /// Guards against an idempotency key that stays in use after its caller disconnects from the queue.
 #[test]
-fn a_caller_that_leaves_before_its_turn_keeps_its_id() {
+fn a_key_is_free_again_after_its_caller_disconnects_from_the_queue() {
     let f = Fleet::start(Plan {
         routers: 1,
         engines: vec![vec!["--token-ms", "20"]],
@@ -294,7 +294,7 @@
 
 /// Guards against an unknown outcome or a key in use after a connection attempt times out: nothing was sent.
 #[test]
-fn a_connection_that_times_out_is_not_run() {
+fn a_request_whose_connection_times_out_is_reported_as_not_run() {
     let f = Fleet::start(Plan { routers: 1, ..Plan::default() });
     let (_listener, _open, address) = upstream_with_full_backlog();
     let example = f.example();
--- a/crates/cypressfork/tests/failure.rs
+++ b/crates/cypressfork/tests/failure.rs
@@ -244,7 +244,7 @@
 /// Guards against overspending in a data centre that is cut off from the quorum: its router draws on the
 /// reserve only, unspent tokens are returned afterwards, and every request is billed.
 #[test]
-fn a_data_centre_cut_off_lives_on_its_reserve() {
+fn a_data_centre_cut_off_from_the_quorum_spends_only_its_reserve() {
     let mut f = Fleet::start(Plan { tokens: 1_000, budget_extra: SMALL_BUDGET, ..Plan::default() });
     assert_eq!(f.chat(0).send(&ask(false, 4)).status, 200);
     let reserve = |f: &Fleet| {
--- a/crates/cypressfork/tests/fleet.rs
+++ b/crates/cypressfork/tests/fleet.rs
@@ -15,7 +15,7 @@
 
 /// Guards against a group that fails to form, or loses documents as it replaces lost disks.
 #[test]
-fn a_group_founds_itself_takes_in_others_and_mends_lost_disks() {
+fn a_group_forms_adds_members_and_replaces_lost_disks() {
     let mut f = Fleet::new(5);
     for n in [4, 2, 0, 3, 1] {
         f.start_control(n, true);
@@ -76,7 +76,7 @@
 
 /// Guards against a gateway that stops serving when it loses the control group.
 #[test]
-fn a_gateway_that_is_cut_off_serves_on_with_what_it_knows() {
+fn a_gateway_cut_off_from_the_control_group_keeps_serving() {
     let mut f = Fleet::serving();
     f.controls[0].process.as_mut().unwrap().kill();
     assert_eq!(f.ask("/board/x").unwrap().0, 200);
--- a/crates/cypressfork/tests/lives.rs
+++ b/crates/cypressfork/tests/lives.rs
@@ -57,7 +57,7 @@
 #[case::crashed(Ending::Silently)]
 #[case::drained(Ending::Draining)]
 #[case::left(Ending::Leaving)]
-fn a_later_life_is_taken_up_at_once(#[case] ending: Ending) {
+fn a_new_incarnation_replaces_the_previous_one_at_once(#[case] ending: Ending) {
     let f = fleet();
     let first = replica();
     send_heartbeat(&f, 0, &heartbeat(first, 1_000, FIRST_SEQUENCE, false));
--- a/crates/cypressfork/tests/routing.rs
+++ b/crates/cypressfork/tests/routing.rs
@@ -63,7 +63,7 @@
 /// Guards against bulk requests that wait or displace live ones under overload: one slow engine has one slot and a
 /// queue of two.
 #[test]
-fn overload_refuses_what_is_worth_least_at_once() {
+fn overload_refuses_the_lowest_priority_at_once() {
     let f = Fleet::start(Plan {
         routers: 1,
         engines: vec![vec!["--token-ms", "30"]],
