--- a/crates/cypressfork/tests/engines.rs
+++ b/crates/cypressfork/tests/engines.rs
@@ -21,9 +21,9 @@
 
 /// Guards against wrong output that reaches the caller or is charged above the reservation.
 ///
-/// Each case: the fault, the result code, the minimum and maximum charge in tokens. A request reserves the
-/// prompt's bound and 12 tokens. An attempt ends at the first event of another answer; the request fails
-/// after five attempts of two tokens each.
+/// Each case: the fault, the result code, the minimum and maximum charge in tokens. A request reserves an
+/// upper bound of its prompt tokens plus 12 output tokens. An attempt ends at the first event of another
+/// answer; the request fails after five attempts of two tokens each.
 #[rstest]
 #[case::sends_more_than_asked("overrun", "CF1306", 3 + 12, 3 + 12)]
 #[case::mixes_another_answer_in("cross", "CF1306", 3 + 5 + 7 + 9 + 11 + 10, 3 + 5 + 7 + 9 + 11 + 10)]
@@ -129,7 +129,7 @@
 #[rstest]
 #[case::reports_no_usage("silent", 8)]
 #[case::reports_too_little("undercount", 8)]
-fn a_wrong_count_is_charged_safely(#[case] fault: &'static str, #[case] output: u64) {
+fn a_missing_or_low_count_is_not_undercharged(#[case] fault: &'static str, #[case] output: u64) {
     let f = fleet(fault);
     let a = f.chat(0).send(&ask(false, 8));
     assert_eq!(a.status, 200);
--- a/crates/cypressfork/tests/failure.rs
+++ b/crates/cypressfork/tests/failure.rs
@@ -360,7 +360,7 @@
     f.until_spent(cost(12));
 }
 
-/// Guards against a double bill when a router is killed after it posted the bill and the caller retries at
+/// Guards against double billing when a router is killed after it posted the bill and the caller retries at
 /// the other router. The tokens are spent twice, but the request is billed once.
 #[test]
 fn a_retry_after_the_bill_was_posted_is_not_billed_again() {
--- a/crates/cypressfork/tests/pages.rs
+++ b/crates/cypressfork/tests/pages.rs
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn numbers_are_unique_and_rise() {
+fn numbers_are_unique_and_ascending() {
     let codes: Vec<_> = Code::ALL.iter().map(|c| c.number()).collect();
     let events: Vec<_> = Event::ALL.iter().map(|e| e.number()).collect();
     assert!(codes.is_sorted_by(|a, b| a < b), "{codes:?}");
--- a/crates/cypressfork/tests/regions.rs
+++ b/crates/cypressfork/tests/regions.rs
@@ -47,7 +47,7 @@
         RegionalFleet { fleet, fronts: vec![free[0], free[3]], gateways }
     }
 
-    /// Publishes a document whose route and account are bound to these regions; empty means any.
+    /// Publishes a document whose route and account allow only these regions; an empty list allows any.
     fn publish(&self, version: u64, route: &[&str], account: &[&str]) {
         let mut d = document(version);
         d["routes"][0]["regions"] = json!(route);
@@ -86,6 +86,7 @@
     }
 }
 
+/// Returns the `common` settings of a VM in a region and data centre.
 fn common(fleet: &Fleet, vm: &str, (region, data_centre): (&str, &str)) -> String {
     let text = fleet.common(vm);
     let text = text.replace("region: tas-north", &format!("region: {region}"));
@@ -93,6 +94,7 @@
     format!("{text}  regions: {{ n1: north, s1: south }}\n")
 }
 
+/// Starts control process `n` in a region and data centre.
 fn start_control(fleet: &mut Fleet, n: usize, place: (&str, &str)) {
     let data = fleet.dir.path().join(format!("data-{n}"));
     std::fs::create_dir_all(&data).unwrap();
@@ -128,7 +130,7 @@
     until("both gateways to be listed", || listed("n1") == Some(2) && listed("s1") == Some(2));
 }
 
-/// Guards against a bound request that is served outside its regions.
+/// Guards against a request that is served outside the regions its route or account allows.
 #[test]
 fn a_request_bound_to_a_region_is_served_only_there() {
     let f = RegionalFleet::new();
