--- a/crates/cypressfork/tests/bad_input.rs
+++ b/crates/cypressfork/tests/bad_input.rs
@@ -87,7 +87,7 @@
     assert!(a.header("x-request-id").is_some(), "{}", c.name);
 }
 
-/// Sends an incomplete request and closes the connection.
+/// Sends a request whose body is shorter than its `Content-Length`, and closes the connection.
 fn send_incomplete_request(address: &str) {
     let mut s = TcpStream::connect(address).unwrap();
     let head = format!(
@@ -113,12 +113,12 @@
 
 /// Guards against an invalid request that is charged, reaches an upstream or stops the router.
 #[test]
-fn each_has_a_number_and_changes_nothing() {
+fn invalid_requests_are_refused_with_a_code_and_not_charged() {
     let f = Fleet::start(Plan::default());
     for c in cases(&f) {
-        let again = Case { request: Request::new("", ""), ..c };
-        let a = c.request.send(&again.body);
-        check(&again, &a);
+        let expected = Case { request: Request::new("", ""), ..c };
+        let a = c.request.send(&expected.body);
+        check(&expected, &a);
     }
     send_incomplete_request(&f.router_addresses[0]);
     let line = send_oversized_headers(&f.router_addresses[0]);
--- a/crates/cypressfork/tests/failure.rs
+++ b/crates/cypressfork/tests/failure.rs
@@ -15,7 +15,7 @@
     3 + n
 }
 
-/// Returns the index of the leader in `control_addresses`.
+/// Returns the index of the leader in `control_addresses`, `None` while there is no leader.
 fn leader(f: &Fleet) -> Option<usize> {
     let out = f.cli(&["status", "--json"]);
     let v: Value = serde_json::from_slice(&out.stdout).ok()?;
@@ -73,7 +73,7 @@
             f.controls[n].signal("TERM");
             assert_eq!(f.controls[n].wait(), Some(0));
             f.controls[n] = f.start_control(n);
-            wait_for("a whole group", || f.json(&["status"])["safe"] == true);
+            wait_for("the group to be safe", || f.json(&["status"])["safe"] == true);
         }
     });
     f.wait_until_spent(served * cost(4));
@@ -111,8 +111,8 @@
     let mut line = String::new();
     reader.read_line(&mut line).unwrap();
     f.routers[0].kill();
-    let again = f.chat(1).header("idempotency-key", "lesson-1").send(&chat_body(false, 8));
-    assert_eq!(again.status, 200);
+    let retry = f.chat(1).header("idempotency-key", "lesson-1").send(&chat_body(false, 8));
+    assert_eq!(retry.status, 200);
     f.wait_until_spent(cost(8));
     let held = f.budget()["held"].as_u64().unwrap();
     f.routers[0] = f.start_router(0);
@@ -138,7 +138,7 @@
     });
     let started = AtomicU64::new(0);
     let address = f.router_addresses[0].clone();
-    let whole = thread::scope(|s| {
+    let complete = thread::scope(|s| {
         let streams: Vec<_> = (0..100)
             .map(|_| {
                 s.spawn(|| {
@@ -161,7 +161,7 @@
         });
         streams.into_iter().map(|t| t.join().unwrap()).filter(|w| *w).count()
     });
-    assert_eq!(whole, 100);
+    assert_eq!(complete, 100);
     assert_eq!(f.routers[0].wait(), Some(0));
     f.wait_until_spent(100 * cost(24));
     let log = f.routers[0].log();
@@ -228,7 +228,7 @@
     assert_ne!(new, id);
     wait_for("the learner", || f.cli(&["members", "promote", &new]).status.success());
     wait_for("the removal", || f.cli(&["members", "remove", &id]).status.success());
-    wait_for("a whole group", || f.json(&["status"])["safe"] == true);
+    wait_for("the group to be safe", || f.json(&["status"])["safe"] == true);
     let voters = f.json(&["status"])["nodes"].as_array().unwrap().len();
     assert_eq!(voters, 3);
     assert_eq!(f.budget()["funded"], 100_010);
@@ -247,7 +247,7 @@
 /// Guards against overspending in a data centre that is cut off from the quorum: its router draws on the
 /// reserve only, unspent tokens are returned afterwards, and every request is billed.
 #[test]
-fn a_data_centre_cut_off_lives_on_its_reserve() {
+fn a_data_centre_cut_off_from_the_quorum_spends_only_its_reserve() {
     let mut f = Fleet::start(Plan { tokens: 1_000, budget_extra: SMALL_BUDGET, ..Plan::default() });
     assert_eq!(f.chat(0).send(&chat_body(false, 4)).status, 200);
     let reserve = |f: &Fleet| {
@@ -280,7 +280,9 @@
     f.controls[1] = f.start_control(1);
     f.controls[2] = f.start_control(2);
     f.wait_until_spent(served * cost(4));
-    wait_for("all tokens back", || f.chat(1).send(&chat_body(false, 4)).status == 200);
+    wait_for("the unspent tokens to be returned", || {
+        f.chat(1).send(&chat_body(false, 4)).status == 200
+    });
     assert!(f.budget()["total"]["requests"].as_u64().unwrap() >= served);
 }
 
@@ -321,7 +323,7 @@
             f.controls[old].kill();
             wait_for("another leader", || leader(&f).is_some_and(|l| l != old));
             f.controls[old] = f.start_control(old);
-            wait_for("a whole group", || {
+            wait_for("the group to be safe", || {
                 let out = f.cli(&["status", "--json"]);
                 serde_json::from_slice::<Value>(&out.stdout).is_ok_and(|v| v["safe"] == true)
             });
@@ -363,7 +365,7 @@
     f.wait_until_spent(cost(12));
 }
 
-/// Guards against a double bill when a router is killed after it posted the bill and the caller retries at
+/// Guards against double billing when a router is killed after it posted the bill and the caller retries at
 /// the other router. The tokens are spent twice, but the request is billed once.
 #[test]
 fn a_retry_after_the_bill_was_posted_is_not_billed_again() {
