--- a/crates/core/examples/embed.rs
+++ b/crates/core/examples/embed.rs
@@ -22,7 +22,8 @@
     let mut ledger = Ledger::default();
     ledger.fund("orders", 10_000, Policy::default());
     let mut slices = SliceStore::new(Policy::default(), 0);
-    let request = slices.next_request(now, holder, "orders", 500).expect("the slices is empty");
+    let request =
+        slices.next_request(now, holder, "orders", 500).expect("the slice store is empty");
     let decision =
         ledger.request_lease(now, LeaseId { term: 1, index: 1 }, &request).expect("funded above");
     slices.apply_decision(request.seq, &decision);
@@ -71,7 +72,7 @@
     let mut rng = SmallRng::seed_from_u64(1);
     let choice = pool
         .choose(Time(0), "tamar-a", &RequestProfile::default(), &[], &mut rng)
-        .expect("two are there");
+        .expect("two upstreams were set");
     pool.record_first_event(Time(20), &choice, 20_000);
     pool.finish(Time(30), &choice, false);
     println!("routing: {}", choice.address);
--- a/crates/core/examples/limits.rs
+++ b/crates/core/examples/limits.rs
@@ -147,8 +147,9 @@
         }
         let (name, own) = (format!("r-{replica}"), self.routers[router]);
         let candidates = self.issuers[router].issuers(own, &name, "a").to_vec();
-        let at = |a: &SocketAddr| self.routers.iter().position(|r| r == a).unwrap_or_default();
-        let candidates: Vec<usize> = candidates.iter().map(at).collect();
+        let index_of =
+            |a: &SocketAddr| self.routers.iter().position(|r| r == a).unwrap_or_default();
+        let candidates: Vec<usize> = candidates.iter().map(index_of).collect();
         let is_suspected = |issuer: usize| {
             self.suspected_at.get(&(router, issuer)).is_some_and(|at| now < at + SUSPECT_MS)
         };
@@ -162,8 +163,8 @@
             return false;
         }
         let address = self.routers[issuer];
-        // A minute later, so that the start-up of issuers does not count.
-        let rank = self.issuers[issuer].issue_rate(Time(now + 60_000), address, &name, "a");
+        // A minute ahead, past the handover period in which a new issuer uses a reduced rate.
+        let issue_rate = self.issuers[issuer].issue_rate(Time(now + 60_000), address, &name, "a");
         let request = PermitRequest {
             replica: name,
             data_centre: "a".into(),
@@ -171,8 +172,8 @@
             priority: 0,
             wanted: 1,
         };
-        let Some(rank) = rank else { return false };
-        let grant = self.permits[issuer].grant(Time(now), &request, rank);
+        let Some(issue_rate) = issue_rate else { return false };
+        let grant = self.permits[issuer].grant(Time(now), &request, issue_rate);
         if grant.permits == 0 {
             let after = grant.after.0 - rng.random_range(0..=grant.after.0 / 4);
             self.blocked_until.insert((router, replica), now + after);
--- a/crates/core/examples/policies/world.rs
+++ b/crates/core/examples/policies/world.rs
@@ -67,8 +67,8 @@
             consumed: 0,
         };
         for _ in 0..ROUTERS {
-            let n = w.new_router();
-            w.routers.push(n);
+            let router = w.new_router();
+            w.routers.push(router);
         }
         if let Rule::EqualSplit = rule {
             for n in 0..ROUTERS {
@@ -123,7 +123,7 @@
         self.group_ledger.request_lease(now, id, request).unwrap()
     }
 
-    /// Requests a lease, with a recall where tokens are short. Returns whether it was granted.
+    /// Requests a lease, and recalls idle tokens if too few are free. Returns whether it was granted.
     fn request_lease(&mut self, n: usize, need: u64, want: u64) -> bool {
         if !self.can_reach_ledger(n) {
             return false;
@@ -147,6 +147,7 @@
         decision.is_ok()
     }
 
+    /// Requests a lease again after a recall. Returns whether it was granted.
     fn retry_lease(&mut self, n: usize, need: u64) -> bool {
         let (now, holder) = (Time(self.now), self.routers[n].holder);
         let Some(request) = self.routers[n].slices.next_request(now, holder, BUDGET, need) else {
@@ -240,6 +241,7 @@
     /// Brings the reserve of every reachable data centre to its target, and reports its use.
     fn adjust_reserves(&mut self) {
         for c in 0..DATA_CENTRES {
+            // Router `c` is in data centre `c`.
             if !self.can_reach_ledger(c) {
                 continue;
             }
--- a/crates/core/examples/rests.rs
+++ b/crates/core/examples/rests.rs
@@ -5,10 +5,10 @@
 //!
 //! There are three replicas for every four routers. Each replica runs three requests at a time and
 //! queues two; a request takes 300 to 600 ms, depending on the replica. Any more are rejected with a
-//! backoff of 3 s. One router receives a fifth of all requests. For each strategy, number of routers and
-//! load (in per cent of the replicas' capacity), prints the percentage of rejected attempts, the most
-//! attempts by one router during a backoff after its first half second, the percentage of the
-//! achievable requests that were served, and the messages between routers per request.
+//! backoff of 3 s. One router receives a fifth of all requests. For each strategy, number of routers
+//! and load (as a percentage of the replicas' capacity), prints the percentage of rejected attempts,
+//! the most attempts by one router during a backoff after its first half second, the percentage of
+//! the achievable requests that were served, and the messages between routers per request.
 
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddr;
@@ -86,7 +86,7 @@
     }
 }
 
-/// Counts over the run, all but `requests` and `messages` without the warm-up.
+/// Totals of the run; only `requests` and `messages` include the warm-up.
 #[derive(Default)]
 struct Counts {
     requests: u64,
@@ -242,7 +242,7 @@
         }
     }
 
-    /// Runs the simulation at a load in per cent. Returns the four printed figures.
+    /// Runs the simulation at a load in per cent of the capacity. Returns the four printed figures.
     fn simulate(mut self, load: u64) -> [f64; 4] {
         let mut rng = SmallRng::seed_from_u64(7);
         let capacity = self.capacity();
--- a/crates/core/examples/rollouts.rs
+++ b/crates/core/examples/rollouts.rs
@@ -85,7 +85,7 @@
 
 struct Gateway {
     report: Report,
-    /// Whether the gateway has found the version faulty by itself and sends no more requests to it.
+    /// Whether the gateway's own evidence shows a fault; it then avoids the new version.
     stopped: bool,
     /// States of the rollout that will arrive, with their arrival times.
     pending: Vec<(u64, Rollout)>,
@@ -131,7 +131,7 @@
 fn simulate(seed: u64, fleet: &Fleet, behaviour: Behaviour, rule: Rule) -> RunResult {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut rollouts = Rollouts::default();
-    rollouts.start(Time(0), 1, SERVICE, "v2", fleet.duration).expect("the order is sound");
+    rollouts.start(Time(0), 1, SERVICE, "v2", fleet.duration).expect("the order is valid");
     let plan = plan(fleet.duration, MAX_EXPOSURE);
     let slots: BTreeMap<_, _> = [("v1".to_owned(), 600), ("v2".to_owned(), 600)].into();
     let mut gateways: Vec<_> = (0..fleet.gateways).map(|n| gateway(n, fleet, &mut rng)).collect();
@@ -144,8 +144,9 @@
         for g in &mut gateways {
             g.receive_updates(at, fleet);
         }
-        let wanted = fleet.rate * TICK_MS;
-        let n = wanted / 1_000 + u64::from(rng.random_range(0..1_000) < wanted % 1_000);
+        let milli_requests = fleet.rate * TICK_MS;
+        let n =
+            milli_requests / 1_000 + u64::from(rng.random_range(0..1_000) < milli_requests % 1_000);
         for _ in 0..n {
             let index = rng.random_range(0..gateways.len());
             gateways[index].request(at, fleet, behaviour, rule, &mut rng, &mut result);
@@ -188,7 +189,7 @@
             log_index += 1;
             rollouts.advance(log_index, &step);
             result.finished_at = at;
-            let update = rollouts.get(SERVICE).expect("it is known").clone();
+            let update = rollouts.get(SERVICE).expect("the rollout was just advanced").clone();
             for g in &mut gateways {
                 g.pending.push((at + rng.random_range(50..300), update.clone()));
             }
--- a/crates/core/examples/routing.rs
+++ b/crates/core/examples/routing.rs
@@ -136,7 +136,7 @@
     prefill: u64,
     /// Tokens still to generate.
     tokens: f64,
-    /// When the first token came.
+    /// When the first token was generated.
     first_token: Option<u64>,
 }
 
@@ -247,23 +247,23 @@
         r: &Request,
         tried: &[usize],
     ) -> (usize, Option<Choice>) {
-        let open: Vec<usize> = (0..ENGINES).filter(|n| !tried.contains(n)).collect();
+        let untried: Vec<usize> = (0..ENGINES).filter(|n| !tried.contains(n)).collect();
         let outstanding = &self.outstanding;
         let outstanding_at = |a: &usize| outstanding[*a];
         let n = match rule {
             Rule::RoundRobin => {
                 self.round_robin += 1;
-                open[self.round_robin % open.len()]
+                untried[self.round_robin % untried.len()]
             }
-            Rule::LeastOutstanding => open.into_iter().min_by_key(outstanding_at).unwrap(),
+            Rule::LeastOutstanding => untried.into_iter().min_by_key(outstanding_at).unwrap(),
             Rule::TwoChoices => {
-                let [a, b] = [0; 2].map(|_| open[self.rng.random_range(0..open.len())]);
+                let [a, b] = [0; 2].map(|_| untried[self.rng.random_range(0..untried.len())]);
                 if outstanding_at(&a) <= outstanding_at(&b) { a } else { b }
             }
             Rule::PrefixOnly => {
                 match self.last_engine.get(&r.conversation).filter(|n| !tried.contains(n)) {
                     Some(n) => *n,
-                    None => open[(r.conversation % 4) as usize % open.len()],
+                    None => untried[(r.conversation % 4) as usize % untried.len()],
                 }
             }
             Rule::Pool => {
@@ -310,7 +310,7 @@
     let mut sent: Vec<Option<Attempt>> = all.iter().map(|_| None).collect();
     let mut reports: VecDeque<(u64, usize, u64, (u32, u32))> = VecDeque::new();
     let mut rng = SmallRng::seed_from_u64(99);
-    let mut s = Metrics::default();
+    let mut metrics = Metrics::default();
     let mut next = 0;
     for now in 0..RUN_MS + 30_000 {
         if lose_data_centre && now == RUN_MS / 2 {
@@ -341,7 +341,7 @@
                 &mut routers,
                 &mut engines,
                 &mut sent,
-                &mut s,
+                &mut metrics,
             );
             next += 1;
         }
@@ -358,11 +358,11 @@
                 }
             }
             for job in done {
-                complete(all, n, job, now, &mut routers, &mut sent, &mut s);
+                complete(all, n, job, now, &mut routers, &mut sent, &mut metrics);
             }
         }
     }
-    s
+    metrics
 }
 
 /// Sends a request to the first engine that accepts it, after at most three attempts.
@@ -376,7 +376,7 @@
     routers: &mut [Router],
     engines: &mut [Engine],
     sent: &mut [Option<Attempt>],
-    s: &mut Metrics,
+    metrics: &mut Metrics,
 ) {
     let mut tried = Vec::new();
     while tried.len() < 3 {
@@ -394,8 +394,8 @@
         let cached = e.cached_bytes(workload, r);
         e.cache_prompt(r);
         let prefill = r.prefixes.size() - cached.min(r.prefixes.size());
-        s.cached_bytes += cached;
-        s.prompt_bytes += r.prefixes.size();
+        metrics.cached_bytes += cached;
+        metrics.prompt_bytes += r.prefixes.size();
         e.queue.push_back(Job {
             request: index,
             prefill,
@@ -405,7 +405,7 @@
         sent[index] = Some(Attempt { engine: n, choice, at: now });
         return;
     }
-    s.refused += 1;
+    metrics.refused += 1;
 }
 
 fn complete(
@@ -415,7 +415,7 @@
     now: u64,
     routers: &mut [Router],
     sent: &mut [Option<Attempt>],
-    s: &mut Metrics,
+    metrics: &mut Metrics,
 ) {
     let Some(attempt) = sent[job.request].take().filter(|a| a.engine == n) else {
         return;
@@ -426,23 +426,25 @@
     if let Some(c) = &attempt.choice {
         router.pool.finish(Time(now), c, false);
     }
-    s.first_token_ms.push(job.first_token.unwrap_or(now) - attempt.at);
+    metrics.first_token_ms.push(job.first_token.unwrap_or(now) - attempt.at);
 }
 
-fn print_row(rule: &str, case: &str, all: &[Request], mut s: Metrics) {
-    s.first_token_ms.sort_unstable();
+fn print_row(rule: &str, case: &str, all: &[Request], mut metrics: Metrics) {
+    metrics.first_token_ms.sort_unstable();
     let percentile = |p: usize| {
-        s.first_token_ms
-            .get(s.first_token_ms.len().saturating_sub(1) * p / 100)
+        metrics
+            .first_token_ms
+            .get(metrics.first_token_ms.len().saturating_sub(1) * p / 100)
             .copied()
             .unwrap_or(0)
     };
     let (cached, refused) = (
-        100.0 * s.cached_bytes as f64 / s.prompt_bytes.max(1) as f64,
-        100.0 * s.refused as f64 / all.len() as f64,
+        100.0 * metrics.cached_bytes as f64 / metrics.prompt_bytes.max(1) as f64,
+        100.0 * metrics.refused as f64 / all.len() as f64,
     );
     // Requests that were neither rejected nor completed were lost with their engine.
-    let lost = 100.0 * (all.len() as u64 - s.refused - s.first_token_ms.len() as u64) as f64
+    let lost = 100.0
+        * (all.len() as u64 - metrics.refused - metrics.first_token_ms.len() as u64) as f64
         / all.len() as f64;
     println!(
         "| {rule} | {case} | {} | {} | {} | {cached:.0}% | {refused:.1}% | {lost:.1}% |",
@@ -481,8 +483,8 @@
         }
         let all = requests(workload, 0.6);
         for (rule, name) in RULES {
-            let s = simulate(rule, workload, &all, 1_000, true);
-            print_row(name, "60% load, a data centre lost half-way", &all, s);
+            let metrics = simulate(rule, workload, &all, 1_000, true);
+            print_row(name, "60% load, a data centre lost half-way", &all, metrics);
         }
     }
 }
