--- a/crates/cypressfork/benches/fleet.rs
+++ b/crates/cypressfork/benches/fleet.rs
@@ -43,13 +43,13 @@
         ("identity", request_identity),
     ];
     for (name, run) in all {
-        if filter.as_ref().is_none_or(|o| o == name) {
+        if filter.as_ref().is_none_or(|f| f == name) {
             run();
         }
     }
 }
 
-/// Repetitions of an operation that takes at most some microseconds.
+/// Calls of a fast operation whose mean time is measured.
 const REPETITIONS: u32 = 20_000;
 
 /// Measures the time to identify a request, by the length of its body.
@@ -59,7 +59,7 @@
         let body = vec![b'x'; length];
         let (account, method) = (Some("club"), "POST");
         let (host, path) = ("club.example", "/talk/annotate/whole");
-        let one = RequestIdentity { account, method, host, path, body: &body };
+        let identity = RequestIdentity { account, method, host, path, body: &body };
         let each = |name: &str, f: &dyn Fn() -> u64| {
             let begin = Instant::now();
             let sum = (0..REPETITIONS).fold(0u64, |sum, _| sum.wrapping_add(black_box(f())));
@@ -67,9 +67,9 @@
             let ns = begin.elapsed().as_nanos() / u128::from(REPETITIONS);
             print_figure(&format!("{name}, {length} bytes"), format!("{ns} ns"));
         };
-        each("brief", &|| black_box(&one).brief());
-        each("hash of one that was answered", &|| hasher.hash_one(black_box(&one)));
-        each("fingerprint", &|| fingerprint(black_box(&one)).digest);
+        each("brief", &|| black_box(&identity).brief());
+        each("hash of one that was answered", &|| hasher.hash_one(black_box(&identity)));
+        each("fingerprint", &|| fingerprint(black_box(&identity)).digest);
     }
 }
 
@@ -155,12 +155,12 @@
         let url = format!("http://{}/v1/chat/completions", f.router_addresses[0]);
         load(&url, 203, Duration::from_secs(2));
         thread::sleep(Duration::from_secs(2));
-        let (c, b) = (cpu_seconds(pid), link_bytes(&f));
+        let (cpu_before, bytes_before) = (cpu_seconds(pid), link_bytes(&f));
         thread::sleep(SPAN);
-        let idle = (cpu_seconds(pid) - c, link_bytes(&f) - b);
-        let (c, b) = (cpu_seconds(pid), link_bytes(&f));
+        let idle = (cpu_seconds(pid) - cpu_before, link_bytes(&f) - bytes_before);
+        let (cpu_before, bytes_before) = (cpu_seconds(pid), link_bytes(&f));
         let (served, failed) = load(&url, 203, SPAN);
-        let busy = (cpu_seconds(pid) - c, link_bytes(&f) - b);
+        let busy = (cpu_seconds(pid) - cpu_before, link_bytes(&f) - bytes_before);
         let seconds = SPAN.as_secs_f64();
         print_figure(
             &format!("router at rest, tally {report_ms} ms"),
@@ -224,9 +224,9 @@
     let f = Fleet::start(Plan { engines: vec![vec![]; 4], ..large_plan(1) });
     let url = format!("http://{}/v1/chat/completions", f.router_addresses[0]);
     load(&url, 500, Duration::from_secs(2));
-    let c = cpu_seconds(f.routers[0].id());
+    let cpu_before = cpu_seconds(f.routers[0].id());
     let (served, failed) = load(&url, 100_000, Duration::from_secs(10));
-    let used = cpu_seconds(f.routers[0].id()) - c;
+    let used = cpu_seconds(f.routers[0].id()) - cpu_before;
     print_figure(
         "most requests of 4 tokens, 16 callers",
         format!(
@@ -342,9 +342,9 @@
 /// Runs a task with a client of the control group.
 fn with_group<F: AsyncFnOnce(GroupClient)>(addresses: &[String], run: F) {
     let key = Key::new(b"0123456789abcdef0123456789abcdef");
-    let me = Credentials { key, cluster: "test".into(), name: "bench".into() };
+    let credentials = Credentials { key, cluster: "test".into(), name: "bench".into() };
     let addresses = addresses.iter().map(|a| a.parse().unwrap()).collect();
-    actix_rt::System::new().block_on(run(GroupClient::new(me, addresses)));
+    actix_rt::System::new().block_on(run(GroupClient::new(credentials, addresses)));
 }
 
 /// Measures the control processes' commits per second, disk use, memory and restart time.
@@ -357,7 +357,7 @@
         let addresses = f.control_addresses.clone();
         let first = done;
         with_group(&addresses, async |group| {
-            let one = async |n: u64| {
+            let caller = async |n: u64| {
                 let mut times = Vec::new();
                 for k in 0..changes / callers {
                     let begin = Instant::now();
@@ -373,7 +373,7 @@
                 }
                 times
             };
-            times = join_all((0..callers).map(one)).await.concat();
+            times = join_all((0..callers).map(caller)).await.concat();
         });
         done += changes;
         let rate = changes as f64 / begin.elapsed().as_secs_f64();
