--- a/crates/core/examples/policies/main.rs
+++ b/crates/core/examples/policies/main.rs
@@ -98,6 +98,7 @@
     duration_ms: u64,
 }
 
+/// Generates the requests of one run.
 fn requests(workload: &Workload, seed: u64) -> Vec<Request> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let weights: u32 = workload.kinds.iter().map(|k| k.0).sum();
@@ -163,7 +164,7 @@
     metrics(&w, all, &served, budget)
 }
 
-/// Compares the run with the oracle's.
+/// Returns the metrics of a run, in comparison with the oracle.
 fn metrics(w: &World, all: &[Request], served: &[bool], budget: u64) -> Metrics {
     let mut metrics =
         Metrics { overspend: w.consumed.saturating_sub(budget), ..Metrics::default() };
--- a/crates/core/examples/policies/world.rs
+++ b/crates/core/examples/policies/world.rs
@@ -172,6 +172,7 @@
         self.routers[n].dead_until <= self.now
     }
 
+    /// Reports the use of the router's slices to its ledger.
     fn report(&mut self, n: usize) {
         let now = Time(self.now);
         for r in self.routers[n].slices.reports(now) {
@@ -264,6 +265,7 @@
         }
     }
 
+    /// Reports the use of a data centre's reserve to the control group's ledger.
     fn report_reserve(&mut self, c: usize, holder: HolderId) {
         let now = Time(self.now);
         for r in self.reserves[c].reports(BUDGET) {
@@ -274,6 +276,7 @@
         }
     }
 
+    /// Reports the use of the router's reserve slices to the data centre's reserve.
     fn report_reserve_slices(&mut self, n: usize) {
         let (now, holder, id) = (Time(self.now), self.routers[n].holder, self.next_lease_id());
         if self.can_reach_ledger(n) {
@@ -321,6 +324,7 @@
         }
     }
 
+    /// Settles the reservations of the requests that have ended.
     fn end_requests(&mut self, n: usize) {
         let now = self.now;
         let mut running = VecDeque::new();
--- a/crates/core/examples/rests.rs
+++ b/crates/core/examples/rests.rs
@@ -159,6 +159,7 @@
         self.replicas.iter().map(|r| f64::from(SLOTS) * 1_000.0 / r.work_ms as f64).sum()
     }
 
+    /// Ends the requests that are due by `now`.
     fn complete_due(&mut self, now: u64) {
         while self.completions.peek().is_some_and(|e| e.0.0 <= now) {
             let Some(std::cmp::Reverse((_, id))) = self.completions.pop() else { return };
@@ -190,6 +191,7 @@
         }
     }
 
+    /// Sends one request to up to [`MAX_ATTEMPTS`] replicas.
     fn request(&mut self, now: u64, router: usize, rng: &mut SmallRng) {
         self.counts.requests += 1;
         let mut tried = Vec::new();
--- a/crates/core/examples/rollouts.rs
+++ b/crates/core/examples/rollouts.rs
@@ -97,6 +97,7 @@
     partitioned: bool,
 }
 
+/// Returns the share of requests for the new version during the trial, in thousandths.
 fn trial_share(rule: Rule, r: &Rollout, at: u64, duration: u64) -> u64 {
     match rule {
         Rule::Compare => r.trial,
@@ -105,6 +106,7 @@
     }
 }
 
+/// Returns the next step under `Threshold` or `Ramp`.
 fn simple_step(rule: Rule, r: &Rollout, view: &View<'_>) -> Option<Step> {
     let new = view.evidence.total().new;
     let step = |stage| Step {
@@ -217,6 +219,7 @@
         self.partitioned && at * 2 >= fleet.duration.0
     }
 
+    /// Applies the states of the rollout that have arrived by `at`.
     fn receive_updates(&mut self, at: u64, fleet: &Fleet) {
         if self.is_partitioned(at, fleet) {
             return;
@@ -232,6 +235,7 @@
         }
     }
 
+    /// Sends one request to a version and records its outcome.
     fn request(
         &mut self,
         at: u64,
--- a/crates/core/examples/routing.rs
+++ b/crates/core/examples/routing.rs
@@ -119,6 +119,7 @@
     out
 }
 
+/// Returns the prefixes of a conversation's prompt up to a turn.
 fn prefixes(workload: &Workload, conversation: u64, turn: u64) -> PromptPrefixes {
     let shared = vec![(conversation % 4) as u8; workload.shared_bytes as usize];
     let own = |t: u64| {
@@ -161,6 +162,7 @@
         own.unwrap_or(shared)
     }
 
+    /// Adds a prompt to the cache and evicts the oldest ones beyond the cache's size.
     fn cache_prompt(&mut self, r: &Request) {
         self.cache.retain(|c| c.0 != r.conversation);
         self.cache.push_back((r.conversation, r.turn, r.prefixes.size()));
@@ -240,6 +242,7 @@
         }
     }
 
+    /// Chooses an engine that is not in `tried`.
     fn choose(
         &mut self,
         rule: Rule,
@@ -408,6 +411,7 @@
     metrics.refused += 1;
 }
 
+/// Records the end of a request at engine `n`.
 fn complete(
     all: &[Request],
     n: usize,
