--- a/crates/cypressfork/tests/crashing_requests.rs
+++ b/crates/cypressfork/tests/crashing_requests.rs
@@ -52,8 +52,8 @@
 /// Bound on the total arrivals of a request after that: probes that check whether the quarantine is wrong.
 const MAX_PROBES: usize = 3;
 
-/// Interval between copies of one killer request.
-const KILLER_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval between copies of one poison request.
+const POISON_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Interval between harmless requests.
 const HARMLESS_INTERVAL: Duration = Duration::from_millis(20);
@@ -69,19 +69,19 @@
     downtime: Duration,
 }
 
-/// A fleet with replicas that crash, and callers that send harmless and killer requests.
+/// A fleet with replicas that crash, and callers that send harmless and poison requests.
 struct CrashingFleet {
     fleet: Fleet,
     _extra_gateways: Vec<ExtraGateway>,
     crash_record: Arc<CrashRecord>,
     harmless: Callers,
-    killers: Callers,
+    poison_callers: Callers,
     stop_replicas: Arc<std::sync::atomic::AtomicBool>,
 }
 
 impl Drop for CrashingFleet {
     fn drop(&mut self) {
-        for stop in [&self.harmless.stop, &self.killers.stop, &self.stop_replicas] {
+        for stop in [&self.harmless.stop, &self.poison_callers.stop, &self.stop_replicas] {
             stop.store(true, Ordering::Relaxed);
         }
     }
@@ -112,7 +112,7 @@
         let crashing = CrashingFleet {
             crash_record: Arc::default(),
             harmless: Callers::new(gateways.clone()),
-            killers: Callers::new(gateways),
+            poison_callers: Callers::new(gateways),
             stop_replicas: Arc::default(),
             fleet,
             _extra_gateways: extra_gateways,
@@ -160,17 +160,17 @@
     }
 
     /// Sends copies of two requests that crash their replicas: one marked in its path, one in its body.
-    fn send_killers(&self) {
-        self.killers.send("killer", KILLER_INTERVAL / 2, |n| match n % 2 {
-            0 => ("GET", format!("/board/{KILLER}-1"), String::new()),
-            _ => ("POST", "/moves/x".to_owned(), format!("{KILLER}-2")),
+    fn send_poison(&self) {
+        self.poison_callers.send("killer", POISON_INTERVAL / 2, |n| match n % 2 {
+            0 => ("GET", format!("/board/{POISON_MARKER}-1"), String::new()),
+            _ => ("POST", "/moves/x".to_owned(), format!("{POISON_MARKER}-2")),
         });
     }
 
-    /// Waits until both killers have crashed three replicas; returns each with the time from which every
-    /// gateway has to refuse it.
+    /// Waits until both poison requests have crashed three replicas; returns each with the time from which
+    /// every gateway has to refuse it.
     fn wait_until_quarantine_due(&self) -> Vec<(String, Instant)> {
-        let names = [1, 2].map(|n| format!("{KILLER}-{n}"));
+        let names = [1, 2].map(|n| format!("{POISON_MARKER}-{n}"));
         let due = names.map(|name| {
             let mut third_crash_at = None;
             wait_for("a third crash of a replica", || {
@@ -214,21 +214,21 @@
 fn logs_list_the_requests_in_progress_at_crashed_replicas() {
     let crashing = CrashingFleet::new(RestartAs::NewId);
     crashing.send_harmless();
-    crashing.send_killers();
+    crashing.send_poison();
     crashing.wait_until_quarantine_due();
     let crashed_three = |crashing: &CrashingFleet| {
         let all = in_progress_at_crash(crashing);
         let often = all.into_values().filter(|(replicas, _)| replicas.len() >= 3);
         often.filter(|(_, ids)| ids.iter().all(|id| id.starts_with("killer-"))).count()
     };
-    wait_for("both killer requests in the logs", || crashed_three(&crashing) == 2);
+    wait_for("both poison requests in the logs", || crashed_three(&crashing) == 2);
 }
 
-/// Guards against a killer request that is still sent to replicas after its third crash.
+/// Guards against a poison request that is still sent to replicas after its third crash.
 #[rstest]
 #[case::replicas_come_back_under_another_id(RestartAs::NewId)]
 #[case::replicas_come_back_under_their_id(RestartAs::SameId)]
-fn a_killer_request_is_soon_sent_to_no_replica(#[case] restart_as: RestartAs) {
+fn a_poison_request_is_soon_sent_to_no_replica(#[case] restart_as: RestartAs) {
     assert_soon_sent_to_no_replica(&CrashingFleet::new(restart_as));
 }
 
@@ -250,7 +250,7 @@
 )]
 #[case::it_starts_again_at_once(RestartAs::NewId, Socket::Closes, IMMEDIATE_DOWNTIME)]
 #[case::under_its_id(RestartAs::SameIdBorn, Socket::Closes, IMMEDIATE_DOWNTIME)]
-fn a_killer_request_is_soon_sent_to_no_replica_when_sockets_outlast_crashes(
+fn a_poison_request_is_soon_sent_to_no_replica_when_sockets_outlast_crashes(
     #[case] restart_as: RestartAs,
     #[case] socket: Socket,
     #[case] downtime: Duration,
@@ -264,15 +264,15 @@
 
 fn assert_soon_sent_to_no_replica(crashing: &CrashingFleet) {
     crashing.send_harmless();
-    crashing.send_killers();
+    crashing.send_poison();
     let due = crashing.wait_until_quarantine_due();
     let last = due.iter().map(|(_, at)| *at).max().unwrap();
     sleep_until(last + Duration::from_secs(4));
-    for (killer, at) in &due {
-        let arrivals = crashing.crash_record.arrivals(killer, *at);
+    for (poison, at) in &due {
+        let arrivals = crashing.crash_record.arrivals(poison, *at);
         assert!(
             arrivals <= MAX_PROBES,
-            "{killer} reached replicas {arrivals} times after the quarantine was due at every gateway"
+            "{poison} reached replicas {arrivals} times after the quarantine was due at every gateway"
         );
     }
     let refused = crashing.harmless.outcomes().count_code(QUARANTINED);
@@ -280,10 +280,11 @@
 }
 
 impl CrashingFleet {
-    /// Sends one copy of the first killer to a gateway and returns its result code, empty without an answer.
+    /// Sends one copy of the first poison request to a gateway and returns its result code, empty without
+    /// an answer.
     fn send_copy(&self, gateway: SocketAddr, key: &str) -> String {
         let head = format!("X-Request-Id: copy\r\nAuthorization: Bearer {key}\r\n");
-        let path = format!("/board/{KILLER}-1");
+        let path = format!("/board/{POISON_MARKER}-1");
         let answer = exchange(gateway, "GET", &path, &head, "");
         answer.map_or(String::new(), |(_, v)| v["error"]["code"].as_str().unwrap().to_owned())
     }
@@ -303,9 +304,9 @@
 #[test]
 fn a_quarantine_survives_a_restart_of_all_processes() {
     let mut crashing = CrashingFleet::new(RestartAs::NewId);
-    crashing.send_killers();
+    crashing.send_poison();
     crashing.wait_until_quarantine_due();
-    crashing.killers.stop.store(true, Ordering::Relaxed);
+    crashing.poison_callers.stop.store(true, Ordering::Relaxed);
     crashing.wait_until_all_refuse();
     let since = Instant::now();
     crashing.fleet.gateway.as_mut().unwrap().kill();
@@ -318,7 +319,7 @@
     crashing.fleet.start_gateway();
     crashing.wait_until_all_answer();
     assert_eq!(crashing.send_copy(crashing.fleet.listen, "club-key"), QUARANTINED);
-    assert_eq!(crashing.crash_record.arrivals(&format!("{KILLER}-1"), since), 0);
+    assert_eq!(crashing.crash_record.arrivals(&format!("{POISON_MARKER}-1"), since), 0);
 }
 
 /// Guards against a gateway that can't quarantine a request without a control process.
@@ -341,15 +342,15 @@
 #[test]
 fn a_quarantine_does_not_apply_to_other_accounts() {
     let crashing = CrashingFleet::new(RestartAs::NewId);
-    crashing.send_killers();
+    crashing.send_poison();
     crashing.wait_until_quarantine_due();
-    crashing.killers.stop.store(true, Ordering::Relaxed);
+    crashing.poison_callers.stop.store(true, Ordering::Relaxed);
     crashing.wait_until_all_refuse();
     let since = Instant::now();
     // All replicas may be down for a moment after the crashes.
     wait_for("a replica", || {
         assert_ne!(crashing.send_copy(crashing.fleet.listen, "school-key"), QUARANTINED);
-        crashing.crash_record.arrivals(&format!("{KILLER}-1"), since) >= 1
+        crashing.crash_record.arrivals(&format!("{POISON_MARKER}-1"), since) >= 1
     });
 }
 
@@ -357,7 +358,7 @@
 #[test]
 fn an_operator_can_list_and_lift_a_quarantine() {
     let crashing = CrashingFleet::new(RestartAs::NewId);
-    crashing.send_killers();
+    crashing.send_poison();
     let controls = crashing.fleet.controls.iter().map(|c| c.link).collect();
     let name = "operator".to_owned();
     let credentials = Credentials { key: Key::new(b"test"), cluster: "test".to_owned(), name };
@@ -371,7 +372,7 @@
         all = listed;
         all.len() == 2
     });
-    crashing.killers.stop.store(true, Ordering::Relaxed);
+    crashing.poison_callers.stop.store(true, Ordering::Relaxed);
     crashing.wait_until_all_refuse();
     for q in all {
         assert!(q.account == "club" && q.replicas >= 3, "{q:?}");
@@ -381,7 +382,7 @@
     let since = Instant::now();
     wait_for("a replica", || {
         crashing.send_copy(crashing.fleet.listen, "club-key");
-        crashing.crash_record.arrivals(&format!("{KILLER}-1"), since) > 0
+        crashing.crash_record.arrivals(&format!("{POISON_MARKER}-1"), since) > 0
     });
 }
 
--- a/crates/cypressfork/tests/support/crashing.rs
+++ b/crates/cypressfork/tests/support/crashing.rs
@@ -12,10 +12,10 @@
 
 use super::gateways::{HOST, exchange};
 
-/// Text in the path or body of a request that crashes the replica that runs it.
-pub const KILLER: &str = "ends-its-replica";
+/// Text in the path or body of a poison request: a request that crashes every replica that runs it.
+pub const POISON_MARKER: &str = "ends-its-replica";
 
-/// Time from the arrival of a killer request to the crash.
+/// Time from the arrival of a poison request to the crash.
 const CRASH_DELAY: Duration = Duration::from_millis(40);
 
 /// Run time of a harmless request.
@@ -30,23 +30,23 @@
 /// Arrivals and crashes recorded by the replicas.
 #[derive(Default)]
 pub struct CrashRecord {
-    /// Arrivals of killer requests: the marker with its suffix, and the time.
-    pub killers: Mutex<Vec<(String, Instant)>>,
-    /// Crashes of replicas: the killer request that caused them, and the time.
+    /// Arrivals of poison requests: the marker with its suffix, and the time.
+    pub poison_arrivals: Mutex<Vec<(String, Instant)>>,
+    /// Crashes of replicas: the poison request that caused them, and the time.
     pub crashes: Mutex<Vec<(String, Instant)>>,
 }
 
 impl CrashRecord {
-    /// Returns the time of the third crash that `killer` caused.
-    pub fn third_crash(&self, killer: &str) -> Option<Instant> {
+    /// Returns the time of the third crash that `poison` caused.
+    pub fn third_crash(&self, poison: &str) -> Option<Instant> {
         let crashes = self.crashes.lock().unwrap();
-        crashes.iter().filter(|(k, _)| k == killer).nth(2).map(|(_, at)| *at)
+        crashes.iter().filter(|(p, _)| p == poison).nth(2).map(|(_, at)| *at)
     }
 
-    /// Counts arrivals of `killer` after `since`.
-    pub fn arrivals(&self, killer: &str, since: Instant) -> usize {
-        let all = self.killers.lock().unwrap();
-        all.iter().filter(|(k, at)| k == killer && *at > since).count()
+    /// Counts arrivals of `poison` after `since`.
+    pub fn arrivals(&self, poison: &str, since: Instant) -> usize {
+        let all = self.poison_arrivals.lock().unwrap();
+        all.iter().filter(|(p, at)| p == poison && *at > since).count()
     }
 }
 
@@ -222,12 +222,12 @@
             }
             continue;
         }
-        if let Some(at) = text.find(KILLER) {
-            let killer: String = text[at..].chars().take_while(|c| !c.is_whitespace()).collect();
-            crash_record.killers.lock().unwrap().push((killer.clone(), Instant::now()));
+        if let Some(at) = text.find(POISON_MARKER) {
+            let poison: String = text[at..].chars().take_while(|c| !c.is_whitespace()).collect();
+            crash_record.poison_arrivals.lock().unwrap().push((poison.clone(), Instant::now()));
             sleep(CRASH_DELAY);
             if !incarnation.ended.swap(true, Ordering::Relaxed) {
-                crash_record.crashes.lock().unwrap().push((killer, Instant::now()));
+                crash_record.crashes.lock().unwrap().push((poison, Instant::now()));
             }
             return;
         }
