--- a/crates/soak/src/caller.rs
+++ b/crates/soak/src/caller.rs
@@ -89,8 +89,8 @@
         let id = format!("c{}-{}", self.caller, self.sent);
         let kind = self.draw_kind();
         let idle = self.idle.take().map(|(_, c)| c);
-        let keep = send_recorded(self.w, gateway, id, kind, idle).await;
-        self.idle = keep.filter(|_| !self.w.random_bool(CLOSE_PERCENT)).map(|c| (gateway, c));
+        let reusable = send_recorded(self.w, gateway, id, kind, idle).await;
+        self.idle = reusable.filter(|_| !self.w.random_bool(CLOSE_PERCENT)).map(|c| (gateway, c));
     }
 
     fn draw_kind(&self) -> Kind {
@@ -145,7 +145,7 @@
     let max_wait =
         if abandons { Duration::from_millis(w.random_below(150) as u64) } else { CALLER_TIMEOUT };
     let done = timeout(max_wait, send(w, gateway, &id, kind, account.key, idle)).await;
-    let (outcome, keep) = done.unwrap_or((Outcome::Left, None));
+    let (outcome, reusable) = done.unwrap_or((Outcome::Left, None));
     let (prompt, events) = match kind {
         Kind::Stream => (PROMPT_TOKENS, event_count(&id)),
         _ => (0, 0),
@@ -153,7 +153,7 @@
     let (account, ended) = (account.name, w.now());
     let request = Request { id, kind, account, prompt, events, gateway, sent, ended, outcome };
     w.history.borrow_mut().requests.push(request);
-    keep
+    reusable
 }
 
 fn request_headers(id: &str, kind: Kind, key: &str) -> HeaderMap {
--- a/crates/soak/src/check.rs
+++ b/crates/soak/src/check.rs
@@ -33,7 +33,7 @@
     /// Maximum time from the third crash that a poison request causes until every gateway refuses it, in
     /// milliseconds.
     pub quarantine_ms: u64,
-    /// Maximum number of times that replicas may run a poison request after that.
+    /// Maximum number of times that replicas may run a poison request that is due to be quarantined.
     pub max_late_poison_runs: usize,
     /// Time after a replica first announces a rate limit until the limit is checked, in milliseconds.
     pub limit_counts_after_ms: u64,
@@ -41,7 +41,7 @@
     pub limit_window_ms: u64,
     /// Factor applied to the number of requests that the rate limit allows in that window.
     pub limit_factor: f64,
-    /// Number of requests allowed in that window in addition.
+    /// Number of requests allowed in that window in addition to those that the rate limit allows.
     pub limit_slack: f64,
     /// Time after a gateway forwards an answer with a rate limit until its requests are counted, in
     /// milliseconds.
@@ -250,7 +250,7 @@
 
 fn no_new_requests_after_acked_drain(h: &History, b: &Bounds) -> Vec<BrokenPromise> {
     let acked: BTreeMap<&str, Timestamp> =
-        h.acked_drains.iter().map(|l| (l.replica.as_str(), l.acked)).collect();
+        h.acked_drains.iter().map(|d| (d.replica.as_str(), d.acked)).collect();
     let requests = requests_by_id(h);
     let mut all = Vec::new();
     for a in &h.arrivals {
@@ -277,7 +277,7 @@
 }
 
 /// Returns the description of the disruption recorded for a planned stop of a gateway.
-pub fn stop_of(gateway: usize) -> String {
+pub fn stop_description(gateway: usize) -> String {
     format!("planned stop of gateway-{gateway}")
 }
 
@@ -285,7 +285,7 @@
     let executed = executed_ids(h);
     let mut all = Vec::new();
     for s in &h.stops {
-        let name = stop_of(s.gateway);
+        let name = stop_description(s.gateway);
         let end = s.ended.unwrap_or(s.requested + b.stop_ms);
         if end > s.requested + b.stop_ms {
             let why = format!("the stop took {} ms", end - s.requested);
@@ -329,18 +329,18 @@
 fn gateway_versions_never_decrease(h: &History, _: &Bounds) -> Vec<BrokenPromise> {
     let mut highest: BTreeMap<(usize, u32), u64> = BTreeMap::new();
     let mut all = Vec::new();
-    for s in &h.version_reports {
-        let known = highest.entry((s.gateway, s.incarnation)).or_default();
-        if s.version < *known {
-            let why = format!("gateway-{} went from {known} back to {}", s.gateway, s.version);
+    for r in &h.version_reports {
+        let known = highest.entry((r.gateway, r.incarnation)).or_default();
+        if r.version < *known {
+            let why = format!("gateway-{} went from {known} back to {}", r.gateway, r.version);
             all.push(broken_promise(
                 "configuration",
-                s.at,
+                r.at,
                 why,
-                &[&format!("gateway-{}", s.gateway)],
+                &[&format!("gateway-{}", r.gateway)],
             ));
         }
-        *known = (*known).max(s.version);
+        *known = (*known).max(r.version);
     }
     all
 }
@@ -414,10 +414,10 @@
     let disturbed = |from: Timestamp, to: Timestamp| {
         h.disruptions.iter().any(|d| d.what != POISONED && d.from <= to && d.until >= from)
     };
-    let numbers: BTreeSet<usize> = h.poison_crashes.iter().map(|e| e.poison).collect();
+    let numbers: BTreeSet<usize> = h.poison_crashes.iter().map(|c| c.poison).collect();
     let mut all = Vec::new();
     for poison in numbers {
-        let mut crashes = h.poison_crashes.iter().filter(|e| e.poison == poison);
+        let mut crashes = h.poison_crashes.iter().filter(|c| c.poison == poison);
         let Some(third) = crashes.nth(QUARANTINE_AFTER - 1) else { continue };
         let is_copy = |id: &str| requests.get(id).is_some_and(|r| r.kind == Kind::Poison(poison));
         let late = h.arrivals.iter().filter(|a| a.run && a.at > third.at + b.quarantine_ms);
@@ -457,7 +457,7 @@
     let name = format!("Gateway({gateway})");
     let affects_gateway = |d: &Disruption| {
         d.what.contains(&name)
-            || d.what == stop_of(gateway)
+            || d.what == stop_description(gateway)
             || matches!(d.what.as_str(), "KillAll" | "CutAllGateways" | "Reset")
             || d.what.starts_with("Delay(")
     };
@@ -572,18 +572,19 @@
     let mut all = Vec::new();
     let mut since: Option<Timestamp> = None;
     let mut reads = h.reads.iter().map(|r| r.sent).peekable();
-    for u in &h.failed_reads {
-        let undisturbed = is_undisturbed(h, u.sent.saturating_sub(b.undisturbed_ms), u.ended);
-        while reads.next_if(|at| *at < u.sent).is_some() {
+    for failed in &h.failed_reads {
+        let undisturbed =
+            is_undisturbed(h, failed.sent.saturating_sub(b.undisturbed_ms), failed.ended);
+        while reads.next_if(|at| *at < failed.sent).is_some() {
             since = None;
         }
         if !undisturbed {
             since = None;
             continue;
         }
-        let from = *since.get_or_insert(u.sent);
-        if u.ended - from > b.max_leaderless_ms {
-            let why = format!("no read of the document succeeded for {} ms", u.ended - from);
+        let from = *since.get_or_insert(failed.sent);
+        if failed.ended - from > b.max_leaderless_ms {
+            let why = format!("no read of the document succeeded for {} ms", failed.ended - from);
             all.push(broken_promise("leader", from, why, &[]));
             since = None;
         }
--- a/crates/soak/src/command.rs
+++ b/crates/soak/src/command.rs
@@ -65,11 +65,11 @@
     if let Some(extra) = m.free.first() {
         return Err(format!("unexpected argument '{extra}'"));
     }
-    let number = |name: &str, default: u64, least: u64, most: u64| {
+    let number = |name: &str, default: u64, min: u64, max: u64| {
         let n = m.opt_get_default(name, default).map_err(|_| format!("--{name}: not a number"))?;
-        match (least..=most).contains(&n) {
+        match (min..=max).contains(&n) {
             true => Ok(n),
-            false => Err(format!("--{name}: must be from {least} to {most}")),
+            false => Err(format!("--{name}: must be from {min} to {max}")),
         }
     };
     let folder = |name: &str, default: &str| {
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -174,9 +174,9 @@
     /// Where the proxy in front of `link` listens.
     proxy: SocketAddr,
     /// The HTTP API of a control process, or where a gateway listens for callers.
-    first: SocketAddr,
+    http: SocketAddr,
     /// Where a gateway serves operators. Control processes do not use it.
-    second: SocketAddr,
+    operators: SocketAddr,
 }
 
 impl Fleet {
@@ -250,7 +250,7 @@
         fs::create_dir_all(&data).map_err(io("create a data folder"))?;
         let process =
             self.new_process(&name, &programs.control, &self.control_settings(&name, p, true))?;
-        Ok(Control { process, api: p.first, link: p.link, data })
+        Ok(Control { process, api: p.http, link: p.link, data })
     }
 
     fn control_settings(&self, name: &str, p: &Addresses, found: bool) -> String {
@@ -260,8 +260,8 @@
             p.link,
             p.proxy,
             self.dir.join(format!("{name}-data")).display(),
-            p.first,
-            p.first,
+            p.http,
+            p.http,
         )
     }
 
@@ -274,13 +274,13 @@
         let settings = format!(
             "{}listen: \"{}\"\nlink: \"{}\"\nlink_advertise: \"{}\"\noperators: \"{}\"\nretry_extra: {RETRY_EXTRA}\nstop_within_s: {STOP_WITHIN_S}\nstop_serve_s: {STOP_SERVE_S}\n",
             self.common_settings(&name),
-            p.first,
+            p.http,
             p.link,
             p.proxy,
-            p.second,
+            p.operators,
         );
         let process = self.new_process(&name, &programs.gateway, &settings)?;
-        Ok(Gateway { process, callers: p.first, operators: p.second, link: p.link })
+        Ok(Gateway { process, callers: p.http, operators: p.operators, link: p.link })
     }
 
     /// Returns the proxied link addresses of the seed control processes.
@@ -320,6 +320,6 @@
     let ip = [127, 100 + (pid % 100) as u8, (seed / 250 % 250) as u8, 1 + (seed % 250) as u8];
     let at = |n: usize, k: u16| SocketAddr::from((ip, FIRST_PORT + 4 * n as u16 + k));
     let addresses =
-        |n| Addresses { link: at(n, 0), proxy: at(n, 1), first: at(n, 2), second: at(n, 3) };
+        |n| Addresses { link: at(n, 0), proxy: at(n, 1), http: at(n, 2), operators: at(n, 3) };
     (0..n).map(addresses).collect()
 }
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -251,7 +251,7 @@
     pub announced_drains: Vec<AnnouncedDrain>,
     /// When the last fault ended.
     pub healed: Timestamp,
-    /// When each gateway first answered a request after that, or `None` if it did not.
+    /// When each gateway first answered a request after the last fault ended, or `None` if it did not.
     pub recovered_at: Vec<Option<Timestamp>>,
     /// Names of processes that exited unexpectedly.
     pub unexpected_exits: Vec<String>,
--- a/crates/soak/src/operator.rs
+++ b/crates/soak/src/operator.rs
@@ -28,7 +28,7 @@
 /// Timeout for reading the version of a gateway.
 const READYZ_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Publishes a document of the next version with `more` additional routes, retrying until it is
+/// Publishes a document of the next version with `extra_routes` additional routes, retrying until it is
 /// acknowledged. Returns whether it was.
 pub async fn publish(w: &Rc<World>, extra_routes: usize) -> bool {
     let version = w.sent.get() + 1;
@@ -36,7 +36,7 @@
     send(w, version, extra_routes).await
 }
 
-/// Sends a document of `version` with `more` additional routes, retrying until it is acknowledged.
+/// Sends a document of `version` with `extra_routes` additional routes, retrying until it is acknowledged.
 /// Returns whether it was.
 pub async fn send(w: &Rc<World>, version: u64, extra_routes: usize) -> bool {
     let body = Bytes::from(document(version, extra_routes));
--- a/crates/soak/src/replica.rs
+++ b/crates/soak/src/replica.rs
@@ -84,7 +84,7 @@
     proxy: ReplicaProxy,
     full: Cell<bool>,
     /// Index in the history of the rate limit that it announces.
-    limit: Cell<Option<usize>>,
+    limit_index: Cell<Option<usize>>,
     /// The current period of rejecting requests with `Retry-After`, if any.
     retry_after: Cell<Option<RetryAfterPeriod>>,
     /// Whether its responses announce that it drains.
@@ -115,7 +115,7 @@
             service,
             proxy,
             full: Cell::new(false),
-            limit: Cell::new(None),
+            limit_index: Cell::new(None),
             retry_after: Cell::new(None),
             drains_by_header: Cell::new(false),
             draining: Cell::new(false),
@@ -142,16 +142,16 @@
     /// Announces a rate limit, in thousandths of a request per second, in its responses for `span`.
     /// Does nothing if it announces one already.
     pub async fn announce_limit(&self, w: &World, thousandths: u64, span: Duration) {
-        if self.limit.get().is_some() {
+        if self.limit_index.get().is_some() {
             return;
         }
         let limit =
             AnnouncedLimit { replica: self.id.clone(), thousandths, first: None, until: None };
         let n = w.history.borrow().limits.len();
         w.history.borrow_mut().limits.push(limit);
-        self.limit.set(Some(n));
+        self.limit_index.set(Some(n));
         sleep(span).await;
-        self.limit.set(None);
+        self.limit_index.set(None);
         w.history.borrow_mut().limits[n].until.get_or_insert(w.now());
     }
 
@@ -210,7 +210,7 @@
 
     /// Adds the rate limit header to a response if a limit is announced.
     fn add_limit_header(&self, w: &World, mut r: Response<Body>) -> Response<Body> {
-        let Some(n) = self.limit.get() else { return r };
+        let Some(n) = self.limit_index.get() else { return r };
         let thousandths = {
             let l = &mut w.history.borrow_mut().limits[n];
             l.first.get_or_insert(w.now());
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -15,7 +15,7 @@
 use tokio::time::{Instant, sleep};
 
 use crate::caller::{CALLER_TIMEOUT, run_caller, run_prober, send_poison, send_recorded};
-use crate::check::{Bounds, BrokenPromise, POISONED, check, stop_of};
+use crate::check::{Bounds, BrokenPromise, POISONED, check, stop_description};
 use crate::document::ACCOUNTS;
 use crate::error::{Error, io};
 use crate::fleet::{Fleet, Process, Programs, RETRY_EXTRA, STOP_WITHIN_S};
@@ -46,7 +46,7 @@
 /// milliseconds.
 const QUARANTINE_LIMIT_MS: u64 = 3_000;
 
-/// Maximum number of times that replicas may run a request after that.
+/// Maximum number of times that replicas may run a poison request that is due to be quarantined.
 const MAX_LATE_POISON_RUNS: usize = 3;
 
 /// Default election timeout of the control processes, in milliseconds.
@@ -278,11 +278,11 @@
                 run.reject_with_retry_after(r).await;
             });
         }
-        for l in plan.header_drains.iter().copied() {
+        for d in plan.header_drains.iter().copied() {
             let run = self.clone();
             self.spawn(async move {
-                sleep(Duration::from_millis(l.at)).await;
-                run.drain_by_header(l).await;
+                sleep(Duration::from_millis(d.at)).await;
+                run.drain_by_header(d).await;
             });
         }
         let run = self.clone();
@@ -351,10 +351,10 @@
     }
 
     /// Starts a replica, then drains another, which announces it only in a response header.
-    async fn drain_by_header(&self, l: HeaderDrain) {
-        let all = self.replicas_of(l.talk);
+    async fn drain_by_header(&self, d: HeaderDrain) {
+        let all = self.replicas_of(d.talk);
         self.add_replica(all).await.expect("a replica can be started");
-        if let Some(removed) = self.remove_replica(all, l.replica) {
+        if let Some(removed) = self.remove_replica(all, d.replica) {
             removed.drain_by_header(self.w.clone()).await;
         }
     }
@@ -527,8 +527,11 @@
         let requested = self.w.now();
         p.stop().await;
         let ended = self.w.now();
-        let d =
-            Disruption { what: stop_of(n), from: requested, until: ended + START_DISRUPTION_MS };
+        let d = Disruption {
+            what: stop_description(n),
+            from: requested,
+            until: ended + START_DISRUPTION_MS,
+        };
         let mut h = self.w.history.borrow_mut();
         h.stops.push(Stop { gateway: n, requested, ended: Some(ended) });
         h.disruptions.push(d);
@@ -557,8 +560,8 @@
     async fn crash(&self, all: &RefCell<Replicas>, n: usize) {
         let Some(removed) = self.remove_replica(all, n) else { return };
         removed.crash();
-        let again = self.restart_replica(all, removed.id.clone()).await;
-        again.expect("a replica can be started");
+        let restarted = self.restart_replica(all, removed.id.clone()).await;
+        restarted.expect("a replica can be started");
     }
 
     /// Starts a replica, then drains another, which announces it in its heartbeats.
@@ -583,7 +586,7 @@
         full.set_full(false);
     }
 
-    /// Publishes a document with `more` additional routes.
+    /// Publishes a document with `extra_routes` additional routes.
     async fn grow(&self, extra_routes: usize) {
         // `publish` records whether the document was acknowledged.
         publish(&self.w, extra_routes).await;
@@ -599,9 +602,9 @@
             }));
             sleep(STORM_INTERVAL).await;
         }
-        for one in all {
+        for task in all {
             // A panic here is a fault of the soak itself and aborts the run.
-            one.await.expect("the task that publishes a document does not panic");
+            task.await.expect("the task that publishes a document does not panic");
         }
     }
 
@@ -639,7 +642,7 @@
         self.w.stop_callers.set(true);
         sleep(SETTLE_TIME).await;
         read(&self.w).await;
-        let spent = self.spent().await;
+        let spent = self.query_spent().await;
         self.w.history.borrow_mut().spent = spent;
         self.record_exits();
         self.tasks.borrow_mut().drain(..).for_each(|t| t.abort());
@@ -647,13 +650,13 @@
 
     /// Returns the tokens of each account that are spent, stranded or held, or an empty map if the
     /// control group does not respond.
-    async fn spent(&self) -> BTreeMap<&'static str, u64> {
-        let me = Credentials {
+    async fn query_spent(&self) -> BTreeMap<&'static str, u64> {
+        let credentials = Credentials {
             key: Key::new(b"soak"),
             cluster: "soak".to_owned(),
             name: "soak".to_owned(),
         };
-        let group = GroupClient::new(me, self.fleet.seed_links());
+        let group = GroupClient::new(credentials, self.fleet.seed_links());
         let Ok(Reply::Budgets(all)) = group.query(&Query::Budgets(None), QUERY_TIMEOUT).await
         else {
             return BTreeMap::new();
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -81,10 +81,10 @@
         let mut h = self.history.borrow_mut();
         let limits = h.limits.iter_mut().filter(|l| l.replica == replica);
         limits.for_each(|l| l.until = Some(l.until.unwrap_or(at)));
-        let backoffs = h.backoffs.iter_mut().filter(|r| r.replica == replica);
-        backoffs.for_each(|r| r.until = r.until.min(at));
-        let drains = h.announced_drains.iter_mut().filter(|t| t.replica == replica);
-        drains.for_each(|t| t.until = Some(t.until.unwrap_or(at)));
+        let backoffs = h.backoffs.iter_mut().filter(|b| b.replica == replica);
+        backoffs.for_each(|b| b.until = b.until.min(at));
+        let drains = h.announced_drains.iter_mut().filter(|d| d.replica == replica);
+        drains.for_each(|d| d.until = Some(d.until.unwrap_or(at)));
     }
 
     /// Draws a random number below `n`.
--- a/crates/soak/tests/check.rs
+++ b/crates/soak/tests/check.rs
@@ -2,7 +2,7 @@
 
 #![allow(missing_docs)]
 
-use cypressfork_soak::check::{BrokenPromise, check, stop_of};
+use cypressfork_soak::check::{BrokenPromise, check, stop_description};
 use cypressfork_soak::history::{
     AckedDrain, AnnouncedDrain, AnnouncedLimit, Arrival, Backoff, Change, Disruption, FailedRead,
     History, Kind, Outcome, PoisonCrash, Read, Request, Stop, VersionReport,
@@ -66,7 +66,7 @@
         recovered_at: vec![Some(15_500)],
         ..History::default()
     };
-    h.disruptions.push(Disruption { what: stop_of(0), from: 9_000, until: 13_000 });
+    h.disruptions.push(Disruption { what: stop_description(0), from: 9_000, until: 13_000 });
     h.generated.insert("s".to_owned(), 3);
     h.spent.insert("club", 43);
     h
