--- a/crates/node/src/lines.rs
+++ b/crates/node/src/lines.rs
@@ -44,9 +44,9 @@
 }
 
 impl LineWriter {
-    /// Starts a thread that writes to `out`, with a queue of `queue` lines.
-    pub fn new(out: impl Write + Send + 'static, queue: usize) -> LineWriter {
-        let (tx, rx) = sync_channel(queue);
+    /// Starts a thread that writes to `out`, with a queue of at most `capacity` lines.
+    pub fn new(out: impl Write + Send + 'static, capacity: usize) -> LineWriter {
+        let (tx, rx) = sync_channel(capacity);
         let counts = Arc::<LineCounts>::default();
         let c = counts.clone();
         thread::spawn(move || write_all(out, &rx, &c));
--- a/crates/node/src/link.rs
+++ b/crates/node/src/link.rs
@@ -141,11 +141,11 @@
 
 /// Opens a TCP connection, starting over with twice the timeout whenever an attempt times out.
 async fn connect_tcp(address: SocketAddr) -> io::Result<TcpStream> {
-    let mut limit = FIRST_CONNECT_TIMEOUT;
+    let mut attempt_timeout = FIRST_CONNECT_TIMEOUT;
     loop {
-        match timeout(limit, TcpStream::connect(address)).await {
+        match timeout(attempt_timeout, TcpStream::connect(address)).await {
             Ok(result) => return result,
-            Err(_) => limit *= 2,
+            Err(_) => attempt_timeout *= 2,
         }
     }
 }
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -27,13 +27,13 @@
 }
 
 /// Parses a daemon's command line. `about` is the first line of the help text.
-pub fn parse_args(program: &str, about: &str, words: &[String]) -> Result<Args, String> {
+pub fn parse_args(program: &str, about: &str, args: &[String]) -> Result<Args, String> {
     let mut o = Options::new();
     o.optopt("s", "settings", "settings file in YAML", "FILE");
     o.optflag("", "check", "check the settings file and exit");
     o.optflag("h", "help", "show this help");
     o.optflag("V", "version", "show the version");
-    let m = o.parse(words).map_err(|e| e.to_string())?;
+    let m = o.parse(args).map_err(|e| e.to_string())?;
     if m.opt_present("help") {
         let header = format!("{about}\n\nUsage: {program} --settings FILE [--check]");
         return Ok(Args::Print(o.usage(&header)));
@@ -48,20 +48,20 @@
     Ok(if m.opt_present("check") { Args::Check(file) } else { Args::Serve(file) })
 }
 
-/// Runs a daemon: parses the command line, loads the settings with `settings`, and calls `run` unless
+/// Runs a daemon: parses the command line, loads the settings with `load`, and calls `run` unless
 /// `--check` was given. `run` also gets the path of the settings file, so that it can reload it.
 /// Returns the exit status of the process.
 pub fn run_daemon<S, R>(
     program: &str,
     about: &str,
-    settings: impl FnOnce(&Path) -> Result<S, Failure>,
+    load: impl FnOnce(&Path) -> Result<S, Failure>,
     run: impl FnOnce(S, PathBuf) -> R,
 ) -> ExitCode
 where
     R: Future<Output = Result<(), Failure>>,
 {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    let (check, file) = match parse_args(program, about, &words) {
+    let args: Vec<String> = std::env::args().skip(1).collect();
+    let (check, file) = match parse_args(program, about, &args) {
         Ok(Args::Print(text)) => {
             println!("{text}");
             return ExitCode::SUCCESS;
@@ -70,7 +70,7 @@
         Ok(Args::Serve(file)) => (false, file),
         Err(e) => return fail(&(Code::UsageBad, format!("CF3006: {e}"))),
     };
-    let result = settings(&file)
+    let result = load(&file)
         .and_then(|s| if check { Ok(()) } else { actix_rt::System::new().block_on(run(s, file)) });
     let code = result.map_or_else(|f| fail(&f), |()| ExitCode::SUCCESS);
     logging::flush();
--- a/crates/node/src/time.rs
+++ b/crates/node/src/time.rs
@@ -13,7 +13,7 @@
 #[cfg(any(target_os = "linux", target_os = "android"))]
 const BOOT_CLOCK: ClockId = ClockId::CLOCK_BOOTTIME;
 
-/// Other systems have no such clock.
+/// The monotonic clock, on systems without a clock that keeps running while the machine is suspended.
 #[cfg(not(any(target_os = "linux", target_os = "android")))]
 const BOOT_CLOCK: ClockId = ClockId::CLOCK_MONOTONIC;
 
