--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -18,7 +18,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout};
 
-/// Timeout of connecting to a server.
+/// Timeout for connecting to a server.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Maximum idle time of a connection whose server sends no `Keep-Alive` timeout.
@@ -28,7 +28,7 @@
 /// sooner, and have announced no timeout.
 const UNUSED_IDLE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Timeout of reading bytes that have already arrived: the runtime reports them only at its next poll.
+/// Timeout for reading bytes that have already arrived: the runtime reports them only at its next poll.
 const BUFFERED_READ_TIMEOUT: Duration = Duration::from_millis(5);
 
 /// Maximum size of a response head, in bytes.
@@ -311,8 +311,8 @@
 
     /// Returns true if the last response was complete and the connection can carry another exchange.
     pub fn is_reusable(&self) -> bool {
-        let between = matches!(self.codec, Some(Codec::Head(_)));
-        between && !self.closes_after && !self.until_close && self.buf.is_empty()
+        let between_messages = matches!(self.codec, Some(Codec::Head(_)));
+        between_messages && !self.closes_after && !self.until_close && self.buf.is_empty()
     }
 }
 
--- a/crates/http/src/operators.rs
+++ b/crates/http/src/operators.rs
@@ -54,7 +54,7 @@
 /// Returns a plain-text response, with the content type of the Prometheus text format.
 pub fn text_response(status: StatusCode, s: String) -> Response<Body> {
     let mut r = Response::with_body(status, Body::Full(Bytes::from(s)));
-    let kind = HeaderValue::from_static("text/plain; version=0.0.4");
-    r.headers_mut().insert(CONTENT_TYPE, kind);
+    let content_type = HeaderValue::from_static("text/plain; version=0.0.4");
+    r.headers_mut().insert(CONTENT_TYPE, content_type);
     r
 }
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -12,7 +12,7 @@
 
 use crate::Body;
 
-/// Timeout of reading the headers of a request.
+/// Timeout for reading the headers of a request.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Time after which an idle connection is closed.
@@ -48,7 +48,7 @@
                     let _ = service.call(stream).await;
                 });
             }
-            // Usually out of file descriptors, which become free again.
+            // Usually the process has too many open files: wait until some are closed.
             Err(_) => sleep(ACCEPT_PAUSE).await,
         }
     }
