--- a/crates/wire/src/compression.rs
+++ b/crates/wire/src/compression.rs
@@ -37,7 +37,7 @@
 
 fn compress(bytes: &[u8]) -> Vec<u8> {
     let mut out = Vec::with_capacity(bytes.len() / 8);
-    // A control process has only a fraction of a core, and the fastest level gives most of the gain.
+    // The fastest level, because control processes have little CPU time.
     ZlibEncoder::new(bytes, Compression::fast())
         .read_to_end(&mut out)
         .expect("reading from a slice and writing to a vector cannot fail");
