--- a/crates/store/src/folder.rs
+++ b/crates/store/src/folder.rs
@@ -109,28 +109,28 @@
 /// Creates the folder if necessary and locks it for this process.
 fn lock(path: &Path) -> Result<File, Error> {
     fs::create_dir_all(path).map_err(Error::io(path))?;
-    let name = path.join(LOCK);
+    let lock_path = path.join(LOCK);
     let f = File::options()
         .create(true)
         .truncate(false)
         .write(true)
-        .open(&name)
-        .map_err(Error::io(&name))?;
+        .open(&lock_path)
+        .map_err(Error::io(&lock_path))?;
     match f.try_lock() {
         Ok(()) => Ok(f),
         Err(TryLockError::WouldBlock) => Err(Error::InUse(path.to_owned())),
-        Err(TryLockError::Error(e)) => Err(Error::Io(name, e)),
+        Err(TryLockError::Error(e)) => Err(Error::Io(lock_path, e)),
     }
 }
 
 /// Returns the stored identity, or `None` if the folder has none.
 fn read_identity(path: &Path) -> Result<Option<Identity>, Error> {
-    let name = path.join(IDENTITY);
-    if !name.exists() {
+    let file = path.join(IDENTITY);
+    if !file.exists() {
         return Ok(None);
     }
-    let text = fs::read_to_string(&name).map_err(Error::io(&name))?;
-    parse_identity(&text).map(Some).ok_or(Error::Damaged(name, 0))
+    let text = fs::read_to_string(&file).map_err(Error::io(&file))?;
+    parse_identity(&text).map(Some).ok_or(Error::Damaged(file, 0))
 }
 
 /// Parses an identity file; returns `None` if it is malformed or its checksum does not match.
--- a/crates/store/src/log.rs
+++ b/crates/store/src/log.rs
@@ -49,7 +49,9 @@
     path: PathBuf,
     generation: u64,
     file: W,
+    /// Number of the last synced batch.
     batch: u64,
+    /// The next batch, encoded.
     buf: Vec<u8>,
     synced_len: u64,
     poisoned: bool,
@@ -107,22 +109,22 @@
     /// Number of the last batch.
     batch: u64,
     /// Length of the intact part, in bytes.
-    size: usize,
+    intact_len: usize,
 }
 
 /// Parses the intact part of a log file. Fails if the damaged part had been acknowledged.
 fn parse_log(path: &Path, bytes: &[u8]) -> Result<Contents, Error> {
-    let mut contents = Contents { records: Vec::new(), batch: 0, size: 0 };
-    while let Some((kind, payload, len)) = parse_record(&bytes[contents.size..]) {
+    let mut contents = Contents { records: Vec::new(), batch: 0, intact_len: 0 };
+    while let Some((kind, payload, len)) = parse_record(&bytes[contents.intact_len..]) {
         match (kind, batch_number(payload)) {
             (BATCH, Some(n)) if n == contents.batch + 1 => contents.batch = n,
-            (BATCH, _) => return Err(Error::Damaged(path.to_owned(), contents.size as u64)),
+            (BATCH, _) => return Err(Error::Damaged(path.to_owned(), contents.intact_len as u64)),
             _ => contents.records.push(Record { kind, payload: payload.to_vec() }),
         }
-        contents.size += len;
+        contents.intact_len += len;
     }
-    if has_later_batch(&bytes[contents.size..], contents.batch) {
-        return Err(Error::Damaged(path.to_owned(), contents.size as u64));
+    if has_later_batch(&bytes[contents.intact_len..], contents.batch) {
+        return Err(Error::Damaged(path.to_owned(), contents.intact_len as u64));
     }
     Ok(contents)
 }
@@ -142,17 +144,17 @@
             .map_err(Error::io(&path))?;
         let bytes = fs::read(&path).map_err(Error::io(&path))?;
         let contents = parse_log(&path, &bytes)?;
-        let size = contents.size as u64;
+        let intact_len = contents.intact_len as u64;
         let truncate = |f: &mut File| {
-            f.set_len(size)?;
-            f.seek(SeekFrom::Start(size))?;
+            f.set_len(intact_len)?;
+            f.seek(SeekFrom::Start(intact_len))?;
             f.sync_all()
         };
         truncate(&mut file).map_err(Error::io(&path))?;
         sync_folder(folder)?;
         remove_other_generations(folder, generation)?;
         let mut log = Log::new(file, folder, generation, contents.batch);
-        log.synced_len = size;
+        log.synced_len = intact_len;
         Ok((log, contents.records))
     }
 
