--- a/crates/cli/src/cmd/budget.rs
+++ b/crates/cli/src/cmd/budget.rs
@@ -43,11 +43,11 @@
 };
 
 fn budgets(cx: &Context) -> Result<String, Error> {
-    let only = cx.args.first().cloned();
-    let Reply::Budgets(all) = cx.query(&Query::Budgets(only.clone()))? else {
+    let name = cx.args.first().cloned();
+    let Reply::Budgets(all) = cx.query(&Query::Budgets(name.clone()))? else {
         return Err(Error::Unexpected);
     };
-    if only.is_some() && all.is_empty() {
+    if name.is_some() && all.is_empty() {
         return Err(cypressfork_core::code::Code::BudgetUnknown.into());
     }
     Ok(cx.render(&all, || budget_table(&all)))
--- a/crates/cli/src/cmd/shell.rs
+++ b/crates/cli/src/cmd/shell.rs
@@ -16,7 +16,7 @@
 pub const MANUAL: Subcommand =
     Subcommand { name: "manual", args: "", about: "print the manual page", run: manual };
 
-fn names() -> String {
+fn subcommand_names() -> String {
     ALL.iter().map(|c| c.name).collect::<Vec<_>>().join(" ")
 }
 
@@ -24,7 +24,7 @@
     match cx.arg(0, "the shell: bash, zsh or fish")? {
         "bash" => Ok(format!(
             "_cypressfork() {{\n    local word=\"${{COMP_WORDS[COMP_CWORD]}}\"\n    if [ \"$COMP_CWORD\" -eq 1 ]; then\n        COMPREPLY=($(compgen -W \"{}\" -- \"$word\"))\n    else\n        COMPREPLY=($(compgen -f -- \"$word\"))\n    fi\n}}\ncomplete -F _cypressfork cypressfork\n",
-            names()
+            subcommand_names()
         )),
         "zsh" => {
             let line =
