--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -16,7 +16,7 @@
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Time after which an idle connection is closed.
-const KEEP_ALIVE: Duration = Duration::from_secs(75);
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(75);
 
 /// Pause after a failure to accept a connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
@@ -29,7 +29,7 @@
 {
     let http = HttpService::build()
         .client_request_timeout(HEAD_TIMEOUT)
-        .keep_alive(KeepAlive::Timeout(KEEP_ALIVE))
+        .keep_alive(KeepAlive::Timeout(KEEP_ALIVE_TIMEOUT))
         .finish(move |req: Request| {
             let response = handle(req);
             async move { Ok::<_, Infallible>(response.await) }
--- a/crates/node/src/group.rs
+++ b/crates/node/src/group.rs
@@ -36,7 +36,7 @@
 
 /// Maximum number of addresses kept besides those of the settings. A region has fewer control
 /// processes.
-const MAX_LEARNED: usize = 64;
+const MAX_LEARNED_ADDRESSES: usize = 64;
 
 /// Senders for the responses of calls in flight, by call id.
 type PendingCalls = Rc<RefCell<HashMap<i64, oneshot::Sender<Return>>>>;
@@ -107,7 +107,7 @@
                 learned.push_back(a);
             }
         }
-        while learned.len() > MAX_LEARNED {
+        while learned.len() > MAX_LEARNED_ADDRESSES {
             learned.pop_front();
         }
     }
--- a/crates/node/src/lines.rs
+++ b/crates/node/src/lines.rs
@@ -64,7 +64,7 @@
     while let Ok(line) = rx.recv() {
         let dropped = counts.dropped();
         if dropped > reported {
-            // Write errors are ignored: the reader has gone.
+            // Write errors are ignored, because the reader has closed the output.
             let _ = writeln!(out, "{{\"event\":107,\"lines_left_out\":{}}}", dropped - reported);
             reported = dropped;
         }
