--- a/crates/soak/src/caller.rs
+++ b/crates/soak/src/caller.rs
@@ -144,8 +144,8 @@
     let abandons = kind == Kind::Stream && w.random_bool(ABANDON_PERCENT);
     let max_wait =
         if abandons { Duration::from_millis(w.random_below(150) as u64) } else { CALLER_TIMEOUT };
-    let done = timeout(max_wait, send(w, gateway, &id, kind, account.key, idle)).await;
-    let (outcome, reusable) = done.unwrap_or((Outcome::Left, None));
+    let result = timeout(max_wait, send(w, gateway, &id, kind, account.key, idle)).await;
+    let (outcome, reusable) = result.unwrap_or((Outcome::Left, None));
     let (prompt, events) = match kind {
         Kind::Stream => (PROMPT_TOKENS, event_count(&id)),
         _ => (0, 0),
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -138,7 +138,7 @@
     pub process: Process,
     /// The address of its HTTP API.
     pub api: SocketAddr,
-    /// Where it listens for links, behind its proxy.
+    /// Where it listens for links. Other processes connect to the proxy in front of it.
     pub link: SocketAddr,
     data: PathBuf,
 }
@@ -151,7 +151,7 @@
     pub callers: SocketAddr,
     /// Where it serves its state to operators.
     pub operators: SocketAddr,
-    /// Where it listens for links, behind its proxy.
+    /// Where it listens for links. Other processes connect to the proxy in front of it.
     pub link: SocketAddr,
 }
 
--- a/crates/soak/src/operator.rs
+++ b/crates/soak/src/operator.rs
@@ -33,12 +33,12 @@
 pub async fn publish(w: &Rc<World>, extra_routes: usize) -> bool {
     let version = w.sent.get() + 1;
     w.sent.set(version);
-    send(w, version, extra_routes).await
+    send_document(w, version, extra_routes).await
 }
 
 /// Sends a document of `version` with `extra_routes` additional routes, retrying until it is acknowledged.
 /// Returns whether it was.
-pub async fn send(w: &Rc<World>, version: u64, extra_routes: usize) -> bool {
+pub async fn send_document(w: &Rc<World>, version: u64, extra_routes: usize) -> bool {
     let body = Bytes::from(document(version, extra_routes));
     for _ in 0..MAX_ATTEMPTS {
         let answer = call(w.random_api(), Method::PUT, "/v1/document", body.clone(), CALL_TIMEOUT);
@@ -61,7 +61,7 @@
 
 /// Reads the document version in force from a random control process and records the result.
 /// Returns `None` if the call fails.
-pub async fn read(w: &World) -> Option<u64> {
+pub async fn read_version(w: &World) -> Option<u64> {
     let sent = w.now();
     let answer =
         call(w.random_api(), Method::GET, "/v1/document", Bytes::new(), CALL_TIMEOUT).await;
@@ -75,10 +75,10 @@
 }
 
 /// Reads the document version in force at intervals.
-pub async fn read_forever(w: Rc<World>) {
+pub async fn read_version_forever(w: Rc<World>) {
     loop {
         sleep(POLL_INTERVAL).await;
-        read(&w).await;
+        read_version(&w).await;
     }
 }
 
@@ -87,7 +87,7 @@
     loop {
         sleep(POLL_INTERVAL).await;
         let incarnation = w.incarnations[gateway].get();
-        let to = w.operators[gateway];
+        let to = w.operator_addresses[gateway];
         let answer = call(to, Method::GET, "/readyz", Bytes::new(), READYZ_TIMEOUT).await;
         let Some((_, body)) = answer else { continue };
         let Ok(v) = serde_json::from_slice::<Value>(&body) else { continue };
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -142,12 +142,12 @@
     }
     server_tx.write_all(&head).await?;
     server_tx.write_all(&hello).await?;
-    let forth = forward(&net, client_rx, server_tx, &from, &name);
-    let back = forward(&net, server_rx, client_tx, &name, &from);
+    let to_server = forward(&net, client_rx, server_tx, &from, &name);
+    let to_client = forward(&net, server_rx, client_tx, &name, &from);
     // When one direction ends, both are closed.
     tokio::select! {
-        done = forth => done,
-        done = back => done,
+        result = to_server => result,
+        result = to_client => result,
     }
 }
 
--- a/crates/soak/src/replica.rs
+++ b/crates/soak/src/replica.rs
@@ -365,8 +365,8 @@
 async fn read_all(req: Request) -> Vec<u8> {
     let mut payload = req.into_parts().1;
     let mut all = Vec::new();
-    while let Some(Ok(piece)) = payload.next().await {
-        all.extend_from_slice(&piece);
+    while let Some(Ok(chunk)) = payload.next().await {
+        all.extend_from_slice(&chunk);
     }
     all
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -20,7 +20,7 @@
 use crate::error::{Error, io};
 use crate::fleet::{Fleet, Process, Programs, RETRY_EXTRA, STOP_WITHIN_S};
 use crate::history::{Disruption, History, Kind, Outcome, Stop, Timestamp};
-use crate::operator::{publish, read, read_forever, send, watch_gateway};
+use crate::operator::{publish, read_version, read_version_forever, send_document, watch_gateway};
 use crate::plan::{Fault, HeaderDrain, Plan, RateLimit, RetryAfterPeriod, Step};
 use crate::proxy::{Cut, Side};
 use crate::replica::Replica;
@@ -253,7 +253,7 @@
             self.spawn(run_caller(self.w.clone(), n));
         }
         self.spawn(run_prober(self.w.clone(), PROBE_INTERVAL));
-        self.spawn(read_forever(self.w.clone()));
+        self.spawn(read_version_forever(self.w.clone()));
         for n in 0..self.fleet.gateways.len() {
             self.spawn(watch_gateway(self.w.clone(), n));
         }
@@ -393,7 +393,7 @@
             }));
         }
         for s in steps {
-            // A panic in a step is a fault of the soak itself and aborts the run.
+            // A panic in a step is a bug in the soak test and aborts the run.
             s.await.expect("the task of a step does not panic");
         }
         let healed = self.w.now();
@@ -603,7 +603,7 @@
             sleep(STORM_INTERVAL).await;
         }
         for task in all {
-            // A panic here is a fault of the soak itself and aborts the run.
+            // A panic here is a bug in the soak test and aborts the run.
             task.await.expect("the task that publishes a document does not panic");
         }
     }
@@ -613,9 +613,9 @@
     async fn race(&self) {
         let version = self.w.sent.get() + 1;
         self.w.sent.set(version);
-        let (one, other) = (send(&self.w, version, 0), send(&self.w, version, 3));
+        let (one, other) = (send_document(&self.w, version, 0), send_document(&self.w, version, 3));
         tokio::join!(one, other);
-        send(&self.w, version - 1, 0).await;
+        send_document(&self.w, version - 1, 0).await;
     }
 
     /// Waits until each gateway serves again, at most `RECOVERY_LIMIT_MS`, and records when. Then
@@ -641,7 +641,7 @@
     async fn finish(&self) {
         self.w.stop_callers.set(true);
         sleep(SETTLE_TIME).await;
-        read(&self.w).await;
+        read_version(&self.w).await;
         let spent = self.query_spent().await;
         self.w.history.borrow_mut().spent = spent;
         self.record_exits();
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -17,10 +17,10 @@
     pub history: RefCell<History>,
     /// API addresses of the control processes, for operators, replicas and callers.
     pub apis: Vec<SocketAddr>,
-    /// Addresses of the gateways for callers.
+    /// Addresses at which the gateways serve callers.
     pub gateways: Vec<SocketAddr>,
-    /// Addresses of the gateways for operators.
-    pub operators: Vec<SocketAddr>,
+    /// Addresses at which the gateways serve operators.
+    pub operator_addresses: Vec<SocketAddr>,
     /// Number of starts of each gateway.
     pub incarnations: Vec<Cell<u32>>,
     /// Whether callers must stop sending requests.
@@ -42,7 +42,7 @@
         seed: u64,
         apis: Vec<SocketAddr>,
         gateways: Vec<SocketAddr>,
-        operators: Vec<SocketAddr>,
+        operator_addresses: Vec<SocketAddr>,
     ) -> World {
         let incarnations = gateways.iter().map(|_| Cell::new(0)).collect();
         World {
@@ -50,7 +50,7 @@
             history: RefCell::default(),
             apis,
             gateways,
-            operators,
+            operator_addresses,
             incarnations,
             stop_callers: Cell::new(false),
             acked: Cell::new(0),
