--- a/crates/store/tests/folder.rs
+++ b/crates/store/tests/folder.rs
@@ -150,12 +150,12 @@
 }
 
 /// A file whose writes or syncs fail after the given number of calls.
-struct Faulty {
+struct FaultyFile {
     writes: u32,
     syncs: u32,
 }
 
-impl Write for Faulty {
+impl Write for FaultyFile {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
         if self.writes == 0 {
             return Err(io::Error::from(io::ErrorKind::StorageFull));
@@ -169,7 +169,7 @@
     }
 }
 
-impl SyncWrite for Faulty {
+impl SyncWrite for FaultyFile {
     fn sync(&mut self) -> io::Result<()> {
         if self.syncs == 0 {
             return Err(io::Error::other("the device failed"));
@@ -183,7 +183,7 @@
 #[case::disk_full(1, 9)]
 #[case::sync_fails(9, 1)]
 fn a_failed_write_poisons_the_log(#[case] writes: u32, #[case] syncs: u32) {
-    let mut log = Log::new(Faulty { writes, syncs }, Path::new("data"), 1, 0);
+    let mut log = Log::new(FaultyFile { writes, syncs }, Path::new("data"), 1, 0);
     log.append(1, b"a");
     log.sync().unwrap();
     log.append(1, b"b");
