--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -12,11 +12,11 @@
 
 use crate::Body;
 
-/// Timeout of reading the headers of a request.
+/// Timeout for reading the headers of a request.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Time after which an idle connection is closed.
-const KEEP_ALIVE: Duration = Duration::from_secs(75);
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(75);
 
 /// Pause after a failure to accept a connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
@@ -29,7 +29,7 @@
 {
     let http = HttpService::build()
         .client_request_timeout(HEAD_TIMEOUT)
-        .keep_alive(KeepAlive::Timeout(KEEP_ALIVE))
+        .keep_alive(KeepAlive::Timeout(KEEP_ALIVE_TIMEOUT))
         .finish(move |req: Request| {
             let response = handle(req);
             async move { Ok::<_, Infallible>(response.await) }
@@ -48,7 +48,7 @@
                     let _ = service.call(stream).await;
                 });
             }
-            // Usually out of file descriptors, which become free again.
+            // Usually the process has too many open files: wait until some are closed.
             Err(_) => sleep(ACCEPT_PAUSE).await,
         }
     }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -15,12 +15,12 @@
 use tokio::time::{Instant, sleep};
 
 use crate::caller::{CALLER_TIMEOUT, run_caller, run_prober, send_poison, send_recorded};
-use crate::check::{Bounds, BrokenPromise, POISONED, check, stop_of};
+use crate::check::{Bounds, BrokenPromise, POISONED, check, stop_description};
 use crate::document::ACCOUNTS;
 use crate::error::{Error, io};
 use crate::fleet::{Fleet, Process, Programs, RETRY_EXTRA, STOP_WITHIN_S};
 use crate::history::{Disruption, History, Kind, Outcome, Stop, Timestamp};
-use crate::operator::{publish, read, read_forever, send, watch_gateway};
+use crate::operator::{publish, read_version, read_version_forever, send_document, watch_gateway};
 use crate::plan::{Fault, HeaderDrain, Plan, RateLimit, RetryAfterPeriod, Step};
 use crate::proxy::{Cut, Side};
 use crate::replica::Replica;
@@ -46,7 +46,7 @@
 /// milliseconds.
 const QUARANTINE_LIMIT_MS: u64 = 3_000;
 
-/// Maximum number of times that replicas may run a request after that.
+/// Maximum number of times that replicas may run a poison request that is due to be quarantined.
 const MAX_LATE_POISON_RUNS: usize = 3;
 
 /// Default election timeout of the control processes, in milliseconds.
@@ -253,7 +253,7 @@
             self.spawn(run_caller(self.w.clone(), n));
         }
         self.spawn(run_prober(self.w.clone(), PROBE_INTERVAL));
-        self.spawn(read_forever(self.w.clone()));
+        self.spawn(read_version_forever(self.w.clone()));
         for n in 0..self.fleet.gateways.len() {
             self.spawn(watch_gateway(self.w.clone(), n));
         }
@@ -278,11 +278,11 @@
                 run.reject_with_retry_after(r).await;
             });
         }
-        for l in plan.header_drains.iter().copied() {
+        for d in plan.header_drains.iter().copied() {
             let run = self.clone();
             self.spawn(async move {
-                sleep(Duration::from_millis(l.at)).await;
-                run.drain_by_header(l).await;
+                sleep(Duration::from_millis(d.at)).await;
+                run.drain_by_header(d).await;
             });
         }
         let run = self.clone();
@@ -351,10 +351,10 @@
     }
 
     /// Starts a replica, then drains another, which announces it only in a response header.
-    async fn drain_by_header(&self, l: HeaderDrain) {
-        let all = self.replicas_of(l.talk);
+    async fn drain_by_header(&self, d: HeaderDrain) {
+        let all = self.replicas_of(d.talk);
         self.add_replica(all).await.expect("a replica can be started");
-        if let Some(removed) = self.remove_replica(all, l.replica) {
+        if let Some(removed) = self.remove_replica(all, d.replica) {
             removed.drain_by_header(self.w.clone()).await;
         }
     }
@@ -393,7 +393,7 @@
             }));
         }
         for s in steps {
-            // A panic in a step is a fault of the soak itself and aborts the run.
+            // A panic in a step is a bug in the soak test and aborts the run.
             s.await.expect("the task of a step does not panic");
         }
         let healed = self.w.now();
@@ -527,8 +527,11 @@
         let requested = self.w.now();
         p.stop().await;
         let ended = self.w.now();
-        let d =
-            Disruption { what: stop_of(n), from: requested, until: ended + START_DISRUPTION_MS };
+        let d = Disruption {
+            what: stop_description(n),
+            from: requested,
+            until: ended + START_DISRUPTION_MS,
+        };
         let mut h = self.w.history.borrow_mut();
         h.stops.push(Stop { gateway: n, requested, ended: Some(ended) });
         h.disruptions.push(d);
@@ -557,8 +560,8 @@
     async fn crash(&self, all: &RefCell<Replicas>, n: usize) {
         let Some(removed) = self.remove_replica(all, n) else { return };
         removed.crash();
-        let again = self.restart_replica(all, removed.id.clone()).await;
-        again.expect("a replica can be started");
+        let restarted = self.restart_replica(all, removed.id.clone()).await;
+        restarted.expect("a replica can be started");
     }
 
     /// Starts a replica, then drains another, which announces it in its heartbeats.
@@ -583,7 +586,7 @@
         full.set_full(false);
     }
 
-    /// Publishes a document with `more` additional routes.
+    /// Publishes a document with `extra_routes` additional routes.
     async fn grow(&self, extra_routes: usize) {
         // `publish` records whether the document was acknowledged.
         publish(&self.w, extra_routes).await;
@@ -599,9 +602,9 @@
             }));
             sleep(STORM_INTERVAL).await;
         }
-        for one in all {
-            // A panic here is a fault of the soak itself and aborts the run.
-            one.await.expect("the task that publishes a document does not panic");
+        for task in all {
+            // A panic here is a bug in the soak test and aborts the run.
+            task.await.expect("the task that publishes a document does not panic");
         }
     }
 
@@ -610,9 +613,9 @@
     async fn race(&self) {
         let version = self.w.sent.get() + 1;
         self.w.sent.set(version);
-        let (one, other) = (send(&self.w, version, 0), send(&self.w, version, 3));
+        let (one, other) = (send_document(&self.w, version, 0), send_document(&self.w, version, 3));
         tokio::join!(one, other);
-        send(&self.w, version - 1, 0).await;
+        send_document(&self.w, version - 1, 0).await;
     }
 
     /// Waits until each gateway serves again, at most `RECOVERY_LIMIT_MS`, and records when. Then
@@ -638,8 +641,8 @@
     async fn finish(&self) {
         self.w.stop_callers.set(true);
         sleep(SETTLE_TIME).await;
-        read(&self.w).await;
-        let spent = self.spent().await;
+        read_version(&self.w).await;
+        let spent = self.query_spent().await;
         self.w.history.borrow_mut().spent = spent;
         self.record_exits();
         self.tasks.borrow_mut().drain(..).for_each(|t| t.abort());
@@ -647,13 +650,13 @@
 
     /// Returns the tokens of each account that are spent, stranded or held, or an empty map if the
     /// control group does not respond.
-    async fn spent(&self) -> BTreeMap<&'static str, u64> {
-        let me = Credentials {
+    async fn query_spent(&self) -> BTreeMap<&'static str, u64> {
+        let credentials = Credentials {
             key: Key::new(b"soak"),
             cluster: "soak".to_owned(),
             name: "soak".to_owned(),
         };
-        let group = GroupClient::new(me, self.fleet.seed_links());
+        let group = GroupClient::new(credentials, self.fleet.seed_links());
         let Ok(Reply::Budgets(all)) = group.query(&Query::Budgets(None), QUERY_TIMEOUT).await
         else {
             return BTreeMap::new();
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -17,10 +17,10 @@
     pub history: RefCell<History>,
     /// API addresses of the control processes, for operators, replicas and callers.
     pub apis: Vec<SocketAddr>,
-    /// Addresses of the gateways for callers.
+    /// Addresses at which the gateways serve callers.
     pub gateways: Vec<SocketAddr>,
-    /// Addresses of the gateways for operators.
-    pub operators: Vec<SocketAddr>,
+    /// Addresses at which the gateways serve operators.
+    pub operator_addresses: Vec<SocketAddr>,
     /// Number of starts of each gateway.
     pub incarnations: Vec<Cell<u32>>,
     /// Whether callers must stop sending requests.
@@ -42,7 +42,7 @@
         seed: u64,
         apis: Vec<SocketAddr>,
         gateways: Vec<SocketAddr>,
-        operators: Vec<SocketAddr>,
+        operator_addresses: Vec<SocketAddr>,
     ) -> World {
         let incarnations = gateways.iter().map(|_| Cell::new(0)).collect();
         World {
@@ -50,7 +50,7 @@
             history: RefCell::default(),
             apis,
             gateways,
-            operators,
+            operator_addresses,
             incarnations,
             stop_callers: Cell::new(false),
             acked: Cell::new(0),
@@ -81,10 +81,10 @@
         let mut h = self.history.borrow_mut();
         let limits = h.limits.iter_mut().filter(|l| l.replica == replica);
         limits.for_each(|l| l.until = Some(l.until.unwrap_or(at)));
-        let backoffs = h.backoffs.iter_mut().filter(|r| r.replica == replica);
-        backoffs.for_each(|r| r.until = r.until.min(at));
-        let drains = h.announced_drains.iter_mut().filter(|t| t.replica == replica);
-        drains.for_each(|t| t.until = Some(t.until.unwrap_or(at)));
+        let backoffs = h.backoffs.iter_mut().filter(|b| b.replica == replica);
+        backoffs.for_each(|b| b.until = b.until.min(at));
+        let drains = h.announced_drains.iter_mut().filter(|d| d.replica == replica);
+        drains.for_each(|d| d.until = Some(d.until.unwrap_or(at)));
     }
 
     /// Draws a random number below `n`.
