--- a/crates/cli/src/context.rs
+++ b/crates/cli/src/context.rs
@@ -12,7 +12,7 @@
 use serde::Serialize;
 
 use crate::error::Error;
-use crate::settings::{Settings, SettingsFile};
+use crate::settings::{File, Settings};
 
 /// Timeout of one operation.
 const TIMEOUT: Duration = Duration::from_secs(10);
@@ -48,7 +48,7 @@
     pub fn settings(&self) -> Result<Settings, Error> {
         let path =
             self.options.opt_str("settings").unwrap_or_else(|| DEFAULT_SETTINGS_PATH.to_owned());
-        Ok(load::<SettingsFile>(Path::new(&path))?)
+        Ok(load::<File>(Path::new(&path))?)
     }
 
     /// Returns the idempotency key of the operation: the value of `--op` to resend an earlier operation, else a
--- a/crates/cli/src/settings.rs
+++ b/crates/cli/src/settings.rs
@@ -9,7 +9,7 @@
 /// The settings file as written, before it is checked.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct SettingsFile {
+pub struct File {
     /// Name of the cluster.
     pub cluster: String,
     /// Path of the file with the cluster's key.
@@ -32,7 +32,7 @@
     pub operator: String,
 }
 
-impl RawSettings for SettingsFile {
+impl RawSettings for File {
     type Checked = Settings;
 
     fn check(self) -> Result<Settings, Error> {
