--- a/crates/core/examples/policies/main.rs
+++ b/crates/core/examples/policies/main.rs
@@ -28,7 +28,7 @@
 enum Rule {
     /// Leases every router an equal part at the start.
     EqualSplit,
-    /// Requests a lease for each client request.
+    /// Requests a lease for each request of a caller.
     PerRequest,
     /// Leases slices of a fixed size that are never recalled.
     FixedSlices(u64),
--- a/crates/core/src/budget/ledger.rs
+++ b/crates/core/src/budget/ledger.rs
@@ -32,7 +32,7 @@
     pub budget: String,
     /// Sequence number at the holder for this budget; a resend keeps it.
     pub seq: u64,
-    /// Smallest useful grant: what the waiting client request needs; 0 if none waits.
+    /// Smallest useful grant: what the waiting request of a caller needs; 0 if none waits.
     pub need: Tokens,
     /// Preferred size of the grant.
     pub want: Tokens,
--- a/crates/core/src/budget/policy.rs
+++ b/crates/core/src/budget/policy.rs
@@ -58,7 +58,7 @@
         Policy { horizon, floor, reserve: 0, bounded: true, ..Policy::default() }
     }
 
-    /// Returns how many tokens a holder that spends at `rate` requests while a client request of
+    /// Returns how many tokens a holder that spends at `rate` requests while a caller's request of
     /// `need` tokens waits.
     pub fn request_size(&self, rate: &Rate, need: Tokens) -> Tokens {
         let ahead = rate.per_second() * self.horizon.0 / 1000;
--- a/crates/core/src/budget/slice_store.rs
+++ b/crates/core/src/budget/slice_store.rs
@@ -255,7 +255,7 @@
         self.slices.entry(g.lease).or_insert(slice);
     }
 
-    /// Returns whether the idle tokens are so few that a request is due although no client waits.
+    /// Returns whether the idle tokens are so few that a request is due although no caller waits.
     pub fn is_low(&mut self, now: Time) -> bool {
         self.rate.close_sample(now);
         self.pending.is_none()
--- a/crates/core/src/budget/unread.rs
+++ b/crates/core/src/budget/unread.rs
@@ -2,7 +2,7 @@
 //! read.
 //!
 //! An engine generates until it notices that its connection is closed. Events also accumulate in
-//! buffers while the client, and therefore the router, does not read. The bound follows from the
+//! buffers while the caller, and therefore the router, does not read. The bound follows from the
 //! rate at which the engine generated the events that were read.
 
 use std::time::Duration;
@@ -39,7 +39,7 @@
         self.span = span;
     }
 
-    /// Records that the stream was not read for `span` because the client did not read.
+    /// Records that the stream was not read for `span` because the caller did not read.
     pub fn record_stall(&mut self, span: Duration) {
         self.stalled += span;
     }
--- a/crates/core/src/code.rs
+++ b/crates/core/src/code.rs
@@ -1,4 +1,4 @@
-//! The numbered result codes returned to clients and operators.
+//! The numbered result codes returned to callers and operators.
 //!
 //! `docs/RESULT-CODES.md` lists them; a test compares the page with this table.
 
--- a/crates/core/src/command.rs
+++ b/crates/core/src/command.rs
@@ -21,7 +21,7 @@
         vm: String,
         /// The router's data centre.
         data_centre: String,
-        /// Address for clients.
+        /// Address for callers.
         address: String,
         /// Random number drawn when the process started.
         nonce: u64,
@@ -41,7 +41,7 @@
         /// Random number drawn when its disk was first used.
         nonce: u64,
     },
-    /// Marks a router as stopping: it accepts no new clients.
+    /// Marks a router as stopping: it accepts no new callers.
     Leave(HolderId),
     /// Removes a router that has stopped and holds no leases.
     Gone(HolderId),
--- a/crates/core/src/fleet/admission.rs
+++ b/crates/core/src/fleet/admission.rs
@@ -1,6 +1,6 @@
 //! Admission control: rejects requests by priority before a gateway runs out of memory.
 //!
-//! Clients may keep using one gateway although the control group lists others, so a single gateway
+//! Callers may keep using one gateway although the control group lists others, so a single gateway
 //! can receive much more than its share. Requests beyond its capacity are rejected at once, the
 //! lowest priority first.
 
--- a/crates/core/src/fleet/demand.rs
+++ b/crates/core/src/fleet/demand.rs
@@ -1,6 +1,6 @@
 //! Request rate of one budget at this router.
 //!
-//! All clients of an account may use the same router. A router with a high request rate for a budget
+//! All callers of an account may use the same router. A router with a high request rate for a budget
 //! holds a slice of its own: asking a home router for every request would add latency, take bandwidth
 //! and fail once the link is saturated.
 
--- a/crates/core/src/fleet/document.rs
+++ b/crates/core/src/fleet/document.rs
@@ -97,7 +97,7 @@
     pub cold_per_minute: Option<u32>,
 }
 
-/// Size and time limits for client connections.
+/// Size and time limits for callers' connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limits {
@@ -140,7 +140,7 @@
     pub routes: Vec<Route>,
     /// Services to which the routes send requests.
     pub services: Vec<Backend>,
-    /// Limits for client connections.
+    /// Limits for callers' connections.
     pub limits: Limits,
     /// Client accounts; `None` if requests need no API key.
     #[serde(default)]
--- a/crates/core/src/fleet/load_monitor.rs
+++ b/crates/core/src/fleet/load_monitor.rs
@@ -1,8 +1,8 @@
 //! Overload detection by event loop latency and link utilisation.
 //!
-//! Clients may keep using one gateway although the control group lists others, and overload its CPU.
+//! Callers may keep using one gateway although the control group lists others, and overload its CPU.
 //! All its tasks share one run queue, so an overloaded gateway that keeps accepting requests also
-//! receives documents and token loans late, detects disconnected clients late and misses its latency
+//! receives documents and token loans late, detects disconnected callers late and misses its latency
 //! targets. The time of one pass through the run queue is measured at each request; new requests are
 //! rejected while passes take too long.
 
@@ -110,7 +110,7 @@
     }
 
     /// Updates the link utilisation once per window. `bytes` is the total sent to and received from
-    /// clients since the start, `capacity` the link's bytes per second, 0 if unknown. Each byte crosses
+    /// callers since the start, `capacity` the link's bytes per second, 0 if unknown. Each byte crosses
     /// the link once in each direction.
     pub fn record_bytes(&mut self, now: Time, bytes: u64, capacity: u64) {
         let (since, before) = self.window_start;
@@ -133,7 +133,7 @@
         self.link_percent >= FULL_LINK_PERCENT
     }
 
-    /// Returns whether clients should prefer other gateways.
+    /// Returns whether callers should prefer other gateways.
     pub fn is_busy(&self, now: Time) -> bool {
         self.mean_pass_us(now) >= BUSY_PASS_US || self.link_percent >= BUSY_LINK_PERCENT
     }
--- a/crates/core/src/fleet/router_heartbeats.rs
+++ b/crates/core/src/fleet/router_heartbeats.rs
@@ -1,4 +1,4 @@
-//! Selects the router addresses that are returned to a client.
+//! Selects the router addresses that are returned to a caller.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
 /// How long a router is kept after its last heartbeat.
 const ROUTER_TTL: Millis = Millis::seconds(60);
 
-/// Minimum number of routers in the client's data centre or region for the list to be limited to it.
+/// Minimum number of routers in the caller's data centre or region for the list to be limited to it.
 const MIN_NEAR: usize = 2;
 
 fn router_load(r: &RouterStatus) -> RouterLoad<'_> {
@@ -62,7 +62,7 @@
         known.take(limit).map(|(r, _)| r.link.clone()).collect()
     }
 
-    /// Returns at most `limit` router addresses for a client in `data_centre`: only those of its data
+    /// Returns at most `limit` router addresses for a caller in `data_centre`: only those of its data
     /// centre if there are enough, else those of its region, else all.
     ///
     /// Busy routers are left out of a fraction of the lists. If most routers of the data centre are busy,
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -6,7 +6,7 @@
 
 use crate::unit::{HolderId, Millis, Time, Version};
 
-/// Time without a heartbeat after which a router is no longer listed as usable for clients.
+/// Time without a heartbeat after which a router is no longer listed as usable for callers.
 pub const SUSPECT_AFTER: Millis = Millis::seconds(3);
 
 /// Time without a heartbeat after which the outcome of a router's open claims is unknown.
@@ -24,7 +24,7 @@
     pub vm: String,
     /// Its data centre.
     pub data_centre: String,
-    /// Address for clients.
+    /// Address for callers.
     pub address: String,
     /// Random number drawn when the process started; a resent registration has the same one.
     pub nonce: u64,
--- a/crates/core/src/query.rs
+++ b/crates/core/src/query.rs
@@ -51,14 +51,14 @@
     Limits,
 }
 
-/// The address and state of a router, for clients.
+/// The address and state of a router, for callers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Site {
     /// Name of the router's `Vm`.
     pub vm: String,
     /// The router's data centre.
     pub data_centre: String,
-    /// Address for clients.
+    /// Address for callers.
     pub address: String,
     /// Whether the router's heartbeats are recent and it is not stopping.
     pub usable: bool,
@@ -94,7 +94,7 @@
 /// The state of a router at the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouterStatus {
-    /// Its address and state for clients.
+    /// Its address and state for callers.
     pub site: Site,
     /// Holder id of its registration.
     pub holder: HolderId,
