--- a/crates/control/src/run.rs
+++ b/crates/control/src/run.rs
@@ -40,7 +40,7 @@
 const MAX_QUEUED_CALLS: usize = 1_024;
 
 /// Reads and checks the settings file. Returns the result code and the reason on failure.
-pub fn settings(path: &Path) -> Result<Settings, Failure> {
+pub fn load_settings(path: &Path) -> Result<Settings, Failure> {
     load::<File>(path).map_err(|e| (e.code(), e.to_string()))
 }
 
@@ -159,7 +159,7 @@
     };
     let reloaded_group = group.clone();
     actix_rt::spawn(reload_forever(
-        move || settings(&file),
+        move || load_settings(&file),
         move |s| reloaded_group.set_addresses(s.base.control),
     ));
     let server = Server::new(member, clock, me, s.advertise, reserve, group, fleet);
--- a/crates/cypressfork/src/bin/cypressfork-control.rs
+++ b/crates/cypressfork/src/bin/cypressfork-control.rs
@@ -2,11 +2,11 @@
 
 use std::process::ExitCode;
 
-use cypressfork_control::run::{run, settings};
+use cypressfork_control::run::{load_settings, run};
 use cypressfork_node::process::run_daemon;
 
 const ABOUT: &str = "A member of a region's control group: accounts, budgets, claims and bills.";
 
 fn main() -> ExitCode {
-    run_daemon("cypressfork-control", ABOUT, settings, run)
+    run_daemon("cypressfork-control", ABOUT, load_settings, run)
 }
--- a/crates/cypressfork/src/bin/cypressfork-router.rs
+++ b/crates/cypressfork/src/bin/cypressfork-router.rs
@@ -3,10 +3,10 @@
 use std::process::ExitCode;
 
 use cypressfork_node::process::run_daemon;
-use cypressfork_router::run::{run, settings};
+use cypressfork_router::run::{load_settings, run};
 
 const ABOUT: &str = "The entry router: admits, bills and routes the requests of callers.";
 
 fn main() -> ExitCode {
-    run_daemon("cypressfork-router", ABOUT, settings, run)
+    run_daemon("cypressfork-router", ABOUT, load_settings, run)
 }
--- a/crates/router/src/gateway/run.rs
+++ b/crates/router/src/gateway/run.rs
@@ -39,7 +39,7 @@
 const CLEANUP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Reads and validates the settings file.
-pub fn settings(path: &Path) -> Result<Settings, Failure> {
+pub fn load_settings(path: &Path) -> Result<Settings, Failure> {
     load::<File>(path).map_err(|e| (e.code(), e.to_string()))
 }
 
@@ -81,7 +81,7 @@
     actix_rt::spawn(report_terminations_forever(gw.clone()));
     actix_rt::spawn(probe_issuers_forever(gw.clone()));
     let g = gw.clone();
-    actix_rt::spawn(reload_forever(move || settings(&file), move |s| reload::<D>(&g, s)));
+    actix_rt::spawn(reload_forever(move || load_settings(&file), move |s| reload::<D>(&g, s)));
     stop_signal().await;
     tokio::select! {
         () = drain(gw, closed_tx) => {}
--- a/crates/router/src/run.rs
+++ b/crates/router/src/run.rs
@@ -23,7 +23,7 @@
 use crate::trace::Exporter;
 
 /// Reads and checks the settings file at `path`.
-pub fn settings(path: &Path) -> Result<Settings, Failure> {
+pub fn load_settings(path: &Path) -> Result<Settings, Failure> {
     load::<File>(path).map_err(|e| (e.code(), e.to_string()))
 }
 
@@ -66,7 +66,7 @@
     actix_rt::spawn(register_and_watch(app.clone()));
     let group = app.group.clone();
     actix_rt::spawn(reload_forever(
-        move || settings(&file),
+        move || load_settings(&file),
         move |s| group.set_addresses(s.base.control),
     ));
     stop_signal().await;
