--- a/crates/router/src/gateway/client.rs
+++ b/crates/router/src/gateway/client.rs
@@ -103,11 +103,11 @@
             self.buf = BytesMut::new();
             self.out = BytesMut::new();
             let first = timeout_at(idle, self.fill());
-            let got = tokio::select! {
-                got = first => got,
+            let filled = tokio::select! {
+                filled = first => filled,
                 () = stop => return NextRequest::Closed,
             };
-            if !matches!(got, Ok(Ok(true))) {
+            if !matches!(filled, Ok(Ok(true))) {
                 return NextRequest::Closed;
             }
         }
--- a/crates/router/src/gateway/documents.rs
+++ b/crates/router/src/gateway/documents.rs
@@ -116,12 +116,12 @@
 
 /// Logs that the fetch from a control process was abandoned, and fetches from another one.
 fn replace_source(gw: &Rc<Gateway>, abandoned: AbandonedSource, why: &str) {
-    let has = gw.documents.assembly.borrow().next_request(0).offset;
+    let received = gw.documents.assembly.borrow().next_request(0).offset;
     emit!(
         Event::DocumentTimedOut,
         from = abandoned.from,
         after_ms = abandoned.idle_for.0,
-        has = has,
+        has = received,
         why = why,
     );
     start_fetch(gw, Some(abandoned.from));
@@ -131,13 +131,19 @@
 /// just abandoned.
 fn start_fetch(gw: &Rc<Gateway>, after: Option<SocketAddr>) {
     let docs = &gw.documents;
-    let held = docs.version();
-    let Some(address) = docs.fetch.borrow_mut().choose_source(gw.now(), held, after) else {
+    let current = docs.version();
+    let Some(address) = docs.fetch.borrow_mut().choose_source(gw.now(), current, after) else {
         return;
     };
-    let has = docs.assembly.borrow().next_request(held).offset;
+    let received = docs.assembly.borrow().next_request(current).offset;
     let version = docs.fetch.borrow().version_at(address);
-    emit!(Event::DocumentRequested, version = version, from = address, held = held, has = has);
+    emit!(
+        Event::DocumentRequested,
+        version = version,
+        from = address,
+        held = current,
+        has = received
+    );
     gw.poll_now(address);
     if !docs.checker_running.replace(true) {
         actix_rt::spawn(check_fetch(gw.clone()));
@@ -179,23 +185,23 @@
 
 /// Decompresses a document and puts it in force if it is newer than the current one.
 fn put_in_force<F: DocumentFormat>(gw: &Gateway, bytes: &[u8]) {
-    let held = gw.documents.version();
+    let current = gw.documents.version();
     let source = match compression::decompress_text(bytes) {
         Ok(source) => source,
         Err(e) => return emit!(Event::MessageInvalid, why = e),
     };
     match F::parse(&source) {
-        Ok(d) if d.version > held => {
+        Ok(d) if d.version > current => {
             emit!(
                 Event::DocumentApplied,
                 version = d.version,
-                before = held,
+                before = current,
                 bytes = source.len(),
                 packed = bytes.len(),
             );
             gw.documents.in_force_since.set(gw.now());
             *gw.documents.in_force.borrow_mut() = Some(Rc::new(Routes::new(d)));
-            gw.notify();
+            gw.notify_waiters();
         }
         Ok(_) => {}
         // The control process has validated the document, so it must run another software version.
--- a/crates/router/src/gateway/homes.rs
+++ b/crates/router/src/gateway/homes.rs
@@ -21,7 +21,7 @@
 /// gateways at different times, so the lists come from one of them until it becomes unreachable.
 #[derive(Default)]
 pub struct Homes {
-    /// The gateways of the own data centre, if budgets have homes there.
+    /// The gateways of this gateway's data centre, if budgets have homes there.
     local: RefCell<Vec<SocketAddr>>,
     /// The gateways of each other data centre, and whether it is in another region.
     remote: RefCell<Vec<(bool, Vec<SocketAddr>)>>,
@@ -38,7 +38,7 @@
 
 /// The gateways that are candidates for homes of one budget.
 struct Candidates {
-    /// Those in the own data centre.
+    /// Those in this gateway's data centre.
     local: Vec<SocketAddr>,
     /// Those in each other data centre, and whether it is in another region.
     remote: Vec<(bool, Vec<SocketAddr>)>,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Returns the gateways of the own data centre; none if budgets have no homes there.
+    /// Returns the gateways of this gateway's data centre; none if budgets have no homes there.
     pub fn local(&self) -> Vec<SocketAddr> {
         self.local.borrow().clone()
     }
@@ -124,8 +124,8 @@
         self.demand.borrow().get(budget).is_some_and(|d| d.is_heavy(now))
     }
 
-    /// Returns one home of the budget in each other data centre, to ask when those of the own one have too
-    /// few tokens. Homes in the own region come first.
+    /// Returns one home of the budget in each other data centre, to ask when the local ones have too few
+    /// tokens. Those in this gateway's region come first.
     pub fn remote_homes(&self, now: Time, own: SocketAddr, budget: &str) -> Vec<SocketAddr> {
         let candidates = self.candidates(budget);
         let first_home = |(in_other_region, gateways): &(bool, Vec<SocketAddr>)| {
--- a/crates/router/src/gateway/limits.rs
+++ b/crates/router/src/gateway/limits.rs
@@ -259,7 +259,7 @@
     }
 
     /// Acquires a permit for one request of this priority to a replica; succeeds at once if the replica
-    /// has no limit. Each send needs its own permit, including retries and a resend after a kept
+    /// has no limit. Each send needs its own permit, including retries and a resend after an idle
     /// connection turned out to be closed.
     pub async fn acquire_permit(
         &self,
@@ -392,7 +392,7 @@
 
     /// Returns how much longer this gateway issues a replica's permits at the reduced rate as its new
     /// primary, or `None` if it does not.
-    pub fn reduced_until(&self, gw: &Gateway, replica: &str, data_centre: &str) -> Option<Millis> {
+    pub fn reduced_for(&self, gw: &Gateway, replica: &str, data_centre: &str) -> Option<Millis> {
         let (now, own) = (gw.now(), gw.settings.link_advertise);
         let until = self.issuers.borrow_mut().reduced_until(now, own, replica, data_centre)?;
         Some(until.since(now))
--- a/crates/router/src/gateway/request.rs
+++ b/crates/router/src/gateway/request.rs
@@ -149,7 +149,7 @@
     let routes = match check_routable(&routes, req, &inbound) {
         Err(code) if depends_on_document(code) => match newest_routes(gw, &inbound).await {
             Some(routes) => routes,
-            None => return Outcome::Refused(not_ready(gw)),
+            None => return Outcome::Refused(not_ready_refusal(gw)),
         },
         _ => routes,
     };
@@ -161,7 +161,7 @@
         }
     };
     if let Some(f) = gw.quarantines.find(&request) {
-        return Outcome::Refused(quarantined(f));
+        return Outcome::Refused(quarantine_refusal(f));
     }
     gw.count_request(&request.service);
     if !admission::admits(
@@ -206,13 +206,13 @@
 }
 
 /// Returns a refusal that tells the caller to retry, for when the gateway's document may be outdated.
-fn not_ready(gw: &Gateway) -> Refusal {
+fn not_ready_refusal(gw: &Gateway) -> Refusal {
     let detail = gw.documents.describe(gw.now());
     Refusal::from(Code::NotReady).retry_after(NOT_READY_RETRY_AFTER).detail(detail)
 }
 
 /// Returns the refusal of a quarantined request, without `Retry-After` because copies of it are refused too.
-fn quarantined(f: Fingerprint) -> Refusal {
+fn quarantine_refusal(f: Fingerprint) -> Refusal {
     Refusal::from(Code::Quarantined).detail(format!("fingerprint {f}"))
 }
 
@@ -499,7 +499,7 @@
 
     /// Returns the outcome of a request that was found quarantined before its next attempt.
     fn fail_quarantined(&self, f: Fingerprint, client: &Client) -> Outcome {
-        let refusal = quarantined(f);
+        let refusal = quarantine_refusal(f);
         if self.ran > 0 {
             return self.fail(client, refusal.code.text().to_owned());
         }
--- a/crates/router/src/gateway/share.rs
+++ b/crates/router/src/gateway/share.rs
@@ -136,8 +136,8 @@
         all.entry(address).or_insert_with(create).clone()
     }
 
-    /// Replaces the peers with the gateways of the own data centre, if budgets have homes there. Drops the
-    /// clients of gateways that are no longer listed.
+    /// Replaces the peers with the gateways of this gateway's data centre, if budgets have homes there.
+    /// Drops the clients of gateways that are no longer listed.
     pub fn update_from_homes(&self, own: SocketAddr) {
         let local = self.homes.local();
         if local.is_empty() {
@@ -170,11 +170,11 @@
         let loan =
             |tokens| BorrowedTokens { lender, id, tokens, unsettled: self.unsettled.clone() };
         match answer.ok().and_then(|b| body::unpack::<PeerReply>(&b).ok()) {
-            Some(PeerReply::Held(held, short)) => {
-                if short == Some(Shortfall::Closed) {
+            Some(PeerReply::Held(reserved, shortfall)) => {
+                if shortfall == Some(Shortfall::Closed) {
                     self.homes.mark_unavailable(gw.now(), home);
                 }
-                ((held > 0).then(|| loan(held.min(tokens))), short)
+                ((reserved > 0).then(|| loan(reserved.min(tokens))), shortfall)
             }
             _ => {
                 // The home may have reserved tokens although no response arrived.
@@ -339,7 +339,7 @@
             }
             PeerRequest::Permit(ask) => Ok(PeerReply::Permitted(gw.limits.issue_permits(gw, &ask))),
             PeerRequest::Settles { replica, data_centre } => {
-                Ok(PeerReply::Settles(gw.limits.reduced_until(gw, &replica, &data_centre)))
+                Ok(PeerReply::Settles(gw.limits.reduced_for(gw, &replica, &data_centre)))
             }
             // Served by [`Peers::serve_hold`], because it may wait.
             PeerRequest::Hold { .. } => Err(Code::MessageBad),
--- a/crates/router/src/gateway/state.rs
+++ b/crates/router/src/gateway/state.rs
@@ -246,7 +246,7 @@
     }
 
     /// Wakes the requests that wait for a document or a registration.
-    pub fn notify(&self) {
+    pub fn notify_waiters(&self) {
         self.changed.notify_waiters();
     }
 
