--- a/crates/control/src/api.rs
+++ b/crates/control/src/api.rs
@@ -115,9 +115,9 @@
     let version = document.version;
     let command = Command::Publish { version, source, budgets, services };
     match api.group.command(&command, PUBLISH_TIMEOUT).await {
-        Ok(Committed::Published(held)) => {
-            emit!(Event::DocumentPublished, version = version, held = held);
-            CallAnswer::Published(held)
+        Ok(Committed::Published(current)) => {
+            emit!(Event::DocumentPublished, version = version, held = current);
+            CallAnswer::Published(current)
         }
         Ok(_) => CallAnswer::Refused(Code::MessageBad, "the group gave another answer".to_owned()),
         Err(code) => CallAnswer::Refused(code, "the group did not commit it in time".to_owned()),
--- a/crates/control/src/dialect.rs
+++ b/crates/control/src/dialect.rs
@@ -40,7 +40,7 @@
     AbortRollout(String),
     /// Return the state of this service's rollout.
     Rollout(String),
-    /// Return router addresses for a client in this data centre.
+    /// Return router addresses for a caller in this data centre.
     Entry(String),
 }
 
--- a/crates/control/src/fleet_view.rs
+++ b/crates/control/src/fleet_view.rs
@@ -262,19 +262,19 @@
     }
 
     /// Removes the pending watches that are due, and returns their responses.
-    pub fn due_responses(&mut self, now: Time, f: &WatchedState) -> Vec<(T, WatchResponse)> {
+    pub fn due_responses(&mut self, now: Time, state: &WatchedState) -> Vec<(T, WatchResponse)> {
         self.next_poll = now.after(POLL_INTERVAL);
         let (due, rest): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.pending).into_iter().partition(|w| self.is_due(now, w, f));
+            std::mem::take(&mut self.pending).into_iter().partition(|w| self.is_due(now, w, state));
         self.pending = rest;
-        if due.iter().any(|w| w.is_behind(f.version))
-            && self.packed_documents.newest_version() < f.version
+        if due.iter().any(|w| w.is_behind(state.version))
+            && self.packed_documents.newest_version() < state.version
         {
-            self.packed_documents.insert(f.version, compression::compress_text(f.source));
+            self.packed_documents.insert(state.version, compression::compress_text(state.source));
         }
-        self.directory.refresh(now, f.registered.iter(), &self.routers);
+        self.directory.refresh(now, state.registered.iter(), &self.routers);
         due.into_iter()
-            .map(|w| (self.response(now, &w, f), w.to))
+            .map(|w| (self.response(now, &w, state), w.to))
             .map(|(response, to)| (to, response))
             .collect()
     }
@@ -287,24 +287,24 @@
         }
     }
 
-    fn is_due(&self, now: Time, w: &PendingWatch<T>, f: &WatchedState) -> bool {
+    fn is_due(&self, now: Time, w: &PendingWatch<T>, state: &WatchedState) -> bool {
         let waited = now.since(w.received);
-        let has_newer_version = w.watch.router.is_some() && f.version > w.watch.version;
+        let has_newer_version = w.watch.router.is_some() && state.version > w.watch.version;
         let relays_heartbeats = w.watch.router.is_none() && waited >= HEARTBEAT_BATCH_DELAY;
         has_newer_version
-            || w.is_behind(f.version)
-            || f.evacuations.revision > w.watch.evacuations
-            || f.quarantine.quarantined_revision() > w.watch.quarantine
-            || f.rollouts.revision > w.watch.rollouts
+            || w.is_behind(state.version)
+            || state.evacuations.revision > w.watch.evacuations
+            || state.quarantine.quarantined_revision() > w.watch.quarantine
+            || state.rollouts.revision > w.watch.rollouts
             || waited >= WATCH_TIMEOUT
-            || (waited >= CHANGE_BATCH_DELAY && w.has_quarantine_changes(f.quarantine))
+            || (waited >= CHANGE_BATCH_DELAY && w.has_quarantine_changes(state.quarantine))
             || (waited >= CHANGE_BATCH_DELAY && w.has_replica_changes(&self.registry))
             || (waited >= CHANGE_BATCH_DELAY && w.has_direct_leaves(&self.registry))
             || (waited >= CHANGE_BATCH_DELAY && w.has_limit_changes(&self.limits))
             || (relays_heartbeats && self.registry.has_heartbeats(w.replica_position))
     }
 
-    fn response(&mut self, now: Time, w: &PendingWatch<T>, f: &WatchedState) -> WatchResponse {
+    fn response(&mut self, now: Time, w: &PendingWatch<T>, state: &WatchedState) -> WatchResponse {
         let is_router = w.watch.router.is_some();
         let mut heartbeats = Vec::new();
         let mut leaves = self.registry.position();
@@ -325,7 +325,7 @@
         };
         let has_homes = |r: &RouterStatus| self.directory.has_homes(&r.data_centre);
         let needs_peers = w.watch.router.as_ref().is_some_and(|r| !has_homes(r));
-        let controls = controls_digest(&f.controls);
+        let controls = controls_digest(&state.controls);
         let has_controls = w.watch.feed.boot == self.boot && w.watch.feed.controls == controls;
         let has_routers_with_homes =
             w.watch.areas == NOT_WANTED || w.watch.areas == self.directory.with_homes_digest();
@@ -346,24 +346,24 @@
             replicas: changes.records,
             packed: changes.packed,
             beats: heartbeats,
-            version: f.version,
+            version: state.version,
             part: w.watch.fetch.and_then(|fetch| self.packed_documents.part(&fetch)),
-            controls: if has_controls { Vec::new() } else { f.controls.clone() },
+            controls: if has_controls { Vec::new() } else { state.controls.clone() },
             routers: self.routers.count(now),
             peers: if needs_peers { self.routers.links(now, MAX_PEERS) } else { Vec::new() },
-            wall: f.wall.0,
+            wall: state.wall.0,
             areas: (!has_routers_with_homes).then(|| self.directory.with_homes().to_vec()),
-            lead: f.lead.clone(),
+            lead: state.lead.clone(),
             data_centre: match w.watch.feed.boot == self.boot {
                 true => String::new(),
-                false => f.data_centre.to_owned(),
+                false => state.data_centre.to_owned(),
             },
-            evacuations: (f.evacuations.revision > w.watch.evacuations)
-                .then(|| f.evacuations.clone()),
-            rollouts: (f.rollouts.revision > w.watch.rollouts).then(|| f.rollouts.clone()),
+            evacuations: (state.evacuations.revision > w.watch.evacuations)
+                .then(|| state.evacuations.clone()),
+            rollouts: (state.rollouts.revision > w.watch.rollouts).then(|| state.rollouts.clone()),
             quarantine: w
-                .has_quarantine_changes(f.quarantine)
-                .then(|| self.quarantine_list(f.quarantine)),
+                .has_quarantine_changes(state.quarantine)
+                .then(|| self.quarantine_list(state.quarantine)),
             limits,
             few: (!has_routers_without_homes).then(|| self.directory.without_homes().to_vec()),
         }
--- a/crates/control/src/machine/proposals.rs
+++ b/crates/control/src/machine/proposals.rs
@@ -126,6 +126,8 @@
         }
     }
 
+    /// Answers the caller of the entry at `index` once that is applied. The answer is
+    /// [`Code::NotLeader`] if an entry of another term has replaced the caller's.
     pub(super) fn answer_proposal(
         &mut self,
         at: ClockReading,
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -52,9 +52,9 @@
 pub struct FleetFile {
     /// Listening address of the HTTP API for operators and replicas.
     pub listen: String,
-    /// Listening address at which clients request router addresses.
+    /// Listening address at which callers request router addresses.
     pub entry: String,
-    /// Milliseconds for which clients may cache router addresses.
+    /// Milliseconds for which callers may cache router addresses.
     #[serde(default = "entry_keep_default")]
     pub entry_keep_ms: u64,
     /// Milliseconds between a replica's heartbeats.
@@ -92,9 +92,9 @@
 pub struct FleetSettings {
     /// Listening address of the HTTP API for operators and replicas.
     pub listen: SocketAddr,
-    /// Listening address at which clients request router addresses.
+    /// Listening address at which callers request router addresses.
     pub entry: SocketAddr,
-    /// Time for which clients may cache router addresses.
+    /// Time for which callers may cache router addresses.
     pub entry_keep: Millis,
     /// Interval between a replica's heartbeats.
     pub replica_heartbeat: Millis,
