--- a/crates/router/src/budget_slices.rs
+++ b/crates/router/src/budget_slices.rs
@@ -29,8 +29,8 @@
 }
 
 impl SlicesByBudget {
-    /// Returns the slices of a budget under `policy`, creating the store if necessary.
-    pub fn get(&self, budget: &str, policy: Policy) -> Rc<BudgetSlices> {
+    /// Returns the slices of a budget under `policy`, and creates them on first use.
+    pub fn get_or_create(&self, budget: &str, policy: Policy) -> Rc<BudgetSlices> {
         let mut all = self.by_budget.borrow_mut();
         let new_slices = || {
             let slices = RefCell::new(SliceStore::new(policy, 0));
--- a/crates/router/src/config_index.rs
+++ b/crates/router/src/config_index.rs
@@ -15,7 +15,7 @@
     /// Name of the account.
     pub name: String,
     /// Settings of the account.
-    pub account: Account,
+    pub settings: Account,
 }
 
 /// A service of model engines and its name.
@@ -78,8 +78,8 @@
             let name = name.name.clone();
             match object {
                 Object::Account(a) => {
-                    let client = Rc::new(ClientAccount { name, account: a.clone() });
-                    let keys = a.keys.iter().map(|k| (k.clone(), client.clone()));
+                    let account = Rc::new(ClientAccount { name, settings: a.clone() });
+                    let keys = a.keys.iter().map(|k| (k.clone(), account.clone()));
                     self.by_key.extend(keys);
                 }
                 Object::Budget(b) => {
@@ -105,25 +105,25 @@
 
     /// Returns the client account with a key that has this digest. Fails if there is none or it is
     /// closed.
-    pub fn client_by_key(&self, key_digest: &str) -> Result<Rc<ClientAccount>, Code> {
-        let client = self.by_key.get(key_digest).ok_or(Code::KeyUnknown)?;
-        if client.account.closed { Err(Code::AccountClosed) } else { Ok(client.clone()) }
+    pub fn account_by_key(&self, key_digest: &str) -> Result<Rc<ClientAccount>, Code> {
+        let account = self.by_key.get(key_digest).ok_or(Code::KeyUnknown)?;
+        if account.settings.closed { Err(Code::AccountClosed) } else { Ok(account.clone()) }
     }
 
     /// Returns the service of a model. Fails if there is none or the client account may not use it.
     pub fn model_service(
         &self,
-        client: &ClientAccount,
+        account: &ClientAccount,
         model: &str,
     ) -> Result<Rc<NamedModelService>, Code> {
         let m = self.by_model.get(model).ok_or(Code::ModelUnknown)?;
-        require_access(client, &m.name)?;
+        require_access(account, &m.name)?;
         Ok(m.clone())
     }
 
     /// Returns the names of the models that a client account may use, in order.
-    pub fn model_names(&self, client: &ClientAccount) -> Vec<String> {
-        let has_access = |m: &NamedModelService| client.account.services.contains(&m.name);
+    pub fn model_names(&self, account: &ClientAccount) -> Vec<String> {
+        let has_access = |m: &NamedModelService| account.settings.services.contains(&m.name);
         let mut all: Vec<_> =
             self.by_model.iter().filter(|(_, m)| has_access(m)).map(|(n, _)| n.clone()).collect();
         all.sort();
@@ -134,19 +134,19 @@
     /// client account may not use it.
     pub fn plain_service(
         &self,
-        client: &ClientAccount,
+        account: &ClientAccount,
         path: &str,
     ) -> Result<Rc<NamedPlainService>, Code> {
         let p = self.plain_services.iter().find(|p| path.starts_with(&p.service.prefix));
         let p = p.ok_or(Code::PathUnknown)?;
-        require_access(client, &p.name)?;
+        require_access(account, &p.name)?;
         Ok(p.clone())
     }
 
     /// Returns the name and settings of the budget that pays for a client account's use of a
     /// service. Fails if there is none.
-    pub fn budget(&self, client: &ClientAccount, service: &str) -> Result<(&str, &Budget), Code> {
-        let name = self.budgets.get(&(client.name.clone(), service.to_owned()));
+    pub fn budget(&self, account: &ClientAccount, service: &str) -> Result<(&str, &Budget), Code> {
+        let name = self.budgets.get(&(account.name.clone(), service.to_owned()));
         let name = name.ok_or(Code::BudgetNone)?;
         match self.objects.get(&ObjectName::budget(name)) {
             Some(Object::Budget(b)) => Ok((name, b)),
@@ -163,7 +163,7 @@
     }
 }
 
-fn require_access(client: &ClientAccount, service: &str) -> Result<(), Code> {
-    let has_access = client.account.services.iter().any(|s| s == service);
+fn require_access(account: &ClientAccount, service: &str) -> Result<(), Code> {
+    let has_access = account.settings.services.iter().any(|s| s == service);
     if has_access { Ok(()) } else { Err(Code::ServiceForbidden) }
 }
--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -64,13 +64,13 @@
     /// The deadline has passed.
     DeadlinePassed,
     /// The caller has disconnected.
-    ClientDisconnected,
+    CallerDisconnected,
 }
 
 impl From<SendError> for AttemptError {
     fn from(e: SendError) -> AttemptError {
         match e {
-            SendError::Disconnected => AttemptError::ClientDisconnected,
+            SendError::Disconnected => AttemptError::CallerDisconnected,
             SendError::DeadlinePassed => AttemptError::DeadlinePassed,
         }
     }
@@ -187,12 +187,12 @@
                 Err(f) => f,
             };
             let is_fault =
-                !matches!(failed, AttemptError::DeadlinePassed | AttemptError::ClientDisconnected);
+                !matches!(failed, AttemptError::DeadlinePassed | AttemptError::CallerDisconnected);
             self.app.record_end(&self.plan.service, &choice, is_fault);
             match failed {
                 AttemptError::NotSent => {}
                 AttemptError::DeadlinePassed => return Err(deadline_refusal(self.ran_so_far())),
-                AttemptError::ClientDisconnected => {
+                AttemptError::CallerDisconnected => {
                     return Err(upstream_failure(Code::UpstreamFailed, "the caller has gone"));
                 }
                 // A claimed request is sent to one engine only, as it may run at most once.
@@ -228,7 +228,7 @@
             .insert_header(("content-type", "application/json"))
             .insert_header(("x-request-id", format!("{:016x}", self.run)));
         let mut span = plan.trace.span("dispatch");
-        span.note(address.to_string());
+        span.set_note(address.to_string());
         req = req.insert_header(("traceparent", span.traceparent()));
         if let Some(c) = &self.claim {
             c.mark_started();
@@ -240,7 +240,7 @@
             sent = timeout_at(plan.deadline, sending) => sent,
             () = self.sender.closed() => {
                 self.attempt.dispatched = true;
-                return Err(AttemptError::ClientDisconnected);
+                return Err(AttemptError::CallerDisconnected);
             }
         };
         let not_sent = matches!(&sent, Ok(Err(e)) if is_not_sent(e));
@@ -331,7 +331,7 @@
 fn refusal_for(e: AttemptError) -> Refusal {
     match e {
         AttemptError::DeadlinePassed => deadline_refusal(Ran::Unknown),
-        AttemptError::ClientDisconnected => {
+        AttemptError::CallerDisconnected => {
             upstream_failure(Code::UpstreamFailed, "the caller has gone")
         }
         AttemptError::Failed(why) | AttemptError::Rejected(why) => {
--- a/crates/router/src/model_handler.rs
+++ b/crates/router/src/model_handler.rs
@@ -60,22 +60,27 @@
 }
 
 /// The parsed request with the client account, model and budget found in the configuration.
-struct Target {
-    client: Rc<ClientAccount>,
+struct ResolvedRequest {
+    account: Rc<ClientAccount>,
     model: Rc<NamedModelService>,
     request: ModelRequest,
     budget: String,
     policy: Policy,
 }
 
-fn resolve_target(app: &App, api: Api, head: &Head, bytes: &[u8]) -> Result<Target, Refusal> {
+fn resolve_request(
+    app: &App,
+    api: Api,
+    head: &Head,
+    bytes: &[u8],
+) -> Result<ResolvedRequest, Refusal> {
     let config = app.config.borrow();
-    let client = config.client_by_key(&head.key)?;
+    let account = config.account_by_key(&head.key)?;
     let request = ModelRequest::parse(api, bytes)?;
-    let model = config.model_service(&client, &request.model)?;
-    let (name, b) = config.budget(&client, &model.name)?;
+    let model = config.model_service(&account, &request.model)?;
+    let (name, b) = config.budget(&account, &model.name)?;
     let (budget, policy) = (name.to_owned(), b.policy());
-    Ok(Target { client, model, request, budget, policy })
+    Ok(ResolvedRequest { account, model, request, budget, policy })
 }
 
 /// Handles a model request. Returns when the response has started or was refused.
@@ -87,20 +92,21 @@
     trace: &Rc<Trace>,
 ) -> Result<Response<Body>, Refusal> {
     let deadline = Instant::now() + head.deadline.unwrap_or(app.settings.default_deadline);
-    let Target { client, model, request, budget, policy } = resolve_target(app, api, head, bytes)?;
-    let id = request_id(&client.name, &head.id);
+    let ResolvedRequest { account, model, request, budget, policy } =
+        resolve_request(app, api, head, bytes)?;
+    let id = request_id(&account.name, &head.id);
     let cap = request.output_cap(model.service.max_output);
     let need = request.prompt_bound + cap;
     let priority = head.priority.unwrap_or(model.service.priority);
     let queue = app.queue(&model.name).ok_or(Code::NotReady)?;
-    let concurrency = client.account.concurrency;
+    let concurrency = account.settings.concurrency;
     let admission = trace.span("admission");
-    let permit = queue.acquire(&client.name, concurrency, priority, deadline).await?;
+    let permit = queue.acquire(&account.name, concurrency, priority, deadline).await?;
     drop(admission);
     let token_store = app.token_store().ok_or(Code::NotReady)?;
     let mut budgeting = trace.span("budget");
     let reservation = token_store.reserve(&budget, policy, need, deadline).await?;
-    budgeting.note(format!("{need} tokens of {budget}"));
+    budgeting.set_note(format!("{need} tokens of {budget}"));
     drop(budgeting);
     let guard = ReservationGuard::new(token_store, budget, reservation);
     let claim = match head.at_most_once {
@@ -109,7 +115,7 @@
             let _claiming = trace.span("claim");
             match claim(app, id, body_digest("POST", api.path(), bytes), deadline).await? {
                 ClaimResult::Run(c) => Some(c),
-                ClaimResult::Done(o) => return Ok(replay(&o)),
+                ClaimResult::Done(o) => return Ok(recorded_response(&o)),
             }
         }
     };
@@ -159,7 +165,7 @@
 }
 
 /// Builds the response from the recorded outcome of a request that has run.
-pub fn replay(o: &Outcome) -> Response<Body> {
+pub fn recorded_response(o: &Outcome) -> Response<Body> {
     let status = StatusCode::from_u16(o.status).unwrap_or(StatusCode::OK);
     let Some(body) = &o.body else {
         let v = json!({ "ran": "yes", "status": o.status, "note": "the answer was too large to be kept" });
--- a/crates/router/src/plain.rs
+++ b/crates/router/src/plain.rs
@@ -20,7 +20,7 @@
 use crate::app::{ActiveRequest, App};
 use crate::claim::{Claim, ClaimResult, claim};
 use crate::head::Head;
-use crate::model_handler::replay;
+use crate::model_handler::recorded_response;
 use crate::reply::{RAN, REQUEST_ID, Refusal};
 use crate::trace::{Span, Trace};
 use crate::unpooled::{BufferedResponse, ExchangeError, Request, exchange};
@@ -69,20 +69,20 @@
     trace: &Rc<Trace>,
 ) -> Result<Response<Body>, Refusal> {
     let deadline = Instant::now() + head.deadline.unwrap_or(app.settings.default_deadline);
-    let client = app.config.borrow().client_by_key(&head.key)?;
+    let account = app.config.borrow().account_by_key(&head.key)?;
     let path = call.path.split('?').next().unwrap_or_default().to_owned();
-    let service = app.config.borrow().plain_service(&client, &path)?;
+    let service = app.config.borrow().plain_service(&account, &path)?;
     let is_safe = matches!(call.method, Method::GET | Method::HEAD);
     let needs_claim = head.at_most_once || (service.service.writes_once && !is_safe);
     if needs_claim && !head.id_given {
         return Err(Code::IdMissing.into());
     }
-    let id = request_id(&client.name, &head.id);
+    let id = request_id(&account.name, &head.id);
     let priority = head.priority.unwrap_or(Priority::Live);
     let queue = app.queue(&service.name).ok_or(Code::NotReady)?;
-    let concurrency = client.account.concurrency;
+    let concurrency = account.settings.concurrency;
     let admission = trace.span("admission");
-    let permit = queue.acquire(&client.name, concurrency, priority, deadline).await?;
+    let permit = queue.acquire(&account.name, concurrency, priority, deadline).await?;
     drop(admission);
     let claim = match needs_claim {
         false => None,
@@ -91,7 +91,7 @@
             let _claiming = trace.span("claim");
             match claim(app, id, digest, deadline).await? {
                 ClaimResult::Run(c) => Some(c),
-                ClaimResult::Done(o) => return Ok(replay(&o)),
+                ClaimResult::Done(o) => return Ok(recorded_response(&o)),
             }
         }
     };
@@ -145,7 +145,7 @@
         let address = choice.address;
         tried.push(address);
         let mut span = trace.span("dispatch");
-        span.note(address.to_string());
+        span.set_note(address.to_string());
         let sent = timeout_at(pending.deadline, send(address, pending, &span)).await;
         drop(span);
         let failed = matches!(sent, Ok(Err(_)));
--- a/crates/router/src/queue.rs
+++ b/crates/router/src/queue.rs
@@ -147,11 +147,11 @@
         loop {
             let next = self.limiter.borrow_mut().start_next();
             let Some(ticket) = next else { return };
-            let client = self.waiting.borrow().get(&ticket).map(|w| w.client_account.clone());
+            let account = self.waiting.borrow().get(&ticket).map(|w| w.client_account.clone());
             if !self.notify(ticket, Ok(()))
-                && let Some(client) = client
+                && let Some(account) = account
             {
-                self.limiter.borrow_mut().release(&client, None);
+                self.limiter.borrow_mut().release(&account, None);
             }
         }
     }
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -37,7 +37,7 @@
                     self.plan.deadline,
                     timeout(KEEP_ALIVE_INTERVAL, engine_response.response.next()),
                 ) => p,
-                () = self.sender.closed() => return Err(AttemptError::ClientDisconnected),
+                () = self.sender.closed() => return Err(AttemptError::CallerDisconnected),
             };
             let bytes = match next {
                 Err(_) => return Err(AttemptError::DeadlinePassed),
--- a/crates/router/src/run.rs
+++ b/crates/router/src/run.rs
@@ -41,7 +41,7 @@
     logging::start(s.base.log_level, s.base.log_form);
     let metrics = operators::start_metrics()
         .map_err(|e| (Code::SettingsValue, format!("could not start metrics: {e}")))?;
-    let client_listener = listen(s.listen).await?;
+    let caller_listener = listen(s.listen).await?;
     let operator_listener = listen(s.operators).await?;
     let base = s.base.clone();
     let credentials = Credentials { key: base.key, cluster: base.cluster, name: base.vm };
@@ -51,7 +51,7 @@
     emit!(Event::Started, listen = s.listen, operators = s.operators);
     let app = Rc::new(App::new(s, Clock::start(), group, reserve, exporter));
     let a = app.clone();
-    actix_rt::spawn(cypressfork_http::serve(client_listener, move |req| {
+    actix_rt::spawn(cypressfork_http::serve(caller_listener, move |req| {
         let app = a.clone();
         async move { serve(app, req).await }
     }));
--- a/crates/router/src/serve.rs
+++ b/crates/router/src/serve.rs
@@ -106,7 +106,7 @@
     let head = head?;
     require_ready(app)?;
     // Check the caller before reading the body.
-    app.config.borrow().client_by_key(&head.key)?;
+    app.config.borrow().account_by_key(&head.key)?;
     let span = trace.span("entry");
     let bytes = read_body(req, app.settings.body_cap).await?;
     drop(span);
@@ -120,8 +120,8 @@
     trace: &Rc<Trace>,
 ) -> Result<Response<Body>, Refusal> {
     require_ready(app)?;
-    let client = app.config.borrow().client_by_key(&head.key)?;
-    app.config.borrow().plain_service(&client, req.path())?;
+    let account = app.config.borrow().account_by_key(&head.key)?;
+    app.config.borrow().plain_service(&account, req.path())?;
     let method = req.method().clone();
     let path = req.uri().path_and_query().map_or("/", |p| p.as_str()).to_owned();
     let content_type = req.headers().get(header::CONTENT_TYPE).cloned();
@@ -132,9 +132,9 @@
 fn list_models(app: &App, head: &Head) -> Result<Response<Body>, Refusal> {
     require_ready(app)?;
     let config = app.config.borrow();
-    let client = config.client_by_key(&head.key)?;
+    let account = config.account_by_key(&head.key)?;
     let data: Vec<_> = config
-        .model_names(&client)
+        .model_names(&account)
         .into_iter()
         .map(|m| json!({ "id": m, "object": "model", "owned_by": "cypressfork" }))
         .collect();
--- a/crates/router/src/token_store.rs
+++ b/crates/router/src/token_store.rs
@@ -124,7 +124,7 @@
         n: Tokens,
         deadline: Instant,
     ) -> Result<(Grantor, Reservation), Refusal> {
-        let entry = self.group_slices.get(budget, policy);
+        let entry = self.group_slices.get_or_create(budget, policy);
         loop {
             let now = self.clock.now();
             let found = entry.slices.borrow_mut().reserve(now, n);
@@ -212,7 +212,7 @@
         n: Tokens,
         deadline: Instant,
     ) -> Result<(Grantor, Reservation), Refusal> {
-        let entry = self.reserve_slices.get(budget, policy);
+        let entry = self.reserve_slices.get_or_create(budget, policy);
         let unreachable =
             || Refusal::from(Code::BudgetUnreachable).retry_after(UNREACHABLE_RETRY_AFTER);
         for _ in 0..2 {
@@ -324,7 +324,7 @@
     /// Reserves up to `n` idle tokens without waiting. Returns the reservation and the reason for a
     /// shortfall.
     pub fn reserve_available(&self, budget: &str, policy: Policy, n: Tokens) -> PartialReservation {
-        let entry = self.group_slices.get(budget, policy);
+        let entry = self.group_slices.get_or_create(budget, policy);
         let wait = entry.slices.borrow().limit_wait(self.clock.now(), n);
         let reserved = self.reserve_part(budget, policy, n).map(|r| (Grantor::Group, r));
         let is_whole = reserved.as_ref().is_some_and(|(_, r)| r.amount() == n);
@@ -342,7 +342,7 @@
 
     /// Reserves up to `n` idle tokens of a budget. Returns `None` if none are available.
     pub fn reserve_part(&self, budget: &str, policy: Policy, n: Tokens) -> Option<Reservation> {
-        let entry = self.group_slices.get(budget, policy);
+        let entry = self.group_slices.get_or_create(budget, policy);
         let mut slices = entry.slices.borrow_mut();
         slices.reserve_part(self.clock.now(), n)
     }
@@ -350,7 +350,7 @@
     /// Returns the idle tokens of a budget and how many more the spending limit allows.
     pub fn available(&self, budget: &str, policy: Policy) -> (Tokens, Tokens) {
         let now = self.clock.now();
-        let entry = self.group_slices.get(budget, policy);
+        let entry = self.group_slices.get_or_create(budget, policy);
         let slices = entry.slices.borrow();
         (slices.idle(now), slices.limit_remaining(now))
     }
--- a/crates/router/src/trace.rs
+++ b/crates/router/src/trace.rs
@@ -176,7 +176,7 @@
 
 impl Span {
     /// Sets the text of the `note` attribute.
-    pub fn note(&mut self, text: impl Into<String>) {
+    pub fn set_note(&mut self, text: impl Into<String>) {
         self.note = text.into();
     }
 
--- a/crates/router/src/unpooled.rs
+++ b/crates/router/src/unpooled.rs
@@ -1,7 +1,7 @@
 //! One HTTP/1.1 exchange on a new connection.
 //!
-//! The pooled client takes an early close for the end of a response, and cannot detect whether a
-//! kept connection was closed before a request was written to it. Here nothing is sent before the
+//! The pooled client takes an early close for the end of a response, and cannot detect whether an
+//! idle connection was closed before a request was written to it. Here nothing is sent before the
 //! connection is established, and an incomplete response is an error.
 
 use std::net::SocketAddr;
