--- a/crates/router/src/gateway/notices.rs
+++ b/crates/router/src/gateway/notices.rs
@@ -61,7 +61,7 @@
 struct LeavingReplica {
     /// Start time of the incarnation, or 0 if not reported.
     born: u64,
-    /// Whether to report it to control processes, because the last status received from one is ready.
+    /// Whether to report it to the control processes: the last status that one of them sent was ready.
     needs_report: bool,
 }
 
