--- a/crates/router/src/run.rs
+++ b/crates/router/src/run.rs
@@ -23,7 +23,7 @@
 use crate::trace::Exporter;
 
 /// Reads and checks the settings file at `path`.
-pub fn settings(path: &Path) -> Result<Settings, Failure> {
+pub fn load_settings(path: &Path) -> Result<Settings, Failure> {
     load::<File>(path).map_err(|e| (e.code(), e.to_string()))
 }
 
@@ -41,7 +41,7 @@
     logging::start(s.base.log_level, s.base.log_form);
     let metrics = operators::start_metrics()
         .map_err(|e| (Code::SettingsValue, format!("could not start metrics: {e}")))?;
-    let client_listener = listen(s.listen).await?;
+    let caller_listener = listen(s.listen).await?;
     let operator_listener = listen(s.operators).await?;
     let base = s.base.clone();
     let credentials = Credentials { key: base.key, cluster: base.cluster, name: base.vm };
@@ -51,7 +51,7 @@
     emit!(Event::Started, listen = s.listen, operators = s.operators);
     let app = Rc::new(App::new(s, Clock::start(), group, reserve, exporter));
     let a = app.clone();
-    actix_rt::spawn(cypressfork_http::serve(client_listener, move |req| {
+    actix_rt::spawn(cypressfork_http::serve(caller_listener, move |req| {
         let app = a.clone();
         async move { serve(app, req).await }
     }));
@@ -66,7 +66,7 @@
     actix_rt::spawn(register_and_watch(app.clone()));
     let group = app.group.clone();
     actix_rt::spawn(reload_forever(
-        move || settings(&file),
+        move || load_settings(&file),
         move |s| group.set_addresses(s.base.control),
     ));
     stop_signal().await;
